--- a/Makefile
+++ b/Makefile
@@ -9,6 +9,7 @@
 lint:
 	test -z "$$(gofmt -l .)"
 	go vet ./...
+	go tool -modfile=tools/go.mod staticcheck ./...
 
 # Stand-in cache servers, an origin and a list service on loopback, and a configuration for a router of theirs.
 fleet: build
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -103,7 +103,6 @@
 // agent is a list service whose calls are answered only as a test says.
 type agent struct {
 	t     *testing.T
-	addr  string
 	calls chan *asked
 	news  chan List
 }
--- a/internal/handover/sockets.go
+++ b/internal/handover/sockets.go
@@ -131,7 +131,6 @@
 	heirs Heirs
 	log   zerolog.Logger
 	mu    sync.Mutex
-	asked int
 	conns map[net.Conn]bool
 	ended bool
 }
--- a/internal/lab/state.go
+++ b/internal/lab/state.go
@@ -37,6 +37,9 @@
 // eachFile acts on all files of a folder; one that goes meanwhile is no fault.
 func eachFile(folder string, act func(path string) error) error {
 	all, err := filepath.Glob(filepath.Join(folder, "*"))
+	if err != nil {
+		return err
+	}
 	for _, path := range all {
 		info, gone := os.Lstat(path)
 		if gone != nil || !info.Mode().IsRegular() {
--- a/internal/operators/contracts.go
+++ b/internal/operators/contracts.go
@@ -289,7 +289,7 @@
 	}
 }
 
-// ConnectTimeout, ConnIdle and Streams give what the pool says, else the platform's.
+// ConnectTimeout is the pool's limit in seconds for a connection to come up; usual, the platform's, where it states none.
 func (p Pool) ConnectTimeout(usual float64) float64 {
 	if p.ConnectTimeoutMS != nil {
 		return *p.ConnectTimeoutMS / 1e3
