--- /dev/null
+++ b/internal/service/golden_test.go
@@ -0,0 +1,84 @@
+package service
+
+import (
+	"encoding/hex"
+	"encoding/json"
+	"flag"
+	"net/netip"
+	"os"
+	"path/filepath"
+	"reflect"
+	"strings"
+	"testing"
+
+	"bendtrestle/internal/discovery"
+	"bendtrestle/logic"
+
+	"github.com/fxamacker/cbor/v2"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares bytes with a file that the build of 15122f5 wrote.
+func golden(t *testing.T, name string, got []byte) []byte {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *writeGolden {
+		if err := os.WriteFile(path, append(got, '\n'), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.TrimSuffix(string(text), "\n")
+	if string(got) != want {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+	return []byte(want)
+}
+
+func goldenEntries() []discovery.Entry {
+	return []discovery.Entry{
+		{Member: logic.Member{ID: 1, Mode: logic.InService, Capacity: 1.5, Zone: "a", Cell: 3, Kind: "m2", Started: 1700000000.25},
+			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
+		{Member: logic.Member{ID: 4294967295, Mode: logic.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
+		{Member: logic.Member{ID: 7, Mode: logic.Gone}},
+	}
+}
+
+// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way round.
+func TestGoldenHotRestartState(t *testing.T) {
+	sent := knowledge{Discovery: "127.2.0.1:8500", List: discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()}}
+	text, err := json.Marshal(sent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden(t, "hotrestart-state", text)
+	var read knowledge
+	if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, sent) {
+		t.Errorf("read as %+v, %v", read, err)
+	}
+}
+
+// The list on disk was perhaps written by another build.
+func TestGoldenSavedList(t *testing.T) {
+	sent := kept{Generation: 41}
+	for _, e := range goldenEntries() {
+		sent.Servers = append(sent.Servers, keptServer{e.Member, e.Addr.String()})
+	}
+	body, err := cbor.Marshal(sent)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden(t, "saved-list", []byte(hex.EncodeToString(body)))
+	bytes, err := hex.DecodeString(string(want))
+	if err != nil {
+		t.Fatal(err)
+	}
+	var read kept
+	if err := cbor.Unmarshal(bytes, &read); err != nil || !reflect.DeepEqual(read, sent) {
+		t.Errorf("read as %+v, %v", read, err)
+	}
+}
