--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -50,7 +50,10 @@
 
 // The next process may be of another build: it reads what this one tells it at a hot restart, and the other way round.
 func TestGoldenHotRestartState(t *testing.T) {
-	sent := knowledge{Discovery: "127.2.0.1:8500", List: discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()}}
+	sent := knowledge{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
+	for _, entry := range goldenEntries() {
+		sent.List.Entries = append(sent.List.Entries, saveEntry(entry))
+	}
 	text, err := json.Marshal(sent)
 	if err != nil {
 		t.Fatal(err)
@@ -60,13 +63,17 @@
 	if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, sent) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
+	list := read.List.list()
+	if list.Generation != 41 || !list.Whole || !reflect.DeepEqual(list.Entries, goldenEntries()) {
+		t.Errorf("taken as %+v", list)
+	}
 }
 
 // The list on disk was perhaps written by another build.
 func TestGoldenSavedList(t *testing.T) {
 	sent := kept{Generation: 41}
 	for _, e := range goldenEntries() {
-		sent.Servers = append(sent.Servers, keptServer{e.Member, e.Addr.String()})
+		sent.Servers = append(sent.Servers, keptServer{saveMember(e.Member), e.Addr.String()})
 	}
 	body, err := cbor.Marshal(sent)
 	if err != nil {
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -74,8 +74,8 @@
 }
 
 type keptServer struct {
-	Member logic.Member `cbor:"1,keyasint"`
-	Addr   string       `cbor:"2,keyasint"`
+	Member savedMember `cbor:"1,keyasint"`
+	Addr   string      `cbor:"2,keyasint"`
 }
 
 // keptList reads it. Which of its servers have started anew since nobody knows, so each counts as one that has just done so.
@@ -88,7 +88,7 @@
 	for _, x := range k.Servers {
 		if addr, err := netip.ParseAddrPort(x.Addr); err == nil {
 			x.Member.Started = now
-			l.Entries = append(l.Entries, discovery.Entry{Member: x.Member, Addr: addr})
+			l.Entries = append(l.Entries, discovery.Entry{Member: x.Member.member(), Addr: addr})
 		}
 	}
 	return l
@@ -140,7 +140,7 @@
 		if e.Mode == logic.InService {
 			ready++
 		}
-		k.Servers = append(k.Servers, keptServer{e.Member, e.Addr.String()})
+		k.Servers = append(k.Servers, keptServer{saveMember(e.Member), e.Addr.String()})
 	}
 	if w.start.Known(ready, confirmed); confirmed && w.store != nil {
 		if body, err := cbor.Marshal(k); err == nil {
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -38,7 +38,7 @@
 		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := store.Open(store.Path(dir, addr), addr, zerolog.Nop())
-		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{logic.Member{ID: 1, Mode: logic.InService, Started: 5}, "127.0.0.1:2"}}})
+		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(logic.Member{ID: 1, Mode: logic.InService, Started: 5}), "127.0.0.1:2"}}})
 		s.Put(recovery.Rate, store.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
 		s.Put(recovery.List, store.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -6,7 +6,6 @@
 
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/sock"
@@ -41,7 +40,7 @@
 // silent just now, and a drain that this process was told of must not be forgotten.
 type knowledge struct {
 	Discovery string
-	List      discovery.List
+	List      savedList
 }
 
 // learn takes what the process before this one knew, if it is of the same list service and no older than what the start says.
@@ -49,7 +48,7 @@
 	var k knowledge
 	if json.Unmarshal(state, &k) == nil && k.Discovery == s.conf.Discovery && len(k.List.Entries) > 0 &&
 		k.List.Generation >= s.conf.Known.Generation {
-		s.conf.Known = k.List
+		s.conf.Known = k.List.list()
 	}
 }
 
@@ -204,9 +203,9 @@
 	all := make(chan knowledge, 1)
 	h.s.loop.Post(func() {
 		p := h.s.platform
-		k := knowledge{Discovery: h.s.conf.Discovery, List: discovery.List{Generation: max(p.told, h.s.conf.Known.Generation), Whole: true}}
+		k := knowledge{Discovery: h.s.conf.Discovery, List: savedList{Generation: max(p.told, h.s.conf.Known.Generation), Whole: true}}
 		for _, e := range p.entries {
-			k.List.Entries = append(k.List.Entries, e)
+			k.List.Entries = append(k.List.Entries, saveEntry(e))
 		}
 		all <- k
 	})
