--- a/internal/caches/memcache.go
+++ b/internal/caches/memcache.go
@@ -5,7 +5,7 @@
 	"strconv"
 
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/logic"
 )
@@ -13,7 +13,7 @@
 // Wire is the protocol of one connection to a server. It calls its link with what it reads.
 type Wire interface {
 	Command(op *router.Operation, left float64) [][]byte // nil asks whether the server is there
-	Read(in *ring.Buffer) (whole bool, err error)        // hands on the next reply; after an error nothing more can be read
+	Read(in *ringbuffer.Buffer) (whole bool, err error)  // hands on the next reply; after an error nothing more can be read
 	Begun() bool                                         // a reply has begun and is not whole
 	Closed()                                             // the server has ended the connection
 	Drop()                                               // the connection is closed: nothing more is read, what came is let go
@@ -37,10 +37,10 @@
 	reader meta.ReplyReader
 }
 
-func (m *memcache) Read(in *ring.Buffer) (bool, error) { return m.reader.Read(in, m) }
-func (m *memcache) Begun() bool                        { return m.reader.Begun() }
-func (m *memcache) Closed()                            {}
-func (m *memcache) Drop()                              {}
+func (m *memcache) Read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
+func (m *memcache) Begun() bool                              { return m.reader.Begun() }
+func (m *memcache) Closed()                                  {}
+func (m *memcache) Drop()                                    {}
 
 // Command writes an operation's command, or a probe's.
 func (m *memcache) Command(op *router.Operation, left float64) [][]byte {
--- a/internal/caches/tilewire/tilewire.go
+++ b/internal/caches/tilewire/tilewire.go
@@ -8,7 +8,7 @@
 
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/http1"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/logic"
@@ -46,7 +46,7 @@
 func (w *wire) Begun() bool { return w.reader.Begun() }
 
 // Read hands on the next answer; after an error the connection ends, and what came of a body is let go.
-func (w *wire) Read(in *ring.Buffer) (bool, error) {
+func (w *wire) Read(in *ringbuffer.Buffer) (bool, error) {
 	whole, err := w.reader.Read(in, w)
 	if err != nil {
 		w.drop()
--- a/internal/caches/tilewire/tilewire_test.go
+++ b/internal/caches/tilewire/tilewire_test.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"bendtrestle/internal/caches"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
@@ -32,7 +32,7 @@
 
 func fed(s *Servers, l *link, text string) (*wire, error) {
 	w := s.Wire(l).(*wire)
-	in := ring.New(4096)
+	in := ringbuffer.New(4096)
 	in.Write([]byte(text))
 	_, err := w.Read(in)
 	return w, err
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -6,7 +6,7 @@
 	"cmp"
 	"hash/maphash"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
 )
@@ -36,10 +36,10 @@
 
 // Codec is the protocol of one connection. It calls its client with what it reads.
 type Codec interface {
-	Read(in *ring.Buffer) (whole bool, err error) // hands on the next command; after an error nothing more can be read
-	Begun() bool                                  // a command has begun and is not whole
-	Broken(err error) []byte                      // what is said where the stream cannot be followed any more
-	Unfinished() []byte                           // what is said to one who does not finish a command
+	Read(in *ringbuffer.Buffer) (whole bool, err error) // hands on the next command; after an error nothing more can be read
+	Begun() bool                                        // a command has begun and is not whole
+	Broken(err error) []byte                            // what is said where the stream cannot be followed any more
+	Unfinished() []byte                                 // what is said to one who does not finish a command
 	Finished(op *router.Operation, with router.Result) [][]byte
 	Declined(op *router.Operation, after float64) []byte
 	Terminated(op *router.Operation) []byte
--- a/internal/front/memcache.go
+++ b/internal/front/memcache.go
@@ -7,7 +7,7 @@
 	"strings"
 
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 )
 
@@ -19,10 +19,10 @@
 	reader meta.CommandReader
 }
 
-func (m *memcache) Read(in *ring.Buffer) (bool, error) { return m.reader.Read(in, m) }
-func (m *memcache) Begun() bool                        { return m.reader.Begun() }
-func (m *memcache) Broken(err error) []byte            { return []byte("CLIENT_ERROR " + err.Error() + "\r\n") }
-func (m *memcache) Unfinished() []byte                 { return []byte("CLIENT_ERROR the command does not go on\r\n") }
+func (m *memcache) Read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
+func (m *memcache) Begun() bool                              { return m.reader.Begun() }
+func (m *memcache) Broken(err error) []byte                  { return []byte("CLIENT_ERROR " + err.Error() + "\r\n") }
+func (m *memcache) Unfinished() []byte                       { return []byte("CLIENT_ERROR the command does not go on\r\n") }
 
 // Get takes a read.
 func (m *memcache) Get(key, id, flags, figures string) {
--- a/internal/front/tilefront/tilefront.go
+++ b/internal/front/tilefront/tilefront.go
@@ -11,7 +11,7 @@
 
 	"bendtrestle/internal/front"
 	"bendtrestle/internal/http1"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/tiles"
 )
@@ -57,8 +57,8 @@
 var Passed = map[string]string{"if-none-match": "If-None-Match", "if-modified-since": "If-Modified-Since",
 	"accept-encoding": "Accept-Encoding", "accept": "Accept", "x-request-id": "X-Request-Id"}
 
-func (k *codec) Read(in *ring.Buffer) (bool, error) { return k.reader.Read(in, k) }
-func (k *codec) Begun() bool                        { return k.reader.Begun() }
+func (k *codec) Read(in *ringbuffer.Buffer) (bool, error) { return k.reader.Read(in, k) }
+func (k *codec) Begun() bool                              { return k.reader.Begun() }
 
 // Begin takes a request line.
 func (k *codec) Begin(method, target string) {
--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"strings"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // notes writes down what a reader tells.
@@ -29,20 +29,20 @@
 func (n *notes) End(keep bool)          { fmt.Fprintf(n, " %q keep %t; ", n.body.String(), keep) }
 
 type reader interface {
-	read(in *ring.Buffer, n *notes) (bool, error)
+	read(in *ringbuffer.Buffer, n *notes) (bool, error)
 }
 
 type requests struct{ RequestReader }
 
-func (r *requests) read(in *ring.Buffer, n *notes) (bool, error) { return r.Read(in, n) }
+func (r *requests) read(in *ringbuffer.Buffer, n *notes) (bool, error) { return r.Read(in, n) }
 
 type responses struct{ ResponseReader }
 
-func (r *responses) read(in *ring.Buffer, n *notes) (bool, error) { return r.Read(in, n) }
+func (r *responses) read(in *ringbuffer.Buffer, n *notes) (bool, error) { return r.Read(in, n) }
 
 // told gives what a reader says of a stream that comes in pieces; a fault is told with its status.
 func told(r reader, stream string, piece, ringSize int, n *notes) string {
-	in := ring.New(ringSize)
+	in := ringbuffer.New(ringSize)
 	for len(stream) > 0 {
 		k := min(piece, len(stream), in.Room())
 		in.Write([]byte(stream[:k]))
--- a/internal/http1/http1.go
+++ b/internal/http1/http1.go
@@ -6,7 +6,7 @@
 	"bytes"
 	"errors"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // The bounds of what is taken in.
@@ -40,7 +40,7 @@
 type liner struct{ line []byte }
 
 // read gives the next line without its end, or false while it is not whole.
-func (l *liner) read(in *ring.Buffer, bound int, long *Fault) (line []byte, whole bool, err *Fault) {
+func (l *liner) read(in *ringbuffer.Buffer, bound int, long *Fault) (line []byte, whole bool, err *Fault) {
 	for {
 		var parts [2][]byte
 		held := in.Held(parts[:0])
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"slices"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // Requests is called with a client's requests: Begin, then each header, then Request once all of it has come.
@@ -33,7 +33,7 @@
 var known = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"}
 
 // Read goes on with the request at hand; true once it was handed on whole. After a fault nothing more can be read.
-func (r *RequestReader) Read(in *ring.Buffer, to Requests) (bool, error) {
+func (r *RequestReader) Read(in *ringbuffer.Buffer, to Requests) (bool, error) {
 	for {
 		long, bound := errLine, lineBound
 		if r.begun {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -4,7 +4,7 @@
 	"bytes"
 	"strconv"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // Replies is called with a server's answers: Status, then each header, then parts of the body, then End.
@@ -63,7 +63,7 @@
 func bad(why string) *Fault { return &Fault{502, why} }
 
 // Read goes on with the answer at hand; true once it was handed on whole. After an error nothing more can be read.
-func (r *ResponseReader) Read(in *ring.Buffer, to Replies) (bool, error) {
+func (r *ResponseReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	for {
 		switch r.phase {
 		case inBody, inChunk, untilEnd:
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -5,7 +5,7 @@
 	"slices"
 	"strconv"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // Commands is called with a client's commands: id is the flag O, figures the list of names and values of the
@@ -32,7 +32,7 @@
 func (r *CommandReader) Begun() bool { return r.begun() }
 
 // Read hands on the next command; false while it is not whole. After an error nothing more can be read.
-func (r *CommandReader) Read(in *ring.Buffer, to Commands) (bool, error) {
+func (r *CommandReader) Read(in *ringbuffer.Buffer, to Commands) (bool, error) {
 	if r.skip > 0 {
 		return r.pass(in, to), nil
 	}
@@ -74,7 +74,7 @@
 }
 
 // pass skips what has come of a value for which there is no memory.
-func (r *CommandReader) pass(in *ring.Buffer, to Commands) bool {
+func (r *CommandReader) pass(in *ringbuffer.Buffer, to Commands) bool {
 	n := min(in.Len(), r.skip)
 	in.Drop(n)
 	if r.skip -= n; r.skip > 0 {
--- a/internal/meta/helpers_test.go
+++ b/internal/meta/helpers_test.go
@@ -4,13 +4,13 @@
 	"strings"
 	"testing"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // inParts feeds parts one after another and gives the calls, or the error.
 func inParts(parts []string, next reader) string {
 	var c calls
-	in := ring.New(64)
+	in := ringbuffer.New(64)
 	for _, part := range parts {
 		for len(part) > 0 {
 			part = part[in.Write([]byte(part)):]
--- a/internal/meta/meta.go
+++ b/internal/meta/meta.go
@@ -8,7 +8,7 @@
 	"strconv"
 	"strings"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // The bounds of what is taken in. Up to ValueBound a value is held without asking.
@@ -37,7 +37,7 @@
 }
 
 // readLine gives the next line's verb and all its fields, or false while it is not whole.
-func (c *cutter) readLine(in *ring.Buffer) (verb string, fields [][]byte, whole bool, err error) {
+func (c *cutter) readLine(in *ringbuffer.Buffer) (verb string, fields [][]byte, whole bool, err error) {
 	for !c.whole {
 		var parts [2][]byte
 		held := in.Held(parts[:0])
@@ -61,7 +61,7 @@
 }
 
 // readValue gives the value behind a line, of the length that the line states, or false while it is not whole.
-func (c *cutter) readValue(in *ring.Buffer, stated []byte, bound uint64) (value []byte, whole bool, err error) {
+func (c *cutter) readValue(in *ringbuffer.Buffer, stated []byte, bound uint64) (value []byte, whole bool, err error) {
 	length, err := strconv.ParseUint(string(stated), 10, 31)
 	switch {
 	case err != nil:
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // calls notes what it is called with.
@@ -36,16 +36,16 @@
 func (c *calls) Other(line string)             { c.note("other %s", line) }
 
 // reader reads one message.
-type reader func(*ring.Buffer, *calls) (bool, error)
+type reader func(*ringbuffer.Buffer, *calls) (bool, error)
 
 func commands() reader {
 	var r CommandReader
-	return func(in *ring.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
 }
 
 func replies() reader {
 	var r ReplyReader
-	return func(in *ring.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
 }
 
 func inPieces(t *testing.T, stream, want string, fresh func() reader) {
@@ -60,7 +60,7 @@
 // read feeds a stream in pieces of so many bytes and gives the calls, or the error.
 func read(stream string, piece int, next reader) string {
 	var c calls
-	in := ring.New(64)
+	in := ringbuffer.New(64)
 	for len(stream) > 0 {
 		n := in.Write([]byte(stream[:min(piece, len(stream))]))
 		stream = stream[n:]
--- a/internal/meta/reply.go
+++ b/internal/meta/reply.go
@@ -6,7 +6,7 @@
 	"slices"
 	"strconv"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // Replies is called with a cache server's replies, in the order of the commands.
@@ -38,7 +38,7 @@
 
 // Read hands on the next reply; false while it is not whole. After an error nothing more can be read. Noise is told
 // by its first bytes: whoever waits for the end of a line that never ends waits until its hard stop.
-func (r *ReplyReader) Read(in *ring.Buffer, to Replies) (bool, error) {
+func (r *ReplyReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	if r.left > 0 {
 		return r.pass(in, to)
 	}
@@ -92,7 +92,7 @@
 }
 
 // pass hands on what has come of a long value, as far as it is taken.
-func (r *ReplyReader) pass(in *ring.Buffer, to Replies) (bool, error) {
+func (r *ReplyReader) pass(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	const framing = "\r\n"
 	for r.left > 0 {
 		var parts [2][]byte
--- a/internal/ring/ring.go
+++ b/internal/ringbuffer/ring.go
@@ -1,5 +1,5 @@
-// Package ring is a bounded buffer of bytes between a socket and what reads or writes it.
-package ring
+// Package ringbuffer is a bounded buffer of bytes between a socket and what reads or writes it.
+package ringbuffer
 
 // Buffer holds bytes in their order. It starts without memory and doubles up to its bound as it fills.
 type Buffer struct {
--- a/internal/ring/ring_test.go
+++ b/internal/ringbuffer/ring_test.go
@@ -1,4 +1,4 @@
-package ring
+package ringbuffer
 
 import (
 	"bytes"
--- a/internal/sock/conn.go
+++ b/internal/sock/conn.go
@@ -4,7 +4,7 @@
 	"errors"
 	"net/netip"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 
 	"github.com/cloudwego/netpoll"
 	"golang.org/x/sys/unix"
@@ -24,8 +24,8 @@
 
 // Conn is one TCP connection with a ring buffer a direction.
 type Conn struct {
-	In      *ring.Buffer
-	out     *ring.Buffer
+	In      *ringbuffer.Buffer
+	out     *ringbuffer.Buffer
 	loop    *Loop
 	fd      int
 	op      *netpoll.FDOperator
@@ -45,7 +45,7 @@
 
 func (l *Loop) conn(fd int) *Conn {
 	l.held++
-	c := &Conn{In: ring.New(bufferBound), out: ring.New(bufferBound), loop: l, fd: fd, op: l.poll.Alloc()}
+	c := &Conn{In: ringbuffer.New(bufferBound), out: ringbuffer.New(bufferBound), loop: l, fd: fd, op: l.poll.Alloc()}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c.op.FD = fd
 	c.op.OnHup = func(netpoll.Poll) error { l.Post(c.lost); return nil } // netpoll calls it off the loop
--- a/internal/standin/clientconn.go
+++ b/internal/standin/clientconn.go
@@ -3,7 +3,7 @@
 import (
 	"slices"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/sock"
 	"bendtrestle/logic"
 )
@@ -12,7 +12,7 @@
 type clientConn struct {
 	d      *door
 	conn   socket
-	in     *ring.Buffer
+	in     *ringbuffer.Buffer
 	out    output
 	speech clientSpeech
 	up     bool
--- a/internal/standin/clientspeech.go
+++ b/internal/standin/clientspeech.go
@@ -9,14 +9,14 @@
 
 	"bendtrestle/internal/http1"
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/tiles"
 )
 
 // clientSpeech is the protocol of one connection of a client.
 type clientSpeech interface {
 	command(t *Try, left float64) [][]byte
-	read(in *ring.Buffer) (whole bool, err error)
+	read(in *ringbuffer.Buffer) (whole bool, err error)
 	closed() bool // the connection has ended; true if that ended an answer as it should
 }
 
@@ -28,8 +28,8 @@
 	check  Check  // of it
 }
 
-func (m *memcacheClient) read(in *ring.Buffer) (bool, error) { return m.reader.Read(in, m) }
-func (m *memcacheClient) closed() bool                       { return false }
+func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
+func (m *memcacheClient) closed() bool                             { return false }
 
 func (m *memcacheClient) command(t *Try, left float64) [][]byte {
 	o := t.Op
@@ -141,8 +141,8 @@
 	body   []byte
 }
 
-func (k *tileClient) read(in *ring.Buffer) (bool, error) { return k.reader.Read(in, k) }
-func (k *tileClient) closed() bool                       { return k.reader.Closed(k) }
+func (k *tileClient) read(in *ringbuffer.Buffer) (bool, error) { return k.reader.Read(in, k) }
+func (k *tileClient) closed() bool                             { return k.reader.Closed(k) }
 
 // TileAt gives the n-th most popular tile of a layer: views of a region lie side by side.
 func TileAt(n int) tiles.Tile {
--- a/internal/standin/longvalue.go
+++ b/internal/standin/longvalue.go
@@ -6,7 +6,7 @@
 	"strconv"
 
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // ending is how a cache server's connection ends at a long value.
@@ -119,7 +119,7 @@
 )
 
 // begins tells whether the next command is a long write, as far as its line has come; the line is taken once it is whole.
-func (l *longSet) begins(in *ring.Buffer) bool {
+func (l *longSet) begins(in *ringbuffer.Buffer) bool {
 	var parts [2][]byte
 	line := bytes.Join(in.Held(parts[:0]), nil)
 	if n := min(len(line), len(setBegins)); string(line[:n]) != setBegins[:n] {
@@ -143,7 +143,7 @@
 }
 
 // read takes what has come of the value, and hands the command on once it is whole.
-func (l *longSet) read(in *ring.Buffer, m *memcacheSpeech) (bool, error) {
+func (l *longSet) read(in *ringbuffer.Buffer, m *memcacheSpeech) (bool, error) {
 	var parts [2][]byte
 	for _, part := range in.Held(parts[:0]) {
 		n := min(len(part), l.left)
--- a/internal/standin/plainconn.go
+++ b/internal/standin/plainconn.go
@@ -6,7 +6,7 @@
 	"syscall"
 	"time"
 
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/sock"
 
 	"golang.org/x/sys/unix"
@@ -29,7 +29,7 @@
 // plainConn is a connection of one who reads in a way of its own, by the runtime's sockets on a goroutine: it reads when it likes, and
 // its end comes behind all that came before it, however long that lay unread. It carries one command.
 type plainConn struct {
-	in    *ring.Buffer
+	in    *ringbuffer.Buffer
 	loop  *sock.Loop
 	h     *clientConn
 	how   Reading
@@ -41,7 +41,7 @@
 }
 
 func dialPlain(loop *sock.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
-	p := &plainConn{in: ring.New(plainTurn), loop: loop, h: h, how: how, half: half, say: make(chan []byte, 1), quit: make(chan struct{})}
+	p := &plainConn{in: ringbuffer.New(plainTurn), loop: loop, h: h, how: how, half: half, say: make(chan []byte, 1), quit: make(chan struct{})}
 	go p.run(addr)
 	return p
 }
--- a/internal/standin/speech.go
+++ b/internal/standin/speech.go
@@ -4,12 +4,12 @@
 	"strconv"
 
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 )
 
 // speech is the protocol of one connection to a server.
 type speech interface {
-	read(in *ring.Buffer) (whole bool, err error) // hands on the next command
+	read(in *ringbuffer.Buffer) (whole bool, err error) // hands on the next command
 	begun() bool
 	value(r *reply) (text [][]byte, sum uint32) // an answer, and a checksum of what a client takes from it
 	busy() string
@@ -25,7 +25,7 @@
 	damage string // of the long write at hand; empty: none
 }
 
-func (m *memcacheSpeech) read(in *ring.Buffer) (bool, error) {
+func (m *memcacheSpeech) read(in *ringbuffer.Buffer) (bool, error) {
 	if !m.reader.Begun() && (m.long.begun() || m.long.begins(in)) {
 		return m.long.read(in, m)
 	}
--- a/internal/standin/tilespeech.go
+++ b/internal/standin/tilespeech.go
@@ -12,7 +12,7 @@
 	"strings"
 
 	"bendtrestle/internal/http1"
-	"bendtrestle/internal/ring"
+	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/tiles"
 )
 
@@ -26,8 +26,8 @@
 	tag    string // of which the sender has a copy
 }
 
-func (t *tileSpeech) read(in *ring.Buffer) (bool, error) { return t.reader.Read(in, t) }
-func (t *tileSpeech) begun() bool                        { return t.reader.Begun() }
+func (t *tileSpeech) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
+func (t *tileSpeech) begun() bool                              { return t.reader.Begun() }
 func (t *tileSpeech) busy() string {
 	return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 }
