--- a/logic/host.go
+++ b/balancer/host.go
@@ -1,4 +1,4 @@
-package logic
+package balancer
 
 import "strings"
 
--- a/logic/logic.go
+++ b/balancer/logic.go
@@ -1,7 +1,7 @@
-// Package logic is bendtrestle's decision module. A router makes one Router with New and calls one method for
+// Package balancer is bendtrestle's decision module. A router makes one Router with New and calls one method for
 // each thing that happens, as Arrived or Settled. It acts by its Host, before the method returns. Host, other
 // types and records are in host.go. Time is in seconds; equal calls lead to equal actions.
-package logic
+package balancer
 
 import (
 	"cmp"
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -9,10 +9,10 @@
 	"slices"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/bulkhead"
 	"bendtrestle/internal/decide/contracts"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 )
 
 // Terms are what a team and the operators have agreed on, and how the team's traffic is known.
@@ -22,7 +22,7 @@
 	Listen string // an address of its own; what comes in there is the team's
 	Tenant string // the tenant that its clients name
 	Prefix string // what its keys begin with
-	Types  []logic.TrafficType
+	Types  []balancer.TrafficType
 }
 
 // Pool is a pool as the operators' file has it.
@@ -107,7 +107,7 @@
 }
 
 // New makes a broker without contracts: all goes to the platform's core, within the limits.
-func New(now func() float64, set logic.Settings, core *router.Router, limits Limits) *Broker {
+func New(now func() float64, set balancer.Settings, core *router.Router, limits Limits) *Broker {
 	b := &Broker{now: now, me: set.Me, routers: max(1, set.Routers), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
 		places: bulkhead.New(limits.Open), bytes: bulkhead.New(limits.Held), doors: bulkhead.New(limits.Connections)}
 	b.plain = &plain{b: b, core: core, types: set.TrafficTypes, hardStops: map[string]float64{}, tenants: map[string]bool{}}
@@ -169,7 +169,7 @@
 type plain struct {
 	b         *Broker
 	core      *router.Router
-	types     []logic.TrafficType // the platform's, which stay with its pool
+	types     []balancer.TrafficType // the platform's, which stay with its pool
 	hardStops map[string]float64
 	tenants   map[string]bool // that the platform knows
 }
@@ -336,7 +336,7 @@
 		}
 		mine.Pool = p
 		var theirs []contracts.Contract
-		var types []logic.TrafficType
+		var types []balancer.TrafficType
 		weights := map[string]float64{}
 		for _, t := range all {
 			if t.Pool != p.Name {
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -4,8 +4,8 @@
 	"strings"
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 )
 
 func TestRoutes(t *testing.T) {
@@ -135,7 +135,7 @@
 		open = append(open, c)
 	}
 	once := terms("a", "", 1)
-	once.Types = []logic.TrafficType{{Name: "view", Effect: logic.AtMostOnce, PromisedTime: 1, HardStop: 2, Benefit: 1}}
+	once.Types = []balancer.TrafficType{{Name: "view", Effect: balancer.AtMostOnce, PromisedTime: 1, HardStop: 2, Benefit: 1}}
 	lines := strings.Join(b.Change(pools, []Terms{once}, ToPlatform), "\n")
 	for _, want := range []string{`team a changes from: pool "own", budget 2`, `to: pool "", budget 1`, "team b goes"} {
 		if !strings.Contains(lines, want) {
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/contracts"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -17,11 +17,11 @@
 	ops []*router.Operation
 }
 
-func (o *outside) Now() float64                      { return o.now }
-func (o *outside) After(float64, func())             {}
-func (o *outside) Probe(uint64, func(logic.Outcome)) {}
-func (o *outside) Drop()                             {}
-func (o *outside) DropUnsent()                       {}
+func (o *outside) Now() float64                         { return o.now }
+func (o *outside) After(float64, func())                {}
+func (o *outside) Probe(uint64, func(balancer.Outcome)) {}
+func (o *outside) Drop()                                {}
+func (o *outside) DropUnsent()                          {}
 func (o *outside) Execute(_ uint64, op *router.Operation, _, _ float64, x router.Execution) router.Pending {
 	o.out, o.ops = append(o.out, x), append(o.ops, op)
 	return o
@@ -33,19 +33,19 @@
 	out := o.out
 	o.out, o.ops = nil, nil
 	for _, x := range out {
-		x.Settled(logic.Finished, router.Result{})
+		x.Settled(balancer.Finished, router.Result{})
 	}
 }
 
 // core is a pool's, with so many servers.
-func (o *outside) core(servers int, types ...logic.TrafficType) *router.Router {
-	r := router.New(logic.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, router.Outside{Clock: o, Caches: o,
+func (o *outside) core(servers int, types ...balancer.TrafficType) *router.Router {
+	r := router.New(balancer.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, router.Outside{Clock: o, Caches: o,
 		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, router.Logic)
-	var all []logic.Member
+	var all []balancer.Member
 	for i := range servers {
-		all = append(all, logic.Member{ID: uint64(i + 1), Mode: logic.InService, Capacity: 1})
+		all = append(all, balancer.Member{ID: uint64(i + 1), Mode: balancer.InService, Capacity: 1})
 	}
-	r.Listed(logic.Snapshot, all)
+	r.Listed(balancer.Snapshot, all)
 	return r
 }
 
@@ -60,14 +60,14 @@
 func (c *client) Terminated()            { c.terminated++ }
 func (c *client) Gone() bool             { return false }
 
-var view = logic.TrafficType{Name: "view", Effect: logic.Reissuable, PromisedTime: 1, HardStop: 4, Benefit: 1}
+var view = balancer.TrafficType{Name: "view", Effect: balancer.Reissuable, PromisedTime: 1, HardStop: 4, Benefit: 1}
 
 // serving is a broker with the platform's pool, of one server, and another of one, called "own".
 func serving(t *testing.T, limits Limits, all ...Terms) (*Broker, *outside, []Pool) {
 	t.Helper()
 	o := &outside{now: 1000}
 	platform := o.core(1, view)
-	b := New(o.Now, logic.Settings{Routers: 1, TrafficTypes: []logic.TrafficType{view}}, platform, limits)
+	b := New(o.Now, balancer.Settings{Routers: 1, TrafficTypes: []balancer.TrafficType{view}}, platform, limits)
 	pools := []Pool{{Core: platform, Connections: 100}, {Name: "own", Core: o.core(1), Connections: 10}}
 	b.Change(pools, all, ToPlatform)
 	return b, o, pools
@@ -75,7 +75,7 @@
 
 func terms(team, pool string, budget float64) Terms {
 	return Terms{Contract: contracts.Contract{Team: team, Budget: budget, Burst: budget}, Pool: pool, Tenant: team,
-		Types: []logic.TrafficType{view}}
+		Types: []balancer.TrafficType{view}}
 }
 
 // ask takes an operation of a tenant, if there is a place for it.
--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -6,9 +6,9 @@
 	"net/netip"
 	"slices"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -111,7 +111,7 @@
 func (f *Fleet) LetGo(id uint64) {
 	if s := f.servers[id]; s != nil {
 		for _, a := range s.waiting {
-			a.settle(logic.NotSent, router.Result{})
+			a.settle(balancer.NotSent, router.Result{})
 		}
 		s.waiting = nil
 		for _, l := range slices.Clone(s.links) {
@@ -125,7 +125,7 @@
 func (l *link) letGo() {
 	for _, a := range slices.Clone(l.queue) {
 		if !a.done && l.takeBack(a) {
-			a.settle(logic.NotSent, router.Result{})
+			a.settle(balancer.NotSent, router.Result{})
 		}
 	}
 }
@@ -146,8 +146,8 @@
 }
 
 // Probe asks a server whether it is there.
-func (f *Fleet) Probe(id uint64, ended func(logic.Outcome)) {
-	a := &attempt{ended: func(how logic.Outcome, _ router.Result) { ended(how) }}
+func (f *Fleet) Probe(id uint64, ended func(balancer.Outcome)) {
+	a := &attempt{ended: func(how balancer.Outcome, _ router.Result) { ended(how) }}
 	limit := f.limits.ConnectTimeout + 0.1 // a round trip in a fleet is far below a tenth of a second
 	f.begin(id, a, limit, limit)
 }
@@ -215,13 +215,13 @@
 		first := s.waiting[s.coming] // for which no connection comes up
 		switch {
 		case first.lapsed():
-			first.giveUp(logic.NotSent)
+			first.giveUp(balancer.NotSent)
 		case least != nil:
 			s.leave(first)
 			least.send(first)
 		case len(s.links) == 0: // no descriptor is to be had
 			s.leave(first)
-			first.settle(logic.NotSent, router.Result{})
+			first.settle(balancer.NotSent, router.Result{})
 		default:
 			return
 		}
@@ -260,9 +260,9 @@
 		conn, err := f.loop.Dial(s.addr, l)
 		if err != nil {
 			f.log.Warn().Err(err).Stringer("server", s.addr).Msg("no connection")
-			a, how := s.waiting[0], logic.NotSent // a lack of descriptors here says nothing against the server
+			a, how := s.waiting[0], balancer.NotSent // a lack of descriptors here says nothing against the server
 			if sock.Refused(err) {
-				how = logic.NoConnection
+				how = balancer.NoConnection
 			}
 			s.leave(a)
 			a.settle(how, router.Result{})
@@ -298,16 +298,16 @@
 }
 
 // words tell in the log how an execution failed there.
-var words = map[logic.Outcome]string{logic.NoConnection: "no connection", logic.ConnectionLost: "connection lost",
-	logic.NoAnswer: "no answer", logic.Error: "an error"}
+var words = map[balancer.Outcome]string{balancer.NoConnection: "no connection", balancer.ConnectionLost: "connection lost",
+	balancer.NoAnswer: "no answer", balancer.Error: "an error"}
 
 // note logs that a server begins to fail, or answers again.
-func (s *server) note(how logic.Outcome) {
+func (s *server) note(how balancer.Outcome) {
 	switch word := words[how]; {
 	case word != "" && !s.failing:
 		s.failing = true
 		s.f.log.Warn().Stringer("server", s.addr).Str("how", word).Msg("a cache server fails")
-	case how == logic.Finished && s.failing:
+	case how == balancer.Finished && s.failing:
 		s.failing = false
 		s.f.log.Info().Stringer("server", s.addr).Msg("a cache server answers again")
 	}
@@ -322,7 +322,7 @@
 // free takes a connection with nothing out.
 func (s *server) free(l *link) {
 	for len(s.waiting) > 0 && s.waiting[0].lapsed() {
-		s.waiting[0].giveUp(logic.NotSent)
+		s.waiting[0].giveUp(balancer.NotSent)
 	}
 	if waits := len(s.waiting) > 0 && l.addr == s.addr; waits && l.conn.Quiet() { // else what would be written now might be lost
 		a := s.waiting[0]
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -12,21 +12,21 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
 )
 
 // outcome notes how an execution ended.
-type outcome chan logic.Outcome
+type outcome chan balancer.Outcome
 
-func (o outcome) Settled(how logic.Outcome, _ router.Result) { o <- how }
-func (o outcome) Wanted() bool                               { return true }
+func (o outcome) Settled(how balancer.Outcome, _ router.Result) { o <- how }
+func (o outcome) Wanted() bool                                  { return true }
 
-func (o outcome) want(t *testing.T, want logic.Outcome) {
+func (o outcome) want(t *testing.T, want balancer.Outcome) {
 	t.Helper()
 	select {
 	case got := <-o:
@@ -184,17 +184,17 @@
 
 // The protocol's table: what came back, and what that proves.
 func TestOutcomes(t *testing.T) {
-	for reply, want := range map[string]logic.Outcome{
-		"VA 2 Oa h0 Z\r\nhi\r\n":  logic.Finished,
-		"SERVER_ERROR busy\r\n":   logic.TurnedAway,
-		"SERVER_ERROR failed\r\n": logic.Error,
-		"CLIENT_ERROR bad\r\n":    logic.ConnectionLost,
-		"SERVER_ERROR odd\r\n":    logic.ConnectionLost,
-		"VA 2 Ob\r\nhi\r\n":       logic.ConnectionLost, // made for another: not to be passed on
-		"HD Oa c1\r\n":            logic.ConnectionLost, // no answer to a read
-		"VA 2 Oa\r\nhi":           logic.ConnectionLost, // cut short
-		"VA 99999 Oa\r\n":         logic.ConnectionLost,
-		"":                        logic.ConnectionLost, // the server ends the connection
+	for reply, want := range map[string]balancer.Outcome{
+		"VA 2 Oa h0 Z\r\nhi\r\n":  balancer.Finished,
+		"SERVER_ERROR busy\r\n":   balancer.TurnedAway,
+		"SERVER_ERROR failed\r\n": balancer.Error,
+		"CLIENT_ERROR bad\r\n":    balancer.ConnectionLost,
+		"SERVER_ERROR odd\r\n":    balancer.ConnectionLost,
+		"VA 2 Ob\r\nhi\r\n":       balancer.ConnectionLost, // made for another: not to be passed on
+		"HD Oa c1\r\n":            balancer.ConnectionLost, // no answer to a read
+		"VA 2 Oa\r\nhi":           balancer.ConnectionLost, // cut short
+		"VA 99999 Oa\r\n":         balancer.ConnectionLost,
+		"":                        balancer.ConnectionLost, // the server ends the connection
 	} {
 		f := serving(t, usual, func(conn net.Conn, _ string) {
 			conn.Write([]byte(reply))
@@ -210,10 +210,10 @@
 func TestPassedOnWithTheTimeLeft(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.execute(2)
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 	f.line("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
 	o, _ = f.execute(2)
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 	f.line("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
 	f.do(f.loop, func() {
 		if f.links != 1 {
@@ -230,7 +230,7 @@
 		f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
 		began := time.Now()
 		o, _ := f.execute(3)
-		o.want(t, logic.ConnectionLost)
+		o.want(t, balancer.ConnectionLost)
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%q: told after %v", reply, took)
 		}
@@ -245,7 +245,7 @@
 		f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
 		for range 2 {
 			o, _ := f.execute(3)
-			o.want(t, logic.Finished)
+			o.want(t, balancer.Finished)
 			f.line("mg")
 			f.line("end")
 		}
@@ -259,8 +259,8 @@
 	first, second := make(outcome, 1), make(outcome, 1)
 	op := &router.Operation{ID: "a", Flags: "Oa"}
 	f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
-	first.want(t, logic.Finished)
-	second.want(t, logic.Finished)
+	first.want(t, balancer.Finished)
+	second.want(t, balancer.Finished)
 	f.do(f.loop, func() {
 		idle, now := f.servers[1].idle, f.loop.Now()
 		for _, c := range []struct{ old, young, want float64 }{{9, 0, 9}, {9, 1, 1}, {0, 0, 0}} {
@@ -283,25 +283,25 @@
 		}
 	})
 	first, _ := f.execute(5)
-	first.want(t, logic.Finished)
+	first.want(t, balancer.Finished)
 	op, next := &router.Operation{ID: "a"}, make(outcome, 1)
 	f.do(f.loop, func() {
 		f.Execute(1, op, 5, 5, follow(func() { f.Execute(1, op, 5, 5, next) }))
 		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
 	})
-	next.want(t, logic.Finished)
+	next.want(t, balancer.Finished)
 }
 
 // follow does something as soon as an execution has ended.
 type follow func()
 
-func (f follow) Settled(logic.Outcome, router.Result) { f() }
-func (f follow) Wanted() bool                         { return true }
+func (f follow) Settled(balancer.Outcome, router.Result) { f() }
+func (f follow) Wanted() bool                            { return true }
 
 func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
 	o, _ := f.execute(0.05)
-	o.want(t, logic.NoAnswer)
+	o.want(t, balancer.NoAnswer)
 	f.line("mg")
 	f.line("end")
 }
@@ -311,7 +311,7 @@
 	o, p := f.execute(5)
 	f.line("mg")
 	f.do(f.loop, p.Drop)
-	o.want(t, logic.Withdrawn)
+	o.want(t, balancer.Withdrawn)
 	f.line("end")
 }
 
@@ -326,7 +326,7 @@
 	})
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o) })
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 }
 
 func TestRefusedNeverRan(t *testing.T) {
@@ -335,7 +335,7 @@
 	f.do(f.loop, func() { f.Listed(1, netip.MustParseAddrPort(free.Addr().String())) })
 	free.Close()
 	o, _ := f.execute(5)
-	o.want(t, logic.NoConnection)
+	o.want(t, balancer.NoConnection)
 }
 
 // What hinders a dial on this side says nothing against the server, which must not be passed over for it.
@@ -343,7 +343,7 @@
 	f := serving(t, usual, nil)
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(9, &router.Operation{ID: "a"}, 5, 5, o) }) // it has no address
-	o.want(t, logic.NotSent)
+	o.want(t, balancer.NotSent)
 }
 
 // A machine that is cut off says nothing: what waits for a connection there never ran.
@@ -354,7 +354,7 @@
 		f.Execute(1, &router.Operation{ID: "a"}, 5, 5, o)
 		f.servers[1].links[0].neverUp()
 	})
-	o.want(t, logic.NoConnection)
+	o.want(t, balancer.NoConnection)
 }
 
 // A machine that is cut off is silent on every connection: after one silence, or a connection that never came up,
@@ -372,8 +372,8 @@
 		first, second, silent, next := make(outcome, 1), make(outcome, 1), make(outcome, 1), make(outcome, 1)
 		op, slow := &router.Operation{ID: "a", Flags: "Oa"}, &router.Operation{ID: "b", Flags: "Ob"}
 		f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
-		first.want(t, logic.Finished)
-		second.want(t, logic.Finished)
+		first.want(t, balancer.Finished)
+		second.want(t, balancer.Finished)
 		f.do(f.loop, func() {
 			a := f.Execute(1, slow, 5, 5, silent).(*attempt)
 			if name == "never up" {
@@ -386,7 +386,7 @@
 			}
 		})
 		f.do(f.loop, func() { f.Execute(1, op, 5, 5, next) })
-		next.want(t, logic.Finished)
+		next.want(t, balancer.Finished)
 	}
 }
 
@@ -395,7 +395,7 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a"}, 5, 5, o).(*attempt).overdue() })
-	o.want(t, logic.NotSent)
+	o.want(t, balancer.NotSent)
 }
 
 // At the bound executions are piped. Where nobody waits for one any more the others on its connection go on, each with its own
@@ -413,15 +413,15 @@
 	f.line("mg")
 	second, _ := f.execute(5)
 	f.do(f.loop, p.Drop)
-	first.want(t, logic.Withdrawn)
+	first.want(t, balancer.Withdrawn)
 	answer <- true
 	answer <- true
-	second.want(t, logic.Finished)
+	second.want(t, balancer.Finished)
 	third, p := f.execute(5)
 	fourth, _ := f.execute(5)
 	f.do(f.loop, p.(*attempt).overdue)
-	third.want(t, logic.NoAnswer)
-	fourth.want(t, logic.ConnectionLost)
+	third.want(t, balancer.NoAnswer)
+	fourth.want(t, balancer.ConnectionLost)
 	close(answer)
 }
 
@@ -448,15 +448,15 @@
 		f.Execute(1, &router.Operation{ID: "c", Write: true, Value: value}, 5, 5, o)
 	})
 	close(all)
-	first.want(t, logic.ConnectionLost)
-	o.want(t, logic.NoConnection)
+	first.want(t, balancer.ConnectionLost)
+	o.want(t, balancer.NoConnection)
 }
 
 func TestProbe(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("MN\r\n")) })
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Probe(1, func(how logic.Outcome) { o <- how }) })
-	o.want(t, logic.Finished)
+	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { o <- how }) })
+	o.want(t, balancer.Finished)
 	f.line("mn")
 }
 
@@ -473,7 +473,7 @@
 		}
 	})
 	answer <- true
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 	f.line("end")
 }
 
@@ -486,8 +486,8 @@
 		f.Execute(1, &router.Operation{ID: "b"}, 5, 5, second).DropUnsent()
 		f.Unlisted(1)
 	})
-	first.want(t, logic.NotSent)
-	second.want(t, logic.NotSent)
+	first.want(t, balancer.NotSent)
+	second.want(t, balancer.NotSent)
 	time.Sleep(20 * time.Millisecond)
 	f.do(f.loop, func() {
 		if len(f.lines) > 0 && <-f.lines != "end" || f.links != 0 {
@@ -506,7 +506,7 @@
 	f.execute(5)
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &router.Operation{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 }
 
 // Cache servers close what stood idle for long; what is written just then may be lost.
@@ -515,7 +515,7 @@
 	limits.Idle = 0.1
 	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.execute(5)
-	o.want(t, logic.Finished)
+	o.want(t, balancer.Finished)
 	f.line("mg")
 	f.line("end")
 }
@@ -552,7 +552,7 @@
 			f.Listed(id, f.servers[1].addr)
 			f.Execute(id, &router.Operation{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
-		if o.want(t, logic.Finished); t.Failed() {
+		if o.want(t, balancer.Finished); t.Failed() {
 			t.Fatalf("at server %d", id)
 		}
 	}
@@ -594,8 +594,8 @@
 		}
 	})
 	probed := make(outcome, 1)
-	f.do(f.loop, func() { f.Probe(1, func(how logic.Outcome) { probed <- how }) })
-	probed.want(t, logic.Finished)
+	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { probed <- how }) })
+	probed.want(t, balancer.Finished)
 	for _, c := range []struct {
 		gives int
 		ends  string
@@ -606,10 +606,10 @@
 		f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
 		part <- c.gives
 		long := (<-settled).Long
-		behind.want(t, logic.NoAnswer)
+		behind.want(t, balancer.NoAnswer)
 		late := make(outcome, 1) // is not sent behind it
 		f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
-		late.want(t, logic.NotSent)
+		late.want(t, balancer.NotSent)
 		f.do(f.loop, func() {
 			l := f.servers[1].links[0]
 			l.stalled()
@@ -644,23 +644,23 @@
 // results takes what an execution settles with.
 type results chan router.Result
 
-func (r results) Settled(_ logic.Outcome, with router.Result) { r <- with }
-func (r results) Wanted() bool                                { return true }
+func (r results) Settled(_ balancer.Outcome, with router.Result) { r <- with }
+func (r results) Wanted() bool                                   { return true }
 
 // A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's, whole.
 func TestAReplyInPieces(t *testing.T) {
 	for form, c := range map[string]struct {
 		reply string
 		write bool
-		want  logic.Outcome
+		want  balancer.Outcome
 	}{
-		"a hit":               {"VA 4 Oa h1\r\nV\r\n\r\r\n", false, logic.Finished},
-		"a miss":              {"VA 0 h0 Z Oa\r\n\r\n", false, logic.Finished},
-		"a receipt":           {"HD Oa c77\r\n", true, logic.Finished},
-		"flags the other way": {"HD c77 Oa\r\n", true, logic.Finished},
-		"turned away":         {"SERVER_ERROR busy\r\n", false, logic.TurnedAway},
-		"and until when":      {"SERVER_ERROR busy 20\r\n", false, logic.TurnedAway},
-		"an error":            {"SERVER_ERROR failed\r\n", false, logic.Error},
+		"a hit":               {"VA 4 Oa h1\r\nV\r\n\r\r\n", false, balancer.Finished},
+		"a miss":              {"VA 0 h0 Z Oa\r\n\r\n", false, balancer.Finished},
+		"a receipt":           {"HD Oa c77\r\n", true, balancer.Finished},
+		"flags the other way": {"HD c77 Oa\r\n", true, balancer.Finished},
+		"turned away":         {"SERVER_ERROR busy\r\n", false, balancer.TurnedAway},
+		"and until when":      {"SERVER_ERROR busy 20\r\n", false, balancer.TurnedAway},
+		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.Error},
 	} {
 		limits := usual
 		limits.Stall = 60 // a busy machine may take its time between two pieces
@@ -708,7 +708,7 @@
 	f.do(f.loop, func() { f.Listed(2, at) })
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(2, &router.Operation{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
-	o.want(t, logic.NotSent)
+	o.want(t, balancer.NotSent)
 	f.do(f.loop, func() {
 		if f.servers[2].coming != 1 {
 			t.Error("the connection is up already")
--- a/internal/caches/link.go
+++ b/internal/caches/link.go
@@ -5,16 +5,16 @@
 	"net/netip"
 	"slices"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 )
 
 // attempt is one execution, or a probe where op is nil.
 type attempt struct {
 	on     *server
 	op     *router.Operation
-	ended  func(logic.Outcome, router.Result)
+	ended  func(balancer.Outcome, router.Result)
 	until  float64
 	timer  *sock.Timer
 	early  bool        // its timer is for when it is to be written, which is before that
@@ -30,7 +30,7 @@
 }
 
 // settle tells how it ended, after the present callback.
-func (a *attempt) settle(how logic.Outcome, with router.Result) {
+func (a *attempt) settle(how balancer.Outcome, with router.Result) {
 	if !a.done {
 		a.done = true
 		a.timer.Stop()
@@ -57,12 +57,12 @@
 func (a *attempt) overdue() {
 	switch {
 	case !a.written():
-		a.giveUp(logic.NotSent)
+		a.giveUp(balancer.NotSent)
 	case a.early:
 		a.early = false
 		a.timer.Set(a.until)
 	default:
-		a.giveUp(logic.NoAnswer)
+		a.giveUp(balancer.NoAnswer)
 		a.on.closeIdle() // a machine cut off would be silent there too; a new connection tells within its timeout
 	}
 }
@@ -74,24 +74,24 @@
 }
 
 // Drop gives it up.
-func (a *attempt) Drop() { a.giveUp(logic.Withdrawn) }
+func (a *attempt) Drop() { a.giveUp(balancer.Withdrawn) }
 
 // DropUnsent gives it up if it still waits for a connection, or on one whose kernel takes no more: its operation is answered, or
 // its client has gone, and what is sent later is for nobody. One that has begun to leave goes on where that would end others.
 func (a *attempt) DropUnsent() {
 	if !a.written() && (!a.left() || !a.link.carries(a)) {
-		a.giveUp(logic.NotSent)
+		a.giveUp(balancer.NotSent)
 	}
 }
 
 // giveUp ends its connection, which tells the cache server; what is piped there ends with it. What has not left is only taken
 // back, and a client that leaves does not end the executions of others.
-func (a *attempt) giveUp(how logic.Outcome) {
+func (a *attempt) giveUp(how balancer.Outcome) {
 	if a.done {
 		return
 	}
-	if how == logic.NotSent && a.left() && a.link.passage != nil {
-		how = logic.Withdrawn // its rest goes on to leave, and it may run
+	if how == balancer.NotSent && a.left() && a.link.passage != nil {
+		how = balancer.Withdrawn // its rest goes on to leave, and it may run
 	}
 	a.settle(how, router.Result{})
 	switch l := a.link; {
@@ -99,7 +99,7 @@
 		a.on.leave(a)
 	case l.takeBack(a):
 	case l.passage != nil: // a long value is before it, which must not be cut off
-	case how == logic.Withdrawn && l.carries(a):
+	case how == balancer.Withdrawn && l.carries(a):
 	default:
 		l.broken(GivenUp)
 	}
@@ -138,7 +138,7 @@
 	l.queue = slices.DeleteFunc(l.queue, func(a *attempt) bool { // before fill, which would begin the next of them
 		late := len(a.parts) > 0 && !a.begun && a.lapsed()
 		if late {
-			a.settle(logic.NotSent, router.Result{})
+			a.settle(balancer.NotSent, router.Result{})
 		}
 		return late
 	})
@@ -208,7 +208,7 @@
 		// It ended or spoke as it came up: another at once would fare no better, nor would all that follow, as fast as they can be made.
 		a := l.on.waiting[0]
 		l.on.leave(a)
-		a.settle(logic.NoConnection, router.Result{})
+		a.settle(balancer.NoConnection, router.Result{})
 		l.broken(ServerEnded)
 		return
 	}
@@ -229,7 +229,7 @@
 	if !l.up && len(s.waiting) > 0 {
 		a := s.waiting[0]
 		s.leave(a)
-		a.settle(logic.NoConnection, router.Result{})
+		a.settle(balancer.NoConnection, router.Result{})
 	}
 	if l.up && !l.conn.ByReset() {
 		l.wire.Closed() // it may end an answer as it should; a reset is no end
@@ -248,9 +248,9 @@
 	}
 	for _, a := range l.queue {
 		if a.written() {
-			a.settle(logic.ConnectionLost, router.Result{})
+			a.settle(balancer.ConnectionLost, router.Result{})
 		} else {
-			a.settle(logic.NoConnection, router.Result{})
+			a.settle(balancer.NoConnection, router.Result{})
 		}
 	}
 	l.queue = nil
@@ -332,7 +332,7 @@
 
 // Answered settles the attempt whose turn it is. One that is not written yet, or a reply with none out, leaves
 // the connection in no known state.
-func (l *link) Answered(how logic.Outcome, with router.Result, more bool) {
+func (l *link) Answered(how balancer.Outcome, with router.Result, more bool) {
 	if len(l.queue) == 0 {
 		l.broken(OutOfOrder)
 		return
@@ -340,8 +340,8 @@
 	a := l.queue[0]
 	l.queue = l.queue[1:]
 	whole, now := a.written(), l.on.f.loop.Now()
-	if how == logic.TurnedAway && a.op != nil && a.op.Once && now-l.spoke < second {
-		how = logic.Unknown // it may be the reply before, said twice: this names no operation, and proves nothing
+	if how == balancer.TurnedAway && a.op != nil && a.op.Once && now-l.spoke < second {
+		how = balancer.Unknown // it may be the reply before, said twice: this names no operation, and proves nothing
 	}
 	l.spoke = now
 	a.settle(how, with)
--- a/internal/caches/memcache.go
+++ b/internal/caches/memcache.go
@@ -4,10 +4,10 @@
 	"math"
 	"strconv"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/meta"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 )
 
 // Wire is the protocol of one connection to a server. It calls its link with what it reads.
@@ -21,12 +21,12 @@
 
 // Link is what a wire calls.
 type Link interface {
-	Due() (op *router.Operation, due bool)                     // whose reply is due; nil for a probe
-	Answered(how logic.Outcome, with router.Result, more bool) // more: the connection can be used on
-	Stray(what string)                                         // nothing that was asked for; the connection ends
-	Passing(length int)                                        // settles with a long value, whose bytes follow
-	Part(part []byte) int                                      // some of them, as many as are taken
-	Passed()                                                   // that was all
+	Due() (op *router.Operation, due bool)                        // whose reply is due; nil for a probe
+	Answered(how balancer.Outcome, with router.Result, more bool) // more: the connection can be used on
+	Stray(what string)                                            // nothing that was asked for; the connection ends
+	Passing(length int)                                           // settles with a long value, whose bytes follow
+	Part(part []byte) int                                         // some of them, as many as are taken
+	Passed()                                                      // that was all
 }
 
 // Memcache is the platform's protocol: the meta commands of the memcache text protocol.
@@ -69,7 +69,7 @@
 		m.l.Stray("VA " + id)
 		return
 	}
-	m.l.Answered(logic.Finished, router.Result{Value: value}, true)
+	m.l.Answered(balancer.Finished, router.Result{Value: value}, true)
 }
 
 // Long takes the beginning of a read's long answer.
@@ -93,14 +93,14 @@
 		m.l.Stray("HD " + id)
 		return
 	}
-	m.l.Answered(logic.Finished, router.Result{Receipt: receipt}, true)
+	m.l.Answered(balancer.Finished, router.Result{Receipt: receipt}, true)
 }
 
 // Busy takes that it was turned away.
-func (m *memcache) Busy(int) { m.l.Answered(logic.TurnedAway, router.Result{}, true) }
+func (m *memcache) Busy(int) { m.l.Answered(balancer.TurnedAway, router.Result{}, true) }
 
 // Failed takes an error.
-func (m *memcache) Failed() { m.l.Answered(logic.Error, router.Result{}, true) }
+func (m *memcache) Failed() { m.l.Answered(balancer.Error, router.Result{}, true) }
 
 // Ready takes a probe's answer.
 func (m *memcache) Ready() {
@@ -108,7 +108,7 @@
 		m.l.Stray("MN")
 		return
 	}
-	m.l.Answered(logic.Finished, router.Result{}, true)
+	m.l.Answered(balancer.Finished, router.Result{}, true)
 }
 
 // Other takes a line that the protocol does not name. What may follow it would be taken for another's answer.
--- a/internal/caches/passage.go
+++ b/internal/caches/passage.go
@@ -1,8 +1,8 @@
 package caches
 
 import (
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 )
 
 // silent is how long a cache server may give nothing of a long value: peers take seconds, and one that is cut off never goes on.
@@ -74,7 +74,7 @@
 	if l.queue[0].done { // nobody waits for it, but for what is behind it
 		l.passage.to = nobody{}
 	}
-	l.queue[0].settle(logic.Finished, router.Result{Long: l.passage})
+	l.queue[0].settle(balancer.Finished, router.Result{Long: l.passage})
 }
 
 // nobody takes what nobody wants.
--- a/internal/caches/tilewire/tilewire.go
+++ b/internal/caches/tilewire/tilewire.go
@@ -6,12 +6,12 @@
 	"math"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/http1"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/tiles"
-	"bendtrestle/logic"
 )
 
 // Servers are a pool's tile servers.
@@ -123,14 +123,14 @@
 	case !due:
 		w.l.Stray("an answer that nobody asked for")
 	case op == nil && w.status/100 == 2:
-		w.l.Answered(logic.Finished, router.Result{}, more)
+		w.l.Answered(balancer.Finished, router.Result{}, more)
 	case w.status == 429 || w.status == 503:
-		w.l.Answered(logic.TurnedAway, router.Result{}, more)
+		w.l.Answered(balancer.TurnedAway, router.Result{}, more)
 	case op == nil:
-		w.l.Answered(logic.Error, router.Result{}, more)
+		w.l.Answered(balancer.Error, router.Result{}, more)
 	case w.status == 200 || w.status == 203 || w.status == 204 || w.status == 404 || w.status == 410 || w.status == 304 && conditional:
-		w.l.Answered(logic.Finished, with, more)
+		w.l.Answered(balancer.Finished, with, more)
 	default:
-		w.l.Answered(logic.Error, router.Result{}, more)
+		w.l.Answered(balancer.Error, router.Result{}, more)
 	}
 }
--- a/internal/caches/tilewire/tilewire_test.go
+++ b/internal/caches/tilewire/tilewire_test.go
@@ -8,12 +8,12 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -22,13 +22,15 @@
 type link struct {
 	caches.Link // for what tiles have no use for
 	op          *router.Operation
-	ended       []logic.Outcome
+	ended       []balancer.Outcome
 	stray       int
 }
 
-func (l *link) Due() (*router.Operation, bool)                      { return l.op, l.op != nil }
-func (l *link) Answered(how logic.Outcome, _ router.Result, _ bool) { l.ended = append(l.ended, how) }
-func (l *link) Stray(string)                                        { l.stray++ }
+func (l *link) Due() (*router.Operation, bool) { return l.op, l.op != nil }
+func (l *link) Answered(how balancer.Outcome, _ router.Result, _ bool) {
+	l.ended = append(l.ended, how)
+}
+func (l *link) Stray(string) { l.stray++ }
 
 func fed(s *Servers, l *link, text string) (*wire, error) {
 	w := s.Wire(l).(*wire)
@@ -59,15 +61,15 @@
 
 // The table of outcomes in docs/operators/tiles.md.
 func TestOutcomes(t *testing.T) {
-	for status, want := range map[string]logic.Outcome{"200": logic.Finished, "404": logic.Finished, "204": logic.Finished, "304": logic.Error,
-		"302": logic.Error, "403": logic.Error, "429": logic.TurnedAway, "503": logic.TurnedAway, "500": logic.Error} {
+	for status, want := range map[string]balancer.Outcome{"200": balancer.Finished, "404": balancer.Finished, "204": balancer.Finished, "304": balancer.Error,
+		"302": balancer.Error, "403": balancer.Error, "429": balancer.TurnedAway, "503": balancer.TurnedAway, "500": balancer.Error} {
 		l := &link{op: &router.Operation{}}
 		if fed(&Servers{Largest: 9, Most: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
 			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
 		}
 	}
 	l := &link{op: &router.Operation{Flags: "If-None-Match: x\r\n"}}
-	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != logic.Finished {
+	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Finished {
 		t.Error("what was not modified is no answer")
 	}
 	l = &link{}
@@ -79,7 +81,7 @@
 // outcome notes how an execution ended, and with what.
 type outcome chan string
 
-func (o outcome) Settled(how logic.Outcome, with router.Result) {
+func (o outcome) Settled(how balancer.Outcome, with router.Result) {
 	o <- fmt.Sprintf("%d %s", how, with.Value)
 }
 func (o outcome) Wanted() bool { return true }
@@ -90,10 +92,10 @@
 		leave func(conn *net.TCPConn)
 		want  string
 	}{
-		"an end":               {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(logic.Finished, " a tile")},
-		"a half-close":         {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(logic.Finished, " a tile")},
-		"a reset":              {func(conn *net.TCPConn) { time.Sleep(20 * time.Millisecond); conn.SetLinger(0); conn.Close() }, fmt.Sprint(logic.ConnectionLost, " ")},
-		"a reset right behind": {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, fmt.Sprint(logic.ConnectionLost, " ")},
+		"an end":               {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Finished, " a tile")},
+		"a half-close":         {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Finished, " a tile")},
+		"a reset":              {func(conn *net.TCPConn) { time.Sleep(20 * time.Millisecond); conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
+		"a reset right behind": {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -11,9 +11,9 @@
 	"strconv"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/settings"
-	"bendtrestle/logic"
 )
 
 // Config is all that a router is told.
@@ -26,7 +26,7 @@
 	Shared                  string // a folder that the next process of this router sees, too; empty: none
 	Peers                   []string
 	Known                   discovery.List
-	Settings                logic.Settings
+	Settings                balancer.Settings
 	Reports                 Reports // of load; the platform's protocol carries none with answers
 	ConnectTimeout          float64
 	ConnIdle                float64
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -5,7 +5,7 @@
 	"strings"
 	"testing"
 
-	"bendtrestle/logic"
+	"bendtrestle/balancer"
 )
 
 const whole = `{"name":"n3","listen":"127.0.0.4:11211","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
@@ -81,7 +81,7 @@
 
 // Both shapes of a deployment are whole configurations.
 func TestExamples(t *testing.T) {
-	for file, want := range map[string]logic.Weights{"config.json": logic.Sizes, "config-live.json": logic.Live} {
+	for file, want := range map[string]balancer.Weights{"config.json": balancer.Sizes, "config-live.json": balancer.Live} {
 		text, err := os.ReadFile("../../examples/" + file)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/decide/gossip/feed_test.go
+++ b/internal/decide/gossip/feed_test.go
@@ -4,7 +4,7 @@
 	"math"
 	"testing"
 
-	"bendtrestle/logic"
+	"bendtrestle/balancer"
 )
 
 // reckoned is what a module reckons from words (logic: weigh).
@@ -65,7 +65,7 @@
 
 func (nobody) Execute(uint64, uint64, float64, float64) {}
 func (nobody) Withdraw(uint64, int)                     {}
-func (nobody) Decline(uint64, float64, logic.Reason)    {}
+func (nobody) Decline(uint64, float64, balancer.Reason) {}
 func (nobody) Terminate(uint64)                         {}
 func (nobody) Tell([]byte)                              {}
 func (nobody) Probe(uint64)                             {}
@@ -76,12 +76,12 @@
 func TestModuleBenches(t *testing.T) {
 	for crashed, want := range map[bool]bool{true: true, false: false} {
 		w := build(t, 100, 40)
-		m := logic.New(w.now(), logic.Settings{Routers: 100, Peers: true, TrafficTypes: []logic.TrafficType{{Name: "t", PromisedTime: 0.6}}}, nobody{})
-		var members []logic.Member
+		m := balancer.New(w.now(), balancer.Settings{Routers: 100, Peers: true, TrafficTypes: []balancer.TrafficType{{Name: "t", PromisedTime: 0.6}}}, nobody{})
+		var members []balancer.Member
 		for id := range 40 {
-			members = append(members, logic.Member{ID: uint64(id*150 + 7), Mode: logic.InService, Capacity: 1})
+			members = append(members, balancer.Member{ID: uint64(id*150 + 7), Mode: balancer.InService, Capacity: 1})
 		}
-		m.Listed(w.now(), logic.Snapshot, members)
+		m.Listed(w.now(), balancer.Snapshot, members)
 		w.fed = func(n int, b []byte) {
 			if n == 3 {
 				m.Told(w.now(), b)
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -9,9 +9,9 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -25,7 +25,7 @@
 	c  chan string
 }
 
-func (c caches) Probe(uint64, func(logic.Outcome)) {}
+func (c caches) Probe(uint64, func(balancer.Outcome)) {}
 func (c caches) Execute(_ uint64, op *router.Operation, _, _ float64, x router.Execution) router.Pending {
 	h := &held{op, x, make(chan string, 1)}
 	c.began <- h
@@ -89,10 +89,10 @@
 	free.Close()
 	done := make(chan error)
 	l.Post(func() {
-		r := router.New(logic.Settings{Cancelling: true, TrafficTypes: []logic.TrafficType{{Name: "t",
-			Effect: logic.Reissuable, PromisedTime: 1000, HardStop: 5000, Benefit: 1}}}, router.Outside{Clock: l,
+		r := router.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficType{{Name: "t",
+			Effect: balancer.Reissuable, PromisedTime: 1000, HardStop: 5000, Benefit: 1}}}, router.Outside{Clock: l,
 			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, router.Logic)
-		r.Listed(logic.Snapshot, []logic.Member{{ID: 1, Mode: logic.InService, Capacity: 1}})
+		r.Listed(balancer.Snapshot, []balancer.Member{{ID: 1, Mode: balancer.InService, Capacity: 1}})
 		s.desk.core = r
 		s.Front = New(l, s.desk, limits.Limits)
 		_, err := l.Listen(s.addr, s.Room, s.At("", Memcache))
@@ -115,7 +115,7 @@
 }
 
 func (s served) finish(h *held, value string) {
-	s.loop.Post(func() { h.x.Settled(logic.Finished, router.Result{Value: []byte(value), Receipt: value}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Finished, router.Result{Value: []byte(value), Receipt: value}) })
 }
 
 func (s served) do(call func()) {
@@ -548,18 +548,20 @@
 		fmt.Fprintf(conn, "mg k v O%s Pc=t,d=4000\r\n", id)
 		return <-s.began
 	}
-	settle := func(h *held, how logic.Outcome, with router.Result) { s.loop.Post(func() { h.x.Settled(how, with) }) }
+	settle := func(h *held, how balancer.Outcome, with router.Result) {
+		s.loop.Post(func() { h.x.Settled(how, with) })
+	}
 	s.finish(begin("1"), "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
-	settle(begin("2"), logic.Withdrawn, router.Result{}) // and no other server
+	settle(begin("2"), balancer.Withdrawn, router.Result{}) // and no other server
 	want(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	fmt.Fprint(conn, "mg k v O4 Pc=t\r\nmg k v O5 Pc=none\r\nmg k v O3 Pc=t\r\n") // no place, no such type, another's id
 	s.loop.Post(func() { s.desk.core.Terminate(3) })
 	want(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
-	settle(third, logic.Withdrawn, router.Result{})
+	settle(third, balancer.Withdrawn, router.Result{})
 	conn, in = s.dial()
-	settle(begin("6"), logic.Finished, router.Result{Long: breaking{}})
+	settle(begin("6"), balancer.Finished, router.Result{Long: breaking{}})
 	want(t, in, "VA 99999 O6\r\nx")
 	conn, _ = s.dial()
 	begin("7")
@@ -604,7 +606,7 @@
 	if string(h.op.Value) != body {
 		t.Errorf("%d bytes came", len(h.op.Value))
 	}
-	s.loop.Post(func() { h.x.Settled(logic.Finished, router.Result{Receipt: "r"}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Finished, router.Result{Receipt: "r"}) })
 	want(t, in, "HD O1 cr\r\n")
 	for _, c := range []struct{ since, quiet float64 }{{begins + 1, 0}, {begins + 1, standing + 1}, {lasting + 1, 0}, {0, 0}} {
 		conn, in := s.dial()
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -13,8 +13,8 @@
 	"slices"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 )
 
 // policy orders the servers for a key; the first that has not been tried is taken.
@@ -37,9 +37,9 @@
 	if !known {
 		return nil, fmt.Errorf("%q is not a baseline; there are %s", name, strings.Join(Names(), ", "))
 	}
-	return func(now float64, set logic.Settings, host logic.Host) router.Module {
+	return func(now float64, set balancer.Settings, host balancer.Host) router.Module {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
-			types: map[string]logic.TrafficType{}}
+			types: map[string]balancer.TrafficType{}}
 		m.Offer(set.TrafficTypes)
 		return m
 	}, nil
@@ -47,10 +47,10 @@
 
 // Module is one instance.
 type Module struct {
-	host    logic.Host
-	set     logic.Settings
+	host    balancer.Host
+	set     balancer.Settings
 	pick    policy
-	types   map[string]logic.TrafficType
+	types   map[string]balancer.TrafficType
 	servers map[uint64]*server
 	ready   []*server // by id
 	ring    []point
@@ -61,7 +61,7 @@
 }
 
 type server struct {
-	logic.Member
+	balancer.Member
 	out int
 }
 
@@ -72,7 +72,7 @@
 
 type operation struct {
 	id         uint64
-	t          logic.TrafficType
+	t          balancer.TrafficType
 	hash       uint32
 	hardStop   float64
 	answered   bool
@@ -105,8 +105,8 @@
 const points = 100 // of a server on the ring: shares within a tenth of the mean
 
 // Listed takes an update of the list.
-func (m *Module) Listed(_ float64, kind logic.ListKind, members []logic.Member) {
-	if kind == logic.Failed {
+func (m *Module) Listed(_ float64, kind balancer.ListKind, members []balancer.Member) {
+	if kind == balancer.Failed {
 		return
 	}
 	seen := map[uint64]bool{}
@@ -118,14 +118,14 @@
 		m.servers[e.ID].Member = e
 	}
 	for id, s := range m.servers {
-		if s.Mode == logic.Gone || kind != logic.Diff && !seen[id] {
-			s.Mode = logic.Gone
+		if s.Mode == balancer.Gone || kind != balancer.Diff && !seen[id] {
+			s.Mode = balancer.Gone
 			delete(m.servers, id)
 		}
 	}
 	m.ready, m.ring = nil, nil
 	for _, s := range m.servers {
-		if s.Mode == logic.InService {
+		if s.Mode == balancer.InService {
 			m.ready = append(m.ready, s)
 		}
 	}
@@ -144,15 +144,15 @@
 
 // may tells whether a server may execute an operation by the second and third rules.
 func (m *Module) may(now float64, op *operation, s *server) bool {
-	return s.Mode == logic.InService && !slices.ContainsFunc(op.executions, func(e *execution) bool {
+	return s.Mode == balancer.InService && !slices.ContainsFunc(op.executions, func(e *execution) bool {
 		switch {
-		case e.harmless || op.t.Effect == logic.Reissuable:
+		case e.harmless || op.t.Effect == balancer.Reissuable:
 			return false
-		case op.t.Effect == logic.AtMostOnce || now-e.sent >= op.t.Window:
+		case op.t.Effect == balancer.AtMostOnce || now-e.sent >= op.t.Window:
 			return true
-		case op.t.Group == logic.Zone:
+		case op.t.Group == balancer.Zone:
 			return e.on.Zone != s.Zone
-		case op.t.Group == logic.Cell:
+		case op.t.Group == balancer.Cell:
 			return e.on.Cell != s.Cell
 		}
 		return false
@@ -222,7 +222,7 @@
 func (m *Module) Arrived(now float64, id uint64, kind, _, key string, left float64) {
 	t, known := m.types[kind]
 	if !known {
-		t = logic.TrafficType{HardStop: left, PromisedTime: left}
+		t = balancer.TrafficType{HardStop: left, PromisedTime: left}
 	}
 	op := &operation{id: id, t: t, hash: hash(0, uint64(crc32.ChecksumIEEE([]byte(key)))), hardStop: now + left - m.set.Step}
 	m.ops[id] = op
@@ -244,8 +244,8 @@
 	}
 	op.answered = true
 	ran := slices.ContainsFunc(op.executions, func(e *execution) bool { return !e.harmless })
-	if op.t.Effect == logic.Reissuable || op.t.Effect == logic.Numbered && op.t.Group == logic.All || !ran {
-		m.host.Decline(op.id, 0, logic.NoServer)
+	if op.t.Effect == balancer.Reissuable || op.t.Effect == balancer.Numbered && op.t.Group == balancer.All || !ran {
+		m.host.Decline(op.id, 0, balancer.NoServer)
 	} else {
 		m.host.Terminate(op.id)
 	}
@@ -264,18 +264,18 @@
 }
 
 // Settled takes the end of an execution.
-func (m *Module) Settled(now float64, id uint64, n int, how logic.Outcome, lag float64, final bool) {
+func (m *Module) Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool) {
 	op := m.ops[id]
 	if op == nil || n >= len(op.executions) || !op.executions[n].out {
 		return
 	}
 	e := op.executions[n]
 	e.out = false
-	e.harmless = how == logic.TurnedAway || how == logic.NoConnection || how == logic.NotSent || how == logic.NotStored
+	e.harmless = how == balancer.TurnedAway || how == balancer.NoConnection || how == balancer.NotSent || how == balancer.NotStored
 	op.out--
 	e.on.out--
 	m.flying--
-	if how == logic.Finished {
+	if how == balancer.Finished {
 		m.mean += (lag - m.mean) / 16
 	}
 	if final || op.answered {
@@ -287,8 +287,8 @@
 }
 
 // Offer takes the traffic types.
-func (m *Module) Offer(types []logic.TrafficType) {
-	m.types = map[string]logic.TrafficType{}
+func (m *Module) Offer(types []balancer.TrafficType) {
+	m.types = map[string]balancer.TrafficType{}
 	for _, t := range types {
 		m.types[t.Name] = t
 	}
@@ -306,7 +306,7 @@
 func (m *Module) Told(float64, []byte) {}
 
 // Probed takes no probes: none are sent.
-func (m *Module) Probed(float64, uint64, logic.Outcome) {}
+func (m *Module) Probed(float64, uint64, balancer.Outcome) {}
 
 // Counted takes nothing.
 func (m *Module) Counted(float64, int) {}
@@ -323,5 +323,5 @@
 // Avoids tells whether a server gets nothing by its mode: baselines avoid none for its failures.
 func (m *Module) Avoids(id uint64) bool {
 	s := m.servers[id]
-	return s == nil || s.Mode != logic.InService
+	return s == nil || s.Mode != balancer.InService
 }
--- a/internal/lab/helpers_test.go
+++ b/internal/lab/helpers_test.go
@@ -7,13 +7,13 @@
 	"strings"
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab/baseline"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/service"
 	"bendtrestle/internal/standin"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -140,10 +140,10 @@
 }
 
 var kindsOf = map[string]*standin.TrafficType{
-	"read":  {Name: "read", Effect: logic.Reissuable, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"put":   {Name: "put", Write: true, Effect: logic.Numbered, Group: logic.Zone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
-	"pay":   {Name: "pay", Write: true, Effect: logic.AtMostOnce, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"bound": {Name: "bound", Effect: logic.Reissuable, RunsIn: []string{"z1"}},
+	"read":  {Name: "read", Effect: balancer.Reissuable, Benefit: 1, Promised: 0.1, HardStop: 0.5},
+	"put":   {Name: "put", Write: true, Effect: balancer.Numbered, Group: balancer.Zone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
+	"pay":   {Name: "pay", Write: true, Effect: balancer.AtMostOnce, Benefit: 1, Promised: 0.1, HardStop: 0.5},
+	"bound": {Name: "bound", Effect: balancer.Reissuable, RunsIn: []string{"z1"}},
 }
 
 func server(name, zone string) *standin.Server {
--- a/internal/lab/judge.go
+++ b/internal/lab/judge.go
@@ -6,8 +6,8 @@
 	"slices"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/standin"
-	"bendtrestle/logic"
 )
 
 // Breach is a rule that was not kept, or a crash.
@@ -139,7 +139,7 @@
 		j.placed(o, t)
 	}
 	said := slices.ContainsFunc(o.Tries, func(t *standin.Try) bool { return t.How == standin.Declined }) || len(o.Tries) == 1
-	if effects > 1 && o.Type.Effect == logic.AtMostOnce && said { // a client that came back unasked did it itself
+	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && said { // a client that came back unasked did it itself
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once operation took effect %d times", effects)
 	}
 }
@@ -252,10 +252,10 @@
 				continue
 			}
 			switch o.Type.Effect {
-			case logic.AtMostOnce:
+			case balancer.AtMostOnce:
 				j.breach(2, x.First, o, t.ID, "an at-most-once operation was sent to %s though it may have run at %s", x.Server.Name, before.Server.Name)
 				return
-			case logic.Numbered:
+			case balancer.Numbered:
 				if !sameGroup(o.Type, before.Server, x.Server) {
 					j.breach(2, x.First, o, t.ID, "a numbered operation was sent to %s, outside the group of %s", x.Server.Name, before.Server.Name)
 					return
@@ -271,8 +271,8 @@
 		return
 	}
 	for _, x := range runs {
-		narrow := o.Type.Effect == logic.Numbered && o.Type.Group != logic.All
-		if x.MayHaveRun() && (o.Type.Effect == logic.AtMostOnce || narrow) {
+		narrow := o.Type.Effect == balancer.Numbered && o.Type.Group != balancer.All
+		if x.MayHaveRun() && (o.Type.Effect == balancer.AtMostOnce || narrow) {
 			j.breach(2, t.Ended, o, t.ID, "declined, which says that trying again is harmless, though it may have run at %s", x.Server.Name)
 			return
 		}
@@ -290,9 +290,9 @@
 
 func sameGroup(t *standin.TrafficType, a, b *standin.Server) bool {
 	switch t.Group {
-	case logic.Zone:
+	case balancer.Zone:
 		return a.Zone == b.Zone
-	case logic.Cell:
+	case balancer.Cell:
 		return a.Zone == b.Zone && a.Cell == b.Cell
 	}
 	return true
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -14,10 +14,10 @@
 	"sync"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/lab/relay"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/standin"
-	"bendtrestle/logic"
 )
 
 // Options say how a scenario is played.
@@ -314,7 +314,7 @@
 	var types []map[string]any
 	for _, t := range s.types() {
 		types = append(types, map[string]any{"name": t.Name, "effect": wire[t.Effect],
-			"keyScope":    map[logic.Group]string{logic.All: "all", logic.Zone: "zone", logic.Cell: "cell"}[t.Group],
+			"keyScope":    map[balancer.Group]string{balancer.All: "all", balancer.Zone: "zone", balancer.Cell: "cell"}[t.Group],
 			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
 			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null where it is not bound
 	}
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -8,10 +8,10 @@
 	"encoding/binary"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -21,7 +21,7 @@
 	me         int // its number among the peers
 	loop       *sock.Loop
 	way        Way
-	module     *logic.Router
+	module     *balancer.Router
 	ids        []uint64 // of the servers, as the list has them
 	generation uint64   // of the list that is in force
 	since      float64  // when that came into force, Unix seconds
@@ -34,7 +34,7 @@
 
 func (host) Execute(uint64, uint64, float64, float64) {}
 func (host) Withdraw(uint64, int)                     {}
-func (host) Decline(uint64, float64, logic.Reason)    {}
+func (host) Decline(uint64, float64, balancer.Reason) {}
 func (host) Terminate(uint64)                         {}
 func (h host) Tell(words []byte)                      { h.r.way.Tell(words) }
 func (host) Probe(uint64)                             {}
@@ -42,10 +42,10 @@
 func (host) Watch(bool)                               {}
 
 // settings are those of a router that hears others, as in a real one's configuration.
-func settings(me, routers int) logic.Settings {
-	return logic.Settings{Seed: uint32(me + 1), Me: me, Routers: routers, Step: 0.002, Weights: logic.Sizes, MostExecutions: 3, SecondCopies: true,
+func settings(me, routers int) balancer.Settings {
+	return balancer.Settings{Seed: uint32(me + 1), Me: me, Routers: routers, Step: 0.002, Weights: balancer.Sizes, MostExecutions: 3, SecondCopies: true,
 		Cancelling: true, MaxRetryAfter: 1.2, Peers: true, Telling: 0.01, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9,
-		TrafficTypes: []logic.TrafficType{{Name: "read", Effect: logic.Reissuable, PromisedTime: 0.150, HardStop: 0.750, Benefit: 5}}}
+		TrafficTypes: []balancer.TrafficType{{Name: "read", Effect: balancer.Reissuable, PromisedTime: 0.150, HardStop: 0.750, Benefit: 5}}}
 }
 
 const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
@@ -53,8 +53,8 @@
 // begin makes one that has a list. It hears from now on.
 func begin(loop *sock.Loop, open Open, p Place, known discovery.List) (*router, error) {
 	r := &router{me: p.Me, loop: loop}
-	r.module = logic.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
-	r.take(logic.Snapshot, known)
+	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
+	r.take(balancer.Snapshot, known)
 	for _, id := range r.ids {
 		p.Servers = append(p.Servers, uint16(id))
 	}
@@ -73,11 +73,11 @@
 }
 
 // take takes a list.
-func (r *router) take(kind logic.ListKind, l discovery.List) {
-	var members []logic.Member
+func (r *router) take(kind balancer.ListKind, l discovery.List) {
+	var members []balancer.Member
 	for _, e := range l.Entries {
 		members = append(members, e.Member)
-		if kind == logic.Snapshot {
+		if kind == balancer.Snapshot {
 			r.ids = append(r.ids, e.ID)
 		}
 	}
@@ -92,9 +92,9 @@
 	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
 		taken := make(chan struct{})
 		r.loop.Post(func() {
-			kind := logic.Diff
+			kind := balancer.Diff
 			if l.Whole {
-				kind, r.ids = logic.Snapshot, nil
+				kind, r.ids = balancer.Snapshot, nil
 			}
 			if l.Whole || len(l.Entries) > 0 {
 				r.take(kind, l)
--- a/internal/lab/scale/values.go
+++ b/internal/lab/scale/values.go
@@ -19,11 +19,11 @@
 	"text/tabwriter"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/meta"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/standin"
-	"bendtrestle/logic"
 
 	"golang.org/x/sys/unix"
 )
@@ -221,7 +221,7 @@
 	if v.loop, err = sock.New(); err != nil {
 		return nil, err
 	}
-	kind := &standin.TrafficType{Name: "bulk", Effect: logic.Reissuable, Benefit: 1}
+	kind := &standin.TrafficType{Name: "bulk", Effect: balancer.Reissuable, Benefit: 1}
 	v.fleet = standin.NewFleet(v.loop, 1, []*standin.TrafficType{kind}, standin.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, standin.Delay{})
 	via := map[string]string{}
 	for n := range valueServers {
--- a/internal/lab/scenario.go
+++ b/internal/lab/scenario.go
@@ -10,11 +10,11 @@
 	"strconv"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/meta"
 	"bendtrestle/internal/standin"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/tomlfile"
-	"bendtrestle/logic"
 )
 
 // Scenario is a file that says what is played. Times are seconds, or milliseconds where the key ends in _ms.
@@ -223,9 +223,9 @@
 }
 
 var (
-	effects = map[string]logic.Effect{"reissuable": logic.Reissuable, "numbered": logic.Numbered, "at-most-once": logic.AtMostOnce}
-	groups  = map[string]logic.Group{"": logic.All, "all": logic.All, "zone": logic.Zone, "cell": logic.Cell}
-	wire    = map[logic.Effect]string{logic.Reissuable: "retryable", logic.Numbered: "dedup", logic.AtMostOnce: "unsafe"}
+	effects = map[string]balancer.Effect{"reissuable": balancer.Reissuable, "numbered": balancer.Numbered, "at-most-once": balancer.AtMostOnce}
+	groups  = map[string]balancer.Group{"": balancer.All, "all": balancer.All, "zone": balancer.Zone, "cell": balancer.Cell}
+	wire    = map[balancer.Effect]string{balancer.Reissuable: "retryable", balancer.Numbered: "dedup", balancer.AtMostOnce: "unsafe"}
 )
 
 // above and part check one figure.
--- a/internal/operators/contracts.go
+++ b/internal/operators/contracts.go
@@ -7,10 +7,10 @@
 	"slices"
 	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/decide/contracts"
 	"bendtrestle/internal/tiles"
-	"bendtrestle/logic"
 )
 
 // Broker says what becomes of traffic that no contract holds for.
@@ -73,8 +73,8 @@
 }
 
 var (
-	effects = map[string]logic.Effect{"reissuable": logic.Reissuable, "numbered": logic.Numbered, "at-most-once": logic.AtMostOnce}
-	groups  = map[string]logic.Group{"": logic.All, "all": logic.All, "zone": logic.Zone, "cell": logic.Cell}
+	effects = map[string]balancer.Effect{"reissuable": balancer.Reissuable, "numbered": balancer.Numbered, "at-most-once": balancer.AtMostOnce}
+	groups  = map[string]balancer.Group{"": balancer.All, "all": balancer.All, "zone": balancer.Zone, "cell": balancer.Cell}
 )
 
 const (
@@ -257,7 +257,7 @@
 		terms := broker.Terms{Pool: t.Pool, Listen: t.Listen, Tenant: t.Tenant, Prefix: t.Prefix,
 			Contract: contracts.Contract{Team: t.Name, Budget: t.Budget, Burst: burst, Borrow: t.Borrow, Weight: t.Weight}}
 		for _, k := range t.Types {
-			terms.Types = append(terms.Types, logic.TrafficType{Name: k.Name, Effect: effects[k.Effect], Group: groups[k.Group],
+			terms.Types = append(terms.Types, balancer.TrafficType{Name: k.Name, Effect: effects[k.Effect], Group: groups[k.Group],
 				Window: k.Window, PromisedTime: k.PromisedMS / 1e3, HardStop: k.HardStopMS / 1e3, Benefit: k.Benefit,
 				OverdueBenefit: k.OverdueBenefit, RunsIn: k.RunsIn, AllowedOn: k.AllowedOn})
 		}
@@ -270,7 +270,7 @@
 func (f *File) Others() broker.Others { return broker.Others(f.Broker.Others == "nobody") }
 
 // Settings gives the module's settings for a pool: the platform's, but for what the pool says.
-func (p Pool) Settings(set logic.Settings) logic.Settings {
+func (p Pool) Settings(set balancer.Settings) balancer.Settings {
 	set.TrafficTypes, set.Tenants = nil, nil
 	set.Apart, set.Peers, set.OnRequest, set.Ordered = true, false, false, false
 	take(&set.MostExecutions, p.MostExecutions)
--- a/internal/operators/operators_test.go
+++ b/internal/operators/operators_test.go
@@ -7,7 +7,7 @@
 	"strings"
 	"testing"
 
-	"bendtrestle/logic"
+	"bendtrestle/balancer"
 )
 
 func file(t *testing.T, text string) string {
@@ -129,8 +129,8 @@
 		terms[0].Types[0].Places() != "on m2" || terms[0].Pool != "p" {
 		t.Errorf("the terms are %+v", terms)
 	}
-	set := f.Pools[0].Settings(logic.Settings{MostExecutions: 5, WarmWithin: 9, TipMultiple: 4, Peers: true,
-		TrafficTypes: []logic.TrafficType{{}}})
+	set := f.Pools[0].Settings(balancer.Settings{MostExecutions: 5, WarmWithin: 9, TipMultiple: 4, Peers: true,
+		TrafficTypes: []balancer.TrafficType{{}}})
 	if set.MostExecutions != 2 || set.WarmWithin != 7 || set.TipMultiple != 4 || set.Peers || !set.Apart || len(set.TrafficTypes) > 0 {
 		t.Errorf("the pool's settings are %+v", set)
 	}
--- a/internal/router/router.go
+++ b/internal/router/router.go
@@ -9,7 +9,7 @@
 	"runtime/debug"
 	"slices"
 
-	"bendtrestle/logic"
+	"bendtrestle/balancer"
 
 	"github.com/rs/zerolog"
 )
@@ -60,7 +60,7 @@
 // Reasons name them, by their numbers.
 var Reasons = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
 
-var reasons = map[logic.Reason]Reason{logic.Strained: Strained, logic.NoServer: NoServer, logic.NoTime: NoTime}
+var reasons = map[balancer.Reason]Reason{balancer.Strained: Strained, balancer.NoServer: NoServer, balancer.NoTime: NoTime}
 
 // Result is what a cache server made of an execution that finished.
 type Result struct {
@@ -99,7 +99,7 @@
 
 // Execution is told how it ended, exactly once and never before the call that began it has returned.
 type Execution interface {
-	Settled(how logic.Outcome, with Result)
+	Settled(how balancer.Outcome, with Result)
 	Wanted() bool // somebody still waits for it, as far as can be told now; asked before it is written later than it began
 }
 
@@ -113,7 +113,7 @@
 type Caches interface {
 	// Execute gives it up after limit, or where it is not written after within.
 	Execute(server uint64, op *Operation, limit, within float64, x Execution) Pending
-	Probe(server uint64, ended func(logic.Outcome))
+	Probe(server uint64, ended func(balancer.Outcome))
 }
 
 // Clock is the loop's time and timers.
@@ -135,31 +135,33 @@
 // Zones is told how executions go in the zones that the list names.
 type Zones interface {
 	Began(zone string, within float64) (mark uint64) // within is the time promised for the operation
-	Ended(zone string, mark uint64, how logic.Outcome, took, within float64)
+	Ended(zone string, mark uint64, how balancer.Outcome, took, within float64)
 }
 
 // Module makes the decisions. The product's is logic.Router; a laboratory may put another in its place, to see what
 // the decisions alone are worth.
 type Module interface {
 	Arrived(now float64, id uint64, kind, realm, key string, left float64)
-	Settled(now float64, id uint64, n int, how logic.Outcome, lag float64, final bool)
+	Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool)
 	Left(now float64, id uint64)
-	Listed(now float64, kind logic.ListKind, members []logic.Member)
+	Listed(now float64, kind balancer.ListKind, members []balancer.Member)
 	Told(now float64, words []byte)
 	Counted(now float64, routers int)
-	Probed(now float64, server uint64, how logic.Outcome)
+	Probed(now float64, server uint64, how balancer.Outcome)
 	Wake(now float64, name string)
-	Offer(types []logic.TrafficType)
+	Offer(types []balancer.TrafficType)
 	Barred(now float64, server uint64, out bool)
 	Zoned(now float64, zone string, share float64)
 	Avoids(server uint64) bool
 }
 
 // Maker starts a module.
-type Maker func(now float64, set logic.Settings, host logic.Host) Module
+type Maker func(now float64, set balancer.Settings, host balancer.Host) Module
 
 // Logic makes the product's module.
-func Logic(now float64, set logic.Settings, host logic.Host) Module { return logic.New(now, set, host) }
+func Logic(now float64, set balancer.Settings, host balancer.Host) Module {
+	return balancer.New(now, set, host)
+}
 
 // Router is one instance: the module and what it has taken.
 type Router struct {
@@ -198,17 +200,17 @@
 }
 
 // New starts the module that decides.
-func New(set logic.Settings, out Outside, module Maker) *Router {
+func New(set balancer.Settings, out Outside, module Maker) *Router {
 	r := &Router{Outside: out, ops: map[uint64]*operation{}, zones: map[uint64]string{}}
 	r.promise(set.TrafficTypes)
 	r.module = module(out.Clock.Now(), set, r)
 	return r
 }
 
-func (r *Router) promise(types []logic.TrafficType) {
+func (r *Router) promise(types []balancer.TrafficType) {
 	r.times, r.again = map[string]float64{}, map[string]bool{}
 	for _, t := range types {
-		r.times[t.Name], r.again[t.Name] = t.PromisedTime, t.Effect == logic.Reissuable
+		r.times[t.Name], r.again[t.Name] = t.PromisedTime, t.Effect == balancer.Reissuable
 	}
 }
 
@@ -240,12 +242,12 @@
 }
 
 // Listed takes an update of the list.
-func (r *Router) Listed(kind logic.ListKind, members []logic.Member) {
-	if kind == logic.Snapshot || kind == logic.Disk {
+func (r *Router) Listed(kind balancer.ListKind, members []balancer.Member) {
+	if kind == balancer.Snapshot || kind == balancer.Disk {
 		clear(r.zones)
 	}
 	for _, m := range members {
-		if r.zones[m.ID] = m.Zone; m.Mode == logic.Gone || m.Zone == "" {
+		if r.zones[m.ID] = m.Zone; m.Mode == balancer.Gone || m.Zone == "" {
 			delete(r.zones, m.ID)
 		}
 	}
@@ -269,7 +271,7 @@
 }
 
 // Offer takes the traffic types that operations may have from now on.
-func (r *Router) Offer(types []logic.TrafficType) {
+func (r *Router) Offer(types []balancer.TrafficType) {
 	r.promise(types)
 	r.guard(nil, func() { r.module.Offer(types) })
 }
@@ -285,14 +287,14 @@
 }
 
 // Settled takes the end of an execution. A result is passed on before anything else.
-func (x *execution) Settled(how logic.Outcome, with Result) {
+func (x *execution) Settled(how balancer.Outcome, with Result) {
 	o, r, now := x.of, x.of.r, x.of.r.Clock.Now()
 	o.out--
 	x.pending = nil
 	if x.mark > 0 {
 		r.Zones.Ended(x.zone, x.mark, how, now-x.began, r.times[o.Kind])
 	}
-	final := how == logic.Finished && o.client != nil
+	final := how == balancer.Finished && o.client != nil
 	if final {
 		r.Counts.Finished++
 		o.answer().Finished(with)
@@ -368,7 +370,7 @@
 	// After a fault of the module nothing is sent for what has its final answer, nor a further one for who left meanwhile; a first
 	// one begins as its command is read, which tells the same.
 	if o.client == nil || x.n > 0 && o.client.Gone() {
-		r.Clock.After(0, func() { x.Settled(logic.NotSent, Result{}) })
+		r.Clock.After(0, func() { x.Settled(balancer.NotSent, Result{}) })
 		return
 	}
 	r.Counts.Executions++
@@ -386,7 +388,7 @@
 }
 
 // Decline answers an operation.
-func (r *Router) Decline(id uint64, retryAfter float64, why logic.Reason) {
+func (r *Router) Decline(id uint64, retryAfter float64, why balancer.Reason) {
 	if o := r.ops[id]; o != nil && o.client != nil {
 		r.Counts.Declined++
 		r.Counts.Reasons[reasons[why]]++
@@ -418,7 +420,7 @@
 
 // Probe looks at a server.
 func (r *Router) Probe(server uint64) {
-	r.Caches.Probe(server, func(how logic.Outcome) {
+	r.Caches.Probe(server, func(how balancer.Outcome) {
 		r.guard(nil, func() { r.module.Probed(r.Clock.Now(), server, how) })
 	})
 }
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -17,11 +17,11 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -57,7 +57,7 @@
 			t.Errorf("it is taken back: %v", err)
 		}
 		lags := members(41, "127.0.0.1:2", "ready")
-		lags.Entries[1].Mode = logic.Draining
+		lags.Entries[1].Mode = balancer.Draining
 		if err := p.news(moved, lags); err == nil || !avoided() || !p.router.Avoids(discovery.ID("s-2")) {
 			t.Errorf("a drain that it tells is not heeded: %v", err)
 		}
@@ -366,7 +366,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set logic.Settings, host logic.Host) router.Module {
+	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) router.Module {
 		return spy{router.Logic(now, set, host), left}
 	}, zerolog.Nop())
 	if err != nil {
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -12,11 +12,11 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
@@ -173,10 +173,10 @@
 		t.Error("connections to it are kept")
 	}
 	on(d.s, func() bool { // it leaves the list and comes back under another start
-		e := discovery.Entry{Member: logic.Member{ID: discovery.ID("s-1"), Mode: logic.Gone}}
-		d.s.platform.hear(logic.Diff, discovery.List{Entries: []discovery.Entry{e}})
-		e.Mode, e.Started, e.Addr = logic.InService, 7, netip.MustParseAddrPort("127.0.0.1:1")
-		d.s.platform.hear(logic.Diff, discovery.List{Entries: []discovery.Entry{e}})
+		e := discovery.Entry{Member: balancer.Member{ID: discovery.ID("s-1"), Mode: balancer.Gone}}
+		d.s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{e}})
+		e.Mode, e.Started, e.Addr = balancer.InService, 7, netip.MustParseAddrPort("127.0.0.1:1")
+		d.s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{e}})
 		return true
 	})
 	if got := ask(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -11,8 +11,8 @@
 	"strings"
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/logic"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -41,10 +41,10 @@
 
 func goldenEntries() []discovery.Entry {
 	return []discovery.Entry{
-		{Member: logic.Member{ID: 1, Mode: logic.InService, Capacity: 1.5, Zone: "a", Cell: 3, Kind: "m2", Started: 1700000000.25},
+		{Member: balancer.Member{ID: 1, Mode: balancer.InService, Capacity: 1.5, Zone: "a", Cell: 3, Kind: "m2", Started: 1700000000.25},
 			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
-		{Member: logic.Member{ID: 4294967295, Mode: logic.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
-		{Member: logic.Member{ID: 7, Mode: logic.Gone}},
+		{Member: balancer.Member{ID: 4294967295, Mode: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
+		{Member: balancer.Member{ID: 7, Mode: balancer.Gone}},
 	}
 }
 
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -7,9 +7,9 @@
 	"strconv"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/operators"
-	"bendtrestle/logic"
 )
 
 const (
@@ -92,7 +92,7 @@
 	}
 	var ids []uint16
 	for id, e := range w.s.platform.entries {
-		if e.Mode != logic.Gone {
+		if e.Mode != balancer.Gone {
 			ids = append(ids, uint16(id))
 		}
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -10,13 +10,13 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peers"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -99,7 +99,7 @@
 		conf := fleetOf(t, me, 100, at...)
 		conf.Known = discovery.List{Generation: 1, Whole: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Member: logic.Member{ID: id, Mode: logic.InService, Capacity: 1}})
+			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Member: balancer.Member{ID: id, Mode: balancer.InService, Capacity: 1}})
 		}
 		s, err := assemble(Setup{Platform: conf, Operators: set}, router.Logic, zerolog.Nop())
 		if err != nil {
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -6,12 +6,12 @@
 	"maps"
 	"slices"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -44,7 +44,7 @@
 }
 
 // newPool makes one without servers.
-func (s *Service) newPool(name string, set logic.Settings, connections int, connect, stall, idle float64, streams int, wire func(caches.Link) caches.Wire) *pool {
+func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(caches.Link) caches.Wire) *pool {
 	p := &pool{s: s, name: name, onDemand: set.OnRequest, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
 	p.rhythm = pace.Pushed(s.conf.DrainGrace, set.Seed)
 	if set.OnRequest {
@@ -72,7 +72,7 @@
 
 // piped is how many executions a connection carries. Where second copies are barred it is one: what is given up behind a long value
 // would still be out there, for its connection must not be cut.
-func piped(set logic.Settings, streams int) int {
+func piped(set balancer.Settings, streams int) int {
 	if !set.SecondCopies {
 		return 1
 	}
@@ -139,8 +139,8 @@
 	}
 	if known := max(p.told, w.known); l.Whole && l.Generation < known && p.s.loop.Now()-w.since < catchUp {
 		// It may count anew: what it says of drains is heeded at once, which costs little if it is old.
-		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.Mode != logic.Draining })
-		p.hear(logic.Diff, l)
+		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.Mode != balancer.Draining })
+		p.hear(balancer.Diff, l)
 		return fmt.Errorf("%w: %d, %d", discovery.ErrOld, l.Generation, known)
 	}
 	if w == p.next {
@@ -150,22 +150,22 @@
 		p.watch, p.next = w, nil
 	}
 	if p.told = l.Generation; l.Whole {
-		p.hear(logic.Snapshot, l)
+		p.hear(balancer.Snapshot, l)
 	} else {
-		p.hear(logic.Diff, l)
+		p.hear(balancer.Diff, l)
 	}
 	return nil
 }
 
 func (p *pool) failed(w *watch) {
 	if w == p.watch || p.watch == nil && w == p.next {
-		p.hear(logic.Failed, discovery.List{})
+		p.hear(balancer.Failed, discovery.List{})
 	}
 }
 
 // hear takes news of the list. The addresses are known before the module acts on it.
-func (p *pool) hear(kind logic.ListKind, l discovery.List) {
-	if kind == logic.Snapshot || kind == logic.Disk {
+func (p *pool) hear(kind balancer.ListKind, l discovery.List) {
+	if kind == balancer.Snapshot || kind == balancer.Disk {
 		for id := range p.listed {
 			p.listed[id] = false
 		}
@@ -174,11 +174,11 @@
 		}
 		clear(p.entries)
 	}
-	var members []logic.Member
+	var members []balancer.Member
 	for _, e := range l.Entries {
-		p.listed[e.ID] = e.Mode == logic.InService
-		p.named(e.ID, e.Mode != logic.Gone)
-		if p.entries[e.ID] = e; e.Mode == logic.Gone {
+		p.listed[e.ID] = e.Mode == balancer.InService
+		p.named(e.ID, e.Mode != balancer.Gone)
+		if p.entries[e.ID] = e; e.Mode == balancer.Gone {
 			delete(p.entries, e.ID)
 		}
 		p.fleet.Listed(e.ID, e.Addr)
@@ -187,7 +187,7 @@
 	p.router.Listed(kind, members)
 	p.s.zones.listed()
 	p.s.gossip.listed()
-	p.s.recovery.listed(p, kind == logic.Snapshot || kind == logic.Diff) // a call that failed confirms nothing
+	p.s.recovery.listed(p, kind == balancer.Snapshot || kind == balancer.Diff) // a call that failed confirms nothing
 	maps.DeleteFunc(p.listed, func(id uint64, in bool) bool {
 		if !in {
 			p.fleet.Unlisted(id)
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -7,12 +7,12 @@
 	"strconv"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/store"
-	"bendtrestle/logic"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -137,7 +137,7 @@
 	}
 	ready, k := 0, kept{Generation: p.told}
 	for _, e := range p.entries {
-		if e.Mode == logic.InService {
+		if e.Mode == balancer.InService {
 			ready++
 		}
 		k.Servers = append(k.Servers, keptServer{saveMember(e.Member), e.Addr.String()})
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -13,13 +13,13 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/store"
-	"bendtrestle/logic"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
@@ -38,7 +38,7 @@
 		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := store.Open(store.Path(dir, addr), addr, zerolog.Nop())
-		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(logic.Member{ID: 1, Mode: logic.InService, Started: 5}), "127.0.0.1:2"}}})
+		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Member{ID: 1, Mode: balancer.InService, Started: 5}), "127.0.0.1:2"}}})
 		s.Put(recovery.Rate, store.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
 		s.Put(recovery.List, store.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
@@ -47,9 +47,9 @@
 			t.Fatal(err)
 		}
 		var flows []float64
-		maker := func(now float64, set logic.Settings, host logic.Host) router.Module {
+		maker := func(now float64, set balancer.Settings, host balancer.Host) router.Module {
 			flows = append(flows, set.Flow)
-			return logic.New(now, set, host)
+			return balancer.New(now, set, host)
 		}
 		x, err := assemble(Setup{Platform: conf, Operators: operators.File{Recovery: operators.Recovery{On: true},
 			Pools: []operators.Pool{{Name: "other", Discovery: "127.0.0.1:1", Connections: 0.3}}}}, maker, zerolog.Nop())
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -3,8 +3,8 @@
 import (
 	"net/netip"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/logic"
 )
 
 // savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and told to the next process at a
@@ -32,7 +32,7 @@
 	Entries    []savedEntry `json:"Entries"`
 }
 
-func saveMember(m logic.Member) savedMember {
+func saveMember(m balancer.Member) savedMember {
 	return savedMember{
 		ID:       m.ID,
 		Mode:     int(m.Mode),
@@ -44,10 +44,10 @@
 	}
 }
 
-func (m savedMember) member() logic.Member {
-	return logic.Member{
+func (m savedMember) member() balancer.Member {
+	return balancer.Member{
 		ID:       m.ID,
-		Mode:     logic.Mode(m.Mode),
+		Mode:     balancer.Mode(m.Mode),
 		Capacity: m.Capacity,
 		Zone:     m.Zone,
 		Cell:     m.Cell,
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -14,6 +14,7 @@
 	"slices"
 	"syscall"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/config"
@@ -26,7 +27,6 @@
 	"bendtrestle/internal/peers"
 	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -236,7 +236,7 @@
 	}
 	s.openBans()
 	s.platform.last = s.conf.Known
-	s.platform.hear(logic.Disk, s.conf.Known)
+	s.platform.hear(balancer.Disk, s.conf.Known)
 	s.platform.follow(c.Discovery)
 	s.contract(set)
 	s.zones.begin()
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -11,8 +11,8 @@
 	"testing"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/logic"
 )
 
 // gone ends a service as SIGTERM does, and waits for it.
@@ -109,15 +109,15 @@
 	on(s, func() bool {
 		drains := s.platform.entries[id]
 		other := drains
-		drains.Mode, other.ID, other.Zone = logic.Draining, 7, "b"
-		s.platform.hear(logic.Diff, discovery.List{Entries: []discovery.Entry{drains, other}})
+		drains.Mode, other.ID, other.Zone = balancer.Draining, 7, "b"
+		s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{drains, other}})
 		s.platform.told = 5
 		return true
 	})
 	after, _ := next(t, addr, list, shared) // whose own start says that it is ready, generation 1
 	on(after, func() bool {
 		p := after.platform
-		if e := p.entries[7]; len(p.entries) != 2 || p.entries[id].Mode != logic.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.listed[id] {
+		if e := p.entries[7]; len(p.entries) != 2 || p.entries[id].Mode != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.listed[id] {
 			t.Errorf("it knows %+v", p.entries)
 		}
 		for _, state := range []string{"", "{", `{"List":{"Entries":"x"}}`, `{"Discovery":"127.0.0.1:1","List":{"Generation":9,"Entries":[{}]}}`,
@@ -132,7 +132,7 @@
 
 // Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
 func TestNothingBehindAnotherWhereCopiesAreBarred(t *testing.T) {
-	if piped(logic.Settings{}, 100) != 1 || piped(logic.Settings{SecondCopies: true}, 100) != 100 {
+	if piped(balancer.Settings{}, 100) != 1 || piped(balancer.Settings{SecondCopies: true}, 100) != 100 {
 		t.Error("executions are sent behind others")
 	}
 }
--- a/internal/service/tier_test.go
+++ b/internal/service/tier_test.go
@@ -6,9 +6,9 @@
 	"slices"
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/router"
-	"bendtrestle/logic"
 
 	"github.com/rs/zerolog"
 )
@@ -28,7 +28,7 @@
 		t.Fatal(err)
 	}
 	told := &counter{}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set logic.Settings, host logic.Host) router.Module {
+	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) router.Module {
 		told.Module = router.Logic(now, set, host)
 		return told
 	}, zerolog.Nop())
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -8,11 +8,11 @@
 	"strconv"
 	"time"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
-	"bendtrestle/logic"
 )
 
 // looking is the time between two looks at the zones: a third of the shortest times that are promised, and far above what a look takes.
@@ -134,7 +134,7 @@
 	servers, ids := map[string]int{}, map[uint16]bool{}
 	take := func(p *pool) {
 		for id, e := range p.entries {
-			if ids[uint16(id)] = true; e.Zone != "" && e.Mode == logic.InService {
+			if ids[uint16(id)] = true; e.Zone != "" && e.Mode == balancer.InService {
 				servers[e.Zone]++
 			}
 		}
@@ -160,20 +160,20 @@
 }
 
 // Ended takes how it went.
-func (w *zoneWatch) Ended(zone string, mark uint64, how logic.Outcome, took, within float64) {
+func (w *zoneWatch) Ended(zone string, mark uint64, how balancer.Outcome, took, within float64) {
 	end := zones.Unsaid
 	switch how {
-	case logic.Finished, logic.Error, logic.NotStored: // also an error is an answer
+	case balancer.Finished, balancer.Error, balancer.NotStored: // also an error is an answer
 		if end = zones.Answered; took > within {
 			end = zones.Late
 		}
-	case logic.TurnedAway:
+	case balancer.TurnedAway:
 		end = zones.Full
-	case logic.NoAnswer:
+	case balancer.NoAnswer:
 		if took >= within { // else its client was in a hurry
 			end = zones.Silent
 		}
-	case logic.NoConnection, logic.ConnectionLost:
+	case balancer.NoConnection, balancer.ConnectionLost:
 		end = zones.Silent
 	}
 	w.fleet.Ended(w.now(), zone, mark, end)
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -3,9 +3,9 @@
 import (
 	"testing"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/operators"
-	"bendtrestle/logic"
 )
 
 // How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
@@ -17,11 +17,11 @@
 		return true
 	})
 	for _, c := range []struct {
-		how  logic.Outcome
+		how  balancer.Outcome
 		took float64
 		bad  bool
-	}{{logic.NoAnswer, 0.5, true}, {logic.NoAnswer, 0.05, false}, {logic.NoConnection, 0, true}, {logic.ConnectionLost, 0, true},
-		{logic.NotSent, 0.5, false}, {logic.Withdrawn, 0.5, false}, {logic.Error, 0.1, false}, {logic.TurnedAway, 0, false}} {
+	}{{balancer.NoAnswer, 0.5, true}, {balancer.NoAnswer, 0.05, false}, {balancer.NoConnection, 0, true}, {balancer.ConnectionLost, 0, true},
+		{balancer.NotSent, 0.5, false}, {balancer.Withdrawn, 0.5, false}, {balancer.Error, 0.1, false}, {balancer.TurnedAway, 0, false}} {
 		suspected := on(s, func() int {
 			f := zones.New(zones.Settings{Routers: 1})
 			s.zones.fleet = f
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,17 +1,17 @@
 package settings
 
-import "bendtrestle/logic"
+import "bendtrestle/balancer"
 
-var effects = map[string]logic.Effect{"retryable": logic.Reissuable, "dedup": logic.Numbered}
+var effects = map[string]balancer.Effect{"retryable": balancer.Reissuable, "dedup": balancer.Numbered}
 
-var groups = map[string]logic.Group{"all": logic.All, "zone": logic.Zone}
+var groups = map[string]balancer.Group{"all": balancer.All, "zone": balancer.Zone}
 
-var weights = map[string]logic.Weights{"nominal": logic.Sizes, "rough": logic.Sizes, "live": logic.Live}
+var weights = map[string]balancer.Weights{"nominal": balancer.Sizes, "rough": balancer.Sizes, "live": balancer.Live}
 
 // Settings reads the settings of an instance.
-func (o *Object) Settings() logic.Settings {
+func (o *Object) Settings() balancer.Settings {
 	family, limits, rules, prices := o.Part("familyInfo"), o.Part("limits"), o.Part("rules"), o.Part("penalties")
-	set := logic.Settings{
+	set := balancer.Settings{
 		Me:             int(o.Count("me")),
 		Routers:        int(o.Count("fleetSize")),
 		Step:           o.Seconds("step"),
@@ -41,14 +41,14 @@
 		set.MaxRetryAfter = 0 // none is passed on
 	}
 	for _, t := range o.List("trafficTypes") {
-		set.TrafficTypes = append(set.TrafficTypes, logic.TrafficType{Name: t.Text("name"),
+		set.TrafficTypes = append(set.TrafficTypes, balancer.TrafficType{Name: t.Text("name"),
 			Effect: effects[t.Text("effect")], Group: groups[t.Text("keyScope")], Window: t.Seconds("dedupWindow"),
 			PromisedTime: t.Seconds("promisedTime"), HardStop: t.Seconds("hardStop"),
 			Benefit: t.Number("benefit"), OverdueBenefit: t.Number("overdueBenefit"), Stream: t.Flag("stream"),
 			RunsIn: t.places("runsIn"), AllowedOn: t.places("allowedOn")})
 	}
 	for _, t := range o.List("tenants") {
-		set.Tenants = append(set.Tenants, logic.Tenant{Name: t.Text("name"), Quota: t.Number("quotaRps")})
+		set.Tenants = append(set.Tenants, balancer.Tenant{Name: t.Text("name"), Quota: t.Number("quotaRps")})
 	}
 	return set
 }
--- a/internal/standin/clientconn.go
+++ b/internal/standin/clientconn.go
@@ -3,9 +3,9 @@
 import (
 	"slices"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/sock"
-	"bendtrestle/logic"
 )
 
 // clientConn is one connection of a client to a router. It carries one try at a time.
@@ -214,7 +214,7 @@
 		d.c.over(t, NoConnection)
 	case t.Length > 0:
 		d.c.over(t, Cut)
-	case t.Op.Type.Effect == logic.AtMostOnce && t.Sent > 0: // it may have been read, and have run
+	case t.Op.Type.Effect == balancer.AtMostOnce && t.Sent > 0: // it may have been read, and have run
 		d.c.over(t, Lost)
 	case reused && !t.Again && t.Began+t.Wait > d.c.loop.Now():
 		t.Again, t.AgainAt = true, d.c.loop.Now()
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -6,9 +6,9 @@
 	"math/rand/v2"
 	"sort"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
-	"bendtrestle/logic"
 )
 
 // Fleet is the cache servers, their origin and the list that names them, all on one loop.
@@ -108,14 +108,14 @@
 
 // memory gives what those know who drop the repeats of a numbered type that come to s.
 func (f *Fleet) memory(s *Server, t *TrafficType) *memory {
-	if t.Effect != logic.Numbered {
+	if t.Effect != balancer.Numbered {
 		return nil
 	}
 	name := t.Name
 	switch t.Group {
-	case logic.Zone:
+	case balancer.Zone:
 		name += "/zone/" + s.Zone
-	case logic.Cell:
+	case balancer.Cell:
 		name += fmt.Sprintf("/cell/%s/%d", s.Zone, s.Cell)
 	}
 	if f.memories[name] == nil {
--- a/internal/standin/standin.go
+++ b/internal/standin/standin.go
@@ -8,8 +8,8 @@
 	"math/rand/v2"
 	"slices"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/tiles"
-	"bendtrestle/logic"
 )
 
 // TrafficType is one kind of operation, as clients send it and cache servers work on it.
@@ -17,8 +17,8 @@
 	Name     string
 	Share    float64 // of all arrivals, as a weight
 	Write    bool
-	Effect   logic.Effect
-	Group    logic.Group
+	Effect   balancer.Effect
+	Group    balancer.Group
 	Window   float64 // seconds for which repeats of a numbered operation are dropped
 	Work     float64 // seconds of a core of speed 1, the mean
 	Spread   float64 // of the work: its standard deviation over its mean
--- a/internal/wire/wire.go
+++ b/internal/wire/wire.go
@@ -12,22 +12,22 @@
 	"math"
 	"strconv"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/settings"
-	"bendtrestle/logic"
 
 	"github.com/valyala/fastjson"
 )
 
-var outcomes = map[string]logic.Outcome{
-	"served": logic.Finished, "server_error": logic.Error, "turned_away": logic.TurnedAway,
-	"no_answer": logic.NoAnswer, "no_connection": logic.NoConnection, "connection_lost": logic.ConnectionLost,
-	"called_off": logic.Withdrawn, "not_sent": logic.NotSent, "not_stored": logic.NotStored,
+var outcomes = map[string]balancer.Outcome{
+	"served": balancer.Finished, "server_error": balancer.Error, "turned_away": balancer.TurnedAway,
+	"no_answer": balancer.NoAnswer, "no_connection": balancer.NoConnection, "connection_lost": balancer.ConnectionLost,
+	"called_off": balancer.Withdrawn, "not_sent": balancer.NotSent, "not_stored": balancer.NotStored,
 }
 
-var modes = map[string]logic.Mode{"in_service": logic.InService, "terminating": logic.Draining}
+var modes = map[string]balancer.Mode{"in_service": balancer.InService, "terminating": balancer.Draining}
 
-var kinds = map[string]logic.ListKind{
-	"diff": logic.Diff, "snapshot": logic.Snapshot, "disk": logic.Disk, "error": logic.Failed,
+var kinds = map[string]balancer.ListKind{
+	"diff": balancer.Diff, "snapshot": balancer.Snapshot, "disk": balancer.Disk, "error": balancer.Failed,
 }
 
 // session is one conversation: the instances it hosts share nothing but the sheets, which no one changes.
@@ -35,7 +35,7 @@
 	out       *bufio.Writer
 	buf       []byte
 	instances map[uint64]*instance
-	sheets    map[uint64][]logic.Member
+	sheets    map[uint64][]balancer.Member
 	now       float64
 }
 
@@ -43,12 +43,12 @@
 type instance struct {
 	s      *session
 	id     uint64
-	router *logic.Router
+	router *balancer.Router
 }
 
 func newSession(out io.Writer) *session {
 	return &session{out: bufio.NewWriterSize(out, 1<<16), instances: map[uint64]*instance{},
-		sheets: map[uint64][]logic.Member{}}
+		sheets: map[uint64][]balancer.Member{}}
 }
 
 // Serve answers batches until the input ends. It returns nil when the input ends between two batches.
@@ -110,10 +110,10 @@
 	}
 }
 
-func members(m *settings.Object) []logic.Member {
-	var all []logic.Member
+func members(m *settings.Object) []balancer.Member {
+	var all []balancer.Member
 	for _, e := range m.List("members") {
-		all = append(all, logic.Member{ID: e.ID("server"), Mode: modes[e.Text("mode")],
+		all = append(all, balancer.Member{ID: e.ID("server"), Mode: modes[e.Text("mode")],
 			Capacity: e.Number("capacityHint"), Zone: e.Name0("rackZone"), Cell: e.Count("pack"),
 			Kind: e.Name0("model"), Started: e.Seconds("lastStart")})
 	}
@@ -140,7 +140,7 @@
 			i := &instance{s: s, id: id}
 			s.instances[id] = i
 			set.Seed = seed
-			i.guard(func() { i.router = logic.New(s.now, set, i) })
+			i.guard(func() { i.router = balancer.New(s.now, set, i) })
 		}
 		return
 	}
@@ -228,7 +228,7 @@
 	i.s.line("WITHDRAW").uint("router", i.id).uint("txn", operation).uint("n", uint64(n)).end()
 }
 
-func (i *instance) Decline(operation uint64, retryAfter float64, _ logic.Reason) {
+func (i *instance) Decline(operation uint64, retryAfter float64, _ balancer.Reason) {
 	i.s.line("BOUNCE").uint("router", i.id).uint("txn", operation).time("pause", retryAfter).end()
 }
 
