--- a/cmd/trestlelab/main.go
+++ b/cmd/trestlelab/main.go
@@ -17,7 +17,7 @@
 	"bendtrestle/internal/lab/picture"
 	"bendtrestle/internal/lab/scale"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
 	"github.com/alecthomas/kong"
@@ -302,7 +302,7 @@
 
 // Run is the product's own router but for its decisions.
 func (c *routerCommand) Run() error {
-	module := router.Maker(router.Logic)
+	module := requestcore.Maker(requestcore.Logic)
 	if c.Policy != "logic" {
 		var err error
 		if module, err = baseline.Maker(c.Policy); err != nil {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -12,7 +12,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/bulkhead"
 	"bendtrestle/internal/decide/contracts"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 )
 
 // Terms are what a team and the operators have agreed on, and how the team's traffic is known.
@@ -28,7 +28,7 @@
 // Pool is a pool as the operators' file has it.
 type Pool struct {
 	Name        string
-	Core        *router.Router
+	Core        *requestcore.Router
 	Capacity    float64 // seconds of load a second, over all routers; 0: not stated
 	Connections int     // to its servers
 }
@@ -102,12 +102,12 @@
 // Tally is what became of a team's operations.
 type Tally struct {
 	Taken, Finished, Declined, Terminated, Left uint64
-	Reasons                                     [len(router.Reasons)]uint64
+	Reasons                                     [len(requestcore.Reasons)]uint64
 	Took                                        float64 // seconds of load
 }
 
 // New makes a broker without contracts: all goes to the platform's core, within the limits.
-func New(now func() float64, set balancer.Settings, core *router.Router, limits Limits) *Broker {
+func New(now func() float64, set balancer.Settings, core *requestcore.Router, limits Limits) *Broker {
 	b := &Broker{now: now, me: set.Me, routers: max(1, set.Routers), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
 		places: bulkhead.New(limits.Open), bytes: bulkhead.New(limits.Held), doors: bulkhead.New(limits.Connections)}
 	b.plain = &plain{b: b, core: core, types: set.TrafficTypes, hardStops: map[string]float64{}, tenants: map[string]bool{}}
@@ -122,7 +122,7 @@
 
 // Route tells who takes an operation: the team whose listener it came in at, else the one that its client names, else
 // the one whose keys begin so.
-func (b *Broker) Route(listener, tenant, key string) router.Route {
+func (b *Broker) Route(listener, tenant, key string) requestcore.Route {
 	if len(b.teams) > 0 {
 		if t := b.listeners[listener]; t != nil {
 			return t
@@ -168,7 +168,7 @@
 // plain is the platform's route: no team, no budget.
 type plain struct {
 	b         *Broker
-	core      *router.Router
+	core      *requestcore.Router
 	types     []balancer.TrafficType // the platform's, which stay with its pool
 	hardStops map[string]float64
 	tenants   map[string]bool // that the platform knows
@@ -181,7 +181,7 @@
 
 func (p *plain) Room() bool { return p.b.places.Room(nil, 1) && p.b.bytes.Room(nil, 1) }
 
-func (p *plain) Take(op *router.Operation, client router.Client) (*router.Router, uint64) {
+func (p *plain) Take(op *requestcore.Operation, client requestcore.Client) (*requestcore.Router, uint64) {
 	p.b.places.Force(nil, 1)
 	op.Account = p
 	if !p.tenants[op.Tenant] {
@@ -196,7 +196,7 @@
 func (p *plain) Took(float64) {}
 
 // Answered takes no note.
-func (p *plain) Answered(router.End, router.Reason) {}
+func (p *plain) Answered(requestcore.End, requestcore.Reason) {}
 
 // Ended gives the place back.
 func (p *plain) Ended() { p.b.places.Release(nil, 1) }
@@ -212,17 +212,17 @@
 		return true
 	}
 	t.tally.Taken++
-	t.tally.decline(router.Place)
+	t.tally.decline(requestcore.Place)
 	return false
 }
 
 // Take admits an operation or declines it at once.
-func (t *team) Take(op *router.Operation, client router.Client) (*router.Router, uint64) {
+func (t *team) Take(op *requestcore.Operation, client requestcore.Client) (*requestcore.Router, uint64) {
 	k := t.kinds[op.Kind]
 	t.tally.Taken++
 	ticket, why, after := t.pool.budgets.Arrive(t.b.now(), t.Team, op.Kind, k.guess)
 	if !why.Admitted() {
-		t.tally.decline(router.Budget)
+		t.tally.decline(requestcore.Budget)
 		client.Declined(after)
 		return nil, 0
 	}
@@ -235,7 +235,7 @@
 
 func (t *team) Hold(n int) { t.b.bytes.Force(t.byte, n) }
 
-func (y *Tally) decline(why router.Reason) {
+func (y *Tally) decline(why requestcore.Reason) {
 	y.Declined++
 	y.Reasons[why]++
 }
@@ -249,15 +249,15 @@
 
 func (a *account) Took(seconds float64) { a.took += a.team.pool.budgets.Weigh(a.ticket, seconds) }
 
-func (a *account) Answered(end router.End, why router.Reason) {
+func (a *account) Answered(end requestcore.End, why requestcore.Reason) {
 	switch y := a.team.tally; end {
-	case router.Finished:
+	case requestcore.Finished:
 		y.Finished++
-	case router.Declined:
+	case requestcore.Declined:
 		y.decline(why)
-	case router.Terminated:
+	case requestcore.Terminated:
 		y.Terminated++
-	case router.Left:
+	case requestcore.Left:
 		y.Left++
 	}
 }
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -5,7 +5,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/contracts"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
@@ -13,8 +13,8 @@
 // outside is a loop and cache servers that a test drives: executions wait until it ends them.
 type outside struct {
 	now float64
-	out []router.Execution
-	ops []*router.Operation
+	out []requestcore.Execution
+	ops []*requestcore.Operation
 }
 
 func (o *outside) Now() float64                         { return o.now }
@@ -22,7 +22,7 @@
 func (o *outside) Probe(uint64, func(balancer.Outcome)) {}
 func (o *outside) Drop()                                {}
 func (o *outside) DropUnsent()                          {}
-func (o *outside) Execute(_ uint64, op *router.Operation, _, _ float64, x router.Execution) router.Pending {
+func (o *outside) Execute(_ uint64, op *requestcore.Operation, _, _ float64, x requestcore.Execution) requestcore.Pending {
 	o.out, o.ops = append(o.out, x), append(o.ops, op)
 	return o
 }
@@ -33,14 +33,14 @@
 	out := o.out
 	o.out, o.ops = nil, nil
 	for _, x := range out {
-		x.Settled(balancer.Finished, router.Result{})
+		x.Settled(balancer.Finished, requestcore.Result{})
 	}
 }
 
 // core is a pool's, with so many servers.
-func (o *outside) core(servers int, types ...balancer.TrafficType) *router.Router {
-	r := router.New(balancer.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, router.Outside{Clock: o, Caches: o,
-		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, router.Logic)
+func (o *outside) core(servers int, types ...balancer.TrafficType) *requestcore.Router {
+	r := requestcore.New(balancer.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, requestcore.Outside{Clock: o, Caches: o,
+		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
 	var all []balancer.Member
 	for i := range servers {
 		all = append(all, balancer.Member{ID: uint64(i + 1), Mode: balancer.InService, Capacity: 1})
@@ -55,10 +55,10 @@
 	after                          float64
 }
 
-func (c *client) Finished(router.Result) { c.finished++ }
-func (c *client) Declined(after float64) { c.declined, c.after = c.declined+1, after }
-func (c *client) Terminated()            { c.terminated++ }
-func (c *client) Gone() bool             { return false }
+func (c *client) Finished(requestcore.Result) { c.finished++ }
+func (c *client) Declined(after float64)      { c.declined, c.after = c.declined+1, after }
+func (c *client) Terminated()                 { c.terminated++ }
+func (c *client) Gone() bool                  { return false }
 
 var view = balancer.TrafficType{Name: "view", Effect: balancer.Reissuable, PromisedTime: 1, HardStop: 4, Benefit: 1}
 
@@ -85,7 +85,7 @@
 	if r == nil || !r.Room() {
 		return c, false
 	}
-	r.Take(&router.Operation{Kind: "view", Tenant: tenant, Key: key, Left: 3}, c)
+	r.Take(&requestcore.Operation{Kind: "view", Tenant: tenant, Key: key, Left: 3}, c)
 	return c, true
 }
 
--- a/internal/caches/caches.go
+++ b/internal/caches/caches.go
@@ -7,7 +7,7 @@
 	"slices"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
@@ -111,7 +111,7 @@
 func (f *Fleet) LetGo(id uint64) {
 	if s := f.servers[id]; s != nil {
 		for _, a := range s.waiting {
-			a.settle(balancer.NotSent, router.Result{})
+			a.settle(balancer.NotSent, requestcore.Result{})
 		}
 		s.waiting = nil
 		for _, l := range slices.Clone(s.links) {
@@ -125,7 +125,7 @@
 func (l *link) letGo() {
 	for _, a := range slices.Clone(l.queue) {
 		if !a.done && l.takeBack(a) {
-			a.settle(balancer.NotSent, router.Result{})
+			a.settle(balancer.NotSent, requestcore.Result{})
 		}
 	}
 }
@@ -139,7 +139,7 @@
 }
 
 // Execute begins an execution; it is given up after limit, or where it is not written after within.
-func (f *Fleet) Execute(id uint64, op *router.Operation, limit, within float64, x router.Execution) router.Pending {
+func (f *Fleet) Execute(id uint64, op *requestcore.Operation, limit, within float64, x requestcore.Execution) requestcore.Pending {
 	a := &attempt{op: op, ended: x.Settled, wanted: x.Wanted}
 	f.begin(id, a, limit, within)
 	return a
@@ -147,7 +147,7 @@
 
 // Probe asks a server whether it is there.
 func (f *Fleet) Probe(id uint64, ended func(balancer.Outcome)) {
-	a := &attempt{ended: func(how balancer.Outcome, _ router.Result) { ended(how) }}
+	a := &attempt{ended: func(how balancer.Outcome, _ requestcore.Result) { ended(how) }}
 	limit := f.limits.ConnectTimeout + 0.1 // a round trip in a fleet is far below a tenth of a second
 	f.begin(id, a, limit, limit)
 }
@@ -221,7 +221,7 @@
 			least.send(first)
 		case len(s.links) == 0: // no descriptor is to be had
 			s.leave(first)
-			first.settle(balancer.NotSent, router.Result{})
+			first.settle(balancer.NotSent, requestcore.Result{})
 		default:
 			return
 		}
@@ -265,7 +265,7 @@
 				how = balancer.NoConnection
 			}
 			s.leave(a)
-			a.settle(how, router.Result{})
+			a.settle(how, requestcore.Result{})
 			continue
 		}
 		l.conn = conn
--- a/internal/caches/caches_test.go
+++ b/internal/caches/caches_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
@@ -23,8 +23,8 @@
 // outcome notes how an execution ended.
 type outcome chan balancer.Outcome
 
-func (o outcome) Settled(how balancer.Outcome, _ router.Result) { o <- how }
-func (o outcome) Wanted() bool                                  { return true }
+func (o outcome) Settled(how balancer.Outcome, _ requestcore.Result) { o <- how }
+func (o outcome) Wanted() bool                                       { return true }
 
 func (o outcome) want(t *testing.T, want balancer.Outcome) {
 	t.Helper()
@@ -160,10 +160,10 @@
 	<-done
 }
 
-func (f fleet) execute(limit float64) (o outcome, p router.Pending) {
+func (f fleet) execute(limit float64) (o outcome, p requestcore.Pending) {
 	o = make(outcome, 1)
 	f.do(f.loop, func() {
-		p = f.Execute(1, &router.Operation{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}, limit, limit, o)
+		p = f.Execute(1, &requestcore.Operation{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}, limit, limit, o)
 	})
 	return o, p
 }
@@ -257,7 +257,7 @@
 func TestRestedConnectionIsUsedFirst(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	first, second := make(outcome, 1), make(outcome, 1)
-	op := &router.Operation{ID: "a", Flags: "Oa"}
+	op := &requestcore.Operation{ID: "a", Flags: "Oa"}
 	f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
 	first.want(t, balancer.Finished)
 	second.want(t, balancer.Finished)
@@ -284,7 +284,7 @@
 	})
 	first, _ := f.execute(5)
 	first.want(t, balancer.Finished)
-	op, next := &router.Operation{ID: "a"}, make(outcome, 1)
+	op, next := &requestcore.Operation{ID: "a"}, make(outcome, 1)
 	f.do(f.loop, func() {
 		f.Execute(1, op, 5, 5, follow(func() { f.Execute(1, op, 5, 5, next) }))
 		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
@@ -295,8 +295,8 @@
 // follow does something as soon as an execution has ended.
 type follow func()
 
-func (f follow) Settled(balancer.Outcome, router.Result) { f() }
-func (f follow) Wanted() bool                            { return true }
+func (f follow) Settled(balancer.Outcome, requestcore.Result) { f() }
+func (f follow) Wanted() bool                                 { return true }
 
 func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
@@ -325,7 +325,7 @@
 		}
 	})
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o) })
+	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o) })
 	o.want(t, balancer.Finished)
 }
 
@@ -342,7 +342,7 @@
 func TestNoMeansToDial(t *testing.T) {
 	f := serving(t, usual, nil)
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(9, &router.Operation{ID: "a"}, 5, 5, o) }) // it has no address
+	f.do(f.loop, func() { f.Execute(9, &requestcore.Operation{ID: "a"}, 5, 5, o) }) // it has no address
 	o.want(t, balancer.NotSent)
 }
 
@@ -351,7 +351,7 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &router.Operation{ID: "a"}, 5, 5, o)
+		f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o)
 		f.servers[1].links[0].neverUp()
 	})
 	o.want(t, balancer.NoConnection)
@@ -370,7 +370,7 @@
 			}
 		})
 		first, second, silent, next := make(outcome, 1), make(outcome, 1), make(outcome, 1), make(outcome, 1)
-		op, slow := &router.Operation{ID: "a", Flags: "Oa"}, &router.Operation{ID: "b", Flags: "Ob"}
+		op, slow := &requestcore.Operation{ID: "a", Flags: "Oa"}, &requestcore.Operation{ID: "b", Flags: "Ob"}
 		f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
 		first.want(t, balancer.Finished)
 		second.want(t, balancer.Finished)
@@ -394,7 +394,7 @@
 func TestLimitBeforeTheConnectionIsUp(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a"}, 5, 5, o).(*attempt).overdue() })
+	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o).(*attempt).overdue() })
 	o.want(t, balancer.NotSent)
 }
 
@@ -438,14 +438,14 @@
 	o, first, value := make(outcome, 1), make(outcome, 1), make([]byte, 64<<10)
 	f.do(f.loop, func() {
 		f.limits.Connections, f.limits.PerConnection = 1, 1000
-		f.Execute(1, &router.Operation{ID: "a", Write: true, Value: value}, 5, 5, first)
+		f.Execute(1, &requestcore.Operation{ID: "a", Write: true, Value: value}, 5, 5, first)
 	})
 	f.line("ms")
 	f.do(f.loop, func() { // more than the kernel's buffers hold, since the server reads none of it
 		for range 200 {
-			f.Execute(1, &router.Operation{ID: "b", Write: true, Value: value}, 5, 5, make(outcome, 1))
+			f.Execute(1, &requestcore.Operation{ID: "b", Write: true, Value: value}, 5, 5, make(outcome, 1))
 		}
-		f.Execute(1, &router.Operation{ID: "c", Write: true, Value: value}, 5, 5, o)
+		f.Execute(1, &requestcore.Operation{ID: "c", Write: true, Value: value}, 5, 5, o)
 	})
 	close(all)
 	first.want(t, balancer.ConnectionLost)
@@ -482,8 +482,8 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &router.Operation{ID: "a"}, 5, 5, first)
-		f.Execute(1, &router.Operation{ID: "b"}, 5, 5, second).DropUnsent()
+		f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, first)
+		f.Execute(1, &requestcore.Operation{ID: "b"}, 5, 5, second).DropUnsent()
 		f.Unlisted(1)
 	})
 	first.want(t, balancer.NotSent)
@@ -505,7 +505,7 @@
 	})
 	f.execute(5)
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &router.Operation{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
+	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
 	o.want(t, balancer.Finished)
 }
 
@@ -550,7 +550,7 @@
 		o := make(outcome, 1)
 		f.do(f.loop, func() {
 			f.Listed(id, f.servers[1].addr)
-			f.Execute(id, &router.Operation{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
+			f.Execute(id, &requestcore.Operation{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
 		if o.want(t, balancer.Finished); t.Failed() {
 			t.Fatalf("at server %d", id)
@@ -600,15 +600,15 @@
 		gives int
 		ends  string
 	}{{length, "whole"}, {length / 2, "broken"}} {
-		settled, k := make(chan router.Result, 1), &taker{ended: make(chan string, 1)}
-		f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
+		settled, k := make(chan requestcore.Result, 1), &taker{ended: make(chan string, 1)}
+		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
 		behind := make(outcome, 1)
-		f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
+		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
 		part <- c.gives
 		long := (<-settled).Long
 		behind.want(t, balancer.NoAnswer)
 		late := make(outcome, 1) // is not sent behind it
-		f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
+		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
 		late.want(t, balancer.NotSent)
 		f.do(f.loop, func() {
 			l := f.servers[1].links[0]
@@ -642,10 +642,10 @@
 }
 
 // results takes what an execution settles with.
-type results chan router.Result
+type results chan requestcore.Result
 
-func (r results) Settled(_ balancer.Outcome, with router.Result) { r <- with }
-func (r results) Wanted() bool                                   { return true }
+func (r results) Settled(_ balancer.Outcome, with requestcore.Result) { r <- with }
+func (r results) Wanted() bool                                        { return true }
 
 // A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's, whole.
 func TestAReplyInPieces(t *testing.T) {
@@ -668,7 +668,7 @@
 		var conn net.Conn
 		for cut := range c.reply {
 			o := make(outcome, 1)
-			f.do(f.loop, func() { f.Execute(1, &router.Operation{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
+			f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
 			if conn == nil {
 				conn = <-conns
 			}
@@ -707,7 +707,7 @@
 	at, accept := full(t)
 	f.do(f.loop, func() { f.Listed(2, at) })
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(2, &router.Operation{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
+	f.do(f.loop, func() { f.Execute(2, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
 	o.want(t, balancer.NotSent)
 	f.do(f.loop, func() {
 		if f.servers[2].coming != 1 {
--- a/internal/caches/link.go
+++ b/internal/caches/link.go
@@ -6,15 +6,15 @@
 	"slices"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/sock"
 )
 
 // attempt is one execution, or a probe where op is nil.
 type attempt struct {
 	on     *server
-	op     *router.Operation
-	ended  func(balancer.Outcome, router.Result)
+	op     *requestcore.Operation
+	ended  func(balancer.Outcome, requestcore.Result)
 	until  float64
 	timer  *sock.Timer
 	early  bool        // its timer is for when it is to be written, which is before that
@@ -30,7 +30,7 @@
 }
 
 // settle tells how it ended, after the present callback.
-func (a *attempt) settle(how balancer.Outcome, with router.Result) {
+func (a *attempt) settle(how balancer.Outcome, with requestcore.Result) {
 	if !a.done {
 		a.done = true
 		a.timer.Stop()
@@ -93,7 +93,7 @@
 	if how == balancer.NotSent && a.left() && a.link.passage != nil {
 		how = balancer.Withdrawn // its rest goes on to leave, and it may run
 	}
-	a.settle(how, router.Result{})
+	a.settle(how, requestcore.Result{})
 	switch l := a.link; {
 	case l == nil:
 		a.on.leave(a)
@@ -138,7 +138,7 @@
 	l.queue = slices.DeleteFunc(l.queue, func(a *attempt) bool { // before fill, which would begin the next of them
 		late := len(a.parts) > 0 && !a.begun && a.lapsed()
 		if late {
-			a.settle(balancer.NotSent, router.Result{})
+			a.settle(balancer.NotSent, requestcore.Result{})
 		}
 		return late
 	})
@@ -208,7 +208,7 @@
 		// It ended or spoke as it came up: another at once would fare no better, nor would all that follow, as fast as they can be made.
 		a := l.on.waiting[0]
 		l.on.leave(a)
-		a.settle(balancer.NoConnection, router.Result{})
+		a.settle(balancer.NoConnection, requestcore.Result{})
 		l.broken(ServerEnded)
 		return
 	}
@@ -229,7 +229,7 @@
 	if !l.up && len(s.waiting) > 0 {
 		a := s.waiting[0]
 		s.leave(a)
-		a.settle(balancer.NoConnection, router.Result{})
+		a.settle(balancer.NoConnection, requestcore.Result{})
 	}
 	if l.up && !l.conn.ByReset() {
 		l.wire.Closed() // it may end an answer as it should; a reset is no end
@@ -248,9 +248,9 @@
 	}
 	for _, a := range l.queue {
 		if a.written() {
-			a.settle(balancer.ConnectionLost, router.Result{})
+			a.settle(balancer.ConnectionLost, requestcore.Result{})
 		} else {
-			a.settle(balancer.NoConnection, router.Result{})
+			a.settle(balancer.NoConnection, requestcore.Result{})
 		}
 	}
 	l.queue = nil
@@ -332,7 +332,7 @@
 
 // Answered settles the attempt whose turn it is. One that is not written yet, or a reply with none out, leaves
 // the connection in no known state.
-func (l *link) Answered(how balancer.Outcome, with router.Result, more bool) {
+func (l *link) Answered(how balancer.Outcome, with requestcore.Result, more bool) {
 	if len(l.queue) == 0 {
 		l.broken(OutOfOrder)
 		return
@@ -354,7 +354,7 @@
 }
 
 // Due gives the operation whose reply is due, nil for a probe; false if none is.
-func (l *link) Due() (op *router.Operation, due bool) {
+func (l *link) Due() (op *requestcore.Operation, due bool) {
 	if len(l.queue) == 0 {
 		return nil, false
 	}
--- a/internal/caches/memcache.go
+++ b/internal/caches/memcache.go
@@ -6,27 +6,27 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/meta"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/router"
 )
 
 // Wire is the protocol of one connection to a server. It calls its link with what it reads.
 type Wire interface {
-	Command(op *router.Operation, left float64) [][]byte // nil asks whether the server is there
-	Read(in *ringbuffer.Buffer) (whole bool, err error)  // hands on the next reply; after an error nothing more can be read
-	Begun() bool                                         // a reply has begun and is not whole
-	Closed()                                             // the server has ended the connection
-	Drop()                                               // the connection is closed: nothing more is read, what came is let go
+	Command(op *requestcore.Operation, left float64) [][]byte // nil asks whether the server is there
+	Read(in *ringbuffer.Buffer) (whole bool, err error)       // hands on the next reply; after an error nothing more can be read
+	Begun() bool                                              // a reply has begun and is not whole
+	Closed()                                                  // the server has ended the connection
+	Drop()                                                    // the connection is closed: nothing more is read, what came is let go
 }
 
 // Link is what a wire calls.
 type Link interface {
-	Due() (op *router.Operation, due bool)                        // whose reply is due; nil for a probe
-	Answered(how balancer.Outcome, with router.Result, more bool) // more: the connection can be used on
-	Stray(what string)                                            // nothing that was asked for; the connection ends
-	Passing(length int)                                           // settles with a long value, whose bytes follow
-	Part(part []byte) int                                         // some of them, as many as are taken
-	Passed()                                                      // that was all
+	Due() (op *requestcore.Operation, due bool)                        // whose reply is due; nil for a probe
+	Answered(how balancer.Outcome, with requestcore.Result, more bool) // more: the connection can be used on
+	Stray(what string)                                                 // nothing that was asked for; the connection ends
+	Passing(length int)                                                // settles with a long value, whose bytes follow
+	Part(part []byte) int                                              // some of them, as many as are taken
+	Passed()                                                           // that was all
 }
 
 // Memcache is the platform's protocol: the meta commands of the memcache text protocol.
@@ -43,7 +43,7 @@
 func (m *memcache) Drop()                                    {}
 
 // Command writes an operation's command, or a probe's.
-func (m *memcache) Command(op *router.Operation, left float64) [][]byte {
+func (m *memcache) Command(op *requestcore.Operation, left float64) [][]byte {
 	if op == nil {
 		return [][]byte{[]byte("mn\r\n")}
 	}
@@ -56,11 +56,11 @@
 }
 
 // due gives the operation whose reply is due, one without an id if there is none.
-func (m *memcache) due() *router.Operation {
+func (m *memcache) due() *requestcore.Operation {
 	if op, due := m.l.Due(); due && op != nil {
 		return op
 	}
-	return &router.Operation{}
+	return &requestcore.Operation{}
 }
 
 // Value takes a read's answer.
@@ -69,7 +69,7 @@
 		m.l.Stray("VA " + id)
 		return
 	}
-	m.l.Answered(balancer.Finished, router.Result{Value: value}, true)
+	m.l.Answered(balancer.Finished, requestcore.Result{Value: value}, true)
 }
 
 // Long takes the beginning of a read's long answer.
@@ -93,14 +93,14 @@
 		m.l.Stray("HD " + id)
 		return
 	}
-	m.l.Answered(balancer.Finished, router.Result{Receipt: receipt}, true)
+	m.l.Answered(balancer.Finished, requestcore.Result{Receipt: receipt}, true)
 }
 
 // Busy takes that it was turned away.
-func (m *memcache) Busy(int) { m.l.Answered(balancer.TurnedAway, router.Result{}, true) }
+func (m *memcache) Busy(int) { m.l.Answered(balancer.TurnedAway, requestcore.Result{}, true) }
 
 // Failed takes an error.
-func (m *memcache) Failed() { m.l.Answered(balancer.Error, router.Result{}, true) }
+func (m *memcache) Failed() { m.l.Answered(balancer.Error, requestcore.Result{}, true) }
 
 // Ready takes a probe's answer.
 func (m *memcache) Ready() {
@@ -108,7 +108,7 @@
 		m.l.Stray("MN")
 		return
 	}
-	m.l.Answered(balancer.Finished, router.Result{}, true)
+	m.l.Answered(balancer.Finished, requestcore.Result{}, true)
 }
 
 // Other takes a line that the protocol does not name. What may follow it would be taken for another's answer.
--- a/internal/caches/passage.go
+++ b/internal/caches/passage.go
@@ -2,7 +2,7 @@
 
 import (
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 )
 
 // silent is how long a cache server may give nothing of a long value: peers take seconds, and one that is cut off never goes on.
@@ -12,15 +12,15 @@
 type passage struct {
 	l      *link // nil once it is whole or broken
 	length int
-	to     router.Taker
-	ended  func(router.Taker) // what became of it, where nobody had pulled yet
+	to     requestcore.Taker
+	ended  func(requestcore.Taker) // what became of it, where nobody had pulled yet
 }
 
 // Length is how many bytes it has.
 func (p *passage) Length() int { return p.length }
 
 // Pull hands it on from now on.
-func (p *passage) Pull(to router.Taker) {
+func (p *passage) Pull(to requestcore.Taker) {
 	if p.to = to; p.ended != nil {
 		p.end(p.ended)
 		return
@@ -48,14 +48,14 @@
 	} else if l != nil {
 		l.broken(ClientGone)
 	}
-	p.to, p.ended = nil, func(router.Taker) {}
+	p.to, p.ended = nil, func(requestcore.Taker) {}
 }
 
 // wanted tells whether somebody waits for the rest of it.
 func (p *passage) wanted() bool { return p.to != nobody{} && p.ended == nil }
 
 // end tells what became of it, once there is somebody to tell.
-func (p *passage) end(how func(router.Taker)) {
+func (p *passage) end(how func(requestcore.Taker)) {
 	if p.ended = how; p.to != nil {
 		to := p.to
 		p.to = nil
@@ -74,7 +74,7 @@
 	if l.queue[0].done { // nobody waits for it, but for what is behind it
 		l.passage.to = nobody{}
 	}
-	l.queue[0].settle(balancer.Finished, router.Result{Long: l.passage})
+	l.queue[0].settle(balancer.Finished, requestcore.Result{Long: l.passage})
 }
 
 // nobody takes what nobody wants.
@@ -102,7 +102,7 @@
 	}
 	l.passage, p.l = nil, nil
 	l.queue = l.queue[1:]
-	l.on.f.loop.Later(func() { p.end(router.Taker.Whole) })
+	l.on.f.loop.Later(func() { p.end(requestcore.Taker.Whole) })
 	switch {
 	case len(l.queue) == 0:
 		l.on.free(l)
@@ -115,6 +115,6 @@
 func (l *link) cut() {
 	if p := l.passage; p != nil {
 		l.passage, p.l = nil, nil
-		l.on.f.loop.Later(func() { p.end(router.Taker.Broken) })
+		l.on.f.loop.Later(func() { p.end(requestcore.Taker.Broken) })
 	}
 }
--- a/internal/caches/tilewire/tilewire.go
+++ b/internal/caches/tilewire/tilewire.go
@@ -9,8 +9,8 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/caches"
 	"bendtrestle/internal/http1"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/router"
 	"bendtrestle/internal/tiles"
 )
 
@@ -70,7 +70,7 @@
 }
 
 // Command writes a request.
-func (w *wire) Command(op *router.Operation, left float64) [][]byte {
+func (w *wire) Command(op *requestcore.Operation, left float64) [][]byte {
 	if op == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", w.s.Probe, w.s.Host)}
 	}
@@ -117,20 +117,20 @@
 // End takes the end of an answer. What it says of the request's fate is the table in docs/operators/tiles.md.
 func (w *wire) End(more bool) {
 	op, due := w.l.Due()
-	with := router.Result{Status: w.status, Head: w.head.String(), Value: w.body}
+	with := requestcore.Result{Status: w.status, Head: w.head.String(), Value: w.body}
 	w.drop()
 	switch conditional := op != nil && strings.Contains(op.Flags, "If-"); {
 	case !due:
 		w.l.Stray("an answer that nobody asked for")
 	case op == nil && w.status/100 == 2:
-		w.l.Answered(balancer.Finished, router.Result{}, more)
+		w.l.Answered(balancer.Finished, requestcore.Result{}, more)
 	case w.status == 429 || w.status == 503:
-		w.l.Answered(balancer.TurnedAway, router.Result{}, more)
+		w.l.Answered(balancer.TurnedAway, requestcore.Result{}, more)
 	case op == nil:
-		w.l.Answered(balancer.Error, router.Result{}, more)
+		w.l.Answered(balancer.Error, requestcore.Result{}, more)
 	case w.status == 200 || w.status == 203 || w.status == 204 || w.status == 404 || w.status == 410 || w.status == 304 && conditional:
 		w.l.Answered(balancer.Finished, with, more)
 	default:
-		w.l.Answered(balancer.Error, router.Result{}, more)
+		w.l.Answered(balancer.Error, requestcore.Result{}, more)
 	}
 }
--- a/internal/caches/tilewire/tilewire_test.go
+++ b/internal/caches/tilewire/tilewire_test.go
@@ -10,8 +10,8 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/caches"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
 
@@ -21,13 +21,13 @@
 // link notes how what was asked for ended.
 type link struct {
 	caches.Link // for what tiles have no use for
-	op          *router.Operation
+	op          *requestcore.Operation
 	ended       []balancer.Outcome
 	stray       int
 }
 
-func (l *link) Due() (*router.Operation, bool) { return l.op, l.op != nil }
-func (l *link) Answered(how balancer.Outcome, _ router.Result, _ bool) {
+func (l *link) Due() (*requestcore.Operation, bool) { return l.op, l.op != nil }
+func (l *link) Answered(how balancer.Outcome, _ requestcore.Result, _ bool) {
 	l.ended = append(l.ended, how)
 }
 func (l *link) Stray(string) { l.stray++ }
@@ -45,13 +45,13 @@
 	s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
-		w, _ := fed(s, &link{op: &router.Operation{}}, text)
+		w, _ := fed(s, &link{op: &requestcore.Operation{}}, text)
 		if w.Drop(); s.Held() != 0 {
 			t.Errorf("after %q %d bytes are held", text, s.Held())
 		}
 	}
-	one, _ := fed(s, &link{op: &router.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
-	if _, err := fed(s, &link{op: &router.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.Held() != 19 {
+	one, _ := fed(s, &link{op: &requestcore.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
+	if _, err := fed(s, &link{op: &requestcore.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.Held() != 19 {
 		t.Errorf("more than all may hold was taken: %d bytes, %v", s.Held(), err)
 	}
 	if one.Drop(); s.Held() != 0 {
@@ -63,12 +63,12 @@
 func TestOutcomes(t *testing.T) {
 	for status, want := range map[string]balancer.Outcome{"200": balancer.Finished, "404": balancer.Finished, "204": balancer.Finished, "304": balancer.Error,
 		"302": balancer.Error, "403": balancer.Error, "429": balancer.TurnedAway, "503": balancer.TurnedAway, "500": balancer.Error} {
-		l := &link{op: &router.Operation{}}
+		l := &link{op: &requestcore.Operation{}}
 		if fed(&Servers{Largest: 9, Most: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
 			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
 		}
 	}
-	l := &link{op: &router.Operation{Flags: "If-None-Match: x\r\n"}}
+	l := &link{op: &requestcore.Operation{Flags: "If-None-Match: x\r\n"}}
 	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Finished {
 		t.Error("what was not modified is no answer")
 	}
@@ -81,7 +81,7 @@
 // outcome notes how an execution ended, and with what.
 type outcome chan string
 
-func (o outcome) Settled(how balancer.Outcome, with router.Result) {
+func (o outcome) Settled(how balancer.Outcome, with requestcore.Result) {
 	o <- fmt.Sprintf("%d %s", how, with.Value)
 }
 func (o outcome) Wanted() bool { return true }
@@ -122,7 +122,7 @@
 			s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
 			f := caches.New(l, caches.Limits{Connections: 8, PerConnection: 1, ConnectTimeout: 60, Stall: 60, Idle: 60}, s.Wire, zerolog.Nop())
 			f.Listed(1, netip.MustParseAddrPort(ln.Addr().String()))
-			f.Execute(1, &router.Operation{Key: "roads/1/0/0.png"}, 60, 60, o)
+			f.Execute(1, &requestcore.Operation{Key: "roads/1/0/0.png"}, 60, 60, o)
 		})
 		select {
 		case got := <-o:
--- a/internal/front/crossings_test.go
+++ b/internal/front/crossings_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"golang.org/x/sys/unix"
 )
@@ -341,7 +341,7 @@
 	}{
 		"its client leaves": {func(_ served, conn net.Conn, _ *held) { conn.Close() }, ClientLeft},
 		"a value that breaks off": {func(s served, _ net.Conn, h *held) {
-			s.loop.Post(func() { h.x.Settled(balancer.Finished, router.Result{Long: breaking{}}) })
+			s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Long: breaking{}}) })
 		}, ValueCut},
 		"a client that reads nothing": {func(s served, _ net.Conn, h *held) {
 			s.finish(h, strings.Repeat("x", 32<<20)) // beyond what the kernel holds
@@ -433,7 +433,7 @@
 		h := <-s.began
 		s.do(func() {
 			cross(s, conn)
-			h.x.Settled(balancer.NoConnection, router.Result{})
+			h.x.Settled(balancer.NoConnection, requestcore.Result{})
 		})
 		if name == "it stays" {
 			s.serves(name, in)
--- a/internal/front/front.go
+++ b/internal/front/front.go
@@ -6,8 +6,8 @@
 	"cmp"
 	"hash/maphash"
 
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/router"
 	"bendtrestle/internal/sock"
 )
 
@@ -40,9 +40,9 @@
 	Begun() bool                                        // a command has begun and is not whole
 	Broken(err error) []byte                            // what is said where the stream cannot be followed any more
 	Unfinished() []byte                                 // what is said to one who does not finish a command
-	Finished(op *router.Operation, with router.Result) [][]byte
-	Declined(op *router.Operation, after float64) []byte
-	Terminated(op *router.Operation) []byte
+	Finished(op *requestcore.Operation, with requestcore.Result) [][]byte
+	Declined(op *requestcore.Operation, after float64) []byte
+	Terminated(op *requestcore.Operation) []byte
 }
 
 // Protocol makes the codec of a new connection.
@@ -64,7 +64,7 @@
 // Front is all clients.
 type Front struct {
 	loop     *sock.Loop
-	desk     router.Desk
+	desk     requestcore.Desk
 	limits   Limits
 	clients  map[*Client]bool
 	tallies  map[string]*Tally // by the traffic type that clients name
@@ -110,7 +110,7 @@
 }
 
 // New makes a front without clients.
-func New(loop *sock.Loop, desk router.Desk, limits Limits) *Front {
+func New(loop *sock.Loop, desk requestcore.Desk, limits Limits) *Front {
 	f := &Front{loop: loop, desk: desk, limits: limits, clients: map[*Client]bool{}, tallies: map[string]*Tally{}, salt: maphash.MakeSeed()}
 	f.sweep()
 	return f
@@ -329,11 +329,11 @@
 	text []byte
 	of   *answer
 	last bool
-	long router.Long // in place of a text: passed on from here
+	long requestcore.Long // in place of a text: passed on from here
 }
 
 // hold counts bytes for a route; what is said from here is nobody's.
-func hold(r router.Route, n int) {
+func hold(r requestcore.Route, n int) {
 	if r != nil {
 		r.Hold(n)
 	}
@@ -342,16 +342,16 @@
 // answer is what is owed for one command.
 type answer struct {
 	c         *Client
-	core      *router.Router // which has the operation; nil: none was made
+	core      *requestcore.Router // which has the operation; nil: none was made
 	operation uint64
-	route     router.Route
-	op        *router.Operation
+	route     requestcore.Route
+	op        *requestcore.Operation
 	kind      string // as its client names it: a contract renames it
 	how       end
 	held      int // bytes of its value, until it is answered
 	parts     [][]byte
-	long      router.Long // between the two parts, what is too long to be held
-	passed    int         // bytes of that
+	long      requestcore.Long // between the two parts, what is too long to be held
+	passed    int              // bytes of that
 }
 
 // left counts an operation as its last byte leaves, or as its client does without it.
@@ -445,14 +445,14 @@
 }
 
 // Route tells who takes an operation of this client.
-func (c *Client) Route(tenant, key string) router.Route {
+func (c *Client) Route(tenant, key string) requestcore.Route {
 	return c.f.desk.Route(c.listener, tenant, key)
 }
 
 // Take hands an operation on, or declines it where there is no place. Its client waits as long as it says, but no longer
 // than the most that its traffic type allows; 0 is not said. What is over as it comes is declined here: its client is as good
 // as any, and the module would take what it can't serve for strain. False: its id was another's lately, and nothing was done.
-func (c *Client) Take(route router.Route, op *router.Operation, most float64) bool {
+func (c *Client) Take(route requestcore.Route, op *requestcore.Operation, most float64) bool {
 	f, late := c.f, op.Left < 0
 	if op.Left == 0 {
 		op.Left = cmp.Or(most, usualLeft)
@@ -487,7 +487,7 @@
 }
 
 // Finished passes on what a server made, or begins to.
-func (a *answer) Finished(with router.Result) {
+func (a *answer) Finished(with requestcore.Result) {
 	a.long = with.Long
 	a.give(a.c.codec.Finished(a.op, with)...)
 }
--- a/internal/front/front_test.go
+++ b/internal/front/front_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
@@ -20,13 +20,13 @@
 type caches struct{ began chan *held }
 
 type held struct {
-	op *router.Operation
-	x  router.Execution
+	op *requestcore.Operation
+	x  requestcore.Execution
 	c  chan string
 }
 
 func (c caches) Probe(uint64, func(balancer.Outcome)) {}
-func (c caches) Execute(_ uint64, op *router.Operation, _, _ float64, x router.Execution) router.Pending {
+func (c caches) Execute(_ uint64, op *requestcore.Operation, _, _ float64, x requestcore.Execution) requestcore.Pending {
 	h := &held{op, x, make(chan string, 1)}
 	c.began <- h
 	return h
@@ -43,12 +43,12 @@
 // desk takes all of one traffic type, within bounds.
 type desk struct {
 	bounds
-	core *router.Router
+	core *requestcore.Router
 	held int
 	door func() // called as a connection comes, if it is set
 }
 
-func (d *desk) Route(_, tenant, _ string) router.Route {
+func (d *desk) Route(_, tenant, _ string) requestcore.Route {
 	if tenant == "nobody" {
 		return nil
 	}
@@ -64,7 +64,7 @@
 func (d *desk) HardStop(kind string) (float64, bool) { return 5000, kind == "t" }
 func (d *desk) Room() bool                           { return d.core.Open() < d.open && d.held < d.bytes }
 func (d *desk) Hold(n int)                           { d.held += n }
-func (d *desk) Take(op *router.Operation, c router.Client) (*router.Router, uint64) {
+func (d *desk) Take(op *requestcore.Operation, c requestcore.Client) (*requestcore.Router, uint64) {
 	return d.core, d.core.Taken(op, c)
 }
 
@@ -89,9 +89,9 @@
 	free.Close()
 	done := make(chan error)
 	l.Post(func() {
-		r := router.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficType{{Name: "t",
-			Effect: balancer.Reissuable, PromisedTime: 1000, HardStop: 5000, Benefit: 1}}}, router.Outside{Clock: l,
-			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, router.Logic)
+		r := requestcore.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficType{{Name: "t",
+			Effect: balancer.Reissuable, PromisedTime: 1000, HardStop: 5000, Benefit: 1}}}, requestcore.Outside{Clock: l,
+			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
 		r.Listed(balancer.Snapshot, []balancer.Member{{ID: 1, Mode: balancer.InService, Capacity: 1}})
 		s.desk.core = r
 		s.Front = New(l, s.desk, limits.Limits)
@@ -115,7 +115,7 @@
 }
 
 func (s served) finish(h *held, value string) {
-	s.loop.Post(func() { h.x.Settled(balancer.Finished, router.Result{Value: []byte(value), Receipt: value}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Value: []byte(value), Receipt: value}) })
 }
 
 func (s served) do(call func()) {
@@ -133,7 +133,7 @@
 }
 
 // made is what a cache server made.
-var made = router.Result{Value: []byte("x")}
+var made = requestcore.Result{Value: []byte("x")}
 
 var ample = bounds{Limits{Connections: 10}, 1000, 1 << 20}
 
@@ -535,7 +535,7 @@
 func (breaking) Length() int { return 99999 }
 func (breaking) More()       {}
 func (breaking) Drop()       {}
-func (breaking) Pull(to router.Taker) {
+func (breaking) Pull(to requestcore.Taker) {
 	to.Part([]byte("x"))
 	to.Broken()
 }
@@ -548,20 +548,20 @@
 		fmt.Fprintf(conn, "mg k v O%s Pc=t,d=4000\r\n", id)
 		return <-s.began
 	}
-	settle := func(h *held, how balancer.Outcome, with router.Result) {
+	settle := func(h *held, how balancer.Outcome, with requestcore.Result) {
 		s.loop.Post(func() { h.x.Settled(how, with) })
 	}
 	s.finish(begin("1"), "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
-	settle(begin("2"), balancer.Withdrawn, router.Result{}) // and no other server
+	settle(begin("2"), balancer.Withdrawn, requestcore.Result{}) // and no other server
 	want(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	fmt.Fprint(conn, "mg k v O4 Pc=t\r\nmg k v O5 Pc=none\r\nmg k v O3 Pc=t\r\n") // no place, no such type, another's id
 	s.loop.Post(func() { s.desk.core.Terminate(3) })
 	want(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
-	settle(third, balancer.Withdrawn, router.Result{})
+	settle(third, balancer.Withdrawn, requestcore.Result{})
 	conn, in = s.dial()
-	settle(begin("6"), balancer.Finished, router.Result{Long: breaking{}})
+	settle(begin("6"), balancer.Finished, requestcore.Result{Long: breaking{}})
 	want(t, in, "VA 99999 O6\r\nx")
 	conn, _ = s.dial()
 	begin("7")
@@ -606,7 +606,7 @@
 	if string(h.op.Value) != body {
 		t.Errorf("%d bytes came", len(h.op.Value))
 	}
-	s.loop.Post(func() { h.x.Settled(balancer.Finished, router.Result{Receipt: "r"}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Receipt: "r"}) })
 	want(t, in, "HD O1 cr\r\n")
 	for _, c := range []struct{ since, quiet float64 }{{begins + 1, 0}, {begins + 1, standing + 1}, {lasting + 1, 0}, {0, 0}} {
 		conn, in := s.dial()
--- a/internal/front/memcache.go
+++ b/internal/front/memcache.go
@@ -7,8 +7,8 @@
 	"strings"
 
 	"bendtrestle/internal/meta"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/router"
 )
 
 // Memcache is the platform's protocol: the meta commands of the memcache text protocol.
@@ -26,12 +26,12 @@
 
 // Get takes a read.
 func (m *memcache) Get(key, id, flags, figures string) {
-	m.take(&router.Operation{Key: key, ID: id, Flags: flags, Figures: figures})
+	m.take(&requestcore.Operation{Key: key, ID: id, Flags: flags, Figures: figures})
 }
 
 // Set takes a write.
 func (m *memcache) Set(key, id, flags, figures string, value []byte) {
-	m.take(&router.Operation{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
+	m.take(&requestcore.Operation{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
 	m.c.Arrived()
 }
 
@@ -59,7 +59,7 @@
 	m.c.Arrived()
 }
 
-func (m *memcache) take(op *router.Operation) {
+func (m *memcache) take(op *requestcore.Operation) {
 	op.Kind, _ = meta.Figure(op.Figures, "c")
 	op.Tenant, _ = meta.Figure(op.Figures, "tenant")
 	route, most, known := m.c.Route(op.Tenant, op.Key), 0.0, false
@@ -95,7 +95,7 @@
 }
 
 // Finished passes on a value or a receipt.
-func (m *memcache) Finished(op *router.Operation, with router.Result) [][]byte {
+func (m *memcache) Finished(op *requestcore.Operation, with requestcore.Result) [][]byte {
 	if op.Write {
 		return [][]byte{meta.AppendStored(nil, op.ID, with.Receipt)}
 	}
@@ -106,9 +106,11 @@
 }
 
 // Declined tells when to come back.
-func (m *memcache) Declined(_ *router.Operation, after float64) []byte {
+func (m *memcache) Declined(_ *requestcore.Operation, after float64) []byte {
 	return meta.AppendBusy(nil, int(math.Ceil(after*1e3)))
 }
 
 // Terminated promises nothing.
-func (m *memcache) Terminated(*router.Operation) []byte { return []byte("SERVER_ERROR failed\r\n") }
+func (m *memcache) Terminated(*requestcore.Operation) []byte {
+	return []byte("SERVER_ERROR failed\r\n")
+}
--- a/internal/lab/baseline/baseline.go
+++ b/internal/lab/baseline/baseline.go
@@ -14,7 +14,7 @@
 	"strings"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 )
 
 // policy orders the servers for a key; the first that has not been tried is taken.
@@ -32,12 +32,12 @@
 func Names() []string { return slices.Sorted(maps.Keys(policies)) }
 
 // Maker gives what starts a module with a policy.
-func Maker(name string) (router.Maker, error) {
+func Maker(name string) (requestcore.Maker, error) {
 	p, known := policies[name]
 	if !known {
 		return nil, fmt.Errorf("%q is not a baseline; there are %s", name, strings.Join(Names(), ", "))
 	}
-	return func(now float64, set balancer.Settings, host balancer.Host) router.Module {
+	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
 			types: map[string]balancer.TrafficType{}}
 		m.Offer(set.TrafficTypes)
--- a/internal/lab/helpers_test.go
+++ b/internal/lab/helpers_test.go
@@ -11,7 +11,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab/baseline"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 	"bendtrestle/internal/standin"
 
@@ -28,7 +28,7 @@
 		scripted(strings.TrimPrefix(as, "bad:"))
 		return
 	}
-	make := router.Maker(router.Logic)
+	make := requestcore.Maker(requestcore.Logic)
 	if as != "logic" {
 		var err error
 		if make, err = baseline.Maker(as); err != nil {
--- a/internal/lab/scale/helpers_test.go
+++ b/internal/lab/scale/helpers_test.go
@@ -16,7 +16,7 @@
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/lab/scale/hollow"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
 	"github.com/rs/zerolog"
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	return service.Run(set, signals, router.Logic, read, log)
+	return service.Run(set, signals, requestcore.Logic, read, log)
 }
 
 // hold starts hollow routers, says so, and never ends by itself.
--- a/internal/router/desk.go
+++ b/internal/requestcore/desk.go
@@ -1,4 +1,4 @@
-package router
+package requestcore
 
 // Desk tells who takes an operation, by where it came in and what its client says.
 type Desk interface {
--- a/internal/router/router.go
+++ b/internal/requestcore/router.go
@@ -1,7 +1,7 @@
-// Package router is the core of a real router: it owns the decision module, is its host, and keeps the
+// Package requestcore is the core of a real router: it owns the decision module, is its host, and keeps the
 // operations and timers. It knows no wire: a front hands it operations and takes their answers, and the
 // executions are made elsewhere. All of it runs on one loop.
-package router
+package requestcore
 
 import (
 	"fmt"
--- a/internal/router/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -1,4 +1,4 @@
-package router
+package requestcore
 
 import (
 	"testing"
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -21,7 +21,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
@@ -349,7 +349,7 @@
 
 // spy notes how long operations may take.
 type spy struct {
-	router.Module
+	requestcore.Module
 	left chan float64
 }
 
@@ -366,8 +366,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) router.Module {
-		return spy{router.Logic(now, set, host), left}
+	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
+		return spy{requestcore.Logic(now, set, host), left}
 	}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -402,7 +402,7 @@
 		t.Fatal(err)
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- Run(Setup{Platform: conf}, signals, router.Logic, nil, zerolog.New(log)) }()
+	go func() { ended <- Run(Setup{Platform: conf}, signals, requestcore.Logic, nil, zerolog.New(log)) }()
 	for i := 0; ask(addr, read) != "VA 2 Oa1" && i < 500; i++ {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -16,7 +16,7 @@
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peers"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
@@ -101,7 +101,7 @@
 		for _, id := range []uint64{7, 8} {
 			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Member: balancer.Member{ID: id, Mode: balancer.InService, Capacity: 1}})
 		}
-		s, err := assemble(Setup{Platform: conf, Operators: set}, router.Logic, zerolog.Nop())
+		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.Logic, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +138,7 @@
 			t.Fatal(err)
 		}
 		defer peer.Close()
-		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operators.File{Gossip: c.set}}, router.Logic, zerolog.Nop())
+		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operators.File{Gossip: c.set}}, requestcore.Logic, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -158,7 +158,7 @@
 	log := &noted{}
 	conf := fleetOf(t, 0, 100, freeUDP(t))
 	conf.Settings.Peers = false
-	s, err := assemble(Setup{Platform: conf, Operators: operators.File{Gossip: operators.Gossip{On: true, BytesPerSecond: 7000}}}, router.Logic, zerolog.New(log))
+	s, err := assemble(Setup{Platform: conf, Operators: operators.File{Gossip: operators.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.Logic, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -14,7 +14,7 @@
 
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
@@ -46,7 +46,7 @@
 		conf.Known, _ = discovery.Parse(text)
 	}
 	if err == nil {
-		s, err = assemble(Setup{Platform: conf}, router.Logic, zerolog.Nop())
+		s, err = assemble(Setup{Platform: conf}, requestcore.Logic, zerolog.Nop())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -162,7 +162,7 @@
 
 // counter is a module that keeps how many routers it was told of.
 type counter struct {
-	router.Module
+	requestcore.Module
 	routers []int
 }
 
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -11,7 +11,7 @@
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
@@ -21,7 +21,7 @@
 type pool struct {
 	s        *Service
 	name     string
-	router   *router.Router
+	router   *requestcore.Router
 	fleet    *caches.Fleet
 	onDemand bool                       // its module asks for the list
 	listed   map[uint64]bool            // the servers that the list holds
@@ -59,11 +59,11 @@
 	if name != "" {           // what was finished before was at the platform's servers
 		set.Flow = 0
 	}
-	out := router.Outside{Clock: s.loop, Caches: p.fleet, Tell: s.telling(name), Watch: watch, Log: p.log}
+	out := requestcore.Outside{Clock: s.loop, Caches: p.fleet, Tell: s.telling(name), Watch: watch, Log: p.log}
 	if s.zones != nil {
 		out.Zones = s.zones
 	}
-	p.router = router.New(set, out, s.module)
+	p.router = requestcore.New(set, out, s.module)
 	if s.routers > 0 {
 		p.router.Counted(s.routers)
 	}
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -18,7 +18,7 @@
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/router"
+	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/store"
 
 	"github.com/fxamacker/cbor/v2"
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		var flows []float64
-		maker := func(now float64, set balancer.Settings, host balancer.Host) router.Module {
+		maker := func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
 			flows = append(flows, set.Flow)
 			return balancer.New(now, set, host)
 		}
@@ -132,7 +132,7 @@
 			ready := make(chan *Service, 1)
 			go func() {
 				s, err := assemble(Setup{Platform: conf, Operators: operators.File{Recovery: operators.Recovery{On: true}, Zones: operators.Zones{On: true}}},
-					router.Logic, zerolog.Nop())
+					requestcore.Logic, zerolog.Nop())
 				if err != nil {
 					t.Error(err)
 					return
