--- a/internal/caches/tilewire/tilewire.go
+++ b/internal/caches/tileclient/tilewire.go
@@ -1,5 +1,5 @@
-// Package tilewire speaks HTTP to tile servers, by the scheme that their pool wants; all else of the connections is shared.
-package tilewire
+// Package tileclient speaks HTTP to tile servers, by the scheme that their pool wants; all else of the connections is shared.
+package tileclient
 
 import (
 	"fmt"
--- a/internal/caches/tilewire/tilewire_test.go
+++ b/internal/caches/tileclient/tilewire_test.go
@@ -1,4 +1,4 @@
-package tilewire
+package tileclient
 
 import (
 	"fmt"
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -7,7 +7,7 @@
 
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/caches"
-	"bendtrestle/internal/caches/tilewire"
+	"bendtrestle/internal/caches/tileclient"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
@@ -103,7 +103,7 @@
 	if p.Protocol != "tiles" {
 		return caches.Memcache
 	}
-	servers := &tilewire.Servers{Scheme: tiles.Scheme(cmp.Or(p.Scheme, string(tiles.XYZ))), Host: cmp.Or(p.Host, p.Name),
+	servers := &tileclient.Servers{Scheme: tiles.Scheme(cmp.Or(p.Scheme, string(tiles.XYZ))), Host: cmp.Or(p.Host, p.Name),
 		Probe: cmp.Or(p.Probe, probePath), Largest: cmp.Or(p.LargestKB, largestTile) << 10, Most: s.conf.Held}
 	return servers.Wire
 }
