--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -6,14 +6,14 @@
 	"slices"
 
 	"bendtrestle/internal/broker"
-	"bendtrestle/internal/caches"
-	"bendtrestle/internal/caches/tileclient"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
 	"bendtrestle/internal/front/tilefront"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/tiles"
+	"bendtrestle/internal/upstream"
+	"bendtrestle/internal/upstream/tileclient"
 )
 
 // contract takes the operators' pools and contracts. What is open ends under the old ones.
@@ -99,9 +99,9 @@
 )
 
 // wire gives what a pool's servers speak.
-func (s *Service) wire(p operators.Pool) func(caches.Link) caches.Wire {
+func (s *Service) wire(p operators.Pool) func(upstream.Link) upstream.Wire {
 	if p.Protocol != "tiles" {
-		return caches.Memcache
+		return upstream.Memcache
 	}
 	servers := &tileclient.Servers{Scheme: tiles.Scheme(cmp.Or(p.Scheme, string(tiles.XYZ))), Host: cmp.Or(p.Host, p.Name),
 		Probe: cmp.Or(p.Probe, probePath), Largest: cmp.Or(p.LargestKB, largestTile) << 10, Most: s.conf.Held}
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -9,9 +9,9 @@
 	"sync/atomic"
 	"time"
 
-	"bendtrestle/internal/caches"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/front"
+	"bendtrestle/internal/upstream"
 )
 
 const publishing = 0.1 // seconds between two snapshots of the figures: they may be 0.5 s old
@@ -139,7 +139,7 @@
 		say("cut.clients."+front.Cuts[why], n)
 	}
 	for why, n := range servers {
-		say("cut.servers."+caches.Cuts[why], n)
+		say("cut.servers."+upstream.Cuts[why], n)
 	}
 	s.zones.figures(say)
 	s.gossip.figures(say)
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -7,11 +7,11 @@
 	"slices"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/caches"
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
 	"bendtrestle/internal/requestcore"
+	"bendtrestle/internal/upstream"
 
 	"github.com/rs/zerolog"
 )
@@ -22,7 +22,7 @@
 	s        *Service
 	name     string
 	router   *requestcore.Router
-	fleet    *caches.Fleet
+	fleet    *upstream.Fleet
 	onDemand bool                       // its module asks for the list
 	listed   map[uint64]bool            // the servers that the list holds
 	known    map[uint64]bool            // servers that a list has named since the start, true: the present one does
@@ -44,7 +44,7 @@
 }
 
 // newPool makes one without servers.
-func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(caches.Link) caches.Wire) *pool {
+func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(upstream.Link) upstream.Wire) *pool {
 	p := &pool{s: s, name: name, onDemand: set.OnRequest, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
 	p.rhythm = pace.Pushed(s.conf.DrainGrace, set.Seed)
 	if set.OnRequest {
@@ -53,7 +53,7 @@
 	if name != "" {
 		p.log = s.log.With().Str("pool", name).Logger()
 	}
-	p.fleet = caches.New(s.loop, caches.Limits{Connections: connections, PerConnection: piped(set, streams), ConnectTimeout: connect,
+	p.fleet = upstream.New(s.loop, upstream.Limits{Connections: connections, PerConnection: piped(set, streams), ConnectTimeout: connect,
 		Stall: stall, Idle: idle}, wire, p.log)
 	watch := func(on bool) {} // the list is watched in any case
 	if name != "" {           // what was finished before was at the platform's servers
@@ -242,7 +242,7 @@
 		Uint64("faults", c.Faults).Int("open", p.router.Open()).Int("clients", clients).Int("idle", p.fleet.Idle())
 	for why, n := range p.fleet.Cut() {
 		if n > 0 {
-			e = e.Uint64("servers' connections cut, "+caches.Cuts[why], n)
+			e = e.Uint64("servers' connections cut, "+upstream.Cuts[why], n)
 		}
 	}
 	for why, n := range p.s.front.Cut() {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -16,7 +16,6 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/broker"
-	"bendtrestle/internal/caches"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/tier"
@@ -27,6 +26,7 @@
 	"bendtrestle/internal/peers"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/sock"
+	"bendtrestle/internal/upstream"
 
 	"github.com/rs/zerolog"
 )
@@ -79,10 +79,10 @@
 	routers   int                         // as the modules were told last; 0: by the settings
 	desk      *desk                       // what the operators' door calls; nil: there is none
 	door      *control.Door
-	loaded    uint64                   // configurations that were taken, the first one too
-	invalid   uint64                   // that were not
-	sent      uint64                   // executions written to servers of pools that are gone
-	cut       [len(caches.Cuts)]uint64 // and their connections that ended with something owed
+	loaded    uint64                     // configurations that were taken, the first one too
+	invalid   uint64                     // that were not
+	sent      uint64                     // executions written to servers of pools that are gone
+	cut       [len(upstream.Cuts)]uint64 // and their connections that ended with something owed
 	recovery  *recoveryWatch
 	bans      *handover.Bans
 	zones     *zoneWatch            // nil: zones are not left as one
@@ -227,7 +227,7 @@
 	c.Settings.Ordered = false // answers come in the order of a connection, but each execution has one of its own
 	c.Settings.Apart = len(set.Operators.Teams) > 0
 	c.Settings.Crowd = float64(set.Operators.Cold.Routers)
-	s.platform = s.newPool("", c.Settings, c.Caches, c.ConnectTimeout, stall(c.ConnectTimeout), c.ConnIdle, c.PerConnection, caches.Memcache)
+	s.platform = s.newPool("", c.Settings, c.Caches, c.ConnectTimeout, stall(c.ConnectTimeout), c.ConnIdle, c.PerConnection, upstream.Memcache)
 	s.broker = broker.New(s.loop.Now, c.Settings, s.platform.router, broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
 	s.front = front.New(s.loop, s.broker, front.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
 	s.succeed()
--- a/internal/caches/caches.go
+++ b/internal/upstream/caches.go
@@ -1,6 +1,6 @@
-// Package caches makes executions at servers: it keeps the connections to each, writes commands there and tells how each
+// Package upstream makes executions at servers: it keeps the connections to each, writes commands there and tells how each
 // execution ended. What is written and read is a wire's, one for each protocol.
-package caches
+package upstream
 
 import (
 	"net/netip"
--- a/internal/caches/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -1,4 +1,4 @@
-package caches
+package upstream
 
 import (
 	"bytes"
--- a/internal/caches/cuts.go
+++ b/internal/upstream/cuts.go
@@ -1,4 +1,4 @@
-package caches
+package upstream
 
 // Cut is why a connection to a server ended with something owed on it: an answer that somebody waits for, or the rest of a value.
 type Cut int
--- a/internal/caches/tileclient/tilewire.go
+++ b/internal/upstream/tileclient/tilewire.go
@@ -7,11 +7,11 @@
 	"strings"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/caches"
 	"bendtrestle/internal/http1"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/tiles"
+	"bendtrestle/internal/upstream"
 )
 
 // Servers are a pool's tile servers.
@@ -25,14 +25,14 @@
 }
 
 // Wire makes the protocol of a connection.
-func (s *Servers) Wire(l caches.Link) caches.Wire { return &wire{s: s, l: l} }
+func (s *Servers) Wire(l upstream.Link) upstream.Wire { return &wire{s: s, l: l} }
 
 // Held is how many bytes of bodies are on their way.
 func (s *Servers) Held() int { return s.held }
 
 type wire struct {
 	s      *Servers
-	l      caches.Link
+	l      upstream.Link
 	reader http1.ResponseReader
 	status int
 	head   strings.Builder
--- a/internal/caches/tileclient/tilewire_test.go
+++ b/internal/upstream/tileclient/tilewire_test.go
@@ -9,21 +9,21 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/caches"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
 	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
+	"bendtrestle/internal/upstream"
 
 	"github.com/rs/zerolog"
 )
 
 // link notes how what was asked for ended.
 type link struct {
-	caches.Link // for what tiles have no use for
-	op          *requestcore.Operation
-	ended       []balancer.Outcome
-	stray       int
+	upstream.Link // for what tiles have no use for
+	op            *requestcore.Operation
+	ended         []balancer.Outcome
+	stray         int
 }
 
 func (l *link) Due() (*requestcore.Operation, bool) { return l.op, l.op != nil }
@@ -120,7 +120,7 @@
 		o := make(outcome, 1)
 		l.Post(func() {
 			s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
-			f := caches.New(l, caches.Limits{Connections: 8, PerConnection: 1, ConnectTimeout: 60, Stall: 60, Idle: 60}, s.Wire, zerolog.Nop())
+			f := upstream.New(l, upstream.Limits{Connections: 8, PerConnection: 1, ConnectTimeout: 60, Stall: 60, Idle: 60}, s.Wire, zerolog.Nop())
 			f.Listed(1, netip.MustParseAddrPort(ln.Addr().String()))
 			f.Execute(1, &requestcore.Operation{Key: "roads/1/0/0.png"}, 60, 60, o)
 		})
