--- a/internal/front/tilefront/tilefront.go
+++ b/internal/front/tileserver/tilefront.go
@@ -1,5 +1,5 @@
-// Package tilefront speaks HTTP to clients that ask for map tiles, by XYZ paths or by WMTS; all else of a front is shared.
-package tilefront
+// Package tileserver speaks HTTP to clients that ask for map tiles, by XYZ paths or by WMTS; all else of a front is shared.
+package tileserver
 
 import (
 	"errors"
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -9,7 +9,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/front"
-	"bendtrestle/internal/front/tilefront"
+	"bendtrestle/internal/front/tileserver"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/upstream"
@@ -163,7 +163,7 @@
 		}
 		protocol := front.Memcache
 		if t, http := speak[addr]; http {
-			s.tiles[addr] = tilefront.New(t.Service, t.Kind, t.WaitHeader)
+			s.tiles[addr] = tileserver.New(t.Service, t.Kind, t.WaitHeader)
 			protocol = s.tiles[addr].Protocol
 		}
 		l, err := s.listenAt(addr, protocol)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -20,7 +20,7 @@
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/tier"
 	"bendtrestle/internal/front"
-	"bendtrestle/internal/front/tilefront"
+	"bendtrestle/internal/front/tileserver"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peers"
@@ -66,8 +66,8 @@
 	log       zerolog.Logger
 	loop      *sock.Loop
 	listener  *sock.Listener
-	listeners map[string]*sock.Listener    // of teams, by their addresses
-	tiles     map[string]*tilefront.Server // of these, those that speak HTTP
+	listeners map[string]*sock.Listener     // of teams, by their addresses
+	tiles     map[string]*tileserver.Server // of these, those that speak HTTP
 	front     *front.Front
 	broker    *broker.Broker
 	platform  *pool
@@ -202,7 +202,7 @@
 	conf, enough := set.Platform.Apart(named(set.Operators))
 	loop.Limit(conf.Connections)
 	s, c := &Service{conf: conf, operators: set.Operators, log: log, loop: loop, module: module, loaded: 1, pools: map[string]*pool{},
-		listeners: map[string]*sock.Listener{}, tiles: map[string]*tilefront.Server{}, out: map[string]bool{}, seen: map[string]uint64{}}, &conf
+		listeners: map[string]*sock.Listener{}, tiles: map[string]*tileserver.Server{}, out: map[string]bool{}, seen: map[string]uint64{}}, &conf
 	s.began = loop.Now()
 	s.scarce(enough)
 	s.log.Info().Str("name", c.Name).Str("listen", c.Listen).Int("clients", c.Clients).Int("caches", c.Caches).
