--- a/internal/front/front.go
+++ b/internal/frontend/front.go
@@ -1,6 +1,6 @@
-// Package front serves clients, whatever they speak: it holds their connections, hands operations to whoever takes them
+// Package frontend serves clients, whatever they speak: it holds their connections, hands operations to whoever takes them
 // and writes the answers in the order of the commands. What is read and written is a codec's, one for each protocol.
-package front
+package frontend
 
 import (
 	"cmp"
--- a/internal/front/front_test.go
+++ b/internal/frontend/front_test.go
@@ -1,4 +1,4 @@
-package front
+package frontend
 
 import (
 	"bufio"
--- a/internal/front/tileserver/tilefront.go
+++ b/internal/frontend/tileserver/tilefront.go
@@ -9,7 +9,7 @@
 	"strconv"
 	"strings"
 
-	"bendtrestle/internal/front"
+	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/http1"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
@@ -36,12 +36,12 @@
 }
 
 // Protocol makes the codec of a connection.
-func (s *Server) Protocol(c *front.Client) front.Codec { return &codec{s: s, c: c} }
+func (s *Server) Protocol(c *frontend.Client) frontend.Codec { return &codec{s: s, c: c} }
 
 // codec is one connection.
 type codec struct {
 	s      *Server
-	c      *front.Client
+	c      *frontend.Client
 	reader http1.RequestReader
 
 	// The request at hand.
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -8,8 +8,8 @@
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/front"
-	"bendtrestle/internal/front/tileserver"
+	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/upstream"
@@ -161,7 +161,7 @@
 		if s.listeners[addr] != nil || s.phase >= Finishing {
 			continue
 		}
-		protocol := front.Memcache
+		protocol := frontend.Memcache
 		if t, http := speak[addr]; http {
 			s.tiles[addr] = tileserver.New(t.Service, t.Kind, t.WaitHeader)
 			protocol = s.tiles[addr].Protocol
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bendtrestle/internal/control"
-	"bendtrestle/internal/front"
+	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/upstream"
 )
 
@@ -136,7 +136,7 @@
 	say("conf_loaded", s.loaded)
 	say("conf_invalid", s.invalid)
 	for why, n := range s.front.Cut() {
-		say("cut.clients."+front.Cuts[why], n)
+		say("cut.clients."+frontend.Cuts[why], n)
 	}
 	for why, n := range servers {
 		say("cut.servers."+upstream.Cuts[why], n)
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -9,7 +9,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/front"
+	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
 
@@ -247,7 +247,7 @@
 	}
 	for why, n := range p.s.front.Cut() {
 		if n > 0 {
-			e = e.Uint64("clients' connections cut, "+front.Cuts[why], n)
+			e = e.Uint64("clients' connections cut, "+frontend.Cuts[why], n)
 		}
 	}
 	reasonsOf(e, c.Reasons[:]).Msg("counts")
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -19,8 +19,8 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/tier"
-	"bendtrestle/internal/front"
-	"bendtrestle/internal/front/tileserver"
+	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peers"
@@ -68,7 +68,7 @@
 	listener  *sock.Listener
 	listeners map[string]*sock.Listener     // of teams, by their addresses
 	tiles     map[string]*tileserver.Server // of these, those that speak HTTP
-	front     *front.Front
+	front     *frontend.Front
 	broker    *broker.Broker
 	platform  *pool
 	pools     map[string]*pool // the others, by name
@@ -229,7 +229,7 @@
 	c.Settings.Crowd = float64(set.Operators.Cold.Routers)
 	s.platform = s.newPool("", c.Settings, c.Caches, c.ConnectTimeout, stall(c.ConnectTimeout), c.ConnIdle, c.PerConnection, upstream.Memcache)
 	s.broker = broker.New(s.loop.Now, c.Settings, s.platform.router, broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
-	s.front = front.New(s.loop, s.broker, front.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
+	s.front = frontend.New(s.loop, s.broker, frontend.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
 	s.succeed()
 	if err = s.open(); err != nil {
 		return nil, err
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -6,7 +6,7 @@
 
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/front"
+	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/sock"
 
@@ -66,14 +66,14 @@
 		s.later = true
 		return nil
 	}
-	if s.listener, err = s.listenAt(s.conf.Listen, front.Memcache); err == nil && s.before == nil {
+	if s.listener, err = s.listenAt(s.conf.Listen, frontend.Memcache); err == nil && s.before == nil {
 		s.offerSockets()
 	}
 	return err
 }
 
 // listenAt accepts at an address, by the socket of the process before this one where it has one there.
-func (s *Service) listenAt(addr string, protocol front.Protocol) (*sock.Listener, error) {
+func (s *Service) listenAt(addr string, protocol frontend.Protocol) (*sock.Listener, error) {
 	name := addr
 	if addr == s.conf.Listen {
 		name = ""
@@ -103,7 +103,7 @@
 	var err error
 	if s.later {
 		s.later = false
-		s.listener, err = s.loop.Listen(s.conf.Listen, s.front.Room, s.front.At("", front.Memcache))
+		s.listener, err = s.loop.Listen(s.conf.Listen, s.front.Room, s.front.At("", frontend.Memcache))
 	} else if s.listener != nil {
 		err = s.listener.Resume()
 	}
@@ -164,7 +164,7 @@
 func (s *Service) limit() {
 	c := s.bounds()
 	confine(c)
-	s.front.Limit(front.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
+	s.front.Limit(frontend.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
 	s.broker.Limit(broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
 	parts := 0.0
 	for _, p := range s.operators.Pools {
