--- a/internal/sock/loop.go
+++ b/internal/eventloop/loop.go
@@ -1,6 +1,6 @@
-// Package sock serves sockets on netpoll with one loop: whatever happens on a socket, a timer's end and what
+// Package eventloop serves sockets on netpoll with one loop: whatever happens on a socket, a timer's end and what
 // other goroutines post are callbacks on that loop's goroutine, one after another. Nothing on it blocks.
-package sock
+package eventloop
 
 import (
 	"container/heap"
--- a/internal/sock/sock_test.go
+++ b/internal/eventloop/sock_test.go
@@ -1,4 +1,4 @@
-package sock
+package eventloop
 
 import (
 	"bytes"
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -6,9 +6,9 @@
 	"cmp"
 	"hash/maphash"
 
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/sock"
 )
 
 // Limits bound the connections. What is open or held is bounded by the desk.
@@ -63,7 +63,7 @@
 
 // Front is all clients.
 type Front struct {
-	loop     *sock.Loop
+	loop     *eventloop.Loop
 	desk     requestcore.Desk
 	limits   Limits
 	clients  map[*Client]bool
@@ -110,7 +110,7 @@
 }
 
 // New makes a front without clients.
-func New(loop *sock.Loop, desk requestcore.Desk, limits Limits) *Front {
+func New(loop *eventloop.Loop, desk requestcore.Desk, limits Limits) *Front {
 	f := &Front{loop: loop, desk: desk, limits: limits, clients: map[*Client]bool{}, tallies: map[string]*Tally{}, salt: maphash.MakeSeed()}
 	f.sweep()
 	return f
@@ -262,11 +262,11 @@
 }
 
 // At gives what takes the connections of a listener, which has a name and a protocol.
-func (f *Front) At(listener string, protocol Protocol) func(*sock.Conn) sock.Handler {
-	return func(conn *sock.Conn) sock.Handler { return f.accepted(conn, listener, protocol) }
+func (f *Front) At(listener string, protocol Protocol) func(*eventloop.Conn) eventloop.Handler {
+	return func(conn *eventloop.Conn) eventloop.Handler { return f.accepted(conn, listener, protocol) }
 }
 
-func (f *Front) accepted(conn *sock.Conn, listener string, protocol Protocol) sock.Handler {
+func (f *Front) accepted(conn *eventloop.Conn, listener string, protocol Protocol) eventloop.Handler {
 	c := &Client{f: f, conn: conn, listener: listener, used: f.loop.Now(), came: f.loop.Now()}
 	c.codec = protocol(c)
 	// From half of the places on one makes room for another: clients may hold only so many themselves.
@@ -303,7 +303,7 @@
 // Client is one connection.
 type Client struct {
 	f        *Front
-	conn     *sock.Conn
+	conn     *eventloop.Conn
 	codec    Codec
 	answers  []*answer // owed, in the order of the commands
 	rest     []piece   // of answers that are not in the connection's buffer yet
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -10,8 +10,8 @@
 	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
 )
@@ -78,7 +78,7 @@
 }
 
 func serve(t *testing.T, limits bounds) served {
-	l, err := sock.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/alone.go
+++ b/internal/lab/alone.go
@@ -12,7 +12,7 @@
 	"text/tabwriter"
 	"time"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/standin"
 
 	"golang.org/x/sys/unix"
@@ -150,7 +150,7 @@
 	if slices.ContainsFunc(s.Types, func(t TypePart) bool { return t.Scheme != "" }) {
 		return Loaded{}, fmt.Errorf("%s: its clients ask for map tiles, which trestlelab run plays", s.Name)
 	}
-	loop, err := sock.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return Loaded{}, err
 	}
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -15,8 +15,8 @@
 	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/lab/relay"
-	"bendtrestle/internal/sock"
 	"bendtrestle/internal/standin"
 )
 
@@ -53,8 +53,8 @@
 	fleet    *standin.Fleet   // the usual pool's
 	fleets   []*standin.Fleet // all pools', the usual one first, then in the scenario's order
 	clients  *standin.Clients
-	fleetOn  *sock.Loop
-	clientOn *sock.Loop
+	fleetOn  *eventloop.Loop
+	clientOn *eventloop.Loop
 	agents   [][]*standin.Agent // by pool, then by router
 	nodes    []*node
 	factors  map[string]float64 // of the teams' budgets, by faults
@@ -150,10 +150,10 @@
 
 // build sets up the stand-ins. Nothing of theirs runs yet.
 func (w *world) build() (err error) {
-	if w.fleetOn, err = sock.New(); err != nil {
+	if w.fleetOn, err = eventloop.New(); err != nil {
 		return err
 	}
-	if w.clientOn, err = sock.New(); err != nil {
+	if w.clientOn, err = eventloop.New(); err != nil {
 		return err
 	}
 	s := w.s
@@ -367,7 +367,7 @@
 }
 
 // on runs f on a loop and waits for it.
-func on(loop *sock.Loop, f func()) {
+func on(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() { f(); close(done) })
 	<-done
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -11,7 +11,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 
 	"github.com/rs/zerolog"
 )
@@ -19,7 +19,7 @@
 // router is a hollow one. All of it but the counters of its way belongs to the loop that it shares with the others of its process.
 type router struct {
 	me         int // its number among the peers
-	loop       *sock.Loop
+	loop       *eventloop.Loop
 	way        Way
 	module     *balancer.Router
 	ids        []uint64 // of the servers, as the list has them
@@ -51,7 +51,7 @@
 const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
 
 // begin makes one that has a list. It hears from now on.
-func begin(loop *sock.Loop, open Open, p Place, known discovery.List) (*router, error) {
+func begin(loop *eventloop.Loop, open Open, p Place, known discovery.List) (*router, error) {
 	r := &router{me: p.Me, loop: loop}
 	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
 	r.take(balancer.Snapshot, known)
--- a/internal/lab/scale/hollow/serve.go
+++ b/internal/lab/scale/hollow/serve.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 
 	"github.com/rs/zerolog"
 )
@@ -82,7 +82,7 @@
 
 type process struct {
 	spec    Spec
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	routers []*router
 	follow  []*router
 	stop    context.CancelFunc
@@ -104,7 +104,7 @@
 		return nil, errors.New("known: it names no server, and words are of servers")
 	}
 	p := &process{spec: s}
-	if p.loop, err = sock.New(); err != nil {
+	if p.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
--- a/internal/lab/scale/hollow/way.go
+++ b/internal/lab/scale/hollow/way.go
@@ -8,8 +8,8 @@
 	"strings"
 	"sync/atomic"
 
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/peers"
-	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
 )
@@ -27,7 +27,7 @@
 	Listen  string   // where it hears
 	Peers   []string // all routers' addresses, its own among them
 	Servers []uint16 // the ends of the ids of the servers in its first list
-	Loop    *sock.Loop
+	Loop    *eventloop.Loop
 	Feed    func(words []byte) // takes, on the loop, any number of words that stand for what many routers told
 	Log     zerolog.Logger
 }
--- a/internal/lab/scale/request.go
+++ b/internal/lab/scale/request.go
@@ -6,7 +6,7 @@
 	"slices"
 	"time"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/standin"
 )
 
@@ -15,7 +15,7 @@
 // load lets clients ask a router at a rate, for a while before a window and through it. It gives what the window took of the router,
 // how many operations were asked for in all and how many of them got what was asked for.
 func (b *bench) load(s *stage, p *process, rate float64, warm time.Duration) (w spent, asked, served int, err error) {
-	loop, err := sock.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return w, 0, 0, err
 	}
--- a/internal/lab/scale/stage.go
+++ b/internal/lab/scale/stage.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/standin"
 
 	"golang.org/x/sys/unix"
@@ -47,7 +47,7 @@
 
 // stage is stand-in cache servers with their list, on a loop of its own.
 type stage struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	fleet   *standin.Fleet
 	lists   []*standin.Agent // the same list at several addresses
 	counter *counter         // before the first of them; nil: there is none
@@ -79,7 +79,7 @@
 // open sets up so many servers.
 func (b *bench) open(servers int) (s *stage, err error) {
 	err = again(b.ctx, func() error {
-		loop, err := sock.New()
+		loop, err := eventloop.New()
 		if err != nil {
 			return err
 		}
--- a/internal/lab/scale/values.go
+++ b/internal/lab/scale/values.go
@@ -20,9 +20,9 @@
 	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/sock"
 	"bendtrestle/internal/standin"
 
 	"golang.org/x/sys/unix"
@@ -191,7 +191,7 @@
 
 // valueStage is servers, a list of them and one router.
 type valueStage struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	fleet   *standin.Fleet
 	agent   *standin.Agent
 	ended   chan error
@@ -218,7 +218,7 @@
 func (o ValueOptions) open(ctx context.Context) (*valueStage, error) {
 	v := &valueStage{ended: make(chan error, 1), gone: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211", o.Net), log: filepath.Join(o.Dir, "values.log")}
 	var err error
-	if v.loop, err = sock.New(); err != nil {
+	if v.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
 	kind := &standin.TrafficType{Name: "bulk", Effect: balancer.Reissuable, Benefit: 1}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -19,13 +19,13 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/tier"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peers"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/sock"
 	"bendtrestle/internal/upstream"
 
 	"github.com/rs/zerolog"
@@ -64,10 +64,10 @@
 	began     float64
 	conf      config.Config
 	log       zerolog.Logger
-	loop      *sock.Loop
-	listener  *sock.Listener
-	listeners map[string]*sock.Listener     // of teams, by their addresses
-	tiles     map[string]*tileserver.Server // of these, those that speak HTTP
+	loop      *eventloop.Loop
+	listener  *eventloop.Listener
+	listeners map[string]*eventloop.Listener // of teams, by their addresses
+	tiles     map[string]*tileserver.Server  // of these, those that speak HTTP
 	front     *frontend.Front
 	broker    *broker.Broker
 	platform  *pool
@@ -122,7 +122,7 @@
 	// Two at least: with one, the runtime's monitor finds none idle and takes it from the loop at each wait for events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
 	confine(conf)
-	if err := sock.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
+	if err := eventloop.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
 		return err
 	}
 	s, err := assemble(set, module, log)
@@ -195,14 +195,14 @@
 
 // assemble puts the parts together, from the caches to the clients.
 func assemble(set Setup, module requestcore.Maker, log zerolog.Logger) (*Service, error) {
-	loop, err := sock.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
 	}
 	conf, enough := set.Platform.Apart(named(set.Operators))
 	loop.Limit(conf.Connections)
 	s, c := &Service{conf: conf, operators: set.Operators, log: log, loop: loop, module: module, loaded: 1, pools: map[string]*pool{},
-		listeners: map[string]*sock.Listener{}, tiles: map[string]*tileserver.Server{}, out: map[string]bool{}, seen: map[string]uint64{}}, &conf
+		listeners: map[string]*eventloop.Listener{}, tiles: map[string]*tileserver.Server{}, out: map[string]bool{}, seen: map[string]uint64{}}, &conf
 	s.began = loop.Now()
 	s.scarce(enough)
 	s.log.Info().Str("name", c.Name).Str("listen", c.Listen).Int("clients", c.Clients).Int("caches", c.Caches).
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -6,9 +6,9 @@
 
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/handover"
-	"bendtrestle/internal/sock"
 
 	"golang.org/x/sys/unix"
 )
@@ -56,7 +56,7 @@
 func (s *Service) open() (err error) {
 	held, no := false, error(nil)
 	if s.before == nil {
-		held, no = sock.Held(s.conf.Listen)
+		held, no = eventloop.Held(s.conf.Listen)
 	}
 	if no != nil {
 		return no
@@ -73,7 +73,7 @@
 }
 
 // listenAt accepts at an address, by the socket of the process before this one where it has one there.
-func (s *Service) listenAt(addr string, protocol frontend.Protocol) (*sock.Listener, error) {
+func (s *Service) listenAt(addr string, protocol frontend.Protocol) (*eventloop.Listener, error) {
 	name := addr
 	if addr == s.conf.Listen {
 		name = ""
--- a/internal/standin/clientconn.go
+++ b/internal/standin/clientconn.go
@@ -4,8 +4,8 @@
 	"slices"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/sock"
 )
 
 // clientConn is one connection of a client to a router. It carries one try at a time.
@@ -19,11 +19,11 @@
 	used   int    // tries that were answered on it
 	last   string // the id of the try that was answered last
 	try    *Try
-	end    uint64      // where the try's last byte stands in what was written
-	timer  *sock.Timer // until the client leaves
-	leave  bool        // before its time is up
-	moved  float64     // when a byte of a long value last came
-	leaves int         // bytes of a long value after which its client leaves; 0: it does not
+	end    uint64           // where the try's last byte stands in what was written
+	timer  *eventloop.Timer // until the client leaves
+	leave  bool             // before its time is up
+	moved  float64          // when a byte of a long value last came
+	leaves int              // bytes of a long value after which its client leaves; 0: it does not
 	closed bool
 }
 
--- a/internal/standin/clients.go
+++ b/internal/standin/clients.go
@@ -10,8 +10,8 @@
 	"strconv"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/sock"
 )
 
 // Connections tells how clients use theirs.
@@ -130,7 +130,7 @@
 
 // Clients send operations to routers, open loop: what comes when is drawn ahead and waits for no answer.
 type Clients struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	load    Load
 	routers []*door
 	tiles   map[string][]*door // the same routers, where they take a team's map tiles
@@ -155,7 +155,7 @@
 	part   float64
 	chance *rand.Rand
 	due    float64
-	timer  *sock.Timer
+	timer  *eventloop.Timer
 }
 
 type hotKey struct {
@@ -180,7 +180,7 @@
 }
 
 // NewClients makes clients of the routers at these addresses.
-func NewClients(loop *sock.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
+func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
 	c := &Clients{loop: loop, load: load, book: &ClientBook{}, chance: rand.New(rand.NewPCG(seed, 1)),
 		ids: uint32(seed) ^ 0x5bd1e995}
 	for n, text := range routers {
--- a/internal/standin/clients_test.go
+++ b/internal/standin/clients_test.go
@@ -8,7 +8,7 @@
 	"testing"
 	"time"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 )
 
 // router answers each command as a test says: the text, or nothing, or the connection's end at "close".
@@ -51,7 +51,7 @@
 // loaded runs clients against a router for a while and gives their book.
 func loaded(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
 	t.Helper()
-	loop, err := sock.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -184,8 +184,8 @@
 	}
 }
 
-func mustLoop(t *testing.T) *sock.Loop {
-	loop, err := sock.New()
+func mustLoop(t *testing.T) *eventloop.Loop {
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/fleet.go
+++ b/internal/standin/fleet.go
@@ -7,13 +7,13 @@
 	"sort"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/tiles"
 )
 
 // Fleet is the cache servers, their origin and the list that names them, all on one loop.
 type Fleet struct {
-	loop           *sock.Loop
+	loop           *eventloop.Loop
 	types          map[string]*TrafficType
 	servers        []*Server // in the order in which they came, also those that have gone
 	ledger         *Ledger
@@ -31,7 +31,7 @@
 }
 
 // NewFleet makes one without servers. Listed is the list service's usual delay.
-func NewFleet(loop *sock.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
+func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
 	f := &Fleet{loop: loop, types: map[string]*TrafficType{}, book: &Book{}, memories: map[string]*memory{}, seed: seed}
 	for _, t := range types {
 		f.types[t.Name] = t
@@ -157,7 +157,7 @@
 
 // Lateness tells how late a loop runs what is due, by a timer of its own.
 type Lateness struct {
-	loop  *sock.Loop
+	loop  *eventloop.Loop
 	due   float64
 	Times []float64 // seconds, each 10 ms
 	At    []float64
@@ -165,7 +165,7 @@
 
 const ticking = 0.01 // between two looks: a tenth of the shortest promised times
 
-func (l *Lateness) watch(loop *sock.Loop) {
+func (l *Lateness) watch(loop *eventloop.Loop) {
 	l.loop, l.due = loop, loop.Now()+ticking
 	loop.After(ticking, l.tick)
 }
--- a/internal/standin/helpers_test.go
+++ b/internal/standin/helpers_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 )
 
 var read = &TrafficType{Name: "read", Share: 1, Effect: balancer.Reissuable, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
@@ -35,7 +35,7 @@
 // running gives a fleet whose loop runs, with one server for each spec.
 func running(t *testing.T, specs ...Spec) (*Fleet, []*Server) {
 	t.Helper()
-	loop, err := sock.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/standin/ledger.go
+++ b/internal/standin/ledger.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 )
 
 // LedgerSpec describes the origin.
@@ -17,7 +17,7 @@
 
 // Ledger is the origin: slow, a few at once, and it stops for a while when pushed past its bound.
 type Ledger struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	spec    LedgerSpec
 	work    processor
 	tip     Tip
@@ -29,7 +29,7 @@
 	recent  []Fetch // that came within the time of the rule
 }
 
-func newLedger(loop *sock.Loop, spec LedgerSpec, book *Book, chance *rand.Rand) *Ledger {
+func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, chance *rand.Rand) *Ledger {
 	return &Ledger{loop: loop, spec: spec, book: book, chance: chance,
 		tip:  Tip{Multiple: spec.Multiple, Time: spec.Time},
 		work: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
--- a/internal/standin/plainconn.go
+++ b/internal/standin/plainconn.go
@@ -6,8 +6,8 @@
 	"syscall"
 	"time"
 
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/sock"
 
 	"golang.org/x/sys/unix"
 )
@@ -30,7 +30,7 @@
 // its end comes behind all that came before it, however long that lay unread. It carries one command.
 type plainConn struct {
 	in    *ringbuffer.Buffer
-	loop  *sock.Loop
+	loop  *eventloop.Loop
 	h     *clientConn
 	how   Reading
 	half  int // bytes after which it pauses
@@ -40,7 +40,7 @@
 	close sync.Once
 }
 
-func dialPlain(loop *sock.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
+func dialPlain(loop *eventloop.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
 	p := &plainConn{in: ringbuffer.New(plainTurn), loop: loop, h: h, how: how, half: half, say: make(chan []byte, 1), quit: make(chan struct{})}
 	go p.run(addr)
 	return p
--- a/internal/standin/processor.go
+++ b/internal/standin/processor.go
@@ -3,12 +3,12 @@
 import (
 	"slices"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 )
 
 // processor is the cores of one machine: so many jobs at once, first come first served.
 type processor struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	cores   int
 	rate    float64 // work done a second by each core; 0: it stands still
 	running []*job
@@ -18,7 +18,7 @@
 // job is work to be done. begin is asked when a core takes it up: false lets it go; done follows its end.
 type job struct {
 	left, since float64
-	timer       *sock.Timer
+	timer       *eventloop.Timer
 	begin       func() bool
 	done        func()
 }
--- a/internal/standin/server.go
+++ b/internal/standin/server.go
@@ -3,7 +3,7 @@
 import (
 	"math/rand/v2"
 
-	"bendtrestle/internal/sock"
+	"bendtrestle/internal/eventloop"
 )
 
 // Spec describes one cache server.
@@ -50,7 +50,7 @@
 	work    processor
 	kept    *store
 	tip     Tip
-	ln      *sock.Listener
+	ln      *eventloop.Listener
 	silent  *silence // while it has vanished
 	conns   map[*serverConn]bool
 	mode    Mode    // as it would have the list say
--- a/internal/standin/serverconn.go
+++ b/internal/standin/serverconn.go
@@ -4,14 +4,14 @@
 	"hash/crc32"
 	"strconv"
 
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/meta"
-	"bendtrestle/internal/sock"
 )
 
 // serverConn is one connection to a cache server: commands are begun as they come and answered in their order.
 type serverConn struct {
 	s       *Server
-	conn    *sock.Conn
+	conn    *eventloop.Conn
 	out     output
 	speech  speech
 	first   float64  // when the command at hand began to come
@@ -41,7 +41,7 @@
 	how   ending   // of a long value
 }
 
-func (s *Server) accepted(conn *sock.Conn) sock.Handler {
+func (s *Server) accepted(conn *eventloop.Conn) eventloop.Handler {
 	c := &serverConn{s: s, conn: conn, fresh: true, used: s.f.loop.Now()}
 	c.out.conn = conn
 	if c.speech = (&memcacheSpeech{c: c}); s.f.tiles != nil {
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -7,8 +7,8 @@
 	"slices"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
 )
@@ -24,7 +24,7 @@
 
 // Fleet is all cache servers.
 type Fleet struct {
-	loop    *sock.Loop
+	loop    *eventloop.Loop
 	limits  Limits
 	log     zerolog.Logger
 	wire    func(Link) Wire
@@ -48,7 +48,7 @@
 }
 
 // New makes an empty fleet.
-func New(loop *sock.Loop, limits Limits, wire func(Link) Wire, log zerolog.Logger) *Fleet {
+func New(loop *eventloop.Loop, limits Limits, wire func(Link) Wire, log zerolog.Logger) *Fleet {
 	f := &Fleet{loop: loop, limits: limits, wire: wire, log: log, servers: map[uint64]*server{}}
 	f.sweep()
 	return f
@@ -261,7 +261,7 @@
 		if err != nil {
 			f.log.Warn().Err(err).Stringer("server", s.addr).Msg("no connection")
 			a, how := s.waiting[0], balancer.NotSent // a lack of descriptors here says nothing against the server
-			if sock.Refused(err) {
+			if eventloop.Refused(err) {
 				how = balancer.NoConnection
 			}
 			s.leave(a)
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/sock"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
@@ -70,7 +70,7 @@
 // listening is one cache server, known as 1, that does nothing with its connections.
 func listening(t *testing.T, limits Limits) (f fleet, conns chan net.Conn) {
 	conns = make(chan net.Conn, 1000)
-	l, err := sock.New()
+	l, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -154,7 +154,7 @@
 }
 
 // do calls on the loop and waits for it.
-func (f fleet) do(l *sock.Loop, call func()) {
+func (f fleet) do(l *eventloop.Loop, call func()) {
 	done := make(chan bool)
 	l.Post(func() { call(); close(done) })
 	<-done
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -6,8 +6,8 @@
 	"slices"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/sock"
 )
 
 // attempt is one execution, or a probe where op is nil.
@@ -16,7 +16,7 @@
 	op     *requestcore.Operation
 	ended  func(balancer.Outcome, requestcore.Result)
 	until  float64
-	timer  *sock.Timer
+	timer  *eventloop.Timer
 	early  bool        // its timer is for when it is to be written, which is before that
 	latest float64     // it is not written from then on
 	wanted func() bool // its operation still waits for it; nil: a probe
@@ -109,8 +109,8 @@
 type link struct {
 	on      *server
 	addr    netip.AddrPort // where it leads
-	conn    *sock.Conn
-	timer   *sock.Timer // until it is up, then until a reply that has begun must have gone on
+	conn    *eventloop.Conn
+	timer   *eventloop.Timer // until it is up, then until a reply that has begun must have gone on
 	up      bool
 	wire    Wire
 	queue   []*attempt // out, in the order of their answers
--- a/internal/upstream/tileclient/tilewire_test.go
+++ b/internal/upstream/tileclient/tilewire_test.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/ringbuffer"
-	"bendtrestle/internal/sock"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/upstream"
 
@@ -111,7 +111,7 @@
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\na tile")
 			c.leave(conn.(*net.TCPConn))
 		}()
-		l, err := sock.New()
+		l, err := eventloop.New()
 		if err != nil {
 			t.Fatal(err)
 		}
