--- a/internal/lab/scale/hollow/gossip.go
+++ b/internal/lab/scale/hollow/gossip.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bendtrestle/internal/decide/gossip"
-	"bendtrestle/internal/peers"
+	"bendtrestle/internal/peertransport"
 )
 
 // GossipBudget is bytes a second, in and out with headers, that a router may spend: what operators allow unless they say otherwise.
@@ -24,7 +24,7 @@
 type gossips struct {
 	p     Place
 	heard func(words []byte)
-	peers *peers.Peers
+	peers *peertransport.Peers
 	fleet *gossip.Fleet
 	steps int
 
@@ -49,7 +49,7 @@
 	w := &gossips{p: p, heard: heard, fleet: gossip.New(p.Loop.Now(), gossip.Settings{Me: p.Me, Seed: set.Seed ^ life, Life: life,
 		BytesPerSecond: GossipBudget, Longest: longest}, gossip.NewView(names))}
 	w.fleet.Listed(p.Servers)
-	open, err := peers.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, place int, words []byte) {
+	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, place int, words []byte) {
 		p.Loop.Post(func() { w.hear(place, words) })
 	}, p.Log)
 	if err != nil {
--- a/internal/lab/scale/hollow/way.go
+++ b/internal/lab/scale/hollow/way.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 
 	"bendtrestle/internal/eventloop"
-	"bendtrestle/internal/peers"
+	"bendtrestle/internal/peertransport"
 
 	"github.com/rs/zerolog"
 )
@@ -75,7 +75,7 @@
 
 // all is the router's own way: a datagram to each of the others for each word.
 type all struct {
-	peers  *peers.Peers
+	peers  *peertransport.Peers
 	others uint64
 
 	told, heard, bytesOut, bytesIn atomic.Uint64
@@ -83,7 +83,7 @@
 
 func openAll(p Place, heard func(words []byte)) (Way, error) {
 	w := &all{others: uint64(len(p.Peers) - 1)}
-	open, err := peers.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, _ int, words []byte) {
+	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, _ int, words []byte) {
 		w.heard.Add(1)
 		w.bytesIn.Add(uint64(len(words) + headers))
 		heard(words)
--- a/internal/peers/peers.go
+++ b/internal/peertransport/peers.go
@@ -1,5 +1,5 @@
-// Package peers passes short messages between routers, by UDP.
-package peers
+// Package peertransport passes short messages between routers, by UDP.
+package peertransport
 
 import (
 	"context"
--- a/internal/peers/peers_test.go
+++ b/internal/peertransport/peers_test.go
@@ -1,4 +1,4 @@
-package peers
+package peertransport
 
 import (
 	"fmt"
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -15,7 +15,7 @@
 	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/peers"
+	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
@@ -52,11 +52,11 @@
 	now := func() float64 { return time.Since(began).Seconds() }
 	var lock sync.Mutex
 	var fleets []*gossip.Fleet
-	var ways []*peers.Peers
+	var ways []*peertransport.Peers
 	for me := from; me < len(at); me++ {
 		f := gossip.New(now(), gossip.Settings{Me: me, Seed: uint32(me), Life: uint32(me), BytesPerSecond: 7000, Longest: 0.6}, gossip.NewView(names))
 		f.Listed(ids)
-		p, err := peers.Open(at[me], "", at, me, func(_ netip.AddrPort, from int, words []byte) {
+		p, err := peertransport.Open(at[me], "", at, me, func(_ netip.AddrPort, from int, words []byte) {
 			lock.Lock()
 			defer lock.Unlock()
 			f.Heard(now(), from, words)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -24,7 +24,7 @@
 	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/peers"
+	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
 
@@ -74,7 +74,7 @@
 	pools     map[string]*pool // the others, by name
 	leaving   []*pool          // that are no longer named and have operations open
 	module    requestcore.Maker
-	peers     *peers.Peers
+	peers     *peertransport.Peers
 	tier      *tier.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
 	routers   int                         // as the modules were told last; 0: by the settings
 	desk      *desk                       // what the operators' door calls; nil: there is none
@@ -215,7 +215,7 @@
 		heard := func(from netip.AddrPort, place int, words []byte) {
 			s.loop.Post(func() { s.heard(from, place, words) })
 		}
-		s.peers, err = peers.Open(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Me, heard, s.log)
+		s.peers, err = peertransport.Open(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Me, heard, s.log)
 		if err != nil { // they are a help, nothing depends on them
 			s.log.Warn().Err(err).Msg("no peers")
 		}
