--- a/internal/control/control.go
+++ b/internal/admin/control.go
@@ -1,6 +1,6 @@
-// Package control is the operators' door: HTTP/1.1, one call to a connection, on goroutines of its own, so that a busy loop and
+// Package admin is the operators' door: HTTP/1.1, one call to a connection, on goroutines of its own, so that a busy loop and
 // callers that never finish a call keep nobody waiting.
-package control
+package admin
 
 import (
 	"context"
--- a/internal/control/control_test.go
+++ b/internal/admin/control_test.go
@@ -1,4 +1,4 @@
-package control
+package admin
 
 import (
 	"fmt"
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -4,7 +4,7 @@
 	"errors"
 	"time"
 
-	"bendtrestle/internal/control"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/handover"
 )
@@ -73,7 +73,7 @@
 	until := time.Now().Add(patience)
 	err := d.do(func() error {
 		if !d.s.known(id) {
-			return control.ErrUnknown
+			return admin.ErrUnknown
 		}
 		return nil
 	})
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -9,7 +9,7 @@
 	"sync/atomic"
 	"time"
 
-	"bendtrestle/internal/control"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/upstream"
 )
@@ -47,7 +47,7 @@
 		return err
 	case <-time.After(late):
 		if begun.CompareAndSwap(false, true) {
-			return control.ErrNotNow
+			return admin.ErrNotNow
 		}
 		return <-ended
 	}
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/control"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
@@ -120,7 +120,7 @@
 	held := make(chan bool)
 	d.s.loop.Post(func() { <-held })
 	began := time.Now()
-	if err := d.Drain(); err != control.ErrNotNow || time.Since(began) > time.Second {
+	if err := d.Drain(); err != admin.ErrNotNow || time.Since(began) > time.Second {
 		t.Errorf("it is told %v after %v", err, time.Since(began))
 	}
 	close(held)
@@ -152,7 +152,7 @@
 	if on(d.s, idle) {
 		t.Error("no connection is kept")
 	}
-	if err := d.Disable("s-2"); err != control.ErrUnknown {
+	if err := d.Disable("s-2"); err != admin.ErrUnknown {
 		t.Errorf("an unknown id gets %v", err)
 	}
 	var log bytes.Buffer
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/control"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
@@ -169,10 +169,10 @@
 }
 
 // Status tells how far this start is, and what it waits for.
-func (d *desk) Status() (st control.Status, err error) {
+func (d *desk) Status() (st admin.Status, err error) {
 	err = d.do(func() error {
 		p, since, full := d.s.recovery.start.Phase()
-		st = control.Status{Phase: p.String(), For: d.s.loop.Now() - since, FullService: full, Waits: p.Waits(), Taking: d.s.taking()}
+		st = admin.Status{Phase: p.String(), For: d.s.loop.Now() - since, FullService: full, Waits: p.Waits(), Taking: d.s.taking()}
 		return nil
 	})
 	return st, err
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -15,9 +15,9 @@
 	"syscall"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/control"
 	"bendtrestle/internal/decide/tier"
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
@@ -78,7 +78,7 @@
 	tier      *tier.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
 	routers   int                         // as the modules were told last; 0: by the settings
 	desk      *desk                       // what the operators' door calls; nil: there is none
-	door      *control.Door
+	door      *admin.Door
 	loaded    uint64                     // configurations that were taken, the first one too
 	invalid   uint64                     // that were not
 	sent      uint64                     // executions written to servers of pools that are gone
@@ -246,7 +246,7 @@
 	if c.Ops != "" {
 		s.desk = &desk{s: s}
 		s.publish()
-		s.door = control.Open(c.Ops, c.OpsPlaces, s.desk, s.log)
+		s.door = admin.Open(c.Ops, c.OpsPlaces, s.desk, s.log)
 	}
 	return s, nil
 }
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -9,7 +9,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/control"
+	"bendtrestle/internal/admin"
 	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/handover"
 	"bendtrestle/internal/operators"
@@ -230,14 +230,14 @@
 )
 
 // Zones gives all zones.
-func (d *desk) Zones() (all []control.Zone, err error) {
+func (d *desk) Zones() (all []admin.Zone, err error) {
 	if d.s.zones == nil {
 		return nil, errZonesOff
 	}
 	err = d.do(func() error {
 		now := d.s.zones.now()
 		for _, z := range d.s.zones.fleet.States(now) {
-			all = append(all, control.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.Hand,
+			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.Hand,
 				Servers: z.Servers, Against: z.Against, With: z.For, Known: z.Known, Times: z.Times, Why: z.Why})
 		}
 		return nil
@@ -254,7 +254,7 @@
 	err := d.do(func() error {
 		switch {
 		case !w.fleet.Known(zone):
-			return control.ErrNoZone
+			return admin.ErrNoZone
 		case !w.fleet.Hand(w.now(), zone, true):
 			return errLastZone
 		}
@@ -284,7 +284,7 @@
 	if !w.written(zone) {
 		return d.do(func() error {
 			if !w.fleet.Return(w.now(), zone) {
-				return control.ErrNoZone
+				return admin.ErrNoZone
 			}
 			w.act()
 			return nil
