--- a/internal/handover/bans.go
+++ b/internal/hotrestart/bans.go
@@ -1,6 +1,6 @@
-// Package handover is what one process of a router leaves to the next, in a folder that both can reach: the cache servers that
+// Package hotrestart is what one process of a router leaves to the next, in a folder that both can reach: the cache servers that
 // operators took out, and the sockets that clients connect to.
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/handover/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -1,4 +1,4 @@
-package handover
+package hotrestart
 
 import (
 	"bytes"
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -6,13 +6,13 @@
 
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 )
 
 // openBans takes what operators have called before this process began, and what they call at another process of this router.
 func (s *Service) openBans() {
-	path := handover.Path(s.conf.Shared, s.conf.Listen, "out")
-	bans, ids := handover.OpenBans(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
+	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "out")
+	bans, ids := hotrestart.OpenBans(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
 	s.bans = bans
 	s.bar(ids)
 }
@@ -81,7 +81,7 @@
 		return err
 	}
 	err = d.s.bans.Set(id, out, until)
-	if err != nil && !errors.Is(err, handover.ErrHere) {
+	if err != nil && !errors.Is(err, hotrestart.ErrHere) {
 		return err
 	}
 	if err != nil {
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -15,7 +15,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operators"
 
 	"github.com/rs/zerolog"
@@ -211,13 +211,13 @@
 		{"s-1", "out", d.Disable, d.Enable, func() bool { return s.out["s-1"] }},
 		{"a", "zones", d.LeaveZone, d.ReturnZone, func() bool { return s.zones.hand["a"] && s.zones.fleet.Share("a") == 0 }},
 	} {
-		path := handover.Path(dir, addr, c.ending)
+		path := hotrestart.Path(dir, addr, c.ending)
 		for _, step := range []struct {
 			call func(string) error
 			held bool
 			err  error
 			out  bool
-		}{{c.leave, true, handover.ErrHere, true}, {c.leave, false, nil, true}, {c.back, true, handover.ErrKept, true}, {c.back, false, nil, false}} {
+		}{{c.leave, true, hotrestart.ErrHere, true}, {c.leave, false, nil, true}, {c.back, true, hotrestart.ErrKept, true}, {c.back, false, nil, false}} {
 			lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 			if err == nil && step.held {
 				err = unix.Flock(int(lock.Fd()), unix.LOCK_EX)
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -16,7 +16,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/recovery"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/store"
@@ -80,12 +80,12 @@
 		t.Run(kind, func(t *testing.T) {
 			t.Parallel()
 			dir, addr := t.TempDir(), freeAddress(t)
-			before, err := net.ListenUnix("unix", &net.UnixAddr{Name: handover.Path(dir, addr, "sock"), Net: "unix"}) // it accepts nobody
+			before, err := net.ListenUnix("unix", &net.UnixAddr{Name: hotrestart.Path(dir, addr, "sock"), Net: "unix"}) // it accepts nobody
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { before.Close() })
-			for _, path := range []string{handover.Path(dir, addr, "out"), handover.Path(dir, addr, "zones"), store.Path(dir, addr) + ".store-0"} {
+			for _, path := range []string{hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), store.Path(dir, addr) + ".store-0"} {
 				if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
 					t.Fatal(err)
 				}
@@ -95,7 +95,7 @@
 					}
 				})
 			}
-			lock, _ := os.Create(handover.Path(dir, addr, "out") + ".lock")
+			lock, _ := os.Create(hotrestart.Path(dir, addr, "out") + ".lock")
 			t.Cleanup(func() { lock.Close() })
 			door, err := net.Listen("tcp", "127.0.0.1:0")
 			if err = errors.Join(err, unix.Flock(int(lock.Fd()), unix.LOCK_EX)); err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -22,7 +22,7 @@
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/requestcore"
@@ -84,20 +84,20 @@
 	sent      uint64                     // executions written to servers of pools that are gone
 	cut       [len(upstream.Cuts)]uint64 // and their connections that ended with something owed
 	recovery  *recoveryWatch
-	bans      *handover.Bans
-	zones     *zoneWatch            // nil: zones are not left as one
-	gossip    *gossipWatch          // nil: what the module tells goes to all
-	out       map[string]bool       // cache servers that operators took out
-	before    *handover.Predecessor // the process before this one, while it runs
-	inherited map[string]int        // its listening sockets that are not in use here yet
-	offer     *handover.Offer       // where the process after this one asks
-	beside    int                   // processes of this router that run beside this one
-	heirs     int                   // of these, later ones that take clients
-	operators operators.File        // as last taken
-	later     bool                  // the clients' address is shared once this process serves
-	draining  bool                  // clients are sent away
-	drains    int                   // how often that began or ended
-	seen      map[string]uint64     // what teams had taken when they were last counted
+	bans      *hotrestart.Bans
+	zones     *zoneWatch              // nil: zones are not left as one
+	gossip    *gossipWatch            // nil: what the module tells goes to all
+	out       map[string]bool         // cache servers that operators took out
+	before    *hotrestart.Predecessor // the process before this one, while it runs
+	inherited map[string]int          // its listening sockets that are not in use here yet
+	offer     *hotrestart.Offer       // where the process after this one asks
+	beside    int                     // processes of this router that run beside this one
+	heirs     int                     // of these, later ones that take clients
+	operators operators.File          // as last taken
+	later     bool                    // the clients' address is shared once this process serves
+	draining  bool                    // clients are sent away
+	drains    int                     // how often that began or ended
+	seen      map[string]uint64       // what teams had taken when they were last counted
 }
 
 // Setup is all that a router is told: by the platform, and by its operators.
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -8,14 +8,14 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 
 	"golang.org/x/sys/unix"
 )
 
 // succeed looks for a process of this router that runs already, and takes its listening sockets, to accept once this one serves.
 func (s *Service) succeed() {
-	before, sockets, err := handover.Take(handover.Path(s.conf.Shared, s.conf.Listen, "sock"))
+	before, sockets, err := hotrestart.Take(hotrestart.Path(s.conf.Shared, s.conf.Listen, "sock"))
 	if err != nil {
 		return // none, or it speaks no such thing: then the address is shared
 	}
@@ -126,12 +126,12 @@
 	if s.offer != nil || s.phase >= Leaving {
 		return
 	}
-	path := handover.Path(s.conf.Shared, s.conf.Listen, "sock")
+	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "sock")
 	if path == "" {
 		return
 	}
 	var err error
-	if s.offer, err = handover.Open(path, heirs{s}, s.log); err != nil {
+	if s.offer, err = hotrestart.Open(path, heirs{s}, s.log); err != nil {
 		s.log.Info().Err(err).Msg("no socket for the next process; it shares the address")
 	}
 }
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -11,7 +11,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/decide/zones"
-	"bendtrestle/internal/handover"
+	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operators"
 )
 
@@ -23,7 +23,7 @@
 type zoneWatch struct {
 	s     *Service
 	fleet *zones.Fleet
-	bans  *handover.Bans // zones that are left by hand
+	bans  *hotrestart.Bans // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
 }
@@ -48,7 +48,7 @@
 	if w == nil {
 		return
 	}
-	bans, names := handover.OpenBans(handover.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
+	bans, names := hotrestart.OpenBans(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
 		func(names []string) { w.s.loop.Post(func() { w.byHand(names) }) }, w.s.log)
 	w.bans = bans
 	w.byHand(names)
@@ -266,7 +266,7 @@
 		return err
 	}
 	err = w.bans.Set(zone, true, until)
-	if errors.Is(err, handover.ErrHere) {
+	if errors.Is(err, hotrestart.ErrHere) {
 		d.s.log.Error().Err(err).Str("zone", zone).Msg("what was called by hand cannot be kept for the next process")
 	} else if err != nil { // nothing was changed, so it does not stay left
 		ids := w.bans.IDs()
