--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -12,7 +12,7 @@
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operators"
-	"bendtrestle/internal/store"
+	"bendtrestle/internal/snapshot"
 
 	"github.com/fxamacker/cbor/v2"
 )
@@ -27,7 +27,7 @@
 type recoveryWatch struct {
 	s      *Service
 	start  *recovery.Start
-	store  *store.Store // nil: nothing is kept
+	store  *snapshot.Store // nil: nothing is kept
 	rate   float64
 	done   uint64  // operations finished when the rate was last reckoned
 	at     float64 // when that was
@@ -39,7 +39,7 @@
 func (s *Service) openRecovery(f operators.File) {
 	w := &recoveryWatch{s: s, start: recovery.Begin(s.loop.Now()), at: s.loop.Now()}
 	s.recovery = w
-	base := store.Path(s.conf.Shared, s.conf.Listen)
+	base := snapshot.Path(s.conf.Shared, s.conf.Listen)
 	if !f.Recovery.On {
 		return
 	}
@@ -47,7 +47,7 @@
 		s.log.Warn().Msg("recovery is on, and there is no folder (TMPDIR) to keep anything in")
 		return
 	}
-	w.store = store.Open(base, s.conf.Listen, s.log)
+	w.store = snapshot.Open(base, s.conf.Listen, s.log)
 	now := s.loop.Now()
 	if e, there := w.store.Get(recovery.Rate); there {
 		w.number = e.Generation
@@ -79,7 +79,7 @@
 }
 
 // keptList reads it. Which of its servers have started anew since nobody knows, so each counts as one that has just done so.
-func keptList(e store.Entry, now float64) (l discovery.List) {
+func keptList(e snapshot.Entry, now float64) (l discovery.List) {
 	var k kept
 	if cbor.Unmarshal(e.Body, &k) != nil { // written by another build, then; its checksum is right
 		return l
@@ -119,7 +119,7 @@
 
 func (w *recoveryWatch) keep(kind, from string, body []byte) {
 	w.number++
-	w.store.Put(kind, store.Entry{Generation: w.number, At: w.s.loop.Now(), From: from, Body: body})
+	w.store.Put(kind, snapshot.Entry{Generation: w.number, At: w.s.loop.Now(), From: from, Body: body})
 }
 
 // usual is the rate as one that has run for long would have it: at first less time than it is reckoned over has passed.
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -19,7 +19,7 @@
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operators"
 	"bendtrestle/internal/requestcore"
-	"bendtrestle/internal/store"
+	"bendtrestle/internal/snapshot"
 
 	"github.com/fxamacker/cbor/v2"
 	"github.com/rs/zerolog"
@@ -37,10 +37,10 @@
 	}{"of a minute ago": {60, "127.0.0.1:1", 12, 1}, "of yesterday": {86400, "127.0.0.1:1", 0, 0}, "of another list service": {60, "127.0.0.1:9", 12, 0},
 		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
-		s := store.Open(store.Path(dir, addr), addr, zerolog.Nop())
+		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Member{ID: 1, Mode: balancer.InService, Started: 5}), "127.0.0.1:2"}}})
-		s.Put(recovery.Rate, store.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
-		s.Put(recovery.List, store.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
+		s.Put(recovery.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
+		s.Put(recovery.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
 		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
@@ -85,7 +85,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { before.Close() })
-			for _, path := range []string{hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), store.Path(dir, addr) + ".store-0"} {
+			for _, path := range []string{hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), snapshot.Path(dir, addr) + ".store-0"} {
 				if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
 					t.Fatal(err)
 				}
--- a/internal/store/store.go
+++ b/internal/snapshot/store.go
@@ -1,7 +1,7 @@
-// Package store keeps what may outlive a process of a router, in a folder of its own: whole or not at all, the newest intact copy
+// Package snapshot keeps what may outlive a process of a router, in a folder of its own: whole or not at all, the newest intact copy
 // wins, and nothing that happens to a file or a disk keeps a router from starting or holds it up. It has no opinion on what its
 // entries mean.
-package store
+package snapshot
 
 import (
 	"bytes"
--- a/internal/store/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -1,4 +1,4 @@
-package store
+package snapshot
 
 import (
 	"fmt"
