--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -5,11 +5,11 @@
 	"fmt"
 	"os"
 
-	"bendtrestle/internal/wire"
+	"bendtrestle/internal/simadapter"
 )
 
 func main() {
-	if err := wire.Serve(os.Stdin, os.Stdout); err != nil {
+	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/wire/wire.go
+++ b/internal/simadapter/wire.go
@@ -1,6 +1,6 @@
-// Package wire speaks the simulator's JSON lines: each event goes straight into a call of the decision
+// Package simadapter speaks the simulator's JSON lines: each event goes straight into a call of the decision
 // module, and each call that the module makes on its host becomes a line of the reply.
-package wire
+package simadapter
 
 import (
 	"bufio"
--- a/internal/wire/wire_test.go
+++ b/internal/simadapter/wire_test.go
@@ -1,4 +1,4 @@
-package wire
+package simadapter
 
 import (
 	"strings"
