--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -14,7 +14,7 @@
 
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/recovery"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
@@ -66,7 +66,7 @@
 	out := &form{}
 	log := zerolog.New(out).With().Timestamp().Logger()
 	read := func() (service.Setup, error) {
-		theirs, err := operators.Read(args.Operators)
+		theirs, err := operatorconfig.Read(args.Operators)
 		conf, other := config.Read(os.Getenv)
 		if err = errors.Join(err, other); err == nil { // both or none: a faulty file changes nothing
 			out.take(theirs.Log)
@@ -100,7 +100,7 @@
 	return os.Stderr.Write(p)
 }
 
-func (f *form) take(l operators.Log) {
+func (f *form) take(l operatorconfig.Log) {
 	f.console.Store(l.Form == "console")
 	if level, err := zerolog.ParseLevel(l.Level); err == nil { // checked when it was read
 		zerolog.SetGlobalLevel(level)
@@ -110,7 +110,7 @@
 type checkCommand struct{}
 
 func (checkCommand) Run(args *arguments) error {
-	theirs, err := operators.Read(args.Operators)
+	theirs, err := operatorconfig.Read(args.Operators)
 	ours, other := config.Describe(os.Getenv)
 	if err = errors.Join(err, other); err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -119,7 +119,7 @@
 	return printSettings(os.Stdout, ours, theirs)
 }
 
-func printSettings(out io.Writer, ours []config.Setting, theirs operators.File) error {
+func printSettings(out io.Writer, ours []config.Setting, theirs operatorconfig.File) error {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "KEY\tIN EFFECT\tFROM")
 	for _, s := range ours {
--- a/cmd/trestlelab/main.go
+++ b/cmd/trestlelab/main.go
@@ -16,7 +16,7 @@
 	"bendtrestle/internal/lab/baseline"
 	"bendtrestle/internal/lab/picture"
 	"bendtrestle/internal/lab/scale"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
@@ -311,7 +311,7 @@
 	}
 	signals := service.Signals()
 	read := func() (service.Setup, error) {
-		theirs, err := operators.Read(os.Getenv("GW_OPERATORS"))
+		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
 		conf, other := config.Read(os.Getenv)
 		return service.Setup{Platform: conf, Operators: theirs, Flat: c.Flat}, errors.Join(err, other)
 	}
--- a/internal/lab/helpers_test.go
+++ b/internal/lab/helpers_test.go
@@ -10,7 +10,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab/baseline"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 	"bendtrestle/internal/standin"
@@ -36,7 +36,7 @@
 		}
 	}
 	read := func() (service.Setup, error) {
-		theirs, err := operators.Read(os.Getenv("GW_OPERATORS"))
+		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
 		conf, other := config.Read(os.Getenv)
 		return service.Setup{Platform: conf, Operators: theirs}, errors.Join(err, other)
 	}
--- a/internal/lab/scale/helpers_test.go
+++ b/internal/lab/scale/helpers_test.go
@@ -15,7 +15,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/lab/scale/hollow"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
@@ -45,7 +45,7 @@
 func serve(log zerolog.Logger) error {
 	signals := service.Signals()
 	read := func() (service.Setup, error) {
-		theirs, err := operators.Read(os.Getenv("GW_OPERATORS"))
+		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
 		conf, other := config.Read(os.Getenv)
 		return service.Setup{Platform: conf, Operators: theirs}, errors.Join(err, other)
 	}
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/hollow/hollow_test.go
@@ -10,7 +10,7 @@
 	"testing"
 	"time"
 
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 
 	"github.com/rs/zerolog"
 )
@@ -149,7 +149,7 @@
 
 // What a router may spend here is what operators allow it.
 func TestGossipBudget(t *testing.T) {
-	if f, err := operators.Read(""); err != nil || f.Gossip.BytesPerSecond != GossipBudget {
+	if f, err := operatorconfig.Read(""); err != nil || f.Gossip.BytesPerSecond != GossipBudget {
 		t.Errorf("operators allow %v bytes, %v; here it is %v", f.Gossip.BytesPerSecond, err, GossipBudget)
 	}
 }
--- a/internal/operators/cold.go
+++ b/internal/operatorconfig/cold.go
@@ -1,4 +1,4 @@
-package operators
+package operatorconfig
 
 // Cold says up to how many routers keep no more for a cold server, all together, than what is put down to chance. With more each keeps a
 // request for it, so that it is used as its budget allows; a demand that comes from all at once may then be too much for it.
--- a/internal/operators/gossip.go
+++ b/internal/operatorconfig/gossip.go
@@ -1,4 +1,4 @@
-package operators
+package operatorconfig
 
 // Gossip says whether what routers tell each other of cache servers goes through the fleet by a few of them instead of from each to all.
 type Gossip struct {
--- a/internal/operators/operators.go
+++ b/internal/operatorconfig/operators.go
@@ -1,6 +1,6 @@
-// Package operators reads the operators' own file: what the platform's configuration has no word for. Without the file
+// Package operatorconfig reads the operators' own file: what the platform's configuration has no word for. Without the file
 // everything is as the platform says.
-package operators
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/operators/operators_test.go
+++ b/internal/operatorconfig/operators_test.go
@@ -1,4 +1,4 @@
-package operators
+package operatorconfig
 
 import (
 	"fmt"
--- a/internal/operators/recovery.go
+++ b/internal/operatorconfig/recovery.go
@@ -1,4 +1,4 @@
-package operators
+package operatorconfig
 
 // Recovery says whether a router keeps in its folder what helps its next process.
 type Recovery struct {
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -10,7 +10,7 @@
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/upstream"
 	"bendtrestle/internal/upstream/tileclient"
@@ -76,7 +76,7 @@
 }
 
 // named is how many descriptors are set apart for what the operators' file names: teams' listeners, and watches of pools' lists.
-func named(f operators.File) (n int) {
+func named(f operatorconfig.File) (n int) {
 	n = len(f.Pools) * config.PerWatch
 	for _, t := range f.Teams {
 		if t.Listen != "" {
@@ -99,7 +99,7 @@
 )
 
 // wire gives what a pool's servers speak.
-func (s *Service) wire(p operators.Pool) func(upstream.Link) upstream.Wire {
+func (s *Service) wire(p operatorconfig.Pool) func(upstream.Link) upstream.Wire {
 	if p.Protocol != "tiles" {
 		return upstream.Memcache
 	}
@@ -132,7 +132,7 @@
 
 // listen opens and closes the teams' listeners. One that cannot be opened is logged, and its team has none until the next
 // change.
-func (s *Service) listen(f operators.File) {
+func (s *Service) listen(f operatorconfig.File) {
 	if s.phase == Starting && s.beside > 0 {
 		return // the process before this one takes their clients
 	}
@@ -142,7 +142,7 @@
 			wanted[t.Listen] = true
 		}
 	}
-	speak := map[string]operators.TileFront{}
+	speak := map[string]operatorconfig.TileFront{}
 	for _, t := range f.TileFronts() {
 		speak[t.Listen] = t
 	}
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -10,7 +10,7 @@
 	"time"
 
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
@@ -38,11 +38,11 @@
 `
 
 // theirs reads an operators' file.
-func theirs(t *testing.T, text string) operators.File {
+func theirs(t *testing.T, text string) operatorconfig.File {
 	t.Helper()
 	path := filepath.Join(t.TempDir(), "operators.toml")
 	os.WriteFile(path, []byte(text), 0o600)
-	f, err := operators.Read(path)
+	f, err := operatorconfig.Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -20,7 +20,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
@@ -173,7 +173,7 @@
 // A configuration that comes after SIGTERM, or in one round with it, moves the list service and opens nothing.
 func TestAConfigurationAfterTheEndBegan(t *testing.T) {
 	s, _, _ := running(t, fleet(t, 0))
-	set := Setup{Platform: s.conf, Operators: operators.File{Teams: []operators.Team{{Name: "late", Listen: freeAddress(t), Budget: 1}}}}
+	set := Setup{Platform: s.conf, Operators: operatorconfig.File{Teams: []operatorconfig.Team{{Name: "late", Listen: freeAddress(t), Budget: 1}}}}
 	set.Platform.Discovery = "127.0.0.1:1"
 	on(s, func() bool {
 		s.leave()
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -16,7 +16,7 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 
 	"github.com/rs/zerolog"
 	"golang.org/x/sys/unix"
@@ -196,7 +196,7 @@
 	s, _ := next(t, addr, fleet(t, 0), dir)
 	serving(t, s)
 	d := on(s, func() *desk {
-		s.openZones(operators.File{Zones: operators.Zones{On: true}})
+		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		s.desk = &desk{s: s}
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -9,7 +9,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/gossip"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 )
 
 const (
@@ -25,7 +25,7 @@
 }
 
 // openGossip makes it where the operators want it, and where it costs less than telling all.
-func (s *Service) openGossip(f operators.File) {
+func (s *Service) openGossip(f operatorconfig.File) {
 	if !f.Gossip.On {
 		return
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -14,7 +14,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/requestcore"
 
@@ -93,7 +93,7 @@
 	for range 100 {
 		at = append(at, freeUDP(t))
 	}
-	set := operators.File{Gossip: operators.Gossip{On: true, BytesPerSecond: 7000}}
+	set := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}
 	var both []*Service
 	for me := range 2 {
 		conf := fleetOf(t, me, 100, at...)
@@ -130,15 +130,15 @@
 	for _, c := range []struct {
 		why     string
 		routers int
-		set     operators.Gossip
-	}{{"off", 100, operators.Gossip{BytesPerSecond: 7000}}, {"three routers", 3, operators.Gossip{On: true, BytesPerSecond: 7000}},
-		{"eighty routers", 80, operators.Gossip{On: true, BytesPerSecond: 7000}}} {
+		set     operatorconfig.Gossip
+	}{{"off", 100, operatorconfig.Gossip{BytesPerSecond: 7000}}, {"three routers", 3, operatorconfig.Gossip{On: true, BytesPerSecond: 7000}},
+		{"eighty routers", 80, operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}} {
 		peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer peer.Close()
-		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operators.File{Gossip: c.set}}, requestcore.Logic, zerolog.Nop())
+		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.Logic, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -158,7 +158,7 @@
 	log := &noted{}
 	conf := fleetOf(t, 0, 100, freeUDP(t))
 	conf.Settings.Peers = false
-	s, err := assemble(Setup{Platform: conf, Operators: operators.File{Gossip: operators.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.Logic, zerolog.New(log))
+	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.Logic, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -11,7 +11,7 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/snapshot"
 
 	"github.com/fxamacker/cbor/v2"
@@ -36,7 +36,7 @@
 }
 
 // openRecovery begins to follow this start. What was kept from before is read here, and used where it may still be believed.
-func (s *Service) openRecovery(f operators.File) {
+func (s *Service) openRecovery(f operatorconfig.File) {
 	w := &recoveryWatch{s: s, start: recovery.Begin(s.loop.Now()), at: s.loop.Now()}
 	s.recovery = w
 	base := snapshot.Path(s.conf.Shared, s.conf.Listen)
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -17,7 +17,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/hotrestart"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/snapshot"
 
@@ -51,8 +51,8 @@
 			flows = append(flows, set.Flow)
 			return balancer.New(now, set, host)
 		}
-		x, err := assemble(Setup{Platform: conf, Operators: operators.File{Recovery: operators.Recovery{On: true},
-			Pools: []operators.Pool{{Name: "other", Discovery: "127.0.0.1:1", Connections: 0.3}}}}, maker, zerolog.Nop())
+		x, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true},
+			Pools: []operatorconfig.Pool{{Name: "other", Discovery: "127.0.0.1:1", Connections: 0.3}}}}, maker, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -131,7 +131,7 @@
 			}
 			ready := make(chan *Service, 1)
 			go func() {
-				s, err := assemble(Setup{Platform: conf, Operators: operators.File{Recovery: operators.Recovery{On: true}, Zones: operators.Zones{On: true}}},
+				s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}},
 					requestcore.Logic, zerolog.Nop())
 				if err != nil {
 					t.Error(err)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -23,7 +23,7 @@
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/hotrestart"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
@@ -93,7 +93,7 @@
 	offer     *hotrestart.Offer       // where the process after this one asks
 	beside    int                     // processes of this router that run beside this one
 	heirs     int                     // of these, later ones that take clients
-	operators operators.File          // as last taken
+	operators operatorconfig.File     // as last taken
 	later     bool                    // the clients' address is shared once this process serves
 	draining  bool                    // clients are sent away
 	drains    int                     // how often that began or ended
@@ -103,7 +103,7 @@
 // Setup is all that a router is told: by the platform, and by its operators.
 type Setup struct {
 	Platform  config.Config
-	Operators operators.File
+	Operators operatorconfig.File
 	Flat      float64 // of a laboratory: what every operation counts of a budget, whatever it takes
 }
 
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -12,7 +12,7 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/hotrestart"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 )
 
 // looking is the time between two looks at the zones: a third of the shortest times that are promised, and far above what a look takes.
@@ -29,7 +29,7 @@
 }
 
 // openZones makes the watch where the operators want it.
-func (s *Service) openZones(f operators.File) {
+func (s *Service) openZones(f operatorconfig.File) {
 	if !f.Zones.On {
 		return
 	}
@@ -62,7 +62,7 @@
 }
 
 // reconfigure takes the operators' file anew.
-func (w *zoneWatch) reconfigure(f operators.File) {
+func (w *zoneWatch) reconfigure(f operatorconfig.File) {
 	if w == nil {
 		return
 	}
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -5,14 +5,14 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/zones"
-	"bendtrestle/internal/operators"
+	"bendtrestle/internal/operatorconfig"
 )
 
 // How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
 func TestWhatSpeaksOfZones(t *testing.T) {
 	s, _ := next(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
 	on(s, func() bool {
-		s.openZones(operators.File{Zones: operators.Zones{On: true}})
+		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		return true
 	})
