--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -11,13 +11,13 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/decide/bulkhead"
-	"bendtrestle/internal/decide/contracts"
+	"bendtrestle/internal/policy/quota"
 	"bendtrestle/internal/requestcore"
 )
 
 // Terms are what a team and the operators have agreed on, and how the team's traffic is known.
 type Terms struct {
-	contracts.Contract
+	quota.Contract
 	Pool   string // "": the platform's
 	Listen string // an address of its own; what comes in there is the team's
 	Tenant string // the tenant that its clients name
@@ -76,8 +76,8 @@
 // pool is one pool with its budgets.
 type pool struct {
 	Pool
-	budgets *contracts.Pool
-	parts   *contracts.Parts
+	budgets *quota.Pool
+	parts   *quota.Parts
 	out     *bulkhead.Places // operations, as many as there are connections to its servers
 }
 
@@ -243,7 +243,7 @@
 // account is one operation of a team. It ends under the contract it began with.
 type account struct {
 	team   *team
-	ticket *contracts.Ticket
+	ticket *quota.Ticket
 	took   float64
 }
 
@@ -331,11 +331,11 @@
 	for _, p := range pools {
 		mine := old[p.Name]
 		if mine == nil {
-			mine = &pool{budgets: contracts.NewPool(now, p.Capacity, b.seed+uint32(len(b.pools))), out: bulkhead.New(p.Connections)}
-			mine.parts = contracts.NewParts(mine.budgets, b.me, b.routers)
+			mine = &pool{budgets: quota.NewPool(now, p.Capacity, b.seed+uint32(len(b.pools))), out: bulkhead.New(p.Connections)}
+			mine.parts = quota.NewParts(mine.budgets, b.me, b.routers)
 		}
 		mine.Pool = p
-		var theirs []contracts.Contract
+		var theirs []quota.Contract
 		var types []balancer.TrafficType
 		weights := map[string]float64{}
 		for _, t := range all {
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -4,7 +4,7 @@
 	"testing"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/contracts"
+	"bendtrestle/internal/policy/quota"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
@@ -74,7 +74,7 @@
 }
 
 func terms(team, pool string, budget float64) Terms {
-	return Terms{Contract: contracts.Contract{Team: team, Budget: budget, Burst: budget}, Pool: pool, Tenant: team,
+	return Terms{Contract: quota.Contract{Team: team, Budget: budget, Burst: budget}, Pool: pool, Tenant: team,
 		Types: []balancer.TrafficType{view}}
 }
 
--- a/internal/operatorconfig/contracts.go
+++ b/internal/operatorconfig/contracts.go
@@ -9,7 +9,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/broker"
-	"bendtrestle/internal/decide/contracts"
+	"bendtrestle/internal/policy/quota"
 	"bendtrestle/internal/tiles"
 )
 
@@ -255,7 +255,7 @@
 			burst = *t.Burst
 		}
 		terms := broker.Terms{Pool: t.Pool, Listen: t.Listen, Tenant: t.Tenant, Prefix: t.Prefix,
-			Contract: contracts.Contract{Team: t.Name, Budget: t.Budget, Burst: burst, Borrow: t.Borrow, Weight: t.Weight}}
+			Contract: quota.Contract{Team: t.Name, Budget: t.Budget, Burst: burst, Borrow: t.Borrow, Weight: t.Weight}}
 		for _, k := range t.Types {
 			terms.Types = append(terms.Types, balancer.TrafficType{Name: k.Name, Effect: effects[k.Effect], Group: groups[k.Group],
 				Window: k.Window, PromisedTime: k.PromisedMS / 1e3, HardStop: k.HardStopMS / 1e3, Benefit: k.Benefit,
--- a/internal/decide/contracts/contracts.go
+++ b/internal/policy/quota/contracts.go
@@ -1,11 +1,11 @@
-// Package contracts decides whether a team's operation is admitted. A team's budget is of load: seconds that executions
+// Package quota decides whether a team's operation is admitted. A team's budget is of load: seconds that executions
 // really take at servers, for each second of time. It does no I/O and has no clock: times come in as arguments.
 //
 // Each team has a balance that fills at its budget's rate up to its burst. An operation is admitted while the balance is
 // above 0, whatever others do; it is charged an estimate at once and what it really took at its end. What a full balance
 // cannot take, and what the pool's capacity has beyond all budgets, is what is left unused: it is shared by weight
 // among the teams that ask for more than their own, and stops the moment its owner spends again.
-package contracts
+package quota
 
 import (
 	"cmp"
--- a/internal/decide/contracts/contracts_test.go
+++ b/internal/policy/quota/contracts_test.go
@@ -1,4 +1,4 @@
-package contracts
+package quota
 
 import (
 	"fmt"
