--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -13,7 +13,7 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/pace"
+	"bendtrestle/internal/policy/pollschedule"
 
 	"github.com/rs/zerolog"
 )
@@ -58,7 +58,7 @@
 	}
 }
 
-var quick = pace.Rhythm{Hold: 2, Late: 0.5, Gap: 10, Lag: 0.1, Most: 1, Pace: pace.Pace{First: 0.1, Most: 0.1}}
+var quick = pollschedule.Rhythm{Hold: 2, Late: 0.5, Gap: 10, Lag: 0.1, Most: 1, Pace: pollschedule.Pace{First: 0.1, Most: 0.1}}
 
 // The first call asks for the whole list, the next for what is newer, and a failure leaves the list and is
 // tried again from where it was, by a call that does not wait for news.
@@ -174,7 +174,7 @@
 // An agent is silent while discovery is down, and what it gets at the return counts as told at once: the calls that hang from
 // before must not hide it. So others are made beside them, and the first that is answered tells.
 func TestACallThatHangsHidesNothing(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pace.Pushed(0.5, 1)})
+	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.5, 1)})
 	first, second, third := next(t, "call", a.calls), next(t, "call beside the one that hangs", a.calls), next(t, "third call", a.calls)
 	a.out(first)
 	a.out(second)
@@ -198,7 +198,7 @@
 
 // An agent that is only slow is heard, though others were called beside that call; what those tell later is not taken for news.
 func TestASlowAnswerCountsAndAnOlderOneDoesNot(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pace.Pushed(0.5, 1)})
+	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.5, 1)})
 	first, second := next(t, "call", a.calls), next(t, "call beside it", a.calls)
 	first.answer <- list(44)
 	if l := next(t, "list", a.news); l.Generation != 44 {
@@ -220,8 +220,8 @@
 // A service that answers all routers has one call of each at a time. One that falls silent is called anew at once, one that is
 // silent again or turns the call away only after a wait.
 func TestASilentServiceIsCalledAnewAtOnceAndOneThatIsFullLater(t *testing.T) {
-	never := pace.Pace{First: 1e6, Most: 1e6}
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pace.Rhythm{Hold: 0.05, Late: 0.05, Gap: 1e7, Most: 1, Pace: never}})
+	never := pollschedule.Pace{First: 1e6, Most: 1e6}
+	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Rhythm{Hold: 0.05, Late: 0.05, Gap: 1e7, Most: 1, Pace: never}})
 	first := next(t, "call", a.calls)
 	<-first.given
 	second := next(t, "call after the silent one", a.calls)
@@ -231,7 +231,7 @@
 		t.Error("a service that is silent again is called at once")
 	case <-time.After(300 * time.Millisecond):
 	}
-	b := asking(t, Start{Known: 41, Same: true, Rhythm: pace.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Most: 1, Pace: never}})
+	b := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Most: 1, Pace: never}})
 	next(t, "call", b.calls).answer <- ""
 	select {
 	case <-b.calls:
@@ -250,7 +250,7 @@
 	defer server.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	rhythm := pace.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Lag: 0.1, Most: 1, Pace: pace.Pace{First: 1e6, Most: 1e6}}
+	rhythm := pollschedule.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Lag: 0.1, Most: 1, Pace: pollschedule.Pace{First: 1e6, Most: 1e6}}
 	go Watch(ctx, server.Listener.Addr().String(), Start{Rhythm: rhythm}, func(List) error { return ErrOld }, func(error) {}, zerolog.Nop())
 	for range 2 {
 		if query := next(t, "call", calls); query != "" {
@@ -262,7 +262,7 @@
 // An agent that is only slow is heard, though more calls were begun beside the first than may be out: on a busy machine one that takes
 // longer than a short grace allows for all of them would never be.
 func TestASlowAgentIsHeardThoughMoreAreCalledThanMayBeOut(t *testing.T) {
-	rhythm := pace.Pushed(0.1, 1)
+	rhythm := pollschedule.Pushed(0.1, 1)
 	rhythm.Slow = 1e6
 	a := asking(t, Start{Known: 41, Same: true, Rhythm: rhythm})
 	first := next(t, "call", a.calls)
@@ -315,7 +315,7 @@
 // What hangs is given up wherever it stands: before the first byte, in the middle of a body, or with a connection that never comes up; what
 // had come of it tells nothing. A watch that falls silent, on a connection that stays open, is no other.
 func TestWhereverACallHangsTheNextIsMade(t *testing.T) {
-	for _, rhythm := range []pace.Rhythm{pace.Pushed(0.5, 1), pace.OnRequest(8, 1)} {
+	for _, rhythm := range []pollschedule.Rhythm{pollschedule.Pushed(0.5, 1), pollschedule.OnRequest(8, 1)} {
 		s := speak(t)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
@@ -345,7 +345,7 @@
 
 // A call that hangs while all others are turned away at once ends by itself.
 func TestACallThatHangsEndsWhileOthersAreTurnedAway(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pace.Pushed(0.1, 1)})
+	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.1, 1)})
 	first := next(t, "call", a.calls)
 	for late := time.After(10 * time.Second); ; {
 		select {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -9,7 +9,7 @@
 	"net/http"
 	"time"
 
-	"bendtrestle/internal/decide/pace"
+	"bendtrestle/internal/policy/pollschedule"
 
 	"github.com/rs/zerolog"
 )
@@ -23,7 +23,7 @@
 type Start struct {
 	Known  uint64 // the generation of the last list
 	Same   bool   // the list service is the one that told it: changes since then will do
-	Rhythm pace.Rhythm
+	Rhythm pollschedule.Rhythm
 }
 
 // ErrOld tells that a list is older than what is known: it is not taken, and the whole list is asked for again.
@@ -45,7 +45,7 @@
 	ctx    context.Context
 	client *http.Client
 	addr   string
-	calls  pace.Calls
+	calls  pollschedule.Calls
 	began  time.Time
 	stop   map[int]context.CancelFunc // of the calls that are out
 	whole  bool                       // the whole list is to be asked for
@@ -68,7 +68,7 @@
 	dialer := &net.Dialer{Timeout: connected, KeepAlive: -1}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	w := &watch{ctx: ctx, client: client, addr: addr, calls: pace.Calls{Rhythm: start.Rhythm}, began: time.Now(), stop: map[int]context.CancelFunc{},
+	w := &watch{ctx: ctx, client: client, addr: addr, calls: pollschedule.Calls{Rhythm: start.Rhythm}, began: time.Now(), stop: map[int]context.CancelFunc{},
 		whole: !start.Same, from: start.Known, ended: make(chan *call), next: time.NewTimer(0), news: news, failed: failed, log: log}
 	for {
 		select {
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/hollow/hollow.go
@@ -9,9 +9,9 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/eventloop"
+	"bendtrestle/internal/policy/pollschedule"
 
 	"github.com/rs/zerolog"
 )
@@ -88,7 +88,7 @@
 // follow watches a list service as a real router does, until ctx ends.
 func (r *router) follow(ctx context.Context, addr string, seed uint32, log zerolog.Logger) {
 	const grace = 0.5 // seconds of a drain, as in the real routers' configuration
-	start := discovery.Start{Known: r.generation, Same: true, Rhythm: pace.Pushed(grace, seed)}
+	start := discovery.Start{Known: r.generation, Same: true, Rhythm: pollschedule.Pushed(grace, seed)}
 	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
 		taken := make(chan struct{})
 		r.loop.Post(func() {
--- a/internal/decide/pace/calls.go
+++ b/internal/policy/pollschedule/calls.go
@@ -1,4 +1,4 @@
-package pace
+package pollschedule
 
 import "slices"
 
--- a/internal/decide/pace/pace.go
+++ b/internal/policy/pollschedule/pace.go
@@ -1,6 +1,6 @@
-// Package pace decides how long a caller waits before a call that failed is made anew, so that many callers of one service
+// Package pollschedule decides how long a caller waits before a call that failed is made anew, so that many callers of one service
 // do not keep it full: each call made too early is one that the service turns away, and so is the next.
-package pace
+package pollschedule
 
 import (
 	"encoding/binary"
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -7,9 +7,9 @@
 	"slices"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/pace"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/policy/pollschedule"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
 
@@ -29,7 +29,7 @@
 	entries  map[uint64]discovery.Entry // the present list
 	told     uint64                     // the list's generation as the list service last told it
 	last     discovery.List             // the list as the router's last run had it
-	rhythm   pace.Rhythm                // of calls to the list service
+	rhythm   pollschedule.Rhythm        // of calls to the list service
 	watch    *watch                     // whose news count
 	next     *watch                     // that watch's successor, until it has told a whole list
 	log      zerolog.Logger
@@ -46,9 +46,9 @@
 // newPool makes one without servers.
 func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(upstream.Link) upstream.Wire) *pool {
 	p := &pool{s: s, name: name, onDemand: set.OnRequest, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
-	p.rhythm = pace.Pushed(s.conf.DrainGrace, set.Seed)
+	p.rhythm = pollschedule.Pushed(s.conf.DrainGrace, set.Seed)
 	if set.OnRequest {
-		p.rhythm = pace.OnRequest(set.AskWithin, set.Seed)
+		p.rhythm = pollschedule.OnRequest(set.AskWithin, set.Seed)
 	}
 	if name != "" {
 		p.log = s.log.With().Str("pool", name).Logger()
