--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/startup"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
 
@@ -132,7 +132,7 @@
 		w.Flush()
 		fmt.Fprintln(out)
 		fmt.Fprintln(w, "KEPT FOR THE NEXT PROCESS\tRULE\tUSED FOR\tUNTIL SOMETHING NEWER")
-		for _, k := range recovery.Kinds {
+		for _, k := range startup.Kinds {
 			age := "any time"
 			if k.Oldest > 0 {
 				age = fmt.Sprintf("%v s", k.Oldest)
--- a/internal/decide/recovery/recovery.go
+++ b/internal/policy/startup/recovery.go
@@ -1,6 +1,6 @@
-// Package recovery says how far a router has come since its start, and what of what was kept from before may still be believed. It is
+// Package startup says how far a router has come since its start, and what of what was kept from before may still be believed. It is
 // stepped: what happens goes in with its time, phases come out.
-package recovery
+package startup
 
 import (
 	"fmt"
--- a/internal/decide/recovery/recovery_test.go
+++ b/internal/policy/startup/recovery_test.go
@@ -1,4 +1,4 @@
-package recovery
+package startup
 
 import (
 	"math"
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -9,9 +9,9 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
-	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/startup"
 	"bendtrestle/internal/snapshot"
 
 	"github.com/fxamacker/cbor/v2"
@@ -26,7 +26,7 @@
 // recoveryWatch follows a start to full service, and keeps what helps the next. A nil one does nothing.
 type recoveryWatch struct {
 	s      *Service
-	start  *recovery.Start
+	start  *startup.Start
 	store  *snapshot.Store // nil: nothing is kept
 	rate   float64
 	done   uint64  // operations finished when the rate was last reckoned
@@ -37,7 +37,7 @@
 
 // openRecovery begins to follow this start. What was kept from before is read here, and used where it may still be believed.
 func (s *Service) openRecovery(f operatorconfig.File) {
-	w := &recoveryWatch{s: s, start: recovery.Begin(s.loop.Now()), at: s.loop.Now()}
+	w := &recoveryWatch{s: s, start: startup.Begin(s.loop.Now()), at: s.loop.Now()}
 	s.recovery = w
 	base := snapshot.Path(s.conf.Shared, s.conf.Listen)
 	if !f.Recovery.On {
@@ -49,17 +49,17 @@
 	}
 	w.store = snapshot.Open(base, s.conf.Listen, s.log)
 	now := s.loop.Now()
-	if e, there := w.store.Get(recovery.Rate); there {
+	if e, there := w.store.Get(startup.Rate); there {
 		w.number = e.Generation
 		x, err := strconv.ParseFloat(string(e.Body), 64)
-		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && recovery.Believe(recovery.Rate, e.At, now); ok {
+		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Believe(startup.Rate, e.At, now); ok {
 			s.conf.Settings.Flow, w.rate = x, x
 		}
 		s.log.Info().Float64("rate", x).Float64("age", now-e.At).Bool("used", s.conf.Settings.Flow > 0).Msg("kept from before")
 	}
-	if e, there := w.store.Get(recovery.List); there {
+	if e, there := w.store.Get(startup.List); there {
 		w.number = max(w.number, e.Generation)
-		if len(s.conf.Known.Entries) == 0 && e.From == s.conf.Discovery && recovery.Believe(recovery.List, e.At, now) {
+		if len(s.conf.Known.Entries) == 0 && e.From == s.conf.Discovery && startup.Believe(startup.List, e.At, now) {
 			s.conf.Known = keptList(e, now)
 			s.log.Info().Uint64("generation", s.conf.Known.Generation).Int("servers", len(s.conf.Known.Entries)).Float64("age", now-e.At).
 				Msg("the list of before is used until another comes")
@@ -108,11 +108,11 @@
 		w.rate += (float64(c.Finished-w.done)/passed - w.rate) * (1 - math.Exp(-passed/rateOver))
 		w.done, w.at = c.Finished, now
 	}
-	if p, _, _ := w.start.Phase(); w.store != nil && p == recovery.Full && now-w.put > putting {
+	if p, _, _ := w.start.Phase(); w.store != nil && p == startup.Full && now-w.put > putting {
 		w.put = now
-		w.keep(recovery.Rate, "this router", []byte(fmt.Sprintf("%.6g", w.usual(now))))
+		w.keep(startup.Rate, "this router", []byte(fmt.Sprintf("%.6g", w.usual(now))))
 	}
-	if p, _, _ := w.start.Phase(); w.store != nil || p < recovery.Full { // else there is nothing left to do
+	if p, _, _ := w.start.Phase(); w.store != nil || p < startup.Full { // else there is nothing left to do
 		w.s.loop.After(stepping, w.tick)
 	}
 }
@@ -144,7 +144,7 @@
 	}
 	if w.start.Known(ready, confirmed); confirmed && w.store != nil {
 		if body, err := cbor.Marshal(k); err == nil {
-			w.keep(recovery.List, w.s.conf.Discovery, body)
+			w.keep(startup.List, w.s.conf.Discovery, body)
 		}
 	}
 }
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -15,9 +15,9 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/decide/recovery"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/startup"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/snapshot"
 
@@ -39,8 +39,8 @@
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Member{ID: 1, Mode: balancer.InService, Started: 5}), "127.0.0.1:2"}}})
-		s.Put(recovery.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
-		s.Put(recovery.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
+		s.Put(startup.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
+		s.Put(startup.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
 		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
@@ -163,15 +163,15 @@
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	on(s, func() bool {
-		phase := func() recovery.Phase {
+		phase := func() startup.Phase {
 			s.recovery.start.Tick(s.loop.Now(), 0, 0)
 			p, _, _ := s.recovery.start.Phase()
 			return p
 		}
-		if s.platform.failed(s.platform.next); phase() != recovery.Listed {
+		if s.platform.failed(s.platform.next); phase() != startup.Listed {
 			t.Errorf("after a call that failed the start is %s", phase())
 		}
-		if err := s.platform.news(s.platform.next, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != recovery.Confirmed {
+		if err := s.platform.news(s.platform.next, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
 		return true
