--- a/internal/decide/tier/tier.go
+++ b/internal/policy/fleetsize/tier.go
@@ -1,5 +1,5 @@
-// Package tier counts the routers of a tier by those that are heard. It is stepped: what is heard goes in with its time.
-package tier
+// Package fleetsize counts the routers of a tier by those that are heard. It is stepped: what is heard goes in with its time.
+package fleetsize
 
 // Count is one router's view of how many there are.
 type Count[From comparable] struct {
--- a/internal/decide/tier/tier_test.go
+++ b/internal/policy/fleetsize/tier_test.go
@@ -1,4 +1,4 @@
-package tier
+package fleetsize
 
 import "testing"
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,13 +18,13 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/decide/tier"
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/peertransport"
+	"bendtrestle/internal/policy/fleetsize"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
 
@@ -75,9 +75,9 @@
 	leaving   []*pool          // that are no longer named and have operations open
 	module    requestcore.Maker
 	peers     *peertransport.Peers
-	tier      *tier.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
-	routers   int                         // as the modules were told last; 0: by the settings
-	desk      *desk                       // what the operators' door calls; nil: there is none
+	tier      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
+	routers   int                              // as the modules were told last; 0: by the settings
+	desk      *desk                            // what the operators' door calls; nil: there is none
 	door      *admin.Door
 	loaded    uint64                     // configurations that were taken, the first one too
 	invalid   uint64                     // that were not
@@ -211,7 +211,7 @@
 		s.log.Info().Stringer("loadInfo", c.Reports).Msg("reports of load are not to be had on this protocol: own counts and the list's weights decide")
 	}
 	if (c.Settings.Peers || len(set.Operators.Teams) > 0) && c.PeerListen != "" {
-		s.tier = tier.New[netip.AddrPort](c.Settings.Routers)
+		s.tier = fleetsize.New[netip.AddrPort](c.Settings.Routers)
 		heard := func(from netip.AddrPort, place int, words []byte) {
 			s.loop.Post(func() { s.heard(from, place, words) })
 		}
