--- a/internal/lab/scale/hear.go
+++ b/internal/lab/scale/hear.go
@@ -7,8 +7,8 @@
 	"slices"
 	"time"
 
-	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/discovery"
+	"bendtrestle/internal/policy/zonefailover"
 )
 
 // usualWord is what the module says: five servers, each with a usual time.
@@ -29,9 +29,9 @@
 		servers[one.Zone]++
 		ids[uint16(discovery.ID(one.Name))] = true
 	}
-	fleets, at := make([]*zones.Fleet, voices), make([]float64, voices)
+	fleets, at := make([]*zonefailover.Fleet, voices), make([]float64, voices)
 	for n := range fleets {
-		fleets[n] = zones.New(zones.Settings{Me: n + 1, Routers: voices + 1, Life: 1, WarmWithin: 9})
+		fleets[n] = zonefailover.New(zonefailover.Settings{Me: n + 1, Routers: voices + 1, Life: 1, WarmWithin: 9})
 		fleets[n].Listed(0, servers, ids)
 	}
 	return func(n int) []byte {
--- a/internal/decide/zones/zones.go
+++ b/internal/policy/zonefailover/zones.go
@@ -1,7 +1,7 @@
-// Package zones decides which part of its keys each zone serves: all, a growing part while it returns, or none. A router
+// Package zonefailover decides which part of its keys each zone serves: all, a growing part while it returns, or none. A router
 // alone never decides it: each tells the others what it sees of a zone, and all come to the same verdict from the same
 // evidence. It is stepped: executions, words, lists and ticks go in with their time, shares and words come out.
-package zones
+package zonefailover
 
 import (
 	"cmp"
--- a/internal/decide/zones/zones_test.go
+++ b/internal/policy/zonefailover/zones_test.go
@@ -1,4 +1,4 @@
-package zones
+package zonefailover
 
 import (
 	"fmt"
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -10,9 +10,9 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
-	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/zonefailover"
 )
 
 // looking is the time between two looks at the zones: a third of the shortest times that are promised, and far above what a look takes.
@@ -22,7 +22,7 @@
 // one does nothing: zones are off.
 type zoneWatch struct {
 	s     *Service
-	fleet *zones.Fleet
+	fleet *zonefailover.Fleet
 	bans  *hotrestart.Bans // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
@@ -36,7 +36,7 @@
 	c := s.conf
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 	w := &zoneWatch{s: s, hand: map[string]bool{}, twins: map[string]bool{}}
-	w.fleet = zones.New(zones.Settings{Me: c.Settings.Me, Routers: c.Settings.Routers, Life: uint16(life), WarmWithin: c.Settings.WarmWithin,
+	w.fleet = zonefailover.New(zonefailover.Settings{Me: c.Settings.Me, Routers: c.Settings.Routers, Life: uint16(life), WarmWithin: c.Settings.WarmWithin,
 		Regions: f.Groups()})
 	s.zones = w
 	if c.Settings.Routers > 1 && (s.peers == nil || !c.Settings.Peers) {
@@ -161,20 +161,20 @@
 
 // Ended takes how it went.
 func (w *zoneWatch) Ended(zone string, mark uint64, how balancer.Outcome, took, within float64) {
-	end := zones.Unsaid
+	end := zonefailover.Unsaid
 	switch how {
 	case balancer.Finished, balancer.Error, balancer.NotStored: // also an error is an answer
-		if end = zones.Answered; took > within {
-			end = zones.Late
+		if end = zonefailover.Answered; took > within {
+			end = zonefailover.Late
 		}
 	case balancer.TurnedAway:
-		end = zones.Full
+		end = zonefailover.Full
 	case balancer.NoAnswer:
 		if took >= within { // else its client was in a hurry
-			end = zones.Silent
+			end = zonefailover.Silent
 		}
 	case balancer.NoConnection, balancer.ConnectionLost:
-		end = zones.Silent
+		end = zonefailover.Silent
 	}
 	w.fleet.Ended(w.now(), zone, mark, end)
 }
@@ -212,9 +212,9 @@
 	left, returning, moves := uint64(0), uint64(0), uint64(0)
 	for _, z := range w.fleet.States(w.now()) {
 		switch moves += z.Moves; z.State {
-		case zones.Left, zones.Tried:
+		case zonefailover.Left, zonefailover.Tried:
 			left++
-		case zones.Returning:
+		case zonefailover.Returning:
 			returning++
 		}
 	}
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -4,8 +4,8 @@
 	"testing"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/zones"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/zonefailover"
 )
 
 // How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
@@ -23,7 +23,7 @@
 	}{{balancer.NoAnswer, 0.5, true}, {balancer.NoAnswer, 0.05, false}, {balancer.NoConnection, 0, true}, {balancer.ConnectionLost, 0, true},
 		{balancer.NotSent, 0.5, false}, {balancer.Withdrawn, 0.5, false}, {balancer.Error, 0.1, false}, {balancer.TurnedAway, 0, false}} {
 		suspected := on(s, func() int {
-			f := zones.New(zones.Settings{Routers: 1})
+			f := zonefailover.New(zonefailover.Settings{Routers: 1})
 			s.zones.fleet = f
 			f.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 			s.zones.Ended("a", s.zones.Began("a", 0.2), c.how, c.took, 0.2)
