--- a/internal/lab/scale/gossips.go
+++ b/internal/lab/scale/gossips.go
@@ -6,8 +6,8 @@
 	"strings"
 	"time"
 
-	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/lab/scale/hollow"
+	"bendtrestle/internal/policy/gossip"
 )
 
 const (
--- a/internal/lab/scale/hollow/gossip.go
+++ b/internal/lab/scale/hollow/gossip.go
@@ -7,8 +7,8 @@
 	"strconv"
 	"time"
 
-	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/peertransport"
+	"bendtrestle/internal/policy/gossip"
 )
 
 // GossipBudget is bytes a second, in and out with headers, that a router may spend: what operators allow unless they say otherwise.
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -8,8 +8,8 @@
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/policy/gossip"
 )
 
 const (
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -12,10 +12,10 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/decide/gossip"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/peertransport"
+	"bendtrestle/internal/policy/gossip"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
