--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -10,7 +10,7 @@
 	"strings"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/decide/bulkhead"
+	"bendtrestle/internal/policy/bulkhead"
 	"bendtrestle/internal/policy/quota"
 	"bendtrestle/internal/requestcore"
 )
