--- a/internal/lab/exits.go
+++ b/internal/lab/exits.go
@@ -6,7 +6,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"bendtrestle/internal/lab/relay"
+	"bendtrestle/internal/lab/faultproxy"
 )
 
 // Exit is how the fleet took one loss of a zone or a region, as relays, stand-ins and clients saw it.
@@ -46,7 +46,7 @@
 		x := Exit{Fault: f.Kind + " " + f.Target, At: f.At, Bears: float64(s.Ledger.AtOnce) / (s.Ledger.TakesMS / 1e3),
 			LostAt: lostBetween(rec, begin, min(begin+watched, end)), LostBack: lostBetween(rec, end, min(end+watched, until))}
 		x.leaving(rec, t, begin, end)
-		in := func(zone string) bool { return t(relay.End{Kind: relay.Server, Zone: zone}) }
+		in := func(zone string) bool { return t(faultproxy.End{Kind: faultproxy.Server, Zone: zone}) }
 		x.returning(rec, in, begin, end, until)
 		all = append(all, x)
 	}
@@ -67,10 +67,10 @@
 	return 1 - share(gained, asked)
 }
 
-func (x *Exit) leaving(rec *Records, in func(relay.End) bool, begin, end float64) {
+func (x *Exit) leaving(rec *Records, in func(faultproxy.End) bool, begin, end float64) {
 	last, done := map[int]float64{}, map[int]bool{}
 	for _, b := range rec.Burnt {
-		if b.At < begin || b.At >= end || !in(b.To) || in(relay.End{Kind: relay.Router, N: b.Router}) {
+		if b.At < begin || b.At >= end || !in(b.To) || in(faultproxy.End{Kind: faultproxy.Router, N: b.Router}) {
 			continue
 		}
 		x.Burnt++
--- a/internal/lab/relay/conns.go
+++ b/internal/lab/faultproxy/conns.go
@@ -1,4 +1,4 @@
-package relay
+package faultproxy
 
 import (
 	"io"
--- a/internal/lab/relay/relay.go
+++ b/internal/lab/faultproxy/relay.go
@@ -1,7 +1,7 @@
-// Package relay stands between processes: words between routers, and connections from routers to cache servers and to the
+// Package faultproxy stands between processes: words between routers, and connections from routers to cache servers and to the
 // list service, go through relays of the laboratory, which cut, delay, lose, double and reorder what they carry, in either
 // direction by itself, and heal. A relay notes what a router wanted to send where nothing came through.
-package relay
+package faultproxy
 
 import (
 	"cmp"
--- a/internal/lab/part.go
+++ b/internal/lab/part.go
@@ -8,7 +8,7 @@
 	"time"
 
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab/relay"
+	"bendtrestle/internal/lab/faultproxy"
 )
 
 // zoneName names the n-th zone; servers and routers are in them in turn.
@@ -89,25 +89,25 @@
 
 // group reads who is meant: router:N, routers:COUNT, routers:PART%, routers, server:N, servers, lists, zone:N, region:NAME. The first
 // so many routers are meant where a count is, so that a run is the same each time.
-func (s *Scenario) group(text string, servers func() []*emulator.Server) (func(relay.End) bool, error) {
+func (s *Scenario) group(text string, servers func() []*emulator.Server) (func(faultproxy.End) bool, error) {
 	what, of, _ := strings.Cut(text, ":")
-	none := func(relay.End) bool { return false }
+	none := func(faultproxy.End) bool { return false }
 	switch what {
 	case "zone", "region":
 		zones, err := s.zonesOf(what, of)
 		if err != nil {
 			return none, fmt.Errorf("%q: %w", text, err)
 		}
-		return func(e relay.End) bool {
-			return e.Kind == relay.Server && slices.Contains(zones, e.Zone) || e.Kind == relay.Router && slices.Contains(zones, s.routerZone(e.N))
+		return func(e faultproxy.End) bool {
+			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.N))
 		}, nil
 	case "router", "routers":
 		t, err := s.target("router", text, "")
 		if err != nil {
 			return none, err
 		}
-		return func(e relay.End) bool {
-			return e.Kind == relay.Router && (t.number >= 0 && e.N == t.number || t.number < 0 && e.N < t.count)
+		return func(e faultproxy.End) bool {
+			return e.Kind == faultproxy.Router && (t.number >= 0 && e.N == t.number || t.number < 0 && e.N < t.count)
 		}, nil
 	case "server", "servers":
 		t, err := s.target("server", text, "")
@@ -117,41 +117,41 @@
 		if t.number < 0 && text != "servers" {
 			return none, fmt.Errorf("%q: of servers, a part is from one, from a zone, from a region or from all", text)
 		}
-		return func(e relay.End) bool {
-			return e.Kind == relay.Server && (t.number < 0 || e.Name == servers()[t.number].Name)
+		return func(e faultproxy.End) bool {
+			return e.Kind == faultproxy.Server && (t.number < 0 || e.Name == servers()[t.number].Name)
 		}, nil
 	case "lists":
-		return func(e relay.End) bool { return e.Kind == relay.List }, nil
+		return func(e faultproxy.End) bool { return e.Kind == faultproxy.List }, nil
 	}
 	return none, fmt.Errorf("%q is not router:N, routers:COUNT, routers:PART%%, routers, server:N, servers, lists, zone:N or region:NAME", text)
 }
 
 // rule makes a fault between processes.
-func (w *world) rule(f Fault) (relay.Rule, error) {
+func (w *world) rule(f Fault) (faultproxy.Rule, error) {
 	fleet := func() []*emulator.Server { return w.fleet.Servers() }
 	in, err := w.s.group(f.Target, fleet)
 	if err != nil {
-		return relay.Rule{}, err
+		return faultproxy.Rule{}, err
 	}
 	// A list service stands beside each router: it is on its router's side unless it is named.
-	out := func(e relay.End) bool { return !in(e) && e.Kind != relay.List }
+	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.List }
 	if f.From != "" && f.From != "rest" {
 		if out, err = w.s.group(f.From, fleet); err != nil {
-			return relay.Rule{}, err
+			return faultproxy.Rule{}, err
 		}
 	}
-	about := func(from, to relay.End) bool {
+	about := func(from, to faultproxy.End) bool {
 		what := "servers"
 		switch {
-		case from.Kind == relay.Router && to.Kind == relay.Router:
+		case from.Kind == faultproxy.Router && to.Kind == faultproxy.Router:
 			what = "words"
-		case from.Kind == relay.List || to.Kind == relay.List:
+		case from.Kind == faultproxy.List || to.Kind == faultproxy.List:
 			what = "list"
 		}
 		words := strings.HasPrefix(f.Kind, "words-")
 		return words == (what == "words") && words || !words && (f.What == nil || slices.Contains(f.What, what)) && !(f.Kind == "conns-late" && what == "words")
 	}
-	r := relay.Rule{Match: func(from, to relay.End) bool {
+	r := faultproxy.Rule{Match: func(from, to faultproxy.End) bool {
 		there, back := in(from) && out(to), out(from) && in(to)
 		if strings.HasPrefix(f.Kind, "words-") && f.From == "" {
 			there = in(from) || in(to) // all that they say and hear
@@ -182,7 +182,7 @@
 	}
 	about := strings.TrimSpace(f.Kind + " " + f.Target)
 	if f.Kind == "conns-reset" {
-		n := w.net.Reset(func(router, to relay.End) bool { return r.Match(router, to) || r.Match(to, router) })
+		n := w.net.Reset(func(router, to faultproxy.End) bool { return r.Match(router, to) || r.Match(to, router) })
 		w.note("%s: %d connections", about, n)
 		return
 	}
@@ -199,7 +199,7 @@
 
 // relays puts relays between all processes.
 func (w *world) relays() error {
-	w.net = relay.New(w.fleetOn.Now, w.o.Seed)
+	w.net = faultproxy.New(w.fleetOn.Now, w.o.Seed)
 	at := func(router, n, port int) string {
 		return fmt.Sprintf("127.%d.%d.%d:%d", w.o.Net, relaysAt+router, 1+n%200, port+n/200)
 	}
@@ -211,17 +211,17 @@
 		}
 	}
 	for n := range w.s.Routers.Count {
-		router := relay.End{Kind: relay.Router, N: n}
+		router := faultproxy.End{Kind: faultproxy.Router, N: n}
 		agent := w.agents[0][n]
 		w.lists = append(w.lists, at(n, 199, 8500))
-		if err := w.net.Conn(router, relay.End{Kind: relay.List, N: n}, w.lists[n], agent.Addr()); err != nil {
+		if err := w.net.Conn(router, faultproxy.End{Kind: faultproxy.List, N: n}, w.lists[n], agent.Addr()); err != nil {
 			return err
 		}
 		known := map[*emulator.Server]string{}
 		agent.Via(func(s *emulator.Server) string { // the agent calls it where nothing else does
 			if known[s] == "" {
 				known[s] = at(n, len(known), 11300)
-				w.fail(w.net.Conn(router, relay.End{Kind: relay.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
+				w.fail(w.net.Conn(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
 			}
 			return known[s]
 		})
--- a/internal/lab/play.go
+++ b/internal/lab/play.go
@@ -17,7 +17,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/emulator"
 	"bendtrestle/internal/eventloop"
-	"bendtrestle/internal/lab/relay"
+	"bendtrestle/internal/lab/faultproxy"
 )
 
 // Options say how a scenario is played.
@@ -41,8 +41,8 @@
 	FleetLate   *emulator.Lateness
 	ClientsLate *emulator.Lateness
 	Interrupted bool
-	Played      []string        // the faults, as they were played
-	Burnt       []relay.Sending // what routers wrote where nothing came through
+	Played      []string             // the faults, as they were played
+	Burnt       []faultproxy.Sending // what routers wrote where nothing came through
 }
 
 // world is a run under way.
@@ -62,8 +62,8 @@
 	began    float64
 	ended    chan error // of the two loops
 	moves    int
-	net      *relay.Net // nil: there are none
-	lists    []string   // where routers ask for the list, through relays
+	net      *faultproxy.Net // nil: there are none
+	lists    []string        // where routers ask for the list, through relays
 
 	mu     sync.Mutex
 	played []string
--- a/internal/lab/world.go
+++ b/internal/lab/world.go
@@ -11,7 +11,7 @@
 	"time"
 
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab/relay"
+	"bendtrestle/internal/lab/faultproxy"
 )
 
 // World is a run whose course its holder decides: real routers, stand-ins and clients, with faults begun and ended when something
@@ -151,7 +151,7 @@
 }
 
 // Words gives the newest words between routers.
-func (x *World) Words(most int) []relay.Word { return x.w.net.Last(most) }
+func (x *World) Words(most int) []faultproxy.Word { return x.w.net.Last(most) }
 
 // Kill ends routers' processes at once, Stop stands them still, Go lets them go on, Start begins new ones and Ready waits for them.
 func (x *World) Kill(routers ...int) {
