--- a/internal/lab/together/helpers_test.go
+++ b/internal/lab/multiprocess/helpers_test.go
@@ -1,4 +1,4 @@
-package together
+package multiprocess
 
 import (
 	"context"
