--- a/cmd/trestlelab/scale.go
+++ b/cmd/trestlelab/scale.go
@@ -11,7 +11,7 @@
 
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/lab/scale"
-	"bendtrestle/internal/lab/scale/hollow"
+	"bendtrestle/internal/lab/scale/simrouter"
 
 	"github.com/rs/zerolog"
 )
@@ -133,5 +133,5 @@
 
 // Run is a process of hollow routers, as trestlelab scale starts it.
 func (hollowCommand) Run() error {
-	return hollow.Serve(os.Stdin, os.Stdout, zerolog.New(os.Stderr).With().Timestamp().Logger())
+	return simrouter.Serve(os.Stdin, os.Stdout, zerolog.New(os.Stderr).With().Timestamp().Logger())
 }
--- a/internal/lab/scale/gossips.go
+++ b/internal/lab/scale/gossips.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"bendtrestle/internal/lab/scale/hollow"
+	"bendtrestle/internal/lab/scale/simrouter"
 	"bendtrestle/internal/policy/gossip"
 )
 
@@ -21,7 +21,7 @@
 func (b *bench) gossipSizes() (all []int) {
 	var left []string
 	for _, n := range b.plan.Routers {
-		if n > mostGossips || !b.plan.Small && !gossip.Pays(n, hollow.GossipBudget) {
+		if n > mostGossips || !b.plan.Small && !gossip.Pays(n, simrouter.GossipBudget) {
 			left = append(left, fmt.Sprint(n))
 			continue
 		}
@@ -77,18 +77,18 @@
 			return err
 		}
 		h, err := b.hollowsBy(min(b.plan.Hollow, gossipsEach),
-			hollow.Spec{Way: way, Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}, n)
+			simrouter.Spec{Way: way, Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}, n)
 		if err != nil {
 			return err
 		}
 		defer h.close()
-		if _, err = h.ask(&hollow.Order{Talk: sample(0, n, n), Period: time.Second, All: true}); err != nil {
+		if _, err = h.ask(&simrouter.Order{Talk: sample(0, n, n), Period: time.Second, All: true}); err != nil {
 			return err
 		}
 		if err = sleep(b.ctx, calm, &h.all[0].process); err != nil {
 			return err
 		}
-		before, err := h.ask(&hollow.Order{Each: true})
+		before, err := h.ask(&simrouter.Order{Each: true})
 		began := time.Now()
 		if err != nil {
 			return err
@@ -96,7 +96,7 @@
 		if w.spent, err = h.window(b); err != nil {
 			return err
 		}
-		after, err := h.ask(&hollow.Order{Each: true})
+		after, err := h.ask(&simrouter.Order{Each: true})
 		seconds := time.Since(began).Seconds()
 		if err != nil {
 			return err
--- a/internal/lab/scale/helpers_test.go
+++ b/internal/lab/scale/helpers_test.go
@@ -14,7 +14,7 @@
 
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab"
-	"bendtrestle/internal/lab/scale/hollow"
+	"bendtrestle/internal/lab/scale/simrouter"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
@@ -32,7 +32,7 @@
 	case "router":
 		err = serve(log)
 	case "hollow":
-		err = hollow.Serve(os.Stdin, os.Stdout, log)
+		err = simrouter.Serve(os.Stdin, os.Stdout, log)
 	case "holder":
 		err = hold()
 	}
@@ -61,7 +61,7 @@
 	o := Options{Plan: Little(), Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
 	o.Net, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
 	b := newBench(context.Background(), o)
-	_, err := b.hollows(hollow.Spec{Way: "all", Peers: b.others(8), Known: []byte(someServers)}, 8)
+	_, err := b.hollows(simrouter.Spec{Way: "all", Peers: b.others(8), Known: []byte(someServers)}, 8)
 	if err == nil {
 		fmt.Println("holding")
 		select {}
--- a/internal/lab/scale/hollows.go
+++ b/internal/lab/scale/hollows.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"bendtrestle/internal/lab/scale/hollow"
+	"bendtrestle/internal/lab/scale/simrouter"
 )
 
 // child is a process of hollow routers.
@@ -29,7 +29,7 @@
 }
 
 type answered struct {
-	hollow.Answer
+	simrouter.Answer
 	err error
 }
 
@@ -40,12 +40,12 @@
 }
 
 // hollows starts routers with these numbers among the peers, as many to a process as the plan allows, and waits until all hear.
-func (b *bench) hollows(spec hollow.Spec, numbers int) (h *hollows, err error) {
+func (b *bench) hollows(spec simrouter.Spec, numbers int) (h *hollows, err error) {
 	return b.hollowsBy(b.plan.Hollow, spec, numbers)
 }
 
 // hollowsBy starts them with so many to a process at most.
-func (b *bench) hollowsBy(most int, spec hollow.Spec, numbers int) (h *hollows, err error) {
+func (b *bench) hollowsBy(most int, spec simrouter.Spec, numbers int) (h *hollows, err error) {
 	err = again(b.ctx, func() (err error) {
 		h, err = b.openHollows(most, spec, numbers)
 		return err
@@ -53,7 +53,7 @@
 	return h, err
 }
 
-func (b *bench) openHollows(most int, spec hollow.Spec, numbers int) (*hollows, error) {
+func (b *bench) openHollows(most int, spec simrouter.Spec, numbers int) (*hollows, error) {
 	h := &hollows{b: b}
 	for first := spec.First; first < spec.First+numbers; first += most {
 		one := spec
@@ -73,7 +73,7 @@
 	return h, nil
 }
 
-func (b *bench) child(n int, spec hollow.Spec) (*child, error) {
+func (b *bench) child(n int, spec simrouter.Spec) (*child, error) {
 	c := &child{process: process{log: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}, count: spec.Count,
 		answers: make(chan answered)}
 	log, err := os.Create(c.log)
@@ -123,7 +123,7 @@
 }
 
 // ask gives all an order and waits for their answers; with none it waits for the answer to their spec. It gives their sums.
-func (h *hollows) ask(o *hollow.Order) (sum hollow.Answer, err error) {
+func (h *hollows) ask(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
 		for _, c := range h.all {
 			if err := c.orders.Encode(o); err != nil {
@@ -215,7 +215,7 @@
 				return err
 			}
 			began := time.Now()
-			spec := hollow.Spec{Way: "all", Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}
+			spec := simrouter.Spec{Way: "all", Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}
 			h, err := b.hollows(spec, n)
 			if err != nil {
 				return err
@@ -234,11 +234,11 @@
 				return fmt.Errorf("%d hollow routers hold %.0f KiB; %d are what they may hold: take fewer by --routers", n, quiet.resident, mostKept)
 			}
 			b.add("hollow.core.quiet", float64(n), quiet.rate(), quiet.loop)
-			told, err := h.ask(&hollow.Order{}) // while nothing is on its way
+			told, err := h.ask(&simrouter.Order{}) // while nothing is on its way
 			if err != nil {
 				return err
 			}
-			if _, err = h.ask(&hollow.Order{Talk: sample(0, n, tellers), Period: time.Second}); err != nil {
+			if _, err = h.ask(&simrouter.Order{Talk: sample(0, n, tellers), Period: time.Second}); err != nil {
 				return err
 			}
 			if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
@@ -284,15 +284,15 @@
 }
 
 // settled hushes all, and gives the counts once nothing is on its way.
-func (h *hollows) settled() (hollow.Answer, error) {
-	a, err := h.ask(&hollow.Order{Hush: true})
+func (h *hollows) settled() (simrouter.Answer, error) {
+	a, err := h.ask(&simrouter.Order{Hush: true})
 	for range 100 {
 		if err != nil || a.Traffic.DatagramsIn >= a.Traffic.DatagramsOut {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 		before := a.Traffic.DatagramsIn
-		if a, err = h.ask(&hollow.Order{}); err == nil && a.Traffic.DatagramsIn == before {
+		if a, err = h.ask(&simrouter.Order{}); err == nil && a.Traffic.DatagramsIn == before {
 			break
 		}
 	}
@@ -301,7 +301,7 @@
 
 // hollowChange measures how long a change of the list takes to be in force at all that follow it.
 func (b *bench) hollowChange(s *stage, h *hollows, n int) error {
-	a, err := h.ask(&hollow.Order{})
+	a, err := h.ask(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
@@ -312,7 +312,7 @@
 	})
 	wanted := a.Oldest + 1
 	err = h.all[0].until(b.ctx, "a change of the list at hollow routers", func() bool {
-		a, err = h.ask(&hollow.Order{})
+		a, err = h.ask(&simrouter.Order{})
 		return err != nil || a.Oldest >= wanted
 	})
 	if err == nil {
@@ -356,7 +356,7 @@
 			return err
 		}
 		own := b.at(routerAt, 0, wordsPort)
-		h, err := b.hollows(hollow.Spec{Way: "all", Peers: append([]string{own}, b.others(fewest)...), Known: known, List: s.lists[0].Addr(), Follow: []int{0}}, 1)
+		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: append([]string{own}, b.others(fewest)...), Known: known, List: s.lists[0].Addr(), Follow: []int{0}}, 1)
 		if err != nil {
 			return err
 		}
@@ -389,7 +389,7 @@
 			return err
 		}
 		peers := append([]string{b.at(routerAt, 0, wordsPort)}, b.others(n)...)
-		h, err := b.hollows(hollow.Spec{Way: "all", Peers: peers, First: 1, Known: known, List: s.lists[0].Addr()}, n)
+		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: peers, First: 1, Known: known, List: s.lists[0].Addr()}, n)
 		if err != nil {
 			return err
 		}
@@ -400,7 +400,7 @@
 		}
 		everyone := sample(1, n, n)
 		for range repeats {
-			if _, err = h.ask(&hollow.Order{SayOnce: everyone}); err != nil {
+			if _, err = h.ask(&simrouter.Order{SayOnce: everyone}); err != nil {
 				return err
 			}
 			if err = sleep(b.ctx, 200*time.Millisecond, p); err != nil {
@@ -424,7 +424,7 @@
 
 // still gives how many words a real router says that it has said, and what hollow ones have heard at that moment: when it says none
 // for longer than its door's figures are old.
-func (b *bench) still(h *hollows) (said float64, a hollow.Answer, err error) {
+func (b *bench) still(h *hollows) (said float64, a simrouter.Answer, err error) {
 	const older = 150 * time.Millisecond // its figures are published each tenth of a second
 	for range 200 {
 		if said, err = b.figure("zone_words"); err != nil {
@@ -433,7 +433,7 @@
 		if err = sleep(b.ctx, older, nil); err != nil {
 			return 0, a, err
 		}
-		if a, err = h.ask(&hollow.Order{}); err != nil {
+		if a, err = h.ask(&simrouter.Order{}); err != nil {
 			return 0, a, err
 		}
 		if err = sleep(b.ctx, older, nil); err != nil {
--- a/internal/lab/scale/hollow/hollow.go
+++ b/internal/lab/scale/simrouter/hollow.go
@@ -1,7 +1,7 @@
-// Package hollow is routers without clients, payload and connections to servers: the real ways to other routers, the real list of
+// Package simrouter is routers without clients, payload and connections to servers: the real ways to other routers, the real list of
 // servers and the real module, some hundreds to a process. What a real router costs for its fleet's size they cost, too, so that a
 // whole fleet fits on one machine; what they leave out is stated where they are set beside real ones.
-package hollow
+package simrouter
 
 import (
 	"context"
--- a/internal/lab/scale/hollow/hollow_test.go
+++ b/internal/lab/scale/simrouter/hollow_test.go
@@ -1,4 +1,4 @@
-package hollow
+package simrouter
 
 import (
 	"encoding/json"
