--- a/cmd/trestlelab/main.go
+++ b/cmd/trestlelab/main.go
@@ -14,7 +14,7 @@
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/lab"
 	"bendtrestle/internal/lab/baseline"
-	"bendtrestle/internal/lab/picture"
+	"bendtrestle/internal/lab/chart"
 	"bendtrestle/internal/lab/scale"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
@@ -152,7 +152,7 @@
 			}
 			r := lab.NewResult(s, o, rec)
 			if c.Plot != "" && n == 0 {
-				if err = picture.Draw(c.Plot, s, rec); err != nil {
+				if err = chart.Draw(c.Plot, s, rec); err != nil {
 					return err
 				}
 			}
--- a/internal/lab/picture/picture.go
+++ b/internal/lab/chart/picture.go
@@ -1,5 +1,5 @@
-// Package picture draws what a run was like over time: the part of operations served in time, what each zone did, what the origin bore.
-package picture
+// Package chart draws what a run was like over time: the part of operations served in time, what each zone did, what the origin bore.
+package chart
 
 import (
 	"fmt"
