--- a/cmd/trestlelab/alone.go
+++ b/cmd/trestlelab/alone.go
@@ -5,7 +5,7 @@
 	"fmt"
 	"os"
 
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 )
 
 type fleetCommand struct {
@@ -16,11 +16,11 @@
 }
 
 func (c *fleetCommand) Run(ctx context.Context) error {
-	s, err := lab.UsualScenario(c.Scenario)
+	s, err := experiment.UsualScenario(c.Scenario)
 	if err != nil {
 		return faulty(err)
 	}
-	return lab.RunFleet(ctx, s, lab.Options{Seed: c.Seed, Net: c.Net}, c.Config, os.Stdout)
+	return experiment.RunFleet(ctx, s, experiment.Options{Seed: c.Seed, Net: c.Net}, c.Config, os.Stdout)
 }
 
 type loadCommand struct {
@@ -33,7 +33,7 @@
 }
 
 func (c *loadCommand) Run(ctx context.Context) error {
-	s, err := lab.UsualScenario(c.Scenario)
+	s, err := experiment.UsualScenario(c.Scenario)
 	if err != nil {
 		return faulty(err)
 	}
@@ -43,16 +43,16 @@
 	if c.Seconds > 0 {
 		s.Seconds, s.Settle = c.Seconds, min(s.Settle, c.Seconds/2)
 	}
-	r, err := lab.RunLoad(ctx, s, lab.Options{Seed: c.Seed, Progress: progress()}, c.To)
+	r, err := experiment.RunLoad(ctx, s, experiment.Options{Seed: c.Seed, Progress: progress()}, c.To)
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := lab.WriteJSON(c.JSON, r); err != nil {
+		if err := experiment.WriteJSON(c.JSON, r); err != nil {
 			return err
 		}
 	}
-	lab.PrintLoad(os.Stdout, r)
+	experiment.PrintLoad(os.Stdout, r)
 	if r.Void != "" {
 		fmt.Println("void:", r.Void)
 		return exit(void)
--- a/cmd/trestlelab/main.go
+++ b/cmd/trestlelab/main.go
@@ -12,10 +12,10 @@
 	"syscall"
 
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/lab"
-	"bendtrestle/internal/lab/baseline"
-	"bendtrestle/internal/lab/chart"
-	"bendtrestle/internal/lab/scale"
+	"bendtrestle/internal/experiment"
+	"bendtrestle/internal/experiment/baseline"
+	"bendtrestle/internal/experiment/chart"
+	"bendtrestle/internal/experiment/scale"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
@@ -91,10 +91,10 @@
 }
 
 // prepare gives options and what cleans up.
-func (p place) prepare() (lab.Options, func(keep bool), error) {
-	o, clean := lab.Options{Net: p.Net, Dir: p.Keep}, func(bool) {}
+func (p place) prepare() (experiment.Options, func(keep bool), error) {
+	o, clean := experiment.Options{Net: p.Net, Dir: p.Keep}, func(bool) {}
 	if o.Net == 0 {
-		n, _, err := lab.Reserve(os.Getpid()) // held until the program ends
+		n, _, err := experiment.Reserve(os.Getpid()) // held until the program ends
 		if err != nil {
 			return o, clean, err
 		}
@@ -103,7 +103,7 @@
 	if p.Keep != "" {
 		return o, clean, os.MkdirAll(p.Keep, 0o755)
 	}
-	dir, err := lab.TempDir()
+	dir, err := experiment.TempDir()
 	o.Dir = dir
 	return o, func(keep bool) {
 		if !keep {
@@ -123,7 +123,7 @@
 }
 
 func (c *runCommand) Run(ctx context.Context) error {
-	s, err := lab.ReadScenario(c.Scenario)
+	s, err := experiment.ReadScenario(c.Scenario)
 	if err != nil {
 		return faulty(err)
 	}
@@ -133,30 +133,30 @@
 	}
 	logs := ""
 	defer func() { clean(logs != "") }()
-	program, err := lab.Resolve(ctx, c.Router, o.Dir)
+	program, err := experiment.Resolve(ctx, c.Router, o.Dir)
 	if err != nil {
 		return faulty(err)
 	}
 	o.Router, o.Progress = program, progress()
-	var results, control []lab.Result
+	var results, control []experiment.Result
 	for i := range max(1, c.Repeat) {
 		o.Seed = c.Seed + uint64(i)
-		played := []*lab.Scenario{s}
+		played := []*experiment.Scenario{s}
 		if s.WithControl() {
 			played = append(played, s.Without())
 		}
 		for n, s := range played {
-			rec, err := lab.Play(ctx, s, o)
+			rec, err := experiment.Play(ctx, s, o)
 			if err != nil {
 				return err
 			}
-			r := lab.NewResult(s, o, rec)
+			r := experiment.NewResult(s, o, rec)
 			if c.Plot != "" && n == 0 {
 				if err = chart.Draw(c.Plot, s, rec); err != nil {
 					return err
 				}
 			}
-			if r.Verdict == lab.RulesBroken {
+			if r.Verdict == experiment.RulesBroken {
 				logs = o.Dir
 			}
 			if n == 0 {
@@ -173,19 +173,19 @@
 		}
 	}
 	if c.JSON != "" {
-		if err := lab.WriteJSON(c.JSON, append(results, control...)); err != nil {
+		if err := experiment.WriteJSON(c.JSON, append(results, control...)); err != nil {
 			return err
 		}
 	}
-	lab.Print(os.Stdout, s, results, logs)
-	lab.PrintTenants(os.Stdout, results, control)
-	if status := statuses[lab.Overall(append(results, control...))]; status != kept {
+	experiment.Print(os.Stdout, s, results, logs)
+	experiment.PrintTenants(os.Stdout, results, control)
+	if status := statuses[experiment.Overall(append(results, control...))]; status != kept {
 		return exit(status)
 	}
 	return nil
 }
 
-var statuses = map[string]int{lab.RulesKept: kept, lab.RulesBroken: broken, lab.RunVoid: void, lab.Interrupted: interrupted}
+var statuses = map[string]int{experiment.RulesKept: kept, experiment.RulesBroken: broken, experiment.RunVoid: void, experiment.Interrupted: interrupted}
 
 // progress gives where a progress line goes: standard error, if a person watches.
 func progress() io.Writer {
@@ -207,9 +207,9 @@
 }
 
 func (c *compareCommand) Run(ctx context.Context) error {
-	var all []*lab.Scenario
+	var all []*experiment.Scenario
 	for _, path := range c.Scenario {
-		s, err := lab.ReadScenario(path)
+		s, err := experiment.ReadScenario(path)
 		if err != nil {
 			return faulty(err)
 		}
@@ -220,31 +220,31 @@
 		return err
 	}
 	defer clean(false)
-	var programs []lab.Program
+	var programs []experiment.Program
 	for _, name := range append([]string{c.A}, c.B...) {
-		program, err := lab.Resolve(ctx, name, o.Dir)
+		program, err := experiment.Resolve(ctx, name, o.Dir)
 		if err != nil {
 			return faulty(err)
 		}
 		programs = append(programs, program)
 	}
-	var done []lab.Comparison
+	var done []experiment.Comparison
 	for _, s := range all {
 		o.Progress, o.Seed = progress(), c.Seed
 		if c.Lanes > 1 {
 			o.Progress = nil
 		}
-		these, err := lab.Compare(ctx, s, programs, o, c.Seeds, c.Lanes, os.Stderr)
+		these, err := experiment.Compare(ctx, s, programs, o, c.Seeds, c.Lanes, os.Stderr)
 		if err != nil {
 			return err
 		}
 		for _, one := range these {
-			lab.PrintComparison(os.Stdout, one)
+			experiment.PrintComparison(os.Stdout, one)
 		}
 		done = append(done, these...)
 	}
 	if c.JSON != "" {
-		return lab.WriteJSON(c.JSON, done)
+		return experiment.WriteJSON(c.JSON, done)
 	}
 	return nil
 }
@@ -271,7 +271,7 @@
 		return err
 	}
 	defer clean(false)
-	if v.Router, err = lab.Resolve(ctx, c.Router, o.Dir); err != nil {
+	if v.Router, err = experiment.Resolve(ctx, c.Router, o.Dir); err != nil {
 		return faulty(err)
 	}
 	v.Net, v.Dir = o.Net, o.Dir
@@ -281,7 +281,7 @@
 	}
 	scale.PrintLines(os.Stdout, lines)
 	if c.JSON != "" {
-		return lab.WriteJSON(c.JSON, map[string]any{"lines": lines, "copies": scale.Copies()})
+		return experiment.WriteJSON(c.JSON, map[string]any{"lines": lines, "copies": scale.Copies()})
 	}
 	return nil
 }
@@ -289,8 +289,8 @@
 type faultsCommand struct{}
 
 func (faultsCommand) Run() error {
-	for _, k := range lab.Kinds() {
-		fmt.Println(lab.Describe(k))
+	for _, k := range experiment.Kinds() {
+		fmt.Println(experiment.Describe(k))
 	}
 	return nil
 }
--- a/cmd/trestlelab/scale.go
+++ b/cmd/trestlelab/scale.go
@@ -9,9 +9,9 @@
 	"strings"
 	"time"
 
-	"bendtrestle/internal/lab"
-	"bendtrestle/internal/lab/scale"
-	"bendtrestle/internal/lab/scale/simrouter"
+	"bendtrestle/internal/experiment"
+	"bendtrestle/internal/experiment/scale"
+	"bendtrestle/internal/experiment/scale/simrouter"
 
 	"github.com/rs/zerolog"
 )
@@ -85,7 +85,7 @@
 		return err
 	}
 	defer clean(false)
-	program, err := lab.Resolve(ctx, c.Router, o.Dir)
+	program, err := experiment.Resolve(ctx, c.Router, o.Dir)
 	if err != nil {
 		return faulty(fmt.Errorf("--router: %w", err))
 	}
--- a/internal/lab/build.go
+++ b/internal/experiment/build.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"strconv"
 	"strings"
 
-	"bendtrestle/internal/lab/baseline"
+	"bendtrestle/internal/experiment/baseline"
 )
 
 // Resolve finds what a name means as a router: "head" (this working tree, built), "plain" (the same, which leaves no zones as one), a baseline, "flat:SECONDS" (this
--- a/internal/lab/chart/picture.go
+++ b/internal/experiment/chart/picture.go
@@ -6,7 +6,7 @@
 	"image/color"
 	"slices"
 
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 
 	"gonum.org/v1/plot"
 	"gonum.org/v1/plot/plotter"
@@ -20,7 +20,7 @@
 const slice = 0.25 // seconds of a point: half a step of a zone's return
 
 // Draw writes a PNG of a run.
-func Draw(path string, s *lab.Scenario, rec *lab.Records) error {
+func Draw(path string, s *experiment.Scenario, rec *experiment.Records) error {
 	n := int((rec.To - rec.From) / slice)
 	if n < 2 {
 		return fmt.Errorf("a run of %.1f s is too short for a picture", rec.To-rec.From)
--- a/internal/lab/exits.go
+++ b/internal/experiment/exits.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -6,7 +6,7 @@
 	"slices"
 	"text/tabwriter"
 
-	"bendtrestle/internal/lab/faultproxy"
+	"bendtrestle/internal/experiment/faultproxy"
 )
 
 // Exit is how the fleet took one loss of a zone or a region, as relays, stand-ins and clients saw it.
--- a/internal/lab/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -10,7 +10,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab/baseline"
+	"bendtrestle/internal/experiment/baseline"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
--- a/internal/lab/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -11,15 +11,15 @@
 	"time"
 
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 )
 
-var program lab.Program
+var program experiment.Program
 
 // TestMain builds the program once. Its processes end with the test's, however that ends.
 func TestMain(m *testing.M) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	built, dir, err := lab.Build(ctx)
+	built, dir, err := experiment.Build(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -92,7 +92,7 @@
 
 // fleet is a run in a test.
 type fleet struct {
-	*lab.World
+	*experiment.World
 	t    *testing.T
 	mark float64 // what was due before is not looked at
 }
@@ -109,17 +109,17 @@
 	}
 	t.Parallel()
 	places <- struct{}{}
-	s, err := lab.ParseScenario("together.toml", text+types)
+	s, err := experiment.ParseScenario("together.toml", text+types)
 	if err != nil {
 		<-places
 		t.Fatal(err)
 	}
-	n, release, err := lab.Reserve(os.Getpid())
+	n, release, err := experiment.Reserve(os.Getpid())
 	if err != nil {
 		<-places
 		t.Fatal(err)
 	}
-	x, err := lab.Open(context.Background(), s, lab.Options{Seed: seed, Router: program, Net: n, Dir: t.TempDir()})
+	x, err := experiment.Open(context.Background(), s, experiment.Options{Seed: seed, Router: program, Net: n, Dir: t.TempDir()})
 	if err != nil {
 		release()
 		<-places
@@ -183,7 +183,7 @@
 // cut begins a fault between processes.
 func (f *fleet) cut(kind, target, from string, part float64, what ...string) (heal func()) {
 	f.t.Helper()
-	fault := lab.Fault{Kind: kind, Target: target, From: from, What: what, Part: part}
+	fault := experiment.Fault{Kind: kind, Target: target, From: from, What: what, Part: part}
 	if strings.HasSuffix(kind, "-late") {
 		fault.Delay, fault.Part = part, 0
 	}
--- a/internal/lab/part.go
+++ b/internal/experiment/part.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"fmt"
@@ -8,7 +8,7 @@
 	"time"
 
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab/faultproxy"
+	"bendtrestle/internal/experiment/faultproxy"
 )
 
 // zoneName names the n-th zone; servers and routers are in them in turn.
--- a/internal/lab/play.go
+++ b/internal/experiment/play.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -17,7 +17,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/emulator"
 	"bendtrestle/internal/eventloop"
-	"bendtrestle/internal/lab/faultproxy"
+	"bendtrestle/internal/experiment/faultproxy"
 )
 
 // Options say how a scenario is played.
--- a/internal/lab/play_test.go
+++ b/internal/experiment/play_test.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
--- a/internal/lab/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -13,7 +13,7 @@
 	"strings"
 	"time"
 
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 )
 
 // Quantity is a name under which something is measured.
@@ -50,7 +50,7 @@
 // Options say what is measured, and where.
 type Options struct {
 	Plan     Plan
-	Router   lab.Program
+	Router   experiment.Program
 	Self     []string // the command by which hollow routers are started: this program's own
 	SelfEnv  []string // and what it needs besides this process's environment
 	Net      int
@@ -64,7 +64,7 @@
 type bench struct {
 	ctx      context.Context
 	plan     Plan
-	program  lab.Program
+	program  experiment.Program
 	self     []string
 	selfEnv  []string
 	net      int
@@ -236,7 +236,7 @@
 }
 
 // revision names the router's build as itself does; where that does not know, and it was built from this tree, as the tree does.
-func revision(ctx context.Context, p lab.Program) string {
+func revision(ctx context.Context, p experiment.Program) string {
 	output := func(args ...string) string {
 		out, _ := exec.CommandContext(ctx, args[0], args[1:]...).Output()
 		return strings.TrimSpace(string(out))
--- a/internal/lab/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -6,7 +6,7 @@
 	"strings"
 	"time"
 
-	"bendtrestle/internal/lab/scale/simrouter"
+	"bendtrestle/internal/experiment/scale/simrouter"
 	"bendtrestle/internal/policy/gossip"
 )
 
--- a/internal/lab/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -13,8 +13,8 @@
 	"time"
 
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/lab"
-	"bendtrestle/internal/lab/scale/simrouter"
+	"bendtrestle/internal/experiment"
+	"bendtrestle/internal/experiment/scale/simrouter"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/service"
@@ -76,13 +76,13 @@
 // options are for a run in a folder and at addresses of its own.
 func options(t *testing.T, only ...string) Options {
 	t.Helper()
-	n, release, err := lab.Reserve(os.Getpid())
+	n, release, err := experiment.Reserve(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(release)
 	o := Options{Plan: Little(), Net: n, Dir: t.TempDir(), Command: "a test", Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"},
-		Router: lab.Program{Name: "test", Args: []string{"/usr/bin/env", "SCALE_AS=router", os.Args[0]}}}
+		Router: experiment.Program{Name: "test", Args: []string{"/usr/bin/env", "SCALE_AS=router", os.Args[0]}}}
 	o.Plan.Only = only
 	return o
 }
--- a/internal/lab/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -15,7 +15,7 @@
 	"syscall"
 	"time"
 
-	"bendtrestle/internal/lab/scale/simrouter"
+	"bendtrestle/internal/experiment/scale/simrouter"
 )
 
 // child is a process of hollow routers.
--- a/internal/lab/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -22,7 +22,7 @@
 	"bendtrestle/balancer"
 	"bendtrestle/internal/emulator"
 	"bendtrestle/internal/eventloop"
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 	"bendtrestle/internal/meta"
 
 	"golang.org/x/sys/unix"
@@ -30,7 +30,7 @@
 
 // ValueOptions say at which sizes values are carried, and where.
 type ValueOptions struct {
-	Router    lab.Program
+	Router    experiment.Program
 	Sizes     []int // bytes of a value
 	Transfers []int // held at once by clients that do not read
 	Bytes     int   // that are carried for one point, at least one value
--- a/internal/lab/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -7,17 +7,17 @@
 	"strings"
 	"testing"
 
-	"bendtrestle/internal/lab"
+	"bendtrestle/internal/experiment"
 )
 
 // Sizes of a test: all names are measured through a real router's process, and nothing here may be quoted.
 func TestValuesAreMeasured(t *testing.T) {
-	program, dir, err := lab.Build(t.Context())
+	program, dir, err := experiment.Build(t.Context())
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	n, release, err := lab.Reserve(os.Getpid())
+	n, release, err := experiment.Reserve(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/lab/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,6 +1,6 @@
-// Package lab plays scenarios: stand-ins, real router processes and clients, with faults at stated times. It judges what
+// Package experiment plays scenarios: stand-ins, real router processes and clients, with faults at stated times. It judges what
 // happened by the stand-ins' own records, and sets builds and policies side by side.
-package lab
+package experiment
 
 import (
 	"fmt"
--- a/internal/lab/world.go
+++ b/internal/experiment/world.go
@@ -1,4 +1,4 @@
-package lab
+package experiment
 
 import (
 	"context"
@@ -11,7 +11,7 @@
 	"time"
 
 	"bendtrestle/internal/emulator"
-	"bendtrestle/internal/lab/faultproxy"
+	"bendtrestle/internal/experiment/faultproxy"
 )
 
 // World is a run whose course its holder decides: real routers, stand-ins and clients, with faults begun and ended when something
