--- a/cmd/wirehost/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command wirehost serves the decision module on standard input and output.
+// Command simadapter serves the decision module on standard input and output.
 package main
 
 import (
