--- a/Makefile
+++ b/Makefile
@@ -13,7 +13,7 @@
 
 # Stand-in cache servers, an origin and a list service on loopback, and a configuration for a router of theirs.
 fleet: build
-	bin/trestlelab fleet --config bin/fleet.json
+	bin/trestle-experiment fleet --config bin/fleet.json
 
 # The router for them; have `make fleet` running beside it.
 run: build
@@ -26,12 +26,12 @@
 # A scenario with faults, judged: make scenario S=deploy
 S = crash
 scenario: build
-	bin/trestlelab run examples/scenarios/$(S).toml
+	bin/trestle-experiment run examples/scenarios/$(S).toml
 
 # This tree beside another router: make compare S=stall B=least
 B = random
 compare: build
-	bin/trestlelab compare examples/scenarios/$(S).toml --a head --b $(B)
+	bin/trestle-experiment compare examples/scenarios/$(S).toml --a head --b $(B)
 
 # Both sets of days, the operators' and the earlier ones, each by the bench that covers them, one after another; KIT is the folder of
 # the operators' kit: make regress KIT=... WHY="what changed"
--- a/cmd/trestlelab/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -1,4 +1,4 @@
-// Command trestlelab plays a fleet, clients and faults round real routers on loopback, judges what happened, and sets
+// Command trestle-experiment plays a fleet, clients and faults round real routers on loopback, judges what happened, and sets
 // builds and policies side by side.
 package main
 
