--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -10,7 +10,7 @@
 
 func main() {
 	if err := simadapter.Serve(os.Stdin, os.Stdout); err != nil {
-		fmt.Fprintln(os.Stderr, "wirehost:", err)
+		fmt.Fprintln(os.Stderr, "simadapter:", err)
 		os.Exit(1)
 	}
 }
--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -42,18 +42,18 @@
 	Faults  faultsCommand  `cmd:"" help:"Name the faults that a scenario may have."`
 	Values  valuesCommand  `cmd:"" help:"Measure what long values cost a router: processor time and memory, as lines with names."`
 	Scale   scaleCommand   `cmd:"" help:"Measure what a router costs for one more server, peer, word, request or change, and print each by its name."`
-	Hollow  hollowCommand  `cmd:"" hidden:"" help:"Be hollow routers, as trestlelab scale starts them."`
+	Hollow  hollowCommand  `cmd:"" hidden:"" help:"Be hollow routers, as trestle-experiment scale starts them."`
 	Router  routerCommand  `cmd:"" hidden:"" help:"Be a router with a baseline policy, as the lab starts it."`
 }
 
 func main() {
 	var args arguments
-	parser := kong.Must(&args, kong.Name("trestlelab"), kong.UsageOnError(),
+	parser := kong.Must(&args, kong.Name("trestle-experiment"), kong.UsageOnError(),
 		kong.Description("A laboratory for routers: everything runs on loopback addresses of this machine.\n\n"+
 			"Exit status: 0 rules kept, 1 a rule broken, 2 arguments or file faulty, 3 void (the lab was late), 4 not playable, 5 interrupted."))
 	command, err := parser.Parse(os.Args[1:])
 	if err != nil {
-		fmt.Fprintln(os.Stderr, "trestlelab:", err)
+		fmt.Fprintln(os.Stderr, "trestle-experiment:", err)
 		os.Exit(misused)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
@@ -65,10 +65,10 @@
 	case errors.As(err, &status):
 		os.Exit(int(status))
 	case errors.Is(err, context.Canceled):
-		fmt.Fprintln(os.Stderr, "trestlelab: interrupted")
+		fmt.Fprintln(os.Stderr, "trestle-experiment: interrupted")
 		os.Exit(interrupted)
 	case err != nil:
-		fmt.Fprintln(os.Stderr, "trestlelab:", err)
+		fmt.Fprintln(os.Stderr, "trestle-experiment:", err)
 		os.Exit(unplayed)
 	}
 }
--- a/cmd/trestle-experiment/scale.go
+++ b/cmd/trestle-experiment/scale.go
@@ -61,7 +61,7 @@
 	plan := c.plan()
 	if faults := plan.Check(); len(faults) > 0 {
 		for _, fault := range faults {
-			fmt.Fprintln(os.Stderr, "trestlelab scale:", fault)
+			fmt.Fprintln(os.Stderr, "trestle-experiment scale:", fault)
 		}
 		return exit(misused)
 	}
@@ -116,7 +116,7 @@
 
 // command is how a report says that it was made: without the folders of the machine.
 func command(args []string) string {
-	said := []string{"trestlelab"}
+	said := []string{"trestle-experiment"}
 	for _, arg := range args {
 		flag, value, both := strings.Cut(arg, "=")
 		if both && filepath.IsAbs(value) {
@@ -131,7 +131,7 @@
 
 type hollowCommand struct{}
 
-// Run is a process of hollow routers, as trestlelab scale starts it.
+// Run is a process of hollow routers, as trestle-experiment scale starts it.
 func (hollowCommand) Run() error {
 	return simrouter.Serve(os.Stdin, os.Stdout, zerolog.New(os.Stderr).With().Timestamp().Logger())
 }
--- a/cmd/trestle-experiment/scale_test.go
+++ b/cmd/trestle-experiment/scale_test.go
@@ -38,7 +38,7 @@
 // A report says its command without the machine's folders.
 func TestScaleCommand(t *testing.T) {
 	got := command([]string{"scale", "--only", "idle,hear", "--json=/some/where/a.json", "--router", "/else/where/bendtrestle", "--against", "docs/a.json"})
-	if want := "trestlelab scale --only idle,hear --json=a.json --router bendtrestle --against docs/a.json"; got != want {
+	if want := "trestle-experiment scale --only idle,hear --json=a.json --router bendtrestle --against docs/a.json"; got != want {
 		t.Errorf("%q, want %q", got, want)
 	}
 }
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -116,7 +116,7 @@
 		fmt.Fprintf(out, "router %d: list service at %s; start it with\n    GW_CONFIG=%s bin/bendtrestle\n", n, w.agents[0][n].Addr(), path)
 	}
 	fmt.Fprintf(out, "%d cache servers from %s on\n", len(w.fleet.Servers()), w.fleet.Servers()[0].Addr)
-	fmt.Fprintf(out, "then load it with\n    bin/trestlelab load --to %s --seconds 10\nor by hand, for instance with telnet %s:\n    mg clinic-7 v Oa1 Pc=%s,d=480\n",
+	fmt.Fprintf(out, "then load it with\n    bin/trestle-experiment load --to %s --seconds 10\nor by hand, for instance with telnet %s:\n    mg clinic-7 v Oa1 Pc=%s,d=480\n",
 		listen[0], listen[0], s.Types[0].Name)
 	<-ctx.Done()
 	on(w.fleetOn, w.abandon)
@@ -148,7 +148,7 @@
 		}
 	}
 	if slices.ContainsFunc(s.Types, func(t TypePart) bool { return t.Scheme != "" }) {
-		return Loaded{}, fmt.Errorf("%s: its clients ask for map tiles, which trestlelab run plays", s.Name)
+		return Loaded{}, fmt.Errorf("%s: its clients ask for map tiles, which trestle-experiment run plays", s.Name)
 	}
 	loop, err := eventloop.New()
 	if err != nil {
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -486,7 +486,7 @@
 }
 
 // TempDir makes a folder for a run.
-func TempDir() (string, error) { return os.MkdirTemp("", "trestlelab-") }
+func TempDir() (string, error) { return os.MkdirTemp("", "trestle-experiment-") }
 
 var reserved sync.Map // listeners by number
 
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -145,7 +145,7 @@
 		return nil, fmt.Errorf("%s: not a report of scale: %w", path, err)
 	}
 	if r.Form != Form {
-		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestlelab scale --json writes it", path, r.Form, Form)
+		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, Form)
 	}
 	return &r, nil
 }
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -257,7 +257,7 @@
 
 // Build builds the router of this working tree into a folder.
 func Build(ctx context.Context) (Program, string, error) {
-	dir, err := os.MkdirTemp("", "trestlelab-build-")
+	dir, err := os.MkdirTemp("", "trestle-experiment-build-")
 	if err != nil {
 		return Program{}, "", err
 	}
