--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -12,16 +12,16 @@
 // notes is a host that writes down what the module does.
 type notes struct{ did []string }
 
-func (n *notes) Execute(op, s uint64, limit, _ float64) { n.add("execute %d on %d", op, s) }
-func (n *notes) Withdraw(op uint64, at int)             { n.add("withdraw %d/%d", op, at) }
-func (n *notes) Decline(op uint64, after float64, _ Reason) {
+func (n *notes) StartAttempt(op, s uint64, limit, _ float64) { n.add("execute %d on %d", op, s) }
+func (n *notes) CancelAttempt(op uint64, at int)             { n.add("withdraw %d/%d", op, at) }
+func (n *notes) Reject(op uint64, after float64, _ RejectReason) {
 	n.add("decline %d after %t", op, after > 0)
 }
-func (n *notes) Terminate(op uint64)                 { n.add("terminate %d", op) }
-func (n *notes) Tell(words []byte)                   { n.add("tell %x", words) }
+func (n *notes) Fail(op uint64)                      { n.add("terminate %d", op) }
+func (n *notes) Gossip(words []byte)                 { n.add("tell %x", words) }
 func (n *notes) Probe(s uint64)                      { n.add("probe %d", s) }
 func (n *notes) SetTimer(delay float64, name string) {}
-func (n *notes) Watch(on bool)                       { n.add("watch %t", on) }
+func (n *notes) WatchEndpoints(on bool)              { n.add("watch %t", on) }
 
 func (n *notes) add(format string, args ...any) { n.did = append(n.did, fmt.Sprintf(format, args...)) }
 
@@ -34,7 +34,7 @@
 }
 
 // fleet starts a router with caches 1 to n, long started.
-func fleet(n int, change func(*Settings)) (*Router, *notes) {
+func fleet(n int, change func(*Settings)) (*Balancer, *notes) {
 	set := Settings{Routers: 2, Step: 0.001, MostExecutions: 3, SecondCopies: true, Cancelling: true,
 		MaxRetryAfter: 1, Fall: 3, TipMultiple: 4, StartCapacity: 0.25, WarmWithin: 20,
 		OverBenefit: 0.05, TrafficTypes: []TrafficType{
@@ -56,12 +56,12 @@
 }
 
 // many starts one of 80 routers, which sees little of each cache; caches fetch.
-func many(n int) (*Router, *notes) {
+func many(n int) (*Balancer, *notes) {
 	return fleet(n, func(s *Settings) { s.Peers, s.Routers, s.Telling = true, 80, 0.01 })
 }
 
 // weighed starts one of 600 routers, of caches with these live weights.
-func weighed(seed uint32, weights ...float64) (*Router, *notes) {
+func weighed(seed uint32, weights ...float64) (*Balancer, *notes) {
 	r, did := fleet(0, func(s *Settings) { s.Seed, s.Routers, s.Weights, s.StartCapacity = seed, 600, Live, 0.17 })
 	r.Listed(0, Snapshot, members(weights...))
 	return r, did
@@ -75,7 +75,7 @@
 }
 
 // leaves is the part of a thousand keys that pass a cache over.
-func (r *Router) leaves(s *server) float64 {
+func (r *Balancer) leaves(s *server) float64 {
 	n := 0
 	for key := range uint32(1000) {
 		if r.passed(&operation{row: r.rows["view"], hash: stir(key)}, s) {
@@ -86,7 +86,7 @@
 }
 
 // begun is an operation with one execution on s, or another server, settled as harmless or not, or still out.
-func begun(r *Router, kind string, s *server, out, harmless bool) *operation {
+func begun(r *Balancer, kind string, s *server, out, harmless bool) *operation {
 	if s == nil {
 		s = &server{}
 	}
@@ -98,7 +98,7 @@
 }
 
 // slice is how many of 2000 keys a cache answers for.
-func (r *Router) slice(s *server) (n int) {
+func (r *Balancer) slice(s *server) (n int) {
 	for key := range uint32(2000) {
 		if r.nearest(stir(key), func(*server) bool { return true }) == s {
 			n++
@@ -117,10 +117,10 @@
 // reasons is a host that keeps why operations were declined.
 type reasons struct {
 	notes
-	told []Reason
+	told []RejectReason
 }
 
-func (r *reasons) Decline(_ uint64, _ float64, why Reason) { r.told = append(r.told, why) }
+func (r *reasons) Reject(_ uint64, _ float64, why RejectReason) { r.told = append(r.told, why) }
 
 // tier is a made-up day in which many routers meet one cold server: all of them are modules, time and chance are reckoned.
 type tier struct {
@@ -175,19 +175,19 @@
 type post struct {
 	notes
 	day    *play
-	r      *Router
+	r      *Balancer
 	told   float64 // when it was told of the cold server's last start
 	counts map[uint64]int
 }
 
-func (p *post) Execute(op, server uint64, limit, _ float64) {
+func (p *post) StartAttempt(op, server uint64, limit, _ float64) {
 	p.day.begin(p, op, server, p.counts[op], limit)
 	p.counts[op]++
 }
-func (p *post) Tell(words []byte) { p.day.words = append(p.day.words, slices.Clone(words)) }
+func (p *post) Gossip(words []byte) { p.day.words = append(p.day.words, slices.Clone(words)) }
 
-func (p *post) Decline(op uint64, _ float64, _ Reason) { delete(p.counts, op) }
-func (p *post) Terminate(op uint64)                    { delete(p.counts, op) }
+func (p *post) Reject(op uint64, _ float64, _ RejectReason) { delete(p.counts, op) }
+func (p *post) Fail(op uint64)                              { delete(p.counts, op) }
 
 // play is a day under way.
 type play struct {
@@ -421,7 +421,7 @@
 		}
 		return 1
 	}
-	all, sum := []*Router(nil), 0.0
+	all, sum := []*Balancer(nil), 0.0
 	for n := range x.routers {
 		sum += finish(n)
 	}
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -5,25 +5,25 @@
 // Host is what the module acts through. Whoever runs an instance hands it one at start; ids are those of
 // the calls into the module. Times are seconds.
 type Host interface {
-	// Execute begins an execution, given up after limit, or where it has not been written after within.
-	Execute(operation, server uint64, limit, within float64)
-	Withdraw(operation uint64, n int)                         // stop waiting for the operation's n-th execution
-	Decline(operation uint64, retryAfter float64, why Reason) // final answer: trying again is harmless
-	Terminate(operation uint64)                               // final answer: promises nothing
-	Tell(words []byte)                                        // send a short message to every peer
-	Probe(server uint64)                                      // look at a server
-	SetTimer(delay float64, name string)                      // call Wake with name after delay
-	Watch(on bool)                                            // ask for list changes from now on
+	// StartAttempt begins an execution, given up after limit, or where it has not been written after within.
+	StartAttempt(operation, server uint64, limit, within float64)
+	CancelAttempt(operation uint64, n int)                         // stop waiting for the operation's n-th execution
+	Reject(operation uint64, retryAfter float64, why RejectReason) // final answer: trying again is harmless
+	Fail(operation uint64)                                         // final answer: promises nothing
+	Gossip(words []byte)                                           // send a short message to every peer
+	Probe(server uint64)                                           // look at a server
+	SetTimer(delay float64, name string)                           // call Wake with name after delay
+	WatchEndpoints(on bool)                                        // ask for list changes from now on
 }
 
-// Reason tells why an operation was declined.
-type Reason int
+// RejectReason tells why an operation was declined.
+type RejectReason int
 
 // The reasons.
 const (
-	Strained Reason = iota // its server takes too long for what it is worth
-	NoServer               // none may execute it, or execute it again
-	NoTime                 // what is left is less than an execution should take, or all that may be repeated is
+	Strained RejectReason = iota // its server takes too long for what it is worth
+	NoServer                     // none may execute it, or execute it again
+	NoTime                       // what is left is less than an execution should take, or all that may be repeated is
 )
 
 // Outcome tells how an execution or a probe ended.
@@ -177,8 +177,8 @@
 // roll 0.05 to 0.10 of their score.
 const crowd = 64
 
-// Router is one instance of the module.
-type Router struct {
+// Balancer is one instance of the module.
+type Balancer struct {
 	host         Host
 	set          Settings
 	now          float64
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -71,8 +71,8 @@
 }
 
 // New starts an instance.
-func New(now float64, set Settings, host Host) *Router {
-	r := &Router{host: host, set: set, now: now, rows: map[string]*row{}, tenants: map[string]*tenant{},
+func New(now float64, set Settings, host Host) *Balancer {
+	r := &Balancer{host: host, set: set, now: now, rows: map[string]*row{}, tenants: map[string]*tenant{},
 		servers: map[uint64]*server{}, ops: map[uint64]*operation{}, flow: set.Flow, flowAt: now, taken: 0.5,
 		began: now - 1e3*min(set.Flow, 1), voice: 1, purses: map[string]*float64{}, left: map[string]float64{}}
 	r.set.Routers, r.tier = max(1, set.Routers), float64(max(1, set.Routers))
@@ -88,7 +88,7 @@
 }
 
 // Offer takes the traffic types that operations may have from now on; what has arrived ends under its own.
-func (r *Router) Offer(types []TrafficType) {
+func (r *Balancer) Offer(types []TrafficType) {
 	rows := map[string]*row{}
 	r.longest = 0
 	for _, t := range types {
@@ -106,7 +106,7 @@
 }
 
 // spend gives what further executions of a realm come from: one for all, or one each where realms are apart.
-func (r *Router) spend(realm string) *float64 {
+func (r *Balancer) spend(realm string) *float64 {
 	if !r.set.Apart {
 		return &r.spare
 	}
@@ -117,19 +117,19 @@
 }
 
 // chance draws a number from 0 up to 1.
-func (r *Router) chance() float64 {
+func (r *Balancer) chance() float64 {
 	r.draws++
 	return float64(mix(r.set.Seed, r.draws)) / (1 << 32)
 }
 
-func (r *Router) watch() {
+func (r *Balancer) watch() {
 	r.asked = r.now
-	r.host.Watch(true)
+	r.host.WatchEndpoints(true)
 	r.host.SetTimer(max(1, r.set.AskWithin/2), "watch") // asks again if nothing came at all
 }
 
 // Listed takes an update of the list.
-func (r *Router) Listed(now float64, kind ListKind, members []Member) {
+func (r *Balancer) Listed(now float64, kind ListKind, members []Member) {
 	r.now = now
 	if kind == Failed {
 		// The wait doubles up to half of askWithin, so that failed calls do not keep the list service full.
@@ -178,7 +178,7 @@
 }
 
 // latest is when a server may have started by its stamp: the fourth rule goes by its true start.
-func (r *Router) latest(stamp float64) float64 {
+func (r *Balancer) latest(stamp float64) float64 {
 	if stamp == 0 { // long ago
 		return 0
 	}
@@ -187,7 +187,7 @@
 
 // Barred takes that operators leave a cache out, whatever lists say, or that it may serve again: then it may
 // have started anew, cold, before a list tells of that (rule 4).
-func (r *Router) Barred(now float64, id uint64, out bool) {
+func (r *Balancer) Barred(now float64, id uint64, out bool) {
 	r.now = now
 	s := cmp.Or(r.servers[id], &server{share: 1, slow: 1, joint: 1})
 	r.servers[id] = s
@@ -200,7 +200,7 @@
 
 // even adds up what all caches hold, and moves the part of its points that each answers for: gently, for keys
 // that move miss, and by what it held over some four seconds, for one look says little. All see the same.
-func (r *Router) even(passed float64) {
+func (r *Balancer) even(passed float64) {
 	r.load, r.loadAt = 0, r.now
 	for _, s := range r.ready {
 		r.load += r.loaded(s)
@@ -215,7 +215,7 @@
 const places = 16 // points of the largest cache: one leaves shares to the gaps, 16 reach 1.5 times the mean
 
 // regroup sets up the ready caches after a change of membership.
-func (r *Router) regroup() {
+func (r *Balancer) regroup() {
 	r.ready, r.origins, r.points, r.size, r.cold = nil, nil, nil, 0, true
 	largest := 0.0
 	for _, s := range r.servers {
@@ -253,7 +253,7 @@
 
 // order gives the points of the ready caches that are most similar to a slot, n of them or all. They lie near
 // it on the circle: beyond twice the steps of n points none is nearer than these (tested).
-func (r *Router) order(slot uint32, n int) []point {
+func (r *Balancer) order(slot uint32, n int) []point {
 	all := len(r.points)
 	if n = min(n, all); len(r.orders[slot]) >= n {
 		return r.orders[slot]
@@ -278,7 +278,7 @@
 }
 
 // nearest is the design's pick: of the caches that pass the one most similar to the key; ties go by a hash.
-func (r *Router) nearest(hash uint32, pass func(*server) bool) (best *server) {
+func (r *Balancer) nearest(hash uint32, pass func(*server) bool) (best *server) {
 	tie, far, near, taken := uint32(0), 0, []point(nil), r.taken
 	if r.loadAt > 0 && r.now-r.loadAt < 1 || r.cold { // no warm one sheds
 		taken = 1
@@ -309,13 +309,13 @@
 
 // crowded is the design's pass-over: more than twice the mean of this router's executions in flight per
 // cache, and at least two.
-func (r *Router) crowded(s *server) bool {
+func (r *Balancer) crowded(s *server) bool {
 	return len(s.out) >= 2 && len(s.out)*len(r.ready) > 2*r.flying
 }
 
 // sparse tells that this router sees less than one execution a cache within the time for which it is
 // remembered (expect): of many routers none has two in flight anywhere, and what it learns alone is late.
-func (r *Router) sparse(t *row) bool {
+func (r *Balancer) sparse(t *row) bool {
 	told := r.set.Routers > 1 && (r.set.Peers || r.set.Weights == Live)
 	return told && r.finishing()*8*t.PromisedTime < float64(len(r.ready))
 }
@@ -323,7 +323,7 @@
 // passed is the pass-over by this router's own executions and, where it is sparse, by what all tell. As all
 // hear the same at once, a cache keeps a part of its keys, the same ones everywhere: if all left it together
 // they would crowd the next one, and come back together. It keeps a few, else none would tell how it is.
-func (r *Router) passed(op *operation, s *server) bool {
+func (r *Balancer) passed(op *operation, s *server) bool {
 	if r.crowded(s) || !r.sparse(op.row) {
 		return r.crowded(s)
 	}
@@ -339,7 +339,7 @@
 }
 
 // warmth is the part of its capacity that a cache has for certain: the settings' slowest warming.
-func (r *Router) warmth(s *server) float64 {
+func (r *Balancer) warmth(s *server) float64 {
 	if s.fresh == 0 || r.set.WarmWithin <= 0 || r.now-s.fresh >= r.set.WarmWithin {
 		return 1
 	}
@@ -349,7 +349,7 @@
 // tips guards the fourth rule: a cold cache gets a budget that fills with half of what the rule allows a
 // cache of the mean size, whose capacity is at least what caches finish, or three quarters of its own where
 // sizes are told. Each router keeps to its part; of many, to a crowd, not all keep one for later: it is lost.
-func (r *Router) tips(s *server) bool {
+func (r *Balancer) tips(s *server) bool {
 	w := r.warmth(s)
 	if w >= 1 || r.set.Fall <= 0 || r.isOrigin(s) { // it has a bound of its own
 		return false
@@ -366,25 +366,25 @@
 }
 
 // finishing is how many executions the caches finish a second, over about a warm-up or since the start.
-func (r *Router) finishing() float64 {
+func (r *Balancer) finishing() float64 {
 	span := max(1, r.set.WarmWithin)
 	return r.flow * math.Exp((r.flowAt-r.now)/span) / (1 - math.Exp(-max(1, r.now-r.began)/span))
 }
 
 // sick tells whether a cache is passed over for its failures; after a wait one execution at a time tries it.
-func (r *Router) sick(s *server) bool {
+func (r *Balancer) sick(s *server) bool {
 	return s.fails >= 3 && (r.now < s.until || len(s.out) > 0)
 }
 
 // Avoids tells whether a cache gets nothing new now: by its mode, by hand, or for its failures.
-func (r *Router) Avoids(id uint64) bool {
+func (r *Balancer) Avoids(id uint64) bool {
 	s := r.servers[id]
 	return s == nil || s.Mode != InService || s.barred || s.fails >= 3
 }
 
 // choose picks the server for an operation's next execution, or none: of the caches that share the key the
 // one whose turn it is, else the nearest past the sick or crowded, the sick, what rules forbid.
-func (r *Router) choose(op *operation) *server {
+func (r *Balancer) choose(op *operation) *server {
 	if !r.mayGoOn(op) {
 		return nil // else a lookup that no cache passes ranks them all
 	}
@@ -425,7 +425,7 @@
 }
 
 // shares counts a use of a slot and tells how many caches share its keys, each a quarter of its mean part.
-func (r *Router) shares(slot uint32, t *row) float64 {
+func (r *Balancer) shares(slot uint32, t *row) float64 {
 	caches := float64(max(1, len(r.ready)))
 	keep := 1 - 1/(4*caches) // lately: some four uses a cache
 	lately := r.heat[slot] * math.Pow(keep, r.uses-r.heated[slot])
@@ -438,7 +438,7 @@
 }
 
 // Arrived takes an operation from a client, which gives up after left. The tenth of those shed goes on.
-func (r *Router) Arrived(now float64, id uint64, kind, realm, key string, left float64) {
+func (r *Balancer) Arrived(now float64, id uint64, kind, realm, key string, left float64) {
 	r.now = now
 	t := r.rows[kind]
 	if t == nil { // a type that the settings lack: it may take what time it brought, and never runs twice
@@ -488,7 +488,7 @@
 
 // fruitless sheds by chance what finds no answer anyhow: where the origin fails, caches answer with errors,
 // keep nothing, and all that is sent keeps it failing. Half as much again may be sent as finished of late.
-func (r *Router) fruitless() bool {
+func (r *Balancer) fruitless() bool {
 	r.lost, r.won = r.lost*(1-1.0/32), r.won*(1-1.0/32)
 	if r.chance()*(r.lost+r.won) < 1.5*r.won+1 {
 		return false
@@ -498,7 +498,7 @@
 }
 
 // strained tells whether to shed an operation, for its server takes too long: first what brings little.
-func (r *Router) strained(op *operation, s *server) bool {
+func (r *Balancer) strained(op *operation, s *server) bool {
 	// All that is left, else what was promised: a try a router must not keep a jam alive.
 	takes, bound := r.expect(op, s), cmp.Or(max(0, op.due-r.now), op.row.PromisedTime)
 	calm := 4 * max(0, r.timely-0.75)
@@ -523,7 +523,7 @@
 
 // mayGoOn, mayExecute and mayDecline guard the rules in one place: whether any server at all may execute an
 // operation, whether this one may, and whether the client may be told that trying again is harmless.
-func (r *Router) mayGoOn(op *operation) bool {
+func (r *Balancer) mayGoOn(op *operation) bool {
 	if op.answered || op.began || r.now >= op.hardStop ||
 		r.set.MostExecutions > 0 && len(op.executions) >= r.set.MostExecutions {
 		return false
@@ -534,7 +534,7 @@
 	})
 }
 
-func (r *Router) mayExecute(op *operation, s *server) bool {
+func (r *Balancer) mayExecute(op *operation, s *server) bool {
 	ready := s.Mode == InService && !s.barred && (op.row.placed(s) || r.isOrigin(s))
 	return ready && r.mayGoOn(op) && !op.any(func(e *execution) bool {
 		outside := op.row.Group == Zone && e.on.Zone != s.Zone || op.row.Group == Cell && e.on.Cell != s.Cell
@@ -549,12 +549,12 @@
 	return open(t.RunsIn, s.Zone) && open(t.AllowedOn, s.Kind)
 }
 
-func (r *Router) mayDecline(op *operation) bool {
+func (r *Balancer) mayDecline(op *operation) bool {
 	return op.row.Effect == Reissuable || op.row.Effect == Numbered && op.row.Group == All ||
 		!op.any(func(e *execution) bool { return !e.harmless })
 }
 
-func (r *Router) execute(op *operation, s *server) {
+func (r *Balancer) execute(op *operation, s *server) {
 	if !r.mayExecute(op, s) {
 		panic("an execution that the rules forbid")
 	}
@@ -571,11 +571,11 @@
 	if ran >= 0 && op.row.Effect == Numbered { // a repeat is dropped within its window alone: it must not wait beyond that
 		within = min(limit, op.executions[ran].sent+op.row.Window-r.now)
 	}
-	r.host.Execute(op.id, s.ID, limit, within)
+	r.host.StartAttempt(op.id, s.ID, limit, within)
 }
 
-// Began takes the start of a stream: there is no hard stop from here on, and no other execution.
-func (r *Router) Began(now float64, id uint64, n int) {
+// OnStreamStart takes the start of a stream: there is no hard stop from here on, and no other execution.
+func (r *Balancer) OnStreamStart(now float64, id uint64, n int) {
 	r.now = now
 	if op := r.ops[id]; op != nil && n >= 0 && n < len(op.executions) {
 		op.began = true
@@ -584,7 +584,7 @@
 }
 
 // Settled takes the end of an execution.
-func (r *Router) Settled(now float64, id uint64, n int, how Outcome, lag float64, final bool) {
+func (r *Balancer) Settled(now float64, id uint64, n int, how Outcome, lag float64, final bool) {
 	r.now = now
 	op := r.ops[id]
 	if op == nil || n < 0 || n >= len(op.executions) || !op.executions[n].out {
@@ -602,7 +602,7 @@
 	}
 }
 
-func (r *Router) learn(e *execution, how Outcome, lag float64) {
+func (r *Balancer) learn(e *execution, how Outcome, lag float64) {
 	s, t := e.on, e.of.row
 	if e.erred = how == Error; e.erred && r.blamed(e) {
 		r.won++ // the server does its work: what is shed for lost ones must not go on for these
@@ -672,7 +672,7 @@
 
 // blamed tells that an error follows the operation, not the server: another server answered it so, too, or
 // those with its keys were so answered of late. Such errors bench nobody.
-func (r *Router) blamed(e *execution) bool {
+func (r *Balancer) blamed(e *execution) bool {
 	faulty := &r.faulty[e.of.hash%slots]
 	for _, x := range e.of.executions {
 		if x.erred && x.on != e.on {
@@ -698,7 +698,7 @@
 
 // tell passes on to all peers how each execution went, as far as the price allows, and at once what is news
 // of a cache. What all move at once misses at the origin: only by a router that would know nothing without.
-func (r *Router) tell(s *server, t *row, took, was float64) {
+func (r *Balancer) tell(s *server, t *row, took, was float64) {
 	if !r.set.Peers || !r.sparse(t) {
 		return
 	}
@@ -709,13 +709,13 @@
 	r.voice = min(r.voice+min(1, 0.005/max(cost, 1e-9)), 4)
 	if r.voice >= 1 && (math.Abs(min(took/32, 4)-was) > 1 || len(r.words) == messageSize) {
 		r.voice--
-		r.host.Tell(r.words)
+		r.host.Gossip(r.words)
 		r.words = r.words[:0]
 	}
 }
 
 // Told takes a peer's words. One counts as two executions of our own, since most are not told.
-func (r *Router) Told(now float64, words []byte) {
+func (r *Balancer) Told(now float64, words []byte) {
 	r.now = now
 	for ; len(words) >= wordSize; words = words[wordSize:] {
 		for _, s := range r.ready {
@@ -730,13 +730,13 @@
 }
 
 // loaded is what all routers told of a cache lately.
-func (r *Router) loaded(s *server) float64 { return s.load * math.Exp((s.loadAt-r.now)/recall) }
+func (r *Balancer) loaded(s *server) float64 { return s.load * math.Exp((s.loadAt-r.now)/recall) }
 
 const recall = 3 // seconds over which load is summed: with 1 more keys moved to and fro, and missed
 
 // weigh adds a word to what all routers have in flight, the number of executions times how long each was out,
 // and to how slow a cache is: over about a second, some dozens of words; where few come each weighs more.
-func (r *Router) weigh(s *server, took float64) {
+func (r *Balancer) weigh(s *server, took float64) {
 	r.load, r.loadAt = r.load*math.Exp((r.loadAt-r.now)/recall)+took, r.now
 	s.load = r.loaded(s) + took
 	s.joint += (took - s.joint) * min(max(1-math.Exp(s.loadAt-r.now), 1.0/32), 0.5)
@@ -746,7 +746,7 @@
 }
 
 // further goes on after an execution without an answer, if the time left is enough.
-func (r *Router) further(op *operation, e *execution, how Outcome) {
+func (r *Balancer) further(op *operation, e *execution, how Outcome) {
 	if op.any((*execution).isOut) {
 		return
 	}
@@ -768,13 +768,13 @@
 	}
 }
 
-func (r *Router) isOrigin(s *server) bool {
+func (r *Balancer) isOrigin(s *server) bool {
 	return r.set.Aside && s.Kind != "" && s.Kind == r.set.OriginKind
 }
 
 // origin picks the least busy server of the origin that bears one more, or none. It is slow, all share it,
 // and what is sent over its bound keeps it from answering at all.
-func (r *Router) origin(op *operation) (best *server) {
+func (r *Balancer) origin(op *operation) (best *server) {
 	for _, s := range r.origins {
 		room := float64(len(s.out)) < s.limit*math.Sqrt(op.worth)
 		if room && r.mayExecute(op, s) && (best == nil || len(s.out) < len(best.out)) {
@@ -786,7 +786,7 @@
 
 // bear moves the bound of what the origin is sent: up by one for each full round that it answers in half of
 // the promised time, down by a third, once a round, where it does not.
-func (r *Router) bear(s *server, how Outcome, lag float64, t *row) {
+func (r *Balancer) bear(s *server, how Outcome, lag float64, t *row) {
 	switch inTime := how == Finished && lag < t.PromisedTime/2; {
 	case inTime && float64(len(s.out))+1 >= s.limit/2:
 		s.limit += 1 / s.limit
@@ -796,7 +796,7 @@
 }
 
 // expect is the time that an execution on s should take. What was seen fades within eight promised times.
-func (r *Router) expect(op *operation, s *server) float64 {
+func (r *Balancer) expect(op *operation, s *server) float64 {
 	fade := func(heard float64) float64 { return math.Exp((heard - r.now) / op.row.PromisedTime / 8) }
 	usual := op.row.PromisedTime / 4
 	slow := 1 + (s.slow-1)*fade(s.heard)
@@ -807,22 +807,22 @@
 }
 
 // giveUp sends the final answer of an operation that will get no other, at once.
-func (r *Router) giveUp(op *operation, why Reason) {
+func (r *Balancer) giveUp(op *operation, why RejectReason) {
 	if len(op.executions) == 0 {
 		if r.taken, r.turned = r.taken-r.taken/16, r.turned+1; op.paid != nil {
 			op.paid.tokens++
 		}
 	}
 	if pause := min(op.row.PromisedTime*(0.5+r.chance()), r.set.MaxRetryAfter); r.mayDecline(op) {
-		r.host.Decline(op.id, pause, why)
+		r.host.Reject(op.id, pause, why)
 	} else {
-		r.host.Terminate(op.id)
+		r.host.Fail(op.id)
 	}
 	r.end(op)
 }
 
 // end stops what is still out of an answered operation, and drops it once nothing is.
-func (r *Router) end(op *operation) {
+func (r *Balancer) end(op *operation) {
 	if !op.answered {
 		op.answered = true
 		r.withdraw(op, (*execution).isOut)
@@ -832,16 +832,16 @@
 	}
 }
 
-func (r *Router) withdraw(op *operation, which func(*execution) bool) {
+func (r *Balancer) withdraw(op *operation, which func(*execution) bool) {
 	for _, e := range op.executions {
 		if e.out && which(e) && r.set.Cancelling {
-			r.host.Withdraw(op.id, e.n)
+			r.host.CancelAttempt(op.id, e.n)
 		}
 	}
 }
 
 // Left takes the client's departure.
-func (r *Router) Left(now float64, id uint64) {
+func (r *Balancer) Left(now float64, id uint64) {
 	r.now = now
 	if op := r.ops[id]; op != nil {
 		r.end(op)
@@ -849,14 +849,14 @@
 }
 
 // Counted takes how many routers are heard; the settings' number holds where these are fewer: some are mute.
-func (r *Router) Counted(now float64, n int) { r.now, r.tier = now, float64(max(r.set.Routers, n)) }
+func (r *Balancer) Counted(now float64, n int) { r.now, r.tier = now, float64(max(r.set.Routers, n)) }
 
 // Probed takes the end of a probe.
-func (r *Router) Probed(now float64, id uint64, how Outcome) { r.now = now }
+func (r *Balancer) Probed(now float64, id uint64, how Outcome) { r.now = now }
 
 // Zoned takes the part of its keys that a zone serves from now on, the same keys at every router. What is out
 // in one that is left goes elsewhere, where it may: it would wait there for all of its client's patience.
-func (r *Router) Zoned(now float64, zone string, share float64) {
+func (r *Balancer) Zoned(now float64, zone string, share float64) {
 	r.now, r.left[zone] = now, 1-share
 	for _, id := range slices.Sorted(maps.Keys(r.ops)) {
 		if op := r.ops[id]; share == 0 && r.mayDecline(op) {
@@ -866,7 +866,7 @@
 }
 
 // Wake takes a timer: the list is asked for again, after an error or if nothing came.
-func (r *Router) Wake(now float64, name string) {
+func (r *Balancer) Wake(now float64, name string) {
 	r.now = now
 	overdue := name == "watch" && r.asked > 0 && now-r.asked >= max(1, r.set.AskWithin/2)-r.set.Step
 	if overdue || name == "rewatch" {
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -141,7 +141,7 @@
 }
 
 // aside starts a router that asks the origin, 99, for what a cache lacks.
-func aside(n int) (*Router, *notes) {
+func aside(n int) (*Balancer, *notes) {
 	r, did := fleet(n, func(s *Settings) { s.Aside, s.OriginKind = true, "origin" })
 	r.Listed(0, Diff, []Member{{ID: 99, Mode: InService, Capacity: 1, Zone: "far", Kind: "origin"}})
 	did.did = nil
@@ -330,7 +330,7 @@
 	limit, within *float64
 }
 
-func (l limited) Execute(op, s uint64, limit, within float64) {
+func (l limited) StartAttempt(op, s uint64, limit, within float64) {
 	if *l.limit = limit; l.within != nil {
 		*l.within = within
 	}
@@ -593,7 +593,7 @@
 
 // lull lets operations arrive, rate a second from one time to another, and gives the longest time in which 15 or more
 // were turned away with no execution begun, and how many of them went on. What goes on ends at once, as how tells.
-func lull(r *Router, from, to, rate float64, kind string, how func(now float64) Outcome) (worst float64, went int) {
+func lull(r *Balancer, from, to, rate float64, kind string, how func(now float64) Outcome) (worst float64, went int) {
 	since, turned := from, 0
 	for now := from; now < to; now += (0.5 + r.chance()) / rate {
 		id := uint64(now * 1e6)
@@ -830,7 +830,7 @@
 	r.Arrived(0, 7, "view", "", "k", 2)
 	*r.ops[7].purse = 1
 	r.Settled(1.99, 7, 0, TurnedAway, 1.99, false)
-	expect(t, "the reasons", fmt.Sprint(h.told), fmt.Sprint([]Reason{NoServer, Strained, NoTime}))
+	expect(t, "the reasons", fmt.Sprint(h.told), fmt.Sprint([]RejectReason{NoServer, Strained, NoTime}))
 }
 
 // Of 80 routers none had two executions in flight anywhere: a cache held four times what others did, and none knew.
@@ -1109,7 +1109,7 @@
 // A zone with a share serves the same keys of its own at every router; the other keys stay where they were. Of one that is left what may
 // run again goes elsewhere at once, and what may not waits on.
 func TestZoned(t *testing.T) {
-	zoned := func(seed uint32, share float64) *Router {
+	zoned := func(seed uint32, share float64) *Balancer {
 		r, _ := fleet(12, func(s *Settings) { s.Seed = seed })
 		for id, s := range r.servers {
 			s.Zone = string(rune('a' + id%3))
@@ -1122,7 +1122,7 @@
 	before, half, other, none := zoned(1, 1), zoned(1, 0.5), zoned(2, 0.5), zoned(1, 0)
 	kept, all := 0, 0
 	for key := range uint32(2000) {
-		pick := func(r *Router) *server { return r.nearest(stir(key), func(*server) bool { return true }) }
+		pick := func(r *Balancer) *server { return r.nearest(stir(key), func(*server) bool { return true }) }
 		was, now := pick(before), pick(half)
 		if now != nil && pick(other).ID != now.ID {
 			t.Fatal("two routers differ")
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -238,16 +238,16 @@
 			op.out++
 			s.out++
 			m.flying++
-			m.host.Execute(op.id, s.ID, op.hardStop-now, op.hardStop-now)
+			m.host.StartAttempt(op.id, s.ID, op.hardStop-now, op.hardStop-now)
 			return
 		}
 	}
 	op.answered = true
 	ran := slices.ContainsFunc(op.executions, func(e *execution) bool { return !e.harmless })
 	if op.t.Effect == balancer.Reissuable || op.t.Effect == balancer.Numbered && op.t.Group == balancer.All || !ran {
-		m.host.Decline(op.id, 0, balancer.NoServer)
+		m.host.Reject(op.id, 0, balancer.NoServer)
 	} else {
-		m.host.Terminate(op.id)
+		m.host.Fail(op.id)
 	}
 	m.end(op)
 }
@@ -255,7 +255,7 @@
 func (m *Module) end(op *operation) {
 	for n, e := range op.executions {
 		if e.out && m.set.Cancelling {
-			m.host.Withdraw(op.id, n)
+			m.host.CancelAttempt(op.id, n)
 		}
 	}
 	if op.out == 0 {
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -21,7 +21,7 @@
 	me         int // its number among the peers
 	loop       *eventloop.Loop
 	way        Way
-	module     *balancer.Router
+	module     *balancer.Balancer
 	ids        []uint64 // of the servers, as the list has them
 	generation uint64   // of the list that is in force
 	since      float64  // when that came into force, Unix seconds
@@ -32,14 +32,14 @@
 // host lets the module act: there is nothing that it could act on but the other routers.
 type host struct{ r *router }
 
-func (host) Execute(uint64, uint64, float64, float64) {}
-func (host) Withdraw(uint64, int)                     {}
-func (host) Decline(uint64, float64, balancer.Reason) {}
-func (host) Terminate(uint64)                         {}
-func (h host) Tell(words []byte)                      { h.r.way.Tell(words) }
-func (host) Probe(uint64)                             {}
-func (host) SetTimer(float64, string)                 {}
-func (host) Watch(bool)                               {}
+func (host) StartAttempt(uint64, uint64, float64, float64) {}
+func (host) CancelAttempt(uint64, int)                     {}
+func (host) Reject(uint64, float64, balancer.RejectReason) {}
+func (host) Fail(uint64)                                   {}
+func (h host) Gossip(words []byte)                         { h.r.way.Tell(words) }
+func (host) Probe(uint64)                                  {}
+func (host) SetTimer(float64, string)                      {}
+func (host) WatchEndpoints(bool)                           {}
 
 // settings are those of a router that hears others, as in a real one's configuration.
 func settings(me, routers int) balancer.Settings {
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -557,7 +557,7 @@
 	want(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	fmt.Fprint(conn, "mg k v O4 Pc=t\r\nmg k v O5 Pc=none\r\nmg k v O3 Pc=t\r\n") // no place, no such type, another's id
-	s.loop.Post(func() { s.desk.core.Terminate(3) })
+	s.loop.Post(func() { s.desk.core.Fail(3) })
 	want(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
 	settle(third, balancer.Withdrawn, requestcore.Result{})
 	conn, in = s.dial()
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -63,14 +63,14 @@
 
 type nobody struct{}
 
-func (nobody) Execute(uint64, uint64, float64, float64) {}
-func (nobody) Withdraw(uint64, int)                     {}
-func (nobody) Decline(uint64, float64, balancer.Reason) {}
-func (nobody) Terminate(uint64)                         {}
-func (nobody) Tell([]byte)                              {}
-func (nobody) Probe(uint64)                             {}
-func (nobody) SetTimer(float64, string)                 {}
-func (nobody) Watch(bool)                               {}
+func (nobody) StartAttempt(uint64, uint64, float64, float64) {}
+func (nobody) CancelAttempt(uint64, int)                     {}
+func (nobody) Reject(uint64, float64, balancer.RejectReason) {}
+func (nobody) Fail(uint64)                                   {}
+func (nobody) Gossip([]byte)                                 {}
+func (nobody) Probe(uint64)                                  {}
+func (nobody) SetTimer(float64, string)                      {}
+func (nobody) WatchEndpoints(bool)                           {}
 
 // A server that refuses everywhere is benched by the module of a router that never asked it; one that refuses one router while others finish there is not.
 func TestModuleBenches(t *testing.T) {
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -60,7 +60,7 @@
 // Reasons name them, by their numbers.
 var Reasons = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
 
-var reasons = map[balancer.Reason]Reason{balancer.Strained: Strained, balancer.NoServer: NoServer, balancer.NoTime: NoTime}
+var reasons = map[balancer.RejectReason]Reason{balancer.Strained: Strained, balancer.NoServer: NoServer, balancer.NoTime: NoTime}
 
 // Result is what a cache server made of an execution that finished.
 type Result struct {
@@ -352,7 +352,7 @@
 			r.Counts.Faults++
 			r.Log.Error().Str("fault", fmt.Sprint(p)).Bytes("stack", debug.Stack()).Msg("the module failed")
 			if o != nil && o.client != nil {
-				r.Terminate(o.id)
+				r.Fail(o.id)
 			}
 		}
 	}()
@@ -361,8 +361,8 @@
 
 // The host's side.
 
-// Execute begins an execution.
-func (r *Router) Execute(id, server uint64, limit, within float64) {
+// StartAttempt begins an execution.
+func (r *Router) StartAttempt(id, server uint64, limit, within float64) {
 	o := r.ops[id]
 	x := &execution{of: o, n: len(o.executions), began: r.Clock.Now()}
 	o.executions = append(o.executions, x)
@@ -380,15 +380,15 @@
 	x.pending = r.Caches.Execute(server, o.Operation, limit, within, x)
 }
 
-// Withdraw stops waiting for an execution.
-func (r *Router) Withdraw(id uint64, n int) {
+// CancelAttempt stops waiting for an execution.
+func (r *Router) CancelAttempt(id uint64, n int) {
 	if o := r.ops[id]; o != nil && n < len(o.executions) && o.executions[n].pending != nil {
 		o.executions[n].pending.Drop()
 	}
 }
 
-// Decline answers an operation.
-func (r *Router) Decline(id uint64, retryAfter float64, why balancer.Reason) {
+// Reject answers an operation.
+func (r *Router) Reject(id uint64, retryAfter float64, why balancer.RejectReason) {
 	if o := r.ops[id]; o != nil && o.client != nil {
 		r.Counts.Declined++
 		r.Counts.Reasons[reasons[why]]++
@@ -398,8 +398,8 @@
 	}
 }
 
-// Terminate answers an operation.
-func (r *Router) Terminate(id uint64) {
+// Fail answers an operation.
+func (r *Router) Fail(id uint64) {
 	if o := r.ops[id]; o != nil && o.client != nil {
 		r.Counts.Terminated++
 		o.answer().Terminated()
@@ -411,12 +411,12 @@
 // End gives what has no final answer one, in the order in which it came: the process ends.
 func (r *Router) End() {
 	for _, id := range slices.Sorted(maps.Keys(r.ops)) {
-		r.Terminate(id)
+		r.Fail(id)
 	}
 }
 
-// Tell sends words to the peers.
-func (r *Router) Tell(words []byte) { r.Outside.Tell(words) }
+// Gossip sends words to the peers.
+func (r *Router) Gossip(words []byte) { r.Outside.Tell(words) }
 
 // Probe looks at a server.
 func (r *Router) Probe(server uint64) {
@@ -430,5 +430,5 @@
 	r.Clock.After(delay, func() { r.guard(nil, func() { r.module.Wake(r.Clock.Now(), name) }) })
 }
 
-// Watch asks for list changes.
-func (r *Router) Watch(on bool) { r.Outside.Watch(on) }
+// WatchEndpoints asks for list changes.
+func (r *Router) WatchEndpoints(on bool) { r.Outside.Watch(on) }
--- a/internal/requestcore/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -117,7 +117,7 @@
 	id := r.take(&a)
 	r.guard(r.ops[id], func() { panic("an index") })
 	check(t, r, a, answers{terminated: 1}, 1)
-	r.Execute(id, 1, 0.1, 0.1)
+	r.StartAttempt(id, 1, 0.1, 0.1)
 	if len(o.began) != 1 {
 		t.Errorf("an execution was begun after the final answer")
 	}
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -43,7 +43,7 @@
 type instance struct {
 	s      *session
 	id     uint64
-	router *balancer.Router
+	router *balancer.Balancer
 }
 
 func newSession(out io.Writer) *session {
@@ -185,7 +185,7 @@
 	case "HEAD_RECEIVED":
 		id, n := m.ID("txn"), int(m.Count("n"))
 		if m.Err() == nil {
-			i.router.Began(now, id, n)
+			i.router.OnStreamStart(now, id, n)
 		}
 	case "SETTLED":
 		id, n, reason, lag := m.ID("txn"), int(m.Count("n")), outcomes[m.Text("reason")], m.Seconds("lag")
@@ -219,24 +219,24 @@
 
 // The host's side: each call is a line of the reply.
 
-func (i *instance) Execute(operation, server uint64, limit, _ float64) {
+func (i *instance) StartAttempt(operation, server uint64, limit, _ float64) {
 	i.s.line("CALL_OUT").uint("router", i.id).uint("txn", operation).uint("server", server).
 		time("limit", limit).end()
 }
 
-func (i *instance) Withdraw(operation uint64, n int) {
+func (i *instance) CancelAttempt(operation uint64, n int) {
 	i.s.line("WITHDRAW").uint("router", i.id).uint("txn", operation).uint("n", uint64(n)).end()
 }
 
-func (i *instance) Decline(operation uint64, retryAfter float64, _ balancer.Reason) {
+func (i *instance) Reject(operation uint64, retryAfter float64, _ balancer.RejectReason) {
 	i.s.line("BOUNCE").uint("router", i.id).uint("txn", operation).time("pause", retryAfter).end()
 }
 
-func (i *instance) Terminate(operation uint64) {
+func (i *instance) Fail(operation uint64) {
 	i.s.line("RESPOND_ERROR").uint("router", i.id).uint("txn", operation).end()
 }
 
-func (i *instance) Tell(words []byte) {
+func (i *instance) Gossip(words []byte) {
 	i.s.line("SIGNAL").uint("router", i.id).text("addressee", "all").
 		text("body", base64.StdEncoding.EncodeToString(words)).end()
 }
@@ -249,7 +249,7 @@
 	i.s.line("SET_TIMER").uint("router", i.id).time("delay", delay).text("name", name).end()
 }
 
-func (i *instance) Watch(on bool) {
+func (i *instance) WatchEndpoints(on bool) {
 	i.s.line("WATCH").uint("router", i.id).flag("want", on).end()
 }
 
