--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -102,7 +102,7 @@
 			d := tier{routers: routers, stated: routers, caches: 8, each: []float64{10, 3, 30, 5}[seed%4], load: []float64{0.7, 0.95, 0.5}[seed%3],
 				burst: []float64{1.3, 3}[seed%2], pull: []float64{1, 0.5}[seed/2%2], late: []float64{0, 3, 5}[seed%3], skew: 4,
 				spread: []float64{6, 0, 2}[seed%3], anew: 0.2, again: []float64{5, 0}[seed/2%2], was: seed%2 == 0, easy: seed%3 < 2,
-				lost: []int{0, 0, 2, 4}[seed/3%4], news: []int{1, 1, 4}[seed/4%3], peers: seed/2%2 == 0, weights: Weights(seed / 3 % 2), seed: seed,
+				lost: []int{0, 0, 2, 4}[seed/3%4], news: []int{1, 1, 4}[seed/4%3], peers: seed/2%2 == 0, weights: WeightMode(seed / 3 % 2), seed: seed,
 				fall: 3, tip: 4, from: 0.3, warm: 9}.play()
 			breaks, starts, used, worst, most = breaks+d.breaks, starts+d.starts, used+d.used, max(worst, d.worst), max(most, d.most)
 		}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -37,20 +37,20 @@
 func fleet(n int, change func(*Settings)) (*Balancer, *notes) {
 	set := Settings{Routers: 2, Step: 0.001, MostExecutions: 3, SecondCopies: true, Cancelling: true,
 		MaxRetryAfter: 1, Fall: 3, TipMultiple: 4, StartCapacity: 0.25, WarmWithin: 20,
-		OverBenefit: 0.05, TrafficTypes: []TrafficType{
-			{Name: "view", Effect: Reissuable, PromisedTime: 0.4, HardStop: 2, Benefit: 1},
-			{Name: "amend", Effect: Numbered, Group: Zone, Window: 1, PromisedTime: 0.4, HardStop: 2, Benefit: 1},
-			{Name: "pay", PromisedTime: 0.4, HardStop: 2, Benefit: 1}}}
+		OverBenefit: 0.05, TrafficTypes: []TrafficClass{
+			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1},
+			{Name: "amend", Idempotency: IdempotencyKeyed, DeduplicationScope: ScopeZone, DeduplicationWindow: 1, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1},
+			{Name: "pay", LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}}}
 	if change != nil {
 		change(&set)
 	}
 	n0 := &notes{}
 	r := New(0, set, n0)
-	var members []Member
+	var members []Endpoint
 	for i := range n {
-		members = append(members, Member{ID: uint64(i + 1), Mode: InService, Capacity: 1, Zone: "a"})
+		members = append(members, Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"})
 	}
-	r.Listed(0, Snapshot, members)
+	r.Listed(0, UpdateFull, members)
 	n0.did = nil
 	return r, n0
 }
@@ -62,14 +62,14 @@
 
 // weighed starts one of 600 routers, of caches with these live weights.
 func weighed(seed uint32, weights ...float64) (*Balancer, *notes) {
-	r, did := fleet(0, func(s *Settings) { s.Seed, s.Routers, s.Weights, s.StartCapacity = seed, 600, Live, 0.17 })
-	r.Listed(0, Snapshot, members(weights...))
+	r, did := fleet(0, func(s *Settings) { s.Seed, s.Routers, s.Weights, s.StartCapacity = seed, 600, WeightsLive, 0.17 })
+	r.Listed(0, UpdateFull, members(weights...))
 	return r, did
 }
 
-func members(weights ...float64) (all []Member) {
+func members(weights ...float64) (all []Endpoint) {
 	for i, w := range weights {
-		all = append(all, Member{ID: uint64(i + 1), Mode: InService, Capacity: w})
+		all = append(all, Endpoint{ID: uint64(i + 1), State: Ready, Capacity: w})
 	}
 	return all
 }
@@ -140,7 +140,7 @@
 	lost                  int     // caches that go when it starts
 	news                  int     // servers that start cold then, the first of which are looked at
 	peers                 bool
-	weights               Weights
+	weights               WeightMode
 	seed                  uint32
 	fall, tip, from, warm float64 // the settings of rule 4
 }
@@ -230,17 +230,17 @@
 		d.used++
 	}
 	d.turns++
-	f := flight{sent: d.now, turn: d.turns, by: p, op: op, n: n, how: Finished}
+	f := flight{sent: d.now, turn: d.turns, by: p, op: op, n: n, how: Succeeded}
 	if i < d.news && d.easy && d.now >= d.started {
 		f.at = d.now + 0.005
 	} else if free := max(d.now, d.busy[i]); free-d.now > 0.5 { // its queue is full
-		f.at, f.how = d.now+0.005, TurnedAway
+		f.at, f.how = d.now+0.005, Overloaded
 	} else {
 		d.busy[i] = free + 1/does
 		f.at = d.busy[i] + 0.005
 	}
 	if f.at > d.now+limit {
-		f.at, f.how = d.now+limit, NoAnswer
+		f.at, f.how = d.now+limit, TimedOut
 	}
 	heap.Push(&d.out, f)
 }
@@ -249,24 +249,24 @@
 func (d *play) fresh(p *post, n int) {
 	set := Settings{Seed: mix(d.seed, uint64(n)+1<<40+d.turns), Me: n, Routers: d.stated, Step: 0.002, MostExecutions: 3, SecondCopies: true,
 		Cancelling: true, MaxRetryAfter: 1, Peers: d.peers, Telling: 0.01, Weights: d.weights, Fall: d.fall, TipMultiple: d.tip,
-		StartCapacity: d.from, WarmWithin: d.warm, OverBenefit: 0.05, TrafficTypes: []TrafficType{
-			{Name: "view", Effect: Reissuable, PromisedTime: 0.4, HardStop: 2, Benefit: 1}}}
+		StartCapacity: d.from, WarmWithin: d.warm, OverBenefit: 0.05, TrafficTypes: []TrafficClass{
+			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}}}
 	p.day, p.counts = d, map[uint64]int{}
 	p.r = New(d.now, set, p)
 }
 
 func (d *play) list(p *post, cold bool) {
-	var all []Member
+	var all []Endpoint
 	for i := range d.caches {
-		m := Member{ID: uint64(i + 1), Mode: InService, Capacity: 1, Zone: "a"}
+		m := Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"}
 		if cold && i < d.news {
-			m.Started = d.started
+			m.StartedAt = d.started
 		}
 		if i < d.news && (cold || d.was) || i >= d.news && (!cold || i+d.lost < d.caches) {
 			all = append(all, m)
 		}
 	}
-	p.r.Listed(d.now, Snapshot, all)
+	p.r.Listed(d.now, UpdateFull, all)
 }
 
 // judge looks at each window that ends with a request to a cold server.
@@ -359,10 +359,10 @@
 		for len(d.out) > 0 && d.out[0].at <= d.now {
 			f := heap.Pop(&d.out).(flight)
 			if f.by.r.ops[f.op] != nil {
-				if f.how == Finished {
+				if f.how == Succeeded {
 					delete(f.by.counts, f.op)
 				}
-				f.by.r.Settled(d.now, f.op, f.n, f.how, d.now-f.sent, f.how == Finished)
+				f.by.r.Settled(d.now, f.op, f.n, f.how, d.now-f.sent, f.how == Succeeded)
 			}
 		}
 		for _, w := range d.words {
@@ -406,14 +406,14 @@
 
 // most is the most that a window brought, over what is put down to chance.
 func (x rush) most() (worst float64) {
-	set := Settings{Routers: x.stated, Weights: Sizes, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9, Crowd: 1000}
+	set := Settings{Routers: x.stated, Weights: WeightsStatic, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9, Crowd: 1000}
 	if x.slow {
 		set.Fall, set.TipMultiple, set.StartCapacity, set.WarmWithin = 1.5, 3, 0.14, 21
 	}
 	const dozen, start = 12, 100.0
-	list := []Member{{ID: 1, Mode: InService, Capacity: 1, Started: start}}
+	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: start}}
 	for id := range uint64(dozen - 1 - x.lost) {
-		list = append(list, Member{ID: id + 2, Mode: InService, Capacity: 1})
+		list = append(list, Endpoint{ID: id + 2, State: Ready, Capacity: 1})
 	}
 	finish := func(n int) float64 {
 		if n%10 == 3 {
@@ -428,7 +428,7 @@
 	for n := range x.routers {
 		set.Seed = mix(x.seed, uint64(n))
 		r := New(0, set, &notes{})
-		r.Listed(start, Snapshot, list)
+		r.Listed(start, UpdateFull, list)
 		if x.heard > 0 {
 			r.Counted(start, x.heard)
 		}
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -21,113 +21,113 @@
 
 // The reasons.
 const (
-	Strained RejectReason = iota // its server takes too long for what it is worth
-	NoServer                     // none may execute it, or execute it again
-	NoTime                       // what is left is less than an execution should take, or all that may be repeated is
+	ReasonOverloaded RejectReason = iota // its server takes too long for what it is worth
+	ReasonNoEndpoint                     // none may execute it, or execute it again
+	ReasonNoTime                         // what is left is less than an execution should take, or all that may be repeated is
 )
 
 // Outcome tells how an execution or a probe ended.
 type Outcome int
 
-// The outcomes. Unknown stands for any that is not on the list and is taken as 'may have run'.
+// The outcomes. OutcomeUnknown stands for any that is not on the list and is taken as 'may have run'.
 const (
-	Unknown Outcome = iota
-	Finished
-	Error
-	TurnedAway
-	NoAnswer
-	NoConnection
+	OutcomeUnknown Outcome = iota
+	Succeeded
+	ServerError
+	Overloaded
+	TimedOut
+	ConnectFailed
 	ConnectionLost
-	Withdrawn
-	NotSent
-	NotStored
+	Cancelled
+	NotAttempted
+	CacheMiss
 )
 
-// Effect is what a repeat of an operation does.
-type Effect int
+// Idempotency is what a repeat of an operation does.
+type Idempotency int
 
 // The kinds of traffic type. What is not known to be harmless counts as AtMostOnce.
 const (
-	AtMostOnce Effect = iota
-	Numbered
-	Reissuable
+	AtMostOnce Idempotency = iota
+	IdempotencyKeyed
+	Idempotent
 )
 
-// Group tells which cache servers drop a numbered operation's repeats.
-type Group int
+// DeduplicationScope tells which cache servers drop a numbered operation's repeats.
+type DeduplicationScope int
 
 // The groups. What is not known counts as the cell, the narrowest.
 const (
-	Cell Group = iota
-	Zone
-	All
+	ScopeCell DeduplicationScope = iota
+	ScopeZone
+	ScopeAll
 )
 
-// Mode is what the list says of a cache server.
-type Mode int
+// EndpointState is what the list says of a cache server.
+type EndpointState int
 
 // The modes.
 const (
-	Gone Mode = iota
+	Removed EndpointState = iota
 	Draining
-	InService
+	Ready
 )
 
-// ListKind tells what a list update holds.
-type ListKind int
+// EndpointUpdate tells what a list update holds.
+type EndpointUpdate int
 
 // The kinds of update.
 const (
-	Diff ListKind = iota
-	Snapshot
-	Disk
-	Failed
+	UpdateDelta EndpointUpdate = iota
+	UpdateFull
+	UpdateSaved
+	UpdateFailed
 )
 
-// Weights tells what the list's weights mean.
-type Weights int
+// WeightMode tells what the list's weights mean.
+type WeightMode int
 
-// The meanings. What is not known counts as None.
+// The meanings. What is not known counts as WeightsIgnored.
 const (
-	None Weights = iota
-	Sizes
-	Live // the size over one more than the executions held a core, of some time before
+	WeightsIgnored WeightMode = iota
+	WeightsStatic
+	WeightsLive // the size over one more than the executions held a core, of some time before
 )
 
-// Member is one entry of the list of servers.
-type Member struct {
-	ID       uint64
-	Mode     Mode
-	Capacity float64 // for comparison with others only
-	Zone     string
-	Cell     uint64
-	Kind     string
-	Started  float64 // 0: long ago
+// Endpoint is one entry of the list of servers.
+type Endpoint struct {
+	ID          uint64
+	State       EndpointState
+	Capacity    float64 // for comparison with others only
+	Zone        string
+	Cell        uint64
+	MachineType string
+	StartedAt   float64 // 0: long ago
 }
 
-// TrafficType holds the settings of one traffic type.
-type TrafficType struct {
-	Name           string
-	Effect         Effect
-	Group          Group
-	Window         float64 // how long repeats of a numbered operation are dropped
-	PromisedTime   float64
-	HardStop       float64
-	Benefit        float64
-	OverdueBenefit float64 // part of the benefit that an answer after the promised time brings
-	Stream         bool
-	RunsIn         []string // the zones to which alone it may be sent; nil: all
-	AllowedOn      []string // the kinds of machine to which alone it may be sent; nil: all
+// TrafficClass holds the settings of one traffic type.
+type TrafficClass struct {
+	Name                string
+	Idempotency         Idempotency
+	DeduplicationScope  DeduplicationScope
+	DeduplicationWindow float64 // how long repeats of a numbered operation are dropped
+	LatencyObjective    float64
+	Deadline            float64
+	PriorityWeight      float64
+	LateValue           float64 // part of the benefit that an answer after the promised time brings
+	Stream              bool
+	AllowedZones        []string // the zones to which alone it may be sent; nil: all
+	AllowedMachineTypes []string // the kinds of machine to which alone it may be sent; nil: all
 }
 
-// Places words where alone a type may be sent, for people; empty if that is anywhere.
-func (t TrafficType) Places() string {
+// PlacementRules words where alone a type may be sent, for people; empty if that is anywhere.
+func (t TrafficClass) PlacementRules() string {
 	var all []string
-	if t.RunsIn != nil {
-		all = append(all, "in "+strings.Join(t.RunsIn, ", "))
+	if t.AllowedZones != nil {
+		all = append(all, "in "+strings.Join(t.AllowedZones, ", "))
 	}
-	if t.AllowedOn != nil {
-		all = append(all, "on "+strings.Join(t.AllowedOn, ", "))
+	if t.AllowedMachineTypes != nil {
+		all = append(all, "on "+strings.Join(t.AllowedMachineTypes, ", "))
 	}
 	return strings.Join(all, " ")
 }
@@ -143,14 +143,14 @@
 	Seed           uint32
 	Me             int
 	Routers        int
-	Step           float64 // events come no more often than this
-	Ordered        bool    // an execution waits for those sent to its server before it
-	Aside          bool    // a cache that lacks a key says so, and the router asks the origin
-	OriginKind     string  // the origin's servers, in the list, are of this kind; "": it is not in the list
-	OnRequest      bool    // the list comes only when asked for
-	Crowd          float64 // routers; beyond so many each keeps a request for a cold server, 0: 64
-	Apart          bool    // each realm has further executions of its own
-	Weights        Weights // what Member.Capacity tells
+	Step           float64    // events come no more often than this
+	Ordered        bool       // an execution waits for those sent to its server before it
+	Aside          bool       // a cache that lacks a key says so, and the router asks the origin
+	OriginKind     string     // the origin's servers, in the list, are of this kind; "": it is not in the list
+	OnRequest      bool       // the list comes only when asked for
+	Crowd          float64    // routers; beyond so many each keeps a request for a cold server, 0: 64
+	Apart          bool       // each realm has further executions of its own
+	Weights        WeightMode // what Member.Capacity tells
 	MostExecutions int
 	SecondCopies   bool
 	Cancelling     bool
@@ -165,7 +165,7 @@
 	StartCapacity  float64
 	WarmWithin     float64
 	StampError     float64 // by which Member.Started may be off, in either direction
-	TrafficTypes   []TrafficType
+	TrafficTypes   []TrafficClass
 	Tenants        []Tenant
 	Flow           float64 // executions a second that caches finished of late, before this process; 0: not known
 }
@@ -223,7 +223,7 @@
 
 // row is the table of what differs by traffic type.
 type row struct {
-	TrafficType
+	TrafficClass
 	usual      float64 // the time that clients leave for a first try
 	votes      int     // for usual, less those against
 	lag, heard float64 // a finished execution's mean time, as seen, and when that changed
@@ -235,7 +235,7 @@
 
 // server is all that is known of one cache server, or of one server of the origin.
 type server struct {
-	Member
+	Endpoint
 	size           float64 // the largest weight it had since it started
 	points         int     // its places on the circle
 	out            []*execution
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -88,18 +88,18 @@
 }
 
 // Offer takes the traffic types that operations may have from now on; what has arrived ends under its own.
-func (r *Balancer) Offer(types []TrafficType) {
+func (r *Balancer) Offer(types []TrafficClass) {
 	rows := map[string]*row{}
 	r.longest = 0
 	for _, t := range types {
-		t.PromisedTime = cmp.Or(max(0, t.PromisedTime), max(t.HardStop, r.set.Step, 1e-3)) // or all there is
+		t.LatencyObjective = cmp.Or(max(0, t.LatencyObjective), max(t.Deadline, r.set.Step, 1e-3)) // or all there is
 		// Until seen, an execution is to take a quarter of the promised time: most promise several times the work.
-		next := &row{TrafficType: t, lag: t.PromisedTime / 4}
+		next := &row{TrafficClass: t, lag: t.LatencyObjective / 4}
 		if was := r.rows[t.Name]; was != nil {
 			next.lag, next.heard = was.lag, was.heard
 		}
 		rows[t.Name] = next
-		r.longest = max(r.longest, t.PromisedTime)
+		r.longest = max(r.longest, t.LatencyObjective)
 	}
 	r.rows = rows
 	clear(r.purses) // of realms that may be gone
@@ -129,41 +129,41 @@
 }
 
 // Listed takes an update of the list.
-func (r *Balancer) Listed(now float64, kind ListKind, members []Member) {
+func (r *Balancer) Listed(now float64, kind EndpointUpdate, members []Endpoint) {
 	r.now = now
-	if kind == Failed {
+	if kind == UpdateFailed {
 		// The wait doubles up to half of askWithin, so that failed calls do not keep the list service full.
 		r.wait = min(max(2*r.wait, r.set.AskWithin/16, r.set.Step), max(r.set.AskWithin/2, 1))
 		r.asked = 0
 		r.host.SetTimer(r.wait*(0.5+r.chance()), "rewatch")
 		return
 	}
-	if kind != Disk {
+	if kind != UpdateSaved {
 		r.asked, r.wait = 0, 0
 	}
 	seen, moved := map[*server]bool{}, false
 	for _, m := range members {
 		s := cmp.Or(r.servers[m.ID], &server{limit: 4}) // the origin's start: a few, grown by what it bears
 		r.servers[m.ID] = s
-		moved = moved || s.Mode != m.Mode || s.Started != m.Started
-		if m.Mode == InService && (m.Started > s.Started || s.Mode != InService) {
+		moved = moved || s.State != m.State || s.StartedAt != m.StartedAt
+		if m.State == Ready && (m.StartedAt > s.StartedAt || s.State != Ready) {
 			*s = server{share: 1, slow: 1, joint: 1, out: s.out, filled: now, barred: s.barred, limit: s.limit,
-				fresh: r.latest(m.Started), budget: r.chance()} // one for each of many routers would be too much together
+				fresh: r.latest(m.StartedAt), budget: r.chance()} // one for each of many routers would be too much together
 		}
 		size := m.Capacity
-		if r.set.Weights == Live {
+		if r.set.Weights == WeightsLive {
 			size = max(size, s.size) // its weight when it held nothing; the weights of its work move no points
 		}
 		moved = moved || size != s.size
-		s.Member, s.size = m, size
-		if r.set.Weights == Live && m.Capacity > 0 {
+		s.Endpoint, s.size = m, size
+		if r.set.Weights == WeightsLive && m.Capacity > 0 {
 			s.load, s.loadAt = size/m.Capacity-1, now
 		}
 		seen[s] = true
 	}
 	for id, s := range r.servers {
-		if s.Mode == Gone || kind != Diff && !seen[s] {
-			s.Mode, moved = Gone, moved || !s.barred // what is out there still knows it; new ids must not pile up
+		if s.State == Removed || kind != UpdateDelta && !seen[s] {
+			s.State, moved = Removed, moved || !s.barred // what is out there still knows it; new ids must not pile up
 			if !s.barred {
 				delete(r.servers, id)
 			}
@@ -172,7 +172,7 @@
 	if moved {
 		r.regroup()
 	}
-	if r.set.Weights == Live {
+	if r.set.Weights == WeightsLive {
 		r.even(min(now-r.loadAt, 1))
 	}
 }
@@ -219,9 +219,9 @@
 	r.ready, r.origins, r.points, r.size, r.cold = nil, nil, nil, 0, true
 	largest := 0.0
 	for _, s := range r.servers {
-		if s.Mode == InService && !s.barred && r.isOrigin(s) {
+		if s.State == Ready && !s.barred && r.isOrigin(s) {
 			r.origins = append(r.origins, s)
-		} else if s.Mode == InService && !s.barred {
+		} else if s.State == Ready && !s.barred {
 			r.ready, largest, r.cold = append(r.ready, s), max(largest, s.size), r.cold && r.warmth(s) < 1
 		}
 	}
@@ -232,7 +232,7 @@
 	all := make([]point, 0, places*len(r.ready))
 	for _, s := range r.ready {
 		s.points, r.size = places, r.size+s.size/float64(len(r.ready))
-		if r.set.Weights != None && largest > 0 {
+		if r.set.Weights != WeightsIgnored && largest > 0 {
 			s.points = max(1, int(math.Round(places*s.size/largest)))
 		}
 		for rank := range s.points {
@@ -316,8 +316,8 @@
 // sparse tells that this router sees less than one execution a cache within the time for which it is
 // remembered (expect): of many routers none has two in flight anywhere, and what it learns alone is late.
 func (r *Balancer) sparse(t *row) bool {
-	told := r.set.Routers > 1 && (r.set.Peers || r.set.Weights == Live)
-	return told && r.finishing()*8*t.PromisedTime < float64(len(r.ready))
+	told := r.set.Routers > 1 && (r.set.Peers || r.set.Weights == WeightsLive)
+	return told && r.finishing()*8*t.LatencyObjective < float64(len(r.ready))
 }
 
 // passed is the pass-over by this router's own executions and, where it is sparse, by what all tell. As all
@@ -330,7 +330,7 @@
 	// The ramp begins below twice the mean, since it moves parts: from 2, 1.4, 1 times 1.4 did best.
 	most := 1.4 * r.load * math.Exp((r.loadAt-r.now)/recall) / float64(len(r.ready))
 	load, part := r.loaded(s), float64(mix(op.hash, s.ID))/(1<<32)
-	if r.set.Weights == Live {
+	if r.set.Weights == WeightsLive {
 		load = min(load, s.usual)
 	}
 	// One that takes several times as long as others has failed in all but name.
@@ -379,7 +379,7 @@
 // Avoids tells whether a cache gets nothing new now: by its mode, by hand, or for its failures.
 func (r *Balancer) Avoids(id uint64) bool {
 	s := r.servers[id]
-	return s == nil || s.Mode != InService || s.barred || s.fails >= 3
+	return s == nil || s.State != Ready || s.barred || s.fails >= 3
 }
 
 // choose picks the server for an operation's next execution, or none: of the caches that share the key the
@@ -434,7 +434,7 @@
 	r.heat[slot], r.heated[slot] = lately*keep+1, r.uses
 	// Less in calm, for each copy is a miss, and where much fails, for then the origin does.
 	good := (r.won + 1) / (r.won + r.lost + 1)
-	return math.Ceil(max(1, spread*min(1, 4*t.lag/t.PromisedTime)*good*good*good*good))
+	return math.Ceil(max(1, spread*min(1, 4*t.lag/t.LatencyObjective)*good*good*good*good))
 }
 
 // Arrived takes an operation from a client, which gives up after left. The tenth of those shed goes on.
@@ -443,14 +443,14 @@
 	t := r.rows[kind]
 	if t == nil { // a type that the settings lack: it may take what time it brought, and never runs twice
 		left := max(left, r.set.Step, 1e-3)
-		t = &row{TrafficType: TrafficType{PromisedTime: left, HardStop: left}, lag: left / 4}
+		t = &row{TrafficClass: TrafficClass{LatencyObjective: left, Deadline: left}, lag: left / 4}
 	}
 	hash := stir(crc32.ChecksumIEEE([]byte(key)))
 	if key == "" {
 		hash = mix(r.set.Seed, id) // no key: spread over the circle
 	}
 	// The answer leaves a step before the client gives up, since it takes effect with a batch.
-	op := &operation{id: id, row: t, hash: hash, worth: 1, due: now + t.PromisedTime,
+	op := &operation{id: id, row: t, hash: hash, worth: 1, due: now + t.LatencyObjective,
 		hardStop: now + left - r.set.Step, spread: r.shares(hash%slots, t)}
 	if b := r.tenants[realm]; b != nil {
 		// Routers may be down or draw unlike traffic: the share is of what this one finishes, if that is more.
@@ -464,23 +464,23 @@
 	}
 	// A client gives all its tries the hard stop together. Most, the first, come with the same time left, found
 	// by majority vote; on others the rest is spent. What can no longer be in time must not crowd out what can.
-	switch least := min(t.PromisedTime, t.HardStop-1.5*t.usual); {
+	switch least := min(t.LatencyObjective, t.Deadline-1.5*t.usual); {
 	case math.Abs(left-t.usual) <= 2*r.set.Step:
 		t.votes++
 	case t.votes == 0:
 		t.usual, t.votes = left, 1
 	case left >= least: // less has no try that comes back, with pauses: a client is in a hurry
 		t.votes--
-		if op.due = now + left - t.HardStop + t.PromisedTime; op.due <= now {
-			op.worth *= t.OverdueBenefit
+		if op.due = now + left - t.Deadline + t.LatencyObjective; op.due <= now {
+			op.worth *= t.LateValue
 		}
 	}
 	r.ops[id] = op
 	op.purse = r.spend(realm)
 	if s := r.choose(op); s == nil {
-		r.giveUp(op, NoServer)
+		r.giveUp(op, ReasonNoEndpoint)
 	} else if (r.turned < 9 || now-r.tried < min(r.longest, 2)) && (r.strained(op, s) || r.fruitless()) {
-		r.giveUp(op, Strained)
+		r.giveUp(op, ReasonOverloaded)
 	} else {
 		r.execute(op, s)
 	}
@@ -500,7 +500,7 @@
 // strained tells whether to shed an operation, for its server takes too long: first what brings little.
 func (r *Balancer) strained(op *operation, s *server) bool {
 	// All that is left, else what was promised: a try a router must not keep a jam alive.
-	takes, bound := r.expect(op, s), cmp.Or(max(0, op.due-r.now), op.row.PromisedTime)
+	takes, bound := r.expect(op, s), cmp.Or(max(0, op.due-r.now), op.row.LatencyObjective)
 	calm := 4 * max(0, r.timely-0.75)
 	if len(s.out) > 0 || s.fails > 0 {
 		// A ramp, as hope for the promised time falls; up to twice as wide while nearly all is in time.
@@ -509,7 +509,7 @@
 	if len(s.out) > 0 {
 		takes = max(takes, r.now-max(s.heard, s.out[0].sent)) // it may stand still
 	}
-	value := op.worth * op.row.Benefit / op.row.lag
+	value := op.worth * op.row.PriorityWeight / op.row.lag
 	r.value += (value - r.value) / 64
 
 	return takes > bound*math.Pow(value/r.value, (1-calm)/2) // what is worth little yields early, not in calm
@@ -529,16 +529,16 @@
 		return false
 	}
 	return !op.any(func(e *execution) bool {
-		lapsed := op.row.Effect == AtMostOnce || op.row.Effect == Numbered && r.now-e.sent >= op.row.Window
+		lapsed := op.row.Idempotency == AtMostOnce || op.row.Idempotency == IdempotencyKeyed && r.now-e.sent >= op.row.DeduplicationWindow
 		return e.out && !r.set.SecondCopies || !e.harmless && lapsed
 	})
 }
 
 func (r *Balancer) mayExecute(op *operation, s *server) bool {
-	ready := s.Mode == InService && !s.barred && (op.row.placed(s) || r.isOrigin(s))
+	ready := s.State == Ready && !s.barred && (op.row.placed(s) || r.isOrigin(s))
 	return ready && r.mayGoOn(op) && !op.any(func(e *execution) bool {
-		outside := op.row.Group == Zone && e.on.Zone != s.Zone || op.row.Group == Cell && e.on.Cell != s.Cell
-		return !e.harmless && op.row.Effect == Numbered && outside
+		outside := op.row.DeduplicationScope == ScopeZone && e.on.Zone != s.Zone || op.row.DeduplicationScope == ScopeCell && e.on.Cell != s.Cell
+		return !e.harmless && op.row.Idempotency == IdempotencyKeyed && outside
 	})
 }
 
@@ -546,11 +546,11 @@
 // take it, it ends, however idle the others are.
 func (t *row) placed(s *server) bool {
 	open := func(names []string, name string) bool { return names == nil || slices.Contains(names, name) }
-	return open(t.RunsIn, s.Zone) && open(t.AllowedOn, s.Kind)
+	return open(t.AllowedZones, s.Zone) && open(t.AllowedMachineTypes, s.MachineType)
 }
 
 func (r *Balancer) mayDecline(op *operation) bool {
-	return op.row.Effect == Reissuable || op.row.Effect == Numbered && op.row.Group == All ||
+	return op.row.Idempotency == Idempotent || op.row.Idempotency == IdempotencyKeyed && op.row.DeduplicationScope == ScopeAll ||
 		!op.any(func(e *execution) bool { return !e.harmless })
 }
 
@@ -564,12 +564,12 @@
 	limit, latest := op.hardStop-r.now, op.due-op.row.lag-r.now
 	// It is cut off while one more execution still fits into the promised time, on a server that just failed.
 	// Else a cut may stop no work, and another fares no better.
-	if s.fails > 0 && *op.purse >= 1 && latest > op.row.lag && op.row.Effect == Reissuable {
+	if s.fails > 0 && *op.purse >= 1 && latest > op.row.lag && op.row.Idempotency == Idempotent {
 		limit = min(limit, latest)
 	}
 	within, ran := limit, slices.IndexFunc(op.executions, func(x *execution) bool { return x != e && !x.harmless })
-	if ran >= 0 && op.row.Effect == Numbered { // a repeat is dropped within its window alone: it must not wait beyond that
-		within = min(limit, op.executions[ran].sent+op.row.Window-r.now)
+	if ran >= 0 && op.row.Idempotency == IdempotencyKeyed { // a repeat is dropped within its window alone: it must not wait beyond that
+		within = min(limit, op.executions[ran].sent+op.row.DeduplicationWindow-r.now)
 	}
 	r.host.StartAttempt(op.id, s.ID, limit, within)
 }
@@ -592,7 +592,7 @@
 	}
 	e := op.executions[n]
 	e.out, r.flying = false, r.flying-1
-	e.harmless = how == TurnedAway || how == NoConnection || how == NotSent || how == NotStored
+	e.harmless = how == Overloaded || how == ConnectFailed || how == NotAttempted || how == CacheMiss
 	e.on.out = slices.DeleteFunc(e.on.out, func(x *execution) bool { return x == e })
 	r.learn(e, how, lag)
 	if final || op.answered {
@@ -604,12 +604,12 @@
 
 func (r *Balancer) learn(e *execution, how Outcome, lag float64) {
 	s, t := e.on, e.of.row
-	if e.erred = how == Error; e.erred && r.blamed(e) {
+	if e.erred = how == ServerError; e.erred && r.blamed(e) {
 		r.won++ // the server does its work: what is shed for lost ones must not go on for these
 		return
 	}
 	switch how {
-	case Finished, NotStored:
+	case Succeeded, CacheMiss:
 		if s.down && s.fails >= 5 { // it refused three times or more and is back: it may have started anew, cold
 			s.fresh, s.filled, s.budget = r.now, r.now, r.chance()
 		}
@@ -623,49 +623,49 @@
 		r.taken += (1 - r.taken) / 16
 		r.won++
 		*e.of.purse = min(*e.of.purse+0.1, 10) // a tenth more executions than finish at most: no storm of repeats
-	case TurnedAway: // it has no place, which tells nothing of how long it takes, nor of its health
+	case Overloaded: // it has no place, which tells nothing of how long it takes, nor of its health
 		if r.isOrigin(s) {
 			r.bear(s, how, lag, t)
 			return
 		}
 		r.taken -= r.taken / 16
 		return
-	case Error, NoConnection, ConnectionLost, NoAnswer, Unknown:
-		if how == NoAnswer && lag < t.lag {
+	case ServerError, ConnectFailed, ConnectionLost, TimedOut, OutcomeUnknown:
+		if how == TimedOut && lag < t.lag {
 			return // it had no time to answer
 		}
-		if how == Error || how == NoAnswer {
+		if how == ServerError || how == TimedOut {
 			r.lost++
 		}
 		s.fails++
 		r.taken -= r.taken / 16
-		if s.down = s.down || how == NoConnection; s.down {
+		if s.down = s.down || how == ConnectFailed; s.down {
 			s.fails = max(s.fails, 3)
 		}
 		// Passed over for the promised time at first, doubled with each failure up to the warm-up.
-		s.until = r.now + min(t.PromisedTime*math.Pow(2, float64(s.fails-3)), max(t.PromisedTime, r.set.WarmWithin))
+		s.until = r.now + min(t.LatencyObjective*math.Pow(2, float64(s.fails-3)), max(t.LatencyObjective, r.set.WarmWithin))
 	default:
 		return
 	}
 	if r.isOrigin(s) {
 		r.bear(s, how, lag, t)
 	}
-	if how == NotStored || r.isOrigin(s) {
+	if how == CacheMiss || r.isOrigin(s) {
 		return // neither a miss nor a fetch tells of the usual path
 	}
-	if how == Finished {
+	if how == Succeeded {
 		t.lag, t.heard = max(t.lag+(lag-t.lag)/16, 1e-6), r.now
 	}
-	if how == Finished && r.now <= e.of.due && !r.set.Ordered { // there an execution waits for those before it
+	if how == Succeeded && r.now <= e.of.due && !r.set.Ordered { // there an execution waits for those before it
 		r.timely += (1 - r.timely) / 64
 	} else if e.of.worth == 1 {
 		r.timely -= r.timely / 64
 	}
-	was := 1 + (s.slow-1)*math.Exp((s.heard-r.now)/t.PromisedTime/8)
+	was := 1 + (s.slow-1)*math.Exp((s.heard-r.now)/t.LatencyObjective/8)
 	s.seem(r.now, lag/t.lag)
-	if how == NoConnection {
+	if how == ConnectFailed {
 		r.tell(s, t, refused, was)
-	} else if how == Finished || how == NoAnswer {
+	} else if how == Succeeded || how == TimedOut {
 		r.tell(s, t, min(lag/t.lag*32, refused-1), was)
 	}
 }
@@ -750,26 +750,26 @@
 	if op.any((*execution).isOut) {
 		return
 	}
-	s, missed := r.choose(op), r.set.Aside && (how == NotStored || e.harmless && r.isOrigin(e.on))
+	s, missed := r.choose(op), r.set.Aside && (how == CacheMiss || e.harmless && r.isOrigin(e.on))
 	if missed {
 		s = r.origin(op)
 	}
 	// Where nearly all are full, each further try crowds them more: most of these come from the purse, too.
-	room := how == NotStored || how == Withdrawn || e.harmless && (e.on.down || r.chance() < 2*r.taken)
+	room := how == CacheMiss || how == Cancelled || e.harmless && (e.on.down || r.chance() < 2*r.taken)
 	if s != nil && op.hardStop-r.now > r.expect(op, s) && (room || *op.purse >= 1) {
 		if !room {
 			*op.purse--
 		}
 		r.execute(op, s)
 	} else if s == nil {
-		r.giveUp(op, NoServer)
+		r.giveUp(op, ReasonNoEndpoint)
 	} else {
-		r.giveUp(op, NoTime)
+		r.giveUp(op, ReasonNoTime)
 	}
 }
 
 func (r *Balancer) isOrigin(s *server) bool {
-	return r.set.Aside && s.Kind != "" && s.Kind == r.set.OriginKind
+	return r.set.Aside && s.MachineType != "" && s.MachineType == r.set.OriginKind
 }
 
 // origin picks the least busy server of the origin that bears one more, or none. It is slow, all share it,
@@ -787,7 +787,7 @@
 // bear moves the bound of what the origin is sent: up by one for each full round that it answers in half of
 // the promised time, down by a third, once a round, where it does not.
 func (r *Balancer) bear(s *server, how Outcome, lag float64, t *row) {
-	switch inTime := how == Finished && lag < t.PromisedTime/2; {
+	switch inTime := how == Succeeded && lag < t.LatencyObjective/2; {
 	case inTime && float64(len(s.out))+1 >= s.limit/2:
 		s.limit += 1 / s.limit
 	case !inTime && r.now-s.lowered > lag:
@@ -797,10 +797,10 @@
 
 // expect is the time that an execution on s should take. What was seen fades within eight promised times.
 func (r *Balancer) expect(op *operation, s *server) float64 {
-	fade := func(heard float64) float64 { return math.Exp((heard - r.now) / op.row.PromisedTime / 8) }
-	usual := op.row.PromisedTime / 4
+	fade := func(heard float64) float64 { return math.Exp((heard - r.now) / op.row.LatencyObjective / 8) }
+	usual := op.row.LatencyObjective / 4
 	slow := 1 + (s.slow-1)*fade(s.heard)
-	if r.set.Weights == Live && r.sparse(op.row) { // an execution waits for what the cache holds
+	if r.set.Weights == WeightsLive && r.sparse(op.row) { // an execution waits for what the cache holds
 		slow = (1 + r.loaded(s)) / (1 + r.load/float64(len(r.ready)))
 	}
 	return (usual + (op.row.lag-usual)*fade(op.row.heard)) * slow
@@ -813,7 +813,7 @@
 			op.paid.tokens++
 		}
 	}
-	if pause := min(op.row.PromisedTime*(0.5+r.chance()), r.set.MaxRetryAfter); r.mayDecline(op) {
+	if pause := min(op.row.LatencyObjective*(0.5+r.chance()), r.set.MaxRetryAfter); r.mayDecline(op) {
 		r.host.Reject(op.id, pause, why)
 	} else {
 		r.host.Fail(op.id)
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -44,7 +44,7 @@
 	for key := range uint32(500) {
 		before[key] = r.nearest(stir(key), all).ID
 	}
-	r.Listed(1, Diff, []Member{{ID: 3, Mode: Draining, Capacity: 1}})
+	r.Listed(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
 	for key, was := range before {
 		now := r.nearest(stir(key), all).ID
 		if was != 3 && now != was || now == 3 {
@@ -104,25 +104,25 @@
 // A type that is bound went to whichever server its key was nearest to (friesland-clubs, placement at 0.03 s).
 func TestPlacementHoldsAtEveryExecution(t *testing.T) {
 	bind := func(s *Settings) {
-		s.TrafficTypes[0].AllowedOn, s.TrafficTypes[0].RunsIn = []string{"frugal"}, []string{"a"}
+		s.TrafficTypes[0].AllowedMachineTypes, s.TrafficTypes[0].AllowedZones = []string{"frugal"}, []string{"a"}
 	}
-	for what, others := range map[string]Member{"of another kind": {Zone: "a", Kind: "usual"},
-		"in another zone": {Zone: "b", Kind: "frugal"}, "unnamed": {}} {
+	for what, others := range map[string]Endpoint{"of another kind": {Zone: "a", MachineType: "usual"},
+		"in another zone": {Zone: "b", MachineType: "frugal"}, "unnamed": {}} {
 		r, did := fleet(0, bind)
-		list := []Member{{ID: 1, Mode: InService, Capacity: 1, Zone: "a", Kind: "frugal"}}
+		list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}}
 		for id := uint64(2); id < 9; id++ {
-			others.ID, others.Mode, others.Capacity = id, InService, 1
+			others.ID, others.State, others.Capacity = id, Ready, 1
 			list = append(list, others)
 		}
-		r.Listed(0, Snapshot, list)
+		r.Listed(0, UpdateFull, list)
 		for key := range uint64(20) {
 			r.Arrived(1, key, "view", "", fmt.Sprint(key), 1)
 			expect(t, "a bound type beside those "+what, did.last(), fmt.Sprintf("execute %d on 1", key))
 		}
-		r.Settled(1.01, 3, 0, Error, 0.01, false)
+		r.Settled(1.01, 3, 0, ServerError, 0.01, false)
 		expect(t, "no further execution on those "+what, did.last(), "decline 3 after true")
-		for _, change := range []Member{{ID: 1, Mode: Draining, Zone: "a", Kind: "frugal"}, {ID: 1, Mode: Gone}} {
-			r.Listed(1.1, Diff, []Member{change})
+		for _, change := range []Endpoint{{ID: 1, State: Draining, Zone: "a", MachineType: "frugal"}, {ID: 1, State: Removed}} {
+			r.Listed(1.1, UpdateDelta, []Endpoint{change})
 			r.Arrived(1.2, 90, "view", "", "k", 1)
 			expect(t, "all that are open to it out, beside those "+what, did.last(), "decline 90 after true")
 		}
@@ -130,20 +130,20 @@
 		expect(t, "an unbound type", r.ops[91] != nil, true)
 	}
 	r, did := fleet(1, bind) // in the right zone, of no kind: the list corrects it while an operation is open
-	list := []Member{{ID: 1, Mode: InService, Capacity: 1, Zone: "a", Kind: "frugal"}, {ID: 2, Mode: InService, Capacity: 1, Zone: "a", Kind: "frugal"}}
-	r.Listed(0, Snapshot, list)
+	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}, {ID: 2, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}}
+	r.Listed(0, UpdateFull, list)
 	r.Arrived(1, 5, "view", "", "k", 1)
 	first := r.ops[5].executions[0].on.ID
 	list[2-first].Zone = "b"
-	r.Listed(1.1, Diff, list)
-	r.Settled(1.2, 5, 0, NoConnection, 0.1, false)
+	r.Listed(1.1, UpdateDelta, list)
+	r.Settled(1.2, 5, 0, ConnectFailed, 0.1, false)
 	expect(t, "the other has moved out of its zone", did.last(), "decline 5 after true")
 }
 
 // aside starts a router that asks the origin, 99, for what a cache lacks.
 func aside(n int) (*Balancer, *notes) {
 	r, did := fleet(n, func(s *Settings) { s.Aside, s.OriginKind = true, "origin" })
-	r.Listed(0, Diff, []Member{{ID: 99, Mode: InService, Capacity: 1, Zone: "far", Kind: "origin"}})
+	r.Listed(0, UpdateDelta, []Endpoint{{ID: 99, State: Ready, Capacity: 1, Zone: "far", MachineType: "origin"}})
 	did.did = nil
 	return r, did
 }
@@ -153,11 +153,11 @@
 	r, did := aside(3)
 	expect(t, "the origin among the caches", len(r.ready), 3)
 	begun(r, "pay", r.servers[1], true, false)
-	r.rows["pay"].RunsIn = []string{"a"} // placement is of caches: every type may use the origin
-	r.taken = 0                          // nor is a miss paid for
-	r.Settled(0.01, 7, 0, NotStored, 0.01, false)
+	r.rows["pay"].AllowedZones = []string{"a"} // placement is of caches: every type may use the origin
+	r.taken = 0                                // nor is a miss paid for
+	r.Settled(0.01, 7, 0, CacheMiss, 0.01, false)
 	expect(t, "a miss", did.last(), "execute 7 on 99")
-	r.Settled(0.02, 7, 1, Error, 0.01, false)
+	r.Settled(0.02, 7, 1, ServerError, 0.01, false)
 	expect(t, "an effect that may have been", did.last(), "terminate 7")
 }
 
@@ -165,27 +165,27 @@
 	r, did := aside(1)
 	o, row := r.servers[99], r.rows["view"]
 	o.out = make([]*execution, 3)
-	r.bear(o, Finished, 0.01, row)
+	r.bear(o, Succeeded, 0.01, row)
 	expect(t, "bound after an answer", o.limit, 4.25)
 	o.out = make([]*execution, 5)
 	begun(r, "view", r.servers[1], true, false)
-	r.Settled(1, 7, 0, NotStored, 0.01, false)
+	r.Settled(1, 7, 0, CacheMiss, 0.01, false)
 	expect(t, "a miss beyond it", did.last(), "decline 7 after true")
 	o.out = make([]*execution, 2)
 	op := begun(r, "view", r.servers[1], false, true)
 	expect(t, "within its share", r.origin(op) != nil, true)
 	op.worth = 0.05
 	expect(t, "beyond its share", r.origin(op) != nil, false)
-	r.bear(o, TurnedAway, 0.01, row)
+	r.bear(o, Overloaded, 0.01, row)
 	expect(t, "bound after a refusal", math.Round(o.limit*100), 283.0)
 	flow, fails, lag := r.flow, r.servers[1].fails, row.lag
 	o.out, r.taken, r.spare = nil, 0, 0
 	begun(r, "view", o, true, false)
-	r.Settled(1.1, 7, 0, TurnedAway, 0.01, false)
+	r.Settled(1.1, 7, 0, Overloaded, 0.01, false)
 	expect(t, "a full origin, nothing to pay from", did.last(), "decline 7 after true")
 	expect(t, "an unnamed kind", r.isOrigin(&server{}), false)
 	op = begun(r, "view", o, true, false)
-	r.learn(op.executions[0], Finished, 0.3)
+	r.learn(op.executions[0], Succeeded, 0.3)
 	expect(t, "what caches finish", r.flow, flow)
 	expect(t, "a cache's failures", r.servers[1].fails, fails)
 	expect(t, "the usual time at a cache", row.lag, lag)
@@ -200,7 +200,7 @@
 	for id := range uint64(9) {
 		r.Arrived(1, id, "view", "", "faulty", 1)
 		for n := 0; r.ops[id] != nil && n < 3; n++ {
-			r.Settled(1, id, n, Error, 0.01, false)
+			r.Settled(1, id, n, ServerError, 0.01, false)
 		}
 		expect(t, "final answer", did.last(), fmt.Sprintf("decline %d after true", id))
 	}
@@ -208,12 +208,12 @@
 		expect(t, fmt.Sprint("failures of ", s.ID), s.fails, 0)
 	}
 	r.faulty[0] = 5
-	r.learn(begun(r, "view", r.servers[1], true, false).executions[0], Finished, 0.01)
+	r.learn(begun(r, "view", r.servers[1], true, false).executions[0], Succeeded, 0.01)
 	expect(t, "held against a slot where something finished", r.faulty[0], 0.0)
 	r.lost, r.won = 30, 8
 	for id := range uint64(400) {
 		r.Arrived(2, 100+id, "view", "", "faulty", 1)
-		r.Settled(2, 100+id, 0, Error, 0.01, false)
+		r.Settled(2, 100+id, 0, ServerError, 0.01, false)
 	}
 	expect(t, "shed for such errors", r.lost > r.won, false)
 	r, _ = fleet(4, nil)
@@ -225,11 +225,11 @@
 			bad = r.ops[id].executions[0].on.ID
 		}
 		for n := 0; r.ops[id] != nil; n++ {
-			how := Finished
+			how := Succeeded
 			if r.ops[id].executions[n].on.ID == bad {
-				how = Error
+				how = ServerError
 			}
-			r.Settled(1, id, n, how, 0.01, how == Finished)
+			r.Settled(1, id, n, how, 0.01, how == Succeeded)
 		}
 	}
 	expect(t, "one that fails is passed over", r.Avoids(bad), true)
@@ -239,7 +239,7 @@
 func TestStampsMayBeOff(t *testing.T) {
 	for stamp, want := range map[float64]float64{0: 0, 10: 15, 28: 30, 31: 31} {
 		r, _ := fleet(0, func(s *Settings) { s.StampError = 5 })
-		r.Listed(30, Diff, []Member{{ID: 1, Mode: InService, Started: stamp}})
+		r.Listed(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartedAt: stamp}})
 		expect(t, fmt.Sprint("start of one stamped ", stamp), r.servers[1].fresh, want)
 	}
 }
@@ -247,7 +247,7 @@
 func TestNoTwoAtOnceWhereBarredAndNothingNewToADrainingServer(t *testing.T) {
 	r, _ := fleet(2, func(s *Settings) { s.SecondCopies = false })
 	expect(t, "second copy", r.mayExecute(begun(r, "view", r.servers[1], true, false), r.servers[2]), false)
-	r.servers[2].Mode = Draining
+	r.servers[2].State = Draining
 	expect(t, "draining", r.mayExecute(begun(r, "view", r.servers[1], false, true), r.servers[2]), false)
 }
 
@@ -255,13 +255,13 @@
 	for _, c := range []struct {
 		kind     string
 		harmless bool
-		group    Group
+		group    DeduplicationScope
 		want     bool
-	}{{"view", false, Cell, true}, {"pay", true, Cell, true}, {"pay", false, Cell, false},
-		{"amend", false, Zone, false}, {"amend", true, Zone, true}, {"amend", false, All, true}} {
+	}{{"view", false, ScopeCell, true}, {"pay", true, ScopeCell, true}, {"pay", false, ScopeCell, false},
+		{"amend", false, ScopeZone, false}, {"amend", true, ScopeZone, true}, {"amend", false, ScopeAll, true}} {
 		r, _ := fleet(1, nil)
 		op := begun(r, c.kind, r.servers[1], false, c.harmless)
-		op.row.Group = c.group
+		op.row.DeduplicationScope = c.group
 		expect(t, fmt.Sprintf("%+v", c), r.mayDecline(op), c.want)
 	}
 }
@@ -269,7 +269,7 @@
 func TestGivingUpAnswersAtOnce(t *testing.T) {
 	for kind, want := range map[string]string{"view": "decline 7 after true", "pay": "terminate 7"} {
 		r, did := fleet(1, nil)
-		r.giveUp(begun(r, kind, r.servers[1], false, false), NoTime)
+		r.giveUp(begun(r, kind, r.servers[1], false, false), ReasonNoTime)
 		expect(t, kind, did.last(), want)
 		expect(t, "operations kept", len(r.ops), 0)
 	}
@@ -286,8 +286,8 @@
 	op := begun(r, "view", r.servers[1], true, false)
 	op.answered = true
 	r.servers[1].out = []*execution{op.executions[0]}
-	r.Settled(0.01, 7, 0, Finished, 0.01, true)
-	r.Settled(0.02, 7, 0, Finished, 0.01, true)
+	r.Settled(0.01, 7, 0, Succeeded, 0.01, true)
+	r.Settled(0.02, 7, 0, Succeeded, 0.01, true)
 	r.Left(0.03, 7)
 	r.Wake(0.04, "7")
 	r.Wake(0.04, "no such name")
@@ -299,7 +299,7 @@
 	r, did := fleet(2, nil)
 	op := begun(r, "view", r.servers[1], false, true)
 	op.hardStop = r.now + r.rows["view"].lag/2
-	r.further(op, op.executions[0], Error)
+	r.further(op, op.executions[0], ServerError)
 	expect(t, "action", did.last(), "decline 7 after true")
 }
 
@@ -308,7 +308,7 @@
 		r, did := fleet(2, nil)
 		r.spare = spare
 		op := begun(r, "view", r.servers[1], false, false)
-		r.further(op, op.executions[0], Error)
+		r.further(op, op.executions[0], ServerError)
 		expect(t, "action", did.last(), want)
 	}
 }
@@ -361,20 +361,20 @@
 		want          string
 	}{
 		{0, 0, ConnectionLost, "terminate 7"},
-		{0, 0.01, NoConnection, "execute 7 on 2"},
+		{0, 0.01, ConnectFailed, "execute 7 on 2"},
 		{0.02, 0.01, ConnectionLost, "execute 7 on 2"},
 		{0.02, 0.02, ConnectionLost, "terminate 7"},
-		{0.02, 0.4, NoAnswer, "terminate 7"},
-		{0.02, 0.4, NotSent, "execute 7 on 2"},
+		{0.02, 0.4, TimedOut, "terminate 7"},
+		{0.02, 0.4, NotAttempted, "execute 7 on 2"},
 	} {
 		r, did := fleet(2, nil)
 		r.spare = 1
 		op := begun(r, "amend", r.servers[1], true, false)
-		op.row.Window = c.window
+		op.row.DeduplicationWindow = c.window
 		r.Settled(c.after, 7, 0, c.how, c.after, false)
 		expect(t, fmt.Sprint("action with ", c), did.last(), c.want)
 		if did.last() == "execute 7 on 2" && !op.executions[0].harmless {
-			r.Settled(c.window+0.001, 7, 1, NotSent, 0.001, false) // as its window ended before it was written
+			r.Settled(c.window+0.001, 7, 1, NotAttempted, 0.001, false) // as its window ended before it was written
 			expect(t, fmt.Sprint("answer with ", c), did.last(), "terminate 7")
 		}
 	}
@@ -388,12 +388,12 @@
 		s := r.servers[1]
 		op := begun(r, "view", s, true, false)
 		for range refused {
-			r.learn(op.executions[0], NoConnection, 0.05)
+			r.learn(op.executions[0], ConnectFailed, 0.05)
 			expect(t, "sick", r.sick(s), true)
 			r.now = s.until + 0.01
 			expect(t, "sick after the wait", r.sick(s), false)
 		}
-		r.learn(op.executions[0], Finished, 0.05)
+		r.learn(op.executions[0], Succeeded, 0.05)
 		expect(t, fmt.Sprint("warmth after ", refused), r.warmth(s), warmth)
 	}
 }
@@ -411,13 +411,13 @@
 
 func TestRestartUnderTheSameIDIsCold(t *testing.T) {
 	r, _ := fleet(2, nil)
-	r.Listed(30, Diff, []Member{{ID: 1, Mode: InService, Capacity: 1, Started: 29}})
+	r.Listed(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 29}})
 	expect(t, "warmth", math.Round(r.warmth(r.servers[1])*1e4), 2875.0)
 }
 
 func TestAbsentFromASnapshotIsGone(t *testing.T) {
 	r, _ := fleet(2, nil)
-	r.Listed(1, Snapshot, []Member{{ID: 2, Mode: InService, Capacity: 1}})
+	r.Listed(1, UpdateFull, []Endpoint{{ID: 2, State: Ready, Capacity: 1}})
 	expect(t, "ready", len(r.ready), 1)
 }
 
@@ -426,20 +426,20 @@
 	r, _ := fleet(2, nil)
 	old, rows := r.servers[1], len(r.rows)
 	op := begun(r, "view", old, true, false)
-	r.Listed(1, Diff, []Member{{ID: 1, Mode: Draining}, {ID: 3, Mode: InService, Capacity: 1}})
+	r.Listed(1, UpdateDelta, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready, Capacity: 1}})
 	expect(t, "servers while one drains", len(r.servers), 3)
-	r.Listed(2, Diff, []Member{{ID: 1, Mode: Gone}})
+	r.Listed(2, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
 	expect(t, "servers", len(r.servers), 2)
 	expect(t, "may execute there", r.mayExecute(op, old), false)
-	r.Settled(3, 7, 0, Finished, 0.1, true)
+	r.Settled(3, 7, 0, Succeeded, 0.1, true)
 	r.Arrived(4, 8, "made up", "", "k", 1)
 	expect(t, "rows", len(r.rows), rows)
 }
 
 func TestFailedCallsWaitLongerAndAskAgain(t *testing.T) {
 	r, did := fleet(1, func(s *Settings) { s.OnRequest, s.AskWithin = true, 16 })
-	r.Listed(1, Failed, nil)
-	r.Listed(2, Failed, nil)
+	r.Listed(1, UpdateFailed, nil)
+	r.Listed(2, UpdateFailed, nil)
 	expect(t, "wait", r.wait, 2.0)
 	r.Wake(3, "rewatch")
 	expect(t, "action", did.last(), "watch true")
@@ -479,7 +479,7 @@
 	r, _ := fleet(2, nil)
 	s := r.servers[1]
 	s.slow = 3
-	r.learn(begun(r, "view", s, true, false).executions[0], Finished, 0.4)
+	r.learn(begun(r, "view", s, true, false).executions[0], Succeeded, 0.4)
 	expect(t, "share", s.share, 1-1.0/64)
 }
 
@@ -488,7 +488,7 @@
 	r, _ := fleet(1, nil)
 	s, op := r.servers[1], begun(r, "view", nil, false, true)
 	s.out = []*execution{{of: op, on: s}}
-	r.value = op.row.Benefit / op.row.lag
+	r.value = op.row.PriorityWeight / op.row.lag
 	expect(t, "within its share", r.strained(op, s), false)
 	op.worth = 0.05
 	expect(t, "beyond its share", r.strained(op, s), true)
@@ -554,16 +554,16 @@
 		r, _ := fleet(1, func(s *Settings) { s.Ordered = ordered })
 		s := r.servers[1]
 		for range 400 {
-			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, Finished, 0.25, true)
+			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, Succeeded, 0.25, true)
 		}
 		s.out = []*execution{{sent: r.now}}
 		op := begun(r, "view", nil, false, true)
-		r.value = op.row.Benefit / op.row.lag
+		r.value = op.row.PriorityWeight / op.row.lag
 		for range 50 {
 			expect(t, fmt.Sprint("shed where ordered is ", ordered), r.strained(op, s), ordered)
 		}
 		for range 100 {
-			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, NoAnswer, 0.5, false)
+			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, TimedOut, 0.5, false)
 		}
 		expect(t, "late ones count", r.timely < 0.3, true)
 	}
@@ -573,7 +573,7 @@
 func TestIdleLineDoesNotKeepAJamAlive(t *testing.T) {
 	r, _ := fleet(1, nil)
 	s, op := r.servers[1], begun(r, "view", nil, false, true)
-	r.value = op.row.Benefit / op.row.lag
+	r.value = op.row.PriorityWeight / op.row.lag
 	s.slow = 3
 	expect(t, "slow, but in time", r.strained(op, s), false)
 	s.slow = 4.5
@@ -584,10 +584,10 @@
 func TestShedTypeIsTriedAgain(t *testing.T) {
 	r, _ := fleet(1, nil)
 	op := begun(r, "view", nil, false, true)
-	op.row.lag, op.row.heard, r.value = 1, 0, op.row.Benefit
+	op.row.lag, op.row.heard, r.value = 1, 0, op.row.PriorityWeight
 	expect(t, "at once", r.strained(op, r.servers[1]), true)
-	r.now = 16 * op.row.PromisedTime
-	op.due = r.now + op.row.PromisedTime
+	r.now = 16 * op.row.LatencyObjective
+	op.due = r.now + op.row.LatencyObjective
 	expect(t, "later", r.strained(op, r.servers[1]), false)
 }
 
@@ -605,7 +605,7 @@
 		} else {
 			since, turned, went = now, 0, went+1
 			for n := 0; r.ops[id] == op; n++ {
-				r.Settled(now, id, n, how(now), op.row.PromisedTime/4, how(now) == Finished)
+				r.Settled(now, id, n, how(now), op.row.LatencyObjective/4, how(now) == Succeeded)
 			}
 		}
 	}
@@ -621,14 +621,14 @@
 				r, _ := fleet(6, func(s *Settings) {
 					s.Seed = seed
 					for i := range s.TrafficTypes {
-						s.TrafficTypes[i].PromisedTime, s.TrafficTypes[i].HardStop = promised, 5*promised
+						s.TrafficTypes[i].LatencyObjective, s.TrafficTypes[i].Deadline = promised, 5*promised
 					}
 				})
 				for _, row := range r.rows {
 					row.lag, r.value = mean*promised, 1/(mean*promised)
 				}
 				rate, kind := []float64{5, 10, 20, 50}[seed%4], []string{"view", "pay", "amend"}[seed%3]
-				worst, _ := lull(r, 0, 10, rate, kind, func(float64) Outcome { return Finished })
+				worst, _ := lull(r, 0, 10, rate, kind, func(float64) Outcome { return Succeeded })
 				if longest = max(longest, worst); worst > 4 {
 					over++
 				}
@@ -649,9 +649,9 @@
 			r, _ := fleet(6, func(s *Settings) { s.Seed = seed })
 			worst, _ := lull(r, 0, 46, rate, "view", func(now float64) Outcome {
 				if now >= 10 && now < 26 {
-					return Error
+					return ServerError
 				}
-				return Finished
+				return Succeeded
 			})
 			if longest = max(longest, worst); worst > 4 {
 				over++
@@ -671,7 +671,7 @@
 		for _, row := range r.rows {
 			row.lag, r.value = 1e6, 1e-6
 		}
-		_, went := lull(r, 0, 30, rate, "view", func(float64) Outcome { return Withdrawn })
+		_, went := lull(r, 0, 30, rate, "view", func(float64) Outcome { return Cancelled })
 		if went > most || went < most*2/3 {
 			t.Errorf("%d of %v operations went on in a jam, want at most %d", went, 30*rate, most)
 		}
@@ -756,8 +756,8 @@
 
 func TestZeroSettingsAreHarmless(t *testing.T) {
 	did := &notes{}
-	r := New(0, Settings{TrafficTypes: []TrafficType{{Name: "view"}}, Tenants: []Tenant{{"a", -1}}}, did)
-	r.Listed(0, Disk, []Member{{ID: 1, Mode: InService, Started: 1}, {ID: 2, Mode: InService, Capacity: -3}})
+	r := New(0, Settings{TrafficTypes: []TrafficClass{{Name: "view"}}, Tenants: []Tenant{{"a", -1}}}, did)
+	r.Listed(0, UpdateSaved, []Endpoint{{ID: 1, State: Ready, StartedAt: 1}, {ID: 2, State: Ready, Capacity: -3}})
 	for i := range uint64(50) {
 		r.Arrived(1, i, []string{"view", "unknown"}[i%2], "a", "", float64(i%3)-1)
 		r.Settled(1, i, 0, Outcome(i%12), 0, false)
@@ -793,7 +793,7 @@
 	a, b := r.spend("a"), r.spend("b")
 	expect(t, "what a may before any finished", *a, 0.0)
 	for i := range 30 { // what is sent again by what arrives kept a failing origin down (dar-scripts, fast errors)
-		r.Settled(0, uint64(100+i), 0, Finished, 0.01, true)
+		r.Settled(0, uint64(100+i), 0, Succeeded, 0.01, true)
 	}
 	expect(t, "what a may", *a > 2.9 && *a < 3.1, true)
 	expect(t, "what b may", *b, 0.0)
@@ -805,14 +805,14 @@
 	r, n := fleet(2, nil)
 	r.Arrived(0, 5, "view", "", "k", 2)
 	r.rows["view"].lag = 0.07
-	r.Offer([]TrafficType{{Name: "view", Effect: AtMostOnce, PromisedTime: 0.2, HardStop: 1, Benefit: 1}})
+	r.Offer([]TrafficClass{{Name: "view", Idempotency: AtMostOnce, LatencyObjective: 0.2, Deadline: 1, PriorityWeight: 1}})
 	expect(t, "the time seen", r.rows["view"].lag, 0.07)
 	expect(t, "old types that are left", len(r.rows), 1)
-	expect(t, "the effect of what has arrived", r.ops[5].row.Effect, Reissuable)
-	r.Settled(0.1, 5, 0, NoConnection, 0.1, false)
+	expect(t, "the effect of what has arrived", r.ops[5].row.Idempotency, Idempotent)
+	r.Settled(0.1, 5, 0, ConnectFailed, 0.1, false)
 	expect(t, "it goes on", len(n.did) > 1 && n.last()[:9] == "execute 5", true)
 	r.Arrived(0.2, 6, "view", "", "k", 1)
-	expect(t, "the effect of what arrives", r.ops[6].row.Effect, AtMostOnce)
+	expect(t, "the effect of what arrives", r.ops[6].row.Idempotency, AtMostOnce)
 }
 
 // A decline tells why.
@@ -829,8 +829,8 @@
 	r.host = h
 	r.Arrived(0, 7, "view", "", "k", 2)
 	*r.ops[7].purse = 1
-	r.Settled(1.99, 7, 0, TurnedAway, 1.99, false)
-	expect(t, "the reasons", fmt.Sprint(h.told), fmt.Sprint([]RejectReason{NoServer, Strained, NoTime}))
+	r.Settled(1.99, 7, 0, Overloaded, 1.99, false)
+	expect(t, "the reasons", fmt.Sprint(h.told), fmt.Sprint([]RejectReason{ReasonNoEndpoint, ReasonOverloaded, ReasonNoTime}))
 }
 
 // Of 80 routers none had two executions in flight anywhere: a cache held four times what others did, and none knew.
@@ -914,14 +914,14 @@
 // Hundreds of routers and of caches: what they tell is kept in so many bytes, and what has gone is forgotten.
 func TestHundredsOfRoutersAndCachesStayBounded(t *testing.T) {
 	r, did := fleet(500, func(s *Settings) { s.Peers, s.Routers, s.Telling = true, 400, 0.01 })
-	gone := []Member(nil)
+	gone := []Endpoint(nil)
 	for i := range 1000 {
 		now := float64(i) / 25
 		r.Told(now, []byte{byte(i), byte(i % 3), byte(16 + i%200), byte(i * 7), 1, refused, 7})
 		r.Arrived(now, uint64(i), "view", "", fmt.Sprint("key", i%700), 2)
-		r.Settled(now+0.005, uint64(i), 0, Finished, 0.005, true)
-		if gone = append(gone, Member{ID: uint64(i + 1), Mode: Gone}); i == 399 {
-			r.Listed(now, Diff, gone)
+		r.Settled(now+0.005, uint64(i), 0, Succeeded, 0.005, true)
+		if gone = append(gone, Endpoint{ID: uint64(i + 1), State: Removed}); i == 399 {
+			r.Listed(now, UpdateDelta, gone)
 		}
 	}
 	expect(t, "operations kept", len(r.ops), 0)
@@ -936,7 +936,7 @@
 	r.order(5, 1)
 	for _, c := range []struct{ first, second, points float64 }{{0.1, 0.9, 4}, {4, 2, 8}} {
 		expect(t, "orders kept until a size is larger than seen", len(r.orders[5]) > 0, true)
-		r.Listed(1, Diff, members(c.first, c.second))
+		r.Listed(1, UpdateDelta, members(c.first, c.second))
 		expect(t, "points", fmt.Sprint(r.servers[1].points, r.servers[2].points), fmt.Sprint("16 ", c.points))
 	}
 }
@@ -944,7 +944,7 @@
 // At 600 routers none has two in flight at a cache; the list's weights tell what it holds (dar-scripts, busy days).
 func TestPassOverByLiveWeights(t *testing.T) {
 	r, _ := weighed(0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-	r.Listed(1, Diff, members(0.1))
+	r.Listed(1, UpdateDelta, members(0.1))
 	for _, c := range []struct{ usual, later, least, most float64 }{{9, 0, 0.7, 0.99}, {1, 0, 0, 0}, {9, 20 * recall, 0, 0}} {
 		r.servers[1].usual, r.now = c.usual, 1+c.later // one look says little, and an old one nothing
 		part := r.leaves(r.servers[1])
@@ -960,14 +960,14 @@
 func TestWhatFinishesIsReckonedFromTheStart(t *testing.T) {
 	r, _ := fleet(1, nil)
 	for r.now = 0.25; r.now <= 3; r.now += 0.25 {
-		r.learn(begun(r, "view", r.servers[1], true, false).executions[0], Finished, 0.01)
+		r.learn(begun(r, "view", r.servers[1], true, false).executions[0], Succeeded, 0.01)
 	}
 	expect(t, "four a second", math.Round(r.finishing()), 4.0)
 }
 
 // A lookup for a key's one cache, passed over, went round the whole circle (dar-scripts, big-1: 160 us an event).
 func TestLookupStaysNear(t *testing.T) {
-	r, _ := fleet(270, func(s *Settings) { s.Weights, s.Routers = Live, 600 })
+	r, _ := fleet(270, func(s *Settings) { s.Weights, s.Routers = WeightsLive, 600 })
 	op := &operation{row: r.rows["view"], hash: 5, spread: 1, worth: 1, hardStop: 9}
 	r.choose(op).out, r.flying = make([]*execution, 9), 9
 	r.choose(op)
@@ -980,7 +980,7 @@
 	before, now := float64(r.slice(r.servers[1])), 1.0
 	for _, c := range []struct{ weight, until, least, most float64 }{{0.1, 1, 0.75, 1}, {0.1, 20, 0, 0.5}, {1, 120, 1, 1}} {
 		for ; now <= c.until; now++ {
-			r.Listed(now, Diff, members(c.weight))
+			r.Listed(now, UpdateDelta, members(c.weight))
 		}
 		part := float64(r.slice(r.servers[1])) / before
 		expect(t, fmt.Sprint(part, " of its keys with ", c), part >= c.least && part <= c.most, true)
@@ -1006,7 +1006,7 @@
 // A full cache proves nothing of its health; taken for failures, they benched most caches (lima-avisos, overload).
 func TestAFullCacheIsNotSick(t *testing.T) {
 	r, _ := fleet(1, nil)
-	r.learn(begun(r, "view", r.servers[1], true, false).executions[0], TurnedAway, 0.001)
+	r.learn(begun(r, "view", r.servers[1], true, false).executions[0], Overloaded, 0.001)
 	expect(t, "failures, slowness", fmt.Sprint(r.servers[1].fails, r.servers[1].slow), "0 1")
 }
 
@@ -1015,7 +1015,7 @@
 	for timely, want := range map[float64]bool{0.5: true, 1: false} {
 		r, _ := fleet(1, nil)
 		op := begun(r, "view", nil, false, true)
-		op.worth, r.timely, r.value = 0.05, timely, op.row.Benefit/op.row.lag
+		op.worth, r.timely, r.value = 0.05, timely, op.row.PriorityWeight/op.row.lag
 		expect(t, fmt.Sprint("shed with ", timely, " in time"), r.strained(op, r.servers[1]), want)
 	}
 }
@@ -1026,7 +1026,7 @@
 	for seed := range uint32(600) {
 		r, _ := weighed(seed, weights...)
 		r.now, r.flowAt, r.flow = 100, 100, 4
-		r.Listed(100, Diff, []Member{{ID: 1, Mode: InService, Capacity: 1, Started: 100}})
+		r.Listed(100, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 100}})
 		for s := r.servers[1]; r.now < 101.5; r.now += 0.01 {
 			if !r.tips(s) {
 				s.budget--
@@ -1050,7 +1050,7 @@
 			r, did := fleet(2, func(s *Settings) { s.Seed = seed })
 			r.taken, r.servers[1].down = c.taken, c.down
 			op := begun(r, "view", r.servers[1], false, true)
-			if r.further(op, op.executions[0], Error); did.last() == "execute 7 on 2" {
+			if r.further(op, op.executions[0], ServerError); did.last() == "execute 7 on 2" {
 				went++
 			}
 		}
@@ -1060,7 +1060,7 @@
 
 func TestAvoidsWhatDrainsIsBarredOrFailed(t *testing.T) {
 	r, _ := fleet(5, nil)
-	r.Listed(1, Diff, []Member{{ID: 3, Mode: Draining, Capacity: 1}})
+	r.Listed(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
 	r.Barred(1, 4, true)
 	r.servers[1].fails, r.servers[2].fails = 2, 3
 	for id, want := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: false, 6: true} {
@@ -1071,13 +1071,13 @@
 // No list undoes what operators have called, for one that it drops and names anew neither, nor for one it has not named yet.
 func TestBarredStaysOutWhateverTheListSays(t *testing.T) {
 	r, _ := fleet(3, nil)
-	again := []Member{{ID: 1, Mode: InService, Capacity: 1}, {ID: 2, Mode: InService, Capacity: 1, Started: 5}, {ID: 9, Mode: InService, Capacity: 1}}
+	again := []Endpoint{{ID: 1, State: Ready, Capacity: 1}, {ID: 2, State: Ready, Capacity: 1, StartedAt: 5}, {ID: 9, State: Ready, Capacity: 1}}
 	for _, id := range []uint64{2, 2, 9} {
 		r.Barred(1, id, true)
 	}
-	r.Listed(2, Diff, []Member{{ID: 2, Mode: Gone}})
-	r.Listed(3, Snapshot, again[:1])
-	r.Listed(6, Snapshot, again)
+	r.Listed(2, UpdateDelta, []Endpoint{{ID: 2, State: Removed}})
+	r.Listed(3, UpdateFull, again[:1])
+	r.Listed(6, UpdateFull, again)
 	op := begun(r, "view", nil, false, true)
 	for _, s := range r.servers {
 		expect(t, fmt.Sprint("may execute on ", s.ID), r.mayExecute(op, s), s.ID == 1)
@@ -1086,7 +1086,7 @@
 	r.Barred(7, 2, false)
 	expect(t, "ready caches after the call back", len(r.ready), 2)
 	r.Barred(8, 7, false) // nothing was called of it
-	r.Listed(9, Diff, nil)
+	r.Listed(9, UpdateDelta, nil)
 	expect(t, "records", len(r.servers), 3)
 }
 
@@ -1173,7 +1173,7 @@
 	}
 	id := uint64(0)
 	fmt.Sscanf(did.did[0], "withdraw %d", &id)
-	if r.Settled(1.1, id, 0, Withdrawn, 0.1, false); len(r.ops[id].executions) != 2 || r.ops[id].executions[1].on.Zone == "b" {
+	if r.Settled(1.1, id, 0, Cancelled, 0.1, false); len(r.ops[id].executions) != 2 || r.ops[id].executions[1].on.Zone == "b" {
 		t.Error("what was withdrawn did not go elsewhere")
 	}
 }
@@ -1183,11 +1183,11 @@
 func TestAllCold(t *testing.T) {
 	for flow, least := range map[float64]int{0: 1, 60: 40} {
 		r, _ := fleet(0, func(s *Settings) { s.Flow, s.Seed = flow, 9 })
-		var all []Member
+		var all []Endpoint
 		for i := range 6 {
-			all = append(all, Member{ID: uint64(i + 1), Mode: InService, Zone: "a", Started: 0.5})
+			all = append(all, Endpoint{ID: uint64(i + 1), State: Ready, Zone: "a", StartedAt: 0.5})
 		}
-		r.Listed(1, Snapshot, all)
+		r.Listed(1, UpdateFull, all)
 		if got := r.finishing(); math.Abs(got-flow) > flow/10 {
 			t.Errorf("%v a second are taken to finish, known is %v", got, flow)
 		}
@@ -1197,7 +1197,7 @@
 			r.Arrived(now, id, "view", "", fmt.Sprint("key-", n), 2)
 			if op := r.ops[id]; op != nil && len(op.executions) > 0 {
 				sent++
-				r.Settled(now+0.01, id, 0, Finished, 0.01, true)
+				r.Settled(now+0.01, id, 0, Succeeded, 0.01, true)
 			}
 		}
 		if sent < least {
@@ -1211,13 +1211,13 @@
 
 // What is bound to a zone that is left is declined at once, with when to come back, and never goes elsewhere (rule 5).
 func TestBoundToAZoneThatIsLeft(t *testing.T) {
-	r, did := fleet(4, func(s *Settings) { s.TrafficTypes[0].RunsIn = []string{"b"} })
+	r, did := fleet(4, func(s *Settings) { s.TrafficTypes[0].AllowedZones = []string{"b"} })
 	r.servers[1].Zone, r.servers[2].Zone = "b", "b"
 	r.Arrived(1, 1, "view", "", "key", 2)
 	if r.Zoned(1.1, "b", 0); did.last() != "withdraw 1/0" {
 		t.Errorf("did %q", did.last())
 	}
-	if r.Settled(1.1, 1, 0, Withdrawn, 0.1, false); did.last() != "decline 1 after true" {
+	if r.Settled(1.1, 1, 0, Cancelled, 0.1, false); did.last() != "decline 1 after true" {
 		t.Errorf("did %q", did.last())
 	}
 	if r.Arrived(1.2, 2, "view", "", "key", 2); did.last() != "decline 2 after true" {
@@ -1228,9 +1228,9 @@
 // A zone's share is of caches: what the origin's servers in a zone that is left work on goes on.
 func TestZonedLeavesTheOrigin(t *testing.T) {
 	r, did := fleet(3, func(s *Settings) { s.Aside, s.OriginKind = true, "origin" })
-	r.Listed(0, Diff, []Member{{ID: 9, Mode: InService, Zone: "b", Kind: "origin"}})
+	r.Listed(0, UpdateDelta, []Endpoint{{ID: 9, State: Ready, Zone: "b", MachineType: "origin"}})
 	r.Arrived(1, 1, "view", "", "key", 2)
-	r.Settled(1.01, 1, 0, NotStored, 0.01, false)
+	r.Settled(1.01, 1, 0, CacheMiss, 0.01, false)
 	if did.last() != "execute 1 on 9" {
 		t.Fatalf("did %v, want a fetch", did.did)
 	}
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -22,7 +22,7 @@
 	Listen string // an address of its own; what comes in there is the team's
 	Tenant string // the tenant that its clients name
 	Prefix string // what its keys begin with
-	Types  []balancer.TrafficType
+	Types  []balancer.TrafficClass
 }
 
 // Pool is a pool as the operators' file has it.
@@ -115,7 +115,7 @@
 		b.plain.tenants[t.Name] = true
 	}
 	for _, t := range set.TrafficTypes {
-		b.plain.hardStops[t.Name] = t.HardStop
+		b.plain.hardStops[t.Name] = t.Deadline
 	}
 	return b
 }
@@ -169,7 +169,7 @@
 type plain struct {
 	b         *Broker
 	core      *requestcore.Router
-	types     []balancer.TrafficType // the platform's, which stay with its pool
+	types     []balancer.TrafficClass // the platform's, which stay with its pool
 	hardStops map[string]float64
 	tenants   map[string]bool // that the platform knows
 }
@@ -336,7 +336,7 @@
 		}
 		mine.Pool = p
 		var theirs []quota.Contract
-		var types []balancer.TrafficType
+		var types []balancer.TrafficClass
 		weights := map[string]float64{}
 		for _, t := range all {
 			if t.Pool != p.Name {
@@ -366,8 +366,8 @@
 		byte: b.bytes.Share(terms.Team), door: b.doors.Share(terms.Team), out: p.out.Share(terms.Team)}
 	for _, k := range terms.Types {
 		// Until its operations are seen one is taken to cost a quarter of the promised time, as the module does.
-		b.longest = max(b.longest, k.HardStop)
-		t.kinds[k.Name] = kind{name: terms.Team + "/" + k.Name, stop: k.HardStop, guess: k.PromisedTime / 4}
+		b.longest = max(b.longest, k.Deadline)
+		t.kinds[k.Name] = kind{name: terms.Team + "/" + k.Name, stop: k.Deadline, guess: k.LatencyObjective / 4}
 	}
 	if t.tally = b.tallies[terms.Team]; t.tally == nil {
 		t.tally = &Tally{}
@@ -419,8 +419,8 @@
 	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q", t.Pool, t.Budget, t.Burst,
 		t.Borrow, t.Weight, t.Listen, t.Tenant, t.Prefix)
 	for _, k := range t.Types {
-		text += fmt.Sprintf("; %s %s %v/%v s benefit %v", k.Name, [...]string{"at-most-once", "numbered", "reissuable"}[k.Effect],
-			k.PromisedTime, k.HardStop, k.Benefit)
+		text += fmt.Sprintf("; %s %s %v/%v s benefit %v", k.Name, [...]string{"at-most-once", "numbered", "reissuable"}[k.Idempotency],
+			k.LatencyObjective, k.Deadline, k.PriorityWeight)
 	}
 	return text
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -135,7 +135,7 @@
 		open = append(open, c)
 	}
 	once := terms("a", "", 1)
-	once.Types = []balancer.TrafficType{{Name: "view", Effect: balancer.AtMostOnce, PromisedTime: 1, HardStop: 2, Benefit: 1}}
+	once.Types = []balancer.TrafficClass{{Name: "view", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}
 	lines := strings.Join(b.Change(pools, []Terms{once}, ToPlatform), "\n")
 	for _, want := range []string{`team a changes from: pool "own", budget 2`, `to: pool "", budget 1`, "team b goes"} {
 		if !strings.Contains(lines, want) {
@@ -227,7 +227,7 @@
 func TestLongestStopOutlivesItsContract(t *testing.T) {
 	b, _, pools := serving(t, ample, terms("a", "own", 1))
 	b.Change(pools, nil, ToPlatform)
-	if b.LongestStop() != view.HardStop {
+	if b.LongestStop() != view.Deadline {
 		t.Errorf("it waits %v", b.LongestStop())
 	}
 }
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -33,19 +33,19 @@
 	out := o.out
 	o.out, o.ops = nil, nil
 	for _, x := range out {
-		x.Settled(balancer.Finished, requestcore.Result{})
+		x.Settled(balancer.Succeeded, requestcore.Result{})
 	}
 }
 
 // core is a pool's, with so many servers.
-func (o *outside) core(servers int, types ...balancer.TrafficType) *requestcore.Router {
+func (o *outside) core(servers int, types ...balancer.TrafficClass) *requestcore.Router {
 	r := requestcore.New(balancer.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, requestcore.Outside{Clock: o, Caches: o,
 		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
-	var all []balancer.Member
+	var all []balancer.Endpoint
 	for i := range servers {
-		all = append(all, balancer.Member{ID: uint64(i + 1), Mode: balancer.InService, Capacity: 1})
+		all = append(all, balancer.Endpoint{ID: uint64(i + 1), State: balancer.Ready, Capacity: 1})
 	}
-	r.Listed(balancer.Snapshot, all)
+	r.Listed(balancer.UpdateFull, all)
 	return r
 }
 
@@ -60,14 +60,14 @@
 func (c *client) Terminated()                 { c.terminated++ }
 func (c *client) Gone() bool                  { return false }
 
-var view = balancer.TrafficType{Name: "view", Effect: balancer.Reissuable, PromisedTime: 1, HardStop: 4, Benefit: 1}
+var view = balancer.TrafficClass{Name: "view", Idempotency: balancer.Idempotent, LatencyObjective: 1, Deadline: 4, PriorityWeight: 1}
 
 // serving is a broker with the platform's pool, of one server, and another of one, called "own".
 func serving(t *testing.T, limits Limits, all ...Terms) (*Broker, *outside, []Pool) {
 	t.Helper()
 	o := &outside{now: 1000}
 	platform := o.core(1, view)
-	b := New(o.Now, balancer.Settings{Routers: 1, TrafficTypes: []balancer.TrafficType{view}}, platform, limits)
+	b := New(o.Now, balancer.Settings{Routers: 1, TrafficTypes: []balancer.TrafficClass{view}}, platform, limits)
 	pools := []Pool{{Core: platform, Connections: 100}, {Name: "own", Core: o.core(1), Connections: 10}}
 	b.Change(pools, all, ToPlatform)
 	return b, o, pools
@@ -75,7 +75,7 @@
 
 func terms(team, pool string, budget float64) Terms {
 	return Terms{Contract: quota.Contract{Team: team, Budget: budget, Burst: budget}, Pool: pool, Tenant: team,
-		Types: []balancer.TrafficType{view}}
+		Types: []balancer.TrafficClass{view}}
 }
 
 // ask takes an operation of a tenant, if there is a place for it.
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("read %+v", c)
 	}
 	if c.ConnIdle != 30 || c.ConnectTimeout != 0.075 || c.PerConnection != 100 || c.Settings.Me != 2 ||
-		c.Settings.TrafficTypes[0].HardStop != 0.75 || len(c.Known.Entries) != 1 || c.Known.Generation != 41 {
+		c.Settings.TrafficTypes[0].Deadline != 0.75 || len(c.Known.Entries) != 1 || c.Known.Generation != 41 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.Open != 33 {
@@ -81,7 +81,7 @@
 
 // Both shapes of a deployment are whole configurations.
 func TestExamples(t *testing.T) {
-	for file, want := range map[string]balancer.Weights{"config.json": balancer.Sizes, "config-live.json": balancer.Live} {
+	for file, want := range map[string]balancer.WeightMode{"config.json": balancer.WeightsStatic, "config-live.json": balancer.WeightsLive} {
 		text, err := os.ReadFile("../../examples/" + file)
 		if err != nil {
 			t.Fatal(err)
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -68,8 +68,8 @@
 	effects := [...]string{"at-most-once", "numbered", "reissuable"}
 	for i, t := range s.TrafficTypes {
 		say("traffic type "+t.Name, fmt.Sprintf("/settings/trafficTypes/%d", i), "",
-			"%s, promised time %v s, hard stop %v s, benefit %v, %s", effects[t.Effect], t.PromisedTime, t.HardStop, t.Benefit,
-			cmp.Or(t.Places(), "anywhere"))
+			"%s, promised time %v s, hard stop %v s, benefit %v, %s", effects[t.Idempotency], t.LatencyObjective, t.Deadline, t.PriorityWeight,
+			cmp.Or(t.PlacementRules(), "anywhere"))
 	}
 	for i, t := range s.Tenants {
 		say("tenant "+t.Name, fmt.Sprintf("/settings/tenants/%d", i), "", "%v operations a second over all routers", t.Quota)
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -57,7 +57,7 @@
 	if c.Reports.How == "on_probe" && !c.Settings.Probes {
 		load.Fault("how", `"on_probe", but settings.limits.probes is false; "inline" or "off" would be right`)
 	}
-	if c.Settings.Weights == balancer.Live && c.Settings.Peers {
+	if c.Settings.Weights == balancer.WeightsLive && c.Settings.Peers {
 		limits.Fault("peers", `true, but settings.weights is "live", which tells the same load; false would be right, or sizes as weights`)
 	}
 	if !limits.Absent("peers") && !c.Settings.Peers {
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -28,14 +28,14 @@
 	if err != nil || l.Generation != 43 || !l.Whole || len(l.Entries) != 5 {
 		t.Fatalf("got %+v, %v", l, err)
 	}
-	first := Entry{Addr: netip.MustParseAddrPort("10.1.0.18:11211"), Member: balancer.Member{ID: ID("s-1"),
-		Mode: balancer.InService, Capacity: 0.6, Zone: "a", Cell: 3, Kind: "m2", Started: 1.5}}
+	first := Entry{Addr: netip.MustParseAddrPort("10.1.0.18:11211"), Endpoint: balancer.Endpoint{ID: ID("s-1"),
+		State: balancer.Ready, Capacity: 0.6, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1.5}}
 	if l.Entries[0] != first {
 		t.Errorf("got %+v, want %+v", l.Entries[0], first)
 	}
 	// One that cannot be reached, or is in no known state, gets nothing new.
-	for i, want := range []balancer.Mode{balancer.InService, balancer.Draining, balancer.Gone, balancer.Draining, balancer.Gone} {
-		if got := l.Entries[i].Mode; got != want {
+	for i, want := range []balancer.EndpointState{balancer.Ready, balancer.Draining, balancer.Removed, balancer.Draining, balancer.Removed} {
+		if got := l.Entries[i].State; got != want {
 			t.Errorf("entry %d is %d, want %d", i, got, want)
 		}
 	}
@@ -161,12 +161,12 @@
 	if err != nil || l.Faulty == "" {
 		t.Fatalf("got %v, told %q", err, l.Faulty)
 	}
-	got := map[uint64]balancer.Mode{}
+	got := map[uint64]balancer.EndpointState{}
 	for _, e := range l.Entries {
-		got[e.ID] = e.Mode
+		got[e.ID] = e.State
 	}
-	if want := map[uint64]balancer.Mode{ID("s-9"): balancer.Draining, ID("s-1"): balancer.Draining, ID("s-2"): balancer.Draining,
-		ID("s-3"): balancer.Gone, ID("s-4"): balancer.InService}; !maps.Equal(got, want) {
+	if want := map[uint64]balancer.EndpointState{ID("s-9"): balancer.Draining, ID("s-1"): balancer.Draining, ID("s-2"): balancer.Draining,
+		ID("s-3"): balancer.Removed, ID("s-4"): balancer.Ready}; !maps.Equal(got, want) {
 		t.Errorf("got %v, want %v", got, want)
 	}
 }
@@ -366,7 +366,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Parse(text)
 		for _, e := range l.Entries {
-			if err == nil && e.Mode == balancer.InService && (e.faulty || !e.Addr.IsValid()) {
+			if err == nil && e.State == balancer.Ready && (e.faulty || !e.Addr.IsValid()) {
 				t.Errorf("%q: %+v may be used", text, e)
 			}
 		}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -13,7 +13,7 @@
 
 // Entry is one cache server of a list. Its id is made from the instance's name, the same at every router.
 type Entry struct {
-	balancer.Member
+	balancer.Endpoint
 	Addr   netip.AddrPort
 	faulty bool // a field cannot be read
 }
@@ -26,7 +26,7 @@
 	Faulty     string `json:"-"` // what is wrong with the first entry that cannot be used; empty: with none
 }
 
-var modes = map[string]balancer.Mode{"ready": balancer.InService, "draining": balancer.Draining}
+var modes = map[string]balancer.EndpointState{"ready": balancer.Ready, "draining": balancer.Draining}
 
 // ID makes a server's id. It fits into 32 bits, as a peer's words have it.
 func ID(instance string) uint64 { return uint64(crc32.ChecksumIEEE([]byte(instance))) }
@@ -45,7 +45,7 @@
 	elsewhere := slices.ContainsFunc(faults, func(f settings.Fault) bool { return !strings.HasPrefix(f.Path, "/instances") })
 	for i := range l.Entries {
 		if l.Entries[i].faulty {
-			l.Entries[i].Mode = min(l.Entries[i].Mode, balancer.Draining)
+			l.Entries[i].State = min(l.Entries[i].State, balancer.Draining)
 			bad++
 		}
 	}
@@ -64,12 +64,12 @@
 		name, at := e.Text("instanceId"), e.Text("hostPort")
 		mode := modes[e.Text("lifecycle")]
 		addr, err := netip.ParseAddrPort(at)
-		if err != nil && mode == balancer.InService {
+		if err != nil && mode == balancer.Ready {
 			mode = balancer.Draining // nowhere to send to; the rest of the list still counts
 		}
-		entry := Entry{Addr: addr, Member: balancer.Member{ID: ID(name), Mode: mode,
-			Capacity: e.Number("weight"), Zone: e.Name0("zone"), Cell: e.Count("cell"), Kind: e.Name0("machineType"),
-			Started: e.Number("startedAtMs") / 1e3}}
+		entry := Entry{Addr: addr, Endpoint: balancer.Endpoint{ID: ID(name), State: mode,
+			Capacity: e.Number("weight"), Zone: e.Name0("zone"), Cell: e.Count("cell"), MachineType: e.Name0("machineType"),
+			StartedAt: e.Number("startedAtMs") / 1e3}}
 		if entry.faulty = o.Met() > before; name != "" {
 			l.Entries = append(l.Entries, entry)
 		}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -298,7 +298,7 @@
 		}
 		draw -= h.part
 	}
-	if f.t.Effect == balancer.Numbered {
+	if f.t.Effect == balancer.IdempotencyKeyed {
 		o.Mark = c.id()
 	}
 	c.book.Ops = append(c.book.Ops, o)
@@ -400,7 +400,7 @@
 		return -1
 	case t.Op.Type.Effect == balancer.AtMostOnce && t.How != Declined && t.How != NoConnection:
 		return -1 // it may have run
-	case t.Op.Type.Effect == balancer.Numbered && c.loop.Now()-t.Op.Due > t.Op.Type.Window*0.9:
+	case t.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-t.Op.Due > t.Op.Type.Window*0.9:
 		return -1 // nobody would know it for a repeat
 	case t.After > 0 && c.chance.Float64() < c.load.Honour:
 		return float64(t.After) / 1e3
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -108,14 +108,14 @@
 
 // memory gives what those know who drop the repeats of a numbered type that come to s.
 func (f *Fleet) memory(s *Server, t *TrafficType) *memory {
-	if t.Effect != balancer.Numbered {
+	if t.Effect != balancer.IdempotencyKeyed {
 		return nil
 	}
 	name := t.Name
 	switch t.Group {
-	case balancer.Zone:
+	case balancer.ScopeZone:
 		name += "/zone/" + s.Zone
-	case balancer.Cell:
+	case balancer.ScopeCell:
 		name += fmt.Sprintf("/cell/%s/%d", s.Zone, s.Cell)
 	}
 	if f.memories[name] == nil {
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -16,8 +16,8 @@
 	"bendtrestle/internal/eventloop"
 )
 
-var read = &TrafficType{Name: "read", Share: 1, Effect: balancer.Reissuable, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
-var put = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.Numbered, Group: balancer.Zone, Window: 0.3, Work: 0.002, Size: 10,
+var read = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
+var put = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
 	Promised: 0.2, HardStop: 0.5, Benefit: 1}
 
 var places atomic.Int32
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -15,8 +15,8 @@
 
 const mega = 1 << 20
 
-var bulk = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Reissuable, Work: 0.001, Size: mega, Promised: 5, HardStop: 5, Benefit: 1}
-var load4 = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.Numbered, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
+var bulk = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mega, Promised: 5, HardStop: 5, Benefit: 1}
+var load4 = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
 	HardStop: 5, Benefit: 1}
 
 // bulky gives a fleet of one server that has long values.
@@ -153,7 +153,7 @@
 	} {
 		f, s := bulky(t)
 		f.on(func() {
-			f.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Reissuable}
+			f.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
 		})
 		conn := call(t, s.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -181,7 +181,7 @@
 // has left, one whose router ends within it was cut, and one that got other bytes did not get what its server made.
 func TestReadingsOfLongValues(t *testing.T) {
 	const size = 300_000
-	kind := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Reissuable, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
+	kind := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
 	for name, c := range map[string]struct {
 		how   Reading
 		reply func(text string) string
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -17,8 +17,8 @@
 	Name     string
 	Share    float64 // of all arrivals, as a weight
 	Write    bool
-	Effect   balancer.Effect
-	Group    balancer.Group
+	Effect   balancer.Idempotency
+	Group    balancer.DeduplicationScope
 	Window   float64 // seconds for which repeats of a numbered operation are dropped
 	Work     float64 // seconds of a core of speed 1, the mean
 	Spread   float64 // of the work: its standard deviation over its mean
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -39,7 +39,7 @@
 	}
 	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
-			types: map[string]balancer.TrafficType{}}
+			types: map[string]balancer.TrafficClass{}}
 		m.Offer(set.TrafficTypes)
 		return m
 	}, nil
@@ -50,7 +50,7 @@
 	host    balancer.Host
 	set     balancer.Settings
 	pick    policy
-	types   map[string]balancer.TrafficType
+	types   map[string]balancer.TrafficClass
 	servers map[uint64]*server
 	ready   []*server // by id
 	ring    []point
@@ -61,7 +61,7 @@
 }
 
 type server struct {
-	balancer.Member
+	balancer.Endpoint
 	out int
 }
 
@@ -72,7 +72,7 @@
 
 type operation struct {
 	id         uint64
-	t          balancer.TrafficType
+	t          balancer.TrafficClass
 	hash       uint32
 	hardStop   float64
 	answered   bool
@@ -105,8 +105,8 @@
 const points = 100 // of a server on the ring: shares within a tenth of the mean
 
 // Listed takes an update of the list.
-func (m *Module) Listed(_ float64, kind balancer.ListKind, members []balancer.Member) {
-	if kind == balancer.Failed {
+func (m *Module) Listed(_ float64, kind balancer.EndpointUpdate, members []balancer.Endpoint) {
+	if kind == balancer.UpdateFailed {
 		return
 	}
 	seen := map[uint64]bool{}
@@ -115,17 +115,17 @@
 		if m.servers[e.ID] == nil {
 			m.servers[e.ID] = &server{}
 		}
-		m.servers[e.ID].Member = e
+		m.servers[e.ID].Endpoint = e
 	}
 	for id, s := range m.servers {
-		if s.Mode == balancer.Gone || kind != balancer.Diff && !seen[id] {
-			s.Mode = balancer.Gone
+		if s.State == balancer.Removed || kind != balancer.UpdateDelta && !seen[id] {
+			s.State = balancer.Removed
 			delete(m.servers, id)
 		}
 	}
 	m.ready, m.ring = nil, nil
 	for _, s := range m.servers {
-		if s.Mode == balancer.InService {
+		if s.State == balancer.Ready {
 			m.ready = append(m.ready, s)
 		}
 	}
@@ -144,15 +144,15 @@
 
 // may tells whether a server may execute an operation by the second and third rules.
 func (m *Module) may(now float64, op *operation, s *server) bool {
-	return s.Mode == balancer.InService && !slices.ContainsFunc(op.executions, func(e *execution) bool {
+	return s.State == balancer.Ready && !slices.ContainsFunc(op.executions, func(e *execution) bool {
 		switch {
-		case e.harmless || op.t.Effect == balancer.Reissuable:
+		case e.harmless || op.t.Idempotency == balancer.Idempotent:
 			return false
-		case op.t.Effect == balancer.AtMostOnce || now-e.sent >= op.t.Window:
+		case op.t.Idempotency == balancer.AtMostOnce || now-e.sent >= op.t.DeduplicationWindow:
 			return true
-		case op.t.Group == balancer.Zone:
+		case op.t.DeduplicationScope == balancer.ScopeZone:
 			return e.on.Zone != s.Zone
-		case op.t.Group == balancer.Cell:
+		case op.t.DeduplicationScope == balancer.ScopeCell:
 			return e.on.Cell != s.Cell
 		}
 		return false
@@ -222,7 +222,7 @@
 func (m *Module) Arrived(now float64, id uint64, kind, _, key string, left float64) {
 	t, known := m.types[kind]
 	if !known {
-		t = balancer.TrafficType{HardStop: left, PromisedTime: left}
+		t = balancer.TrafficClass{Deadline: left, LatencyObjective: left}
 	}
 	op := &operation{id: id, t: t, hash: hash(0, uint64(crc32.ChecksumIEEE([]byte(key)))), hardStop: now + left - m.set.Step}
 	m.ops[id] = op
@@ -244,8 +244,8 @@
 	}
 	op.answered = true
 	ran := slices.ContainsFunc(op.executions, func(e *execution) bool { return !e.harmless })
-	if op.t.Effect == balancer.Reissuable || op.t.Effect == balancer.Numbered && op.t.Group == balancer.All || !ran {
-		m.host.Reject(op.id, 0, balancer.NoServer)
+	if op.t.Idempotency == balancer.Idempotent || op.t.Idempotency == balancer.IdempotencyKeyed && op.t.DeduplicationScope == balancer.ScopeAll || !ran {
+		m.host.Reject(op.id, 0, balancer.ReasonNoEndpoint)
 	} else {
 		m.host.Fail(op.id)
 	}
@@ -271,11 +271,11 @@
 	}
 	e := op.executions[n]
 	e.out = false
-	e.harmless = how == balancer.TurnedAway || how == balancer.NoConnection || how == balancer.NotSent || how == balancer.NotStored
+	e.harmless = how == balancer.Overloaded || how == balancer.ConnectFailed || how == balancer.NotAttempted || how == balancer.CacheMiss
 	op.out--
 	e.on.out--
 	m.flying--
-	if how == balancer.Finished {
+	if how == balancer.Succeeded {
 		m.mean += (lag - m.mean) / 16
 	}
 	if final || op.answered {
@@ -287,8 +287,8 @@
 }
 
 // Offer takes the traffic types.
-func (m *Module) Offer(types []balancer.TrafficType) {
-	m.types = map[string]balancer.TrafficType{}
+func (m *Module) Offer(types []balancer.TrafficClass) {
+	m.types = map[string]balancer.TrafficClass{}
 	for _, t := range types {
 		m.types[t.Name] = t
 	}
@@ -323,5 +323,5 @@
 // Avoids tells whether a server gets nothing by its mode: baselines avoid none for its failures.
 func (m *Module) Avoids(id uint64) bool {
 	s := m.servers[id]
-	return s == nil || s.Mode != balancer.InService
+	return s == nil || s.State != balancer.Ready
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -140,10 +140,10 @@
 }
 
 var kindsOf = map[string]*emulator.TrafficType{
-	"read":  {Name: "read", Effect: balancer.Reissuable, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"put":   {Name: "put", Write: true, Effect: balancer.Numbered, Group: balancer.Zone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
+	"read":  {Name: "read", Effect: balancer.Idempotent, Benefit: 1, Promised: 0.1, HardStop: 0.5},
+	"put":   {Name: "put", Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
 	"pay":   {Name: "pay", Write: true, Effect: balancer.AtMostOnce, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"bound": {Name: "bound", Effect: balancer.Reissuable, RunsIn: []string{"z1"}},
+	"bound": {Name: "bound", Effect: balancer.Idempotent, RunsIn: []string{"z1"}},
 }
 
 func server(name, zone string) *emulator.Server {
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -255,7 +255,7 @@
 			case balancer.AtMostOnce:
 				j.breach(2, x.First, o, t.ID, "an at-most-once operation was sent to %s though it may have run at %s", x.Server.Name, before.Server.Name)
 				return
-			case balancer.Numbered:
+			case balancer.IdempotencyKeyed:
 				if !sameGroup(o.Type, before.Server, x.Server) {
 					j.breach(2, x.First, o, t.ID, "a numbered operation was sent to %s, outside the group of %s", x.Server.Name, before.Server.Name)
 					return
@@ -271,7 +271,7 @@
 		return
 	}
 	for _, x := range runs {
-		narrow := o.Type.Effect == balancer.Numbered && o.Type.Group != balancer.All
+		narrow := o.Type.Effect == balancer.IdempotencyKeyed && o.Type.Group != balancer.ScopeAll
 		if x.MayHaveRun() && (o.Type.Effect == balancer.AtMostOnce || narrow) {
 			j.breach(2, t.Ended, o, t.ID, "declined, which says that trying again is harmless, though it may have run at %s", x.Server.Name)
 			return
@@ -290,9 +290,9 @@
 
 func sameGroup(t *emulator.TrafficType, a, b *emulator.Server) bool {
 	switch t.Group {
-	case balancer.Zone:
+	case balancer.ScopeZone:
 		return a.Zone == b.Zone
-	case balancer.Cell:
+	case balancer.ScopeCell:
 		return a.Zone == b.Zone && a.Cell == b.Cell
 	}
 	return true
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -314,7 +314,7 @@
 	var types []map[string]any
 	for _, t := range s.types() {
 		types = append(types, map[string]any{"name": t.Name, "effect": wire[t.Effect],
-			"keyScope":    map[balancer.Group]string{balancer.All: "all", balancer.Zone: "zone", balancer.Cell: "cell"}[t.Group],
+			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.Group],
 			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
 			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null where it is not bound
 	}
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -43,7 +43,7 @@
 	longest := 0.0
 	set := settings(p.Me, len(p.Peers))
 	for _, t := range set.TrafficTypes {
-		longest = max(longest, t.PromisedTime)
+		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + p.Listen))
 	w := &gossips{p: p, heard: heard, fleet: gossip.New(p.Loop.Now(), gossip.Settings{Me: p.Me, Seed: set.Seed ^ life, Life: life,
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -43,9 +43,9 @@
 
 // settings are those of a router that hears others, as in a real one's configuration.
 func settings(me, routers int) balancer.Settings {
-	return balancer.Settings{Seed: uint32(me + 1), Me: me, Routers: routers, Step: 0.002, Weights: balancer.Sizes, MostExecutions: 3, SecondCopies: true,
+	return balancer.Settings{Seed: uint32(me + 1), Me: me, Routers: routers, Step: 0.002, Weights: balancer.WeightsStatic, MostExecutions: 3, SecondCopies: true,
 		Cancelling: true, MaxRetryAfter: 1.2, Peers: true, Telling: 0.01, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9,
-		TrafficTypes: []balancer.TrafficType{{Name: "read", Effect: balancer.Reissuable, PromisedTime: 0.150, HardStop: 0.750, Benefit: 5}}}
+		TrafficTypes: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
 }
 
 const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
@@ -54,7 +54,7 @@
 func begin(loop *eventloop.Loop, open Open, p Place, known discovery.List) (*router, error) {
 	r := &router{me: p.Me, loop: loop}
 	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
-	r.take(balancer.Snapshot, known)
+	r.take(balancer.UpdateFull, known)
 	for _, id := range r.ids {
 		p.Servers = append(p.Servers, uint16(id))
 	}
@@ -73,11 +73,11 @@
 }
 
 // take takes a list.
-func (r *router) take(kind balancer.ListKind, l discovery.List) {
-	var members []balancer.Member
+func (r *router) take(kind balancer.EndpointUpdate, l discovery.List) {
+	var members []balancer.Endpoint
 	for _, e := range l.Entries {
-		members = append(members, e.Member)
-		if kind == balancer.Snapshot {
+		members = append(members, e.Endpoint)
+		if kind == balancer.UpdateFull {
 			r.ids = append(r.ids, e.ID)
 		}
 	}
@@ -92,9 +92,9 @@
 	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
 		taken := make(chan struct{})
 		r.loop.Post(func() {
-			kind := balancer.Diff
+			kind := balancer.UpdateDelta
 			if l.Whole {
-				kind, r.ids = balancer.Snapshot, nil
+				kind, r.ids = balancer.UpdateFull, nil
 			}
 			if l.Whole || len(l.Entries) > 0 {
 				r.take(kind, l)
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -55,7 +55,7 @@
 }
 
 // small is a traffic type of short values without much work.
-var small = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Reissuable, Work: 0.0002, Size: 100, Promised: 0.150, HardStop: 0.750, Benefit: 5}
+var small = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100, Promised: 0.150, HardStop: 0.750, Benefit: 5}
 
 // again calls f anew while an address that it wants is taken, for a while: a process that is just being started holds all sockets of this
 // one between its fork and its exec.
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -221,7 +221,7 @@
 	if v.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
-	kind := &emulator.TrafficType{Name: "bulk", Effect: balancer.Reissuable, Benefit: 1}
+	kind := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
 	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{kind}, emulator.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServers {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -223,9 +223,9 @@
 }
 
 var (
-	effects = map[string]balancer.Effect{"reissuable": balancer.Reissuable, "numbered": balancer.Numbered, "at-most-once": balancer.AtMostOnce}
-	groups  = map[string]balancer.Group{"": balancer.All, "all": balancer.All, "zone": balancer.Zone, "cell": balancer.Cell}
-	wire    = map[balancer.Effect]string{balancer.Reissuable: "retryable", balancer.Numbered: "dedup", balancer.AtMostOnce: "unsafe"}
+	effects = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
+	groups  = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+	wire    = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
 )
 
 // above and part check one figure.
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -131,7 +131,7 @@
 			return func() {
 				ends(t, conn)
 				for _, h := range all { // each answer makes room for another command
-					h.x.Settled(balancer.Finished, made)
+					h.x.Settled(balancer.Succeeded, made)
 				}
 			}
 		},
@@ -260,7 +260,7 @@
 	h := <-s.began
 	s.do(func() {
 		ends(t, conn)
-		h.x.Settled(balancer.Finished, made)
+		h.x.Settled(balancer.Succeeded, made)
 	})
 	s.deserted()
 	s.do(func() {
@@ -341,7 +341,7 @@
 	}{
 		"its client leaves": {func(_ served, conn net.Conn, _ *held) { conn.Close() }, ClientLeft},
 		"a value that breaks off": {func(s served, _ net.Conn, h *held) {
-			s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Long: breaking{}}) })
+			s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Long: breaking{}}) })
 		}, ValueCut},
 		"a client that reads nothing": {func(s served, _ net.Conn, h *held) {
 			s.finish(h, strings.Repeat("x", 32<<20)) // beyond what the kernel holds
@@ -427,13 +427,13 @@
 		s := serve(t, ample)
 		conn, in := s.dial()
 		s.do(func() {
-			s.desk.core.Listed(balancer.Snapshot, []balancer.Member{{ID: 1, Mode: balancer.InService, Capacity: 1}, {ID: 2, Mode: balancer.InService, Capacity: 1}})
+			s.desk.core.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}, {ID: 2, State: balancer.Ready, Capacity: 1}})
 		})
 		fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
 		h := <-s.began
 		s.do(func() {
 			cross(s, conn)
-			h.x.Settled(balancer.NoConnection, requestcore.Result{})
+			h.x.Settled(balancer.ConnectFailed, requestcore.Result{})
 		})
 		if name == "it stays" {
 			s.serves(name, in)
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -89,10 +89,10 @@
 	free.Close()
 	done := make(chan error)
 	l.Post(func() {
-		r := requestcore.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficType{{Name: "t",
-			Effect: balancer.Reissuable, PromisedTime: 1000, HardStop: 5000, Benefit: 1}}}, requestcore.Outside{Clock: l,
+		r := requestcore.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficClass{{Name: "t",
+			Idempotency: balancer.Idempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1}}}, requestcore.Outside{Clock: l,
 			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
-		r.Listed(balancer.Snapshot, []balancer.Member{{ID: 1, Mode: balancer.InService, Capacity: 1}})
+		r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
 		s.desk.core = r
 		s.Front = New(l, s.desk, limits.Limits)
 		_, err := l.Listen(s.addr, s.Room, s.At("", Memcache))
@@ -115,7 +115,7 @@
 }
 
 func (s served) finish(h *held, value string) {
-	s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Value: []byte(value), Receipt: value}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Value: []byte(value), Receipt: value}) })
 }
 
 func (s served) do(call func()) {
@@ -553,15 +553,15 @@
 	}
 	s.finish(begin("1"), "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
-	settle(begin("2"), balancer.Withdrawn, requestcore.Result{}) // and no other server
+	settle(begin("2"), balancer.Cancelled, requestcore.Result{}) // and no other server
 	want(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	fmt.Fprint(conn, "mg k v O4 Pc=t\r\nmg k v O5 Pc=none\r\nmg k v O3 Pc=t\r\n") // no place, no such type, another's id
 	s.loop.Post(func() { s.desk.core.Fail(3) })
 	want(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
-	settle(third, balancer.Withdrawn, requestcore.Result{})
+	settle(third, balancer.Cancelled, requestcore.Result{})
 	conn, in = s.dial()
-	settle(begin("6"), balancer.Finished, requestcore.Result{Long: breaking{}})
+	settle(begin("6"), balancer.Succeeded, requestcore.Result{Long: breaking{}})
 	want(t, in, "VA 99999 O6\r\nx")
 	conn, _ = s.dial()
 	begin("7")
@@ -606,7 +606,7 @@
 	if string(h.op.Value) != body {
 		t.Errorf("%d bytes came", len(h.op.Value))
 	}
-	s.loop.Post(func() { h.x.Settled(balancer.Finished, requestcore.Result{Receipt: "r"}) })
+	s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
 	want(t, in, "HD O1 cr\r\n")
 	for _, c := range []struct{ since, quiet float64 }{{begins + 1, 0}, {begins + 1, standing + 1}, {lasting + 1, 0}, {0, 0}} {
 		conn, in := s.dial()
--- a/internal/operatorconfig/contracts.go
+++ b/internal/operatorconfig/contracts.go
@@ -73,8 +73,8 @@
 }
 
 var (
-	effects = map[string]balancer.Effect{"reissuable": balancer.Reissuable, "numbered": balancer.Numbered, "at-most-once": balancer.AtMostOnce}
-	groups  = map[string]balancer.Group{"": balancer.All, "all": balancer.All, "zone": balancer.Zone, "cell": balancer.Cell}
+	effects = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
+	groups  = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
 )
 
 const (
@@ -257,9 +257,9 @@
 		terms := broker.Terms{Pool: t.Pool, Listen: t.Listen, Tenant: t.Tenant, Prefix: t.Prefix,
 			Contract: quota.Contract{Team: t.Name, Budget: t.Budget, Burst: burst, Borrow: t.Borrow, Weight: t.Weight}}
 		for _, k := range t.Types {
-			terms.Types = append(terms.Types, balancer.TrafficType{Name: k.Name, Effect: effects[k.Effect], Group: groups[k.Group],
-				Window: k.Window, PromisedTime: k.PromisedMS / 1e3, HardStop: k.HardStopMS / 1e3, Benefit: k.Benefit,
-				OverdueBenefit: k.OverdueBenefit, RunsIn: k.RunsIn, AllowedOn: k.AllowedOn})
+			terms.Types = append(terms.Types, balancer.TrafficClass{Name: k.Name, Idempotency: effects[k.Effect], DeduplicationScope: groups[k.Group],
+				DeduplicationWindow: k.Window, LatencyObjective: k.PromisedMS / 1e3, Deadline: k.HardStopMS / 1e3, PriorityWeight: k.Benefit,
+				LateValue: k.OverdueBenefit, AllowedZones: k.RunsIn, AllowedMachineTypes: k.AllowedOn})
 		}
 		all = append(all, terms)
 	}
@@ -346,7 +346,7 @@
 			if k.Effect == "numbered" {
 				effect += fmt.Sprintf(" in %s, %v s", cmp.Or(k.Group, "all"), k.Window)
 			}
-			rows = append(rows, append(row, k.Name, effect, fmt.Sprint(k.PromisedMS), fmt.Sprint(k.HardStopMS), fmt.Sprint(k.Benefit), t.Types[j].Places()))
+			rows = append(rows, append(row, k.Name, effect, fmt.Sprint(k.PromisedMS), fmt.Sprint(k.HardStopMS), fmt.Sprint(k.Benefit), t.Types[j].PlacementRules()))
 		}
 	}
 	return rows
--- a/internal/operatorconfig/operators_test.go
+++ b/internal/operatorconfig/operators_test.go
@@ -125,12 +125,12 @@
 		t.Fatal(err)
 	}
 	terms := f.Terms()
-	if len(terms) != 1 || terms[0].Burst != 2 || terms[0].Borrow != 0.5 || terms[0].Types[0].HardStop != 0.5 ||
-		terms[0].Types[0].Places() != "on m2" || terms[0].Pool != "p" {
+	if len(terms) != 1 || terms[0].Burst != 2 || terms[0].Borrow != 0.5 || terms[0].Types[0].Deadline != 0.5 ||
+		terms[0].Types[0].PlacementRules() != "on m2" || terms[0].Pool != "p" {
 		t.Errorf("the terms are %+v", terms)
 	}
 	set := f.Pools[0].Settings(balancer.Settings{MostExecutions: 5, WarmWithin: 9, TipMultiple: 4, Peers: true,
-		TrafficTypes: []balancer.TrafficType{{}}})
+		TrafficTypes: []balancer.TrafficClass{{}}})
 	if set.MostExecutions != 2 || set.WarmWithin != 7 || set.TipMultiple != 4 || set.Peers || !set.Apart || len(set.TrafficTypes) > 0 {
 		t.Errorf("the pool's settings are %+v", set)
 	}
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -76,12 +76,12 @@
 func TestModuleBenches(t *testing.T) {
 	for crashed, want := range map[bool]bool{true: true, false: false} {
 		w := build(t, 100, 40)
-		m := balancer.New(w.now(), balancer.Settings{Routers: 100, Peers: true, TrafficTypes: []balancer.TrafficType{{Name: "t", PromisedTime: 0.6}}}, nobody{})
-		var members []balancer.Member
+		m := balancer.New(w.now(), balancer.Settings{Routers: 100, Peers: true, TrafficTypes: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
+		var members []balancer.Endpoint
 		for id := range 40 {
-			members = append(members, balancer.Member{ID: uint64(id*150 + 7), Mode: balancer.InService, Capacity: 1})
+			members = append(members, balancer.Endpoint{ID: uint64(id*150 + 7), State: balancer.Ready, Capacity: 1})
 		}
-		m.Listed(w.now(), balancer.Snapshot, members)
+		m.Listed(w.now(), balancer.UpdateFull, members)
 		w.fed = func(n int, b []byte) {
 			if n == 3 {
 				m.Told(w.now(), b)
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -60,7 +60,7 @@
 // Reasons name them, by their numbers.
 var Reasons = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
 
-var reasons = map[balancer.RejectReason]Reason{balancer.Strained: Strained, balancer.NoServer: NoServer, balancer.NoTime: NoTime}
+var reasons = map[balancer.RejectReason]Reason{balancer.ReasonOverloaded: Strained, balancer.ReasonNoEndpoint: NoServer, balancer.ReasonNoTime: NoTime}
 
 // Result is what a cache server made of an execution that finished.
 type Result struct {
@@ -144,12 +144,12 @@
 	Arrived(now float64, id uint64, kind, realm, key string, left float64)
 	Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool)
 	Left(now float64, id uint64)
-	Listed(now float64, kind balancer.ListKind, members []balancer.Member)
+	Listed(now float64, kind balancer.EndpointUpdate, members []balancer.Endpoint)
 	Told(now float64, words []byte)
 	Counted(now float64, routers int)
 	Probed(now float64, server uint64, how balancer.Outcome)
 	Wake(now float64, name string)
-	Offer(types []balancer.TrafficType)
+	Offer(types []balancer.TrafficClass)
 	Barred(now float64, server uint64, out bool)
 	Zoned(now float64, zone string, share float64)
 	Avoids(server uint64) bool
@@ -207,10 +207,10 @@
 	return r
 }
 
-func (r *Router) promise(types []balancer.TrafficType) {
+func (r *Router) promise(types []balancer.TrafficClass) {
 	r.times, r.again = map[string]float64{}, map[string]bool{}
 	for _, t := range types {
-		r.times[t.Name], r.again[t.Name] = t.PromisedTime, t.Effect == balancer.Reissuable
+		r.times[t.Name], r.again[t.Name] = t.LatencyObjective, t.Idempotency == balancer.Idempotent
 	}
 }
 
@@ -242,12 +242,12 @@
 }
 
 // Listed takes an update of the list.
-func (r *Router) Listed(kind balancer.ListKind, members []balancer.Member) {
-	if kind == balancer.Snapshot || kind == balancer.Disk {
+func (r *Router) Listed(kind balancer.EndpointUpdate, members []balancer.Endpoint) {
+	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		clear(r.zones)
 	}
 	for _, m := range members {
-		if r.zones[m.ID] = m.Zone; m.Mode == balancer.Gone || m.Zone == "" {
+		if r.zones[m.ID] = m.Zone; m.State == balancer.Removed || m.Zone == "" {
 			delete(r.zones, m.ID)
 		}
 	}
@@ -271,7 +271,7 @@
 }
 
 // Offer takes the traffic types that operations may have from now on.
-func (r *Router) Offer(types []balancer.TrafficType) {
+func (r *Router) Offer(types []balancer.TrafficClass) {
 	r.promise(types)
 	r.guard(nil, func() { r.module.Offer(types) })
 }
@@ -294,7 +294,7 @@
 	if x.mark > 0 {
 		r.Zones.Ended(x.zone, x.mark, how, now-x.began, r.times[o.Kind])
 	}
-	final := how == balancer.Finished && o.client != nil
+	final := how == balancer.Succeeded && o.client != nil
 	if final {
 		r.Counts.Finished++
 		o.answer().Finished(with)
@@ -370,7 +370,7 @@
 	// After a fault of the module nothing is sent for what has its final answer, nor a further one for who left meanwhile; a first
 	// one begins as its command is read, which tells the same.
 	if o.client == nil || x.n > 0 && o.client.Gone() {
-		r.Clock.After(0, func() { x.Settled(balancer.NotSent, Result{}) })
+		r.Clock.After(0, func() { x.Settled(balancer.NotAttempted, Result{}) })
 		return
 	}
 	r.Counts.Executions++
--- a/internal/requestcore/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -38,13 +38,13 @@
 func (a *answers) Terminated()      { a.terminated++ }
 func (a *answers) Gone() bool       { return false }
 
-func started(effect balancer.Effect) (*Router, *outside) {
+func started(effect balancer.Idempotency) (*Router, *outside) {
 	o := &outside{now: 1000}
-	r := New(balancer.Settings{Cancelling: true, MostExecutions: 3, TrafficTypes: []balancer.TrafficType{
-		{Name: "t", Effect: effect, Group: balancer.All, Window: 0.3, PromisedTime: 0.1, HardStop: 0.5, Benefit: 1}}},
+	r := New(balancer.Settings{Cancelling: true, MostExecutions: 3, TrafficTypes: []balancer.TrafficClass{
+		{Name: "t", Idempotency: effect, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: 0.3, LatencyObjective: 0.1, Deadline: 0.5, PriorityWeight: 1}}},
 		Outside{Clock: o, Caches: o, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, Logic)
-	r.Listed(balancer.Snapshot, []balancer.Member{{ID: 1, Mode: balancer.InService, Capacity: 1},
-		{ID: 2, Mode: balancer.InService, Capacity: 1}})
+	r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1},
+		{ID: 2, State: balancer.Ready, Capacity: 1}})
 	return r, o
 }
 
@@ -62,20 +62,20 @@
 // Each operation has one answer and is forgotten; an at-most-once one goes elsewhere only if it never ran.
 func TestOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
-		effect balancer.Effect
+		effect balancer.Idempotency
 		ends   []balancer.Outcome // of its executions, one after another
 		want   answers
 	}{
-		"finished":                {balancer.Reissuable, []balancer.Outcome{balancer.Finished}, answers{finished: 1}},
-		"refused, then finished":  {balancer.AtMostOnce, []balancer.Outcome{balancer.NoConnection, balancer.Finished}, answers{finished: 1}},
-		"turned away everywhere":  {balancer.AtMostOnce, []balancer.Outcome{balancer.TurnedAway, balancer.TurnedAway}, answers{declined: 1}},
+		"finished":                {balancer.Idempotent, []balancer.Outcome{balancer.Succeeded}, answers{finished: 1}},
+		"refused, then finished":  {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectFailed, balancer.Succeeded}, answers{finished: 1}},
+		"turned away everywhere":  {balancer.AtMostOnce, []balancer.Outcome{balancer.Overloaded, balancer.Overloaded}, answers{declined: 1}},
 		"it may have run":         {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectionLost}, answers{terminated: 1}},
-		"it may have run, safely": {balancer.Reissuable, []balancer.Outcome{balancer.Error, balancer.Finished}, answers{finished: 1}},
+		"it may have run, safely": {balancer.Idempotent, []balancer.Outcome{balancer.ServerError, balancer.Succeeded}, answers{finished: 1}},
 	} {
 		r, o := started(c.effect)
 		for range 20 { // operations, which earn further executions
 			r.take(&answers{})
-			o.began[len(o.began)-1].Settled(balancer.Finished, Result{})
+			o.began[len(o.began)-1].Settled(balancer.Succeeded, Result{})
 		}
 		var a answers
 		r.take(&a)
@@ -90,12 +90,12 @@
 
 // A client that has gone away is told nothing; its execution is given up, and forgotten once it has settled.
 func TestLeft(t *testing.T) {
-	r, o := started(balancer.Reissuable)
+	r, o := started(balancer.Idempotent)
 	var a answers
 	id := r.take(&a)
 	r.Left(id)
 	check(t, r, a, answers{}, 1)
-	o.began[0].Settled(balancer.Finished, Result{})
+	o.began[0].Settled(balancer.Succeeded, Result{})
 	check(t, r, a, answers{}, 0)
 	if o.dropped != 1 || o.unsent != 1 {
 		t.Errorf("%d executions were given up, %d if not sent, want 1 of each", o.dropped, o.unsent)
@@ -103,8 +103,8 @@
 }
 
 func TestWithoutServersDeclined(t *testing.T) {
-	r, _ := started(balancer.Reissuable)
-	r.Listed(balancer.Snapshot, nil)
+	r, _ := started(balancer.Idempotent)
+	r.Listed(balancer.UpdateFull, nil)
 	var a answers
 	r.take(&a)
 	check(t, r, a, answers{declined: 1}, 0)
@@ -112,7 +112,7 @@
 
 // A fault of the module costs its operation a termination, not the router its life, and sends nothing more.
 func TestFaultOfTheModule(t *testing.T) {
-	r, o := started(balancer.Reissuable)
+	r, o := started(balancer.Idempotent)
 	var a answers
 	id := r.take(&a)
 	r.guard(r.ops[id], func() { panic("an index") })
@@ -122,7 +122,7 @@
 		t.Errorf("an execution was begun after the final answer")
 	}
 	o.timers[len(o.timers)-1]()
-	o.began[0].Settled(balancer.Finished, Result{})
+	o.began[0].Settled(balancer.Succeeded, Result{})
 	check(t, r, a, answers{terminated: 1}, 0)
 	if r.Counts.Faults != 1 {
 		t.Errorf("%d faults are counted, want 1", r.Counts.Faults)
@@ -131,14 +131,14 @@
 
 // Those who make executions are told whether one may simply be repeated, and by when a repeat is to be written.
 func TestExecutionsAreToldOfRepeats(t *testing.T) {
-	for effect, once := range map[balancer.Effect]bool{balancer.Reissuable: false, balancer.Numbered: true, balancer.AtMostOnce: true} {
+	for effect, once := range map[balancer.Idempotency]bool{balancer.Idempotent: false, balancer.IdempotencyKeyed: true, balancer.AtMostOnce: true} {
 		r, o := started(effect)
 		r.take(&answers{})
 		if o.ops[0].Once != once {
 			t.Errorf("effect %d: once is %v", effect, !once)
 		}
-		if o.now += 0.1; effect == balancer.Numbered {
-			o.began[0].Settled(balancer.Withdrawn, Result{})
+		if o.now += 0.1; effect == balancer.IdempotencyKeyed {
+			o.began[0].Settled(balancer.Cancelled, Result{})
 			if len(o.within) != 2 || o.within[1] < 0.19 || o.within[1] > 0.21 { // of a window of 0.3 s
 				t.Errorf("executions are to be written within %v", o.within)
 			}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -57,7 +57,7 @@
 			t.Errorf("it is taken back: %v", err)
 		}
 		lags := members(41, "127.0.0.1:2", "ready")
-		lags.Entries[1].Mode = balancer.Draining
+		lags.Entries[1].State = balancer.Draining
 		if err := p.news(moved, lags); err == nil || !avoided() || !p.router.Avoids(discovery.ID("s-2")) {
 			t.Errorf("a drain that it tells is not heeded: %v", err)
 		}
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -173,10 +173,10 @@
 		t.Error("connections to it are kept")
 	}
 	on(d.s, func() bool { // it leaves the list and comes back under another start
-		e := discovery.Entry{Member: balancer.Member{ID: discovery.ID("s-1"), Mode: balancer.Gone}}
-		d.s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{e}})
-		e.Mode, e.Started, e.Addr = balancer.InService, 7, netip.MustParseAddrPort("127.0.0.1:1")
-		d.s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{e}})
+		e := discovery.Entry{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
+		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
+		e.State, e.StartedAt, e.Addr = balancer.Ready, 7, netip.MustParseAddrPort("127.0.0.1:1")
+		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
 		return true
 	})
 	if got := ask(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -41,10 +41,10 @@
 
 func goldenEntries() []discovery.Entry {
 	return []discovery.Entry{
-		{Member: balancer.Member{ID: 1, Mode: balancer.InService, Capacity: 1.5, Zone: "a", Cell: 3, Kind: "m2", Started: 1700000000.25},
+		{Endpoint: balancer.Endpoint{ID: 1, State: balancer.Ready, Capacity: 1.5, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1700000000.25},
 			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
-		{Member: balancer.Member{ID: 4294967295, Mode: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
-		{Member: balancer.Member{ID: 7, Mode: balancer.Gone}},
+		{Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
+		{Endpoint: balancer.Endpoint{ID: 7, State: balancer.Removed}},
 	}
 }
 
@@ -73,7 +73,7 @@
 func TestGoldenSavedList(t *testing.T) {
 	sent := kept{Generation: 41}
 	for _, e := range goldenEntries() {
-		sent.Servers = append(sent.Servers, keptServer{saveMember(e.Member), e.Addr.String()})
+		sent.Servers = append(sent.Servers, keptServer{saveMember(e.Endpoint), e.Addr.String()})
 	}
 	body, err := cbor.Marshal(sent)
 	if err != nil {
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -45,7 +45,7 @@
 	}
 	longest := 0.0
 	for _, t := range c.Settings.TrafficTypes {
-		longest = max(longest, t.PromisedTime)
+		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Me: c.Settings.Me, Seed: c.Settings.Seed ^ life, Life: life,
@@ -92,7 +92,7 @@
 	}
 	var ids []uint16
 	for id, e := range w.s.platform.entries {
-		if e.Mode != balancer.Gone {
+		if e.State != balancer.Removed {
 			ids = append(ids, uint16(id))
 		}
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -99,7 +99,7 @@
 		conf := fleetOf(t, me, 100, at...)
 		conf.Known = discovery.List{Generation: 1, Whole: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Member: balancer.Member{ID: id, Mode: balancer.InService, Capacity: 1}})
+			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
 		}
 		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.Logic, zerolog.Nop())
 		if err != nil {
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -139,8 +139,8 @@
 	}
 	if known := max(p.told, w.known); l.Whole && l.Generation < known && p.s.loop.Now()-w.since < catchUp {
 		// It may count anew: what it says of drains is heeded at once, which costs little if it is old.
-		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.Mode != balancer.Draining })
-		p.hear(balancer.Diff, l)
+		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.State != balancer.Draining })
+		p.hear(balancer.UpdateDelta, l)
 		return fmt.Errorf("%w: %d, %d", discovery.ErrOld, l.Generation, known)
 	}
 	if w == p.next {
@@ -150,22 +150,22 @@
 		p.watch, p.next = w, nil
 	}
 	if p.told = l.Generation; l.Whole {
-		p.hear(balancer.Snapshot, l)
+		p.hear(balancer.UpdateFull, l)
 	} else {
-		p.hear(balancer.Diff, l)
+		p.hear(balancer.UpdateDelta, l)
 	}
 	return nil
 }
 
 func (p *pool) failed(w *watch) {
 	if w == p.watch || p.watch == nil && w == p.next {
-		p.hear(balancer.Failed, discovery.List{})
+		p.hear(balancer.UpdateFailed, discovery.List{})
 	}
 }
 
 // hear takes news of the list. The addresses are known before the module acts on it.
-func (p *pool) hear(kind balancer.ListKind, l discovery.List) {
-	if kind == balancer.Snapshot || kind == balancer.Disk {
+func (p *pool) hear(kind balancer.EndpointUpdate, l discovery.List) {
+	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		for id := range p.listed {
 			p.listed[id] = false
 		}
@@ -174,20 +174,20 @@
 		}
 		clear(p.entries)
 	}
-	var members []balancer.Member
+	var members []balancer.Endpoint
 	for _, e := range l.Entries {
-		p.listed[e.ID] = e.Mode == balancer.InService
-		p.named(e.ID, e.Mode != balancer.Gone)
-		if p.entries[e.ID] = e; e.Mode == balancer.Gone {
+		p.listed[e.ID] = e.State == balancer.Ready
+		p.named(e.ID, e.State != balancer.Removed)
+		if p.entries[e.ID] = e; e.State == balancer.Removed {
 			delete(p.entries, e.ID)
 		}
 		p.fleet.Listed(e.ID, e.Addr)
-		members = append(members, e.Member)
+		members = append(members, e.Endpoint)
 	}
 	p.router.Listed(kind, members)
 	p.s.zones.listed()
 	p.s.gossip.listed()
-	p.s.recovery.listed(p, kind == balancer.Snapshot || kind == balancer.Diff) // a call that failed confirms nothing
+	p.s.recovery.listed(p, kind == balancer.UpdateFull || kind == balancer.UpdateDelta) // a call that failed confirms nothing
 	maps.DeleteFunc(p.listed, func(id uint64, in bool) bool {
 		if !in {
 			p.fleet.Unlisted(id)
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -88,7 +88,7 @@
 	for _, x := range k.Servers {
 		if addr, err := netip.ParseAddrPort(x.Addr); err == nil {
 			x.Member.Started = now
-			l.Entries = append(l.Entries, discovery.Entry{Member: x.Member.member(), Addr: addr})
+			l.Entries = append(l.Entries, discovery.Entry{Endpoint: x.Member.member(), Addr: addr})
 		}
 	}
 	return l
@@ -137,10 +137,10 @@
 	}
 	ready, k := 0, kept{Generation: p.told}
 	for _, e := range p.entries {
-		if e.Mode == balancer.InService {
+		if e.State == balancer.Ready {
 			ready++
 		}
-		k.Servers = append(k.Servers, keptServer{saveMember(e.Member), e.Addr.String()})
+		k.Servers = append(k.Servers, keptServer{saveMember(e.Endpoint), e.Addr.String()})
 	}
 	if w.start.Known(ready, confirmed); confirmed && w.store != nil {
 		if body, err := cbor.Marshal(k); err == nil {
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -38,7 +38,7 @@
 		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
-		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Member{ID: 1, Mode: balancer.InService, Started: 5}), "127.0.0.1:2"}}})
+		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
 		s.Put(startup.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
 		s.Put(startup.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
@@ -60,7 +60,7 @@
 		t.Cleanup(func() { x.loop.Post(x.end) })
 		entries := on(x, func() int {
 			for _, e := range x.conf.Known.Entries {
-				if e.Started < now-1 {
+				if e.StartedAt < now-1 {
 					t.Errorf("%s: a server of the kept list counts as long started", what)
 				}
 			}
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -32,38 +32,38 @@
 	Entries    []savedEntry `json:"Entries"`
 }
 
-func saveMember(m balancer.Member) savedMember {
+func saveMember(m balancer.Endpoint) savedMember {
 	return savedMember{
 		ID:       m.ID,
-		Mode:     int(m.Mode),
+		Mode:     int(m.State),
 		Capacity: m.Capacity,
 		Zone:     m.Zone,
 		Cell:     m.Cell,
-		Kind:     m.Kind,
-		Started:  m.Started,
+		Kind:     m.MachineType,
+		Started:  m.StartedAt,
 	}
 }
 
-func (m savedMember) member() balancer.Member {
-	return balancer.Member{
-		ID:       m.ID,
-		Mode:     balancer.Mode(m.Mode),
-		Capacity: m.Capacity,
-		Zone:     m.Zone,
-		Cell:     m.Cell,
-		Kind:     m.Kind,
-		Started:  m.Started,
+func (m savedMember) member() balancer.Endpoint {
+	return balancer.Endpoint{
+		ID:          m.ID,
+		State:       balancer.EndpointState(m.Mode),
+		Capacity:    m.Capacity,
+		Zone:        m.Zone,
+		Cell:        m.Cell,
+		MachineType: m.Kind,
+		StartedAt:   m.Started,
 	}
 }
 
 func saveEntry(entry discovery.Entry) savedEntry {
-	return savedEntry{saveMember(entry.Member), entry.Addr}
+	return savedEntry{saveMember(entry.Endpoint), entry.Addr}
 }
 
 func (saved savedList) list() discovery.List {
 	list := discovery.List{Generation: saved.Generation, Whole: saved.Whole}
 	for _, entry := range saved.Entries {
-		list.Entries = append(list.Entries, discovery.Entry{Member: entry.member(), Addr: entry.Addr})
+		list.Entries = append(list.Entries, discovery.Entry{Endpoint: entry.member(), Addr: entry.Addr})
 	}
 	return list
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -236,7 +236,7 @@
 	}
 	s.openBans()
 	s.platform.last = s.conf.Known
-	s.platform.hear(balancer.Disk, s.conf.Known)
+	s.platform.hear(balancer.UpdateSaved, s.conf.Known)
 	s.platform.follow(c.Discovery)
 	s.contract(set)
 	s.zones.begin()
@@ -304,7 +304,7 @@
 func (s *Service) longest() float64 {
 	longest := s.broker.LongestStop()
 	for _, t := range s.conf.Settings.TrafficTypes {
-		longest = max(longest, cmp.Or(t.HardStop, unstated))
+		longest = max(longest, cmp.Or(t.Deadline, unstated))
 	}
 	return longest
 }
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -109,15 +109,15 @@
 	on(s, func() bool {
 		drains := s.platform.entries[id]
 		other := drains
-		drains.Mode, other.ID, other.Zone = balancer.Draining, 7, "b"
-		s.platform.hear(balancer.Diff, discovery.List{Entries: []discovery.Entry{drains, other}})
+		drains.State, other.ID, other.Zone = balancer.Draining, 7, "b"
+		s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{drains, other}})
 		s.platform.told = 5
 		return true
 	})
 	after, _ := next(t, addr, list, shared) // whose own start says that it is ready, generation 1
 	on(after, func() bool {
 		p := after.platform
-		if e := p.entries[7]; len(p.entries) != 2 || p.entries[id].Mode != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.listed[id] {
+		if e := p.entries[7]; len(p.entries) != 2 || p.entries[id].State != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.listed[id] {
 			t.Errorf("it knows %+v", p.entries)
 		}
 		for _, state := range []string{"", "{", `{"List":{"Entries":"x"}}`, `{"Discovery":"127.0.0.1:1","List":{"Generation":9,"Entries":[{}]}}`,
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -134,7 +134,7 @@
 	servers, ids := map[string]int{}, map[uint16]bool{}
 	take := func(p *pool) {
 		for id, e := range p.entries {
-			if ids[uint16(id)] = true; e.Zone != "" && e.Mode == balancer.InService {
+			if ids[uint16(id)] = true; e.Zone != "" && e.State == balancer.Ready {
 				servers[e.Zone]++
 			}
 		}
@@ -163,17 +163,17 @@
 func (w *zoneWatch) Ended(zone string, mark uint64, how balancer.Outcome, took, within float64) {
 	end := zonefailover.Unsaid
 	switch how {
-	case balancer.Finished, balancer.Error, balancer.NotStored: // also an error is an answer
+	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss: // also an error is an answer
 		if end = zonefailover.Answered; took > within {
 			end = zonefailover.Late
 		}
-	case balancer.TurnedAway:
+	case balancer.Overloaded:
 		end = zonefailover.Full
-	case balancer.NoAnswer:
+	case balancer.TimedOut:
 		if took >= within { // else its client was in a hurry
 			end = zonefailover.Silent
 		}
-	case balancer.NoConnection, balancer.ConnectionLost:
+	case balancer.ConnectFailed, balancer.ConnectionLost:
 		end = zonefailover.Silent
 	}
 	w.fleet.Ended(w.now(), zone, mark, end)
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -20,8 +20,8 @@
 		how  balancer.Outcome
 		took float64
 		bad  bool
-	}{{balancer.NoAnswer, 0.5, true}, {balancer.NoAnswer, 0.05, false}, {balancer.NoConnection, 0, true}, {balancer.ConnectionLost, 0, true},
-		{balancer.NotSent, 0.5, false}, {balancer.Withdrawn, 0.5, false}, {balancer.Error, 0.1, false}, {balancer.TurnedAway, 0, false}} {
+	}{{balancer.TimedOut, 0.5, true}, {balancer.TimedOut, 0.05, false}, {balancer.ConnectFailed, 0, true}, {balancer.ConnectionLost, 0, true},
+		{balancer.NotAttempted, 0.5, false}, {balancer.Cancelled, 0.5, false}, {balancer.ServerError, 0.1, false}, {balancer.Overloaded, 0, false}} {
 		suspected := on(s, func() int {
 			f := zonefailover.New(zonefailover.Settings{Routers: 1})
 			s.zones.fleet = f
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,11 +2,11 @@
 
 import "bendtrestle/balancer"
 
-var effects = map[string]balancer.Effect{"retryable": balancer.Reissuable, "dedup": balancer.Numbered}
+var effects = map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotencyKeyed}
 
-var groups = map[string]balancer.Group{"all": balancer.All, "zone": balancer.Zone}
+var groups = map[string]balancer.DeduplicationScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone}
 
-var weights = map[string]balancer.Weights{"nominal": balancer.Sizes, "rough": balancer.Sizes, "live": balancer.Live}
+var weights = map[string]balancer.WeightMode{"nominal": balancer.WeightsStatic, "rough": balancer.WeightsStatic, "live": balancer.WeightsLive}
 
 // Settings reads the settings of an instance.
 func (o *Object) Settings() balancer.Settings {
@@ -41,11 +41,11 @@
 		set.MaxRetryAfter = 0 // none is passed on
 	}
 	for _, t := range o.List("trafficTypes") {
-		set.TrafficTypes = append(set.TrafficTypes, balancer.TrafficType{Name: t.Text("name"),
-			Effect: effects[t.Text("effect")], Group: groups[t.Text("keyScope")], Window: t.Seconds("dedupWindow"),
-			PromisedTime: t.Seconds("promisedTime"), HardStop: t.Seconds("hardStop"),
-			Benefit: t.Number("benefit"), OverdueBenefit: t.Number("overdueBenefit"), Stream: t.Flag("stream"),
-			RunsIn: t.places("runsIn"), AllowedOn: t.places("allowedOn")})
+		set.TrafficTypes = append(set.TrafficTypes, balancer.TrafficClass{Name: t.Text("name"),
+			Idempotency: effects[t.Text("effect")], DeduplicationScope: groups[t.Text("keyScope")], DeduplicationWindow: t.Seconds("dedupWindow"),
+			LatencyObjective: t.Seconds("promisedTime"), Deadline: t.Seconds("hardStop"),
+			PriorityWeight: t.Number("benefit"), LateValue: t.Number("overdueBenefit"), Stream: t.Flag("stream"),
+			AllowedZones: t.places("runsIn"), AllowedMachineTypes: t.places("allowedOn")})
 	}
 	for _, t := range o.List("tenants") {
 		set.Tenants = append(set.Tenants, balancer.Tenant{Name: t.Text("name"), Quota: t.Number("quotaRps")})
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -19,15 +19,15 @@
 )
 
 var outcomes = map[string]balancer.Outcome{
-	"served": balancer.Finished, "server_error": balancer.Error, "turned_away": balancer.TurnedAway,
-	"no_answer": balancer.NoAnswer, "no_connection": balancer.NoConnection, "connection_lost": balancer.ConnectionLost,
-	"called_off": balancer.Withdrawn, "not_sent": balancer.NotSent, "not_stored": balancer.NotStored,
+	"served": balancer.Succeeded, "server_error": balancer.ServerError, "turned_away": balancer.Overloaded,
+	"no_answer": balancer.TimedOut, "no_connection": balancer.ConnectFailed, "connection_lost": balancer.ConnectionLost,
+	"called_off": balancer.Cancelled, "not_sent": balancer.NotAttempted, "not_stored": balancer.CacheMiss,
 }
 
-var modes = map[string]balancer.Mode{"in_service": balancer.InService, "terminating": balancer.Draining}
+var modes = map[string]balancer.EndpointState{"in_service": balancer.Ready, "terminating": balancer.Draining}
 
-var kinds = map[string]balancer.ListKind{
-	"diff": balancer.Diff, "snapshot": balancer.Snapshot, "disk": balancer.Disk, "error": balancer.Failed,
+var kinds = map[string]balancer.EndpointUpdate{
+	"diff": balancer.UpdateDelta, "snapshot": balancer.UpdateFull, "disk": balancer.UpdateSaved, "error": balancer.UpdateFailed,
 }
 
 // session is one conversation: the instances it hosts share nothing but the sheets, which no one changes.
@@ -35,7 +35,7 @@
 	out       *bufio.Writer
 	buf       []byte
 	instances map[uint64]*instance
-	sheets    map[uint64][]balancer.Member
+	sheets    map[uint64][]balancer.Endpoint
 	now       float64
 }
 
@@ -48,7 +48,7 @@
 
 func newSession(out io.Writer) *session {
 	return &session{out: bufio.NewWriterSize(out, 1<<16), instances: map[uint64]*instance{},
-		sheets: map[uint64][]balancer.Member{}}
+		sheets: map[uint64][]balancer.Endpoint{}}
 }
 
 // Serve answers batches until the input ends. It returns nil when the input ends between two batches.
@@ -110,12 +110,12 @@
 	}
 }
 
-func members(m *settings.Object) []balancer.Member {
-	var all []balancer.Member
+func members(m *settings.Object) []balancer.Endpoint {
+	var all []balancer.Endpoint
 	for _, e := range m.List("members") {
-		all = append(all, balancer.Member{ID: e.ID("server"), Mode: modes[e.Text("mode")],
+		all = append(all, balancer.Endpoint{ID: e.ID("server"), State: modes[e.Text("mode")],
 			Capacity: e.Number("capacityHint"), Zone: e.Name0("rackZone"), Cell: e.Count("pack"),
-			Kind: e.Name0("model"), Started: e.Seconds("lastStart")})
+			MachineType: e.Name0("model"), StartedAt: e.Seconds("lastStart")})
 	}
 	return all
 }
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -111,7 +111,7 @@
 func (f *Fleet) LetGo(id uint64) {
 	if s := f.servers[id]; s != nil {
 		for _, a := range s.waiting {
-			a.settle(balancer.NotSent, requestcore.Result{})
+			a.settle(balancer.NotAttempted, requestcore.Result{})
 		}
 		s.waiting = nil
 		for _, l := range slices.Clone(s.links) {
@@ -125,7 +125,7 @@
 func (l *link) letGo() {
 	for _, a := range slices.Clone(l.queue) {
 		if !a.done && l.takeBack(a) {
-			a.settle(balancer.NotSent, requestcore.Result{})
+			a.settle(balancer.NotAttempted, requestcore.Result{})
 		}
 	}
 }
@@ -215,13 +215,13 @@
 		first := s.waiting[s.coming] // for which no connection comes up
 		switch {
 		case first.lapsed():
-			first.giveUp(balancer.NotSent)
+			first.giveUp(balancer.NotAttempted)
 		case least != nil:
 			s.leave(first)
 			least.send(first)
 		case len(s.links) == 0: // no descriptor is to be had
 			s.leave(first)
-			first.settle(balancer.NotSent, requestcore.Result{})
+			first.settle(balancer.NotAttempted, requestcore.Result{})
 		default:
 			return
 		}
@@ -260,9 +260,9 @@
 		conn, err := f.loop.Dial(s.addr, l)
 		if err != nil {
 			f.log.Warn().Err(err).Stringer("server", s.addr).Msg("no connection")
-			a, how := s.waiting[0], balancer.NotSent // a lack of descriptors here says nothing against the server
+			a, how := s.waiting[0], balancer.NotAttempted // a lack of descriptors here says nothing against the server
 			if eventloop.Refused(err) {
-				how = balancer.NoConnection
+				how = balancer.ConnectFailed
 			}
 			s.leave(a)
 			a.settle(how, requestcore.Result{})
@@ -298,8 +298,8 @@
 }
 
 // words tell in the log how an execution failed there.
-var words = map[balancer.Outcome]string{balancer.NoConnection: "no connection", balancer.ConnectionLost: "connection lost",
-	balancer.NoAnswer: "no answer", balancer.Error: "an error"}
+var words = map[balancer.Outcome]string{balancer.ConnectFailed: "no connection", balancer.ConnectionLost: "connection lost",
+	balancer.TimedOut: "no answer", balancer.ServerError: "an error"}
 
 // note logs that a server begins to fail, or answers again.
 func (s *server) note(how balancer.Outcome) {
@@ -307,7 +307,7 @@
 	case word != "" && !s.failing:
 		s.failing = true
 		s.f.log.Warn().Stringer("server", s.addr).Str("how", word).Msg("a cache server fails")
-	case how == balancer.Finished && s.failing:
+	case how == balancer.Succeeded && s.failing:
 		s.failing = false
 		s.f.log.Info().Stringer("server", s.addr).Msg("a cache server answers again")
 	}
@@ -322,7 +322,7 @@
 // free takes a connection with nothing out.
 func (s *server) free(l *link) {
 	for len(s.waiting) > 0 && s.waiting[0].lapsed() {
-		s.waiting[0].giveUp(balancer.NotSent)
+		s.waiting[0].giveUp(balancer.NotAttempted)
 	}
 	if waits := len(s.waiting) > 0 && l.addr == s.addr; waits && l.conn.Quiet() { // else what would be written now might be lost
 		a := s.waiting[0]
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -185,9 +185,9 @@
 // The protocol's table: what came back, and what that proves.
 func TestOutcomes(t *testing.T) {
 	for reply, want := range map[string]balancer.Outcome{
-		"VA 2 Oa h0 Z\r\nhi\r\n":  balancer.Finished,
-		"SERVER_ERROR busy\r\n":   balancer.TurnedAway,
-		"SERVER_ERROR failed\r\n": balancer.Error,
+		"VA 2 Oa h0 Z\r\nhi\r\n":  balancer.Succeeded,
+		"SERVER_ERROR busy\r\n":   balancer.Overloaded,
+		"SERVER_ERROR failed\r\n": balancer.ServerError,
 		"CLIENT_ERROR bad\r\n":    balancer.ConnectionLost,
 		"SERVER_ERROR odd\r\n":    balancer.ConnectionLost,
 		"VA 2 Ob\r\nhi\r\n":       balancer.ConnectionLost, // made for another: not to be passed on
@@ -210,10 +210,10 @@
 func TestPassedOnWithTheTimeLeft(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.execute(2)
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	f.line("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
 	o, _ = f.execute(2)
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	f.line("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
 	f.do(f.loop, func() {
 		if f.links != 1 {
@@ -245,7 +245,7 @@
 		f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
 		for range 2 {
 			o, _ := f.execute(3)
-			o.want(t, balancer.Finished)
+			o.want(t, balancer.Succeeded)
 			f.line("mg")
 			f.line("end")
 		}
@@ -259,8 +259,8 @@
 	first, second := make(outcome, 1), make(outcome, 1)
 	op := &requestcore.Operation{ID: "a", Flags: "Oa"}
 	f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
-	first.want(t, balancer.Finished)
-	second.want(t, balancer.Finished)
+	first.want(t, balancer.Succeeded)
+	second.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
 		idle, now := f.servers[1].idle, f.loop.Now()
 		for _, c := range []struct{ old, young, want float64 }{{9, 0, 9}, {9, 1, 1}, {0, 0, 0}} {
@@ -283,13 +283,13 @@
 		}
 	})
 	first, _ := f.execute(5)
-	first.want(t, balancer.Finished)
+	first.want(t, balancer.Succeeded)
 	op, next := &requestcore.Operation{ID: "a"}, make(outcome, 1)
 	f.do(f.loop, func() {
 		f.Execute(1, op, 5, 5, follow(func() { f.Execute(1, op, 5, 5, next) }))
 		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
 	})
-	next.want(t, balancer.Finished)
+	next.want(t, balancer.Succeeded)
 }
 
 // follow does something as soon as an execution has ended.
@@ -301,7 +301,7 @@
 func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
 	o, _ := f.execute(0.05)
-	o.want(t, balancer.NoAnswer)
+	o.want(t, balancer.TimedOut)
 	f.line("mg")
 	f.line("end")
 }
@@ -311,7 +311,7 @@
 	o, p := f.execute(5)
 	f.line("mg")
 	f.do(f.loop, p.Drop)
-	o.want(t, balancer.Withdrawn)
+	o.want(t, balancer.Cancelled)
 	f.line("end")
 }
 
@@ -326,7 +326,7 @@
 	})
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o) })
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 }
 
 func TestRefusedNeverRan(t *testing.T) {
@@ -335,7 +335,7 @@
 	f.do(f.loop, func() { f.Listed(1, netip.MustParseAddrPort(free.Addr().String())) })
 	free.Close()
 	o, _ := f.execute(5)
-	o.want(t, balancer.NoConnection)
+	o.want(t, balancer.ConnectFailed)
 }
 
 // What hinders a dial on this side says nothing against the server, which must not be passed over for it.
@@ -343,7 +343,7 @@
 	f := serving(t, usual, nil)
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(9, &requestcore.Operation{ID: "a"}, 5, 5, o) }) // it has no address
-	o.want(t, balancer.NotSent)
+	o.want(t, balancer.NotAttempted)
 }
 
 // A machine that is cut off says nothing: what waits for a connection there never ran.
@@ -354,7 +354,7 @@
 		f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o)
 		f.servers[1].links[0].neverUp()
 	})
-	o.want(t, balancer.NoConnection)
+	o.want(t, balancer.ConnectFailed)
 }
 
 // A machine that is cut off is silent on every connection: after one silence, or a connection that never came up,
@@ -372,8 +372,8 @@
 		first, second, silent, next := make(outcome, 1), make(outcome, 1), make(outcome, 1), make(outcome, 1)
 		op, slow := &requestcore.Operation{ID: "a", Flags: "Oa"}, &requestcore.Operation{ID: "b", Flags: "Ob"}
 		f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
-		first.want(t, balancer.Finished)
-		second.want(t, balancer.Finished)
+		first.want(t, balancer.Succeeded)
+		second.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
 			a := f.Execute(1, slow, 5, 5, silent).(*attempt)
 			if name == "never up" {
@@ -386,7 +386,7 @@
 			}
 		})
 		f.do(f.loop, func() { f.Execute(1, op, 5, 5, next) })
-		next.want(t, balancer.Finished)
+		next.want(t, balancer.Succeeded)
 	}
 }
 
@@ -395,7 +395,7 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o).(*attempt).overdue() })
-	o.want(t, balancer.NotSent)
+	o.want(t, balancer.NotAttempted)
 }
 
 // At the bound executions are piped. Where nobody waits for one any more the others on its connection go on, each with its own
@@ -413,14 +413,14 @@
 	f.line("mg")
 	second, _ := f.execute(5)
 	f.do(f.loop, p.Drop)
-	first.want(t, balancer.Withdrawn)
+	first.want(t, balancer.Cancelled)
 	answer <- true
 	answer <- true
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 	third, p := f.execute(5)
 	fourth, _ := f.execute(5)
 	f.do(f.loop, p.(*attempt).overdue)
-	third.want(t, balancer.NoAnswer)
+	third.want(t, balancer.TimedOut)
 	fourth.want(t, balancer.ConnectionLost)
 	close(answer)
 }
@@ -449,14 +449,14 @@
 	})
 	close(all)
 	first.want(t, balancer.ConnectionLost)
-	o.want(t, balancer.NoConnection)
+	o.want(t, balancer.ConnectFailed)
 }
 
 func TestProbe(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("MN\r\n")) })
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { o <- how }) })
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	f.line("mn")
 }
 
@@ -473,7 +473,7 @@
 		}
 	})
 	answer <- true
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	f.line("end")
 }
 
@@ -486,8 +486,8 @@
 		f.Execute(1, &requestcore.Operation{ID: "b"}, 5, 5, second).DropUnsent()
 		f.Unlisted(1)
 	})
-	first.want(t, balancer.NotSent)
-	second.want(t, balancer.NotSent)
+	first.want(t, balancer.NotAttempted)
+	second.want(t, balancer.NotAttempted)
 	time.Sleep(20 * time.Millisecond)
 	f.do(f.loop, func() {
 		if len(f.lines) > 0 && <-f.lines != "end" || f.links != 0 {
@@ -506,7 +506,7 @@
 	f.execute(5)
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 }
 
 // Cache servers close what stood idle for long; what is written just then may be lost.
@@ -515,7 +515,7 @@
 	limits.Idle = 0.1
 	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.execute(5)
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	f.line("mg")
 	f.line("end")
 }
@@ -552,7 +552,7 @@
 			f.Listed(id, f.servers[1].addr)
 			f.Execute(id, &requestcore.Operation{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
-		if o.want(t, balancer.Finished); t.Failed() {
+		if o.want(t, balancer.Succeeded); t.Failed() {
 			t.Fatalf("at server %d", id)
 		}
 	}
@@ -595,7 +595,7 @@
 	})
 	probed := make(outcome, 1)
 	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { probed <- how }) })
-	probed.want(t, balancer.Finished)
+	probed.want(t, balancer.Succeeded)
 	for _, c := range []struct {
 		gives int
 		ends  string
@@ -606,10 +606,10 @@
 		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
 		part <- c.gives
 		long := (<-settled).Long
-		behind.want(t, balancer.NoAnswer)
+		behind.want(t, balancer.TimedOut)
 		late := make(outcome, 1) // is not sent behind it
 		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
-		late.want(t, balancer.NotSent)
+		late.want(t, balancer.NotAttempted)
 		f.do(f.loop, func() {
 			l := f.servers[1].links[0]
 			l.stalled()
@@ -654,13 +654,13 @@
 		write bool
 		want  balancer.Outcome
 	}{
-		"a hit":               {"VA 4 Oa h1\r\nV\r\n\r\r\n", false, balancer.Finished},
-		"a miss":              {"VA 0 h0 Z Oa\r\n\r\n", false, balancer.Finished},
-		"a receipt":           {"HD Oa c77\r\n", true, balancer.Finished},
-		"flags the other way": {"HD c77 Oa\r\n", true, balancer.Finished},
-		"turned away":         {"SERVER_ERROR busy\r\n", false, balancer.TurnedAway},
-		"and until when":      {"SERVER_ERROR busy 20\r\n", false, balancer.TurnedAway},
-		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.Error},
+		"a hit":               {"VA 4 Oa h1\r\nV\r\n\r\r\n", false, balancer.Succeeded},
+		"a miss":              {"VA 0 h0 Z Oa\r\n\r\n", false, balancer.Succeeded},
+		"a receipt":           {"HD Oa c77\r\n", true, balancer.Succeeded},
+		"flags the other way": {"HD c77 Oa\r\n", true, balancer.Succeeded},
+		"turned away":         {"SERVER_ERROR busy\r\n", false, balancer.Overloaded},
+		"and until when":      {"SERVER_ERROR busy 20\r\n", false, balancer.Overloaded},
+		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.ServerError},
 	} {
 		limits := usual
 		limits.Stall = 60 // a busy machine may take its time between two pieces
@@ -708,7 +708,7 @@
 	f.do(f.loop, func() { f.Listed(2, at) })
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(2, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
-	o.want(t, balancer.NotSent)
+	o.want(t, balancer.NotAttempted)
 	f.do(f.loop, func() {
 		if f.servers[2].coming != 1 {
 			t.Error("the connection is up already")
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -70,12 +70,12 @@
 			f.Execute(1, &requestcore.Operation{Key: "third", ID: "c", Flags: "Oc"}, 60, 60, c).DropUnsent()
 			cross(f, p)
 		})
-		want := balancer.NotSent
+		want := balancer.NotAttempted
 		if name == "it is withdrawn" {
-			want = balancer.Withdrawn
+			want = balancer.Cancelled
 		}
 		b.want(t, want)
-		c.want(t, balancer.NotSent)
+		c.want(t, balancer.NotAttempted)
 		go func() { // the write goes on, and ends with its connection
 			for whole := false; !whole; time.Sleep(10 * time.Millisecond) {
 				f.do(f.loop, func() {
@@ -97,7 +97,7 @@
 func TestWhatHasBegunToLeaveIsCutOff(t *testing.T) {
 	f, l, a, hear := stuck(t)
 	f.do(f.loop, func() { l.queue[0].DropUnsent() })
-	a.want(t, balancer.NotSent)
+	a.want(t, balancer.NotAttempted)
 	if heard := hear(); len(heard) >= 32<<20 {
 		t.Errorf("the server read all %d bytes", len(heard))
 	}
@@ -116,7 +116,7 @@
 		}
 	})
 	answer(t, <-after, "VA 0 Oa\r\n\r\n")
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 	select {
 	case conn := <-before:
 		if heard, _ := io.ReadAll(conn); len(heard) > 0 {
@@ -135,10 +135,10 @@
 	old := <-before
 	f.do(f.loop, func() { f.Listed(1, other.servers[1].addr) })
 	answer(t, old, "VA 0 Oa\r\n\r\n")
-	first.want(t, balancer.Finished)
+	first.want(t, balancer.Succeeded)
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second) })
 	answer(t, <-after, "VA 0 Ob\r\n\r\n")
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 }
 
 // The sweep of idle connections comes late where the loop was stopped: an old one is not written to, for its server may be closing
@@ -149,13 +149,13 @@
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	old := <-conns
 	answer(t, old, "VA 0 Oa\r\n\r\n")
-	first.want(t, balancer.Finished)
+	first.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
 		f.servers[1].idle[0].since -= f.limits.Idle
 		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	answer(t, <-conns, "VA 0 Ob\r\n\r\n")
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 	if n, err := old.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("the old connection was sent %d bytes, %v", n, err)
 	}
@@ -168,13 +168,13 @@
 		once   bool
 		behind float64
 		want   balancer.Outcome
-	}{{true, -1, balancer.Unknown}, {false, -1, balancer.TurnedAway}, {true, 1, balancer.TurnedAway}} {
+	}{{true, -1, balancer.OutcomeUnknown}, {false, -1, balancer.Overloaded}, {true, 1, balancer.Overloaded}} {
 		f, conns := listening(t, usual)
 		first, second := make(outcome, 1), make(outcome, 1)
 		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
 		conn := <-conns
 		answer(t, conn, "VA 0 Oa\r\n\r\n")
-		first.want(t, balancer.Finished)
+		first.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
 			f.servers[1].links[0].spoke = f.loop.Now() - c.behind
 			f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob", Once: c.once}, 5, 5, second)
@@ -217,7 +217,7 @@
 	})
 	first.want(t, balancer.ConnectionLost)
 	answer(t, <-conns, "VA 0 Ob\r\n\r\n")
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 	if more, _ := io.ReadAll(old); len(more) > 0 {
 		t.Errorf("the ended connection was sent %q", more)
 	}
@@ -233,7 +233,7 @@
 		conn = <-conns // the kernel has it, and the loop has not heard of it
 		f.Unlisted(1)
 	})
-	o.want(t, balancer.NotSent)
+	o.want(t, balancer.NotAttempted)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
 		t.Errorf("it was sent %q, %v", heard, err)
@@ -258,8 +258,8 @@
 		}
 		f.Unlisted(1)
 	})
-	first.want(t, balancer.Finished)
-	second.want(t, balancer.NotSent)
+	first.want(t, balancer.Succeeded)
+	second.want(t, balancer.NotAttempted)
 	if more, _ := io.ReadAll(conn); len(more) > 0 {
 		t.Errorf("it was sent %q", more)
 	}
@@ -284,7 +284,7 @@
 				time.Sleep(time.Millisecond)
 			}
 		})
-		o.want(t, balancer.NoConnection)
+		o.want(t, balancer.ConnectFailed)
 		if len(conns) > 0 {
 			t.Fatal("another connection is made for nothing")
 		}
@@ -306,9 +306,9 @@
 		p.Drop()
 	})
 	heard(t, conn)
-	first.want(t, balancer.Withdrawn)
+	first.want(t, balancer.Cancelled)
 	conn.Write([]byte("VA 100000 Oa\r\n" + strings.Repeat("x", 100000) + "\r\nVA 0 Ob\r\n\r\n"))
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 }
 
 // An answer has come as its limit ends, and the loop hears of both in one round: it ends once, either way.
@@ -328,7 +328,7 @@
 		a.until = f.loop.Now()
 		a.timer.Set(a.until)
 	})
-	if how := <-o; how != balancer.Finished && how != balancer.NoAnswer {
+	if how := <-o; how != balancer.Succeeded && how != balancer.TimedOut {
 		t.Errorf("it ended as %d", how)
 	}
 	f.do(f.loop, func() {})
@@ -350,9 +350,9 @@
 		f.Listed(1, other.servers[1].addr)
 		f.Execute(1, &requestcore.Operation{Key: "k", ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
-	first.want(t, balancer.NotSent)
+	first.want(t, balancer.NotAttempted)
 	answer(t, <-after, "VA 0 Ob\r\n\r\n")
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 	conn := <-before
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
@@ -365,7 +365,7 @@
 	f, conns := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "first", ID: "a", Flags: "Oa"}, 5, 5, first).Drop() })
-	first.want(t, balancer.Withdrawn)
+	first.want(t, balancer.Cancelled)
 	conn := <-conns
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
 		f.do(f.loop, func() { idle = len(f.servers[1].idle) })
@@ -376,7 +376,7 @@
 		t.Errorf("it was sent %q", line)
 	}
 	answer(t, conn, "VA 0 Ob\r\n\r\n")
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 }
 
 // What was written in time is waited for beyond the time in which it was to be written.
@@ -389,7 +389,7 @@
 	heard(t, conn)
 	f.do(f.loop, a.overdue) // the window ends
 	conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-	o.want(t, balancer.Finished)
+	o.want(t, balancer.Succeeded)
 }
 
 // value is a long one, no two lines of which are alike.
@@ -494,8 +494,8 @@
 		reset(conn)
 		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
-	first.want(t, balancer.Finished)
-	second.want(t, balancer.NoConnection)
+	first.want(t, balancer.Succeeded)
+	second.want(t, balancer.ConnectFailed)
 }
 
 // A client leaves while its long value is on its way, and another's attempt is out behind it: that gets its own answer, and the rest of the
@@ -515,7 +515,7 @@
 	f.do(f.loop, func() { long.Pull(k) })
 	f.do(f.loop, long.Drop)
 	conn.Write(append(value(110000), "\r\nVA 0 Ob\r\n\r\n"...))
-	second.want(t, balancer.Finished)
+	second.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
 		if f.cut != [cuts]uint64{} || len(k.ended) > 0 || k.got > 50000 {
 			t.Errorf("%v are counted as cut, %d bytes were taken", f.cut, k.got)
@@ -537,7 +537,7 @@
 		"an answer that does not go on":  {"VA 100 Oa\r\nxx", func(fleet, net.Conn, requestcore.Long) {}, Silent, false},
 		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ fleet, _ net.Conn, long requestcore.Long) { long.Drop() }, ClientGone, false},
 		"an attempt given up before it": {"", func(f fleet, _ net.Conn, _ requestcore.Long) {
-			f.servers[1].links[0].queue[0].giveUp(balancer.NoAnswer)
+			f.servers[1].links[0].queue[0].giveUp(balancer.TimedOut)
 		}, GivenUp, false},
 		"an end after the answer":      {"VA 0 Oa\r\n\r\n", func(_ fleet, conn net.Conn, _ requestcore.Long) { conn.Close() }, 0, true},
 		"an end on which nobody waits": {"", func(f fleet, conn net.Conn, _ requestcore.Long) { f.servers[1].links[0].queue[0].Drop(); conn.Close() }, 0, true},
@@ -607,7 +607,7 @@
 					wait(o)
 					conn = <-conns // the kernel has it, and the loop has not heard of it
 				})
-				o.want(t, balancer.NotSent)
+				o.want(t, balancer.NotAttempted)
 				return conn
 			},
 			"is free": func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn {
@@ -623,8 +623,8 @@
 					}
 					wait(o)
 				})
-				first.want(t, balancer.Finished)
-				o.want(t, balancer.NotSent)
+				first.want(t, balancer.Succeeded)
+				o.want(t, balancer.NotAttempted)
 				return conn
 			},
 			"is to be shared": func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn {
@@ -636,9 +636,9 @@
 					wait(o)
 					conn = <-conns
 				})
-				o.want(t, balancer.NotSent)
+				o.want(t, balancer.NotAttempted)
 				answer(t, conn, "VA 0 Oa\r\n\r\n")
-				first.want(t, balancer.Finished)
+				first.want(t, balancer.Succeeded)
 				return conn
 			},
 		} {
@@ -677,14 +677,14 @@
 			second = f.Execute(1, &requestcore.Operation{ID: "b", Write: true, Value: make([]byte, length)}, 60, 60, b).(*attempt)
 		})
 		conn.Write([]byte("VA 100000 Oa\r\n" + strings.Repeat("x", 50000)))
-		a.want(t, balancer.Finished)
+		a.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
 			if second.written() || !second.left() {
 				t.Error("the write is not on its way")
 			}
 			giveUp(second)
 		})
-		if how := <-b; how != balancer.Withdrawn {
+		if how := <-b; how != balancer.Cancelled {
 			t.Errorf("%s: it ended as %d", name, how)
 		}
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -57,12 +57,12 @@
 func (a *attempt) overdue() {
 	switch {
 	case !a.written():
-		a.giveUp(balancer.NotSent)
+		a.giveUp(balancer.NotAttempted)
 	case a.early:
 		a.early = false
 		a.timer.Set(a.until)
 	default:
-		a.giveUp(balancer.NoAnswer)
+		a.giveUp(balancer.TimedOut)
 		a.on.closeIdle() // a machine cut off would be silent there too; a new connection tells within its timeout
 	}
 }
@@ -74,13 +74,13 @@
 }
 
 // Drop gives it up.
-func (a *attempt) Drop() { a.giveUp(balancer.Withdrawn) }
+func (a *attempt) Drop() { a.giveUp(balancer.Cancelled) }
 
 // DropUnsent gives it up if it still waits for a connection, or on one whose kernel takes no more: its operation is answered, or
 // its client has gone, and what is sent later is for nobody. One that has begun to leave goes on where that would end others.
 func (a *attempt) DropUnsent() {
 	if !a.written() && (!a.left() || !a.link.carries(a)) {
-		a.giveUp(balancer.NotSent)
+		a.giveUp(balancer.NotAttempted)
 	}
 }
 
@@ -90,8 +90,8 @@
 	if a.done {
 		return
 	}
-	if how == balancer.NotSent && a.left() && a.link.passage != nil {
-		how = balancer.Withdrawn // its rest goes on to leave, and it may run
+	if how == balancer.NotAttempted && a.left() && a.link.passage != nil {
+		how = balancer.Cancelled // its rest goes on to leave, and it may run
 	}
 	a.settle(how, requestcore.Result{})
 	switch l := a.link; {
@@ -99,7 +99,7 @@
 		a.on.leave(a)
 	case l.takeBack(a):
 	case l.passage != nil: // a long value is before it, which must not be cut off
-	case how == balancer.Withdrawn && l.carries(a):
+	case how == balancer.Cancelled && l.carries(a):
 	default:
 		l.broken(GivenUp)
 	}
@@ -138,7 +138,7 @@
 	l.queue = slices.DeleteFunc(l.queue, func(a *attempt) bool { // before fill, which would begin the next of them
 		late := len(a.parts) > 0 && !a.begun && a.lapsed()
 		if late {
-			a.settle(balancer.NotSent, requestcore.Result{})
+			a.settle(balancer.NotAttempted, requestcore.Result{})
 		}
 		return late
 	})
@@ -208,7 +208,7 @@
 		// It ended or spoke as it came up: another at once would fare no better, nor would all that follow, as fast as they can be made.
 		a := l.on.waiting[0]
 		l.on.leave(a)
-		a.settle(balancer.NoConnection, requestcore.Result{})
+		a.settle(balancer.ConnectFailed, requestcore.Result{})
 		l.broken(ServerEnded)
 		return
 	}
@@ -229,7 +229,7 @@
 	if !l.up && len(s.waiting) > 0 {
 		a := s.waiting[0]
 		s.leave(a)
-		a.settle(balancer.NoConnection, requestcore.Result{})
+		a.settle(balancer.ConnectFailed, requestcore.Result{})
 	}
 	if l.up && !l.conn.ByReset() {
 		l.wire.Closed() // it may end an answer as it should; a reset is no end
@@ -250,7 +250,7 @@
 		if a.written() {
 			a.settle(balancer.ConnectionLost, requestcore.Result{})
 		} else {
-			a.settle(balancer.NoConnection, requestcore.Result{})
+			a.settle(balancer.ConnectFailed, requestcore.Result{})
 		}
 	}
 	l.queue = nil
@@ -340,8 +340,8 @@
 	a := l.queue[0]
 	l.queue = l.queue[1:]
 	whole, now := a.written(), l.on.f.loop.Now()
-	if how == balancer.TurnedAway && a.op != nil && a.op.Once && now-l.spoke < second {
-		how = balancer.Unknown // it may be the reply before, said twice: this names no operation, and proves nothing
+	if how == balancer.Overloaded && a.op != nil && a.op.Once && now-l.spoke < second {
+		how = balancer.OutcomeUnknown // it may be the reply before, said twice: this names no operation, and proves nothing
 	}
 	l.spoke = now
 	a.settle(how, with)
--- a/internal/upstream/memcache.go
+++ b/internal/upstream/memcache.go
@@ -69,7 +69,7 @@
 		m.l.Stray("VA " + id)
 		return
 	}
-	m.l.Answered(balancer.Finished, requestcore.Result{Value: value}, true)
+	m.l.Answered(balancer.Succeeded, requestcore.Result{Value: value}, true)
 }
 
 // Long takes the beginning of a read's long answer.
@@ -93,14 +93,14 @@
 		m.l.Stray("HD " + id)
 		return
 	}
-	m.l.Answered(balancer.Finished, requestcore.Result{Receipt: receipt}, true)
+	m.l.Answered(balancer.Succeeded, requestcore.Result{Receipt: receipt}, true)
 }
 
 // Busy takes that it was turned away.
-func (m *memcache) Busy(int) { m.l.Answered(balancer.TurnedAway, requestcore.Result{}, true) }
+func (m *memcache) Busy(int) { m.l.Answered(balancer.Overloaded, requestcore.Result{}, true) }
 
 // Failed takes an error.
-func (m *memcache) Failed() { m.l.Answered(balancer.Error, requestcore.Result{}, true) }
+func (m *memcache) Failed() { m.l.Answered(balancer.ServerError, requestcore.Result{}, true) }
 
 // Ready takes a probe's answer.
 func (m *memcache) Ready() {
@@ -108,7 +108,7 @@
 		m.l.Stray("MN")
 		return
 	}
-	m.l.Answered(balancer.Finished, requestcore.Result{}, true)
+	m.l.Answered(balancer.Succeeded, requestcore.Result{}, true)
 }
 
 // Other takes a line that the protocol does not name. What may follow it would be taken for another's answer.
--- a/internal/upstream/passage.go
+++ b/internal/upstream/passage.go
@@ -74,7 +74,7 @@
 	if l.queue[0].done { // nobody waits for it, but for what is behind it
 		l.passage.to = nobody{}
 	}
-	l.queue[0].settle(balancer.Finished, requestcore.Result{Long: l.passage})
+	l.queue[0].settle(balancer.Succeeded, requestcore.Result{Long: l.passage})
 }
 
 // nobody takes what nobody wants.
--- a/internal/upstream/tileclient/tilewire.go
+++ b/internal/upstream/tileclient/tilewire.go
@@ -123,14 +123,14 @@
 	case !due:
 		w.l.Stray("an answer that nobody asked for")
 	case op == nil && w.status/100 == 2:
-		w.l.Answered(balancer.Finished, requestcore.Result{}, more)
+		w.l.Answered(balancer.Succeeded, requestcore.Result{}, more)
 	case w.status == 429 || w.status == 503:
-		w.l.Answered(balancer.TurnedAway, requestcore.Result{}, more)
+		w.l.Answered(balancer.Overloaded, requestcore.Result{}, more)
 	case op == nil:
-		w.l.Answered(balancer.Error, requestcore.Result{}, more)
+		w.l.Answered(balancer.ServerError, requestcore.Result{}, more)
 	case w.status == 200 || w.status == 203 || w.status == 204 || w.status == 404 || w.status == 410 || w.status == 304 && conditional:
-		w.l.Answered(balancer.Finished, with, more)
+		w.l.Answered(balancer.Succeeded, with, more)
 	default:
-		w.l.Answered(balancer.Error, requestcore.Result{}, more)
+		w.l.Answered(balancer.ServerError, requestcore.Result{}, more)
 	}
 }
--- a/internal/upstream/tileclient/tilewire_test.go
+++ b/internal/upstream/tileclient/tilewire_test.go
@@ -61,15 +61,15 @@
 
 // The table of outcomes in docs/operators/tiles.md.
 func TestOutcomes(t *testing.T) {
-	for status, want := range map[string]balancer.Outcome{"200": balancer.Finished, "404": balancer.Finished, "204": balancer.Finished, "304": balancer.Error,
-		"302": balancer.Error, "403": balancer.Error, "429": balancer.TurnedAway, "503": balancer.TurnedAway, "500": balancer.Error} {
+	for status, want := range map[string]balancer.Outcome{"200": balancer.Succeeded, "404": balancer.Succeeded, "204": balancer.Succeeded, "304": balancer.ServerError,
+		"302": balancer.ServerError, "403": balancer.ServerError, "429": balancer.Overloaded, "503": balancer.Overloaded, "500": balancer.ServerError} {
 		l := &link{op: &requestcore.Operation{}}
 		if fed(&Servers{Largest: 9, Most: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
 			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
 		}
 	}
 	l := &link{op: &requestcore.Operation{Flags: "If-None-Match: x\r\n"}}
-	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Finished {
+	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Succeeded {
 		t.Error("what was not modified is no answer")
 	}
 	l = &link{}
@@ -92,8 +92,8 @@
 		leave func(conn *net.TCPConn)
 		want  string
 	}{
-		"an end":               {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Finished, " a tile")},
-		"a half-close":         {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Finished, " a tile")},
+		"an end":               {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Succeeded, " a tile")},
+		"a half-close":         {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Succeeded, " a tile")},
 		"a reset":              {func(conn *net.TCPConn) { time.Sleep(20 * time.Millisecond); conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
 		"a reset right behind": {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
 	} {
