--- a/balancer/fleet_test.go
+++ b/balancer/fleet_test.go
@@ -61,7 +61,7 @@
 		crowd   float64
 		part    bool
 	}{{300, 0, false}, {300, 1000, true}, {64, 0, true}, {65, 0, false}, {30, 0, true}, {30, 20, false}} {
-		r, _ := fleet(6, func(set *Settings) { set.Routers, set.Crowd = c.routers, c.crowd })
+		r, _ := fleet(6, func(set *Settings) { set.RouterCount, set.SlowStartSharedUpTo = c.routers, c.crowd })
 		s, kept := r.ready[0], 0
 		for i := range 1000 { // asked after a long pause, each time from another budget
 			r.now, s.fresh, s.filled, s.budget = 100, 100, -1e4, float64(i)/1000
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -35,9 +35,9 @@
 
 // fleet starts a router with caches 1 to n, long started.
 func fleet(n int, change func(*Settings)) (*Balancer, *notes) {
-	set := Settings{Routers: 2, Step: 0.001, MostExecutions: 3, SecondCopies: true, Cancelling: true,
-		MaxRetryAfter: 1, Fall: 3, TipMultiple: 4, StartCapacity: 0.25, WarmWithin: 20,
-		OverBenefit: 0.05, TrafficTypes: []TrafficClass{
+	set := Settings{RouterCount: 2, EventInterval: 0.001, MaxAttempts: 3, HedgingAllowed: true, CancellationAllowed: true,
+		MaxRetryAfter: 1, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.25, WarmupDuration: 20,
+		OverQuotaWeight: 0.05, TrafficClasses: []TrafficClass{
 			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1},
 			{Name: "amend", Idempotency: IdempotencyKeyed, DeduplicationScope: ScopeZone, DeduplicationWindow: 1, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1},
 			{Name: "pay", LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}}}
@@ -57,12 +57,14 @@
 
 // many starts one of 80 routers, which sees little of each cache; caches fetch.
 func many(n int) (*Balancer, *notes) {
-	return fleet(n, func(s *Settings) { s.Peers, s.Routers, s.Telling = true, 80, 0.01 })
+	return fleet(n, func(s *Settings) { s.GossipAllowed, s.RouterCount, s.GossipPrice = true, 80, 0.01 })
 }
 
 // weighed starts one of 600 routers, of caches with these live weights.
 func weighed(seed uint32, weights ...float64) (*Balancer, *notes) {
-	r, did := fleet(0, func(s *Settings) { s.Seed, s.Routers, s.Weights, s.StartCapacity = seed, 600, WeightsLive, 0.17 })
+	r, did := fleet(0, func(s *Settings) {
+		s.Seed, s.RouterCount, s.WeightMode, s.WarmupStartCapacity = seed, 600, WeightsLive, 0.17
+	})
 	r.Listed(0, UpdateFull, members(weights...))
 	return r, did
 }
@@ -247,9 +249,9 @@
 
 // fresh starts a router anew.
 func (d *play) fresh(p *post, n int) {
-	set := Settings{Seed: mix(d.seed, uint64(n)+1<<40+d.turns), Me: n, Routers: d.stated, Step: 0.002, MostExecutions: 3, SecondCopies: true,
-		Cancelling: true, MaxRetryAfter: 1, Peers: d.peers, Telling: 0.01, Weights: d.weights, Fall: d.fall, TipMultiple: d.tip,
-		StartCapacity: d.from, WarmWithin: d.warm, OverBenefit: 0.05, TrafficTypes: []TrafficClass{
+	set := Settings{Seed: mix(d.seed, uint64(n)+1<<40+d.turns), RouterIndex: n, RouterCount: d.stated, EventInterval: 0.002, MaxAttempts: 3, HedgingAllowed: true,
+		CancellationAllowed: true, MaxRetryAfter: 1, GossipAllowed: d.peers, GossipPrice: 0.01, WeightMode: d.weights, OverloadWindow: d.fall, OverloadFactor: d.tip,
+		WarmupStartCapacity: d.from, WarmupDuration: d.warm, OverQuotaWeight: 0.05, TrafficClasses: []TrafficClass{
 			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}}}
 	p.day, p.counts = d, map[uint64]int{}
 	p.r = New(d.now, set, p)
@@ -406,9 +408,9 @@
 
 // most is the most that a window brought, over what is put down to chance.
 func (x rush) most() (worst float64) {
-	set := Settings{Routers: x.stated, Weights: WeightsStatic, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9, Crowd: 1000}
+	set := Settings{RouterCount: x.stated, WeightMode: WeightsStatic, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9, SlowStartSharedUpTo: 1000}
 	if x.slow {
-		set.Fall, set.TipMultiple, set.StartCapacity, set.WarmWithin = 1.5, 3, 0.14, 21
+		set.OverloadWindow, set.OverloadFactor, set.WarmupStartCapacity, set.WarmupDuration = 1.5, 3, 0.14, 21
 	}
 	const dozen, start = 12, 100.0
 	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: start}}
@@ -436,17 +438,17 @@
 		all = append(all, r)
 	}
 	var sent []float64
-	for at := x.late; at < min(set.WarmWithin, x.late+2*set.Fall); at += 0.02 {
+	for at := x.late; at < min(set.WarmupDuration, x.late+2*set.OverloadWindow); at += 0.02 {
 		for _, r := range all {
 			r.now, r.flowAt = start+at, start+at // as much finishes as before
 			for s := r.servers[1]; !r.tips(s); s.budget-- {
 				sent = append(sent, at)
 			}
 		}
-		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= at-set.Fall })
+		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= at-set.OverloadWindow })
 		// What it can do in the middle of the window: it warms evenly.
-		w := set.StartCapacity + (1-set.StartCapacity)*max(0, at-set.Fall/2)/set.WarmWithin
-		allowed := set.TipMultiple * w * x.each * set.Fall
+		w := set.WarmupStartCapacity + (1-set.WarmupStartCapacity)*max(0, at-set.OverloadWindow/2)/set.WarmupDuration
+		allowed := set.OverloadFactor * w * x.each * set.OverloadWindow
 		worst = max(worst, float64(len(sent))/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return worst
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -140,34 +140,34 @@
 
 // Settings is what an instance is told at start.
 type Settings struct {
-	Seed           uint32
-	Me             int
-	Routers        int
-	Step           float64    // events come no more often than this
-	Ordered        bool       // an execution waits for those sent to its server before it
-	Aside          bool       // a cache that lacks a key says so, and the router asks the origin
-	OriginKind     string     // the origin's servers, in the list, are of this kind; "": it is not in the list
-	OnRequest      bool       // the list comes only when asked for
-	Crowd          float64    // routers; beyond so many each keeps a request for a cold server, 0: 64
-	Apart          bool       // each realm has further executions of its own
-	Weights        WeightMode // what Member.Capacity tells
-	MostExecutions int
-	SecondCopies   bool
-	Cancelling     bool
-	MaxRetryAfter  float64 // 0: clients are not told when to come back
-	OverBenefit    float64 // what traffic beyond a tenant's share is worth, as a part of the usual
-	AskWithin      float64
-	Probes         bool    // servers may be probed
-	Peers          bool    // peers may be told
-	Telling        float64 // price of a message of 256 bytes for each operation
-	Fall           float64
-	TipMultiple    float64
-	StartCapacity  float64
-	WarmWithin     float64
-	StampError     float64 // by which Member.Started may be off, in either direction
-	TrafficTypes   []TrafficClass
-	Tenants        []Tenant
-	Flow           float64 // executions a second that caches finished of late, before this process; 0: not known
+	Seed                  uint32
+	RouterIndex           int
+	RouterCount           int
+	EventInterval         float64    // events come no more often than this
+	OrderedConnections    bool       // an execution waits for those sent to its server before it
+	CacheAside            bool       // a cache that lacks a key says so, and the router asks the origin
+	OriginMachineType     string     // the origin's servers, in the list, are of this kind; "": it is not in the list
+	PollEndpoints         bool       // the list comes only when asked for
+	SlowStartSharedUpTo   float64    // routers; beyond so many each keeps a request for a cold server, 0: 64
+	RetryBudgetPerTenant  bool       // each realm has further executions of its own
+	WeightMode            WeightMode // what Member.Capacity tells
+	MaxAttempts           int
+	HedgingAllowed        bool
+	CancellationAllowed   bool
+	MaxRetryAfter         float64 // 0: clients are not told when to come back
+	OverQuotaWeight       float64 // what traffic beyond a tenant's share is worth, as a part of the usual
+	PollInterval          float64
+	ProbesAllowed         bool    // servers may be probed
+	GossipAllowed         bool    // peers may be told
+	GossipPrice           float64 // price of a message of 256 bytes for each operation
+	OverloadWindow        float64
+	OverloadFactor        float64
+	WarmupStartCapacity   float64
+	WarmupDuration        float64
+	StartTimeError        float64 // by which Member.Started may be off, in either direction
+	TrafficClasses        []TrafficClass
+	Tenants               []Tenant
+	InitialCompletionRate float64 // executions a second that caches finished of late, before this process; 0: not known
 }
 
 // The records that the module keeps.
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -73,15 +73,15 @@
 // New starts an instance.
 func New(now float64, set Settings, host Host) *Balancer {
 	r := &Balancer{host: host, set: set, now: now, rows: map[string]*row{}, tenants: map[string]*tenant{},
-		servers: map[uint64]*server{}, ops: map[uint64]*operation{}, flow: set.Flow, flowAt: now, taken: 0.5,
-		began: now - 1e3*min(set.Flow, 1), voice: 1, purses: map[string]*float64{}, left: map[string]float64{}}
-	r.set.Routers, r.tier = max(1, set.Routers), float64(max(1, set.Routers))
-	r.Offer(set.TrafficTypes)
+		servers: map[uint64]*server{}, ops: map[uint64]*operation{}, flow: set.InitialCompletionRate, flowAt: now, taken: 0.5,
+		began: now - 1e3*min(set.InitialCompletionRate, 1), voice: 1, purses: map[string]*float64{}, left: map[string]float64{}}
+	r.set.RouterCount, r.tier = max(1, set.RouterCount), float64(max(1, set.RouterCount))
+	r.Offer(set.TrafficClasses)
 	for _, t := range set.Tenants {
-		r.tenants[t.Name] = &tenant{quota: max(0, t.Quota), tokens: max(1, t.Quota/float64(r.set.Routers)), at: now}
+		r.tenants[t.Name] = &tenant{quota: max(0, t.Quota), tokens: max(1, t.Quota/float64(r.set.RouterCount)), at: now}
 		r.quotas += max(0, t.Quota)
 	}
-	if set.OnRequest {
+	if set.PollEndpoints {
 		r.watch()
 	}
 	return r
@@ -92,7 +92,7 @@
 	rows := map[string]*row{}
 	r.longest = 0
 	for _, t := range types {
-		t.LatencyObjective = cmp.Or(max(0, t.LatencyObjective), max(t.Deadline, r.set.Step, 1e-3)) // or all there is
+		t.LatencyObjective = cmp.Or(max(0, t.LatencyObjective), max(t.Deadline, r.set.EventInterval, 1e-3)) // or all there is
 		// Until seen, an execution is to take a quarter of the promised time: most promise several times the work.
 		next := &row{TrafficClass: t, lag: t.LatencyObjective / 4}
 		if was := r.rows[t.Name]; was != nil {
@@ -107,7 +107,7 @@
 
 // spend gives what further executions of a realm come from: one for all, or one each where realms are apart.
 func (r *Balancer) spend(realm string) *float64 {
-	if !r.set.Apart {
+	if !r.set.RetryBudgetPerTenant {
 		return &r.spare
 	}
 	if r.purses[realm] == nil {
@@ -125,7 +125,7 @@
 func (r *Balancer) watch() {
 	r.asked = r.now
 	r.host.WatchEndpoints(true)
-	r.host.SetTimer(max(1, r.set.AskWithin/2), "watch") // asks again if nothing came at all
+	r.host.SetTimer(max(1, r.set.PollInterval/2), "watch") // asks again if nothing came at all
 }
 
 // Listed takes an update of the list.
@@ -133,7 +133,7 @@
 	r.now = now
 	if kind == UpdateFailed {
 		// The wait doubles up to half of askWithin, so that failed calls do not keep the list service full.
-		r.wait = min(max(2*r.wait, r.set.AskWithin/16, r.set.Step), max(r.set.AskWithin/2, 1))
+		r.wait = min(max(2*r.wait, r.set.PollInterval/16, r.set.EventInterval), max(r.set.PollInterval/2, 1))
 		r.asked = 0
 		r.host.SetTimer(r.wait*(0.5+r.chance()), "rewatch")
 		return
@@ -151,12 +151,12 @@
 				fresh: r.latest(m.StartedAt), budget: r.chance()} // one for each of many routers would be too much together
 		}
 		size := m.Capacity
-		if r.set.Weights == WeightsLive {
+		if r.set.WeightMode == WeightsLive {
 			size = max(size, s.size) // its weight when it held nothing; the weights of its work move no points
 		}
 		moved = moved || size != s.size
 		s.Endpoint, s.size = m, size
-		if r.set.Weights == WeightsLive && m.Capacity > 0 {
+		if r.set.WeightMode == WeightsLive && m.Capacity > 0 {
 			s.load, s.loadAt = size/m.Capacity-1, now
 		}
 		seen[s] = true
@@ -172,7 +172,7 @@
 	if moved {
 		r.regroup()
 	}
-	if r.set.Weights == WeightsLive {
+	if r.set.WeightMode == WeightsLive {
 		r.even(min(now-r.loadAt, 1))
 	}
 }
@@ -182,7 +182,7 @@
 	if stamp == 0 { // long ago
 		return 0
 	}
-	return min(stamp+r.set.StampError, max(stamp, r.now))
+	return min(stamp+r.set.StartTimeError, max(stamp, r.now))
 }
 
 // Barred takes that operators leave a cache out, whatever lists say, or that it may serve again: then it may
@@ -232,7 +232,7 @@
 	all := make([]point, 0, places*len(r.ready))
 	for _, s := range r.ready {
 		s.points, r.size = places, r.size+s.size/float64(len(r.ready))
-		if r.set.Weights != WeightsIgnored && largest > 0 {
+		if r.set.WeightMode != WeightsIgnored && largest > 0 {
 			s.points = max(1, int(math.Round(places*s.size/largest)))
 		}
 		for rank := range s.points {
@@ -316,7 +316,7 @@
 // sparse tells that this router sees less than one execution a cache within the time for which it is
 // remembered (expect): of many routers none has two in flight anywhere, and what it learns alone is late.
 func (r *Balancer) sparse(t *row) bool {
-	told := r.set.Routers > 1 && (r.set.Peers || r.set.Weights == WeightsLive)
+	told := r.set.RouterCount > 1 && (r.set.GossipAllowed || r.set.WeightMode == WeightsLive)
 	return told && r.finishing()*8*t.LatencyObjective < float64(len(r.ready))
 }
 
@@ -330,7 +330,7 @@
 	// The ramp begins below twice the mean, since it moves parts: from 2, 1.4, 1 times 1.4 did best.
 	most := 1.4 * r.load * math.Exp((r.loadAt-r.now)/recall) / float64(len(r.ready))
 	load, part := r.loaded(s), float64(mix(op.hash, s.ID))/(1<<32)
-	if r.set.Weights == WeightsLive {
+	if r.set.WeightMode == WeightsLive {
 		load = min(load, s.usual)
 	}
 	// One that takes several times as long as others has failed in all but name.
@@ -340,10 +340,10 @@
 
 // warmth is the part of its capacity that a cache has for certain: the settings' slowest warming.
 func (r *Balancer) warmth(s *server) float64 {
-	if s.fresh == 0 || r.set.WarmWithin <= 0 || r.now-s.fresh >= r.set.WarmWithin {
+	if s.fresh == 0 || r.set.WarmupDuration <= 0 || r.now-s.fresh >= r.set.WarmupDuration {
 		return 1
 	}
-	return 1 - (1-min(max(r.set.StartCapacity, 0), 1))*(1-max(0, r.now-s.fresh)/r.set.WarmWithin)
+	return 1 - (1-min(max(r.set.WarmupStartCapacity, 0), 1))*(1-max(0, r.now-s.fresh)/r.set.WarmupDuration)
 }
 
 // tips guards the fourth rule: a cold cache gets a budget that fills with half of what the rule allows a
@@ -351,23 +351,23 @@
 // sizes are told. Each router keeps to its part; of many, to a crowd, not all keep one for later: it is lost.
 func (r *Balancer) tips(s *server) bool {
 	w := r.warmth(s)
-	if w >= 1 || r.set.Fall <= 0 || r.isOrigin(s) { // it has a bound of its own
+	if w >= 1 || r.set.OverloadWindow <= 0 || r.isOrigin(s) { // it has a bound of its own
 		return false
 	}
-	seen := r.set.TipMultiple * w * r.set.Fall * r.finishing() / max(1, float64(len(r.ready)), r.among) / 2
+	seen := r.set.OverloadFactor * w * r.set.OverloadWindow * r.finishing() / max(1, float64(len(r.ready)), r.among) / 2
 	if r.size > 0 && s.size > 0 {
 		seen *= 1.5 * s.size / r.size
 	}
-	own := max(seen, r.set.TipMultiple/r.tier) // unseen capacity: one execution in the rule's time
-	part := seen/4 + math.Sqrt(seen/r.tier) + 1/r.tier + max(0, r.tier-cmp.Or(r.set.Crowd, crowd))
-	kept := math.Mod(s.budget+own*(r.now-s.filled)/r.set.Fall, 1/max(0, 1-part)) // all of it, where part is 1
+	own := max(seen, r.set.OverloadFactor/r.tier) // unseen capacity: one execution in the rule's time
+	part := seen/4 + math.Sqrt(seen/r.tier) + 1/r.tier + max(0, r.tier-cmp.Or(r.set.SlowStartSharedUpTo, crowd))
+	kept := math.Mod(s.budget+own*(r.now-s.filled)/r.set.OverloadWindow, 1/max(0, 1-part)) // all of it, where part is 1
 	s.budget, s.filled = min(kept, max(1, own/4)), r.now
 	return s.budget < 1
 }
 
 // finishing is how many executions the caches finish a second, over about a warm-up or since the start.
 func (r *Balancer) finishing() float64 {
-	span := max(1, r.set.WarmWithin)
+	span := max(1, r.set.WarmupDuration)
 	return r.flow * math.Exp((r.flowAt-r.now)/span) / (1 - math.Exp(-max(1, r.now-r.began)/span))
 }
 
@@ -442,7 +442,7 @@
 	r.now = now
 	t := r.rows[kind]
 	if t == nil { // a type that the settings lack: it may take what time it brought, and never runs twice
-		left := max(left, r.set.Step, 1e-3)
+		left := max(left, r.set.EventInterval, 1e-3)
 		t = &row{TrafficClass: TrafficClass{LatencyObjective: left, Deadline: left}, lag: left / 4}
 	}
 	hash := stir(crc32.ChecksumIEEE([]byte(key)))
@@ -451,21 +451,21 @@
 	}
 	// The answer leaves a step before the client gives up, since it takes effect with a batch.
 	op := &operation{id: id, row: t, hash: hash, worth: 1, due: now + t.LatencyObjective,
-		hardStop: now + left - r.set.Step, spread: r.shares(hash%slots, t)}
+		hardStop: now + left - r.set.EventInterval, spread: r.shares(hash%slots, t)}
 	if b := r.tenants[realm]; b != nil {
 		// Routers may be down or draw unlike traffic: the share is of what this one finishes, if that is more.
-		rate := b.quota * max(1/float64(r.set.Routers), r.finishing()/max(1, r.quotas))
+		rate := b.quota * max(1/float64(r.set.RouterCount), r.finishing()/max(1, r.quotas))
 		if b.tokens, b.at = min(b.tokens+rate*(now-b.at), max(8, rate)), now; b.tokens >= 1 {
 			b.tokens--
 			op.paid = b
 		} else {
-			op.worth = r.set.OverBenefit
+			op.worth = r.set.OverQuotaWeight
 		}
 	}
 	// A client gives all its tries the hard stop together. Most, the first, come with the same time left, found
 	// by majority vote; on others the rest is spent. What can no longer be in time must not crowd out what can.
 	switch least := min(t.LatencyObjective, t.Deadline-1.5*t.usual); {
-	case math.Abs(left-t.usual) <= 2*r.set.Step:
+	case math.Abs(left-t.usual) <= 2*r.set.EventInterval:
 		t.votes++
 	case t.votes == 0:
 		t.usual, t.votes = left, 1
@@ -525,12 +525,12 @@
 // operation, whether this one may, and whether the client may be told that trying again is harmless.
 func (r *Balancer) mayGoOn(op *operation) bool {
 	if op.answered || op.began || r.now >= op.hardStop ||
-		r.set.MostExecutions > 0 && len(op.executions) >= r.set.MostExecutions {
+		r.set.MaxAttempts > 0 && len(op.executions) >= r.set.MaxAttempts {
 		return false
 	}
 	return !op.any(func(e *execution) bool {
 		lapsed := op.row.Idempotency == AtMostOnce || op.row.Idempotency == IdempotencyKeyed && r.now-e.sent >= op.row.DeduplicationWindow
-		return e.out && !r.set.SecondCopies || !e.harmless && lapsed
+		return e.out && !r.set.HedgingAllowed || !e.harmless && lapsed
 	})
 }
 
@@ -617,7 +617,7 @@
 		if r.isOrigin(s) {
 			break // the flow and the part that finishes are the caches'
 		}
-		span := max(1, r.set.WarmWithin)
+		span := max(1, r.set.WarmupDuration)
 		r.flow, r.flowAt = r.flow*math.Exp((r.flowAt-r.now)/span)+1/span, r.now
 		r.among += (float64(len(r.ready)) - r.among) / max(1, span*r.flow)
 		r.taken += (1 - r.taken) / 16
@@ -643,7 +643,7 @@
 			s.fails = max(s.fails, 3)
 		}
 		// Passed over for the promised time at first, doubled with each failure up to the warm-up.
-		s.until = r.now + min(t.LatencyObjective*math.Pow(2, float64(s.fails-3)), max(t.LatencyObjective, r.set.WarmWithin))
+		s.until = r.now + min(t.LatencyObjective*math.Pow(2, float64(s.fails-3)), max(t.LatencyObjective, r.set.WarmupDuration))
 	default:
 		return
 	}
@@ -656,7 +656,7 @@
 	if how == Succeeded {
 		t.lag, t.heard = max(t.lag+(lag-t.lag)/16, 1e-6), r.now
 	}
-	if how == Succeeded && r.now <= e.of.due && !r.set.Ordered { // there an execution waits for those before it
+	if how == Succeeded && r.now <= e.of.due && !r.set.OrderedConnections { // there an execution waits for those before it
 		r.timely += (1 - r.timely) / 64
 	} else if e.of.worth == 1 {
 		r.timely -= r.timely / 64
@@ -699,13 +699,13 @@
 // tell passes on to all peers how each execution went, as far as the price allows, and at once what is news
 // of a cache. What all move at once misses at the origin: only by a router that would know nothing without.
 func (r *Balancer) tell(s *server, t *row, took, was float64) {
-	if !r.set.Peers || !r.sparse(t) {
+	if !r.set.GossipAllowed || !r.sparse(t) {
 		return
 	}
 	r.words = append(binary.LittleEndian.AppendUint16(r.words, uint16(s.ID)), byte(took))
 	r.words = r.words[max(0, len(r.words)-messageSize):]
 	// One part in two hundred of all benefit, at the stated price, is what messages may cost.
-	cost := r.set.Telling * (messageSize + 1) / 256 * float64(r.set.Routers-1)
+	cost := r.set.GossipPrice * (messageSize + 1) / 256 * float64(r.set.RouterCount-1)
 	r.voice = min(r.voice+min(1, 0.005/max(cost, 1e-9)), 4)
 	if r.voice >= 1 && (math.Abs(min(took/32, 4)-was) > 1 || len(r.words) == messageSize) {
 		r.voice--
@@ -750,7 +750,7 @@
 	if op.any((*execution).isOut) {
 		return
 	}
-	s, missed := r.choose(op), r.set.Aside && (how == CacheMiss || e.harmless && r.isOrigin(e.on))
+	s, missed := r.choose(op), r.set.CacheAside && (how == CacheMiss || e.harmless && r.isOrigin(e.on))
 	if missed {
 		s = r.origin(op)
 	}
@@ -769,7 +769,7 @@
 }
 
 func (r *Balancer) isOrigin(s *server) bool {
-	return r.set.Aside && s.MachineType != "" && s.MachineType == r.set.OriginKind
+	return r.set.CacheAside && s.MachineType != "" && s.MachineType == r.set.OriginMachineType
 }
 
 // origin picks the least busy server of the origin that bears one more, or none. It is slow, all share it,
@@ -800,7 +800,7 @@
 	fade := func(heard float64) float64 { return math.Exp((heard - r.now) / op.row.LatencyObjective / 8) }
 	usual := op.row.LatencyObjective / 4
 	slow := 1 + (s.slow-1)*fade(s.heard)
-	if r.set.Weights == WeightsLive && r.sparse(op.row) { // an execution waits for what the cache holds
+	if r.set.WeightMode == WeightsLive && r.sparse(op.row) { // an execution waits for what the cache holds
 		slow = (1 + r.loaded(s)) / (1 + r.load/float64(len(r.ready)))
 	}
 	return (usual + (op.row.lag-usual)*fade(op.row.heard)) * slow
@@ -834,7 +834,7 @@
 
 func (r *Balancer) withdraw(op *operation, which func(*execution) bool) {
 	for _, e := range op.executions {
-		if e.out && which(e) && r.set.Cancelling {
+		if e.out && which(e) && r.set.CancellationAllowed {
 			r.host.CancelAttempt(op.id, e.n)
 		}
 	}
@@ -849,7 +849,9 @@
 }
 
 // Counted takes how many routers are heard; the settings' number holds where these are fewer: some are mute.
-func (r *Balancer) Counted(now float64, n int) { r.now, r.tier = now, float64(max(r.set.Routers, n)) }
+func (r *Balancer) Counted(now float64, n int) {
+	r.now, r.tier = now, float64(max(r.set.RouterCount, n))
+}
 
 // Probed takes the end of a probe.
 func (r *Balancer) Probed(now float64, id uint64, how Outcome) { r.now = now }
@@ -868,7 +870,7 @@
 // Wake takes a timer: the list is asked for again, after an error or if nothing came.
 func (r *Balancer) Wake(now float64, name string) {
 	r.now = now
-	overdue := name == "watch" && r.asked > 0 && now-r.asked >= max(1, r.set.AskWithin/2)-r.set.Step
+	overdue := name == "watch" && r.asked > 0 && now-r.asked >= max(1, r.set.PollInterval/2)-r.set.EventInterval
 	if overdue || name == "rewatch" {
 		r.watch()
 	}
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -104,7 +104,7 @@
 // A type that is bound went to whichever server its key was nearest to (friesland-clubs, placement at 0.03 s).
 func TestPlacementHoldsAtEveryExecution(t *testing.T) {
 	bind := func(s *Settings) {
-		s.TrafficTypes[0].AllowedMachineTypes, s.TrafficTypes[0].AllowedZones = []string{"frugal"}, []string{"a"}
+		s.TrafficClasses[0].AllowedMachineTypes, s.TrafficClasses[0].AllowedZones = []string{"frugal"}, []string{"a"}
 	}
 	for what, others := range map[string]Endpoint{"of another kind": {Zone: "a", MachineType: "usual"},
 		"in another zone": {Zone: "b", MachineType: "frugal"}, "unnamed": {}} {
@@ -142,7 +142,7 @@
 
 // aside starts a router that asks the origin, 99, for what a cache lacks.
 func aside(n int) (*Balancer, *notes) {
-	r, did := fleet(n, func(s *Settings) { s.Aside, s.OriginKind = true, "origin" })
+	r, did := fleet(n, func(s *Settings) { s.CacheAside, s.OriginMachineType = true, "origin" })
 	r.Listed(0, UpdateDelta, []Endpoint{{ID: 99, State: Ready, Capacity: 1, Zone: "far", MachineType: "origin"}})
 	did.did = nil
 	return r, did
@@ -189,7 +189,7 @@
 	expect(t, "what caches finish", r.flow, flow)
 	expect(t, "a cache's failures", r.servers[1].fails, fails)
 	expect(t, "the usual time at a cache", row.lag, lag)
-	r, _ = fleet(3, func(s *Settings) { s.Aside = true })
+	r, _ = fleet(3, func(s *Settings) { s.CacheAside = true })
 	expect(t, "caches where no kind is named", len(r.ready), 3)
 }
 
@@ -238,14 +238,14 @@
 // A start that is stamped too early makes a cold server look warm: the fourth rule goes by its true start.
 func TestStampsMayBeOff(t *testing.T) {
 	for stamp, want := range map[float64]float64{0: 0, 10: 15, 28: 30, 31: 31} {
-		r, _ := fleet(0, func(s *Settings) { s.StampError = 5 })
+		r, _ := fleet(0, func(s *Settings) { s.StartTimeError = 5 })
 		r.Listed(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartedAt: stamp}})
 		expect(t, fmt.Sprint("start of one stamped ", stamp), r.servers[1].fresh, want)
 	}
 }
 
 func TestNoTwoAtOnceWhereBarredAndNothingNewToADrainingServer(t *testing.T) {
-	r, _ := fleet(2, func(s *Settings) { s.SecondCopies = false })
+	r, _ := fleet(2, func(s *Settings) { s.HedgingAllowed = false })
 	expect(t, "second copy", r.mayExecute(begun(r, "view", r.servers[1], true, false), r.servers[2]), false)
 	r.servers[2].State = Draining
 	expect(t, "draining", r.mayExecute(begun(r, "view", r.servers[1], false, true), r.servers[2]), false)
@@ -317,7 +317,7 @@
 func TestNothingIsCutOffOnAServerThatAnswers(t *testing.T) {
 	for fails, want := range map[int]bool{0: false, 1: true} {
 		var limit float64
-		r, _ := fleet(1, func(s *Settings) { s.SecondCopies = false })
+		r, _ := fleet(1, func(s *Settings) { s.HedgingAllowed = false })
 		r.host = limited{notes: &notes{}, limit: &limit}
 		r.servers[1].fails, r.spare = fails, 5
 		r.execute(&operation{id: 7, row: r.rows["view"], due: 0.4, hardStop: 1, purse: &r.spare}, r.servers[1])
@@ -437,7 +437,7 @@
 }
 
 func TestFailedCallsWaitLongerAndAskAgain(t *testing.T) {
-	r, did := fleet(1, func(s *Settings) { s.OnRequest, s.AskWithin = true, 16 })
+	r, did := fleet(1, func(s *Settings) { s.PollEndpoints, s.PollInterval = true, 16 })
 	r.Listed(1, UpdateFailed, nil)
 	r.Listed(2, UpdateFailed, nil)
 	expect(t, "wait", r.wait, 2.0)
@@ -505,7 +505,7 @@
 
 // At a fraction of an operation a second, a bucket of one lost what was within a share (riga-order-cache).
 func TestShareHoldsForAFewOperations(t *testing.T) {
-	r, did := fleet(1, func(s *Settings) { s.Tenants, s.Routers = []Tenant{{"a", 100}}, 200 })
+	r, did := fleet(1, func(s *Settings) { s.Tenants, s.RouterCount = []Tenant{{"a", 100}}, 200 })
 	for i := range uint64(6) {
 		r.Arrived(20, i, "view", "a", "k", 1)
 		expect(t, fmt.Sprint("worth of operation ", i), r.ops[i].worth, 1.0)
@@ -551,7 +551,7 @@
 // With an execution in flight nearly half were shed at caches that answered nine of ten in time (sockets).
 func TestRampWidensWhileNearlyAllIsInTime(t *testing.T) {
 	for _, ordered := range []bool{false, true} {
-		r, _ := fleet(1, func(s *Settings) { s.Ordered = ordered })
+		r, _ := fleet(1, func(s *Settings) { s.OrderedConnections = ordered })
 		s := r.servers[1]
 		for range 400 {
 			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, Succeeded, 0.25, true)
@@ -620,8 +620,8 @@
 			for seed := range uint32(200) {
 				r, _ := fleet(6, func(s *Settings) {
 					s.Seed = seed
-					for i := range s.TrafficTypes {
-						s.TrafficTypes[i].LatencyObjective, s.TrafficTypes[i].Deadline = promised, 5*promised
+					for i := range s.TrafficClasses {
+						s.TrafficClasses[i].LatencyObjective, s.TrafficClasses[i].Deadline = promised, 5*promised
 					}
 				})
 				for _, row := range r.rows {
@@ -756,7 +756,7 @@
 
 func TestZeroSettingsAreHarmless(t *testing.T) {
 	did := &notes{}
-	r := New(0, Settings{TrafficTypes: []TrafficClass{{Name: "view"}}, Tenants: []Tenant{{"a", -1}}}, did)
+	r := New(0, Settings{TrafficClasses: []TrafficClass{{Name: "view"}}, Tenants: []Tenant{{"a", -1}}}, did)
 	r.Listed(0, UpdateSaved, []Endpoint{{ID: 1, State: Ready, StartedAt: 1}, {ID: 2, State: Ready, Capacity: -3}})
 	for i := range uint64(50) {
 		r.Arrived(1, i, []string{"view", "unknown"}[i%2], "a", "", float64(i%3)-1)
@@ -766,7 +766,7 @@
 }
 
 func TestMessagesCostNoMoreThanTheirPart(t *testing.T) {
-	r, did := fleet(200, func(s *Settings) { s.Peers, s.Telling, s.Routers = true, 0.01, 400 })
+	r, did := fleet(200, func(s *Settings) { s.GossipAllowed, s.GossipPrice, s.RouterCount = true, 0.01, 400 })
 	for i := range 200 {
 		r.tell(r.servers[1], r.rows["view"], 32*float64(i%2*4), 1)
 	}
@@ -786,7 +786,7 @@
 
 // Where realms are apart, one whose executions fail takes no further ones from another.
 func TestFurtherExecutionsAreApart(t *testing.T) {
-	r, _ := fleet(2, func(s *Settings) { s.Apart = true })
+	r, _ := fleet(2, func(s *Settings) { s.RetryBudgetPerTenant = true })
 	for i := range 30 {
 		r.Arrived(0, uint64(100+i), "view", "a", "k", 2)
 	}
@@ -884,7 +884,7 @@
 // Six in ten caches were replaced: as fewer operations finished the new ones' slices shrank further, and the old fell.
 func TestSliceOfAFreshCacheDoesNotShrinkWhereAllTell(t *testing.T) {
 	r, _ := many(4)
-	r.now, r.taken, r.set.StartCapacity, r.set.WarmWithin, r.servers[2].fresh = 1, 0.5, 0.3, 9, 1
+	r.now, r.taken, r.set.WarmupStartCapacity, r.set.WarmupDuration, r.servers[2].fresh = 1, 0.5, 0.3, 9, 1
 	alone := r.slice(r.servers[2])
 	r.Told(1, []byte{1, 0, 32})
 	told := r.slice(r.servers[2])
@@ -913,7 +913,7 @@
 
 // Hundreds of routers and of caches: what they tell is kept in so many bytes, and what has gone is forgotten.
 func TestHundredsOfRoutersAndCachesStayBounded(t *testing.T) {
-	r, did := fleet(500, func(s *Settings) { s.Peers, s.Routers, s.Telling = true, 400, 0.01 })
+	r, did := fleet(500, func(s *Settings) { s.GossipAllowed, s.RouterCount, s.GossipPrice = true, 400, 0.01 })
 	gone := []Endpoint(nil)
 	for i := range 1000 {
 		now := float64(i) / 25
@@ -967,7 +967,7 @@
 
 // A lookup for a key's one cache, passed over, went round the whole circle (dar-scripts, big-1: 160 us an event).
 func TestLookupStaysNear(t *testing.T) {
-	r, _ := fleet(270, func(s *Settings) { s.Weights, s.Routers = WeightsLive, 600 })
+	r, _ := fleet(270, func(s *Settings) { s.WeightMode, s.RouterCount = WeightsLive, 600 })
 	op := &operation{row: r.rows["view"], hash: 5, spread: 1, worth: 1, hardStop: 9}
 	r.choose(op).out, r.flying = make([]*execution, 9), 9
 	r.choose(op)
@@ -1182,7 +1182,7 @@
 // before this process tells what they bear. Without it they were used only once they were warm.
 func TestAllCold(t *testing.T) {
 	for flow, least := range map[float64]int{0: 1, 60: 40} {
-		r, _ := fleet(0, func(s *Settings) { s.Flow, s.Seed = flow, 9 })
+		r, _ := fleet(0, func(s *Settings) { s.InitialCompletionRate, s.Seed = flow, 9 })
 		var all []Endpoint
 		for i := range 6 {
 			all = append(all, Endpoint{ID: uint64(i + 1), State: Ready, Zone: "a", StartedAt: 0.5})
@@ -1211,7 +1211,7 @@
 
 // What is bound to a zone that is left is declined at once, with when to come back, and never goes elsewhere (rule 5).
 func TestBoundToAZoneThatIsLeft(t *testing.T) {
-	r, did := fleet(4, func(s *Settings) { s.TrafficTypes[0].AllowedZones = []string{"b"} })
+	r, did := fleet(4, func(s *Settings) { s.TrafficClasses[0].AllowedZones = []string{"b"} })
 	r.servers[1].Zone, r.servers[2].Zone = "b", "b"
 	r.Arrived(1, 1, "view", "", "key", 2)
 	if r.Zoned(1.1, "b", 0); did.last() != "withdraw 1/0" {
@@ -1227,7 +1227,7 @@
 
 // A zone's share is of caches: what the origin's servers in a zone that is left work on goes on.
 func TestZonedLeavesTheOrigin(t *testing.T) {
-	r, did := fleet(3, func(s *Settings) { s.Aside, s.OriginKind = true, "origin" })
+	r, did := fleet(3, func(s *Settings) { s.CacheAside, s.OriginMachineType = true, "origin" })
 	r.Listed(0, UpdateDelta, []Endpoint{{ID: 9, State: Ready, Zone: "b", MachineType: "origin"}})
 	r.Arrived(1, 1, "view", "", "key", 2)
 	r.Settled(1.01, 1, 0, CacheMiss, 0.01, false)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -108,13 +108,13 @@
 
 // New makes a broker without contracts: all goes to the platform's core, within the limits.
 func New(now func() float64, set balancer.Settings, core *requestcore.Router, limits Limits) *Broker {
-	b := &Broker{now: now, me: set.Me, routers: max(1, set.Routers), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
+	b := &Broker{now: now, me: set.RouterIndex, routers: max(1, set.RouterCount), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
 		places: bulkhead.New(limits.Open), bytes: bulkhead.New(limits.Held), doors: bulkhead.New(limits.Connections)}
-	b.plain = &plain{b: b, core: core, types: set.TrafficTypes, hardStops: map[string]float64{}, tenants: map[string]bool{}}
+	b.plain = &plain{b: b, core: core, types: set.TrafficClasses, hardStops: map[string]float64{}, tenants: map[string]bool{}}
 	for _, t := range set.Tenants {
 		b.plain.tenants[t.Name] = true
 	}
-	for _, t := range set.TrafficTypes {
+	for _, t := range set.TrafficClasses {
 		b.plain.hardStops[t.Name] = t.Deadline
 	}
 	return b
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -39,7 +39,7 @@
 
 // core is a pool's, with so many servers.
 func (o *outside) core(servers int, types ...balancer.TrafficClass) *requestcore.Router {
-	r := requestcore.New(balancer.Settings{Cancelling: true, Apart: true, TrafficTypes: types}, requestcore.Outside{Clock: o, Caches: o,
+	r := requestcore.New(balancer.Settings{CancellationAllowed: true, RetryBudgetPerTenant: true, TrafficClasses: types}, requestcore.Outside{Clock: o, Caches: o,
 		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
 	var all []balancer.Endpoint
 	for i := range servers {
@@ -67,7 +67,7 @@
 	t.Helper()
 	o := &outside{now: 1000}
 	platform := o.core(1, view)
-	b := New(o.Now, balancer.Settings{Routers: 1, TrafficTypes: []balancer.TrafficClass{view}}, platform, limits)
+	b := New(o.Now, balancer.Settings{RouterCount: 1, TrafficClasses: []balancer.TrafficClass{view}}, platform, limits)
 	pools := []Pool{{Core: platform, Connections: 100}, {Name: "own", Core: o.core(1), Connections: 10}}
 	b.Change(pools, all, ToPlatform)
 	return b, o, pools
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -122,7 +122,7 @@
 	}
 	set := o.Sub("settings")
 	c.Settings = set.Settings()
-	if len(c.Settings.TrafficTypes) == 0 {
+	if len(c.Settings.TrafficClasses) == 0 {
 		set.Fault("trafficTypes", "none")
 	}
 	c.Settings.Seed = seed(o)
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -28,8 +28,8 @@
 	if c.Name != "n3" || c.Cores != 2.5 || c.Memory != 64<<20 || c.Sockets != 512 || c.Discovery != "127.2.0.1:8500" {
 		t.Errorf("read %+v", c)
 	}
-	if c.ConnIdle != 30 || c.ConnectTimeout != 0.075 || c.PerConnection != 100 || c.Settings.Me != 2 ||
-		c.Settings.TrafficTypes[0].Deadline != 0.75 || len(c.Known.Entries) != 1 || c.Known.Generation != 41 {
+	if c.ConnIdle != 30 || c.ConnectTimeout != 0.075 || c.PerConnection != 100 || c.Settings.RouterIndex != 2 ||
+		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.Known.Entries) != 1 || c.Known.Generation != 41 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.Open != 33 {
@@ -86,8 +86,8 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if c, err := Parse(text, env); err != nil || c.Settings.Weights != want {
-			t.Errorf("%s: weights %v, %v", file, c.Settings.Weights, err)
+		if c, err := Parse(text, env); err != nil || c.Settings.WeightMode != want {
+			t.Errorf("%s: weights %v, %v", file, c.Settings.WeightMode, err)
 		}
 	}
 }
--- a/internal/config/shape.go
+++ b/internal/config/shape.go
@@ -54,13 +54,13 @@
 			load.Fault("names", fmt.Sprintf("%q is none of %s", name, strings.Join(fields, ", ")))
 		}
 	}
-	if c.Reports.How == "on_probe" && !c.Settings.Probes {
+	if c.Reports.How == "on_probe" && !c.Settings.ProbesAllowed {
 		load.Fault("how", `"on_probe", but settings.limits.probes is false; "inline" or "off" would be right`)
 	}
-	if c.Settings.Weights == balancer.WeightsLive && c.Settings.Peers {
+	if c.Settings.WeightMode == balancer.WeightsLive && c.Settings.GossipAllowed {
 		limits.Fault("peers", `true, but settings.weights is "live", which tells the same load; false would be right, or sizes as weights`)
 	}
-	if !limits.Absent("peers") && !c.Settings.Peers {
+	if !limits.Absent("peers") && !c.Settings.GossipAllowed {
 		for key, listed := range map[string]bool{"peers": len(c.Peers) > 0, "peers_all": c.PeersAll != ""} {
 			if listed {
 				o.Fault(key, "listed, but settings.limits.peers is false; none would be right")
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -40,7 +40,7 @@
 	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
 			types: map[string]balancer.TrafficClass{}}
-		m.Offer(set.TrafficTypes)
+		m.Offer(set.TrafficClasses)
 		return m
 	}, nil
 }
@@ -224,14 +224,14 @@
 	if !known {
 		t = balancer.TrafficClass{Deadline: left, LatencyObjective: left}
 	}
-	op := &operation{id: id, t: t, hash: hash(0, uint64(crc32.ChecksumIEEE([]byte(key)))), hardStop: now + left - m.set.Step}
+	op := &operation{id: id, t: t, hash: hash(0, uint64(crc32.ChecksumIEEE([]byte(key)))), hardStop: now + left - m.set.EventInterval}
 	m.ops[id] = op
 	m.further(now, op)
 }
 
 // further sends an operation on, or gives its final answer at once.
 func (m *Module) further(now float64, op *operation) {
-	enough := m.set.MostExecutions <= 0 || len(op.executions) < m.set.MostExecutions
+	enough := m.set.MaxAttempts <= 0 || len(op.executions) < m.set.MaxAttempts
 	if len(m.ready) > 0 && enough && op.hardStop-now > max(m.mean, 1e-3) {
 		if s := m.pick(m, op); m.may(now, op, s) {
 			op.executions = append(op.executions, &execution{on: s, sent: now, out: true})
@@ -254,7 +254,7 @@
 
 func (m *Module) end(op *operation) {
 	for n, e := range op.executions {
-		if e.out && m.set.Cancelling {
+		if e.out && m.set.CancellationAllowed {
 			m.host.CancelAttempt(op.id, n)
 		}
 	}
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -42,7 +42,7 @@
 	}
 	longest := 0.0
 	set := settings(p.Me, len(p.Peers))
-	for _, t := range set.TrafficTypes {
+	for _, t := range set.TrafficClasses {
 		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + p.Listen))
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -43,9 +43,9 @@
 
 // settings are those of a router that hears others, as in a real one's configuration.
 func settings(me, routers int) balancer.Settings {
-	return balancer.Settings{Seed: uint32(me + 1), Me: me, Routers: routers, Step: 0.002, Weights: balancer.WeightsStatic, MostExecutions: 3, SecondCopies: true,
-		Cancelling: true, MaxRetryAfter: 1.2, Peers: true, Telling: 0.01, Fall: 3, TipMultiple: 4, StartCapacity: 0.3, WarmWithin: 9,
-		TrafficTypes: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
+	return balancer.Settings{Seed: uint32(me + 1), RouterIndex: me, RouterCount: routers, EventInterval: 0.002, WeightMode: balancer.WeightsStatic, MaxAttempts: 3, HedgingAllowed: true,
+		CancellationAllowed: true, MaxRetryAfter: 1.2, GossipAllowed: true, GossipPrice: 0.01, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9,
+		TrafficClasses: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
 }
 
 const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -89,7 +89,7 @@
 	free.Close()
 	done := make(chan error)
 	l.Post(func() {
-		r := requestcore.New(balancer.Settings{Cancelling: true, TrafficTypes: []balancer.TrafficClass{{Name: "t",
+		r := requestcore.New(balancer.Settings{CancellationAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t",
 			Idempotency: balancer.Idempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1}}}, requestcore.Outside{Clock: l,
 			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
 		r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
--- a/internal/operatorconfig/contracts.go
+++ b/internal/operatorconfig/contracts.go
@@ -271,15 +271,15 @@
 
 // Settings gives the module's settings for a pool: the platform's, but for what the pool says.
 func (p Pool) Settings(set balancer.Settings) balancer.Settings {
-	set.TrafficTypes, set.Tenants = nil, nil
-	set.Apart, set.Peers, set.OnRequest, set.Ordered = true, false, false, false
-	take(&set.MostExecutions, p.MostExecutions)
-	take(&set.SecondCopies, p.SecondCopies)
-	take(&set.Cancelling, p.Cancelling)
-	take(&set.StartCapacity, p.ColdFrom)
-	take(&set.WarmWithin, p.Warm)
-	take(&set.Fall, p.Fall)
-	take(&set.TipMultiple, p.Multiple)
+	set.TrafficClasses, set.Tenants = nil, nil
+	set.RetryBudgetPerTenant, set.GossipAllowed, set.PollEndpoints, set.OrderedConnections = true, false, false, false
+	take(&set.MaxAttempts, p.MostExecutions)
+	take(&set.HedgingAllowed, p.SecondCopies)
+	take(&set.CancellationAllowed, p.Cancelling)
+	take(&set.WarmupStartCapacity, p.ColdFrom)
+	take(&set.WarmupDuration, p.Warm)
+	take(&set.OverloadWindow, p.Fall)
+	take(&set.OverloadFactor, p.Multiple)
 	return set
 }
 
--- a/internal/operatorconfig/operators_test.go
+++ b/internal/operatorconfig/operators_test.go
@@ -129,9 +129,9 @@
 		terms[0].Types[0].PlacementRules() != "on m2" || terms[0].Pool != "p" {
 		t.Errorf("the terms are %+v", terms)
 	}
-	set := f.Pools[0].Settings(balancer.Settings{MostExecutions: 5, WarmWithin: 9, TipMultiple: 4, Peers: true,
-		TrafficTypes: []balancer.TrafficClass{{}}})
-	if set.MostExecutions != 2 || set.WarmWithin != 7 || set.TipMultiple != 4 || set.Peers || !set.Apart || len(set.TrafficTypes) > 0 {
+	set := f.Pools[0].Settings(balancer.Settings{MaxAttempts: 5, WarmupDuration: 9, OverloadFactor: 4, GossipAllowed: true,
+		TrafficClasses: []balancer.TrafficClass{{}}})
+	if set.MaxAttempts != 2 || set.WarmupDuration != 7 || set.OverloadFactor != 4 || set.GossipAllowed || !set.RetryBudgetPerTenant || len(set.TrafficClasses) > 0 {
 		t.Errorf("the pool's settings are %+v", set)
 	}
 	if p := f.Pools[0]; p.ConnectTimeout(0.5) != 0.5 || p.ConnIdle(60) != 60 || p.Streams(9) != 9 {
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -76,7 +76,7 @@
 func TestModuleBenches(t *testing.T) {
 	for crashed, want := range map[bool]bool{true: true, false: false} {
 		w := build(t, 100, 40)
-		m := balancer.New(w.now(), balancer.Settings{Routers: 100, Peers: true, TrafficTypes: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
+		m := balancer.New(w.now(), balancer.Settings{RouterCount: 100, GossipAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
 		var members []balancer.Endpoint
 		for id := range 40 {
 			members = append(members, balancer.Endpoint{ID: uint64(id*150 + 7), State: balancer.Ready, Capacity: 1})
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -202,7 +202,7 @@
 // New starts the module that decides.
 func New(set balancer.Settings, out Outside, module Maker) *Router {
 	r := &Router{Outside: out, ops: map[uint64]*operation{}, zones: map[uint64]string{}}
-	r.promise(set.TrafficTypes)
+	r.promise(set.TrafficClasses)
 	r.module = module(out.Clock.Now(), set, r)
 	return r
 }
--- a/internal/requestcore/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -40,7 +40,7 @@
 
 func started(effect balancer.Idempotency) (*Router, *outside) {
 	o := &outside{now: 1000}
-	r := New(balancer.Settings{Cancelling: true, MostExecutions: 3, TrafficTypes: []balancer.TrafficClass{
+	r := New(balancer.Settings{CancellationAllowed: true, MaxAttempts: 3, TrafficClasses: []balancer.TrafficClass{
 		{Name: "t", Idempotency: effect, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: 0.3, LatencyObjective: 0.1, Deadline: 0.5, PriorityWeight: 1}}},
 		Outside{Clock: o, Caches: o, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, Logic)
 	r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1},
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -151,7 +151,7 @@
 
 // kinds names the traffic types of the settings and of the contracts.
 func (s *Service) kinds() (all []string) {
-	for _, t := range s.conf.Settings.TrafficTypes {
+	for _, t := range s.conf.Settings.TrafficClasses {
 		all = append(all, t.Name)
 	}
 	all = append(all, s.broker.Kinds()...)
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -31,7 +31,7 @@
 	}
 	c := s.conf
 	switch routers := len(c.Peers); {
-	case s.peers == nil || !c.Settings.Peers || c.Settings.Me >= routers:
+	case s.peers == nil || !c.Settings.GossipAllowed || c.Settings.RouterIndex >= routers:
 		s.log.Warn().Int("peers", routers).Msg("gossip is on, and there is no list of peers with this router in it, or none may be told: it does nothing")
 		return
 	case !gossip.Pays(routers, f.Gossip.BytesPerSecond):
@@ -44,11 +44,11 @@
 		names = append(names, crc32.ChecksumIEEE([]byte(at.String())))
 	}
 	longest := 0.0
-	for _, t := range c.Settings.TrafficTypes {
+	for _, t := range c.Settings.TrafficClasses {
 		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
-	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Me: c.Settings.Me, Seed: c.Settings.Seed ^ life, Life: life,
+	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Me: c.Settings.RouterIndex, Seed: c.Settings.Seed ^ life, Life: life,
 		BytesPerSecond: f.Gossip.BytesPerSecond, Longest: longest}, gossip.NewView(names))}
 }
 
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -28,7 +28,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	conf.Settings.Peers, conf.Settings.Me, conf.Settings.Routers = true, me, routers
+	conf.Settings.GossipAllowed, conf.Settings.RouterIndex, conf.Settings.RouterCount = true, me, routers
 	conf.Peers = first
 	for i := len(first); i < routers; i++ {
 		conf.Peers = append(conf.Peers, fmt.Sprintf("127.99.%d.%d:9", i/250, i%250+1))
@@ -157,7 +157,7 @@
 func TestGossipNeedsAList(t *testing.T) {
 	log := &noted{}
 	conf := fleetOf(t, 0, 100, freeUDP(t))
-	conf.Settings.Peers = false
+	conf.Settings.GossipAllowed = false
 	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.Logic, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -45,10 +45,10 @@
 
 // newPool makes one without servers.
 func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(upstream.Link) upstream.Wire) *pool {
-	p := &pool{s: s, name: name, onDemand: set.OnRequest, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
+	p := &pool{s: s, name: name, onDemand: set.PollEndpoints, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
 	p.rhythm = pollschedule.Pushed(s.conf.DrainGrace, set.Seed)
-	if set.OnRequest {
-		p.rhythm = pollschedule.OnRequest(set.AskWithin, set.Seed)
+	if set.PollEndpoints {
+		p.rhythm = pollschedule.OnRequest(set.PollInterval, set.Seed)
 	}
 	if name != "" {
 		p.log = s.log.With().Str("pool", name).Logger()
@@ -57,7 +57,7 @@
 		Stall: stall, Idle: idle}, wire, p.log)
 	watch := func(on bool) {} // the list is watched in any case
 	if name != "" {           // what was finished before was at the platform's servers
-		set.Flow = 0
+		set.InitialCompletionRate = 0
 	}
 	out := requestcore.Outside{Clock: s.loop, Caches: p.fleet, Tell: s.telling(name), Watch: watch, Log: p.log}
 	if s.zones != nil {
@@ -73,7 +73,7 @@
 // piped is how many executions a connection carries. Where second copies are barred it is one: what is given up behind a long value
 // would still be out there, for its connection must not be cut.
 func piped(set balancer.Settings, streams int) int {
-	if !set.SecondCopies {
+	if !set.HedgingAllowed {
 		return 1
 	}
 	return streams
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -53,9 +53,9 @@
 		w.number = e.Generation
 		x, err := strconv.ParseFloat(string(e.Body), 64)
 		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Believe(startup.Rate, e.At, now); ok {
-			s.conf.Settings.Flow, w.rate = x, x
+			s.conf.Settings.InitialCompletionRate, w.rate = x, x
 		}
-		s.log.Info().Float64("rate", x).Float64("age", now-e.At).Bool("used", s.conf.Settings.Flow > 0).Msg("kept from before")
+		s.log.Info().Float64("rate", x).Float64("age", now-e.At).Bool("used", s.conf.Settings.InitialCompletionRate > 0).Msg("kept from before")
 	}
 	if e, there := w.store.Get(startup.List); there {
 		w.number = max(w.number, e.Generation)
@@ -124,7 +124,7 @@
 
 // usual is the rate as one that has run for long would have it: at first less time than it is reckoned over has passed.
 func (w *recoveryWatch) usual(now float64) float64 {
-	if w.s.conf.Settings.Flow > 0 {
+	if w.s.conf.Settings.InitialCompletionRate > 0 {
 		return w.rate
 	}
 	return w.rate / (1 - math.Exp(-max(now-w.s.began, 1)/rateOver))
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -48,7 +48,7 @@
 		}
 		var flows []float64
 		maker := func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
-			flows = append(flows, set.Flow)
+			flows = append(flows, set.InitialCompletionRate)
 			return balancer.New(now, set, host)
 		}
 		x, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true},
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -210,12 +210,12 @@
 	if c.Reports.How != "off" {
 		s.log.Info().Stringer("loadInfo", c.Reports).Msg("reports of load are not to be had on this protocol: own counts and the list's weights decide")
 	}
-	if (c.Settings.Peers || len(set.Operators.Teams) > 0) && c.PeerListen != "" {
-		s.tier = fleetsize.New[netip.AddrPort](c.Settings.Routers)
+	if (c.Settings.GossipAllowed || len(set.Operators.Teams) > 0) && c.PeerListen != "" {
+		s.tier = fleetsize.New[netip.AddrPort](c.Settings.RouterCount)
 		heard := func(from netip.AddrPort, place int, words []byte) {
 			s.loop.Post(func() { s.heard(from, place, words) })
 		}
-		s.peers, err = peertransport.Open(c.PeerListen, c.PeersAll, c.Peers, c.Settings.Me, heard, s.log)
+		s.peers, err = peertransport.Open(c.PeerListen, c.PeersAll, c.Peers, c.Settings.RouterIndex, heard, s.log)
 		if err != nil { // they are a help, nothing depends on them
 			s.log.Warn().Err(err).Msg("no peers")
 		}
@@ -223,10 +223,10 @@
 	s.openRecovery(set.Operators)
 	s.openZones(set.Operators)
 	s.openGossip(set.Operators)
-	c.Settings.Flow = s.conf.Settings.Flow
-	c.Settings.Ordered = false // answers come in the order of a connection, but each execution has one of its own
-	c.Settings.Apart = len(set.Operators.Teams) > 0
-	c.Settings.Crowd = float64(set.Operators.Cold.Routers)
+	c.Settings.InitialCompletionRate = s.conf.Settings.InitialCompletionRate
+	c.Settings.OrderedConnections = false // answers come in the order of a connection, but each execution has one of its own
+	c.Settings.RetryBudgetPerTenant = len(set.Operators.Teams) > 0
+	c.Settings.SlowStartSharedUpTo = float64(set.Operators.Cold.Routers)
 	s.platform = s.newPool("", c.Settings, c.Caches, c.ConnectTimeout, stall(c.ConnectTimeout), c.ConnIdle, c.PerConnection, upstream.Memcache)
 	s.broker = broker.New(s.loop.Now, c.Settings, s.platform.router, broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
 	s.front = frontend.New(s.loop, s.broker, frontend.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
@@ -259,7 +259,7 @@
 func (s *Service) heard(from netip.AddrPort, place int, words []byte) {
 	s.tier.Heard(s.loop.Now(), from)
 	s.counted()
-	if !s.zones.heard(words) && !s.broker.Heard(words) && !s.gossip.heard(place, words) && s.conf.Settings.Peers {
+	if !s.zones.heard(words) && !s.broker.Heard(words) && !s.gossip.heard(place, words) && s.conf.Settings.GossipAllowed {
 		s.platform.router.Told(words)
 	}
 }
@@ -303,7 +303,7 @@
 // longest is how long a client waits at most.
 func (s *Service) longest() float64 {
 	longest := s.broker.LongestStop()
-	for _, t := range s.conf.Settings.TrafficTypes {
+	for _, t := range s.conf.Settings.TrafficClasses {
 		longest = max(longest, cmp.Or(t.Deadline, unstated))
 	}
 	return longest
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -132,7 +132,7 @@
 
 // Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
 func TestNothingBehindAnotherWhereCopiesAreBarred(t *testing.T) {
-	if piped(balancer.Settings{}, 100) != 1 || piped(balancer.Settings{SecondCopies: true}, 100) != 100 {
+	if piped(balancer.Settings{}, 100) != 1 || piped(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
 		t.Error("executions are sent behind others")
 	}
 }
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -36,10 +36,10 @@
 	c := s.conf
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 	w := &zoneWatch{s: s, hand: map[string]bool{}, twins: map[string]bool{}}
-	w.fleet = zonefailover.New(zonefailover.Settings{Me: c.Settings.Me, Routers: c.Settings.Routers, Life: uint16(life), WarmWithin: c.Settings.WarmWithin,
+	w.fleet = zonefailover.New(zonefailover.Settings{Me: c.Settings.RouterIndex, Routers: c.Settings.RouterCount, Life: uint16(life), WarmWithin: c.Settings.WarmupDuration,
 		Regions: f.Groups()})
 	s.zones = w
-	if c.Settings.Routers > 1 && (s.peers == nil || !c.Settings.Peers) {
+	if c.Settings.RouterCount > 1 && (s.peers == nil || !c.Settings.GossipAllowed) {
 		s.log.Warn().Msg("zones are on, and no other router can be heard: none is left but by hand")
 	}
 }
@@ -77,7 +77,7 @@
 	}
 	w.fleet.Tick(w.now())
 	w.act()
-	if words := w.fleet.Say(w.now()); words != nil && w.s.conf.Settings.Peers { // else the platform allows none
+	if words := w.fleet.Say(w.now()); words != nil && w.s.conf.Settings.GossipAllowed { // else the platform allows none
 		w.s.peers.Tell(words)
 	}
 	w.s.loop.After(looking, w.tick)
--- a/internal/settings/lines_test.go
+++ b/internal/settings/lines_test.go
@@ -47,7 +47,7 @@
 	o, _ := Parse([]byte(`{"kinds":["a","origin"],"familyInfo":{"mode":"aside","originKind":1},"rules":{"bootStampError":2000000000},
 		"trafficTypes":[{"name":"t","runsIn":["z"],"allowedOn":["a"]},{"name":"u"}]}`), "x")
 	set := o.Settings()
-	if got := fmt.Sprintf("%v %v %v %s/%s", set.Aside, set.OriginKind, set.StampError, set.TrafficTypes[0].PlacementRules(), set.TrafficTypes[1].PlacementRules()); got != "true origin 2 in z on a/" || o.Err() != nil {
+	if got := fmt.Sprintf("%v %v %v %s/%s", set.CacheAside, set.OriginMachineType, set.StartTimeError, set.TrafficClasses[0].PlacementRules(), set.TrafficClasses[1].PlacementRules()); got != "true origin 2 in z on a/" || o.Err() != nil {
 		t.Errorf("read as %q, %v", got, o.Err())
 	}
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -12,36 +12,36 @@
 func (o *Object) Settings() balancer.Settings {
 	family, limits, rules, prices := o.Part("familyInfo"), o.Part("limits"), o.Part("rules"), o.Part("penalties")
 	set := balancer.Settings{
-		Me:             int(o.Count("me")),
-		Routers:        int(o.Count("fleetSize")),
-		Step:           o.Seconds("step"),
-		Ordered:        family.Flag("ordered"),
-		OnRequest:      o.Text("discovery") == "on_request",
-		Weights:        weights[o.Text("weights")],
-		MostExecutions: int(limits.Number("mostExecutions")),
-		SecondCopies:   limits.Flag("secondCopies"),
-		Cancelling:     limits.Flag("cancelling"),
-		MaxRetryAfter:  limits.Seconds("maxRetryAfter"),
-		OverBenefit:    o.Number("overageBenefit"),
-		Probes:         limits.Flag("probes"),
-		Peers:          limits.Flag("peers"),
-		Telling:        prices.Number("peer"),
-		AskWithin:      rules.Seconds("askWithin"),
-		Fall:           rules.Seconds("fall"),
-		TipMultiple:    rules.Number("tipMultiple"),
-		StartCapacity:  rules.Number("startCapacity"),
-		WarmWithin:     rules.Seconds("warmWithin"),
-		StampError:     rules.Seconds("bootStampError"),
+		RouterIndex:         int(o.Count("me")),
+		RouterCount:         int(o.Count("fleetSize")),
+		EventInterval:       o.Seconds("step"),
+		OrderedConnections:  family.Flag("ordered"),
+		PollEndpoints:       o.Text("discovery") == "on_request",
+		WeightMode:          weights[o.Text("weights")],
+		MaxAttempts:         int(limits.Number("mostExecutions")),
+		HedgingAllowed:      limits.Flag("secondCopies"),
+		CancellationAllowed: limits.Flag("cancelling"),
+		MaxRetryAfter:       limits.Seconds("maxRetryAfter"),
+		OverQuotaWeight:     o.Number("overageBenefit"),
+		ProbesAllowed:       limits.Flag("probes"),
+		GossipAllowed:       limits.Flag("peers"),
+		GossipPrice:         prices.Number("peer"),
+		PollInterval:        rules.Seconds("askWithin"),
+		OverloadWindow:      rules.Seconds("fall"),
+		OverloadFactor:      rules.Number("tipMultiple"),
+		WarmupStartCapacity: rules.Number("startCapacity"),
+		WarmupDuration:      rules.Seconds("warmWithin"),
+		StartTimeError:      rules.Seconds("bootStampError"),
 	}
 	at, names := int(family.Number("originKind")), o.Texts("kinds")
-	if set.Aside = family.Text("mode") == "aside"; set.Aside && at >= 0 && at < len(names) {
-		set.OriginKind = names[at]
+	if set.CacheAside = family.Text("mode") == "aside"; set.CacheAside && at >= 0 && at < len(names) {
+		set.OriginMachineType = names[at]
 	}
 	if !limits.Flag("retryAfter") {
 		set.MaxRetryAfter = 0 // none is passed on
 	}
 	for _, t := range o.List("trafficTypes") {
-		set.TrafficTypes = append(set.TrafficTypes, balancer.TrafficClass{Name: t.Text("name"),
+		set.TrafficClasses = append(set.TrafficClasses, balancer.TrafficClass{Name: t.Text("name"),
 			Idempotency: effects[t.Text("effect")], DeduplicationScope: groups[t.Text("keyScope")], DeduplicationWindow: t.Seconds("dedupWindow"),
 			LatencyObjective: t.Seconds("promisedTime"), Deadline: t.Seconds("hardStop"),
 			PriorityWeight: t.Number("benefit"), LateValue: t.Number("overdueBenefit"), Stream: t.Flag("stream"),
