--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -81,7 +81,7 @@
 	// A log that is read slowly loses lines rather than hold the loop up, and no trouble floods it.
 	lines := diode.NewWriter(out, 1000, 0, func(lost int) { log.Warn().Int("lost", lost).Msg("log lines lost") })
 	sparse := zerolog.LevelSampler{WarnSampler: &zerolog.BurstSampler{Burst: 20, Period: time.Second}}
-	err = service.Run(set, signals, requestcore.Logic, read, log.Output(lines).Sample(sparse))
+	err = service.Run(set, signals, requestcore.DefaultBalancer, read, log.Output(lines).Sample(sparse))
 	lines.Close()
 	if err != nil {
 		log.Error().Err(err).Msg("the router cannot run")
--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -302,7 +302,7 @@
 
 // Run is the product's own router but for its decisions.
 func (c *routerCommand) Run() error {
-	module := requestcore.Maker(requestcore.Logic)
+	module := requestcore.NewBalancer(requestcore.DefaultBalancer)
 	if c.Policy != "logic" {
 		var err error
 		if module, err = baseline.Maker(c.Policy); err != nil {
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -28,7 +28,7 @@
 // Pool is a pool as the operators' file has it.
 type Pool struct {
 	Name        string
-	Core        *requestcore.Router
+	Core        *requestcore.Core
 	Capacity    float64 // seconds of load a second, over all routers; 0: not stated
 	Connections int     // to its servers
 }
@@ -102,12 +102,12 @@
 // Tally is what became of a team's operations.
 type Tally struct {
 	Taken, Finished, Declined, Terminated, Left uint64
-	Reasons                                     [len(requestcore.Reasons)]uint64
+	Reasons                                     [len(requestcore.ReasonNames)]uint64
 	Took                                        float64 // seconds of load
 }
 
 // New makes a broker without contracts: all goes to the platform's core, within the limits.
-func New(now func() float64, set balancer.Settings, core *requestcore.Router, limits Limits) *Broker {
+func New(now func() float64, set balancer.Settings, core *requestcore.Core, limits Limits) *Broker {
 	b := &Broker{now: now, me: set.RouterIndex, routers: max(1, set.RouterCount), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
 		places: bulkhead.New(limits.Open), bytes: bulkhead.New(limits.Held), doors: bulkhead.New(limits.Connections)}
 	b.plain = &plain{b: b, core: core, types: set.TrafficClasses, hardStops: map[string]float64{}, tenants: map[string]bool{}}
@@ -168,7 +168,7 @@
 // plain is the platform's route: no team, no budget.
 type plain struct {
 	b         *Broker
-	core      *requestcore.Router
+	core      *requestcore.Core
 	types     []balancer.TrafficClass // the platform's, which stay with its pool
 	hardStops map[string]float64
 	tenants   map[string]bool // that the platform knows
@@ -181,7 +181,7 @@
 
 func (p *plain) Room() bool { return p.b.places.Room(nil, 1) && p.b.bytes.Room(nil, 1) }
 
-func (p *plain) Take(op *requestcore.Operation, client requestcore.Client) (*requestcore.Router, uint64) {
+func (p *plain) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	p.b.places.Force(nil, 1)
 	op.Account = p
 	if !p.tenants[op.Tenant] {
@@ -192,14 +192,14 @@
 
 func (p *plain) Hold(n int) { p.b.bytes.Force(nil, n) }
 
-// Took, Answered and Ended are told by the core; an operation has its place until nothing of it is out.
-func (p *plain) Took(float64) {}
+// AttemptEnded, Answered and Ended are told by the core; an operation has its place until nothing of it is out.
+func (p *plain) AttemptEnded(float64) {}
 
 // Answered takes no note.
-func (p *plain) Answered(requestcore.End, requestcore.Reason) {}
+func (p *plain) Answered(requestcore.RequestEnd, requestcore.RejectReason) {}
 
-// Ended gives the place back.
-func (p *plain) Ended() { p.b.places.Release(nil, 1) }
+// RequestDone gives the place back.
+func (p *plain) RequestDone() { p.b.places.Release(nil, 1) }
 
 func (t *team) HardStop(kind string) (float64, bool) {
 	k, known := t.kinds[kind]
@@ -212,30 +212,30 @@
 		return true
 	}
 	t.tally.Taken++
-	t.tally.decline(requestcore.Place)
+	t.tally.decline(requestcore.ReasonNoCapacity)
 	return false
 }
 
 // Take admits an operation or declines it at once.
-func (t *team) Take(op *requestcore.Operation, client requestcore.Client) (*requestcore.Router, uint64) {
-	k := t.kinds[op.Kind]
+func (t *team) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+	k := t.kinds[op.Class]
 	t.tally.Taken++
-	ticket, why, after := t.pool.budgets.Arrive(t.b.now(), t.Team, op.Kind, k.guess)
+	ticket, why, after := t.pool.budgets.Arrive(t.b.now(), t.Team, op.Class, k.guess)
 	if !why.Admitted() {
-		t.tally.decline(requestcore.Budget)
-		client.Declined(after)
+		t.tally.decline(requestcore.ReasonQuota)
+		client.Rejected(after)
 		return nil, 0
 	}
 	t.b.places.Force(t.place, 1)
 	t.pool.out.Force(t.out, 1)
 	op.Account = &account{team: t, ticket: ticket}
-	op.Kind, op.Tenant = k.name, t.Team
+	op.Class, op.Tenant = k.name, t.Team
 	return t.pool.Core, t.pool.Core.Taken(op, client)
 }
 
 func (t *team) Hold(n int) { t.b.bytes.Force(t.byte, n) }
 
-func (y *Tally) decline(why requestcore.Reason) {
+func (y *Tally) decline(why requestcore.RejectReason) {
 	y.Declined++
 	y.Reasons[why]++
 }
@@ -247,22 +247,24 @@
 	took   float64
 }
 
-func (a *account) Took(seconds float64) { a.took += a.team.pool.budgets.Weigh(a.ticket, seconds) }
+func (a *account) AttemptEnded(seconds float64) {
+	a.took += a.team.pool.budgets.Weigh(a.ticket, seconds)
+}
 
-func (a *account) Answered(end requestcore.End, why requestcore.Reason) {
+func (a *account) Answered(end requestcore.RequestEnd, why requestcore.RejectReason) {
 	switch y := a.team.tally; end {
-	case requestcore.Finished:
+	case requestcore.Succeeded:
 		y.Finished++
-	case requestcore.Declined:
+	case requestcore.Rejected:
 		y.decline(why)
-	case requestcore.Terminated:
+	case requestcore.Failed:
 		y.Terminated++
-	case requestcore.Left:
+	case requestcore.ClientGone:
 		y.Left++
 	}
 }
 
-func (a *account) Ended() {
+func (a *account) RequestDone() {
 	t := a.team
 	t.pool.budgets.Settle(t.b.now(), a.ticket, a.took)
 	t.b.places.Release(t.place, 1)
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -47,7 +47,7 @@
 func TestTrafficTypes(t *testing.T) {
 	b, o, _ := serving(t, ample, terms("a", "own", 10))
 	b.ask("a", "k")
-	if len(o.ops) != 1 || o.ops[0].Kind != "a/view" || o.ops[0].Tenant != "a" {
+	if len(o.ops) != 1 || o.ops[0].Class != "a/view" || o.ops[0].Tenant != "a" {
 		t.Fatalf("it went out as %+v", o.ops)
 	}
 	if _, known := b.Route("", "a", "k").HardStop("other"); known {
@@ -62,7 +62,7 @@
 	for range 10 { // at a quarter of the promised time each, the burst of a second holds four
 		last, _ = b.ask("a", "k")
 	}
-	if s := b.state("a"); s.Reasons[requestcore.Budget] != 6 || s.Open != 4 || last.declined != 1 || last.after <= 0 {
+	if s := b.state("a"); s.Reasons[requestcore.ReasonQuota] != 6 || s.Open != 4 || last.declined != 1 || last.after <= 0 {
 		t.Fatalf("the team stands at %+v, the last was told %+v", s, last)
 	}
 	if c, room := b.ask("b", "k"); !room || c.declined > 0 {
@@ -88,7 +88,7 @@
 	if n < 5 || n > 8 { // of the ten connections to its pool's servers, two or three wait for the other team
 		t.Errorf("it holds %d places", n)
 	}
-	if s := b.state("hung"); s.Reasons[requestcore.Place] != 1 || s.Open != n {
+	if s := b.state("hung"); s.Reasons[requestcore.ReasonNoCapacity] != 1 || s.Open != n {
 		t.Errorf("the team stands at %+v", s)
 	}
 	if c, room := b.ask("other", "k"); !room || c.declined > 0 {
@@ -167,7 +167,7 @@
 	b, o, _ := serving(t, ample, terms("a", "own", 2))
 	c := &client{}
 	r := b.Route("", "a", "k")
-	core, id := r.Take(&requestcore.Operation{Kind: "view", Key: "k", Left: 3}, c)
+	core, id := r.Take(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
 	core.Left(id)
 	if s := b.state("a"); s.Left != 1 || s.Open != 1 {
 		t.Errorf("while its execution is out it stands at %+v", s)
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -13,16 +13,16 @@
 // outside is a loop and cache servers that a test drives: executions wait until it ends them.
 type outside struct {
 	now float64
-	out []requestcore.Execution
-	ops []*requestcore.Operation
+	out []requestcore.AttemptObserver
+	ops []*requestcore.Request
 }
 
 func (o *outside) Now() float64                         { return o.now }
 func (o *outside) After(float64, func())                {}
 func (o *outside) Probe(uint64, func(balancer.Outcome)) {}
-func (o *outside) Drop()                                {}
-func (o *outside) DropUnsent()                          {}
-func (o *outside) Execute(_ uint64, op *requestcore.Operation, _, _ float64, x requestcore.Execution) requestcore.Pending {
+func (o *outside) Cancel()                              {}
+func (o *outside) CancelIfUnsent()                      {}
+func (o *outside) StartAttempt(_ uint64, op *requestcore.Request, _, _ float64, x requestcore.AttemptObserver) requestcore.PendingAttempt {
 	o.out, o.ops = append(o.out, x), append(o.ops, op)
 	return o
 }
@@ -33,14 +33,14 @@
 	out := o.out
 	o.out, o.ops = nil, nil
 	for _, x := range out {
-		x.Settled(balancer.Succeeded, requestcore.Result{})
+		x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{})
 	}
 }
 
 // core is a pool's, with so many servers.
-func (o *outside) core(servers int, types ...balancer.TrafficClass) *requestcore.Router {
-	r := requestcore.New(balancer.Settings{CancellationAllowed: true, RetryBudgetPerTenant: true, TrafficClasses: types}, requestcore.Outside{Clock: o, Caches: o,
-		Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
+func (o *outside) core(servers int, types ...balancer.TrafficClass) *requestcore.Core {
+	r := requestcore.New(balancer.Settings{CancellationAllowed: true, RetryBudgetPerTenant: true, TrafficClasses: types}, requestcore.Dependencies{Clock: o, Upstream: o,
+		Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, requestcore.DefaultBalancer)
 	var all []balancer.Endpoint
 	for i := range servers {
 		all = append(all, balancer.Endpoint{ID: uint64(i + 1), State: balancer.Ready, Capacity: 1})
@@ -55,10 +55,10 @@
 	after                          float64
 }
 
-func (c *client) Finished(requestcore.Result) { c.finished++ }
-func (c *client) Declined(after float64)      { c.declined, c.after = c.declined+1, after }
-func (c *client) Terminated()                 { c.terminated++ }
-func (c *client) Gone() bool                  { return false }
+func (c *client) Succeeded(requestcore.Result) { c.finished++ }
+func (c *client) Rejected(after float64)       { c.declined, c.after = c.declined+1, after }
+func (c *client) Failed()                      { c.terminated++ }
+func (c *client) Disconnected() bool           { return false }
 
 var view = balancer.TrafficClass{Name: "view", Idempotency: balancer.Idempotent, LatencyObjective: 1, Deadline: 4, PriorityWeight: 1}
 
@@ -85,7 +85,7 @@
 	if r == nil || !r.Room() {
 		return c, false
 	}
-	r.Take(&requestcore.Operation{Kind: "view", Tenant: tenant, Key: key, Left: 3}, c)
+	r.Take(&requestcore.Request{Class: "view", Tenant: tenant, Key: key, TimeLeft: 3}, c)
 	return c, true
 }
 
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -32,12 +32,12 @@
 func Names() []string { return slices.Sorted(maps.Keys(policies)) }
 
 // Maker gives what starts a module with a policy.
-func Maker(name string) (requestcore.Maker, error) {
+func Maker(name string) (requestcore.NewBalancer, error) {
 	p, known := policies[name]
 	if !known {
 		return nil, fmt.Errorf("%q is not a baseline; there are %s", name, strings.Join(Names(), ", "))
 	}
-	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
+	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
 			types: map[string]balancer.TrafficClass{}}
 		m.Offer(set.TrafficClasses)
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -28,7 +28,7 @@
 		scripted(strings.TrimPrefix(as, "bad:"))
 		return
 	}
-	make := requestcore.Maker(requestcore.Logic)
+	make := requestcore.NewBalancer(requestcore.DefaultBalancer)
 	if as != "logic" {
 		var err error
 		if make, err = baseline.Maker(as); err != nil {
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -53,7 +53,7 @@
 	if err != nil {
 		return err
 	}
-	return service.Run(set, signals, requestcore.Logic, read, log)
+	return service.Run(set, signals, requestcore.DefaultBalancer, read, log)
 }
 
 // hold starts hollow routers, says so, and never ends by itself.
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -131,7 +131,7 @@
 			return func() {
 				ends(t, conn)
 				for _, h := range all { // each answer makes room for another command
-					h.x.Settled(balancer.Succeeded, made)
+					h.x.OnAttemptEnd(balancer.Succeeded, made)
 				}
 			}
 		},
@@ -215,8 +215,8 @@
 	s.do(func() { s.Until(s.loop.Now() + 100) })
 	fmt.Fprintf(conn, "mg k v O1 Pc=t,d=900000\r\n")
 	h := <-s.began
-	if h.op.Left > 100 {
-		t.Errorf("it may take %v s", h.op.Left)
+	if h.op.TimeLeft > 100 {
+		t.Errorf("it may take %v s", h.op.TimeLeft)
 	}
 	s.finish(h, "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
@@ -260,7 +260,7 @@
 	h := <-s.began
 	s.do(func() {
 		ends(t, conn)
-		h.x.Settled(balancer.Succeeded, made)
+		h.x.OnAttemptEnd(balancer.Succeeded, made)
 	})
 	s.deserted()
 	s.do(func() {
@@ -341,7 +341,7 @@
 	}{
 		"its client leaves": {func(_ served, conn net.Conn, _ *held) { conn.Close() }, ClientLeft},
 		"a value that breaks off": {func(s served, _ net.Conn, h *held) {
-			s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Long: breaking{}}) })
+			s.loop.Post(func() { h.x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Body: breaking{}}) })
 		}, ValueCut},
 		"a client that reads nothing": {func(s served, _ net.Conn, h *held) {
 			s.finish(h, strings.Repeat("x", 32<<20)) // beyond what the kernel holds
@@ -433,7 +433,7 @@
 		h := <-s.began
 		s.do(func() {
 			cross(s, conn)
-			h.x.Settled(balancer.ConnectFailed, requestcore.Result{})
+			h.x.OnAttemptEnd(balancer.ConnectFailed, requestcore.Result{})
 		})
 		if name == "it stays" {
 			s.serves(name, in)
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -40,9 +40,9 @@
 	Begun() bool                                        // a command has begun and is not whole
 	Broken(err error) []byte                            // what is said where the stream cannot be followed any more
 	Unfinished() []byte                                 // what is said to one who does not finish a command
-	Finished(op *requestcore.Operation, with requestcore.Result) [][]byte
-	Declined(op *requestcore.Operation, after float64) []byte
-	Terminated(op *requestcore.Operation) []byte
+	Finished(op *requestcore.Request, with requestcore.Result) [][]byte
+	Declined(op *requestcore.Request, after float64) []byte
+	Terminated(op *requestcore.Request) []byte
 }
 
 // Protocol makes the codec of a new connection.
@@ -329,7 +329,7 @@
 	text []byte
 	of   *answer
 	last bool
-	long requestcore.Long // in place of a text: passed on from here
+	long requestcore.BodyStream // in place of a text: passed on from here
 }
 
 // hold counts bytes for a route; what is said from here is nobody's.
@@ -342,16 +342,16 @@
 // answer is what is owed for one command.
 type answer struct {
 	c         *Client
-	core      *requestcore.Router // which has the operation; nil: none was made
+	core      *requestcore.Core // which has the operation; nil: none was made
 	operation uint64
 	route     requestcore.Route
-	op        *requestcore.Operation
+	op        *requestcore.Request
 	kind      string // as its client names it: a contract renames it
 	how       end
 	held      int // bytes of its value, until it is answered
 	parts     [][]byte
-	long      requestcore.Long // between the two parts, what is too long to be held
-	passed    int              // bytes of that
+	long      requestcore.BodyStream // between the two parts, what is too long to be held
+	passed    int                    // bytes of that
 }
 
 // left counts an operation as its last byte leaves, or as its client does without it.
@@ -452,32 +452,32 @@
 // Take hands an operation on, or declines it where there is no place. Its client waits as long as it says, but no longer
 // than the most that its traffic type allows; 0 is not said. What is over as it comes is declined here: its client is as good
 // as any, and the module would take what it can't serve for strain. False: its id was another's lately, and nothing was done.
-func (c *Client) Take(route requestcore.Route, op *requestcore.Operation, most float64) bool {
-	f, late := c.f, op.Left < 0
-	if op.Left == 0 {
-		op.Left = cmp.Or(most, usualLeft)
+func (c *Client) Take(route requestcore.Route, op *requestcore.Request, most float64) bool {
+	f, late := c.f, op.TimeLeft < 0
+	if op.TimeLeft == 0 {
+		op.TimeLeft = cmp.Or(most, usualLeft)
 	}
 	if most > 0 {
-		op.Left = min(op.Left, most)
+		op.TimeLeft = min(op.TimeLeft, most)
 	}
 	if f.until > 0 {
-		op.Left = min(op.Left, f.until-f.loop.Now())
-		late = late || op.Left <= 0
+		op.TimeLeft = min(op.TimeLeft, f.until-f.loop.Now())
+		late = late || op.TimeLeft <= 0
 	}
 	full := c.surplus
 	if !full && !route.Room() {
 		full, f.short = true, true
 	}
-	if !full && op.ID != "" && f.repeated(op.ID, op.Left) {
+	if !full && op.ID != "" && f.repeated(op.ID, op.TimeLeft) {
 		return false
 	}
 	c.useful = true
-	a := &answer{c: c, op: op, route: route, kind: op.Kind}
+	a := &answer{c: c, op: op, route: route, kind: op.Class}
 	f.open++
 	c.answers = append(c.answers, a)
 	if full || late {
 		c.ending = c.ending || c.surplus
-		a.Declined(0)
+		a.Rejected(0)
 		return true
 	}
 	a.held = len(op.Value) // it may be answered before Take returns
@@ -486,14 +486,14 @@
 	return true
 }
 
-// Finished passes on what a server made, or begins to.
-func (a *answer) Finished(with requestcore.Result) {
-	a.long = with.Long
+// Succeeded passes on what a server made, or begins to.
+func (a *answer) Succeeded(with requestcore.Result) {
+	a.long = with.Body
 	a.give(a.c.codec.Finished(a.op, with)...)
 }
 
-// Part passes on some of a long value.
-func (a *answer) Part(part []byte) int {
+// OnPart passes on some of a long value.
+func (a *answer) OnPart(part []byte) int {
 	n := a.c.conn.Write(part)
 	if a.passed += n; n > 0 {
 		a.c.used = a.c.f.loop.Now()
@@ -501,8 +501,8 @@
 	return n
 }
 
-// Whole ends a long value; what is owed behind it goes on.
-func (a *answer) Whole() {
+// OnComplete ends a long value; what is owed behind it goes on.
+func (a *answer) OnComplete() {
 	c := a.c
 	if c.f.clients[c] {
 		c.f.passing--
@@ -512,8 +512,8 @@
 	}
 }
 
-// Broken ends the connection: only so its client can tell that the value is not whole.
-func (a *answer) Broken() {
+// OnBroken ends the connection: only so its client can tell that the value is not whole.
+func (a *answer) OnBroken() {
 	if c := a.c; c.f.clients[c] {
 		a.how = errored
 		a.left(true)
@@ -525,14 +525,14 @@
 	}
 }
 
-// Declined tells that trying again is harmless.
-func (a *answer) Declined(after float64) {
+// Rejected tells that trying again is harmless.
+func (a *answer) Rejected(after float64) {
 	a.how = deferred
 	a.give(a.c.codec.Declined(a.op, after))
 }
 
-// Gone tells whether its client has ended the connection, and takes that if it is not heard of yet.
-func (a *answer) Gone() bool {
+// Disconnected tells whether its client has ended the connection, and takes that if it is not heard of yet.
+func (a *answer) Disconnected() bool {
 	c := a.c
 	if c.f.clients[c] && !c.conn.Gone() {
 		return false
@@ -541,8 +541,8 @@
 	return true
 }
 
-// Terminated promises nothing.
-func (a *answer) Terminated() {
+// Failed promises nothing.
+func (a *answer) Failed() {
 	a.how = errored
 	a.give(a.c.codec.Terminated(a.op))
 }
@@ -577,7 +577,7 @@
 // drop forgets an answer's text.
 func (c *Client) drop(a *answer) {
 	if a.long != nil {
-		a.long.Drop()
+		a.long.Discard()
 	}
 	for _, p := range a.parts {
 		hold(a.route, -len(p))
@@ -618,12 +618,12 @@
 // pass goes on with the long value that is first.
 func (c *Client) pass(p *piece) {
 	if long, a := p.long, p.of; c.pulls {
-		long.More()
+		long.ResumeReading()
 	} else {
 		c.pulls = true
 		c.f.loop.Later(func() {
 			if c.f.clients[c] {
-				long.Pull(a)
+				long.StartReading(a)
 			}
 		})
 	}
@@ -681,7 +681,7 @@
 	for _, p := range c.rest {
 		if p.long != nil {
 			f.passing--
-			p.long.Drop()
+			p.long.Discard()
 			continue
 		}
 		if hold(p.of.route, -len(p.text)); p.last {
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -20,19 +20,19 @@
 type caches struct{ began chan *held }
 
 type held struct {
-	op *requestcore.Operation
-	x  requestcore.Execution
+	op *requestcore.Request
+	x  requestcore.AttemptObserver
 	c  chan string
 }
 
 func (c caches) Probe(uint64, func(balancer.Outcome)) {}
-func (c caches) Execute(_ uint64, op *requestcore.Operation, _, _ float64, x requestcore.Execution) requestcore.Pending {
+func (c caches) StartAttempt(_ uint64, op *requestcore.Request, _, _ float64, x requestcore.AttemptObserver) requestcore.PendingAttempt {
 	h := &held{op, x, make(chan string, 1)}
 	c.began <- h
 	return h
 }
-func (h *held) Drop()       { h.c <- "dropped" }
-func (h *held) DropUnsent() {}
+func (h *held) Cancel()         { h.c <- "dropped" }
+func (h *held) CancelIfUnsent() {}
 
 // bounds are a front's, and its desk's.
 type bounds struct {
@@ -43,7 +43,7 @@
 // desk takes all of one traffic type, within bounds.
 type desk struct {
 	bounds
-	core *requestcore.Router
+	core *requestcore.Core
 	held int
 	door func() // called as a connection comes, if it is set
 }
@@ -64,7 +64,7 @@
 func (d *desk) HardStop(kind string) (float64, bool) { return 5000, kind == "t" }
 func (d *desk) Room() bool                           { return d.core.Open() < d.open && d.held < d.bytes }
 func (d *desk) Hold(n int)                           { d.held += n }
-func (d *desk) Take(op *requestcore.Operation, c requestcore.Client) (*requestcore.Router, uint64) {
+func (d *desk) Take(op *requestcore.Request, c requestcore.Client) (*requestcore.Core, uint64) {
 	return d.core, d.core.Taken(op, c)
 }
 
@@ -90,8 +90,8 @@
 	done := make(chan error)
 	l.Post(func() {
 		r := requestcore.New(balancer.Settings{CancellationAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t",
-			Idempotency: balancer.Idempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1}}}, requestcore.Outside{Clock: l,
-			Caches: s.caches, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, requestcore.Logic)
+			Idempotency: balancer.Idempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1}}}, requestcore.Dependencies{Clock: l,
+			Upstream: s.caches, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, requestcore.DefaultBalancer)
 		r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
 		s.desk.core = r
 		s.Front = New(l, s.desk, limits.Limits)
@@ -115,7 +115,7 @@
 }
 
 func (s served) finish(h *held, value string) {
-	s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Value: []byte(value), Receipt: value}) })
+	s.loop.Post(func() { h.x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Value: []byte(value), Receipt: value}) })
 }
 
 func (s served) do(call func()) {
@@ -532,12 +532,12 @@
 // breaking is a long value that breaks off after a byte.
 type breaking struct{}
 
-func (breaking) Length() int { return 99999 }
-func (breaking) More()       {}
-func (breaking) Drop()       {}
-func (breaking) Pull(to requestcore.Taker) {
-	to.Part([]byte("x"))
-	to.Broken()
+func (breaking) Length() int    { return 99999 }
+func (breaking) ResumeReading() {}
+func (breaking) Discard()       {}
+func (breaking) StartReading(to requestcore.BodySink) {
+	to.OnPart([]byte("x"))
+	to.OnBroken()
 }
 
 // Each operation that was taken counts once, as its client saw it end; none stays open, and nothing held.
@@ -549,7 +549,7 @@
 		return <-s.began
 	}
 	settle := func(h *held, how balancer.Outcome, with requestcore.Result) {
-		s.loop.Post(func() { h.x.Settled(how, with) })
+		s.loop.Post(func() { h.x.OnAttemptEnd(how, with) })
 	}
 	s.finish(begin("1"), "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
@@ -561,7 +561,7 @@
 	want(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\nCLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
 	settle(third, balancer.Cancelled, requestcore.Result{})
 	conn, in = s.dial()
-	settle(begin("6"), balancer.Succeeded, requestcore.Result{Long: breaking{}})
+	settle(begin("6"), balancer.Succeeded, requestcore.Result{Body: breaking{}})
 	want(t, in, "VA 99999 O6\r\nx")
 	conn, _ = s.dial()
 	begin("7")
@@ -606,7 +606,7 @@
 	if string(h.op.Value) != body {
 		t.Errorf("%d bytes came", len(h.op.Value))
 	}
-	s.loop.Post(func() { h.x.Settled(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
+	s.loop.Post(func() { h.x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
 	want(t, in, "HD O1 cr\r\n")
 	for _, c := range []struct{ since, quiet float64 }{{begins + 1, 0}, {begins + 1, standing + 1}, {lasting + 1, 0}, {0, 0}} {
 		conn, in := s.dial()
@@ -656,7 +656,7 @@
 			}
 			io.WriteString(conn, text[cut:]+"mn\r\n")
 			h := <-s.began
-			if h.op.Key != "key" || h.op.ID != id || h.op.Write != write || write && string(h.op.Value) != "m\r\n\r" || h.op.Kind != "t" {
+			if h.op.Key != "key" || h.op.ID != id || h.op.Write != write || write && string(h.op.Value) != "m\r\n\r" || h.op.Class != "t" {
 				t.Fatalf("%s cut at %d is taken as %+v", form, cut, h.op)
 			}
 			answer := "VA 1 O" + id + "\r\nx\r\n"
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -26,12 +26,12 @@
 
 // Get takes a read.
 func (m *memcache) Get(key, id, flags, figures string) {
-	m.take(&requestcore.Operation{Key: key, ID: id, Flags: flags, Figures: figures})
+	m.take(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures})
 }
 
 // Set takes a write.
 func (m *memcache) Set(key, id, flags, figures string, value []byte) {
-	m.take(&requestcore.Operation{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
+	m.take(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
 	m.c.Arrived()
 }
 
@@ -59,12 +59,12 @@
 	m.c.Arrived()
 }
 
-func (m *memcache) take(op *requestcore.Operation) {
-	op.Kind, _ = meta.Figure(op.Figures, "c")
+func (m *memcache) take(op *requestcore.Request) {
+	op.Class, _ = meta.Figure(op.Figures, "c")
 	op.Tenant, _ = meta.Figure(op.Figures, "tenant")
 	route, most, known := m.c.Route(op.Tenant, op.Key), 0.0, false
 	if route != nil {
-		most, known = route.HardStop(op.Kind)
+		most, known = route.HardStop(op.Class)
 	}
 	left, fault := stated(op.Figures)
 	switch {
@@ -73,7 +73,7 @@
 	case !known: // no cache server could use it either
 		fault = "CLIENT_ERROR the type c is unknown"
 	}
-	if op.Left = left; fault != "" {
+	if op.TimeLeft = left; fault != "" {
 		m.Bad(fault)
 	} else if !m.c.Take(route, op, most) {
 		m.Bad("CLIENT_ERROR the id O is another operation's")
@@ -95,22 +95,22 @@
 }
 
 // Finished passes on a value or a receipt.
-func (m *memcache) Finished(op *requestcore.Operation, with requestcore.Result) [][]byte {
+func (m *memcache) Finished(op *requestcore.Request, with requestcore.Result) [][]byte {
 	if op.Write {
 		return [][]byte{meta.AppendStored(nil, op.ID, with.Receipt)}
 	}
-	if with.Long != nil { // its bytes and its end follow
-		return [][]byte{meta.AppendValue(nil, op.ID, with.Long.Length()), []byte("\r\n")}
+	if with.Body != nil { // its bytes and its end follow
+		return [][]byte{meta.AppendValue(nil, op.ID, with.Body.Length()), []byte("\r\n")}
 	}
 	return [][]byte{meta.AppendValue(nil, op.ID, len(with.Value)), with.Value, []byte("\r\n")}
 }
 
 // Declined tells when to come back.
-func (m *memcache) Declined(_ *requestcore.Operation, after float64) []byte {
+func (m *memcache) Declined(_ *requestcore.Request, after float64) []byte {
 	return meta.AppendBusy(nil, int(math.Ceil(after*1e3)))
 }
 
 // Terminated promises nothing.
-func (m *memcache) Terminated(*requestcore.Operation) []byte {
+func (m *memcache) Terminated(*requestcore.Request) []byte {
 	return []byte("SERVER_ERROR failed\r\n")
 }
--- a/internal/frontend/tileserver/tilefront.go
+++ b/internal/frontend/tileserver/tilefront.go
@@ -109,13 +109,13 @@
 		k.fault(&tiles.Fault{Status: 400, Code: tiles.Invalid, Locator: k.s.wait, Text: "the time to wait is not a number above 0"}, keep)
 		return
 	}
-	op := &requestcore.Operation{Kind: k.s.kind, Key: asked.Tile.Key(), Flags: k.passed.String(), Left: left, Figures: marks(k.head, keep)}
+	op := &requestcore.Request{Class: k.s.kind, Key: asked.Tile.Key(), Flags: k.passed.String(), TimeLeft: left, Figures: marks(k.head, keep)}
 	route := k.c.Route("", op.Key)
 	if route == nil {
 		k.fault(&tiles.Fault{Status: 404, Code: tiles.NotApplied, Text: "no contract holds for this traffic"}, keep)
 		return
 	}
-	most, known := route.HardStop(op.Kind)
+	most, known := route.HardStop(op.Class)
 	if !known {
 		k.fault(&tiles.Fault{Status: 404, Code: tiles.NotApplied, Text: "no contract holds for this traffic type"}, keep)
 		return
@@ -135,8 +135,8 @@
 	return text
 }
 
-func isHead(op *requestcore.Operation) bool { return strings.HasPrefix(op.Figures, "head") }
-func isLast(op *requestcore.Operation) bool { return strings.HasSuffix(op.Figures, "close") }
+func isHead(op *requestcore.Request) bool { return strings.HasPrefix(op.Figures, "head") }
+func isLast(op *requestcore.Request) bool { return strings.HasSuffix(op.Figures, "close") }
 
 // waits reads how long a client waits, in seconds; 0 if it does not say.
 func waits(text string) (float64, error) {
@@ -214,7 +214,7 @@
 }
 
 // Finished passes on what a tile server made.
-func (k *codec) Finished(op *requestcore.Operation, with requestcore.Result) [][]byte {
+func (k *codec) Finished(op *requestcore.Request, with requestcore.Result) [][]byte {
 	text := top(with.Status, with.Head, len(with.Value), isLast(op))
 	if isHead(op) || len(with.Value) == 0 {
 		return [][]byte{text}
@@ -223,12 +223,12 @@
 }
 
 // Declined tells when to come back, in whole seconds, as HTTP has it.
-func (k *codec) Declined(op *requestcore.Operation, after float64) []byte {
+func (k *codec) Declined(op *requestcore.Request, after float64) []byte {
 	return whole(503, fmt.Sprintf("Content-Type: text/plain\r\nCache-Control: no-store\r\nRetry-After: %d\r\n", max(1, int(math.Ceil(after)))),
 		[]byte("busy\n"), isHead(op), isLast(op))
 }
 
 // Terminated promises nothing.
-func (k *codec) Terminated(op *requestcore.Operation) []byte {
+func (k *codec) Terminated(op *requestcore.Request) []byte {
 	return whole(502, "Content-Type: text/plain\r\nCache-Control: no-store\r\n", []byte("failed\n"), isHead(op), isLast(op))
 }
--- a/internal/requestcore/desk.go
+++ b/internal/requestcore/desk.go
@@ -12,6 +12,6 @@
 type Route interface {
 	HardStop(kind string) (most float64, known bool) // how long clients wait at most for this traffic type
 	Room() bool                                      // there is a place for another; a refusal is counted
-	Take(op *Operation, client Client) (core *Router, id uint64)
+	Take(op *Request, client Client) (core *Core, id uint64)
 	Hold(n int) // so many bytes more, or less, are held for its clients
 }
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -14,105 +14,105 @@
 	"github.com/rs/zerolog"
 )
 
-// Operation is what a front takes from a client.
-type Operation struct {
-	Kind, Tenant, Key string
-	ID                string // its name at the front, by which a result is known to be its own
-	Flags, Figures    string // what else the front wants passed on; not looked at here
-	Write             bool
-	Value             []byte  // of a write
-	Left              float64 // seconds until the client gives up
-	Once              bool    // a repeat may have an effect; set here
-	Account           Account // told what becomes of it; nil: nobody is
+// Request is what a front takes from a client.
+type Request struct {
+	Class, Tenant, Key string
+	ID                 string // its name at the front, by which a result is known to be its own
+	Flags, Figures     string // what else the front wants passed on; not looked at here
+	Write              bool
+	Value              []byte        // of a write
+	TimeLeft           float64       // seconds until the client gives up
+	NotIdempotent      bool          // a repeat may have an effect; set here
+	Account            UsageObserver // told what becomes of it; nil: nobody is
 }
 
-// Account is told what an operation costs and how it ends.
-type Account interface {
-	Took(seconds float64)         // an execution ended that was out for so long
-	Answered(end End, why Reason) // the final answer
-	Ended()                       // nothing of it is out any more
+// UsageObserver is told what an operation costs and how it ends.
+type UsageObserver interface {
+	AttemptEnded(seconds float64)              // an execution ended that was out for so long
+	Answered(end RequestEnd, why RejectReason) // the final answer
+	RequestDone()                              // nothing of it is out any more
 }
 
-// End is an operation's final answer, or that its client left without one.
-type End int
+// RequestEnd is an operation's final answer, or that its client left without one.
+type RequestEnd int
 
 // The ends.
 const (
-	Finished End = iota
-	Declined
-	Terminated
-	Left
+	Succeeded RequestEnd = iota
+	Rejected
+	Failed
+	ClientGone
 )
 
-// Reason tells what made a decline.
-type Reason int
+// RejectReason tells what made a decline.
+type RejectReason int
 
 // The reasons, all that there are on the way of an operation.
 const (
-	NoReason Reason = iota
-	Strained        // the module: its server takes too long
-	NoServer        // the module: none may execute it
-	NoTime          // the module: too little is left
-	Budget          // its team is beyond its budget
-	Place           // there is no place left for it
+	NoReason         RejectReason = iota
+	ReasonOverloaded              // the module: its server takes too long
+	ReasonNoEndpoint              // the module: none may execute it
+	ReasonNoTime                  // the module: too little is left
+	ReasonQuota                   // its team is beyond its budget
+	ReasonNoCapacity              // there is no place left for it
 )
 
-// Reasons name them, by their numbers.
-var Reasons = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
+// ReasonNames name them, by their numbers.
+var ReasonNames = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
 
-var reasons = map[balancer.RejectReason]Reason{balancer.ReasonOverloaded: Strained, balancer.ReasonNoEndpoint: NoServer, balancer.ReasonNoTime: NoTime}
+var reasons = map[balancer.RejectReason]RejectReason{balancer.ReasonOverloaded: ReasonOverloaded, balancer.ReasonNoEndpoint: ReasonNoEndpoint, balancer.ReasonNoTime: ReasonNoTime}
 
 // Result is what a cache server made of an execution that finished.
 type Result struct {
 	Value   []byte
 	Receipt string
-	Status  int    // where the protocol has one
-	Head    string // what is passed on beside the value, as the protocol writes it
-	Long    Long   // in place of a value that is too long to be held; nil: there is none
+	Status  int        // where the protocol has one
+	Head    string     // what is passed on beside the value, as the protocol writes it
+	Body    BodyStream // in place of a value that is too long to be held; nil: there is none
 }
 
-// Long is a value on its way from a cache server, from its first bytes on.
-type Long interface {
+// BodyStream is a value on its way from a cache server, from its first bytes on.
+type BodyStream interface {
 	Length() int
-	Pull(to Taker) // hands it on from now on
-	More()         // its taker has room again
-	Drop()         // nobody wants it
+	StartReading(to BodySink) // hands it on from now on
+	ResumeReading()           // its taker has room again
+	Discard()                 // nobody wants it
 }
 
-// Taker takes a long value. It is not called back before the call that told of its room has returned, but for Part.
-type Taker interface {
-	Part(part []byte) int // takes as much as there is room for
-	Whole()
-	Broken() // the rest will not come
+// BodySink takes a long value. It is not called back before the call that told of its room has returned, but for Part.
+type BodySink interface {
+	OnPart(part []byte) int // takes as much as there is room for
+	OnComplete()
+	OnBroken() // the rest will not come
 }
 
 // Client takes the one final answer to an operation.
 type Client interface {
-	Finished(Result)
-	Declined(retryAfter float64)
-	Terminated()
+	Succeeded(Result)
+	Rejected(retryAfter float64)
+	Failed()
 
-	// Gone tells whether the client has left, asked of its connection: that may not have been heard of yet, for the loop may have been
+	// Disconnected tells whether the client has left, asked of its connection: that may not have been heard of yet, for the loop may have been
 	// stopped. If so, Left follows after the present callback.
-	Gone() bool
+	Disconnected() bool
 }
 
-// Execution is told how it ended, exactly once and never before the call that began it has returned.
-type Execution interface {
-	Settled(how balancer.Outcome, with Result)
-	Wanted() bool // somebody still waits for it, as far as can be told now; asked before it is written later than it began
+// AttemptObserver is told how it ended, exactly once and never before the call that began it has returned.
+type AttemptObserver interface {
+	OnAttemptEnd(how balancer.Outcome, with Result)
+	StillWanted() bool // somebody still waits for it, as far as can be told now; asked before it is written later than it began
 }
 
-// Pending is an execution that has not settled.
-type Pending interface {
-	Drop()       // give it up; it settles as Withdrawn
-	DropUnsent() // give it up if it has not been sent; it settles as NotSent
+// PendingAttempt is an execution that has not settled.
+type PendingAttempt interface {
+	Cancel()         // give it up; it settles as Withdrawn
+	CancelIfUnsent() // give it up if it has not been sent; it settles as NotSent
 }
 
-// Caches makes executions and probes at cache servers, named by their ids.
-type Caches interface {
-	// Execute gives it up after limit, or where it is not written after within.
-	Execute(server uint64, op *Operation, limit, within float64, x Execution) Pending
+// Upstream makes executions and probes at cache servers, named by their ids.
+type Upstream interface {
+	// StartAttempt gives it up after limit, or where it is not written after within.
+	StartAttempt(server uint64, op *Request, limit, within float64, x AttemptObserver) PendingAttempt
 	Probe(server uint64, ended func(balancer.Outcome))
 }
 
@@ -122,25 +122,25 @@
 	After(delay float64, f func())
 }
 
-// Outside is all that the module acts on through its host.
-type Outside struct {
-	Clock  Clock
-	Caches Caches
-	Tell   func(words []byte)
-	Watch  func(on bool)
-	Log    zerolog.Logger
-	Zones  Zones // nil: nobody wants to know
+// Dependencies is all that the module acts on through its host.
+type Dependencies struct {
+	Clock          Clock
+	Upstream       Upstream
+	Gossip         func(words []byte)
+	WatchEndpoints func(on bool)
+	Log            zerolog.Logger
+	ZoneObserver   ZoneObserver // nil: nobody wants to know
 }
 
-// Zones is told how executions go in the zones that the list names.
-type Zones interface {
+// ZoneObserver is told how executions go in the zones that the list names.
+type ZoneObserver interface {
 	Began(zone string, within float64) (mark uint64) // within is the time promised for the operation
 	Ended(zone string, mark uint64, how balancer.Outcome, took, within float64)
 }
 
-// Module makes the decisions. The product's is logic.Router; a laboratory may put another in its place, to see what
+// Balancer makes the decisions. The product's is logic.Router; a laboratory may put another in its place, to see what
 // the decisions alone are worth.
-type Module interface {
+type Balancer interface {
 	Arrived(now float64, id uint64, kind, realm, key string, left float64)
 	Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool)
 	Left(now float64, id uint64)
@@ -155,18 +155,18 @@
 	Avoids(server uint64) bool
 }
 
-// Maker starts a module.
-type Maker func(now float64, set balancer.Settings, host balancer.Host) Module
+// NewBalancer starts a module.
+type NewBalancer func(now float64, set balancer.Settings, host balancer.Host) Balancer
 
-// Logic makes the product's module.
-func Logic(now float64, set balancer.Settings, host balancer.Host) Module {
+// DefaultBalancer makes the product's module.
+func DefaultBalancer(now float64, set balancer.Settings, host balancer.Host) Balancer {
 	return balancer.New(now, set, host)
 }
 
-// Router is one instance: the module and what it has taken.
-type Router struct {
-	Outside
-	module Module
+// Core is one instance: the module and what it has taken.
+type Core struct {
+	Dependencies
+	module Balancer
 	ops    map[uint64]*operation
 	last   uint64
 	zones  map[uint64]string  // of servers, while somebody wants to know
@@ -177,13 +177,13 @@
 
 // Counts is what has happened since the start.
 type Counts struct {
-	Taken, Finished, Declined, Terminated, Left, Executions, Faults uint64
-	Reasons                                                         [len(Reasons)]uint64 // of what was declined
+	Taken, Succeeded, Rejected, Failed, ClientsGone, Attempts, Faults uint64
+	Reasons                                                           [len(ReasonNames)]uint64 // of what was declined
 }
 
 type operation struct {
-	*Operation
-	r          *Router
+	*Request
+	r          *Core
 	id         uint64
 	client     Client // nil once answered
 	executions []*execution
@@ -194,20 +194,20 @@
 	of      *operation
 	n       int
 	began   float64
-	pending Pending
+	pending PendingAttempt
 	zone    string
 	mark    uint64 // by which its zone's watcher knows it; 0: it does not
 }
 
 // New starts the module that decides.
-func New(set balancer.Settings, out Outside, module Maker) *Router {
-	r := &Router{Outside: out, ops: map[uint64]*operation{}, zones: map[uint64]string{}}
+func New(set balancer.Settings, out Dependencies, module NewBalancer) *Core {
+	r := &Core{Dependencies: out, ops: map[uint64]*operation{}, zones: map[uint64]string{}}
 	r.promise(set.TrafficClasses)
 	r.module = module(out.Clock.Now(), set, r)
 	return r
 }
 
-func (r *Router) promise(types []balancer.TrafficClass) {
+func (r *Core) promise(types []balancer.TrafficClass) {
 	r.times, r.again = map[string]float64{}, map[string]bool{}
 	for _, t := range types {
 		r.times[t.Name], r.again[t.Name] = t.LatencyObjective, t.Idempotency == balancer.Idempotent
@@ -215,34 +215,34 @@
 }
 
 // Open is how many operations have no final answer or have executions out.
-func (r *Router) Open() int { return len(r.ops) }
+func (r *Core) Open() int { return len(r.ops) }
 
 // Taken takes an operation, and gives the id by which its client's departure is told.
-func (r *Router) Taken(op *Operation, client Client) uint64 {
+func (r *Core) Taken(op *Request, client Client) uint64 {
 	r.last++
 	r.Counts.Taken++
-	op.Once = !r.again[op.Kind]
-	o := &operation{Operation: op, r: r, id: r.last, client: client}
+	op.NotIdempotent = !r.again[op.Class]
+	o := &operation{Request: op, r: r, id: r.last, client: client}
 	r.ops[o.id] = o
 	r.guard(o, func() {
-		r.module.Arrived(r.Clock.Now(), o.id, op.Kind, op.Tenant, op.Key, op.Left)
+		r.module.Arrived(r.Clock.Now(), o.id, op.Class, op.Tenant, op.Key, op.TimeLeft)
 	})
 	return o.id
 }
 
 // Left takes a client's departure.
-func (r *Router) Left(id uint64) {
+func (r *Core) Left(id uint64) {
 	if o := r.ops[id]; o != nil && o.client != nil {
-		r.Counts.Left++
+		r.Counts.ClientsGone++
 		o.client = nil
-		o.tell(Left, NoReason)
+		o.tell(ClientGone, NoReason)
 		r.guard(o, func() { r.module.Left(r.Clock.Now(), id) })
 		o.forget()
 	}
 }
 
 // Listed takes an update of the list.
-func (r *Router) Listed(kind balancer.EndpointUpdate, members []balancer.Endpoint) {
+func (r *Core) Listed(kind balancer.EndpointUpdate, members []balancer.Endpoint) {
 	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		clear(r.zones)
 	}
@@ -255,65 +255,65 @@
 }
 
 // Barred takes that operators leave a server out, or that it may serve again.
-func (r *Router) Barred(server uint64, out bool) {
+func (r *Core) Barred(server uint64, out bool) {
 	r.guard(nil, func() { r.module.Barred(r.Clock.Now(), server, out) })
 }
 
 // Zoned takes the part of its keys that a zone serves from now on.
-func (r *Router) Zoned(zone string, share float64) {
+func (r *Core) Zoned(zone string, share float64) {
 	r.guard(nil, func() { r.module.Zoned(r.Clock.Now(), zone, share) })
 }
 
 // Avoids tells whether the module sends a server nothing new now.
-func (r *Router) Avoids(server uint64) (avoided bool) {
+func (r *Core) Avoids(server uint64) (avoided bool) {
 	r.guard(nil, func() { avoided = r.module.Avoids(server) })
 	return avoided
 }
 
 // Offer takes the traffic types that operations may have from now on.
-func (r *Router) Offer(types []balancer.TrafficClass) {
+func (r *Core) Offer(types []balancer.TrafficClass) {
 	r.promise(types)
 	r.guard(nil, func() { r.module.Offer(types) })
 }
 
 // Told takes a peer's words.
-func (r *Router) Told(words []byte) {
+func (r *Core) Told(words []byte) {
 	r.guard(nil, func() { r.module.Told(r.Clock.Now(), words) })
 }
 
 // Counted takes how many routers there are, by those that are heard.
-func (r *Router) Counted(routers int) {
+func (r *Core) Counted(routers int) {
 	r.guard(nil, func() { r.module.Counted(r.Clock.Now(), routers) })
 }
 
-// Settled takes the end of an execution. A result is passed on before anything else.
-func (x *execution) Settled(how balancer.Outcome, with Result) {
+// OnAttemptEnd takes the end of an execution. A result is passed on before anything else.
+func (x *execution) OnAttemptEnd(how balancer.Outcome, with Result) {
 	o, r, now := x.of, x.of.r, x.of.r.Clock.Now()
 	o.out--
 	x.pending = nil
 	if x.mark > 0 {
-		r.Zones.Ended(x.zone, x.mark, how, now-x.began, r.times[o.Kind])
+		r.ZoneObserver.Ended(x.zone, x.mark, how, now-x.began, r.times[o.Class])
 	}
 	final := how == balancer.Succeeded && o.client != nil
 	if final {
-		r.Counts.Finished++
-		o.answer().Finished(with)
-		o.tell(Finished, NoReason)
-	} else if with.Long != nil {
-		with.Long.Drop()
+		r.Counts.Succeeded++
+		o.answer().Succeeded(with)
+		o.tell(Succeeded, NoReason)
+	} else if with.Body != nil {
+		with.Body.Discard()
 	}
 	if o.Account != nil {
-		o.Account.Took(now - x.began)
+		o.Account.AttemptEnded(now - x.began)
 	}
 	r.guard(o, func() { r.module.Settled(now, o.id, x.n, how, now-x.began, final) })
 	o.forget()
 }
 
-// Wanted tells whether its operation has no answer and its client is there.
-func (x *execution) Wanted() bool { return x.of.client != nil && !x.of.client.Gone() }
+// StillWanted tells whether its operation has no answer and its client is there.
+func (x *execution) StillWanted() bool { return x.of.client != nil && !x.of.client.Disconnected() }
 
 // tell lets the account know the final answer.
-func (o *operation) tell(end End, why Reason) {
+func (o *operation) tell(end RequestEnd, why RejectReason) {
 	if o.Account != nil {
 		o.Account.Answered(end, why)
 	}
@@ -333,20 +333,20 @@
 	}
 	for _, x := range o.executions {
 		if x.pending != nil {
-			x.pending.DropUnsent()
+			x.pending.CancelIfUnsent()
 		}
 	}
 	if o.out == 0 && o.r.ops[o.id] == o {
 		delete(o.r.ops, o.id)
 		if o.Account != nil {
-			o.Account.Ended()
+			o.Account.RequestDone()
 		}
 	}
 }
 
 // guard calls the module. Should it fail, the failure is logged and the operation at hand is answered; the
 // router serves on, for the other operations have their answers to get.
-func (r *Router) guard(o *operation, call func()) {
+func (r *Core) guard(o *operation, call func()) {
 	defer func() {
 		if p := recover(); p != nil {
 			r.Counts.Faults++
@@ -362,73 +362,73 @@
 // The host's side.
 
 // StartAttempt begins an execution.
-func (r *Router) StartAttempt(id, server uint64, limit, within float64) {
+func (r *Core) StartAttempt(id, server uint64, limit, within float64) {
 	o := r.ops[id]
 	x := &execution{of: o, n: len(o.executions), began: r.Clock.Now()}
 	o.executions = append(o.executions, x)
 	o.out++
 	// After a fault of the module nothing is sent for what has its final answer, nor a further one for who left meanwhile; a first
 	// one begins as its command is read, which tells the same.
-	if o.client == nil || x.n > 0 && o.client.Gone() {
-		r.Clock.After(0, func() { x.Settled(balancer.NotAttempted, Result{}) })
+	if o.client == nil || x.n > 0 && o.client.Disconnected() {
+		r.Clock.After(0, func() { x.OnAttemptEnd(balancer.NotAttempted, Result{}) })
 		return
 	}
-	r.Counts.Executions++
-	if x.zone = r.zones[server]; r.Zones != nil && x.zone != "" {
-		x.mark = r.Zones.Began(x.zone, r.times[o.Kind])
+	r.Counts.Attempts++
+	if x.zone = r.zones[server]; r.ZoneObserver != nil && x.zone != "" {
+		x.mark = r.ZoneObserver.Began(x.zone, r.times[o.Class])
 	}
-	x.pending = r.Caches.Execute(server, o.Operation, limit, within, x)
+	x.pending = r.Upstream.StartAttempt(server, o.Request, limit, within, x)
 }
 
 // CancelAttempt stops waiting for an execution.
-func (r *Router) CancelAttempt(id uint64, n int) {
+func (r *Core) CancelAttempt(id uint64, n int) {
 	if o := r.ops[id]; o != nil && n < len(o.executions) && o.executions[n].pending != nil {
-		o.executions[n].pending.Drop()
+		o.executions[n].pending.Cancel()
 	}
 }
 
 // Reject answers an operation.
-func (r *Router) Reject(id uint64, retryAfter float64, why balancer.RejectReason) {
+func (r *Core) Reject(id uint64, retryAfter float64, why balancer.RejectReason) {
 	if o := r.ops[id]; o != nil && o.client != nil {
-		r.Counts.Declined++
+		r.Counts.Rejected++
 		r.Counts.Reasons[reasons[why]]++
-		o.answer().Declined(retryAfter)
-		o.tell(Declined, reasons[why])
+		o.answer().Rejected(retryAfter)
+		o.tell(Rejected, reasons[why])
 		o.forget()
 	}
 }
 
 // Fail answers an operation.
-func (r *Router) Fail(id uint64) {
+func (r *Core) Fail(id uint64) {
 	if o := r.ops[id]; o != nil && o.client != nil {
-		r.Counts.Terminated++
-		o.answer().Terminated()
-		o.tell(Terminated, NoReason)
+		r.Counts.Failed++
+		o.answer().Failed()
+		o.tell(Failed, NoReason)
 		o.forget()
 	}
 }
 
 // End gives what has no final answer one, in the order in which it came: the process ends.
-func (r *Router) End() {
+func (r *Core) End() {
 	for _, id := range slices.Sorted(maps.Keys(r.ops)) {
 		r.Fail(id)
 	}
 }
 
 // Gossip sends words to the peers.
-func (r *Router) Gossip(words []byte) { r.Outside.Tell(words) }
+func (r *Core) Gossip(words []byte) { r.Dependencies.Gossip(words) }
 
 // Probe looks at a server.
-func (r *Router) Probe(server uint64) {
-	r.Caches.Probe(server, func(how balancer.Outcome) {
+func (r *Core) Probe(server uint64) {
+	r.Upstream.Probe(server, func(how balancer.Outcome) {
 		r.guard(nil, func() { r.module.Probed(r.Clock.Now(), server, how) })
 	})
 }
 
 // SetTimer wakes the module.
-func (r *Router) SetTimer(delay float64, name string) {
+func (r *Core) SetTimer(delay float64, name string) {
 	r.Clock.After(delay, func() { r.guard(nil, func() { r.module.Wake(r.Clock.Now(), name) }) })
 }
 
 // WatchEndpoints asks for list changes.
-func (r *Router) WatchEndpoints(on bool) { r.Outside.Watch(on) }
+func (r *Core) WatchEndpoints(on bool) { r.Dependencies.WatchEndpoints(on) }
--- a/internal/requestcore/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -12,8 +12,8 @@
 type outside struct {
 	now     float64
 	timers  []func()
-	began   []Execution
-	ops     []*Operation
+	began   []AttemptObserver
+	ops     []*Request
 	within  []float64
 	dropped int
 	unsent  int
@@ -23,9 +23,9 @@
 func (o *outside) Now() float64                         { return o.now }
 func (o *outside) After(_ float64, f func())            { o.timers = append(o.timers, f) }
 func (o *outside) Probe(uint64, func(balancer.Outcome)) { o.probes++ }
-func (o *outside) Drop()                                { o.dropped++ }
-func (o *outside) DropUnsent()                          { o.unsent++ }
-func (o *outside) Execute(_ uint64, op *Operation, _, within float64, x Execution) Pending {
+func (o *outside) Cancel()                              { o.dropped++ }
+func (o *outside) CancelIfUnsent()                      { o.unsent++ }
+func (o *outside) StartAttempt(_ uint64, op *Request, _, within float64, x AttemptObserver) PendingAttempt {
 	o.began, o.ops, o.within = append(o.began, x), append(o.ops, op), append(o.within, within)
 	return o
 }
@@ -33,26 +33,26 @@
 // answers counts what a client was told.
 type answers struct{ finished, declined, terminated int }
 
-func (a *answers) Finished(Result)  { a.finished++ }
-func (a *answers) Declined(float64) { a.declined++ }
-func (a *answers) Terminated()      { a.terminated++ }
-func (a *answers) Gone() bool       { return false }
+func (a *answers) Succeeded(Result)   { a.finished++ }
+func (a *answers) Rejected(float64)   { a.declined++ }
+func (a *answers) Failed()            { a.terminated++ }
+func (a *answers) Disconnected() bool { return false }
 
-func started(effect balancer.Idempotency) (*Router, *outside) {
+func started(effect balancer.Idempotency) (*Core, *outside) {
 	o := &outside{now: 1000}
 	r := New(balancer.Settings{CancellationAllowed: true, MaxAttempts: 3, TrafficClasses: []balancer.TrafficClass{
 		{Name: "t", Idempotency: effect, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: 0.3, LatencyObjective: 0.1, Deadline: 0.5, PriorityWeight: 1}}},
-		Outside{Clock: o, Caches: o, Tell: func([]byte) {}, Watch: func(bool) {}, Log: zerolog.Nop()}, Logic)
+		Dependencies{Clock: o, Upstream: o, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, DefaultBalancer)
 	r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1},
 		{ID: 2, State: balancer.Ready, Capacity: 1}})
 	return r, o
 }
 
-func (r *Router) take(a *answers) uint64 {
-	return r.Taken(&Operation{Kind: "t", Key: "k", Left: 0.5}, a)
+func (r *Core) take(a *answers) uint64 {
+	return r.Taken(&Request{Class: "t", Key: "k", TimeLeft: 0.5}, a)
 }
 
-func check(t *testing.T, r *Router, a answers, want answers, open int) {
+func check(t *testing.T, r *Core, a answers, want answers, open int) {
 	t.Helper()
 	if a != want || r.Open() != open {
 		t.Errorf("the client was told %+v, want %+v; %d are open, want %d", a, want, r.Open(), open)
@@ -75,12 +75,12 @@
 		r, o := started(c.effect)
 		for range 20 { // operations, which earn further executions
 			r.take(&answers{})
-			o.began[len(o.began)-1].Settled(balancer.Succeeded, Result{})
+			o.began[len(o.began)-1].OnAttemptEnd(balancer.Succeeded, Result{})
 		}
 		var a answers
 		r.take(&a)
 		for _, how := range c.ends {
-			o.began[len(o.began)-1].Settled(how, Result{})
+			o.began[len(o.began)-1].OnAttemptEnd(how, Result{})
 		}
 		if a != c.want || r.Open() != 0 {
 			t.Errorf("%s: the client was told %+v, want %+v; %d are open", name, a, c.want, r.Open())
@@ -95,7 +95,7 @@
 	id := r.take(&a)
 	r.Left(id)
 	check(t, r, a, answers{}, 1)
-	o.began[0].Settled(balancer.Succeeded, Result{})
+	o.began[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, r, a, answers{}, 0)
 	if o.dropped != 1 || o.unsent != 1 {
 		t.Errorf("%d executions were given up, %d if not sent, want 1 of each", o.dropped, o.unsent)
@@ -122,7 +122,7 @@
 		t.Errorf("an execution was begun after the final answer")
 	}
 	o.timers[len(o.timers)-1]()
-	o.began[0].Settled(balancer.Succeeded, Result{})
+	o.began[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, r, a, answers{terminated: 1}, 0)
 	if r.Counts.Faults != 1 {
 		t.Errorf("%d faults are counted, want 1", r.Counts.Faults)
@@ -134,11 +134,11 @@
 	for effect, once := range map[balancer.Idempotency]bool{balancer.Idempotent: false, balancer.IdempotencyKeyed: true, balancer.AtMostOnce: true} {
 		r, o := started(effect)
 		r.take(&answers{})
-		if o.ops[0].Once != once {
+		if o.ops[0].NotIdempotent != once {
 			t.Errorf("effect %d: once is %v", effect, !once)
 		}
 		if o.now += 0.1; effect == balancer.IdempotencyKeyed {
-			o.began[0].Settled(balancer.Cancelled, Result{})
+			o.began[0].OnAttemptEnd(balancer.Cancelled, Result{})
 			if len(o.within) != 2 || o.within[1] < 0.19 || o.within[1] > 0.21 { // of a window of 0.3 s
 				t.Errorf("executions are to be written within %v", o.within)
 			}
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -130,7 +130,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := assemble(Setup{Platform: conf, Operators: theirs(t, fmt.Sprintf(contract, "127.0.0.1:1", "", own, 2.0))}, requestcore.Logic, zerolog.Nop())
+	s, err := assemble(Setup{Platform: conf, Operators: theirs(t, fmt.Sprintf(contract, "127.0.0.1:1", "", own, 2.0))}, requestcore.DefaultBalancer, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -150,7 +150,7 @@
 		t.Errorf("the platform's pool answers %q", got)
 	}
 	tally := make(chan uint64)
-	s.loop.Post(func() { tally <- s.broker.States()[0].Reasons[requestcore.NoServer] })
+	s.loop.Post(func() { tally <- s.broker.States()[0].Reasons[requestcore.ReasonNoEndpoint] })
 	if got := <-tally; got != 1 {
 		t.Errorf("%d declines are for want of a server", got)
 	}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -349,13 +349,13 @@
 
 // spy notes how long operations may take.
 type spy struct {
-	requestcore.Module
+	requestcore.Balancer
 	left chan float64
 }
 
 func (s spy) Arrived(now float64, id uint64, kind, realm, key string, left float64) {
 	s.left <- left
-	s.Module.Arrived(now, id, kind, realm, key, left)
+	s.Balancer.Arrived(now, id, kind, realm, key, left)
 }
 
 // What is taken once the process is told to end is given no more time than the process has.
@@ -366,8 +366,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
-		return spy{requestcore.Logic(now, set, host), left}
+	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
+		return spy{requestcore.DefaultBalancer(now, set, host), left}
 	}, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -402,7 +402,9 @@
 		t.Fatal(err)
 	}
 	signals, ended := make(chan os.Signal, 1), make(chan error, 1)
-	go func() { ended <- Run(Setup{Platform: conf}, signals, requestcore.Logic, nil, zerolog.New(log)) }()
+	go func() {
+		ended <- Run(Setup{Platform: conf}, signals, requestcore.DefaultBalancer, nil, zerolog.New(log))
+	}()
 	for i := 0; ask(addr, read) != "VA 2 Oa1" && i < 500; i++ {
 		time.Sleep(10 * time.Millisecond)
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -101,7 +101,7 @@
 		for _, id := range []uint64{7, 8} {
 			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
 		}
-		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.Logic, zerolog.Nop())
+		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.DefaultBalancer, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -138,7 +138,7 @@
 			t.Fatal(err)
 		}
 		defer peer.Close()
-		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.Logic, zerolog.Nop())
+		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.DefaultBalancer, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -158,7 +158,7 @@
 	log := &noted{}
 	conf := fleetOf(t, 0, 100, freeUDP(t))
 	conf.Settings.GossipAllowed = false
-	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.Logic, zerolog.New(log))
+	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.DefaultBalancer, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -46,7 +46,7 @@
 		conf.Known, _ = discovery.Parse(text)
 	}
 	if err == nil {
-		s, err = assemble(Setup{Platform: conf}, requestcore.Logic, zerolog.Nop())
+		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, zerolog.Nop())
 	}
 	if err != nil {
 		t.Fatal(err)
@@ -162,11 +162,11 @@
 
 // counter is a module that keeps how many routers it was told of.
 type counter struct {
-	requestcore.Module
+	requestcore.Balancer
 	routers []int
 }
 
 func (c *counter) Counted(now float64, n int) {
 	c.routers = append(c.routers, n)
-	c.Module.Counted(now, n)
+	c.Balancer.Counted(now, n)
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -21,7 +21,7 @@
 type pool struct {
 	s        *Service
 	name     string
-	router   *requestcore.Router
+	router   *requestcore.Core
 	fleet    *upstream.Fleet
 	onDemand bool                       // its module asks for the list
 	listed   map[uint64]bool            // the servers that the list holds
@@ -59,9 +59,9 @@
 	if name != "" {           // what was finished before was at the platform's servers
 		set.InitialCompletionRate = 0
 	}
-	out := requestcore.Outside{Clock: s.loop, Caches: p.fleet, Tell: s.telling(name), Watch: watch, Log: p.log}
+	out := requestcore.Dependencies{Clock: s.loop, Upstream: p.fleet, Gossip: s.telling(name), WatchEndpoints: watch, Log: p.log}
 	if s.zones != nil {
-		out.Zones = s.zones
+		out.ZoneObserver = s.zones
 	}
 	p.router = requestcore.New(set, out, s.module)
 	if s.routers > 0 {
@@ -237,8 +237,8 @@
 // count logs what has happened since the start.
 func (p *pool) count(log zerolog.Logger, clients int) {
 	c := p.router.Counts
-	e := log.Info().Uint64("taken", c.Taken).Uint64("finished", c.Finished).Uint64("declined", c.Declined).
-		Uint64("terminated", c.Terminated).Uint64("left", c.Left).Uint64("executions", c.Executions).
+	e := log.Info().Uint64("taken", c.Taken).Uint64("finished", c.Succeeded).Uint64("declined", c.Rejected).
+		Uint64("terminated", c.Failed).Uint64("left", c.ClientsGone).Uint64("executions", c.Attempts).
 		Uint64("faults", c.Faults).Int("open", p.router.Open()).Int("clients", clients).Int("idle", p.fleet.Idle())
 	for why, n := range p.fleet.Cut() {
 		if n > 0 {
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -101,12 +101,12 @@
 		return
 	}
 	now, c := w.s.loop.Now(), w.s.platform.router.Counts
-	for _, x := range w.start.Tick(now, c.Taken, c.Finished) {
+	for _, x := range w.start.Tick(now, c.Taken, c.Succeeded) {
 		w.s.log.Info().Stringer("from", x.From).Stringer("to", x.To).Float64("after", now-w.s.began).Str("why", x.Why).Msg("start")
 	}
 	if passed := now - w.at; passed > 0 {
-		w.rate += (float64(c.Finished-w.done)/passed - w.rate) * (1 - math.Exp(-passed/rateOver))
-		w.done, w.at = c.Finished, now
+		w.rate += (float64(c.Succeeded-w.done)/passed - w.rate) * (1 - math.Exp(-passed/rateOver))
+		w.done, w.at = c.Succeeded, now
 	}
 	if p, _, _ := w.start.Phase(); w.store != nil && p == startup.Full && now-w.put > putting {
 		w.put = now
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -47,7 +47,7 @@
 			t.Fatal(err)
 		}
 		var flows []float64
-		maker := func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
+		maker := func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
 			flows = append(flows, set.InitialCompletionRate)
 			return balancer.New(now, set, host)
 		}
@@ -132,7 +132,7 @@
 			ready := make(chan *Service, 1)
 			go func() {
 				s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}},
-					requestcore.Logic, zerolog.Nop())
+					requestcore.DefaultBalancer, zerolog.Nop())
 				if err != nil {
 					t.Error(err)
 					return
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -73,7 +73,7 @@
 	platform  *pool
 	pools     map[string]*pool // the others, by name
 	leaving   []*pool          // that are no longer named and have operations open
-	module    requestcore.Maker
+	module    requestcore.NewBalancer
 	peers     *peertransport.Peers
 	tier      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
 	routers   int                              // as the modules were told last; 0: by the settings
@@ -117,7 +117,7 @@
 }
 
 // Run serves until the router has ended; module starts its decisions, again reads the configuration anew.
-func Run(set Setup, signals <-chan os.Signal, module requestcore.Maker, again func() (Setup, error), log zerolog.Logger) error {
+func Run(set Setup, signals <-chan os.Signal, module requestcore.NewBalancer, again func() (Setup, error), log zerolog.Logger) error {
 	conf := set.Platform
 	// Two at least: with one, the runtime's monitor finds none idle and takes it from the loop at each wait for events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
@@ -194,7 +194,7 @@
 }
 
 // assemble puts the parts together, from the caches to the clients.
-func assemble(set Setup, module requestcore.Maker, log zerolog.Logger) (*Service, error) {
+func assemble(set Setup, module requestcore.NewBalancer, log zerolog.Logger) (*Service, error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return nil, err
@@ -408,7 +408,7 @@
 func reasonsOf(e *zerolog.Event, counts []uint64) *zerolog.Event {
 	for why, n := range counts {
 		if n > 0 {
-			e = e.Uint64("declined for "+requestcore.Reasons[why], n)
+			e = e.Uint64("declined for "+requestcore.ReasonNames[why], n)
 		}
 	}
 	return e
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -76,7 +76,7 @@
 	free.Close()
 	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), func(string) string { return "" })
 	if err == nil {
-		s, err = assemble(Setup{Platform: conf}, requestcore.Logic, log)
+		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, log)
 	}
 	return s, addr, err
 }
--- a/internal/service/tier_test.go
+++ b/internal/service/tier_test.go
@@ -28,8 +28,8 @@
 		t.Fatal(err)
 	}
 	told := &counter{}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Module {
-		told.Module = requestcore.Logic(now, set, host)
+	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
+		told.Balancer = requestcore.DefaultBalancer(now, set, host)
 		return told
 	}, zerolog.Nop())
 	if err != nil {
--- a/internal/service/tiles_test.go
+++ b/internal/service/tiles_test.go
@@ -250,7 +250,7 @@
 			t.Errorf("it %s, and the tile server is still asked", name)
 		}
 	}
-	begun := func() uint64 { return s.pools["maps"].router.Counts.Executions }
+	begun := func() uint64 { return s.pools["maps"].router.Counts.Attempts }
 	before := on(s, begun)
 	on(s, func() bool { // the loop is held until the end is behind all of it
 		conn, _ := asking(t, own, "", "")
--- a/internal/upstream/caches.go
+++ b/internal/upstream/caches.go
@@ -138,9 +138,9 @@
 	}
 }
 
-// Execute begins an execution; it is given up after limit, or where it is not written after within.
-func (f *Fleet) Execute(id uint64, op *requestcore.Operation, limit, within float64, x requestcore.Execution) requestcore.Pending {
-	a := &attempt{op: op, ended: x.Settled, wanted: x.Wanted}
+// StartAttempt begins an execution; it is given up after limit, or where it is not written after within.
+func (f *Fleet) StartAttempt(id uint64, op *requestcore.Request, limit, within float64, x requestcore.AttemptObserver) requestcore.PendingAttempt {
+	a := &attempt{op: op, ended: x.OnAttemptEnd, wanted: x.StillWanted}
 	f.begin(id, a, limit, within)
 	return a
 }
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -23,8 +23,8 @@
 // outcome notes how an execution ended.
 type outcome chan balancer.Outcome
 
-func (o outcome) Settled(how balancer.Outcome, _ requestcore.Result) { o <- how }
-func (o outcome) Wanted() bool                                       { return true }
+func (o outcome) OnAttemptEnd(how balancer.Outcome, _ requestcore.Result) { o <- how }
+func (o outcome) StillWanted() bool                                       { return true }
 
 func (o outcome) want(t *testing.T, want balancer.Outcome) {
 	t.Helper()
@@ -160,10 +160,10 @@
 	<-done
 }
 
-func (f fleet) execute(limit float64) (o outcome, p requestcore.Pending) {
+func (f fleet) execute(limit float64) (o outcome, p requestcore.PendingAttempt) {
 	o = make(outcome, 1)
 	f.do(f.loop, func() {
-		p = f.Execute(1, &requestcore.Operation{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}, limit, limit, o)
+		p = f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}, limit, limit, o)
 	})
 	return o, p
 }
@@ -257,8 +257,8 @@
 func TestRestedConnectionIsUsedFirst(t *testing.T) {
 	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	first, second := make(outcome, 1), make(outcome, 1)
-	op := &requestcore.Operation{ID: "a", Flags: "Oa"}
-	f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
+	op := &requestcore.Request{ID: "a", Flags: "Oa"}
+	f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
 	first.want(t, balancer.Succeeded)
 	second.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
@@ -284,9 +284,9 @@
 	})
 	first, _ := f.execute(5)
 	first.want(t, balancer.Succeeded)
-	op, next := &requestcore.Operation{ID: "a"}, make(outcome, 1)
+	op, next := &requestcore.Request{ID: "a"}, make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, op, 5, 5, follow(func() { f.Execute(1, op, 5, 5, next) }))
+		f.StartAttempt(1, op, 5, 5, follow(func() { f.StartAttempt(1, op, 5, 5, next) }))
 		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
 	})
 	next.want(t, balancer.Succeeded)
@@ -295,8 +295,8 @@
 // follow does something as soon as an execution has ended.
 type follow func()
 
-func (f follow) Settled(balancer.Outcome, requestcore.Result) { f() }
-func (f follow) Wanted() bool                                 { return true }
+func (f follow) OnAttemptEnd(balancer.Outcome, requestcore.Result) { f() }
+func (f follow) StillWanted() bool                                 { return true }
 
 func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
@@ -310,7 +310,7 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	o, p := f.execute(5)
 	f.line("mg")
-	f.do(f.loop, p.Drop)
+	f.do(f.loop, p.Cancel)
 	o.want(t, balancer.Cancelled)
 	f.line("end")
 }
@@ -325,7 +325,9 @@
 		}
 	})
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o) })
+	f.do(f.loop, func() {
+		f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o)
+	})
 	o.want(t, balancer.Succeeded)
 }
 
@@ -342,7 +344,7 @@
 func TestNoMeansToDial(t *testing.T) {
 	f := serving(t, usual, nil)
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(9, &requestcore.Operation{ID: "a"}, 5, 5, o) }) // it has no address
+	f.do(f.loop, func() { f.StartAttempt(9, &requestcore.Request{ID: "a"}, 5, 5, o) }) // it has no address
 	o.want(t, balancer.NotAttempted)
 }
 
@@ -351,7 +353,7 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o)
+		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o)
 		f.servers[1].links[0].neverUp()
 	})
 	o.want(t, balancer.ConnectFailed)
@@ -370,12 +372,12 @@
 			}
 		})
 		first, second, silent, next := make(outcome, 1), make(outcome, 1), make(outcome, 1), make(outcome, 1)
-		op, slow := &requestcore.Operation{ID: "a", Flags: "Oa"}, &requestcore.Operation{ID: "b", Flags: "Ob"}
-		f.do(f.loop, func() { f.Execute(1, op, 5, 5, first); f.Execute(1, op, 5, 5, second) })
+		op, slow := &requestcore.Request{ID: "a", Flags: "Oa"}, &requestcore.Request{ID: "b", Flags: "Ob"}
+		f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
 		first.want(t, balancer.Succeeded)
 		second.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
-			a := f.Execute(1, slow, 5, 5, silent).(*attempt)
+			a := f.StartAttempt(1, slow, 5, 5, silent).(*attempt)
 			if name == "never up" {
 				f.servers[1].waiting = append(f.servers[1].waiting, &attempt{on: a.on, done: true})
 				f.servers[1].dial()
@@ -385,7 +387,7 @@
 				t.Errorf("%s: %d idle connections are kept", name, n)
 			}
 		})
-		f.do(f.loop, func() { f.Execute(1, op, 5, 5, next) })
+		f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, next) })
 		next.want(t, balancer.Succeeded)
 	}
 }
@@ -394,7 +396,7 @@
 func TestLimitBeforeTheConnectionIsUp(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, o).(*attempt).overdue() })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).overdue() })
 	o.want(t, balancer.NotAttempted)
 }
 
@@ -412,7 +414,7 @@
 	first, p := f.execute(5)
 	f.line("mg")
 	second, _ := f.execute(5)
-	f.do(f.loop, p.Drop)
+	f.do(f.loop, p.Cancel)
 	first.want(t, balancer.Cancelled)
 	answer <- true
 	answer <- true
@@ -438,14 +440,14 @@
 	o, first, value := make(outcome, 1), make(outcome, 1), make([]byte, 64<<10)
 	f.do(f.loop, func() {
 		f.limits.Connections, f.limits.PerConnection = 1, 1000
-		f.Execute(1, &requestcore.Operation{ID: "a", Write: true, Value: value}, 5, 5, first)
+		f.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: value}, 5, 5, first)
 	})
 	f.line("ms")
 	f.do(f.loop, func() { // more than the kernel's buffers hold, since the server reads none of it
 		for range 200 {
-			f.Execute(1, &requestcore.Operation{ID: "b", Write: true, Value: value}, 5, 5, make(outcome, 1))
+			f.StartAttempt(1, &requestcore.Request{ID: "b", Write: true, Value: value}, 5, 5, make(outcome, 1))
 		}
-		f.Execute(1, &requestcore.Operation{ID: "c", Write: true, Value: value}, 5, 5, o)
+		f.StartAttempt(1, &requestcore.Request{ID: "c", Write: true, Value: value}, 5, 5, o)
 	})
 	close(all)
 	first.want(t, balancer.ConnectionLost)
@@ -482,8 +484,8 @@
 	f := serving(t, usual, func(net.Conn, string) {})
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{ID: "a"}, 5, 5, first)
-		f.Execute(1, &requestcore.Operation{ID: "b"}, 5, 5, second).DropUnsent()
+		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, first)
+		f.StartAttempt(1, &requestcore.Request{ID: "b"}, 5, 5, second).CancelIfUnsent()
 		f.Unlisted(1)
 	})
 	first.want(t, balancer.NotAttempted)
@@ -505,7 +507,7 @@
 	})
 	f.execute(5)
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
 	o.want(t, balancer.Succeeded)
 }
 
@@ -550,7 +552,7 @@
 		o := make(outcome, 1)
 		f.do(f.loop, func() {
 			f.Listed(id, f.servers[1].addr)
-			f.Execute(id, &requestcore.Operation{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
+			f.StartAttempt(id, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
 		if o.want(t, balancer.Succeeded); t.Failed() {
 			t.Fatalf("at server %d", id)
@@ -570,9 +572,9 @@
 	ended     chan string
 }
 
-func (k *taker) Whole()  { k.ended <- "whole" }
-func (k *taker) Broken() { k.ended <- "broken" }
-func (k *taker) Part(p []byte) int {
+func (k *taker) OnComplete() { k.ended <- "whole" }
+func (k *taker) OnBroken()   { k.ended <- "broken" }
+func (k *taker) OnPart(p []byte) int {
 	n := min(len(p), k.room)
 	k.room, k.got = k.room-n, k.got+n
 	k.sum = crc32.Update(k.sum, crc32.IEEETable, p[:n])
@@ -601,25 +603,25 @@
 		ends  string
 	}{{length, "whole"}, {length / 2, "broken"}} {
 		settled, k := make(chan requestcore.Result, 1), &taker{ended: make(chan string, 1)}
-		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
+		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
 		behind := make(outcome, 1)
-		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
+		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
 		part <- c.gives
-		long := (<-settled).Long
+		long := (<-settled).Body
 		behind.want(t, balancer.TimedOut)
 		late := make(outcome, 1) // is not sent behind it
-		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
+		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
 		late.want(t, balancer.NotAttempted)
 		f.do(f.loop, func() {
 			l := f.servers[1].links[0]
 			l.stalled()
 			k.room = 1000
-			long.Pull(k)
+			long.StartReading(k)
 			if k.got != 1000 || l.conn.In.Len()+k.got > 20<<10 || f.sends == 0 {
 				t.Errorf("%d bytes were taken, %d are held", k.got, l.conn.In.Len())
 			}
 			k.room = 2 * length
-			long.More()
+			long.ResumeReading()
 		})
 		for i := 0; k.ended != nil && len(k.ended) == 0 && i < 200; i++ {
 			time.Sleep(10 * time.Millisecond)
@@ -644,8 +646,8 @@
 // results takes what an execution settles with.
 type results chan requestcore.Result
 
-func (r results) Settled(_ balancer.Outcome, with requestcore.Result) { r <- with }
-func (r results) Wanted() bool                                        { return true }
+func (r results) OnAttemptEnd(_ balancer.Outcome, with requestcore.Result) { r <- with }
+func (r results) StillWanted() bool                                        { return true }
 
 // A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's, whole.
 func TestAReplyInPieces(t *testing.T) {
@@ -668,7 +670,7 @@
 		var conn net.Conn
 		for cut := range c.reply {
 			o := make(outcome, 1)
-			f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
+			f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
 			if conn == nil {
 				conn = <-conns
 			}
@@ -707,7 +709,7 @@
 	at, accept := full(t)
 	f.do(f.loop, func() { f.Listed(2, at) })
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(2, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
+	f.do(f.loop, func() { f.StartAttempt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
 	o.want(t, balancer.NotAttempted)
 	f.do(f.loop, func() {
 		if f.servers[2].coming != 1 {
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -23,7 +23,7 @@
 	f, conns := listening(t, limits)
 	a = make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{ID: "a", Write: true, Value: make([]byte, 32<<20)}, 60, 60, a) // beyond what the kernel holds
+		f.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: make([]byte, 32<<20)}, 60, 60, a) // beyond what the kernel holds
 	})
 	conn := <-conns
 	for held := -1; ; { // until the kernel takes no more
@@ -48,17 +48,17 @@
 // What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was told to drain,
 // or its window is over; and what is before it goes on.
 func TestWhatTheKernelHasNotBegunToTakeIsTakenBack(t *testing.T) {
-	for name, cross := range map[string]func(f fleet, b requestcore.Pending){
-		"its client leaves": func(_ fleet, b requestcore.Pending) { b.DropUnsent() },
-		"it is withdrawn":   func(_ fleet, b requestcore.Pending) { b.Drop() },
-		"a drain is told":   func(f fleet, _ requestcore.Pending) { f.Unlisted(1) },
-		"out by hand":       func(f fleet, _ requestcore.Pending) { f.LetGo(1) },
-		"its window ends":   func(_ fleet, b requestcore.Pending) { b.(*attempt).overdue() },
-		"its window has ended, and the kernel takes more before that is heard": func(_ fleet, b requestcore.Pending) {
+	for name, cross := range map[string]func(f fleet, b requestcore.PendingAttempt){
+		"its client leaves": func(_ fleet, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
+		"it is withdrawn":   func(_ fleet, b requestcore.PendingAttempt) { b.Cancel() },
+		"a drain is told":   func(f fleet, _ requestcore.PendingAttempt) { f.Unlisted(1) },
+		"out by hand":       func(f fleet, _ requestcore.PendingAttempt) { f.LetGo(1) },
+		"its window ends":   func(_ fleet, b requestcore.PendingAttempt) { b.(*attempt).overdue() },
+		"its window has ended, and the kernel takes more before that is heard": func(_ fleet, b requestcore.PendingAttempt) {
 			b.(*attempt).latest = 0
 			b.(*attempt).link.Flushed()
 		},
-		"its client has left, and the kernel takes more before that is heard": func(_ fleet, b requestcore.Pending) {
+		"its client has left, and the kernel takes more before that is heard": func(_ fleet, b requestcore.PendingAttempt) {
 			b.(*attempt).wanted = func() bool { return false }
 			b.(*attempt).link.Flushed()
 		},
@@ -66,8 +66,8 @@
 		f, l, a, hear := stuck(t)
 		b, c := make(outcome, 1), make(outcome, 1)
 		f.do(f.loop, func() {
-			p := f.Execute(1, &requestcore.Operation{Key: "second", ID: "b", Flags: "Ob"}, 60, 30, b)
-			f.Execute(1, &requestcore.Operation{Key: "third", ID: "c", Flags: "Oc"}, 60, 60, c).DropUnsent()
+			p := f.StartAttempt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 60, 30, b)
+			f.StartAttempt(1, &requestcore.Request{Key: "third", ID: "c", Flags: "Oc"}, 60, 60, c).CancelIfUnsent()
 			cross(f, p)
 		})
 		want := balancer.NotAttempted
@@ -96,7 +96,7 @@
 // One that has begun to leave when its client does ends its connection, where no other is on it, and never comes whole.
 func TestWhatHasBegunToLeaveIsCutOff(t *testing.T) {
 	f, l, a, hear := stuck(t)
-	f.do(f.loop, func() { l.queue[0].DropUnsent() })
+	f.do(f.loop, func() { l.queue[0].CancelIfUnsent() })
 	a.want(t, balancer.NotAttempted)
 	if heard := hear(); len(heard) >= 32<<20 {
 		t.Errorf("the server read all %d bytes", len(heard))
@@ -109,7 +109,7 @@
 	other, after := listening(t, usual)
 	o := make(outcome, 1)
 	f.do(f.loop, func() { // in one round, so that the connection is not up yet
-		f.Execute(1, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
+		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
 		f.Listed(1, other.servers[1].addr)
 		if links := f.servers[1].links; len(links) != 1 || links[0].addr != f.servers[1].addr { // the one before might never come up
 			t.Errorf("%d connections come up", len(links))
@@ -131,12 +131,12 @@
 	f, before := listening(t, usual)
 	other, after := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	old := <-before
 	f.do(f.loop, func() { f.Listed(1, other.servers[1].addr) })
 	answer(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second) })
 	answer(t, <-after, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
 }
@@ -146,13 +146,13 @@
 func TestAnIdleConnectionIsNotUsedWhenItIsOld(t *testing.T) {
 	f, conns := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	old := <-conns
 	answer(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
 		f.servers[1].idle[0].since -= f.limits.Idle
-		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
+		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	answer(t, <-conns, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
@@ -171,13 +171,13 @@
 	}{{true, -1, balancer.OutcomeUnknown}, {false, -1, balancer.Overloaded}, {true, 1, balancer.Overloaded}} {
 		f, conns := listening(t, usual)
 		first, second := make(outcome, 1), make(outcome, 1)
-		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 		conn := <-conns
 		answer(t, conn, "VA 0 Oa\r\n\r\n")
 		first.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
 			f.servers[1].links[0].spoke = f.loop.Now() - c.behind
-			f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob", Once: c.once}, 5, 5, second)
+			f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob", NotIdempotent: c.once}, 5, 5, second)
 		})
 		answer(t, conn, "SERVER_ERROR busy\r\n")
 		second.want(t, c.want)
@@ -191,7 +191,7 @@
 	f := serving(t, limits, func(net.Conn, string) {})
 	f.do(f.loop, func() { // in one round, so that all wait for the one connection
 		for _, key := range []string{"k1", "k2", "k3"} {
-			f.Execute(1, &requestcore.Operation{Key: key, ID: "a", Flags: "Oa"}, 5, 5, make(outcome, 1))
+			f.StartAttempt(1, &requestcore.Request{Key: key, ID: "a", Flags: "Oa"}, 5, 5, make(outcome, 1))
 		}
 	})
 	for _, key := range []string{"k1", "k2", "k3"} { // the longest waiting first
@@ -205,7 +205,7 @@
 	limits.Connections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	old := <-conns
 	heard(t, old)
 	f.do(f.loop, func() { // the loop is held until the end has come
@@ -213,7 +213,7 @@
 		for l := f.servers[1].links[0]; !l.conn.Ended(); {
 			time.Sleep(time.Millisecond)
 		}
-		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
+		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	first.want(t, balancer.ConnectionLost)
 	answer(t, <-conns, "VA 0 Ob\r\n\r\n")
@@ -229,7 +229,7 @@
 	o := make(outcome, 1)
 	var conn net.Conn
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
+		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
 		conn = <-conns // the kernel has it, and the loop has not heard of it
 		f.Unlisted(1)
 	})
@@ -246,11 +246,11 @@
 	limits.Connections, limits.PerConnection = 1, 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	conn := <-conns
 	heard(t, conn)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
+		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 		l := f.servers[1].links[0]
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 		for !l.conn.Unread() {
@@ -278,7 +278,7 @@
 					time.Sleep(time.Millisecond)
 				}
 			})
-			f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, o)
+			f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, o)
 			l = f.servers[1].links[0]
 			for len(conns) == 0 {
 				time.Sleep(time.Millisecond)
@@ -297,13 +297,13 @@
 	limits.Connections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
-	var p requestcore.Pending
-	f.do(f.loop, func() { p = f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	var p requestcore.PendingAttempt
+	f.do(f.loop, func() { p = f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	conn := <-conns
 	heard(t, conn)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
-		p.Drop()
+		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
+		p.Cancel()
 	})
 	heard(t, conn)
 	first.want(t, balancer.Cancelled)
@@ -315,7 +315,7 @@
 func TestAnAnswerAndItsLimitInOneRound(t *testing.T) {
 	f, conns := listening(t, usual)
 	o := make(outcome, 2)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 60, o) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, o) })
 	conn := <-conns
 	heard(t, conn)
 	f.do(f.loop, func() {
@@ -345,10 +345,10 @@
 	other, after := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() {
-		f.Execute(1, &requestcore.Operation{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, first)
+		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, first)
 		f.Unlisted(1)
 		f.Listed(1, other.servers[1].addr)
-		f.Execute(1, &requestcore.Operation{Key: "k", ID: "b", Flags: "Ob"}, 5, 5, second)
+		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	first.want(t, balancer.NotAttempted)
 	answer(t, <-after, "VA 0 Ob\r\n\r\n")
@@ -364,13 +364,15 @@
 func TestAConnectionComesUpAfterItsAttemptSettled(t *testing.T) {
 	f, conns := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "first", ID: "a", Flags: "Oa"}, 5, 5, first).Drop() })
+	f.do(f.loop, func() {
+		f.StartAttempt(1, &requestcore.Request{Key: "first", ID: "a", Flags: "Oa"}, 5, 5, first).Cancel()
+	})
 	first.want(t, balancer.Cancelled)
 	conn := <-conns
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
 		f.do(f.loop, func() { idle = len(f.servers[1].idle) })
 	}
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "second", ID: "b", Flags: "Ob"}, 5, 5, second) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 5, 5, second) })
 	line := make([]byte, len("mg second"))
 	if io.ReadFull(conn, line); string(line) != "mg second" {
 		t.Errorf("it was sent %q", line)
@@ -384,7 +386,7 @@
 	f, conns := listening(t, usual)
 	o := make(outcome, 1)
 	var a *attempt
-	f.do(f.loop, func() { a = f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 30, o).(*attempt) })
+	f.do(f.loop, func() { a = f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 30, o).(*attempt) })
 	conn := <-conns
 	heard(t, conn)
 	f.do(f.loop, a.overdue) // the window ends
@@ -438,14 +440,14 @@
 		t.Run(name, func(t *testing.T) {
 			f, conns := listening(t, usual)
 			settled, k := make(chan requestcore.Result, 1), &taker{ended: make(chan string, 1), room: c.taken}
-			f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 60, results(settled)) })
+			f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, results(settled)) })
 			conn, all := (<-conns).(*net.TCPConn), value(c.length)
 			heard(t, conn)
 			text := append(fmt.Appendf(nil, "VA %d Oa\r\n", c.length), append(all, "\r\n"...)...)
 			early := c.taken + 100 // the first line and more
 			conn.Write(text[:early])
-			long := (<-settled).Long
-			f.do(f.loop, func() { long.Pull(k) })
+			long := (<-settled).Body
+			f.do(f.loop, func() { long.StartReading(k) })
 			for got := -1; got < c.taken; time.Sleep(time.Millisecond) {
 				f.do(f.loop, func() { got = k.got })
 			}
@@ -460,7 +462,7 @@
 				rest()
 			}
 			for i := 0; len(k.ended) == 0 && i < 1000; i++ {
-				f.do(f.loop, func() { k.room = 1000; long.More() })
+				f.do(f.loop, func() { k.room = 1000; long.ResumeReading() })
 				time.Sleep(time.Millisecond)
 			}
 			if len(k.ended) == 0 {
@@ -486,13 +488,13 @@
 	limits.Connections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	conn := (<-conns).(*net.TCPConn)
 	heard(t, conn)
 	f.do(f.loop, func() {
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 		reset(conn)
-		f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second)
+		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	first.want(t, balancer.Succeeded)
 	second.want(t, balancer.ConnectFailed)
@@ -505,15 +507,15 @@
 	limits.Connections = 1
 	f, conns := listening(t, limits)
 	settled, second := make(chan requestcore.Result, 1), make(outcome, 1)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
 	conn := <-conns
 	heard(t, conn)
-	f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 5, 5, second) })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second) })
 	heard(t, conn)
 	conn.Write(append([]byte("VA 200000 Oa\r\n"), value(90000)...))
-	long, k := (<-settled).Long, &taker{ended: make(chan string, 1), room: 50000}
-	f.do(f.loop, func() { long.Pull(k) })
-	f.do(f.loop, long.Drop)
+	long, k := (<-settled).Body, &taker{ended: make(chan string, 1), room: 50000}
+	f.do(f.loop, func() { long.StartReading(k) })
+	f.do(f.loop, long.Discard)
 	conn.Write(append(value(110000), "\r\nVA 0 Ob\r\n\r\n"...))
 	second.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
@@ -527,37 +529,40 @@
 func TestWhatIsCutIsCountedByItsReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
-		end    func(f fleet, conn net.Conn, long requestcore.Long)
+		end    func(f fleet, conn net.Conn, long requestcore.BodyStream)
 		why    Cut
 		none   bool
 	}{
-		"a reset in place of an answer":  {"", func(_ fleet, conn net.Conn, _ requestcore.Long) { reset(conn.(*net.TCPConn)) }, ServerEnded, false},
-		"an end within a long value":     {"VA 70000 Oa\r\nxx", func(_ fleet, conn net.Conn, _ requestcore.Long) { conn.Close() }, ServerEnded, false},
-		"noise in place of an answer":    {"noise\r\n", func(fleet, net.Conn, requestcore.Long) {}, OutOfOrder, false},
-		"an answer that does not go on":  {"VA 100 Oa\r\nxx", func(fleet, net.Conn, requestcore.Long) {}, Silent, false},
-		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ fleet, _ net.Conn, long requestcore.Long) { long.Drop() }, ClientGone, false},
-		"an attempt given up before it": {"", func(f fleet, _ net.Conn, _ requestcore.Long) {
+		"a reset in place of an answer":  {"", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { reset(conn.(*net.TCPConn)) }, ServerEnded, false},
+		"an end within a long value":     {"VA 70000 Oa\r\nxx", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { conn.Close() }, ServerEnded, false},
+		"noise in place of an answer":    {"noise\r\n", func(fleet, net.Conn, requestcore.BodyStream) {}, OutOfOrder, false},
+		"an answer that does not go on":  {"VA 100 Oa\r\nxx", func(fleet, net.Conn, requestcore.BodyStream) {}, Silent, false},
+		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ fleet, _ net.Conn, long requestcore.BodyStream) { long.Discard() }, ClientGone, false},
+		"an attempt given up before it": {"", func(f fleet, _ net.Conn, _ requestcore.BodyStream) {
 			f.servers[1].links[0].queue[0].giveUp(balancer.TimedOut)
 		}, GivenUp, false},
-		"an end after the answer":      {"VA 0 Oa\r\n\r\n", func(_ fleet, conn net.Conn, _ requestcore.Long) { conn.Close() }, 0, true},
-		"an end on which nobody waits": {"", func(f fleet, conn net.Conn, _ requestcore.Long) { f.servers[1].links[0].queue[0].Drop(); conn.Close() }, 0, true},
+		"an end after the answer": {"VA 0 Oa\r\n\r\n", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { conn.Close() }, 0, true},
+		"an end on which nobody waits": {"", func(f fleet, conn net.Conn, _ requestcore.BodyStream) {
+			f.servers[1].links[0].queue[0].Cancel()
+			conn.Close()
+		}, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := usual
 			limits.Connections = 1
 			f, conns := listening(t, limits)
 			settled, behind := make(chan requestcore.Result, 1), make(outcome, 1)
-			f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 60, results(settled)) })
+			f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, results(settled)) })
 			conn := <-conns
 			heard(t, conn)
 			if c.why == GivenUp {
-				f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "b", Flags: "Ob"}, 60, 60, behind) })
+				f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind) })
 			}
 			conn.Write([]byte(c.answer))
-			var long requestcore.Long
+			var long requestcore.BodyStream
 			if strings.Contains(c.answer, "70000") || c.why == 0 && c.none && c.answer != "" {
-				if long = (<-settled).Long; long != nil {
-					f.do(f.loop, func() { long.Pull(&taker{ended: make(chan string, 1), room: 9}) })
+				if long = (<-settled).Body; long != nil {
+					f.do(f.loop, func() { long.StartReading(&taker{ended: make(chan string, 1), room: 9}) })
 				}
 			}
 			f.do(f.loop, func() { c.end(f, conn, long) })
@@ -583,7 +588,7 @@
 // left is an execution whose client has left, which is not heard of yet.
 type left struct{ outcome }
 
-func (left) Wanted() bool { return false }
+func (left) StillWanted() bool { return false }
 
 // The loop was stopped for longer than an execution may wait to be written, or its client left meanwhile, and in the round in which
 // it goes on there is a connection for it: it is not written, for its repeats are not dropped any more, or nobody waits for it.
@@ -591,13 +596,13 @@
 	const within = 0.02
 	for name, begin := range map[string]func(f fleet, o outcome) *attempt{
 		"its window ended": func(f fleet, o outcome) *attempt {
-			return f.Execute(1, &requestcore.Operation{Key: "late", ID: "b", Flags: "Ob"}, 60, within, o).(*attempt)
+			return f.StartAttempt(1, &requestcore.Request{Key: "late", ID: "b", Flags: "Ob"}, 60, within, o).(*attempt)
 		},
 		"its limit ended": func(f fleet, o outcome) *attempt {
-			return f.Execute(1, &requestcore.Operation{Key: "late", ID: "b", Flags: "Ob"}, within, within, o).(*attempt)
+			return f.StartAttempt(1, &requestcore.Request{Key: "late", ID: "b", Flags: "Ob"}, within, within, o).(*attempt)
 		},
 		"its client left": func(f fleet, o outcome) *attempt {
-			return f.Execute(1, &requestcore.Operation{Key: "late", ID: "b", Flags: "Ob"}, 60, 60, left{o}).(*attempt)
+			return f.StartAttempt(1, &requestcore.Request{Key: "late", ID: "b", Flags: "Ob"}, 60, 60, left{o}).(*attempt)
 		},
 	} {
 		for which, cross := range map[string]func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn{
@@ -613,7 +618,7 @@
 			"is free": func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn {
 				f.limits.Connections, f.limits.PerConnection = 1, 1
 				first, o := make(outcome, 1), make(outcome, 1)
-				f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 60, first) })
+				f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first) })
 				conn := <-conns
 				heard(t, conn)
 				f.do(f.loop, func() {
@@ -632,7 +637,7 @@
 				first, o := make(outcome, 1), make(outcome, 1)
 				var conn net.Conn
 				f.do(f.loop, func() {
-					f.Execute(1, &requestcore.Operation{ID: "a", Flags: "Oa"}, 60, 60, first)
+					f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first)
 					wait(o)
 					conn = <-conns
 				})
@@ -662,19 +667,19 @@
 func TestWhatGoesOnToLeaveMayRun(t *testing.T) {
 	for name, giveUp := range map[string]func(b *attempt){
 		"at its limit":      (*attempt).overdue,
-		"its client leaves": (*attempt).DropUnsent,
+		"its client leaves": (*attempt).CancelIfUnsent,
 	} {
 		limits := usual
 		limits.Connections = 1
 		f, conns := listening(t, limits)
 		a, b := make(outcome, 1), make(outcome, 1)
-		f.do(f.loop, func() { f.Execute(1, &requestcore.Operation{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a) })
+		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a) })
 		conn := <-conns
 		heard(t, conn)
 		const length = 32 << 20 // beyond what the kernel holds
 		var second *attempt
 		f.do(f.loop, func() {
-			second = f.Execute(1, &requestcore.Operation{ID: "b", Write: true, Value: make([]byte, length)}, 60, 60, b).(*attempt)
+			second = f.StartAttempt(1, &requestcore.Request{ID: "b", Write: true, Value: make([]byte, length)}, 60, 60, b).(*attempt)
 		})
 		conn.Write([]byte("VA 100000 Oa\r\n" + strings.Repeat("x", 50000)))
 		a.want(t, balancer.Succeeded)
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -13,7 +13,7 @@
 // attempt is one execution, or a probe where op is nil.
 type attempt struct {
 	on     *server
-	op     *requestcore.Operation
+	op     *requestcore.Request
 	ended  func(balancer.Outcome, requestcore.Result)
 	until  float64
 	timer  *eventloop.Timer
@@ -73,12 +73,12 @@
 	return a.on.f.loop.Now() >= a.latest || a.wanted != nil && !a.wanted()
 }
 
-// Drop gives it up.
-func (a *attempt) Drop() { a.giveUp(balancer.Cancelled) }
+// Cancel gives it up.
+func (a *attempt) Cancel() { a.giveUp(balancer.Cancelled) }
 
-// DropUnsent gives it up if it still waits for a connection, or on one whose kernel takes no more: its operation is answered, or
+// CancelIfUnsent gives it up if it still waits for a connection, or on one whose kernel takes no more: its operation is answered, or
 // its client has gone, and what is sent later is for nobody. One that has begun to leave goes on where that would end others.
-func (a *attempt) DropUnsent() {
+func (a *attempt) CancelIfUnsent() {
 	if !a.written() && (!a.left() || !a.link.carries(a)) {
 		a.giveUp(balancer.NotAttempted)
 	}
@@ -340,7 +340,7 @@
 	a := l.queue[0]
 	l.queue = l.queue[1:]
 	whole, now := a.written(), l.on.f.loop.Now()
-	if how == balancer.Overloaded && a.op != nil && a.op.Once && now-l.spoke < second {
+	if how == balancer.Overloaded && a.op != nil && a.op.NotIdempotent && now-l.spoke < second {
 		how = balancer.OutcomeUnknown // it may be the reply before, said twice: this names no operation, and proves nothing
 	}
 	l.spoke = now
@@ -354,7 +354,7 @@
 }
 
 // Due gives the operation whose reply is due, nil for a probe; false if none is.
-func (l *link) Due() (op *requestcore.Operation, due bool) {
+func (l *link) Due() (op *requestcore.Request, due bool) {
 	if len(l.queue) == 0 {
 		return nil, false
 	}
--- a/internal/upstream/memcache.go
+++ b/internal/upstream/memcache.go
@@ -12,16 +12,16 @@
 
 // Wire is the protocol of one connection to a server. It calls its link with what it reads.
 type Wire interface {
-	Command(op *requestcore.Operation, left float64) [][]byte // nil asks whether the server is there
-	Read(in *ringbuffer.Buffer) (whole bool, err error)       // hands on the next reply; after an error nothing more can be read
-	Begun() bool                                              // a reply has begun and is not whole
-	Closed()                                                  // the server has ended the connection
-	Drop()                                                    // the connection is closed: nothing more is read, what came is let go
+	Command(op *requestcore.Request, left float64) [][]byte // nil asks whether the server is there
+	Read(in *ringbuffer.Buffer) (whole bool, err error)     // hands on the next reply; after an error nothing more can be read
+	Begun() bool                                            // a reply has begun and is not whole
+	Closed()                                                // the server has ended the connection
+	Drop()                                                  // the connection is closed: nothing more is read, what came is let go
 }
 
 // Link is what a wire calls.
 type Link interface {
-	Due() (op *requestcore.Operation, due bool)                        // whose reply is due; nil for a probe
+	Due() (op *requestcore.Request, due bool)                          // whose reply is due; nil for a probe
 	Answered(how balancer.Outcome, with requestcore.Result, more bool) // more: the connection can be used on
 	Stray(what string)                                                 // nothing that was asked for; the connection ends
 	Passing(length int)                                                // settles with a long value, whose bytes follow
@@ -43,7 +43,7 @@
 func (m *memcache) Drop()                                    {}
 
 // Command writes an operation's command, or a probe's.
-func (m *memcache) Command(op *requestcore.Operation, left float64) [][]byte {
+func (m *memcache) Command(op *requestcore.Request, left float64) [][]byte {
 	if op == nil {
 		return [][]byte{[]byte("mn\r\n")}
 	}
@@ -56,11 +56,11 @@
 }
 
 // due gives the operation whose reply is due, one without an id if there is none.
-func (m *memcache) due() *requestcore.Operation {
+func (m *memcache) due() *requestcore.Request {
 	if op, due := m.l.Due(); due && op != nil {
 		return op
 	}
-	return &requestcore.Operation{}
+	return &requestcore.Request{}
 }
 
 // Value takes a read's answer.
--- a/internal/upstream/passage.go
+++ b/internal/upstream/passage.go
@@ -12,24 +12,24 @@
 type passage struct {
 	l      *link // nil once it is whole or broken
 	length int
-	to     requestcore.Taker
-	ended  func(requestcore.Taker) // what became of it, where nobody had pulled yet
+	to     requestcore.BodySink
+	ended  func(requestcore.BodySink) // what became of it, where nobody had pulled yet
 }
 
 // Length is how many bytes it has.
 func (p *passage) Length() int { return p.length }
 
-// Pull hands it on from now on.
-func (p *passage) Pull(to requestcore.Taker) {
+// StartReading hands it on from now on.
+func (p *passage) StartReading(to requestcore.BodySink) {
 	if p.to = to; p.ended != nil {
 		p.end(p.ended)
 		return
 	}
-	p.More()
+	p.ResumeReading()
 }
 
-// More goes on reading.
-func (p *passage) More() {
+// ResumeReading goes on reading.
+func (p *passage) ResumeReading() {
 	if l := p.l; l != nil && p.to != nil {
 		l.Input()
 		if p.l != nil && l.conn.In.Room() > 0 {
@@ -38,24 +38,24 @@
 	}
 }
 
-// Drop gives it up: the rest is of no use, and its connection ends. Where others wait for answers behind it the rest is let go of as it
+// Discard gives it up: the rest is of no use, and its connection ends. Where others wait for answers behind it the rest is let go of as it
 // comes: a client that leaves does not end the attempts of others.
-func (p *passage) Drop() {
+func (p *passage) Discard() {
 	if l := p.l; l != nil && l.carries(nil) {
 		p.to = nobody{}
-		l.on.f.loop.Later(p.More)
+		l.on.f.loop.Later(p.ResumeReading)
 		return
 	} else if l != nil {
 		l.broken(ClientGone)
 	}
-	p.to, p.ended = nil, func(requestcore.Taker) {}
+	p.to, p.ended = nil, func(requestcore.BodySink) {}
 }
 
 // wanted tells whether somebody waits for the rest of it.
 func (p *passage) wanted() bool { return p.to != nobody{} && p.ended == nil }
 
 // end tells what became of it, once there is somebody to tell.
-func (p *passage) end(how func(requestcore.Taker)) {
+func (p *passage) end(how func(requestcore.BodySink)) {
 	if p.ended = how; p.to != nil {
 		to := p.to
 		p.to = nil
@@ -74,21 +74,21 @@
 	if l.queue[0].done { // nobody waits for it, but for what is behind it
 		l.passage.to = nobody{}
 	}
-	l.queue[0].settle(balancer.Succeeded, requestcore.Result{Long: l.passage})
+	l.queue[0].settle(balancer.Succeeded, requestcore.Result{Body: l.passage})
 }
 
 // nobody takes what nobody wants.
 type nobody struct{}
 
-func (nobody) Part(part []byte) int { return len(part) }
-func (nobody) Whole()               {}
-func (nobody) Broken()              {}
+func (nobody) OnPart(part []byte) int { return len(part) }
+func (nobody) OnComplete()            {}
+func (nobody) OnBroken()              {}
 
 // Part takes the next bytes, as far as they can be handed on. The rest is held: a server may end the connection right behind an answer,
 // and its taker reads the end of that much later.
 func (l *link) Part(part []byte) (n int) {
 	if l.passage != nil && l.passage.to != nil {
-		n = l.passage.to.Part(part)
+		n = l.passage.to.OnPart(part)
 	}
 	l.conn.Hold(n < len(part))
 	return n
@@ -102,7 +102,7 @@
 	}
 	l.passage, p.l = nil, nil
 	l.queue = l.queue[1:]
-	l.on.f.loop.Later(func() { p.end(requestcore.Taker.Whole) })
+	l.on.f.loop.Later(func() { p.end(requestcore.BodySink.OnComplete) })
 	switch {
 	case len(l.queue) == 0:
 		l.on.free(l)
@@ -115,6 +115,6 @@
 func (l *link) cut() {
 	if p := l.passage; p != nil {
 		l.passage, p.l = nil, nil
-		l.on.f.loop.Later(func() { p.end(requestcore.Taker.Broken) })
+		l.on.f.loop.Later(func() { p.end(requestcore.BodySink.OnBroken) })
 	}
 }
--- a/internal/upstream/tileclient/tilewire.go
+++ b/internal/upstream/tileclient/tilewire.go
@@ -70,7 +70,7 @@
 }
 
 // Command writes a request.
-func (w *wire) Command(op *requestcore.Operation, left float64) [][]byte {
+func (w *wire) Command(op *requestcore.Request, left float64) [][]byte {
 	if op == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", w.s.Probe, w.s.Host)}
 	}
--- a/internal/upstream/tileclient/tilewire_test.go
+++ b/internal/upstream/tileclient/tilewire_test.go
@@ -21,12 +21,12 @@
 // link notes how what was asked for ended.
 type link struct {
 	upstream.Link // for what tiles have no use for
-	op            *requestcore.Operation
+	op            *requestcore.Request
 	ended         []balancer.Outcome
 	stray         int
 }
 
-func (l *link) Due() (*requestcore.Operation, bool) { return l.op, l.op != nil }
+func (l *link) Due() (*requestcore.Request, bool) { return l.op, l.op != nil }
 func (l *link) Answered(how balancer.Outcome, _ requestcore.Result, _ bool) {
 	l.ended = append(l.ended, how)
 }
@@ -45,13 +45,13 @@
 	s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
-		w, _ := fed(s, &link{op: &requestcore.Operation{}}, text)
+		w, _ := fed(s, &link{op: &requestcore.Request{}}, text)
 		if w.Drop(); s.Held() != 0 {
 			t.Errorf("after %q %d bytes are held", text, s.Held())
 		}
 	}
-	one, _ := fed(s, &link{op: &requestcore.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
-	if _, err := fed(s, &link{op: &requestcore.Operation{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.Held() != 19 {
+	one, _ := fed(s, &link{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
+	if _, err := fed(s, &link{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.Held() != 19 {
 		t.Errorf("more than all may hold was taken: %d bytes, %v", s.Held(), err)
 	}
 	if one.Drop(); s.Held() != 0 {
@@ -63,12 +63,12 @@
 func TestOutcomes(t *testing.T) {
 	for status, want := range map[string]balancer.Outcome{"200": balancer.Succeeded, "404": balancer.Succeeded, "204": balancer.Succeeded, "304": balancer.ServerError,
 		"302": balancer.ServerError, "403": balancer.ServerError, "429": balancer.Overloaded, "503": balancer.Overloaded, "500": balancer.ServerError} {
-		l := &link{op: &requestcore.Operation{}}
+		l := &link{op: &requestcore.Request{}}
 		if fed(&Servers{Largest: 9, Most: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
 			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
 		}
 	}
-	l := &link{op: &requestcore.Operation{Flags: "If-None-Match: x\r\n"}}
+	l := &link{op: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
 	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Succeeded {
 		t.Error("what was not modified is no answer")
 	}
@@ -81,10 +81,10 @@
 // outcome notes how an execution ended, and with what.
 type outcome chan string
 
-func (o outcome) Settled(how balancer.Outcome, with requestcore.Result) {
+func (o outcome) OnAttemptEnd(how balancer.Outcome, with requestcore.Result) {
 	o <- fmt.Sprintf("%d %s", how, with.Value)
 }
-func (o outcome) Wanted() bool { return true }
+func (o outcome) StillWanted() bool { return true }
 
 // A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and nobody's tile.
 func TestABodyWithoutALength(t *testing.T) {
@@ -122,7 +122,7 @@
 			s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
 			f := upstream.New(l, upstream.Limits{Connections: 8, PerConnection: 1, ConnectTimeout: 60, Stall: 60, Idle: 60}, s.Wire, zerolog.Nop())
 			f.Listed(1, netip.MustParseAddrPort(ln.Addr().String()))
-			f.Execute(1, &requestcore.Operation{Key: "roads/1/0/0.png"}, 60, 60, o)
+			f.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, o)
 		})
 		select {
 		case got := <-o:
