--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -50,7 +50,7 @@
 	for i := range n {
 		members = append(members, Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"})
 	}
-	r.Listed(0, UpdateFull, members)
+	r.OnEndpoints(0, UpdateFull, members)
 	n0.did = nil
 	return r, n0
 }
@@ -65,7 +65,7 @@
 	r, did := fleet(0, func(s *Settings) {
 		s.Seed, s.RouterCount, s.WeightMode, s.WarmupStartCapacity = seed, 600, WeightsLive, 0.17
 	})
-	r.Listed(0, UpdateFull, members(weights...))
+	r.OnEndpoints(0, UpdateFull, members(weights...))
 	return r, did
 }
 
@@ -268,7 +268,7 @@
 			all = append(all, m)
 		}
 	}
-	p.r.Listed(d.now, UpdateFull, all)
+	p.r.OnEndpoints(d.now, UpdateFull, all)
 }
 
 // judge looks at each window that ends with a request to a cold server.
@@ -364,12 +364,12 @@
 				if f.how == Succeeded {
 					delete(f.by.counts, f.op)
 				}
-				f.by.r.Settled(d.now, f.op, f.n, f.how, d.now-f.sent, f.how == Succeeded)
+				f.by.r.OnAttemptEnd(d.now, f.op, f.n, f.how, d.now-f.sent, f.how == Succeeded)
 			}
 		}
 		for _, w := range d.words {
 			for _, p := range d.posts {
-				p.r.Told(d.now, w)
+				p.r.OnGossip(d.now, w)
 			}
 		}
 		d.words = d.words[:0]
@@ -387,7 +387,7 @@
 			if d.chance() < pulled {
 				key = own[int(d.chance()*float64(len(own)))]
 			}
-			d.posts[min(at, t.routers-1)].r.Arrived(d.now, id, "view", "", key, 2)
+			d.posts[min(at, t.routers-1)].r.OnRequest(d.now, id, "view", "", key, 2)
 		}
 	}
 	d.judge()
@@ -430,9 +430,9 @@
 	for n := range x.routers {
 		set.Seed = mix(x.seed, uint64(n))
 		r := New(0, set, &notes{})
-		r.Listed(start, UpdateFull, list)
+		r.OnEndpoints(start, UpdateFull, list)
 		if x.heard > 0 {
-			r.Counted(start, x.heard)
+			r.SetFleetSize(start, x.heard)
 		}
 		r.flow, r.among = x.load*dozen*x.each*finish(n)/sum, dozen
 		all = append(all, r)
--- a/balancer/logic.go
+++ b/balancer/logic.go
@@ -76,7 +76,7 @@
 		servers: map[uint64]*server{}, ops: map[uint64]*operation{}, flow: set.InitialCompletionRate, flowAt: now, taken: 0.5,
 		began: now - 1e3*min(set.InitialCompletionRate, 1), voice: 1, purses: map[string]*float64{}, left: map[string]float64{}}
 	r.set.RouterCount, r.tier = max(1, set.RouterCount), float64(max(1, set.RouterCount))
-	r.Offer(set.TrafficClasses)
+	r.SetTrafficClasses(set.TrafficClasses)
 	for _, t := range set.Tenants {
 		r.tenants[t.Name] = &tenant{quota: max(0, t.Quota), tokens: max(1, t.Quota/float64(r.set.RouterCount)), at: now}
 		r.quotas += max(0, t.Quota)
@@ -87,8 +87,8 @@
 	return r
 }
 
-// Offer takes the traffic types that operations may have from now on; what has arrived ends under its own.
-func (r *Balancer) Offer(types []TrafficClass) {
+// SetTrafficClasses takes the traffic types that operations may have from now on; what has arrived ends under its own.
+func (r *Balancer) SetTrafficClasses(types []TrafficClass) {
 	rows := map[string]*row{}
 	r.longest = 0
 	for _, t := range types {
@@ -128,8 +128,8 @@
 	r.host.SetTimer(max(1, r.set.PollInterval/2), "watch") // asks again if nothing came at all
 }
 
-// Listed takes an update of the list.
-func (r *Balancer) Listed(now float64, kind EndpointUpdate, members []Endpoint) {
+// OnEndpoints takes an update of the list.
+func (r *Balancer) OnEndpoints(now float64, kind EndpointUpdate, members []Endpoint) {
 	r.now = now
 	if kind == UpdateFailed {
 		// The wait doubles up to half of askWithin, so that failed calls do not keep the list service full.
@@ -185,9 +185,9 @@
 	return min(stamp+r.set.StartTimeError, max(stamp, r.now))
 }
 
-// Barred takes that operators leave a cache out, whatever lists say, or that it may serve again: then it may
+// SetDisabled takes that operators leave a cache out, whatever lists say, or that it may serve again: then it may
 // have started anew, cold, before a list tells of that (rule 4).
-func (r *Balancer) Barred(now float64, id uint64, out bool) {
+func (r *Balancer) SetDisabled(now float64, id uint64, out bool) {
 	r.now = now
 	s := cmp.Or(r.servers[id], &server{share: 1, slow: 1, joint: 1})
 	r.servers[id] = s
@@ -437,8 +437,8 @@
 	return math.Ceil(max(1, spread*min(1, 4*t.lag/t.LatencyObjective)*good*good*good*good))
 }
 
-// Arrived takes an operation from a client, which gives up after left. The tenth of those shed goes on.
-func (r *Balancer) Arrived(now float64, id uint64, kind, realm, key string, left float64) {
+// OnRequest takes an operation from a client, which gives up after left. The tenth of those shed goes on.
+func (r *Balancer) OnRequest(now float64, id uint64, kind, realm, key string, left float64) {
 	r.now = now
 	t := r.rows[kind]
 	if t == nil { // a type that the settings lack: it may take what time it brought, and never runs twice
@@ -583,8 +583,8 @@
 	}
 }
 
-// Settled takes the end of an execution.
-func (r *Balancer) Settled(now float64, id uint64, n int, how Outcome, lag float64, final bool) {
+// OnAttemptEnd takes the end of an execution.
+func (r *Balancer) OnAttemptEnd(now float64, id uint64, n int, how Outcome, lag float64, final bool) {
 	r.now = now
 	op := r.ops[id]
 	if op == nil || n < 0 || n >= len(op.executions) || !op.executions[n].out {
@@ -714,8 +714,8 @@
 	}
 }
 
-// Told takes a peer's words. One counts as two executions of our own, since most are not told.
-func (r *Balancer) Told(now float64, words []byte) {
+// OnGossip takes a peer's words. One counts as two executions of our own, since most are not told.
+func (r *Balancer) OnGossip(now float64, words []byte) {
 	r.now = now
 	for ; len(words) >= wordSize; words = words[wordSize:] {
 		for _, s := range r.ready {
@@ -840,25 +840,25 @@
 	}
 }
 
-// Left takes the client's departure.
-func (r *Balancer) Left(now float64, id uint64) {
+// OnClientGone takes the client's departure.
+func (r *Balancer) OnClientGone(now float64, id uint64) {
 	r.now = now
 	if op := r.ops[id]; op != nil {
 		r.end(op)
 	}
 }
 
-// Counted takes how many routers are heard; the settings' number holds where these are fewer: some are mute.
-func (r *Balancer) Counted(now float64, n int) {
+// SetFleetSize takes how many routers are heard; the settings' number holds where these are fewer: some are mute.
+func (r *Balancer) SetFleetSize(now float64, n int) {
 	r.now, r.tier = now, float64(max(r.set.RouterCount, n))
 }
 
-// Probed takes the end of a probe.
-func (r *Balancer) Probed(now float64, id uint64, how Outcome) { r.now = now }
+// OnProbeResult takes the end of a probe.
+func (r *Balancer) OnProbeResult(now float64, id uint64, how Outcome) { r.now = now }
 
-// Zoned takes the part of its keys that a zone serves from now on, the same keys at every router. What is out
+// SetZoneShare takes the part of its keys that a zone serves from now on, the same keys at every router. What is out
 // in one that is left goes elsewhere, where it may: it would wait there for all of its client's patience.
-func (r *Balancer) Zoned(now float64, zone string, share float64) {
+func (r *Balancer) SetZoneShare(now float64, zone string, share float64) {
 	r.now, r.left[zone] = now, 1-share
 	for _, id := range slices.Sorted(maps.Keys(r.ops)) {
 		if op := r.ops[id]; share == 0 && r.mayDecline(op) {
@@ -867,8 +867,8 @@
 	}
 }
 
-// Wake takes a timer: the list is asked for again, after an error or if nothing came.
-func (r *Balancer) Wake(now float64, name string) {
+// OnTimer takes a timer: the list is asked for again, after an error or if nothing came.
+func (r *Balancer) OnTimer(now float64, name string) {
 	r.now = now
 	overdue := name == "watch" && r.asked > 0 && now-r.asked >= max(1, r.set.PollInterval/2)-r.set.EventInterval
 	if overdue || name == "rewatch" {
--- a/balancer/logic_test.go
+++ b/balancer/logic_test.go
@@ -44,7 +44,7 @@
 	for key := range uint32(500) {
 		before[key] = r.nearest(stir(key), all).ID
 	}
-	r.Listed(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
+	r.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
 	for key, was := range before {
 		now := r.nearest(stir(key), all).ID
 		if was != 3 && now != was || now == 3 {
@@ -114,36 +114,36 @@
 			others.ID, others.State, others.Capacity = id, Ready, 1
 			list = append(list, others)
 		}
-		r.Listed(0, UpdateFull, list)
+		r.OnEndpoints(0, UpdateFull, list)
 		for key := range uint64(20) {
-			r.Arrived(1, key, "view", "", fmt.Sprint(key), 1)
+			r.OnRequest(1, key, "view", "", fmt.Sprint(key), 1)
 			expect(t, "a bound type beside those "+what, did.last(), fmt.Sprintf("execute %d on 1", key))
 		}
-		r.Settled(1.01, 3, 0, ServerError, 0.01, false)
+		r.OnAttemptEnd(1.01, 3, 0, ServerError, 0.01, false)
 		expect(t, "no further execution on those "+what, did.last(), "decline 3 after true")
 		for _, change := range []Endpoint{{ID: 1, State: Draining, Zone: "a", MachineType: "frugal"}, {ID: 1, State: Removed}} {
-			r.Listed(1.1, UpdateDelta, []Endpoint{change})
-			r.Arrived(1.2, 90, "view", "", "k", 1)
+			r.OnEndpoints(1.1, UpdateDelta, []Endpoint{change})
+			r.OnRequest(1.2, 90, "view", "", "k", 1)
 			expect(t, "all that are open to it out, beside those "+what, did.last(), "decline 90 after true")
 		}
-		r.Arrived(1.3, 91, "pay", "", "k", 1)
+		r.OnRequest(1.3, 91, "pay", "", "k", 1)
 		expect(t, "an unbound type", r.ops[91] != nil, true)
 	}
 	r, did := fleet(1, bind) // in the right zone, of no kind: the list corrects it while an operation is open
 	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}, {ID: 2, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}}
-	r.Listed(0, UpdateFull, list)
-	r.Arrived(1, 5, "view", "", "k", 1)
+	r.OnEndpoints(0, UpdateFull, list)
+	r.OnRequest(1, 5, "view", "", "k", 1)
 	first := r.ops[5].executions[0].on.ID
 	list[2-first].Zone = "b"
-	r.Listed(1.1, UpdateDelta, list)
-	r.Settled(1.2, 5, 0, ConnectFailed, 0.1, false)
+	r.OnEndpoints(1.1, UpdateDelta, list)
+	r.OnAttemptEnd(1.2, 5, 0, ConnectFailed, 0.1, false)
 	expect(t, "the other has moved out of its zone", did.last(), "decline 5 after true")
 }
 
 // aside starts a router that asks the origin, 99, for what a cache lacks.
 func aside(n int) (*Balancer, *notes) {
 	r, did := fleet(n, func(s *Settings) { s.CacheAside, s.OriginMachineType = true, "origin" })
-	r.Listed(0, UpdateDelta, []Endpoint{{ID: 99, State: Ready, Capacity: 1, Zone: "far", MachineType: "origin"}})
+	r.OnEndpoints(0, UpdateDelta, []Endpoint{{ID: 99, State: Ready, Capacity: 1, Zone: "far", MachineType: "origin"}})
 	did.did = nil
 	return r, did
 }
@@ -155,9 +155,9 @@
 	begun(r, "pay", r.servers[1], true, false)
 	r.rows["pay"].AllowedZones = []string{"a"} // placement is of caches: every type may use the origin
 	r.taken = 0                                // nor is a miss paid for
-	r.Settled(0.01, 7, 0, CacheMiss, 0.01, false)
+	r.OnAttemptEnd(0.01, 7, 0, CacheMiss, 0.01, false)
 	expect(t, "a miss", did.last(), "execute 7 on 99")
-	r.Settled(0.02, 7, 1, ServerError, 0.01, false)
+	r.OnAttemptEnd(0.02, 7, 1, ServerError, 0.01, false)
 	expect(t, "an effect that may have been", did.last(), "terminate 7")
 }
 
@@ -169,7 +169,7 @@
 	expect(t, "bound after an answer", o.limit, 4.25)
 	o.out = make([]*execution, 5)
 	begun(r, "view", r.servers[1], true, false)
-	r.Settled(1, 7, 0, CacheMiss, 0.01, false)
+	r.OnAttemptEnd(1, 7, 0, CacheMiss, 0.01, false)
 	expect(t, "a miss beyond it", did.last(), "decline 7 after true")
 	o.out = make([]*execution, 2)
 	op := begun(r, "view", r.servers[1], false, true)
@@ -181,7 +181,7 @@
 	flow, fails, lag := r.flow, r.servers[1].fails, row.lag
 	o.out, r.taken, r.spare = nil, 0, 0
 	begun(r, "view", o, true, false)
-	r.Settled(1.1, 7, 0, Overloaded, 0.01, false)
+	r.OnAttemptEnd(1.1, 7, 0, Overloaded, 0.01, false)
 	expect(t, "a full origin, nothing to pay from", did.last(), "decline 7 after true")
 	expect(t, "an unnamed kind", r.isOrigin(&server{}), false)
 	op = begun(r, "view", o, true, false)
@@ -198,9 +198,9 @@
 	r, did := fleet(4, nil)
 	r.spare = 9
 	for id := range uint64(9) {
-		r.Arrived(1, id, "view", "", "faulty", 1)
+		r.OnRequest(1, id, "view", "", "faulty", 1)
 		for n := 0; r.ops[id] != nil && n < 3; n++ {
-			r.Settled(1, id, n, ServerError, 0.01, false)
+			r.OnAttemptEnd(1, id, n, ServerError, 0.01, false)
 		}
 		expect(t, "final answer", did.last(), fmt.Sprintf("decline %d after true", id))
 	}
@@ -212,15 +212,15 @@
 	expect(t, "held against a slot where something finished", r.faulty[0], 0.0)
 	r.lost, r.won = 30, 8
 	for id := range uint64(400) {
-		r.Arrived(2, 100+id, "view", "", "faulty", 1)
-		r.Settled(2, 100+id, 0, ServerError, 0.01, false)
+		r.OnRequest(2, 100+id, "view", "", "faulty", 1)
+		r.OnAttemptEnd(2, 100+id, 0, ServerError, 0.01, false)
 	}
 	expect(t, "shed for such errors", r.lost > r.won, false)
 	r, _ = fleet(4, nil)
 	r.spare = 9
 	bad := uint64(0)
 	for id := range uint64(60) { // one that truly fails, whatever it is sent
-		r.Arrived(1, id, "view", "", "k", 1)
+		r.OnRequest(1, id, "view", "", "k", 1)
 		if bad == 0 {
 			bad = r.ops[id].executions[0].on.ID
 		}
@@ -229,7 +229,7 @@
 			if r.ops[id].executions[n].on.ID == bad {
 				how = ServerError
 			}
-			r.Settled(1, id, n, how, 0.01, how == Succeeded)
+			r.OnAttemptEnd(1, id, n, how, 0.01, how == Succeeded)
 		}
 	}
 	expect(t, "one that fails is passed over", r.Avoids(bad), true)
@@ -239,7 +239,7 @@
 func TestStampsMayBeOff(t *testing.T) {
 	for stamp, want := range map[float64]float64{0: 0, 10: 15, 28: 30, 31: 31} {
 		r, _ := fleet(0, func(s *Settings) { s.StartTimeError = 5 })
-		r.Listed(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartedAt: stamp}})
+		r.OnEndpoints(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartedAt: stamp}})
 		expect(t, fmt.Sprint("start of one stamped ", stamp), r.servers[1].fresh, want)
 	}
 }
@@ -277,7 +277,7 @@
 
 func TestEmptyListDeclinesAtOnce(t *testing.T) {
 	r, did := fleet(0, nil)
-	r.Arrived(1, 5, "view", "", "k", 1)
+	r.OnRequest(1, 5, "view", "", "k", 1)
 	expect(t, "answer", did.last(), "decline 5 after true")
 }
 
@@ -286,11 +286,11 @@
 	op := begun(r, "view", r.servers[1], true, false)
 	op.answered = true
 	r.servers[1].out = []*execution{op.executions[0]}
-	r.Settled(0.01, 7, 0, Succeeded, 0.01, true)
-	r.Settled(0.02, 7, 0, Succeeded, 0.01, true)
-	r.Left(0.03, 7)
-	r.Wake(0.04, "7")
-	r.Wake(0.04, "no such name")
+	r.OnAttemptEnd(0.01, 7, 0, Succeeded, 0.01, true)
+	r.OnAttemptEnd(0.02, 7, 0, Succeeded, 0.01, true)
+	r.OnClientGone(0.03, 7)
+	r.OnTimer(0.04, "7")
+	r.OnTimer(0.04, "no such name")
 	expect(t, "actions", len(did.did), 0)
 	expect(t, "held by the server", len(r.servers[1].out), 0)
 }
@@ -371,10 +371,10 @@
 		r.spare = 1
 		op := begun(r, "amend", r.servers[1], true, false)
 		op.row.DeduplicationWindow = c.window
-		r.Settled(c.after, 7, 0, c.how, c.after, false)
+		r.OnAttemptEnd(c.after, 7, 0, c.how, c.after, false)
 		expect(t, fmt.Sprint("action with ", c), did.last(), c.want)
 		if did.last() == "execute 7 on 2" && !op.executions[0].harmless {
-			r.Settled(c.window+0.001, 7, 1, NotAttempted, 0.001, false) // as its window ended before it was written
+			r.OnAttemptEnd(c.window+0.001, 7, 1, NotAttempted, 0.001, false) // as its window ended before it was written
 			expect(t, fmt.Sprint("answer with ", c), did.last(), "terminate 7")
 		}
 	}
@@ -411,13 +411,13 @@
 
 func TestRestartUnderTheSameIDIsCold(t *testing.T) {
 	r, _ := fleet(2, nil)
-	r.Listed(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 29}})
+	r.OnEndpoints(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 29}})
 	expect(t, "warmth", math.Round(r.warmth(r.servers[1])*1e4), 2875.0)
 }
 
 func TestAbsentFromASnapshotIsGone(t *testing.T) {
 	r, _ := fleet(2, nil)
-	r.Listed(1, UpdateFull, []Endpoint{{ID: 2, State: Ready, Capacity: 1}})
+	r.OnEndpoints(1, UpdateFull, []Endpoint{{ID: 2, State: Ready, Capacity: 1}})
 	expect(t, "ready", len(r.ready), 1)
 }
 
@@ -426,22 +426,22 @@
 	r, _ := fleet(2, nil)
 	old, rows := r.servers[1], len(r.rows)
 	op := begun(r, "view", old, true, false)
-	r.Listed(1, UpdateDelta, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready, Capacity: 1}})
+	r.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready, Capacity: 1}})
 	expect(t, "servers while one drains", len(r.servers), 3)
-	r.Listed(2, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
+	r.OnEndpoints(2, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
 	expect(t, "servers", len(r.servers), 2)
 	expect(t, "may execute there", r.mayExecute(op, old), false)
-	r.Settled(3, 7, 0, Succeeded, 0.1, true)
-	r.Arrived(4, 8, "made up", "", "k", 1)
+	r.OnAttemptEnd(3, 7, 0, Succeeded, 0.1, true)
+	r.OnRequest(4, 8, "made up", "", "k", 1)
 	expect(t, "rows", len(r.rows), rows)
 }
 
 func TestFailedCallsWaitLongerAndAskAgain(t *testing.T) {
 	r, did := fleet(1, func(s *Settings) { s.PollEndpoints, s.PollInterval = true, 16 })
-	r.Listed(1, UpdateFailed, nil)
-	r.Listed(2, UpdateFailed, nil)
+	r.OnEndpoints(1, UpdateFailed, nil)
+	r.OnEndpoints(2, UpdateFailed, nil)
 	expect(t, "wait", r.wait, 2.0)
-	r.Wake(3, "rewatch")
+	r.OnTimer(3, "rewatch")
 	expect(t, "action", did.last(), "watch true")
 }
 
@@ -499,7 +499,7 @@
 	r, _ := fleet(1, func(s *Settings) { s.Tenants = []Tenant{{"a", 2}, {"b", 2}} })
 	r.flow, r.flowAt = 100, 10
 	r.tenants["a"].tokens, r.tenants["a"].at = 0, 9
-	r.Arrived(10, 5, "view", "a", "k", 1)
+	r.OnRequest(10, 5, "view", "a", "k", 1)
 	expect(t, "worth", r.ops[5].worth, 1.0)
 }
 
@@ -507,12 +507,12 @@
 func TestShareHoldsForAFewOperations(t *testing.T) {
 	r, did := fleet(1, func(s *Settings) { s.Tenants, s.RouterCount = []Tenant{{"a", 100}}, 200 })
 	for i := range uint64(6) {
-		r.Arrived(20, i, "view", "a", "k", 1)
+		r.OnRequest(20, i, "view", "a", "k", 1)
 		expect(t, fmt.Sprint("worth of operation ", i), r.ops[i].worth, 1.0)
 	}
 	r.tenants["a"].tokens = 1
 	r.ready, r.points, r.orders = nil, nil, [slots][]point{}
-	r.Arrived(20, 9, "view", "a", "k", 1)
+	r.OnRequest(20, 9, "view", "a", "k", 1)
 	expect(t, "answer", did.last(), "decline 9 after true")
 	expect(t, "tokens after a decline unsent", r.tenants["a"].tokens, 1.0)
 }
@@ -532,7 +532,7 @@
 	for left, want := range map[float64]float64{1: 1, 1.9: 1, 1.5: 0} {
 		r, _ := fleet(1, nil)
 		r.rows["view"].usual, r.rows["view"].votes = 1, 9
-		r.Arrived(10, 5, "view", "", "k", left)
+		r.OnRequest(10, 5, "view", "", "k", left)
 		expect(t, fmt.Sprint("worth with ", left, " left"), r.ops[5].worth, want)
 	}
 }
@@ -542,7 +542,7 @@
 	for left, want := range map[float64]float64{0.39: 1, 0.74: 0} {
 		r, _ := fleet(1, nil)
 		r.rows["view"].usual, r.rows["view"].votes = 1, 9
-		r.Arrived(10, 5, "view", "", "k", left)
+		r.OnRequest(10, 5, "view", "", "k", left)
 		expect(t, fmt.Sprint("worth with ", left, " left"), r.ops[5].worth, want)
 		expect(t, "due", r.ops[5].due > 10, want > 0)
 	}
@@ -554,7 +554,7 @@
 		r, _ := fleet(1, func(s *Settings) { s.OrderedConnections = ordered })
 		s := r.servers[1]
 		for range 400 {
-			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, Succeeded, 0.25, true)
+			r.OnAttemptEnd(r.now+0.01, begun(r, "view", s, true, false).id, 0, Succeeded, 0.25, true)
 		}
 		s.out = []*execution{{sent: r.now}}
 		op := begun(r, "view", nil, false, true)
@@ -563,7 +563,7 @@
 			expect(t, fmt.Sprint("shed where ordered is ", ordered), r.strained(op, s), ordered)
 		}
 		for range 100 {
-			r.Settled(r.now+0.01, begun(r, "view", s, true, false).id, 0, TimedOut, 0.5, false)
+			r.OnAttemptEnd(r.now+0.01, begun(r, "view", s, true, false).id, 0, TimedOut, 0.5, false)
 		}
 		expect(t, "late ones count", r.timely < 0.3, true)
 	}
@@ -597,7 +597,7 @@
 	since, turned := from, 0
 	for now := from; now < to; now += (0.5 + r.chance()) / rate {
 		id := uint64(now * 1e6)
-		r.Arrived(now, id, kind, "", fmt.Sprint("k", id%97), 2) // few keys, for speed; none is used often
+		r.OnRequest(now, id, kind, "", fmt.Sprint("k", id%97), 2) // few keys, for speed; none is used often
 		if op := r.ops[id]; op == nil {
 			if turned++; turned >= 15 {
 				worst = max(worst, now-since)
@@ -605,7 +605,7 @@
 		} else {
 			since, turned, went = now, 0, went+1
 			for n := 0; r.ops[id] == op; n++ {
-				r.Settled(now, id, n, how(now), op.row.LatencyObjective/4, how(now) == Succeeded)
+				r.OnAttemptEnd(now, id, n, how(now), op.row.LatencyObjective/4, how(now) == Succeeded)
 			}
 		}
 	}
@@ -686,7 +686,7 @@
 		s.fresh, s.filled, s.budget, r.cold = 1, 1, float64(budget), true
 		r.rows["view"].lag, r.rows["view"].heard = 100, 1
 		for n := range uint64(200) {
-			r.Arrived(1, n, "view", "", fmt.Sprint("k", n), 2)
+			r.OnRequest(1, n, "view", "", fmt.Sprint("k", n), 2)
 		}
 		expect(t, fmt.Sprint("executions with a budget of ", budget), strings.Count(fmt.Sprint(did.did), "execute"), want)
 	}
@@ -757,10 +757,10 @@
 func TestZeroSettingsAreHarmless(t *testing.T) {
 	did := &notes{}
 	r := New(0, Settings{TrafficClasses: []TrafficClass{{Name: "view"}}, Tenants: []Tenant{{"a", -1}}}, did)
-	r.Listed(0, UpdateSaved, []Endpoint{{ID: 1, State: Ready, StartedAt: 1}, {ID: 2, State: Ready, Capacity: -3}})
+	r.OnEndpoints(0, UpdateSaved, []Endpoint{{ID: 1, State: Ready, StartedAt: 1}, {ID: 2, State: Ready, Capacity: -3}})
 	for i := range uint64(50) {
-		r.Arrived(1, i, []string{"view", "unknown"}[i%2], "a", "", float64(i%3)-1)
-		r.Settled(1, i, 0, Outcome(i%12), 0, false)
+		r.OnRequest(1, i, []string{"view", "unknown"}[i%2], "a", "", float64(i%3)-1)
+		r.OnAttemptEnd(1, i, 0, Outcome(i%12), 0, false)
 	}
 	expect(t, "operations left without an answer or an execution", len(did.did) >= 50, true)
 }
@@ -788,12 +788,12 @@
 func TestFurtherExecutionsAreApart(t *testing.T) {
 	r, _ := fleet(2, func(s *Settings) { s.RetryBudgetPerTenant = true })
 	for i := range 30 {
-		r.Arrived(0, uint64(100+i), "view", "a", "k", 2)
+		r.OnRequest(0, uint64(100+i), "view", "a", "k", 2)
 	}
 	a, b := r.spend("a"), r.spend("b")
 	expect(t, "what a may before any finished", *a, 0.0)
 	for i := range 30 { // what is sent again by what arrives kept a failing origin down (dar-scripts, fast errors)
-		r.Settled(0, uint64(100+i), 0, Succeeded, 0.01, true)
+		r.OnAttemptEnd(0, uint64(100+i), 0, Succeeded, 0.01, true)
 	}
 	expect(t, "what a may", *a > 2.9 && *a < 3.1, true)
 	expect(t, "what b may", *b, 0.0)
@@ -803,15 +803,15 @@
 // New traffic types hold for what arrives from then on: what has arrived ends under the old ones, and times seen stay.
 func TestNewTrafficTypes(t *testing.T) {
 	r, n := fleet(2, nil)
-	r.Arrived(0, 5, "view", "", "k", 2)
+	r.OnRequest(0, 5, "view", "", "k", 2)
 	r.rows["view"].lag = 0.07
-	r.Offer([]TrafficClass{{Name: "view", Idempotency: AtMostOnce, LatencyObjective: 0.2, Deadline: 1, PriorityWeight: 1}})
+	r.SetTrafficClasses([]TrafficClass{{Name: "view", Idempotency: AtMostOnce, LatencyObjective: 0.2, Deadline: 1, PriorityWeight: 1}})
 	expect(t, "the time seen", r.rows["view"].lag, 0.07)
 	expect(t, "old types that are left", len(r.rows), 1)
 	expect(t, "the effect of what has arrived", r.ops[5].row.Idempotency, Idempotent)
-	r.Settled(0.1, 5, 0, ConnectFailed, 0.1, false)
+	r.OnAttemptEnd(0.1, 5, 0, ConnectFailed, 0.1, false)
 	expect(t, "it goes on", len(n.did) > 1 && n.last()[:9] == "execute 5", true)
-	r.Arrived(0.2, 6, "view", "", "k", 1)
+	r.OnRequest(0.2, 6, "view", "", "k", 1)
 	expect(t, "the effect of what arrives", r.ops[6].row.Idempotency, AtMostOnce)
 }
 
@@ -820,16 +820,16 @@
 	r, _ := fleet(0, nil)
 	h := &reasons{}
 	r.host = h
-	r.Arrived(0, 5, "view", "", "k", 2)
+	r.OnRequest(0, 5, "view", "", "k", 2)
 	r, _ = fleet(1, nil)
 	r.host = h
 	r.servers[1].out = []*execution{{sent: 0.1, of: &operation{}}}
-	r.Arrived(2, 6, "view", "", "k", 2)
+	r.OnRequest(2, 6, "view", "", "k", 2)
 	r, _ = fleet(2, nil)
 	r.host = h
-	r.Arrived(0, 7, "view", "", "k", 2)
+	r.OnRequest(0, 7, "view", "", "k", 2)
 	*r.ops[7].purse = 1
-	r.Settled(1.99, 7, 0, Overloaded, 1.99, false)
+	r.OnAttemptEnd(1.99, 7, 0, Overloaded, 1.99, false)
 	expect(t, "the reasons", fmt.Sprint(h.told), fmt.Sprint([]RejectReason{ReasonNoEndpoint, ReasonOverloaded, ReasonNoTime}))
 }
 
@@ -837,7 +837,7 @@
 func TestLoadThatPeersTellIsPassedOver(t *testing.T) {
 	r, _ := many(10)
 	for range 20 {
-		r.Told(1, []byte{3, 0, 64, 3, 0, 64, 4, 0, 32}) // twice the usual time
+		r.OnGossip(1, []byte{3, 0, 64, 3, 0, 64, 4, 0, 32}) // twice the usual time
 	}
 	if part := r.leaves(r.servers[3]); part < 0.5 || part > 0.95 {
 		t.Errorf("%v of its keys leave a cache with most of the load", part)
@@ -846,7 +846,7 @@
 	r.now = 20
 	expect(t, "keys that leave it 19 s later", r.leaves(r.servers[3]), 0.0)
 	r.flow, r.flowAt = 100, 20
-	r.Told(20, []byte{3, 0, 255, 3, 0, 254, 3, 0, 254})
+	r.OnGossip(20, []byte{3, 0, 255, 3, 0, 254, 3, 0, 254})
 	expect(t, "keys that leave it where a router sees enough itself", r.leaves(r.servers[3]), 0.0)
 }
 
@@ -855,14 +855,14 @@
 func TestCacheThatAllFindSlowKeepsFewKeys(t *testing.T) {
 	r, _ := many(10)
 	for i := range 400 {
-		r.Told(1, []byte{byte(i%10) + 1, 0, byte(32 + 222*(i%10/9))})
+		r.OnGossip(1, []byte{byte(i%10) + 1, 0, byte(32 + 222*(i%10/9))})
 	}
 	if part := r.leaves(r.servers[10]); part < 0.9 || part > 0.98 {
 		t.Errorf("%v of its keys leave it", part)
 	}
-	r.Told(1.1, []byte{2, 0, refused})
+	r.OnGossip(1.1, []byte{2, 0, refused})
 	expect(t, "a cache that refused one peer and finished another's is sick", r.sick(r.servers[2]), false)
-	r.Told(3, []byte{2, 0, refused})
+	r.OnGossip(3, []byte{2, 0, refused})
 	expect(t, "sick once nobody's execution finishes there", r.sick(r.servers[2]), true)
 }
 
@@ -886,7 +886,7 @@
 	r, _ := many(4)
 	r.now, r.taken, r.set.WarmupStartCapacity, r.set.WarmupDuration, r.servers[2].fresh = 1, 0.5, 0.3, 9, 1
 	alone := r.slice(r.servers[2])
-	r.Told(1, []byte{1, 0, 32})
+	r.OnGossip(1, []byte{1, 0, 32})
 	told := r.slice(r.servers[2])
 	r.servers[2].fresh = 0
 	if whole := r.slice(r.servers[2]); told < alone*3/2 || told > whole*2/5 {
@@ -917,11 +917,11 @@
 	gone := []Endpoint(nil)
 	for i := range 1000 {
 		now := float64(i) / 25
-		r.Told(now, []byte{byte(i), byte(i % 3), byte(16 + i%200), byte(i * 7), 1, refused, 7})
-		r.Arrived(now, uint64(i), "view", "", fmt.Sprint("key", i%700), 2)
-		r.Settled(now+0.005, uint64(i), 0, Succeeded, 0.005, true)
+		r.OnGossip(now, []byte{byte(i), byte(i % 3), byte(16 + i%200), byte(i * 7), 1, refused, 7})
+		r.OnRequest(now, uint64(i), "view", "", fmt.Sprint("key", i%700), 2)
+		r.OnAttemptEnd(now+0.005, uint64(i), 0, Succeeded, 0.005, true)
 		if gone = append(gone, Endpoint{ID: uint64(i + 1), State: Removed}); i == 399 {
-			r.Listed(now, UpdateDelta, gone)
+			r.OnEndpoints(now, UpdateDelta, gone)
 		}
 	}
 	expect(t, "operations kept", len(r.ops), 0)
@@ -936,7 +936,7 @@
 	r.order(5, 1)
 	for _, c := range []struct{ first, second, points float64 }{{0.1, 0.9, 4}, {4, 2, 8}} {
 		expect(t, "orders kept until a size is larger than seen", len(r.orders[5]) > 0, true)
-		r.Listed(1, UpdateDelta, members(c.first, c.second))
+		r.OnEndpoints(1, UpdateDelta, members(c.first, c.second))
 		expect(t, "points", fmt.Sprint(r.servers[1].points, r.servers[2].points), fmt.Sprint("16 ", c.points))
 	}
 }
@@ -944,7 +944,7 @@
 // At 600 routers none has two in flight at a cache; the list's weights tell what it holds (dar-scripts, busy days).
 func TestPassOverByLiveWeights(t *testing.T) {
 	r, _ := weighed(0, 1, 1, 1, 1, 1, 1, 1, 1, 1, 1)
-	r.Listed(1, UpdateDelta, members(0.1))
+	r.OnEndpoints(1, UpdateDelta, members(0.1))
 	for _, c := range []struct{ usual, later, least, most float64 }{{9, 0, 0.7, 0.99}, {1, 0, 0, 0}, {9, 20 * recall, 0, 0}} {
 		r.servers[1].usual, r.now = c.usual, 1+c.later // one look says little, and an old one nothing
 		part := r.leaves(r.servers[1])
@@ -980,7 +980,7 @@
 	before, now := float64(r.slice(r.servers[1])), 1.0
 	for _, c := range []struct{ weight, until, least, most float64 }{{0.1, 1, 0.75, 1}, {0.1, 20, 0, 0.5}, {1, 120, 1, 1}} {
 		for ; now <= c.until; now++ {
-			r.Listed(now, UpdateDelta, members(c.weight))
+			r.OnEndpoints(now, UpdateDelta, members(c.weight))
 		}
 		part := float64(r.slice(r.servers[1])) / before
 		expect(t, fmt.Sprint(part, " of its keys with ", c), part >= c.least && part <= c.most, true)
@@ -1026,7 +1026,7 @@
 	for seed := range uint32(600) {
 		r, _ := weighed(seed, weights...)
 		r.now, r.flowAt, r.flow = 100, 100, 4
-		r.Listed(100, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 100}})
+		r.OnEndpoints(100, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 100}})
 		for s := r.servers[1]; r.now < 101.5; r.now += 0.01 {
 			if !r.tips(s) {
 				s.budget--
@@ -1060,8 +1060,8 @@
 
 func TestAvoidsWhatDrainsIsBarredOrFailed(t *testing.T) {
 	r, _ := fleet(5, nil)
-	r.Listed(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
-	r.Barred(1, 4, true)
+	r.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
+	r.SetDisabled(1, 4, true)
 	r.servers[1].fails, r.servers[2].fails = 2, 3
 	for id, want := range map[uint64]bool{1: false, 2: true, 3: true, 4: true, 5: false, 6: true} {
 		expect(t, fmt.Sprint("avoids ", id), r.Avoids(id), want)
@@ -1073,36 +1073,36 @@
 	r, _ := fleet(3, nil)
 	again := []Endpoint{{ID: 1, State: Ready, Capacity: 1}, {ID: 2, State: Ready, Capacity: 1, StartedAt: 5}, {ID: 9, State: Ready, Capacity: 1}}
 	for _, id := range []uint64{2, 2, 9} {
-		r.Barred(1, id, true)
+		r.SetDisabled(1, id, true)
 	}
-	r.Listed(2, UpdateDelta, []Endpoint{{ID: 2, State: Removed}})
-	r.Listed(3, UpdateFull, again[:1])
-	r.Listed(6, UpdateFull, again)
+	r.OnEndpoints(2, UpdateDelta, []Endpoint{{ID: 2, State: Removed}})
+	r.OnEndpoints(3, UpdateFull, again[:1])
+	r.OnEndpoints(6, UpdateFull, again)
 	op := begun(r, "view", nil, false, true)
 	for _, s := range r.servers {
 		expect(t, fmt.Sprint("may execute on ", s.ID), r.mayExecute(op, s), s.ID == 1)
 	}
 	expect(t, "ready caches", len(r.ready), 1)
-	r.Barred(7, 2, false)
+	r.SetDisabled(7, 2, false)
 	expect(t, "ready caches after the call back", len(r.ready), 2)
-	r.Barred(8, 7, false) // nothing was called of it
-	r.Listed(9, UpdateDelta, nil)
+	r.SetDisabled(8, 7, false) // nothing was called of it
+	r.OnEndpoints(9, UpdateDelta, nil)
 	expect(t, "records", len(r.servers), 3)
 }
 
 // It may have started anew while it was out, before a list tells: it gets the slice and the budget of a cold one.
 func TestBarredIsColdOnceBack(t *testing.T) {
 	r, _ := fleet(4, nil)
-	r.Barred(50, 2, true)
+	r.SetDisabled(50, 2, true)
 	r.servers[2].fails, r.servers[2].down = 7, true
-	r.Barred(60, 2, false)
+	r.SetDisabled(60, 2, false)
 	s := r.servers[2]
 	expect(t, "its certain capacity", r.warmth(s), 0.25)
 	expect(t, "avoided for failures before", r.Avoids(2), false)
 	if s.budget >= 1 {
 		t.Errorf("its first budget is %v", s.budget)
 	}
-	r.Barred(61, 2, false)
+	r.SetDisabled(61, 2, false)
 	expect(t, "fresh since", s.fresh, 60.0)
 }
 
@@ -1115,7 +1115,7 @@
 			s.Zone = string(rune('a' + id%3))
 		}
 		if share < 1 {
-			r.Zoned(0, "b", share)
+			r.SetZoneShare(0, "b", share)
 		}
 		return r
 	}
@@ -1149,11 +1149,11 @@
 	}
 	for op, kind := range []string{"view", "pay"} {
 		for n := range 40 {
-			r.Arrived(1, uint64(op*100+n), kind, "", fmt.Sprint("key-", n), 2)
+			r.OnRequest(1, uint64(op*100+n), kind, "", fmt.Sprint("key-", n), 2)
 		}
 	}
 	did.did = nil
-	r.Zoned(1.1, "b", 0)
+	r.SetZoneShare(1.1, "b", 0)
 	views := 0
 	for _, line := range did.did {
 		var id uint64
@@ -1173,7 +1173,7 @@
 	}
 	id := uint64(0)
 	fmt.Sscanf(did.did[0], "withdraw %d", &id)
-	if r.Settled(1.1, id, 0, Cancelled, 0.1, false); len(r.ops[id].executions) != 2 || r.ops[id].executions[1].on.Zone == "b" {
+	if r.OnAttemptEnd(1.1, id, 0, Cancelled, 0.1, false); len(r.ops[id].executions) != 2 || r.ops[id].executions[1].on.Zone == "b" {
 		t.Error("what was withdrawn did not go elsewhere")
 	}
 }
@@ -1187,17 +1187,17 @@
 		for i := range 6 {
 			all = append(all, Endpoint{ID: uint64(i + 1), State: Ready, Zone: "a", StartedAt: 0.5})
 		}
-		r.Listed(1, UpdateFull, all)
+		r.OnEndpoints(1, UpdateFull, all)
 		if got := r.finishing(); math.Abs(got-flow) > flow/10 {
 			t.Errorf("%v a second are taken to finish, known is %v", got, flow)
 		}
 		sent := 0
 		for n := range 400 { // 100 a second, for four of the twenty seconds that they take to be warm
 			now, id := 1+float64(n)/100, uint64(n)
-			r.Arrived(now, id, "view", "", fmt.Sprint("key-", n), 2)
+			r.OnRequest(now, id, "view", "", fmt.Sprint("key-", n), 2)
 			if op := r.ops[id]; op != nil && len(op.executions) > 0 {
 				sent++
-				r.Settled(now+0.01, id, 0, Succeeded, 0.01, true)
+				r.OnAttemptEnd(now+0.01, id, 0, Succeeded, 0.01, true)
 			}
 		}
 		if sent < least {
@@ -1213,14 +1213,14 @@
 func TestBoundToAZoneThatIsLeft(t *testing.T) {
 	r, did := fleet(4, func(s *Settings) { s.TrafficClasses[0].AllowedZones = []string{"b"} })
 	r.servers[1].Zone, r.servers[2].Zone = "b", "b"
-	r.Arrived(1, 1, "view", "", "key", 2)
-	if r.Zoned(1.1, "b", 0); did.last() != "withdraw 1/0" {
+	r.OnRequest(1, 1, "view", "", "key", 2)
+	if r.SetZoneShare(1.1, "b", 0); did.last() != "withdraw 1/0" {
 		t.Errorf("did %q", did.last())
 	}
-	if r.Settled(1.1, 1, 0, Cancelled, 0.1, false); did.last() != "decline 1 after true" {
+	if r.OnAttemptEnd(1.1, 1, 0, Cancelled, 0.1, false); did.last() != "decline 1 after true" {
 		t.Errorf("did %q", did.last())
 	}
-	if r.Arrived(1.2, 2, "view", "", "key", 2); did.last() != "decline 2 after true" {
+	if r.OnRequest(1.2, 2, "view", "", "key", 2); did.last() != "decline 2 after true" {
 		t.Errorf("did %q", did.last())
 	}
 }
@@ -1228,13 +1228,13 @@
 // A zone's share is of caches: what the origin's servers in a zone that is left work on goes on.
 func TestZonedLeavesTheOrigin(t *testing.T) {
 	r, did := fleet(3, func(s *Settings) { s.CacheAside, s.OriginMachineType = true, "origin" })
-	r.Listed(0, UpdateDelta, []Endpoint{{ID: 9, State: Ready, Zone: "b", MachineType: "origin"}})
-	r.Arrived(1, 1, "view", "", "key", 2)
-	r.Settled(1.01, 1, 0, CacheMiss, 0.01, false)
+	r.OnEndpoints(0, UpdateDelta, []Endpoint{{ID: 9, State: Ready, Zone: "b", MachineType: "origin"}})
+	r.OnRequest(1, 1, "view", "", "key", 2)
+	r.OnAttemptEnd(1.01, 1, 0, CacheMiss, 0.01, false)
 	if did.last() != "execute 1 on 9" {
 		t.Fatalf("did %v, want a fetch", did.did)
 	}
-	if r.Zoned(1.02, "b", 0); did.last() != "execute 1 on 9" {
+	if r.SetZoneShare(1.02, "b", 0); did.last() != "execute 1 on 9" {
 		t.Errorf("did %q", did.last())
 	}
 }
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -40,7 +40,7 @@
 	return func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
 		m := &Module{host: host, set: set, pick: p, servers: map[uint64]*server{}, ops: map[uint64]*operation{},
 			types: map[string]balancer.TrafficClass{}}
-		m.Offer(set.TrafficClasses)
+		m.SetTrafficClasses(set.TrafficClasses)
 		return m
 	}, nil
 }
@@ -104,8 +104,8 @@
 
 const points = 100 // of a server on the ring: shares within a tenth of the mean
 
-// Listed takes an update of the list.
-func (m *Module) Listed(_ float64, kind balancer.EndpointUpdate, members []balancer.Endpoint) {
+// OnEndpoints takes an update of the list.
+func (m *Module) OnEndpoints(_ float64, kind balancer.EndpointUpdate, members []balancer.Endpoint) {
 	if kind == balancer.UpdateFailed {
 		return
 	}
@@ -218,8 +218,8 @@
 	return spare
 }
 
-// Arrived takes an operation.
-func (m *Module) Arrived(now float64, id uint64, kind, _, key string, left float64) {
+// OnRequest takes an operation.
+func (m *Module) OnRequest(now float64, id uint64, kind, _, key string, left float64) {
 	t, known := m.types[kind]
 	if !known {
 		t = balancer.TrafficClass{Deadline: left, LatencyObjective: left}
@@ -263,8 +263,8 @@
 	}
 }
 
-// Settled takes the end of an execution.
-func (m *Module) Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool) {
+// OnAttemptEnd takes the end of an execution.
+func (m *Module) OnAttemptEnd(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool) {
 	op := m.ops[id]
 	if op == nil || n >= len(op.executions) || !op.executions[n].out {
 		return
@@ -286,39 +286,39 @@
 	}
 }
 
-// Offer takes the traffic types.
-func (m *Module) Offer(types []balancer.TrafficClass) {
+// SetTrafficClasses takes the traffic types.
+func (m *Module) SetTrafficClasses(types []balancer.TrafficClass) {
 	m.types = map[string]balancer.TrafficClass{}
 	for _, t := range types {
 		m.types[t.Name] = t
 	}
 }
 
-// Left takes the client's departure.
-func (m *Module) Left(_ float64, id uint64) {
+// OnClientGone takes the client's departure.
+func (m *Module) OnClientGone(_ float64, id uint64) {
 	if op := m.ops[id]; op != nil {
 		op.answered = true
 		m.end(op)
 	}
 }
 
-// Told takes nothing from peers.
-func (m *Module) Told(float64, []byte) {}
+// OnGossip takes nothing from peers.
+func (m *Module) OnGossip(float64, []byte) {}
 
-// Probed takes no probes: none are sent.
-func (m *Module) Probed(float64, uint64, balancer.Outcome) {}
+// OnProbeResult takes no probes: none are sent.
+func (m *Module) OnProbeResult(float64, uint64, balancer.Outcome) {}
 
-// Counted takes nothing.
-func (m *Module) Counted(float64, int) {}
+// SetFleetSize takes nothing.
+func (m *Module) SetFleetSize(float64, int) {}
 
-// Wake has no timers.
-func (m *Module) Wake(float64, string) {}
+// OnTimer has no timers.
+func (m *Module) OnTimer(float64, string) {}
 
-// Barred is not for baselines.
-func (m *Module) Barred(float64, uint64, bool) {}
+// SetDisabled is not for baselines.
+func (m *Module) SetDisabled(float64, uint64, bool) {}
 
-// Zoned is not for baselines.
-func (m *Module) Zoned(float64, string, float64) {}
+// SetZoneShare is not for baselines.
+func (m *Module) SetZoneShare(float64, string, float64) {}
 
 // Avoids tells whether a server gets nothing by its mode: baselines avoid none for its failures.
 func (m *Module) Avoids(id uint64) bool {
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -58,7 +58,7 @@
 	for _, id := range r.ids {
 		p.Servers = append(p.Servers, uint16(id))
 	}
-	p.Loop, p.Feed = loop, func(words []byte) { r.module.Told(loop.Now(), words) }
+	p.Loop, p.Feed = loop, func(words []byte) { r.module.OnGossip(loop.Now(), words) }
 	var err error
 	r.way, err = open(p, func(words []byte) {
 		loop.Post(func() {
@@ -66,7 +66,7 @@
 				r.zoned++ // a real router asks its zones first
 				return
 			}
-			r.module.Told(loop.Now(), words)
+			r.module.OnGossip(loop.Now(), words)
 		})
 	})
 	return r, err
@@ -81,7 +81,7 @@
 			r.ids = append(r.ids, e.ID)
 		}
 	}
-	r.module.Listed(r.loop.Now(), kind, members)
+	r.module.OnEndpoints(r.loop.Now(), kind, members)
 	r.generation, r.since = l.Generation, r.loop.Now()
 }
 
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -81,10 +81,10 @@
 		for id := range 40 {
 			members = append(members, balancer.Endpoint{ID: uint64(id*150 + 7), State: balancer.Ready, Capacity: 1})
 		}
-		m.Listed(w.now(), balancer.UpdateFull, members)
+		m.OnEndpoints(w.now(), balancer.UpdateFull, members)
 		w.fed = func(n int, b []byte) {
 			if n == 3 {
-				m.Told(w.now(), b)
+				m.OnGossip(w.now(), b)
 			}
 		}
 		w.run(20)
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -141,17 +141,17 @@
 // Balancer makes the decisions. The product's is logic.Router; a laboratory may put another in its place, to see what
 // the decisions alone are worth.
 type Balancer interface {
-	Arrived(now float64, id uint64, kind, realm, key string, left float64)
-	Settled(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool)
-	Left(now float64, id uint64)
-	Listed(now float64, kind balancer.EndpointUpdate, members []balancer.Endpoint)
-	Told(now float64, words []byte)
-	Counted(now float64, routers int)
-	Probed(now float64, server uint64, how balancer.Outcome)
-	Wake(now float64, name string)
-	Offer(types []balancer.TrafficClass)
-	Barred(now float64, server uint64, out bool)
-	Zoned(now float64, zone string, share float64)
+	OnRequest(now float64, id uint64, kind, realm, key string, left float64)
+	OnAttemptEnd(now float64, id uint64, n int, how balancer.Outcome, lag float64, final bool)
+	OnClientGone(now float64, id uint64)
+	OnEndpoints(now float64, kind balancer.EndpointUpdate, members []balancer.Endpoint)
+	OnGossip(now float64, words []byte)
+	SetFleetSize(now float64, routers int)
+	OnProbeResult(now float64, server uint64, how balancer.Outcome)
+	OnTimer(now float64, name string)
+	SetTrafficClasses(types []balancer.TrafficClass)
+	SetDisabled(now float64, server uint64, out bool)
+	SetZoneShare(now float64, zone string, share float64)
 	Avoids(server uint64) bool
 }
 
@@ -225,7 +225,7 @@
 	o := &operation{Request: op, r: r, id: r.last, client: client}
 	r.ops[o.id] = o
 	r.guard(o, func() {
-		r.module.Arrived(r.Clock.Now(), o.id, op.Class, op.Tenant, op.Key, op.TimeLeft)
+		r.module.OnRequest(r.Clock.Now(), o.id, op.Class, op.Tenant, op.Key, op.TimeLeft)
 	})
 	return o.id
 }
@@ -236,7 +236,7 @@
 		r.Counts.ClientsGone++
 		o.client = nil
 		o.tell(ClientGone, NoReason)
-		r.guard(o, func() { r.module.Left(r.Clock.Now(), id) })
+		r.guard(o, func() { r.module.OnClientGone(r.Clock.Now(), id) })
 		o.forget()
 	}
 }
@@ -251,17 +251,17 @@
 			delete(r.zones, m.ID)
 		}
 	}
-	r.guard(nil, func() { r.module.Listed(r.Clock.Now(), kind, members) })
+	r.guard(nil, func() { r.module.OnEndpoints(r.Clock.Now(), kind, members) })
 }
 
 // Barred takes that operators leave a server out, or that it may serve again.
 func (r *Core) Barred(server uint64, out bool) {
-	r.guard(nil, func() { r.module.Barred(r.Clock.Now(), server, out) })
+	r.guard(nil, func() { r.module.SetDisabled(r.Clock.Now(), server, out) })
 }
 
 // Zoned takes the part of its keys that a zone serves from now on.
 func (r *Core) Zoned(zone string, share float64) {
-	r.guard(nil, func() { r.module.Zoned(r.Clock.Now(), zone, share) })
+	r.guard(nil, func() { r.module.SetZoneShare(r.Clock.Now(), zone, share) })
 }
 
 // Avoids tells whether the module sends a server nothing new now.
@@ -273,17 +273,17 @@
 // Offer takes the traffic types that operations may have from now on.
 func (r *Core) Offer(types []balancer.TrafficClass) {
 	r.promise(types)
-	r.guard(nil, func() { r.module.Offer(types) })
+	r.guard(nil, func() { r.module.SetTrafficClasses(types) })
 }
 
 // Told takes a peer's words.
 func (r *Core) Told(words []byte) {
-	r.guard(nil, func() { r.module.Told(r.Clock.Now(), words) })
+	r.guard(nil, func() { r.module.OnGossip(r.Clock.Now(), words) })
 }
 
 // Counted takes how many routers there are, by those that are heard.
 func (r *Core) Counted(routers int) {
-	r.guard(nil, func() { r.module.Counted(r.Clock.Now(), routers) })
+	r.guard(nil, func() { r.module.SetFleetSize(r.Clock.Now(), routers) })
 }
 
 // OnAttemptEnd takes the end of an execution. A result is passed on before anything else.
@@ -305,7 +305,7 @@
 	if o.Account != nil {
 		o.Account.AttemptEnded(now - x.began)
 	}
-	r.guard(o, func() { r.module.Settled(now, o.id, x.n, how, now-x.began, final) })
+	r.guard(o, func() { r.module.OnAttemptEnd(now, o.id, x.n, how, now-x.began, final) })
 	o.forget()
 }
 
@@ -421,13 +421,13 @@
 // Probe looks at a server.
 func (r *Core) Probe(server uint64) {
 	r.Upstream.Probe(server, func(how balancer.Outcome) {
-		r.guard(nil, func() { r.module.Probed(r.Clock.Now(), server, how) })
+		r.guard(nil, func() { r.module.OnProbeResult(r.Clock.Now(), server, how) })
 	})
 }
 
 // SetTimer wakes the module.
 func (r *Core) SetTimer(delay float64, name string) {
-	r.Clock.After(delay, func() { r.guard(nil, func() { r.module.Wake(r.Clock.Now(), name) }) })
+	r.Clock.After(delay, func() { r.guard(nil, func() { r.module.OnTimer(r.Clock.Now(), name) }) })
 }
 
 // WatchEndpoints asks for list changes.
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -353,9 +353,9 @@
 	left chan float64
 }
 
-func (s spy) Arrived(now float64, id uint64, kind, realm, key string, left float64) {
+func (s spy) OnRequest(now float64, id uint64, kind, realm, key string, left float64) {
 	s.left <- left
-	s.Balancer.Arrived(now, id, kind, realm, key, left)
+	s.Balancer.OnRequest(now, id, kind, realm, key, left)
 }
 
 // What is taken once the process is told to end is given no more time than the process has.
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -166,7 +166,7 @@
 	routers []int
 }
 
-func (c *counter) Counted(now float64, n int) {
+func (c *counter) SetFleetSize(now float64, n int) {
 	c.routers = append(c.routers, n)
-	c.Balancer.Counted(now, n)
+	c.Balancer.SetFleetSize(now, n)
 }
--- a/internal/simadapter/wire.go
+++ b/internal/simadapter/wire.go
@@ -174,13 +174,13 @@
 		}
 		members := i.s.sheets[m.Count("table")]
 		if m.Err() == nil {
-			i.router.Listed(now, kind, members)
+			i.router.OnEndpoints(now, kind, members)
 		}
 	case "ACCEPT":
 		id, band, left := m.ID("txn"), m.Text("band"), m.Seconds("remaining")
 		realm, key := m.Name0("realm"), m.Text("key")
 		if m.Err() == nil {
-			i.router.Arrived(now, id, band, realm, key, left)
+			i.router.OnRequest(now, id, band, realm, key, left)
 		}
 	case "HEAD_RECEIVED":
 		id, n := m.ID("txn"), int(m.Count("n"))
@@ -191,15 +191,15 @@
 		id, n, reason, lag := m.ID("txn"), int(m.Count("n")), outcomes[m.Text("reason")], m.Seconds("lag")
 		final := m.Flag("final")
 		if m.Err() == nil {
-			i.router.Settled(now, id, n, reason, lag, final)
+			i.router.OnAttemptEnd(now, id, n, reason, lag, final)
 		}
 	case "GONE":
 		if id := m.ID("txn"); m.Err() == nil {
-			i.router.Left(now, id)
+			i.router.OnClientGone(now, id)
 		}
 	case "WAKE":
 		if timer := m.Text("name"); m.Err() == nil {
-			i.router.Wake(now, timer)
+			i.router.OnTimer(now, timer)
 		}
 	case "MESSAGE":
 		words, err := base64.StdEncoding.DecodeString(m.Text("body"))
@@ -207,12 +207,12 @@
 			m.Fault("body", "not base64")
 		}
 		if m.Err() == nil {
-			i.router.Told(now, words)
+			i.router.OnGossip(now, words)
 		}
 	case "PROBE_RESULT":
 		id, reason := m.ID("server"), outcomes[m.Text("reason")]
 		if m.Err() == nil {
-			i.router.Probed(now, id, reason)
+			i.router.OnProbeResult(now, id, reason)
 		}
 	}
 }
