--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -187,7 +187,7 @@
 	if !p.tenants[op.Tenant] {
 		op.Tenant = "" // the module keeps a record of each: clients must not make up ever new ones
 	}
-	return p.core, p.core.Taken(op, client)
+	return p.core, p.core.Submit(op, client)
 }
 
 func (p *plain) Hold(n int) { p.b.bytes.Force(nil, n) }
@@ -230,7 +230,7 @@
 	t.pool.out.Force(t.out, 1)
 	op.Account = &account{team: t, ticket: ticket}
 	op.Class, op.Tenant = k.name, t.Team
-	return t.pool.Core, t.pool.Core.Taken(op, client)
+	return t.pool.Core, t.pool.Core.Submit(op, client)
 }
 
 func (t *team) Hold(n int) { t.b.bytes.Force(t.byte, n) }
@@ -357,7 +357,7 @@
 		if p.Name == "" {
 			types = append(types, b.plain.types...)
 		}
-		p.Core.Offer(types)
+		p.Core.SetTrafficClasses(types)
 		b.pools[p.Name] = mine
 	}
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -168,7 +168,7 @@
 	c := &client{}
 	r := b.Route("", "a", "k")
 	core, id := r.Take(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
-	core.Left(id)
+	core.OnClientGone(id)
 	if s := b.state("a"); s.Left != 1 || s.Open != 1 {
 		t.Errorf("while its execution is out it stands at %+v", s)
 	}
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -45,7 +45,7 @@
 	for i := range servers {
 		all = append(all, balancer.Endpoint{ID: uint64(i + 1), State: balancer.Ready, Capacity: 1})
 	}
-	r.Listed(balancer.UpdateFull, all)
+	r.OnEndpoints(balancer.UpdateFull, all)
 	return r
 }
 
--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -264,7 +264,7 @@
 	})
 	s.deserted()
 	s.do(func() {
-		if s.open != 0 || s.desk.held != 0 || len(s.clients) > 0 || s.desk.core.Open() != 0 {
+		if s.open != 0 || s.desk.held != 0 || len(s.clients) > 0 || s.desk.core.OpenRequests() != 0 {
 			t.Errorf("%d operations and %d bytes stay, of %d clients", s.open, s.desk.held, len(s.clients))
 		}
 	})
@@ -427,7 +427,7 @@
 		s := serve(t, ample)
 		conn, in := s.dial()
 		s.do(func() {
-			s.desk.core.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}, {ID: 2, State: balancer.Ready, Capacity: 1}})
+			s.desk.core.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}, {ID: 2, State: balancer.Ready, Capacity: 1}})
 		})
 		fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
 		h := <-s.began
@@ -445,8 +445,8 @@
 		}
 		s.do(func() {})
 		s.do(func() {
-			if s.open != 0 || s.desk.core.Open() != 0 {
-				t.Errorf("%s: %d operations stay, %d at the core", name, s.open, s.desk.core.Open())
+			if s.open != 0 || s.desk.core.OpenRequests() != 0 {
+				t.Errorf("%s: %d operations stay, %d at the core", name, s.open, s.desk.core.OpenRequests())
 			}
 		})
 	}
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -694,7 +694,7 @@
 			c.drop(a)
 		} else if a.core != nil {
 			hold(a.route, -a.held)
-			a.core.Left(a.operation)
+			a.core.OnClientGone(a.operation)
 		}
 	}
 }
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -62,10 +62,10 @@
 }
 func (d *desk) Gone(string)                          {}
 func (d *desk) HardStop(kind string) (float64, bool) { return 5000, kind == "t" }
-func (d *desk) Room() bool                           { return d.core.Open() < d.open && d.held < d.bytes }
+func (d *desk) Room() bool                           { return d.core.OpenRequests() < d.open && d.held < d.bytes }
 func (d *desk) Hold(n int)                           { d.held += n }
 func (d *desk) Take(op *requestcore.Request, c requestcore.Client) (*requestcore.Core, uint64) {
-	return d.core, d.core.Taken(op, c)
+	return d.core, d.core.Submit(op, c)
 }
 
 // served is a front on a loop, with one cache server.
@@ -92,7 +92,7 @@
 		r := requestcore.New(balancer.Settings{CancellationAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t",
 			Idempotency: balancer.Idempotent, LatencyObjective: 1000, Deadline: 5000, PriorityWeight: 1}}}, requestcore.Dependencies{Clock: l,
 			Upstream: s.caches, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, requestcore.DefaultBalancer)
-		r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
+		r.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
 		s.desk.core = r
 		s.Front = New(l, s.desk, limits.Limits)
 		_, err := l.Listen(s.addr, s.Room, s.At("", Memcache))
--- a/internal/requestcore/router.go
+++ b/internal/requestcore/router.go
@@ -134,8 +134,8 @@
 
 // ZoneObserver is told how executions go in the zones that the list names.
 type ZoneObserver interface {
-	Began(zone string, within float64) (mark uint64) // within is the time promised for the operation
-	Ended(zone string, mark uint64, how balancer.Outcome, took, within float64)
+	AttemptStarted(zone string, within float64) (mark uint64) // within is the time promised for the operation
+	AttemptEnded(zone string, mark uint64, how balancer.Outcome, took, within float64)
 }
 
 // Balancer makes the decisions. The product's is logic.Router; a laboratory may put another in its place, to see what
@@ -214,11 +214,11 @@
 	}
 }
 
-// Open is how many operations have no final answer or have executions out.
-func (r *Core) Open() int { return len(r.ops) }
+// OpenRequests is how many operations have no final answer or have executions out.
+func (r *Core) OpenRequests() int { return len(r.ops) }
 
-// Taken takes an operation, and gives the id by which its client's departure is told.
-func (r *Core) Taken(op *Request, client Client) uint64 {
+// Submit takes an operation, and gives the id by which its client's departure is told.
+func (r *Core) Submit(op *Request, client Client) uint64 {
 	r.last++
 	r.Counts.Taken++
 	op.NotIdempotent = !r.again[op.Class]
@@ -230,8 +230,8 @@
 	return o.id
 }
 
-// Left takes a client's departure.
-func (r *Core) Left(id uint64) {
+// OnClientGone takes a client's departure.
+func (r *Core) OnClientGone(id uint64) {
 	if o := r.ops[id]; o != nil && o.client != nil {
 		r.Counts.ClientsGone++
 		o.client = nil
@@ -241,8 +241,8 @@
 	}
 }
 
-// Listed takes an update of the list.
-func (r *Core) Listed(kind balancer.EndpointUpdate, members []balancer.Endpoint) {
+// OnEndpoints takes an update of the list.
+func (r *Core) OnEndpoints(kind balancer.EndpointUpdate, members []balancer.Endpoint) {
 	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		clear(r.zones)
 	}
@@ -254,13 +254,13 @@
 	r.guard(nil, func() { r.module.OnEndpoints(r.Clock.Now(), kind, members) })
 }
 
-// Barred takes that operators leave a server out, or that it may serve again.
-func (r *Core) Barred(server uint64, out bool) {
+// SetDisabled takes that operators leave a server out, or that it may serve again.
+func (r *Core) SetDisabled(server uint64, out bool) {
 	r.guard(nil, func() { r.module.SetDisabled(r.Clock.Now(), server, out) })
 }
 
-// Zoned takes the part of its keys that a zone serves from now on.
-func (r *Core) Zoned(zone string, share float64) {
+// SetZoneShare takes the part of its keys that a zone serves from now on.
+func (r *Core) SetZoneShare(zone string, share float64) {
 	r.guard(nil, func() { r.module.SetZoneShare(r.Clock.Now(), zone, share) })
 }
 
@@ -270,19 +270,19 @@
 	return avoided
 }
 
-// Offer takes the traffic types that operations may have from now on.
-func (r *Core) Offer(types []balancer.TrafficClass) {
+// SetTrafficClasses takes the traffic types that operations may have from now on.
+func (r *Core) SetTrafficClasses(types []balancer.TrafficClass) {
 	r.promise(types)
 	r.guard(nil, func() { r.module.SetTrafficClasses(types) })
 }
 
-// Told takes a peer's words.
-func (r *Core) Told(words []byte) {
+// OnGossip takes a peer's words.
+func (r *Core) OnGossip(words []byte) {
 	r.guard(nil, func() { r.module.OnGossip(r.Clock.Now(), words) })
 }
 
-// Counted takes how many routers there are, by those that are heard.
-func (r *Core) Counted(routers int) {
+// SetFleetSize takes how many routers there are, by those that are heard.
+func (r *Core) SetFleetSize(routers int) {
 	r.guard(nil, func() { r.module.SetFleetSize(r.Clock.Now(), routers) })
 }
 
@@ -292,7 +292,7 @@
 	o.out--
 	x.pending = nil
 	if x.mark > 0 {
-		r.ZoneObserver.Ended(x.zone, x.mark, how, now-x.began, r.times[o.Class])
+		r.ZoneObserver.AttemptEnded(x.zone, x.mark, how, now-x.began, r.times[o.Class])
 	}
 	final := how == balancer.Succeeded && o.client != nil
 	if final {
@@ -375,7 +375,7 @@
 	}
 	r.Counts.Attempts++
 	if x.zone = r.zones[server]; r.ZoneObserver != nil && x.zone != "" {
-		x.mark = r.ZoneObserver.Began(x.zone, r.times[o.Class])
+		x.mark = r.ZoneObserver.AttemptStarted(x.zone, r.times[o.Class])
 	}
 	x.pending = r.Upstream.StartAttempt(server, o.Request, limit, within, x)
 }
@@ -408,8 +408,8 @@
 	}
 }
 
-// End gives what has no final answer one, in the order in which it came: the process ends.
-func (r *Core) End() {
+// FailAll gives what has no final answer one, in the order in which it came: the process ends.
+func (r *Core) FailAll() {
 	for _, id := range slices.Sorted(maps.Keys(r.ops)) {
 		r.Fail(id)
 	}
--- a/internal/requestcore/router_test.go
+++ b/internal/requestcore/router_test.go
@@ -43,19 +43,19 @@
 	r := New(balancer.Settings{CancellationAllowed: true, MaxAttempts: 3, TrafficClasses: []balancer.TrafficClass{
 		{Name: "t", Idempotency: effect, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: 0.3, LatencyObjective: 0.1, Deadline: 0.5, PriorityWeight: 1}}},
 		Dependencies{Clock: o, Upstream: o, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, DefaultBalancer)
-	r.Listed(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1},
+	r.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1},
 		{ID: 2, State: balancer.Ready, Capacity: 1}})
 	return r, o
 }
 
 func (r *Core) take(a *answers) uint64 {
-	return r.Taken(&Request{Class: "t", Key: "k", TimeLeft: 0.5}, a)
+	return r.Submit(&Request{Class: "t", Key: "k", TimeLeft: 0.5}, a)
 }
 
 func check(t *testing.T, r *Core, a answers, want answers, open int) {
 	t.Helper()
-	if a != want || r.Open() != open {
-		t.Errorf("the client was told %+v, want %+v; %d are open, want %d", a, want, r.Open(), open)
+	if a != want || r.OpenRequests() != open {
+		t.Errorf("the client was told %+v, want %+v; %d are open, want %d", a, want, r.OpenRequests(), open)
 	}
 }
 
@@ -82,8 +82,8 @@
 		for _, how := range c.ends {
 			o.began[len(o.began)-1].OnAttemptEnd(how, Result{})
 		}
-		if a != c.want || r.Open() != 0 {
-			t.Errorf("%s: the client was told %+v, want %+v; %d are open", name, a, c.want, r.Open())
+		if a != c.want || r.OpenRequests() != 0 {
+			t.Errorf("%s: the client was told %+v, want %+v; %d are open", name, a, c.want, r.OpenRequests())
 		}
 	}
 }
@@ -93,7 +93,7 @@
 	r, o := started(balancer.Idempotent)
 	var a answers
 	id := r.take(&a)
-	r.Left(id)
+	r.OnClientGone(id)
 	check(t, r, a, answers{}, 1)
 	o.began[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, r, a, answers{}, 0)
@@ -104,7 +104,7 @@
 
 func TestWithoutServersDeclined(t *testing.T) {
 	r, _ := started(balancer.Idempotent)
-	r.Listed(balancer.UpdateFull, nil)
+	r.OnEndpoints(balancer.UpdateFull, nil)
 	var a answers
 	r.take(&a)
 	check(t, r, a, answers{declined: 1}, 0)
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -114,7 +114,7 @@
 // letGo drops pools that are no longer named once nothing of theirs is open.
 func (s *Service) letGo() {
 	s.leaving = slices.DeleteFunc(s.leaving, func(p *pool) bool {
-		if p.router.Open() > 0 {
+		if p.router.OpenRequests() > 0 {
 			return false
 		}
 		p.stop()
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -79,7 +79,7 @@
 	}
 	if w.steps++; w.steps%feeding == 0 {
 		if words := w.fleet.Feed(now); len(words) > 0 {
-			w.s.platform.router.Told(words)
+			w.s.platform.router.OnGossip(words)
 		}
 	}
 	w.s.loop.After(gossiping, w.step)
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -65,7 +65,7 @@
 	}
 	p.router = requestcore.New(set, out, s.module)
 	if s.routers > 0 {
-		p.router.Counted(s.routers)
+		p.router.SetFleetSize(s.routers)
 	}
 	return p
 }
@@ -184,7 +184,7 @@
 		p.fleet.Listed(e.ID, e.Addr)
 		members = append(members, e.Endpoint)
 	}
-	p.router.Listed(kind, members)
+	p.router.OnEndpoints(kind, members)
 	p.s.zones.listed()
 	p.s.gossip.listed()
 	p.s.recovery.listed(p, kind == balancer.UpdateFull || kind == balancer.UpdateDelta) // a call that failed confirms nothing
@@ -228,7 +228,7 @@
 
 // bar leaves a server out, or takes it back.
 func (p *pool) bar(id uint64, out bool) {
-	p.router.Barred(id, out)
+	p.router.SetDisabled(id, out)
 	if out {
 		p.fleet.LetGo(id)
 	}
@@ -239,7 +239,7 @@
 	c := p.router.Counts
 	e := log.Info().Uint64("taken", c.Taken).Uint64("finished", c.Succeeded).Uint64("declined", c.Rejected).
 		Uint64("terminated", c.Failed).Uint64("left", c.ClientsGone).Uint64("executions", c.Attempts).
-		Uint64("faults", c.Faults).Int("open", p.router.Open()).Int("clients", clients).Int("idle", p.fleet.Idle())
+		Uint64("faults", c.Faults).Int("open", p.router.OpenRequests()).Int("clients", clients).Int("idle", p.fleet.Idle())
 	for why, n := range p.fleet.Cut() {
 		if n > 0 {
 			e = e.Uint64("servers' connections cut, "+upstream.Cuts[why], n)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -260,7 +260,7 @@
 	s.tier.Heard(s.loop.Now(), from)
 	s.counted()
 	if !s.zones.heard(words) && !s.broker.Heard(words) && !s.gossip.heard(place, words) && s.conf.Settings.GossipAllowed {
-		s.platform.router.Told(words)
+		s.platform.router.OnGossip(words)
 	}
 }
 
@@ -271,9 +271,9 @@
 	}
 	if n := s.tier.Routers(s.loop.Now()); n != s.routers {
 		s.routers = n
-		s.platform.router.Counted(n)
+		s.platform.router.SetFleetSize(n)
 		for _, name := range slices.Sorted(maps.Keys(s.pools)) {
-			s.pools[name].router.Counted(n)
+			s.pools[name].router.SetFleetSize(n)
 		}
 	}
 }
@@ -321,12 +321,12 @@
 // answer gives all that is open its final answer, declines what still comes, and ends the process once clients have had time
 // to read that.
 func (s *Service) answer() {
-	s.platform.router.End()
+	s.platform.router.FailAll()
 	for _, p := range s.pools {
-		p.router.End()
+		p.router.FailAll()
 	}
 	for _, p := range s.leaving {
-		p.router.End()
+		p.router.FailAll()
 	}
 	s.loop.After(answering/2, s.front.Shut)
 	s.loop.After(answering, s.end)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -315,7 +315,7 @@
 				}
 			}
 		}
-		until(t, "an end of all executions", s, func() bool { return s.platform.router.Open() == 0 && s.front.Open() == 0 })
+		until(t, "an end of all executions", s, func() bool { return s.platform.router.OpenRequests() == 0 && s.front.Open() == 0 })
 	}
 }
 
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -111,7 +111,7 @@
 			}
 		}
 	}
-	p.router.Zoned(zone, x)
+	p.router.SetZoneShare(zone, x)
 }
 
 // apply tells a new pool of all zones.
@@ -154,13 +154,13 @@
 // heard takes another router's words; false if they are not of zones.
 func (w *zoneWatch) heard(words []byte) bool { return w != nil && w.fleet.Heard(w.now(), words) }
 
-// Began takes that an execution begins.
-func (w *zoneWatch) Began(zone string, within float64) uint64 {
+// AttemptStarted takes that an execution begins.
+func (w *zoneWatch) AttemptStarted(zone string, within float64) uint64 {
 	return w.fleet.Began(w.now(), zone, within)
 }
 
-// Ended takes how it went.
-func (w *zoneWatch) Ended(zone string, mark uint64, how balancer.Outcome, took, within float64) {
+// AttemptEnded takes how it went.
+func (w *zoneWatch) AttemptEnded(zone string, mark uint64, how balancer.Outcome, took, within float64) {
 	end := zonefailover.Unsaid
 	switch how {
 	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss: // also an error is an answer
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -26,7 +26,7 @@
 			f := zonefailover.New(zonefailover.Settings{Routers: 1})
 			s.zones.fleet = f
 			f.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
-			s.zones.Ended("a", s.zones.Began("a", 0.2), c.how, c.took, 0.2)
+			s.zones.AttemptEnded("a", s.zones.AttemptStarted("a", 0.2), c.how, c.took, 0.2)
 			return f.States(s.loop.Now())[0].Against
 		})
 		if (suspected > 0) != c.bad {
