--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -313,7 +313,7 @@
 	read := func() (service.Setup, error) {
 		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
 		conf, other := config.Read(os.Getenv)
-		return service.Setup{Platform: conf, Operators: theirs, Flat: c.Flat}, errors.Join(err, other)
+		return service.Setup{Platform: conf, Operators: theirs, FlatCost: c.Flat}, errors.Join(err, other)
 	}
 	set, err := read()
 	if err != nil {
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -3,186 +3,132 @@
 import (
 	"cmp"
 	"maps"
-	"slices"
 
 	"bendtrestle/internal/broker"
-	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/frontend"
-	"bendtrestle/internal/frontend/tileserver"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/tiles"
 	"bendtrestle/internal/upstream"
 	"bendtrestle/internal/upstream/tileclient"
 )
 
-// contract takes the operators' pools and contracts. What is open ends under the old ones.
-func (s *Service) contract(set Setup) {
-	f, terms := set.Operators, set.Operators.Terms()
-	s.operators = f
-	for i := range terms {
-		terms[i].Flat = set.Flat
-	}
-	if s.broker.Revision() == 0 && len(f.Teams) == 0 && len(f.Pools) == 0 {
-		return // as the platform has it
-	}
+const (
+	quotaGossipIntervalSeconds = 0.1  // between two looks whether the other routers are to be told of quotas
+	defaultLargestTileKB       = 1024 // ten times a large one
+	defaultHealthCheckPath     = "/"  // of a pool of tile servers
+)
+
+// applyContracts takes the operators' pools and contracts. Requests in flight end under the old ones.
+func (s *Service) applyContracts(setup Setup) {
+	operators := setup.Operators
+	s.operators = operators
 	if s.broker.Revision() == 0 {
-		s.loop.After(talking, s.talk)
+		if len(operators.Teams) == 0 && len(operators.Pools) == 0 {
+			return // nothing but the platform's, as the broker begins
+		}
+		s.loop.After(quotaGossipIntervalSeconds, s.sendQuotaGossip)
 	}
 	var enough bool
-	s.conf, enough = s.conf.Apart(named(f))
-	s.scarce(enough)
+	s.conf, enough = s.conf.Apart(reservedDescriptors(operators))
+	s.warnIfScarce(enough)
 	s.loop.Limit(s.conf.Connections)
-	s.limit()
-	c := s.bounds()
-	parts := 0.0
-	stay := map[string]bool{}
-	for _, p := range f.Pools {
-		parts += p.Connections
-		stay[p.Name] = true
-	}
-	all := []broker.Pool{{Core: s.platform.router, Connections: share(c.Caches, 1-parts)}}
-	s.platform.fleet.Limit(share(c.Caches, 1-parts))
-	for _, f := range f.Pools {
-		connections := share(c.Caches, f.Connections)
-		p := s.pools[f.Name]
-		if p == nil {
-			connect := f.ConnectTimeout(c.ConnectTimeout)
-			p = s.newPool(f.Name, f.Settings(c.Settings), connections, connect, f.Stall(stall(connect)), f.ConnIdle(c.ConnIdle),
-				f.Streams(c.PerConnection), s.wire(f))
-			s.pools[f.Name] = p
-			for id := range s.out {
-				p.bar(discovery.ID(id), true)
-			}
-			s.zones.apply(p)
-		}
-		p.fleet.Limit(connections)
-		p.follow(f.Discovery)
-		all = append(all, broker.Pool{Name: f.Name, Core: p.router, Capacity: f.Capacity, Connections: connections})
+	s.applyLimits()
+	pools := s.applyPools(operators)
+	changes := s.broker.Change(pools, contractTerms(setup), operators.Others())
+	for _, change := range changes {
+		s.log.Info().Int("revision", s.broker.Revision()).Str("change", change).Msg("contracts")
 	}
-	lines := s.broker.Change(all, terms, f.Others())
-	for _, line := range lines {
-		s.log.Info().Int("revision", s.broker.Revision()).Str("change", line).Msg("contracts")
-	}
-	for _, name := range slices.Sorted(maps.Keys(s.pools)) {
-		if !stay[name] { // its list is followed until what is open there has ended
-			s.leaving = append(s.leaving, s.pools[name])
-			delete(s.pools, name)
-			s.loop.After(1, s.letGo)
-		}
-	}
-	maps.DeleteFunc(s.seen, func(team string, _ uint64) bool { return !s.broker.Has(team) })
-	s.listen(f)
-}
-
-// named is how many descriptors are set apart for what the operators' file names: teams' listeners, and watches of pools' lists.
-func named(f operatorconfig.File) (n int) {
-	n = len(f.Pools) * config.PerWatch
-	for _, t := range f.Teams {
-		if t.Listen != "" {
-			n += config.PerListener
-		}
+	stay := map[string]bool{}
+	for _, named := range operators.Pools {
+		stay[named.Name] = true
 	}
-	return n
+	s.retireUnnamed(stay)
+	maps.DeleteFunc(s.counts.takenByTeam, func(team string, _ uint64) bool { return !s.broker.Has(team) })
+	s.openTeamListeners(operators)
 }
 
-// scarce warns where descriptors do not suffice for what is named: listeners and calls to list services may fail.
-func (s *Service) scarce(enough bool) {
-	if !enough {
-		s.log.Warn().Int("sockets", s.conf.Sockets).Msg("limits.sockets is too low for the listeners and pools of the operators' file")
+// contractTerms gives the terms of all teams.
+func contractTerms(setup Setup) []broker.Terms {
+	terms := setup.Operators.Terms()
+	for i := range terms {
+		terms[i].Flat = setup.FlatCost
 	}
+	return terms
 }
 
-const (
-	largestTile = 1024 // kilobytes; ten times a large one
-	probePath   = "/"
-)
-
-// wire gives what a pool's servers speak.
-func (s *Service) wire(p operatorconfig.Pool) func(upstream.Link) upstream.Wire {
-	if p.Protocol != "tiles" {
-		return upstream.Memcache
-	}
-	servers := &tileclient.Servers{Scheme: tiles.Scheme(cmp.Or(p.Scheme, string(tiles.XYZ))), Host: cmp.Or(p.Host, p.Name),
-		Probe: cmp.Or(p.Probe, probePath), Largest: cmp.Or(p.LargestKB, largestTile) << 10, Most: s.conf.Held}
-	return servers.Wire
+// applyPools makes the pools that are new, changes the others, and gives all of them as the broker knows them: the
+// platform's first.
+func (s *Service) applyPools(operators operatorconfig.File) []broker.Pool {
+	limits := s.processLimits()
+	namedParts := 0.0
+	for _, named := range operators.Pools {
+		namedParts += named.Connections
+	}
+	platformConnections := connectionShare(limits.Caches, 1-namedParts)
+	s.pools.platform.servers.Limit(platformConnections)
+	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
+	for _, named := range operators.Pools {
+		connections := connectionShare(limits.Caches, named.Connections)
+		p := s.pools.named[named.Name]
+		if p == nil {
+			p = s.addPool(named, connections)
+		}
+		p.servers.Limit(connections)
+		p.follow(named.Discovery)
+		pools = append(pools, broker.Pool{
+			Name:        named.Name,
+			Core:        p.core,
+			Capacity:    named.Capacity,
+			Connections: connections,
+		})
+	}
+	return pools
 }
 
-// share is a part of the connections to servers, one at the least.
-func share(all int, part float64) int { return max(1, int(float64(all)*part)) }
-
-// letGo drops pools that are no longer named once nothing of theirs is open.
-func (s *Service) letGo() {
-	s.leaving = slices.DeleteFunc(s.leaving, func(p *pool) bool {
-		if p.router.OpenRequests() > 0 {
-			return false
-		}
-		p.stop()
-		p.fleet.Close()
-		s.sent += p.fleet.Sends()
-		for why, n := range p.fleet.Cut() {
-			s.cut[why] += n
-		}
-		return true
+// addPool makes a pool of the operators' file, with servers disabled and zones evacuated as they are.
+func (s *Service) addPool(named operatorconfig.Pool, connections int) *pool {
+	limits := s.processLimits()
+	connectTimeout := named.ConnectTimeout(limits.ConnectTimeout)
+	p := s.newPool(poolOptions{
+		name:                  named.Name,
+		settings:              named.Settings(limits.Settings),
+		connections:           connections,
+		connectTimeout:        connectTimeout,
+		stallTimeout:          named.Stall(stallTimeout(connectTimeout)),
+		idleTimeout:           named.ConnIdle(limits.ConnIdle),
+		requestsPerConnection: named.Streams(limits.PerConnection),
+		wire:                  s.wireOf(named),
 	})
-	if len(s.leaving) > 0 && s.phase != Ended {
-		s.loop.After(1, s.letGo)
+	s.pools.named[named.Name] = p
+	for id := range s.disabled.ids {
+		p.setDisabled(discovery.ID(id), true)
 	}
+	s.zones.applyTo(p)
+	return p
 }
 
-// listen opens and closes the teams' listeners. One that cannot be opened is logged, and its team has none until the next
-// change.
-func (s *Service) listen(f operatorconfig.File) {
-	if s.phase == Starting && s.beside > 0 {
-		return // the process before this one takes their clients
-	}
-	wanted := map[string]bool{}
-	for _, t := range f.Teams {
-		if t.Listen != "" {
-			wanted[t.Listen] = true
-		}
-	}
-	speak := map[string]operatorconfig.TileFront{}
-	for _, t := range f.TileFronts() {
-		speak[t.Listen] = t
-	}
-	for addr, l := range s.listeners {
-		t, http := speak[addr]
-		if server := s.tiles[addr]; http && server != nil { // what is open goes on
-			server.Change(t.Service, t.Kind, t.WaitHeader)
-		}
-		if !wanted[addr] || http != (s.tiles[addr] != nil) {
-			l.Close()
-			delete(s.listeners, addr)
-			delete(s.tiles, addr)
-		}
+// wireOf gives the protocol that a pool's servers speak.
+func (s *Service) wireOf(named operatorconfig.Pool) func(upstream.Link) upstream.Wire {
+	if named.Protocol != "tiles" {
+		return upstream.Memcache
 	}
-	for addr := range wanted {
-		if s.listeners[addr] != nil || s.phase >= Finishing {
-			continue
-		}
-		protocol := frontend.Memcache
-		if t, http := speak[addr]; http {
-			s.tiles[addr] = tileserver.New(t.Service, t.Kind, t.WaitHeader)
-			protocol = s.tiles[addr].Protocol
-		}
-		l, err := s.listenAt(addr, protocol)
-		if err != nil {
-			s.log.Error().Err(err).Str("listen", addr).Msg("a team's listener cannot be opened")
-			delete(s.tiles, addr)
-			continue
-		}
-		s.listeners[addr] = l
+	servers := &tileclient.Servers{
+		Scheme:  tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
+		Host:    cmp.Or(named.Host, named.Name),
+		Probe:   cmp.Or(named.Probe, defaultHealthCheckPath),
+		Largest: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
+		Most:    s.conf.Held,
 	}
+	return servers.Wire
 }
 
-// talk tells the other routers what load is asked of this one.
-func (s *Service) talk() {
-	if s.phase == Ended {
+// sendQuotaGossip tells the other routers what load is asked of this one, again and again.
+func (s *Service) sendQuotaGossip() {
+	if s.lifecycle.phase == Ended {
 		return
 	}
-	for _, words := range s.broker.Words() {
-		s.peers.Tell(words)
+	for _, message := range s.broker.Words() {
+		s.peers.transport.Tell(message)
 	}
-	s.loop.After(talking, s.talk)
+	s.loop.After(quotaGossipIntervalSeconds, s.sendQuotaGossip)
 }
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -114,7 +114,7 @@
 	}
 	wait("the pool's end", func() bool {
 		left := make(chan int)
-		s.loop.Post(func() { left <- len(s.pools) + len(s.leaving) })
+		s.loop.Post(func() { left <- len(s.pools.named) + len(s.pools.retiring) })
 		return <-left == 0
 	})
 	set("")
--- /dev/null
+++ b/internal/service/countslog.go
@@ -0,0 +1,94 @@
+package service
+
+import (
+	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/requestcore"
+	"bendtrestle/internal/upstream"
+
+	"github.com/rs/zerolog"
+)
+
+const (
+	countsIntervalSeconds = 10 // between two logs of the counts
+	maxTeamsLogged        = 20 // in one log of the counts: as many as a person reads
+)
+
+// countsLog is what the log of counts remembers.
+type countsLog struct {
+	takenByTeam map[string]uint64 // requests of each team that has a contract, as last logged
+}
+
+func (s *Service) logCountsRepeatedly() {
+	s.announceFleetSize()
+	s.logCounts()
+	s.loop.After(countsIntervalSeconds, s.logCountsRepeatedly)
+}
+
+// logCounts logs what has happened since the start: a line a pool, and one for each team with requests since the
+// last log.
+func (s *Service) logCounts() {
+	clients := s.clients.frontend.Clients()
+	s.pools.platform.logCounts(s.log, clients)
+	for _, p := range s.pools.namedInOrder() {
+		p.logCounts(s.log.With().Str("pool", p.name).Logger(), clients)
+	}
+	logged := 0
+	for _, team := range s.broker.States() {
+		if team.Taken == s.counts.takenByTeam[team.Team] || logged >= maxTeamsLogged {
+			continue
+		}
+		logged++
+		s.counts.takenByTeam[team.Team] = team.Taken
+		event := s.log.Info().
+			Str("team", team.Team).
+			Str("pool", team.Pool).
+			Uint64("taken", team.Taken).
+			Uint64("finished", team.Finished).
+			Uint64("declined", team.Declined).
+			Uint64("terminated", team.Terminated).
+			Uint64("left", team.Left).
+			Int("open", team.Open).
+			Float64("load", team.Took).
+			Float64("budget", team.Budget).
+			Float64("part", team.Part).
+			Float64("balance", team.Balance)
+		withRejectReasons(event, team.Reasons[:]).Msg("contract")
+	}
+}
+
+// logCounts logs the counts of one pool. The names of the fields are read by dashboards.
+func (p *pool) logCounts(log zerolog.Logger, clients int) {
+	counts := p.core.Counts
+	event := log.Info().
+		Uint64("taken", counts.Taken).
+		Uint64("finished", counts.Succeeded).
+		Uint64("declined", counts.Rejected).
+		Uint64("terminated", counts.Failed).
+		Uint64("left", counts.ClientsGone).
+		Uint64("executions", counts.Attempts).
+		Uint64("faults", counts.Faults).
+		Int("open", p.core.OpenRequests()).
+		Int("clients", clients).
+		Int("idle", p.servers.Idle())
+	for reason, n := range p.servers.Cut() {
+		if n > 0 {
+			event = event.Uint64("servers' connections cut, "+upstream.Cuts[reason], n)
+		}
+	}
+	for reason, n := range p.service.clients.frontend.Cut() {
+		if n > 0 {
+			event = event.Uint64("clients' connections cut, "+frontend.Cuts[reason], n)
+		}
+	}
+	withRejectReasons(event, counts.Reasons[:]).Msg("counts")
+}
+
+// withRejectReasons adds a field for each reason of rejections that there were.
+func withRejectReasons(event *zerolog.Event, counts []uint64) *zerolog.Event {
+	for reason, n := range counts {
+		if n > 0 {
+			event = event.Uint64("declined for "+requestcore.ReasonNames[reason], n)
+		}
+	}
+	return event
+}
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -41,34 +41,34 @@
 func TestADrainOnItsWayIsNotTakenBackByAServiceThatLags(t *testing.T) {
 	s, _ := next(t, freeAddress(t), fleet(t, 0), "")
 	serving(t, s)
-	avoided := func() bool { return s.platform.router.Avoids(discovery.ID("s-1")) }
+	avoided := func() bool { return s.pools.platform.core.Avoids(discovery.ID("s-1")) }
 	on(s, func() bool {
-		p := s.platform
+		p := s.pools.platform
 		if p.watch == nil { // it has told nothing since the list that was known
-			p.watch, p.next = p.next, nil
+			p.watch, p.nextWatch = p.nextWatch, nil
 		}
 		was := p.watch
 		p.follow("127.0.0.1:1")
-		moved := p.next
-		if err := p.news(was, members(42, "127.0.0.1:2", "draining")); err != nil || !avoided() {
+		moved := p.nextWatch
+		if err := p.onList(was, members(42, "127.0.0.1:2", "draining")); err != nil || !avoided() {
 			t.Errorf("the drain is not taken: %v", err)
 		}
-		if err := p.news(moved, members(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
+		if err := p.onList(moved, members(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
 			t.Errorf("it is taken back: %v", err)
 		}
 		lags := members(41, "127.0.0.1:2", "ready")
 		lags.Entries[1].State = balancer.Draining
-		if err := p.news(moved, lags); err == nil || !avoided() || !p.router.Avoids(discovery.ID("s-2")) {
+		if err := p.onList(moved, lags); err == nil || !avoided() || !p.core.Avoids(discovery.ID("s-2")) {
 			t.Errorf("a drain that it tells is not heeded: %v", err)
 		}
 		if p.watch != was {
 			t.Error("the watch before is left before the new service has told a list that counts")
 		}
-		moved.since -= catchUp // it counts anew, then
-		if err := p.news(moved, members(7, "127.0.0.1:2", "ready")); err != nil || avoided() || p.watch != moved {
+		moved.startedAt -= catchUpSeconds // it counts anew, then
+		if err := p.onList(moved, members(7, "127.0.0.1:2", "ready")); err != nil || avoided() || p.watch != moved {
 			t.Errorf("the new service is never followed: %v", err)
 		}
-		if err := p.news(was, members(43, "127.0.0.1:2", "draining")); err != nil || avoided() {
+		if err := p.onList(was, members(43, "127.0.0.1:2", "draining")); err != nil || avoided() {
 			t.Errorf("news of a service that was left still counts: %v", err)
 		}
 		return true
@@ -90,13 +90,13 @@
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	on(s, func() bool {
-		p := s.platform
+		p := s.pools.platform
 		p.follow("127.0.0.1:2")
-		moved := p.next
-		if err := p.news(moved, members(41, "127.0.0.1:2", "ready")); err == nil || !p.router.Avoids(discovery.ID("s-1")) {
+		moved := p.nextWatch
+		if err := p.onList(moved, members(41, "127.0.0.1:2", "ready")); err == nil || !p.core.Avoids(discovery.ID("s-1")) {
 			t.Errorf("the drain is taken back: %v", err)
 		}
-		if err := p.news(moved, members(43, "127.0.0.1:2", "ready")); err != nil || p.router.Avoids(discovery.ID("s-1")) {
+		if err := p.onList(moved, members(43, "127.0.0.1:2", "ready")); err != nil || p.core.Avoids(discovery.ID("s-1")) {
 			t.Errorf("a newer list is not taken: %v", err)
 		}
 		return true
@@ -136,19 +136,19 @@
 			io.WriteString(w, `{"generation":51,"reset":true,"instances":[{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"draining"}]}`)
 		}))
 		t.Cleanup(func() { other.CloseClientConnections(); other.Close() })
-		p, at := s.platform, other.Listener.Addr().String()
-		avoided := func() bool { return p.router.Avoids(discovery.ID("s-1")) }
+		p, at := s.pools.platform, other.Listener.Addr().String()
+		avoided := func() bool { return p.core.Avoids(discovery.ID("s-1")) }
 		on(s, func() bool { p.follow(at); return true })
 		<-calls
 		<-calls // the first hangs
 		on(s, func() bool {
-			if err := p.news(p.watch, members(50, "127.0.0.1:2", "draining")); err != nil || !avoided() || p.watch.addr == at {
+			if err := p.onList(p.watch, members(50, "127.0.0.1:2", "draining")); err != nil || !avoided() || p.watch.address == at {
 				t.Errorf("the drain that the service before tells is not taken: %v", err)
 			}
 			return true
 		})
 		close(back)
-		until(t, "the other service's list", s, func() bool { return p.watch.addr == at && p.next == nil && p.router.Avoids(discovery.ID("s-2")) })
+		until(t, "the other service's list", s, func() bool { return p.watch.address == at && p.nextWatch == nil && p.core.Avoids(discovery.ID("s-2")) })
 	}
 }
 
@@ -157,7 +157,7 @@
 	s, _, ended := running(t, fleet(t, 0))
 	signals, read := make(chan os.Signal), make(chan bool)
 	defer close(read)
-	go s.obey(signals, func() (Setup, error) { <-read; return Setup{}, errors.New("never") })
+	go s.handleSignals(signals, func() (Setup, error) { <-read; return Setup{}, errors.New("never") })
 	for range 20 {
 		signals <- syscall.SIGHUP
 	}
@@ -176,10 +176,10 @@
 	set := Setup{Platform: s.conf, Operators: operatorconfig.File{Teams: []operatorconfig.Team{{Name: "late", Listen: freeAddress(t), Budget: 1}}}}
 	set.Platform.Discovery = "127.0.0.1:1"
 	on(s, func() bool {
-		s.leave()
+		s.beginShutdown()
 		s.reconfigure(set)
-		if len(s.listeners) > 0 || s.broker.Revision() > 0 || s.platform.next == nil || s.platform.next.addr != "127.0.0.1:1" {
-			t.Errorf("%d listeners, revision %d, it goes on to %+v", len(s.listeners), s.broker.Revision(), s.platform.next)
+		if len(s.clients.teamListeners) > 0 || s.broker.Revision() > 0 || s.pools.platform.nextWatch == nil || s.pools.platform.nextWatch.address != "127.0.0.1:1" {
+			t.Errorf("%d listeners, revision %d, it goes on to %+v", len(s.clients.teamListeners), s.broker.Revision(), s.pools.platform.nextWatch)
 		}
 		return true
 	})
@@ -198,9 +198,9 @@
 	serving(t, s)
 	conn, in := asking(t, addr, "a", "")
 	fmt.Fprintf(conn, "mg k1 v Oa Pc=t,d=60000\r\nmg k2 v Ob Pc=t,d=60000\r\n")
-	until(t, "both operations", s, func() bool { return s.front.Open() == 2 })
-	s.loop.Post(s.leave)
-	until(t, "the end's second part", s, func() bool { return s.phase == Finishing })
+	until(t, "both operations", s, func() bool { return s.clients.frontend.Open() == 2 })
+	s.loop.Post(s.beginShutdown)
+	until(t, "the end's second part", s, func() bool { return s.lifecycle.phase == Finishing })
 	fmt.Fprintf(conn, "mg k3 v Oc Pc=t,d=60000\r\nmg and then nothing") // half a command does not hold up the end either
 	all, err := io.ReadAll(in)
 	if lines := strings.Split(string(all), "\r\n"); err != nil || len(lines) != 4 || strings.Count(string(all), "SERVER_ERROR ") != 3 {
@@ -223,16 +223,16 @@
 	serving(t, old)
 	heir, _ := next(t, addr, list, shared)
 	serving(t, heir)
-	until(t, "the hand-over", old, func() bool { return old.heirs == 1 })
+	until(t, "the hand-over", old, func() bool { return old.restart.servingSuccessors == 1 })
 	_, in := asking(t, addr, "a", "later")
-	until(t, "the operation", heir, func() bool { return heir.front.Open() == 1 })
-	heir.loop.Post(heir.leave)
-	until(t, "the end's second part", heir, func() bool { return heir.phase == Finishing })
-	if got := ask(addr, "mg k v Ob Pc=t,d=1900"); got != "VA 2 Ob" || on(heir, func() Phase { return heir.phase }) != Finishing {
+	until(t, "the operation", heir, func() bool { return heir.clients.frontend.Open() == 1 })
+	heir.loop.Post(heir.beginShutdown)
+	until(t, "the end's second part", heir, func() bool { return heir.lifecycle.phase == Finishing })
+	if got := ask(addr, "mg k v Ob Pc=t,d=1900"); got != "VA 2 Ob" || on(heir, func() Phase { return heir.lifecycle.phase }) != Finishing {
 		t.Errorf("while the new process finishes it answers %q", got)
 	}
 	on(old, func() bool {
-		if old.beside != 1 {
+		if old.restart.processesBeside != 1 {
 			t.Error("the old process takes all places while the new one still has connections")
 		}
 		return true
@@ -256,15 +256,15 @@
 	old, _ := next(t, addr, list, shared)
 	serving(t, old)
 	heir, _ := next(t, addr, "127.0.0.1:1", shared) // its list service does not answer
-	until(t, "the new process's question", old, func() bool { return old.beside == 1 })
+	until(t, "the new process's question", old, func() bool { return old.restart.processesBeside == 1 })
 	asking(t, addr, "a", "later")
-	until(t, "the operation", old, func() bool { return old.front.Open() == 1 })
-	old.loop.Post(old.leave)
-	until(t, "the end's second part", old, func() bool { return old.phase == Finishing })
-	if got := ask(addr, "mn"); got != "SERVER_ERROR starting" || on(old, func() Phase { return old.phase }) != Finishing {
+	until(t, "the operation", old, func() bool { return old.clients.frontend.Open() == 1 })
+	old.loop.Post(old.beginShutdown)
+	until(t, "the end's second part", old, func() bool { return old.lifecycle.phase == Finishing })
+	if got := ask(addr, "mn"); got != "SERVER_ERROR starting" || on(old, func() Phase { return old.lifecycle.phase }) != Finishing {
 		t.Errorf("while the old process finishes it answers %q", got)
 	}
-	if on(heir, func() int { return heir.beside }) != 1 {
+	if on(heir, func() int { return heir.restart.processesBeside }) != 1 {
 		t.Error("the new process takes all places while the old one still has connections")
 	}
 }
@@ -273,14 +273,14 @@
 func TestGenerationsThatRepeatAndStartAgain(t *testing.T) {
 	s, _, _ := running(t, fleet(t, 0))
 	on(s, func() bool {
-		p := s.platform
+		p := s.pools.platform
 		for i, c := range []struct {
 			generation uint64
 			state      string
 			avoided    bool
 		}{{42, "ready", false}, {42, "draining", true}, {42, "ready", false}, {0, "draining", true}} {
-			p.watch.since -= catchUp
-			if err := p.news(p.watch, members(c.generation, "127.0.0.1:2", c.state)); err != nil || p.router.Avoids(discovery.ID("s-1")) != c.avoided {
+			p.watch.startedAt -= catchUpSeconds
+			if err := p.onList(p.watch, members(c.generation, "127.0.0.1:2", c.state)); err != nil || p.core.Avoids(discovery.ID("s-1")) != c.avoided {
 				t.Errorf("list %d: %v, avoided %v", i, err, !c.avoided)
 			}
 		}
@@ -297,10 +297,10 @@
 	ended := make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
 	on(s, func() bool {
-		s.leave()
-		s.leave()
-		s.platform.next = &watch{stop: func() {}}
-		return s.platform.news(s.platform.next, members(1, "127.0.0.1:2", "ready")) == nil // the list comes after all
+		s.beginShutdown()
+		s.beginShutdown()
+		s.pools.platform.nextWatch = &endpointWatch{stop: func() {}}
+		return s.pools.platform.onList(s.pools.platform.nextWatch, members(1, "127.0.0.1:2", "ready")) == nil // the list comes after all
 	})
 	if got := ask(addr, "mn"); got == "MN" {
 		t.Error("a process that ends says that it serves")
@@ -323,7 +323,7 @@
 		for range 20 {
 			_, in = asking(t, addr, "a", "short")
 		}
-		s.phase = Leaving
+		s.lifecycle.phase = Leaving
 		s.finish()
 		return true
 	})
@@ -338,11 +338,11 @@
 	old, _ := next(t, addr, fleet(t, 0), shared)
 	serving(t, old)
 	heir, gone := next(t, addr, "127.0.0.1:1", shared)
-	until(t, "the new process's question", old, func() bool { return old.beside == 1 })
-	on(heir, func() bool { heir.part(); heir.loop.Stop(); return true }) // as its kernel does for it
+	until(t, "the new process's question", old, func() bool { return old.restart.processesBeside == 1 })
+	on(heir, func() bool { heir.disconnectOtherProcesses(); heir.loop.Stop(); return true }) // as its kernel does for it
 	<-gone
-	until(t, "its end", old, func() bool { return old.beside == 0 })
-	if got := ask(addr, read); got != "VA 2 Oa1" || old.heirs != 0 {
+	until(t, "its end", old, func() bool { return old.restart.processesBeside == 0 })
+	if got := ask(addr, read); got != "VA 2 Oa1" || old.restart.servingSuccessors != 0 {
 		t.Errorf("then the old one answers %q", got)
 	}
 }
@@ -374,9 +374,9 @@
 	}
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
-	on(s, func() bool { s.leave(); return true })
+	on(s, func() bool { s.beginShutdown(); return true })
 	ask(addr, "mg k v Oa Pc=t,d=60000")
-	if got := <-left; got > unstated+margin {
+	if got := <-left; got > defaultClientWaitSeconds+killMarginSeconds {
 		t.Errorf("it may take %v s", got)
 	}
 }
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -73,11 +73,11 @@
 		t.Errorf("undrain: %v, ready %v", err, d.Ready())
 	}
 	d.Drain()
-	d.s.loop.Post(d.s.leave)
-	if err := d.Undrain(); err != errEnding {
+	d.service.loop.Post(d.service.beginShutdown)
+	if err := d.Undrain(); err != errShuttingDown {
 		t.Errorf("as it ends a call gets %v", err)
 	}
-	gone(t, d.s, ended)
+	gone(t, d.service, ended)
 }
 
 // Drains that were called off end no connection later. One that begins before the router serves holds once it does.
@@ -88,8 +88,8 @@
 		t.Error("it is ready without a list")
 	}
 	d.Drain()
-	d.s.loop.Post(func() { d.s.platform.follow(list) })
-	serving(t, d.s)
+	d.service.loop.Post(func() { d.service.pools.platform.follow(list) })
+	serving(t, d.service)
 	if got := ask(addr, "mn"); d.Ready() || got != "SERVER_ERROR draining" {
 		t.Errorf("drained before it served, it answers %q", got)
 	}
@@ -118,7 +118,7 @@
 func TestCallsAreDoneOrNot(t *testing.T) {
 	d, addr, _ := operated(t, fleet(t, 0))
 	held := make(chan bool)
-	d.s.loop.Post(func() { <-held })
+	d.service.loop.Post(func() { <-held })
 	began := time.Now()
 	if err := d.Drain(); err != admin.ErrNotNow || time.Since(began) > time.Second {
 		t.Errorf("it is told %v after %v", err, time.Since(began))
@@ -136,7 +136,7 @@
 	figures := func(want string) {
 		t.Helper()
 		before := d.Figures()
-		until(t, "newer figures", d.s, func() bool { return len(before) > 0 && &d.Figures()[0] != &before[0] })
+		until(t, "newer figures", d.service, func() bool { return len(before) > 0 && &d.Figures()[0] != &before[0] })
 		if got := string(d.Figures()); !strings.Contains(got, want) {
 			t.Errorf("the figures are %s, not with %s", got, want)
 		}
@@ -148,15 +148,18 @@
 			t.Errorf("it answers %q", got)
 		}
 	}
-	idle := func() bool { return d.s.platform.fleet.Idle() == 0 }
-	if on(d.s, idle) {
+	idle := func() bool { return d.service.pools.platform.servers.Idle() == 0 }
+	if on(d.service, idle) {
 		t.Error("no connection is kept")
 	}
 	if err := d.Disable("s-2"); err != admin.ErrUnknown {
 		t.Errorf("an unknown id gets %v", err)
 	}
 	var log bytes.Buffer
-	on(d.s, func() bool { d.s.platform.known[discovery.ID("s-3")], d.s.log = false, zerolog.New(&log); return true })
+	on(d.service, func() bool {
+		d.service.pools.platform.known[discovery.ID("s-3")], d.service.log = false, zerolog.New(&log)
+		return true
+	})
 	done := make(chan error)
 	for _, id := range []string{"s-1", "s-3", "s-1"} { // at once: no set of one call takes another's back for a moment
 		go func() { done <- d.Disable(id) }()
@@ -166,17 +169,17 @@
 			t.Error(err)
 		}
 	}
-	if text := on(d.s, log.String); strings.Contains(text, `"out":false`) || strings.Count(text, `"out":true`) != 2 {
+	if text := on(d.service, log.String); strings.Contains(text, `"out":false`) || strings.Count(text, `"out":true`) != 2 {
 		t.Errorf("it did %s", text)
 	}
-	if !on(d.s, idle) {
+	if !on(d.service, idle) {
 		t.Error("connections to it are kept")
 	}
-	on(d.s, func() bool { // it leaves the list and comes back under another start
+	on(d.service, func() bool { // it leaves the list and comes back under another start
 		e := discovery.Entry{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
-		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
+		d.service.pools.platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
 		e.State, e.StartedAt, e.Addr = balancer.Ready, 7, netip.MustParseAddrPort("127.0.0.1:1")
-		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
+		d.service.pools.platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
 		return true
 	})
 	if got := ask(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
@@ -195,21 +198,21 @@
 	dir, addr := t.TempDir(), freeAddress(t)
 	s, _ := next(t, addr, fleet(t, 0), dir)
 	serving(t, s)
-	d := on(s, func() *desk {
+	d := on(s, func() *adminHandler {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
-		s.desk = &desk{s: s}
+		s.admin.handler = &adminHandler{service: s}
 		s.publish()
-		return s.desk
+		return s.admin.handler
 	})
 	for _, c := range []struct {
 		name, ending string
 		leave, back  func(string) error
 		out          func() bool
 	}{
-		{"s-1", "out", d.Disable, d.Enable, func() bool { return s.out["s-1"] }},
-		{"a", "zones", d.LeaveZone, d.ReturnZone, func() bool { return s.zones.hand["a"] && s.zones.fleet.Share("a") == 0 }},
+		{"s-1", "out", d.Disable, d.Enable, func() bool { return s.disabled.ids["s-1"] }},
+		{"a", "zones", d.LeaveZone, d.ReturnZone, func() bool { return s.zones.evacuated["a"] && s.zones.fleet.Share("a") == 0 }},
 	} {
 		path := hotrestart.Path(dir, addr, c.ending)
 		for _, step := range []struct {
--- /dev/null
+++ b/internal/service/endpoints.go
@@ -0,0 +1,66 @@
+package service
+
+import (
+	"maps"
+
+	"bendtrestle/balancer"
+	"bendtrestle/internal/discovery"
+)
+
+// applyList takes an endpoint list, or a change of it, to the connections, the balancer and the adapters.
+func (p *pool) applyList(update balancer.EndpointUpdate, list discovery.List) {
+	if update == balancer.UpdateFull || update == balancer.UpdateSaved {
+		p.forgetList()
+	}
+	var endpoints []balancer.Endpoint
+	for _, entry := range list.Entries {
+		p.applyEntry(entry)
+		endpoints = append(endpoints, entry.Endpoint)
+	}
+	p.core.OnEndpoints(update, endpoints) // the addresses are known before the balancer acts on them
+	p.service.onEndpointsChanged(p, update)
+	maps.DeleteFunc(p.ready, func(id uint64, ready bool) bool {
+		if !ready {
+			p.servers.Unlisted(id)
+		}
+		return !ready
+	})
+	if p.service.lifecycle.phase == Starting && len(p.ready) > 0 {
+		p.service.startServing()
+	}
+	if len(list.Entries) > 0 {
+		p.log.Info().Uint64("generation", list.Generation).Int("changes", len(list.Entries)).Int("ready", len(p.ready)).
+			Msg("list")
+	}
+}
+
+// forgetList takes all servers off the list before a whole one is applied.
+func (p *pool) forgetList() {
+	for id := range p.ready {
+		p.ready[id] = false
+	}
+	for id := range p.known {
+		p.known[id] = false
+	}
+	clear(p.endpoints)
+}
+
+func (p *pool) applyEntry(entry discovery.Entry) {
+	removed := entry.State == balancer.Removed
+	p.ready[entry.ID] = entry.State == balancer.Ready
+	p.remember(entry.ID, !removed)
+	if removed {
+		delete(p.endpoints, entry.ID)
+	} else {
+		p.endpoints[entry.ID] = entry
+	}
+	p.servers.Listed(entry.ID, entry.Addr)
+}
+
+// onEndpointsChanged lets the adapters know of a pool's list.
+func (s *Service) onEndpointsChanged(p *pool, update balancer.EndpointUpdate) {
+	confirmed := update == balancer.UpdateFull || update == balancer.UpdateDelta // a poll that failed confirms nothing
+	s.zones.onEndpoints()
+	s.gossip.onEndpoints()
+	s.startup.onEndpoints(p, confirmed)
+}
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -59,7 +59,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		golden(t, name, s.figures())
+		golden(t, name, s.metrics())
 		s.runs(t)
 	}
 }
@@ -68,15 +68,15 @@
 func TestGoldenStatusAndZones(t *testing.T) {
 	s, _ := next(t, freeAddress(t), fleet(t, 0), t.TempDir())
 	serving(t, s)
-	d := on(s, func() *desk {
+	d := on(s, func() *adminHandler {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		s.desk = &desk{s: s}
+		s.admin.handler = &adminHandler{service: s}
 		s.publish()
 		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
-		return s.desk
+		return s.admin.handler
 	})
-	until(t, "a list of before", s, func() bool { phase, _, _ := s.recovery.start.Phase(); return phase.String() == "listed" })
+	until(t, "a list of before", s, func() bool { phase, _, _ := s.startup.start.Phase(); return phase.String() == "listed" })
 	if err := d.LeaveZone("a"); err != nil {
 		t.Fatal(err)
 	}
@@ -114,29 +114,29 @@
 	}
 	s.runs(t)
 	on(s, func() bool {
-		s.platform.hear(balancer.UpdateFull, discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]})
-		s.platform.told = 41
+		s.pools.platform.applyList(balancer.UpdateFull, discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]})
+		s.pools.platform.generation = 41
 		return true
 	})
-	golden(t, "hotrestart-state-live", heirs{s}.State())
+	golden(t, "hotrestart-state-live", successors{s}.State())
 }
 
 // Texts of errors that the admin server answers with.
 func TestGoldenErrors(t *testing.T) {
 	var all []string
-	for _, err := range []error{errEnding, errWritten, errZonesOff, errLastZone} {
+	for _, err := range []error{errShuttingDown, errSavedNotApplied, errZonesOff, errLastZone} {
 		all = append(all, err.Error())
 	}
 	golden(t, "errors", []byte(strings.Join(all, "\n")))
 }
 
 // goldenMessages are the log lines that pages, dashboards or the experiments read.
-var goldenMessages = []string{"starting", "phase", "list", "counts", "contracts", "contract", "configured anew", "drain", "by hand", "zone", "start",
+var goldenMessages = []string{"starting", "phase", "list", "counts", "contracts", "contract", "configured anew", "drain", "server disabled or enabled by an operator", "zone", "start",
 	"these changes need a restart; the old values stay", "the new configuration cannot be used; the old one stays",
 	"configured anew while leaving: the list service alone counts", "another process of this router serves; this one takes over once it can",
 	"the next process takes clients; this one accepts no more", "the next process has ended; this one takes clients again",
-	"these changes of the operators' file need a restart; the old values stay", "kept from before", "the list of before is used until another comes",
-	"a team's listener cannot be opened", "recovery is on, and there is no folder (TMPDIR) to keep anything in"}
+	"these changes of the operators' file need a restart; the old values stay", "completion rate of the last run, from the snapshot", "the endpoint list of the snapshot is used until another comes",
+	"a team's listener cannot be opened", "recovery is on, but there is no folder (TMPDIR) for the snapshot"}
 
 // Log lines by level, message and the names of their fields, in order: dashboards find them by these. A life of a router brings them.
 func TestGoldenLogLines(t *testing.T) {
@@ -172,13 +172,17 @@
 	switchedOn := operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}
 	first, firstEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
 	serving(t, first)
-	d := on(first, func() *desk { first.desk = &desk{s: first}; first.publish(); return first.desk })
+	d := on(first, func() *adminHandler {
+		first.admin.handler = &adminHandler{service: first}
+		first.publish()
+		return first.admin.handler
+	})
 	on(first, func() bool {
 		first.zones.fleet.Listed(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
-		first.recovery.keep("rate", "this router", []byte("12"))
+		first.startup.save("rate", "this router", []byte("12"))
 		return true
 	})
-	until(t, "a written snapshot", first, func() bool { return first.recovery.store.Counts().Written > 1 })
+	until(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Counts().Written > 1 })
 	for _, err := range []error{d.Drain(), d.Undrain(), d.Disable("s-1"), d.Enable("s-1"), d.LeaveZone("a"), d.ReturnZone("a")} {
 		if err != nil {
 			t.Fatal(err)
@@ -193,18 +197,18 @@
 	if got := ask(addr, "mg k v Oq1 Pc=t,d=1900,tenant=pharmacy"); !strings.HasPrefix(got, "VA") {
 		t.Errorf("the contract's request is answered %q", got)
 	}
-	on(first, func() bool { first.counts(); return true })
+	on(first, func() bool { first.logCounts(); return true })
 	signals := make(chan os.Signal)
-	go first.obey(signals, func() (Setup, error) { return Setup{}, errors.New("not read") })
+	go first.handleSignals(signals, func() (Setup, error) { return Setup{}, errors.New("not read") })
 	signals <- syscall.SIGHUP
 	close(signals)
 	says("the new configuration cannot be used")
 	second, secondEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
-	until(t, "the successor", first, func() bool { return first.heirs == 1 })
+	until(t, "the successor", first, func() bool { return first.restart.servingSuccessors == 1 })
 	gone(t, second, secondEnded)
 	says("has ended; this one takes clients again")
 	on(first, func() bool {
-		first.leave()
+		first.beginShutdown()
 		first.reconfigure(Setup{Platform: parse(addr, list)})
 		return true
 	})
@@ -227,7 +231,7 @@
 	for why := range counts {
 		counts[why] = uint64(why + 1)
 	}
-	reasonsOf(logger.Info(), counts).Msg("counts")
+	withRejectReasons(logger.Info(), counts).Msg("counts")
 	golden(t, "log-reasons", []byte(strings.TrimSuffix(log.String(), "\n")))
 }
 
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -50,7 +50,7 @@
 
 // The next process may be of another build: it reads what this one tells it at a hot restart, and the other way round.
 func TestGoldenHotRestartState(t *testing.T) {
-	sent := knowledge{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
+	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
 	for _, entry := range goldenEntries() {
 		sent.List.Entries = append(sent.List.Entries, saveEntry(entry))
 	}
@@ -59,7 +59,7 @@
 		t.Fatal(err)
 	}
 	want := golden(t, "hotrestart-state", text)
-	var read knowledge
+	var read restartState
 	if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, sent) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
@@ -71,9 +71,9 @@
 
 // The list on disk was perhaps written by another build.
 func TestGoldenSavedList(t *testing.T) {
-	sent := kept{Generation: 41}
+	sent := snapshotList{Generation: 41}
 	for _, e := range goldenEntries() {
-		sent.Servers = append(sent.Servers, keptServer{saveMember(e.Endpoint), e.Addr.String()})
+		sent.Servers = append(sent.Servers, snapshotServer{saveMember(e.Endpoint), e.Addr.String()})
 	}
 	body, err := cbor.Marshal(sent)
 	if err != nil {
@@ -84,7 +84,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read kept
+	var read snapshotList
 	if err := cbor.Unmarshal(bytes, &read); err != nil || !reflect.DeepEqual(read, sent) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -3,117 +3,146 @@
 import (
 	"hash/crc32"
 	"net/netip"
-	"os"
-	"strconv"
-	"time"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/config"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/gossip"
 )
 
 const (
-	gossiping = 0.05 // seconds between two steps: a fiftieth of the time in which all are to know, some six hops
-	feeding   = 2    // steps between two times that the module is fed
+	// gossipStepSeconds is the time between two steps: a fiftieth of the time in which all routers are to know, some
+	// six hops.
+	gossipStepSeconds = 0.05
+	// gossipFeedSteps is how many steps lie between two times that the balancer is told what the fleet knows.
+	gossipFeedSteps = 2
 )
 
-// gossipWatch brings the module's words to the fleet, and what the fleet holds to the module. A nil one does nothing: each tells all.
-type gossipWatch struct {
-	s     *Service
-	fleet *gossip.Fleet
-	steps int
+// gossipAdapter brings what the platform's balancer says to the fleet, and what the fleet knows to the balancer. A
+// nil one does nothing: each router sends to all others then.
+type gossipAdapter struct {
+	service *Service
+	fleet   *gossip.Fleet
+	steps   int
 }
 
-// openGossip makes it where the operators want it, and where it costs less than telling all.
-func (s *Service) openGossip(f operatorconfig.File) {
-	if !f.Gossip.On {
+// openGossip makes the adapter where the operators want it, and where it costs less than sending to all.
+func (s *Service) openGossip(operators operatorconfig.File) {
+	if !operators.Gossip.On {
 		return
 	}
-	c := s.conf
-	switch routers := len(c.Peers); {
-	case s.peers == nil || !c.Settings.GossipAllowed || c.Settings.RouterIndex >= routers:
-		s.log.Warn().Int("peers", routers).Msg("gossip is on, and there is no list of peers with this router in it, or none may be told: it does nothing")
+	settings := s.conf.Settings
+	routers := len(s.conf.Peers)
+	if s.peers.transport == nil || !settings.GossipAllowed || settings.RouterIndex >= routers {
+		s.log.Warn().Int("peers", routers).
+			Msg("gossip is on, but there is no list of peers with this router in it, or none may be told: it does nothing")
 		return
-	case !gossip.Pays(routers, f.Gossip.BytesPerSecond):
-		s.log.Info().Int("peers", routers).Msg("gossip is on, and so few routers tell each other for less: they do")
+	}
+	if !gossip.Pays(routers, operators.Gossip.BytesPerSecond) {
+		s.log.Info().Int("peers", routers).
+			Msg("gossip is on, but among so few routers sending to all costs less: each sends to all")
 		return
 	}
-	var names []uint32
-	for _, text := range c.Peers { // by the address itself, however it is written
-		at, _ := netip.ParseAddrPort(text) // checked when it was read
-		names = append(names, crc32.ChecksumIEEE([]byte(at.String())))
+	incarnation := newIncarnation()
+	fleet := gossip.New(s.loop.Now(), gossip.Settings{
+		Me:             settings.RouterIndex,
+		Seed:           settings.Seed ^ incarnation,
+		Life:           incarnation,
+		BytesPerSecond: operators.Gossip.BytesPerSecond,
+		Longest:        longestObjective(settings),
+	}, gossip.NewView(peerHashes(s.conf)))
+	s.gossip = &gossipAdapter{service: s, fleet: fleet}
+}
+
+// peerHashes names the peers by a hash of the address itself, however it is written.
+func peerHashes(conf config.Config) []uint32 {
+	var hashes []uint32
+	for _, text := range conf.Peers {
+		address, _ := netip.ParseAddrPort(text) // checked when the configuration was read
+		hashes = append(hashes, crc32.ChecksumIEEE([]byte(address.String())))
 	}
+	return hashes
+}
+
+// longestObjective is the longest latency objective of all traffic classes, in seconds.
+func longestObjective(settings balancer.Settings) float64 {
 	longest := 0.0
-	for _, t := range c.Settings.TrafficClasses {
-		longest = max(longest, t.LatencyObjective)
+	for _, class := range settings.TrafficClasses {
+		longest = max(longest, class.LatencyObjective)
 	}
-	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
-	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Me: c.Settings.RouterIndex, Seed: c.Settings.Seed ^ life, Life: life,
-		BytesPerSecond: f.Gossip.BytesPerSecond, Longest: longest}, gossip.NewView(names))}
+	return longest
 }
 
-// telling is what the module of a pool tells by. Through the fleet go the platform's words alone: no other pool hears any.
-func (s *Service) telling(pool string) func(words []byte) {
-	switch {
-	case s.gossip == nil:
-		return s.peers.Tell
-	case pool == "":
-		return func(words []byte) { s.gossip.fleet.Tell(s.loop.Now(), words) }
+// gossipSender gives what a pool's balancer sends its gossip by. What goes through the fleet is the platform's
+// alone: no other pool hears any.
+func (s *Service) gossipSender(pool string) func(message []byte) {
+	if s.gossip == nil {
+		return s.peers.transport.Tell
 	}
-	return func([]byte) {}
+	if pool != "" {
+		return func([]byte) {}
+	}
+	return func(message []byte) { s.gossip.fleet.Tell(s.loop.Now(), message) }
 }
 
-func (w *gossipWatch) begin() {
-	if w != nil {
-		w.step()
+func (a *gossipAdapter) begin() {
+	if a != nil {
+		a.step()
 	}
 }
 
-func (w *gossipWatch) step() {
-	if w.s.phase == Ended {
+func (a *gossipAdapter) step() {
+	if a.service.lifecycle.phase == Ended {
 		return
 	}
-	now := w.s.loop.Now()
-	for _, d := range w.fleet.Tick(now) {
-		w.s.peers.Send(d.To, d.Bytes)
+	now := a.service.loop.Now()
+	for _, datagram := range a.fleet.Tick(now) {
+		a.service.peers.transport.Send(datagram.To, datagram.Bytes)
 	}
-	if w.steps++; w.steps%feeding == 0 {
-		if words := w.fleet.Feed(now); len(words) > 0 {
-			w.s.platform.router.OnGossip(words)
-		}
+	a.steps++
+	if a.steps%gossipFeedSteps == 0 {
+		a.feed(now)
+	}
+	a.service.loop.After(gossipStepSeconds, a.step)
+}
+
+// feed tells the balancer what the fleet knows.
+func (a *gossipAdapter) feed(now float64) {
+	message := a.fleet.Feed(now)
+	if len(message) > 0 {
+		a.service.pools.platform.core.OnGossip(message)
 	}
-	w.s.loop.After(gossiping, w.step)
 }
 
-// listed takes the platform's list.
-func (w *gossipWatch) listed() {
-	if w == nil {
+// onEndpoints takes the platform's endpoint list: what is told is about its servers.
+func (a *gossipAdapter) onEndpoints() {
+	if a == nil {
 		return
 	}
 	var ids []uint16
-	for id, e := range w.s.platform.entries {
-		if e.State != balancer.Removed {
+	for id, entry := range a.service.pools.platform.endpoints {
+		if entry.State != balancer.Removed {
 			ids = append(ids, uint16(id))
 		}
 	}
-	w.fleet.Listed(ids)
+	a.fleet.Listed(ids)
 }
 
-// heard takes a peer's words; false if they do not go through the fleet.
-func (w *gossipWatch) heard(from int, words []byte) bool {
-	return w != nil && w.fleet.Heard(w.s.loop.Now(), from, words)
+// onMessage takes another router's message; false if it does not go through the fleet.
+func (a *gossipAdapter) onMessage(from int, message []byte) bool {
+	return a != nil && a.fleet.Heard(a.service.loop.Now(), from, message)
 }
 
-// figures shows what it costs.
-func (w *gossipWatch) figures(say func(name string, value uint64)) {
-	if w == nil {
+// writeMetrics shows what gossip costs.
+func (a *gossipAdapter) writeMetrics(write func(name string, value uint64)) {
+	if a == nil {
 		return
 	}
-	c := w.fleet.Counts
-	say("gossip_datagrams", c.Datagrams)
-	say("gossip_bytes", c.Bytes)
-	say("gossip_heard_bytes", c.Heard)
-	say("gossip_dropped", c.Foreign)
-	say("gossip_bounded_words", c.Bounded)
-	say("gossip_untold_words", c.Missed)
+	counts := a.fleet.Counts
+	write("gossip_datagrams", counts.Datagrams)
+	write("gossip_bytes", counts.Bytes)
+	write("gossip_heard_bytes", counts.Heard)
+	write("gossip_dropped", counts.Foreign)
+	write("gossip_bounded_words", counts.Bounded)
+	write("gossip_untold_words", counts.Missed)
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -114,7 +114,7 @@
 		s.runs(t)
 	}
 	others(t, at, 2, []uint16{7, 8})
-	tell, looks := both[0].telling(""), 0
+	tell, looks := both[0].gossipSender(""), 0
 	until(t, "an entry at the other router", both[1], func() bool {
 		if looks++; looks%50 == 1 { // the first ones may come before they know each other
 			both[0].loop.Post(func() { tell([]byte{7, 0, 32, 8, 0, 64}) })
@@ -144,7 +144,7 @@
 		}
 		s.runs(t)
 		words := "abcabcabc"
-		on(s, func() bool { s.telling("")([]byte(words)); return true })
+		on(s, func() bool { s.gossipSender("")([]byte(words)); return true })
 		buf := make([]byte, 300)
 		n, _, err := peer.ReadFrom(buf)
 		if err != nil || string(buf[:n]) != words || s.gossip != nil {
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -78,14 +78,14 @@
 // serving waits until it is.
 func serving(t *testing.T, s *Service) {
 	t.Helper()
-	until(t, "serving", s, func() bool { return s.phase == Serving })
+	until(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
 // operated gives what the door calls of a service.
-func operated(t *testing.T, list string) (d *desk, addr string, ended chan error) {
+func operated(t *testing.T, list string) (d *adminHandler, addr string, ended chan error) {
 	addr = freeAddress(t)
 	s, ended := next(t, addr, list, "")
-	return on(s, func() *desk { s.desk = &desk{s: s}; s.publish(); return s.desk }), addr, ended
+	return on(s, func() *adminHandler { s.admin.handler = &adminHandler{service: s}; s.publish(); return s.admin.handler }), addr, ended
 }
 
 // load asks on ever new connections until it is stopped; then all must have been answered, and many.
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -82,7 +82,7 @@
 			t.Error(err)
 		}
 	}
-	until(t, "rest", s, func() bool { return s.front.Open() == 0 && s.front.Passing() == 0 })
+	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
 }
 
 // Servers that close right behind a long answer, before clients that read it late or slowly: each has the whole of it, and the door counts
@@ -109,9 +109,9 @@
 			t.Error(err)
 		}
 	}
-	until(t, "rest", s, func() bool { return s.front.Open() == 0 && s.front.Passing() == 0 })
+	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
 	s.loop.Post(func() {
-		for line := range strings.Lines(string(s.figures())) {
+		for line := range strings.Lines(string(s.metrics())) {
 			if strings.HasPrefix(line, "gw.cut.") && !strings.HasSuffix(line, "=0\n") {
 				t.Errorf("the door shows %s", line)
 			}
@@ -138,7 +138,7 @@
 	conn, in := asking(t, addr, "left", "silent")
 	in.ReadString('\n')
 	conn.Close()
-	until(t, "rest", s, func() bool { return s.front.Open() == 0 && s.front.Passing() == 0 })
+	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
 	if got := ask(addr, "mg short v Oz Pc=t,d=1900"); got != "VA 2 Oz" {
 		t.Errorf("afterwards it answers %q", got)
 	}
@@ -150,7 +150,7 @@
 	s, addr, ended := running(t, giving(t, lengthy))
 	_, in := asking(t, addr, "a", "fast")
 	in.Peek(1)
-	s.loop.Post(s.leave)
+	s.loop.Post(s.beginShutdown)
 	select {
 	case <-ended:
 	case <-time.After(1900 * time.Millisecond): // the longest hard stop and its margin are later still
--- /dev/null
+++ b/internal/service/metrics.go
@@ -0,0 +1,78 @@
+package service
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+
+	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/upstream"
+)
+
+// metrics are the numbers that operators' dashboards read, a line each; docs/operators/operations.md tells what
+// each shows.
+func (s *Service) metrics() []byte {
+	var text strings.Builder
+	write := func(name string, value uint64) { fmt.Fprintf(&text, "gw.%s=%d\n", name, value) }
+	for _, class := range s.trafficClassNames() {
+		tally := s.clients.frontend.Tally(class)
+		write("transactions."+class+".answered", tally.Answered)
+		write("transactions."+class+".deferred", tally.Deferred)
+		write("transactions."+class+".errored", tally.Errored)
+	}
+	sends, serverCuts := s.serverCounts()
+	listed, avoided := s.clusterHealth()
+	write("sends", sends)
+	write("current", uint64(s.clients.frontend.Open()))
+	write("cluster_size", uint64(listed))
+	write("cluster_unhealthy", uint64(avoided))
+	write("conf_loaded", s.reloads.accepted)
+	write("conf_invalid", s.reloads.rejected)
+	for reason, n := range s.clients.frontend.Cut() {
+		write("cut.clients."+frontend.Cuts[reason], n)
+	}
+	for reason, n := range serverCuts {
+		write("cut.servers."+upstream.Cuts[reason], n)
+	}
+	s.zones.writeMetrics(write)
+	s.gossip.writeMetrics(write)
+	if s.operators.Recovery.On {
+		s.startup.writeMetrics(write)
+	}
+	return []byte(text.String())
+}
+
+// serverCounts gives the attempts that were sent since the start, and the servers' connections that ended with
+// something owed, by the reason; also those of pools that are no longer named.
+func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.Cuts)]uint64) {
+	sends = s.pools.retiredSends
+	cuts = s.pools.retiredCuts
+	for _, p := range slices.Concat(s.pools.active(), s.pools.retiring) {
+		sends += p.servers.Sends()
+		for reason, n := range p.servers.Cut() {
+			cuts[reason] += n
+		}
+	}
+	return sends, cuts
+}
+
+// clusterHealth tells how many servers the lists of all pools hold, and how many of these are avoided now.
+func (s *Service) clusterHealth() (listed, avoided int) {
+	for _, p := range s.pools.active() {
+		poolListed, poolAvoided := p.health()
+		listed += poolListed
+		avoided += poolAvoided
+	}
+	return listed, avoided
+}
+
+// trafficClassNames gives the traffic classes of the settings and of the contracts, sorted.
+func (s *Service) trafficClassNames() []string {
+	var names []string
+	for _, class := range s.conf.Settings.TrafficClasses {
+		names = append(names, class.Name)
+	}
+	names = append(names, s.broker.Kinds()...)
+	slices.Sort(names)
+	return slices.Compact(names)
+}
--- /dev/null
+++ b/internal/service/peers.go
@@ -0,0 +1,70 @@
+package service
+
+import (
+	"hash/crc32"
+	"net/netip"
+	"os"
+	"strconv"
+	"time"
+
+	"bendtrestle/internal/config"
+	"bendtrestle/internal/operatorconfig"
+	"bendtrestle/internal/peertransport"
+	"bendtrestle/internal/policy/fleetsize"
+)
+
+// peerRouters is the way to the other routers of the fleet, and how many there are.
+type peerRouters struct {
+	transport *peertransport.Peers             // nil: no other router is told anything; its methods do nothing then
+	size      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
+	announced int                              // fleet size as the balancers know it; 0: that of the settings
+}
+
+// openPeers opens the socket for other routers, where there may be something to tell.
+func (s *Service) openPeers(conf config.Config, operators operatorconfig.File) {
+	needed := conf.Settings.GossipAllowed || len(operators.Teams) > 0
+	if !needed || conf.PeerListen == "" {
+		return
+	}
+	s.peers.size = fleetsize.New[netip.AddrPort](conf.Settings.RouterCount)
+	received := func(from netip.AddrPort, place int, message []byte) {
+		s.loop.Post(func() { s.onPeerMessage(from, place, message) })
+	}
+	var err error
+	s.peers.transport, err = peertransport.Open(conf.PeerListen, conf.PeersAll, conf.Peers, conf.Settings.RouterIndex,
+		received, s.log)
+	if err != nil { // gossip is a help; nothing depends on it
+		s.log.Warn().Err(err).Msg("the socket for other routers cannot be opened; nothing is told or heard")
+	}
+}
+
+// onPeerMessage takes another router's message: about zones, quotas, what goes through the fleet, or the
+// balancer's. Each one shows that its sender is there. place is the sender's in the list of peers, or negative.
+func (s *Service) onPeerMessage(from netip.AddrPort, place int, message []byte) {
+	s.peers.size.Heard(s.loop.Now(), from)
+	s.announceFleetSize()
+	handled := s.zones.onMessage(message) || s.broker.Heard(message) || s.gossip.onMessage(place, message)
+	if !handled && s.conf.Settings.GossipAllowed {
+		s.pools.platform.core.OnGossip(message)
+	}
+}
+
+// announceFleetSize lets the balancers know how many routers there are, where that has changed.
+func (s *Service) announceFleetSize() {
+	if s.peers.size == nil {
+		return
+	}
+	routers := s.peers.size.Routers(s.loop.Now())
+	if routers == s.peers.announced {
+		return
+	}
+	s.peers.announced = routers
+	for _, p := range s.pools.active() {
+		p.core.SetFleetSize(routers)
+	}
+}
+
+// newIncarnation gives a number that differs from those of the processes of this router before and beside this one.
+func newIncarnation() uint32 {
+	return crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
+}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -1,14 +1,10 @@
 package service
 
 import (
-	"context"
-	"fmt"
 	"maps"
-	"slices"
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
-	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/policy/pollschedule"
 	"bendtrestle/internal/requestcore"
 	"bendtrestle/internal/upstream"
@@ -16,239 +12,129 @@
 	"github.com/rs/zerolog"
 )
 
-// pool is a set of servers with a list, connections and a module of its own. The platform's deployment is one; what
-// becomes of one costs the others nothing.
+// maxKnownServers bounds the servers remembered for operators' calls: several fleets' worth.
+const maxKnownServers = 4096
+
+// pool is a set of servers with one protocol, and an endpoint list, connections and a balancer of its own. The
+// platform's deployment is one; what happens to a pool costs the others nothing.
 type pool struct {
-	s        *Service
-	name     string
-	router   *requestcore.Core
-	fleet    *upstream.Fleet
-	onDemand bool                       // its module asks for the list
-	listed   map[uint64]bool            // the servers that the list holds
-	known    map[uint64]bool            // servers that a list has named since the start, true: the present one does
-	entries  map[uint64]discovery.Entry // the present list
-	told     uint64                     // the list's generation as the list service last told it
-	last     discovery.List             // the list as the router's last run had it
-	rhythm   pollschedule.Rhythm        // of calls to the list service
-	watch    *watch                     // whose news count
-	next     *watch                     // that watch's successor, until it has told a whole list
-	log      zerolog.Logger
+	service *Service
+	name    string // "": the platform's
+	core    *requestcore.Core
+	servers *upstream.Fleet
+	log     zerolog.Logger
+
+	polled      bool                       // its balancer asks for the endpoint list and is told of polls that fail
+	endpoints   map[uint64]discovery.Entry // the present endpoint list, by the server's id
+	ready       map[uint64]bool            // servers that the list has as ready
+	known       map[uint64]bool            // servers that a list has named since the start; true: the present one does
+	generation  uint64                     // of the list, as the list service last told it
+	lastRunList discovery.List             // the list as the router's last run had it, until the first watch begins
+
+	schedule  pollschedule.Rhythm // of polls of the list service
+	watch     *endpointWatch      // whose lists count
+	nextWatch *endpointWatch      // its successor, until it has told a whole list
 }
 
-// watch is a call to a list service that goes on.
-type watch struct {
-	addr  string
-	known uint64 // the generation that was known as it began
-	since float64
-	stop  context.CancelFunc
+// poolOptions is what a pool is made by. Times are in seconds.
+type poolOptions struct {
+	name                  string
+	settings              balancer.Settings
+	connections           int
+	connectTimeout        float64
+	stallTimeout          float64
+	idleTimeout           float64
+	requestsPerConnection int
+	wire                  func(upstream.Link) upstream.Wire
 }
 
-// newPool makes one without servers.
-func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(upstream.Link) upstream.Wire) *pool {
-	p := &pool{s: s, name: name, onDemand: set.PollEndpoints, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
-	p.rhythm = pollschedule.Pushed(s.conf.DrainGrace, set.Seed)
-	if set.PollEndpoints {
-		p.rhythm = pollschedule.OnRequest(set.PollInterval, set.Seed)
-	}
-	if name != "" {
-		p.log = s.log.With().Str("pool", name).Logger()
-	}
-	p.fleet = upstream.New(s.loop, upstream.Limits{Connections: connections, PerConnection: piped(set, streams), ConnectTimeout: connect,
-		Stall: stall, Idle: idle}, wire, p.log)
-	watch := func(on bool) {} // the list is watched in any case
-	if name != "" {           // what was finished before was at the platform's servers
-		set.InitialCompletionRate = 0
-	}
-	out := requestcore.Dependencies{Clock: s.loop, Upstream: p.fleet, Gossip: s.telling(name), WatchEndpoints: watch, Log: p.log}
-	if s.zones != nil {
-		out.ZoneObserver = s.zones
-	}
-	p.router = requestcore.New(set, out, s.module)
-	if s.routers > 0 {
-		p.router.SetFleetSize(s.routers)
-	}
+// newPool makes a pool without servers.
+func (s *Service) newPool(options poolOptions) *pool {
+	settings := options.settings
+	p := &pool{
+		service:   s,
+		name:      options.name,
+		log:       s.log,
+		polled:    settings.PollEndpoints,
+		endpoints: map[uint64]discovery.Entry{},
+		ready:     map[uint64]bool{},
+		known:     map[uint64]bool{},
+		schedule:  pollschedule.Pushed(s.conf.DrainGrace, settings.Seed),
+	}
+	if p.polled {
+		p.schedule = pollschedule.OnRequest(settings.PollInterval, settings.Seed)
+	}
+	if p.name != "" {
+		p.log = s.log.With().Str("pool", p.name).Logger()
+	}
+	p.servers = upstream.New(s.loop, upstream.Limits{
+		Connections:    options.connections,
+		PerConnection:  requestsPerConnection(settings, options.requestsPerConnection),
+		ConnectTimeout: options.connectTimeout,
+		Stall:          options.stallTimeout,
+		Idle:           options.idleTimeout,
+	}, options.wire, p.log)
+	p.core = s.newCore(p, settings)
 	return p
 }
 
-// piped is how many executions a connection carries. Where second copies are barred it is one: what is given up behind a long value
-// would still be out there, for its connection must not be cut.
-func piped(set balancer.Settings, streams int) int {
-	if !set.HedgingAllowed {
-		return 1
-	}
-	return streams
-}
-
-// follow moves the watch to a list service. The watch before it goes on until the new one has told a whole list: so
-// no news is lost between them, and an address where nothing answers costs nothing.
-func (p *pool) follow(addr string) {
-	if p.next != nil {
-		if p.next.addr == addr {
-			return
-		}
-		p.next.stop()
-		p.next = nil
-	}
-	if p.watch != nil && p.watch.addr == addr {
-		return
-	}
-	ctx, stop := context.WithCancel(context.Background())
-	w := &watch{addr: addr, since: p.s.loop.Now(), stop: stop}
-	p.next = w
-	start := discovery.Start{Known: p.told, Rhythm: p.rhythm}
-	if len(p.last.Entries) > 0 { // of the address that the start names: one named later may count its own way
-		start.Known, start.Same = p.last.Generation, true
-		p.told, p.last = p.last.Generation, discovery.List{} // nor may one named later take back the drains in it
-	}
-	w.known = start.Known
-	p.rhythm.Pace.Seed++ // another's chance for the next
-	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
-		taken := make(chan error, 1)
-		p.s.loop.Post(func() { taken <- p.news(w, l) })
-		select {
-		case err := <-taken:
-			return err
-		case <-ctx.Done():
-			return ctx.Err()
-		}
-	}, func(error) {
-		if p.onDemand { // elsewhere the module has asked for nothing
-			p.s.loop.Post(func() { p.failed(w) })
-		}
-	}, p.log.With().Str("discovery", addr).Logger())
-}
-
-// stop ends its watches.
-func (p *pool) stop() {
-	for _, w := range []*watch{p.watch, p.next} {
-		if w != nil {
-			w.stop()
-		}
-	}
-}
-
-// catchUp is how long a list service may lag behind what is known: one that was moved to has the last list by then, or counts
-// its own way.
-const catchUp = 2
-
-// news takes a list. What the watch before this one told meanwhile must not be taken back by a service that lags behind it, so
-// that is looked at here, where both come in.
-func (p *pool) news(w *watch, l discovery.List) error {
-	if w != p.watch && w != p.next {
-		return nil // moved from since
-	}
-	if known := max(p.told, w.known); l.Whole && l.Generation < known && p.s.loop.Now()-w.since < catchUp {
-		// It may count anew: what it says of drains is heeded at once, which costs little if it is old.
-		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.State != balancer.Draining })
-		p.hear(balancer.UpdateDelta, l)
-		return fmt.Errorf("%w: %d, %d", discovery.ErrOld, l.Generation, known)
+// newCore makes a pool's core with its balancer.
+func (s *Service) newCore(p *pool, settings balancer.Settings) *requestcore.Core {
+	if p.name != "" { // the completion rate of the last run was that of the platform's servers
+		settings.InitialCompletionRate = 0
 	}
-	if w == p.next {
-		if p.watch != nil {
-			p.watch.stop()
-		}
-		p.watch, p.next = w, nil
+	dependencies := requestcore.Dependencies{
+		Clock:          s.loop,
+		Upstream:       p.servers,
+		Gossip:         s.gossipSender(p.name),
+		WatchEndpoints: func(bool) {}, // the list is watched in any case
+		Log:            p.log,
 	}
-	if p.told = l.Generation; l.Whole {
-		p.hear(balancer.UpdateFull, l)
-	} else {
-		p.hear(balancer.UpdateDelta, l)
+	if s.zones != nil { // a nil adapter in the interface would not be nil
+		dependencies.ZoneObserver = s.zones
 	}
-	return nil
-}
-
-func (p *pool) failed(w *watch) {
-	if w == p.watch || p.watch == nil && w == p.next {
-		p.hear(balancer.UpdateFailed, discovery.List{})
+	core := requestcore.New(settings, dependencies, s.pools.newBalancer)
+	if s.peers.announced > 0 {
+		core.SetFleetSize(s.peers.announced)
 	}
+	return core
 }
 
-// hear takes news of the list. The addresses are known before the module acts on it.
-func (p *pool) hear(kind balancer.EndpointUpdate, l discovery.List) {
-	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
-		for id := range p.listed {
-			p.listed[id] = false
-		}
-		for id := range p.known {
-			p.known[id] = false
-		}
-		clear(p.entries)
-	}
-	var members []balancer.Endpoint
-	for _, e := range l.Entries {
-		p.listed[e.ID] = e.State == balancer.Ready
-		p.named(e.ID, e.State != balancer.Removed)
-		if p.entries[e.ID] = e; e.State == balancer.Removed {
-			delete(p.entries, e.ID)
-		}
-		p.fleet.Listed(e.ID, e.Addr)
-		members = append(members, e.Endpoint)
-	}
-	p.router.OnEndpoints(kind, members)
-	p.s.zones.listed()
-	p.s.gossip.listed()
-	p.s.recovery.listed(p, kind == balancer.UpdateFull || kind == balancer.UpdateDelta) // a call that failed confirms nothing
-	maps.DeleteFunc(p.listed, func(id uint64, in bool) bool {
-		if !in {
-			p.fleet.Unlisted(id)
-		}
-		return !in
-	})
-	ready := len(p.listed)
-	if p.s.phase == Starting && ready > 0 {
-		p.s.serve()
-	}
-	if len(l.Entries) > 0 {
-		p.log.Info().Uint64("generation", l.Generation).Int("changes", len(l.Entries)).Int("ready", ready).Msg("list")
+// requestsPerConnection is how many attempts a connection carries at once: one where hedging is not allowed, for
+// there an attempt that is given up behind a long value would stay in flight, as its connection must not be cut.
+func requestsPerConnection(settings balancer.Settings, allowed int) int {
+	if !settings.HedgingAllowed {
+		return 1
 	}
+	return allowed
 }
 
-const names = 4096 // servers remembered for operators' calls; several fleets' worth
-
-// named remembers that a list names a server, or no longer does.
-func (p *pool) named(id uint64, now bool) {
-	p.known[id] = now
-	if len(p.known) > names {
+// remember notes that the present list names a server, or no longer does.
+func (p *pool) remember(id uint64, listed bool) {
+	p.known[id] = listed
+	if len(p.known) > maxKnownServers {
 		maps.DeleteFunc(p.known, func(_ uint64, listed bool) bool { return !listed })
 	}
 }
 
-// standing tells how many servers the list holds, and how many of these are avoided now.
-func (p *pool) standing() (listed, avoided int) {
-	for id, now := range p.known {
-		if !now {
+// health tells how many servers the list holds, and how many of these are avoided now.
+func (p *pool) health() (listed, avoided int) {
+	for id, isListed := range p.known {
+		if !isListed {
 			continue
 		}
-		if listed++; p.router.Avoids(id) {
+		listed++
+		if p.core.Avoids(id) {
 			avoided++
 		}
 	}
 	return listed, avoided
 }
 
-// bar leaves a server out, or takes it back.
-func (p *pool) bar(id uint64, out bool) {
-	p.router.SetDisabled(id, out)
-	if out {
-		p.fleet.LetGo(id)
-	}
-}
-
-// count logs what has happened since the start.
-func (p *pool) count(log zerolog.Logger, clients int) {
-	c := p.router.Counts
-	e := log.Info().Uint64("taken", c.Taken).Uint64("finished", c.Succeeded).Uint64("declined", c.Rejected).
-		Uint64("terminated", c.Failed).Uint64("left", c.ClientsGone).Uint64("executions", c.Attempts).
-		Uint64("faults", c.Faults).Int("open", p.router.OpenRequests()).Int("clients", clients).Int("idle", p.fleet.Idle())
-	for why, n := range p.fleet.Cut() {
-		if n > 0 {
-			e = e.Uint64("servers' connections cut, "+upstream.Cuts[why], n)
-		}
-	}
-	for why, n := range p.s.front.Cut() {
-		if n > 0 {
-			e = e.Uint64("clients' connections cut, "+frontend.Cuts[why], n)
-		}
+// setDisabled leaves a server out, or takes it back.
+func (p *pool) setDisabled(id uint64, disabled bool) {
+	p.core.SetDisabled(id, disabled)
+	if disabled {
+		p.servers.LetGo(id)
 	}
-	reasonsOf(e, c.Reasons[:]).Msg("counts")
 }
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -38,7 +38,7 @@
 		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
-		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
+		body, _ := cbor.Marshal(snapshotList{Generation: 4, Servers: []snapshotServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
 		s.Put(startup.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
 		s.Put(startup.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
 		s.Close(5 * time.Second)
@@ -138,7 +138,7 @@
 					return
 				}
 				go s.loop.Run()
-				for !on(s, s.taking) {
+				for !on(s, s.acceptsClients) {
 					time.Sleep(10 * time.Millisecond)
 				}
 				ready <- s
@@ -164,14 +164,14 @@
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	on(s, func() bool {
 		phase := func() startup.Phase {
-			s.recovery.start.Tick(s.loop.Now(), 0, 0)
-			p, _, _ := s.recovery.start.Phase()
+			s.startup.start.Tick(s.loop.Now(), 0, 0)
+			p, _, _ := s.startup.start.Phase()
 			return p
 		}
-		if s.platform.failed(s.platform.next); phase() != startup.Listed {
+		if s.pools.platform.onPollFailed(s.pools.platform.nextWatch); phase() != startup.Listed {
 			t.Errorf("after a call that failed the start is %s", phase())
 		}
-		if err := s.platform.news(s.platform.next, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
+		if err := s.pools.platform.onList(s.pools.platform.nextWatch, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
 		return true
--- /dev/null
+++ b/internal/service/reload.go
@@ -0,0 +1,98 @@
+package service
+
+import (
+	"os"
+	"os/signal"
+	"syscall"
+)
+
+// signalsKept is how many signals wait for the router's attention: some come before it runs.
+const signalsKept = 8
+
+// reloadCounts counts configurations that were read.
+type reloadCounts struct {
+	accepted uint64 // the first one too
+	rejected uint64
+}
+
+// Signals takes SIGTERM, SIGINT and SIGHUP over and keeps them for [Run]: one that comes before the configuration
+// is read must not end the process as it does by default. Nor may a log that nobody reads any more: SIGPIPE is
+// ignored.
+func Signals() <-chan os.Signal {
+	signals := make(chan os.Signal, signalsKept)
+	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
+	signal.Ignore(syscall.SIGPIPE)
+	return signals
+}
+
+// handleSignals posts signals to the loop until the channel is closed; it runs on a goroutine of its own. Files are
+// read on another one: a disk that hangs must hide neither the loop's work nor the signal to end.
+func (s *Service) handleSignals(signals <-chan os.Signal, reload func() (Setup, error)) {
+	reloads := make(chan struct{}, 1)
+	defer close(reloads)
+	go func() {
+		for range reloads {
+			s.readConfiguration(reload)
+		}
+	}()
+	for received := range signals {
+		if received != syscall.SIGHUP {
+			s.loop.Post(s.beginShutdown)
+			continue
+		}
+		select {
+		case reloads <- struct{}{}:
+		default: // the one that waits will read what this one would
+		}
+	}
+}
+
+// readConfiguration reads the configuration anew, off the loop, and posts what it is.
+func (s *Service) readConfiguration(reload func() (Setup, error)) {
+	setup, err := reload()
+	if err != nil {
+		s.log.Error().Err(err).Msg("the new configuration cannot be used; the old one stays")
+		s.loop.Post(func() { s.reloads.rejected++ })
+		return
+	}
+	s.loop.Post(func() { s.reconfigure(setup) })
+}
+
+// reconfigure takes a new configuration while the router serves: the list service may have moved, contracts may
+// differ. Changes that need a restart are logged and left out.
+func (s *Service) reconfigure(setup Setup) {
+	if s.lifecycle.phase == Ended {
+		return
+	}
+	if s.lifecycle.phase >= Leaving {
+		s.reconfigureWhileLeaving(setup)
+		return
+	}
+	conf := setup.Platform
+	if keys := s.conf.Restart(conf); len(keys) > 0 {
+		s.log.Warn().Strs("keys", keys).Msg("these changes need a restart; the old values stay")
+	}
+	s.conf.Discovery = conf.Discovery
+	s.reloads.accepted++
+	s.log.Info().Str("discovery", conf.Discovery).Msg("configured anew")
+	s.pools.platform.follow(conf.Discovery)
+	if keys := s.operators.Restart(setup.Operators); len(keys) > 0 {
+		s.log.Warn().Strs("keys", keys).
+			Msg("these changes of the operators' file need a restart; the old values stay")
+		setup.Operators.Zones = s.operators.Zones
+		setup.Operators.Recovery = s.operators.Recovery
+		setup.Operators.Gossip = s.operators.Gossip
+		setup.Operators.Cold = s.operators.Cold
+	}
+	s.applyContracts(setup)
+	s.zones.reconfigure(setup.Operators)
+}
+
+// reconfigureWhileLeaving follows the list service alone: drains still count, but listeners and contracts that come
+// now would be nobody's.
+func (s *Service) reconfigureWhileLeaving(setup Setup) {
+	discovery := setup.Platform.Discovery
+	s.log.Info().Str("discovery", discovery).Msg("configured anew while leaving: the list service alone counts")
+	s.conf.Discovery = discovery
+	s.pools.platform.follow(discovery)
+}
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -5,13 +5,15 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/discovery"
+
+	"github.com/fxamacker/cbor/v2"
 )
 
-// savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and told to the next process at a
-// hot restart (JSON). Processes of other builds read both, so the names of its fields are fixed.
+// savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and told to the
+// successor at a hot restart (JSON). Processes of other builds read both, so the names of its fields are fixed.
 type savedMember struct {
 	ID       uint64  `cbor:"ID" json:"ID"`
-	Mode     int     `cbor:"Mode" json:"Mode"` // as numbered by logic.Mode
+	Mode     int     `cbor:"Mode" json:"Mode"` // as numbered by balancer.EndpointState
 	Capacity float64 `cbor:"Capacity" json:"Capacity"`
 	Zone     string  `cbor:"Zone" json:"Zone"`
 	Cell     uint64  `cbor:"Cell" json:"Cell"`
@@ -19,19 +21,58 @@
 	Started  float64 `cbor:"Started" json:"Started"`
 }
 
-// savedEntry is a server with its address, as a hot restart tells it.
+// savedEntry is a server with its address, as the successor is told it.
 type savedEntry struct {
 	savedMember
 	Addr netip.AddrPort `json:"Addr"`
 }
 
-// savedList is an endpoint list, as a hot restart tells it.
+// savedList is an endpoint list, as the successor is told it.
 type savedList struct {
 	Generation uint64       `json:"Generation"`
 	Whole      bool         `json:"Whole"`
 	Entries    []savedEntry `json:"Entries"`
 }
 
+// restartState is what the successor is told of the platform's pool, beside what the list service tells it: that
+// may be silent just now, and a drain that this process was told of must not be forgotten.
+type restartState struct {
+	Discovery string    `json:"Discovery"` // the list service's address
+	List      savedList `json:"List"`
+}
+
+// snapshotList is an endpoint list as the snapshot has it.
+type snapshotList struct {
+	Generation uint64           `cbor:"1,keyasint"` // of the list service
+	Servers    []snapshotServer `cbor:"2,keyasint"`
+}
+
+// snapshotServer is a server of a snapshotList, with its address and port.
+type snapshotServer struct {
+	Member savedMember `cbor:"1,keyasint"`
+	Addr   string      `cbor:"2,keyasint"`
+}
+
+// parseSnapshotList reads a list of the snapshot; an empty one if another build wrote it in another form, for the
+// snapshot has checked its checksum. Which of its servers have restarted since is unknown, so each counts as one
+// that did so now, in seconds.
+func parseSnapshotList(body []byte, now float64) discovery.List {
+	var saved snapshotList
+	if cbor.Unmarshal(body, &saved) != nil {
+		return discovery.List{}
+	}
+	list := discovery.List{Generation: saved.Generation, Whole: true}
+	for _, server := range saved.Servers {
+		address, err := netip.ParseAddrPort(server.Addr)
+		if err != nil {
+			continue
+		}
+		server.Member.Started = now
+		list.Entries = append(list.Entries, discovery.Entry{Endpoint: server.Member.member(), Addr: address})
+	}
+	return list
+}
+
 func saveMember(m balancer.Endpoint) savedMember {
 	return savedMember{
 		ID:       m.ID,
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -127,14 +127,14 @@
 	if got := ask(addr, read); got != "VA 2 Oa1" {
 		t.Errorf("serving, it answers %q", got)
 	}
-	s.loop.Post(s.leave)
+	s.loop.Post(s.beginShutdown)
 	if got := ask(addr, again); got != "VA 2 Oa2" {
 		t.Errorf("leaving, it answers %q", got)
 	}
 	select {
 	case err := <-ended:
-		if err != nil || s.phase != Ended {
-			t.Errorf("it ended %s, %v", s.phase, err)
+		if err != nil || s.lifecycle.phase != Ended {
+			t.Errorf("it ended %s, %v", s.lifecycle.phase, err)
 		}
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
@@ -153,7 +153,7 @@
 	}
 	defer conn.Close()
 	start := time.Now()
-	s.loop.Post(s.leave)
+	s.loop.Post(s.beginShutdown)
 	<-ended
 	if took := time.Since(start); took > 2*time.Second {
 		t.Errorf("it took %v to end", took)
@@ -168,7 +168,7 @@
 	defer s.loop.Post(s.end)
 	path := filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal)
-	go s.obey(signals, func() (Setup, error) {
+	go s.handleSignals(signals, func() (Setup, error) {
 		conf, err := config.Read(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] })
 		return Setup{Platform: conf}, err
 	})
@@ -187,7 +187,7 @@
 		for deadline := time.Now().Add(3 * time.Second); follows != c.follows && time.Now().Before(deadline); {
 			time.Sleep(50 * time.Millisecond)
 			done := make(chan string)
-			s.loop.Post(func() { done <- s.platform.watch.addr })
+			s.loop.Post(func() { done <- s.pools.platform.watch.address })
 			follows = <-done
 		}
 		if follows != c.follows {
@@ -197,7 +197,7 @@
 	if got := <-answer; got != "VA 2 Oa1" {
 		t.Errorf("an operation under way is answered %q", got)
 	}
-	if got := ask(addr, again); got != "VA 2 Oa2" || s.listener == nil {
+	if got := ask(addr, again); got != "VA 2 Oa2" || s.clients.listener == nil {
 		t.Errorf("moved, it answers %q", got)
 	}
 }
@@ -243,7 +243,10 @@
 	if time.Sleep(400 * time.Millisecond); len(calls) > 0 { // the first wait is half a second at the least
 		t.Errorf("it called %d times more within 0.4 s", len(calls))
 	}
-	s.loop.Post(func() { s.platform.stop(); s.platform.follow("localhost" + at[strings.IndexByte(at, ':'):]) })
+	s.loop.Post(func() {
+		s.pools.platform.stopWatching()
+		s.pools.platform.follow("localhost" + at[strings.IndexByte(at, ':'):])
+	})
 	if next := <-calls; next != "" {
 		t.Errorf("at another address it asks first for %q", next)
 	}
@@ -264,7 +267,7 @@
 			}
 			continue
 		}
-		if told := strings.Contains(log.String(), "reports of load are not to be had"); told != strings.Contains(settings, "live") {
+		if told := strings.Contains(log.String(), "load reports are not available"); told != strings.Contains(settings, "live") {
 			t.Errorf("%s: said of reports: %v", settings, told)
 		}
 		s.log = zerolog.Nop()
@@ -315,7 +318,7 @@
 				}
 			}
 		}
-		until(t, "an end of all executions", s, func() bool { return s.platform.router.OpenRequests() == 0 && s.front.Open() == 0 })
+		until(t, "an end of all executions", s, func() bool { return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.Open() == 0 })
 	}
 }
 
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -82,7 +82,7 @@
 				}
 			}
 		}
-		if faults := on(s, func() uint64 { return s.platform.router.Counts.Faults }); faults > 0 {
+		if faults := on(s, func() uint64 { return s.pools.platform.core.Counts.Faults }); faults > 0 {
 			rt.Fatalf("the module failed %d times", faults)
 		}
 	})
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -18,7 +18,7 @@
 // gone ends a service as SIGTERM does, and waits for it.
 func gone(t *testing.T, s *Service, ended chan error) {
 	t.Helper()
-	s.loop.Post(s.leave)
+	s.loop.Post(s.beginShutdown)
 	select {
 	case <-ended:
 	case <-time.After(4 * time.Second):
@@ -29,7 +29,7 @@
 // halted waits until a process has been followed by another.
 func halted(t *testing.T, s *Service) {
 	t.Helper()
-	until(t, "the old one's halt", s, func() bool { return s.heirs == 1 && !s.taking() })
+	until(t, "the old one's halt", s, func() bool { return s.restart.servingSuccessors == 1 && !s.acceptsClients() })
 }
 
 // Under load, all in a row: one that follows dies before its yes, by SIGTERM; one after it; two follow at once and one of them goes; the
@@ -40,26 +40,26 @@
 	serving(t, s)
 	stop := load(t, addr)
 	early, earlyEnded := next(t, addr, "127.0.0.1:1", shared) // it never has a list
-	until(t, "the old one's notice", s, func() bool { return s.beside == 1 && s.bounds().Clients < s.conf.Clients })
+	until(t, "the old one's notice", s, func() bool { return s.restart.processesBeside == 1 && s.processLimits().Clients < s.conf.Clients })
 	gone(t, early, earlyEnded)
 	late, lateEnded := next(t, addr, list, shared)
 	halted(t, s)
-	until(t, "half of the limits", late, func() bool { return late.bounds().Clients < late.conf.Clients })
+	until(t, "half of the limits", late, func() bool { return late.processLimits().Clients < late.conf.Clients })
 	gone(t, late, lateEnded)
-	until(t, "the old one's return", s, func() bool { return s.taking() && s.bounds().Clients == s.conf.Clients })
+	until(t, "the old one's return", s, func() bool { return s.acceptsClients() && s.processLimits().Clients == s.conf.Clients })
 	one, oneEnded := next(t, addr, list, shared)
 	halted(t, s)
 	two, twoEnded := next(t, addr, list, shared)
 	halted(t, one)
 	gone(t, one, oneEnded)
 	gone(t, s, ended)
-	until(t, "the whole limits", two, func() bool { return two.bounds().Clients == two.conf.Clients && two.taking() })
+	until(t, "the whole limits", two, func() bool { return two.processLimits().Clients == two.conf.Clients && two.acceptsClients() })
 	stop()
-	on(two, func() error { return two.drain(true) })
+	on(two, func() error { return two.setDraining(true) })
 	last, _ := next(t, addr, list, shared)
 	halted(t, two)
 	for range 20 { // the one in a drain accepts no more
-		if got := ask(addr, "mn"); got != "MN" || !on(last, last.taking) {
+		if got := ask(addr, "mn"); got != "MN" || !on(last, last.acceptsClients) {
 			t.Fatalf("after one in a drain mn is answered %q", got)
 		}
 	}
@@ -81,14 +81,14 @@
 		if c.killed {
 			want = "SERVER_ERROR starting"
 			s.loop.Post(s.end)
-			until(t, "the notice of its end", after, func() bool { return after.beside == 0 })
+			until(t, "the notice of its end", after, func() bool { return after.restart.processesBeside == 0 })
 		}
 		for range 20 {
 			if got := ask(addr, "mn"); got != want {
 				t.Fatalf("%v: before the next serves it answers %q", c, got)
 			}
 		}
-		after.loop.Post(func() { after.platform.follow(list) })
+		after.loop.Post(func() { after.pools.platform.follow(list) })
 		serving(t, after)
 		if !c.killed {
 			gone(t, s, ended)
@@ -107,22 +107,22 @@
 	serving(t, s)
 	id := discovery.ID("s-1")
 	on(s, func() bool {
-		drains := s.platform.entries[id]
+		drains := s.pools.platform.endpoints[id]
 		other := drains
 		drains.State, other.ID, other.Zone = balancer.Draining, 7, "b"
-		s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{drains, other}})
-		s.platform.told = 5
+		s.pools.platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{drains, other}})
+		s.pools.platform.generation = 5
 		return true
 	})
 	after, _ := next(t, addr, list, shared) // whose own start says that it is ready, generation 1
 	on(after, func() bool {
-		p := after.platform
-		if e := p.entries[7]; len(p.entries) != 2 || p.entries[id].State != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.listed[id] {
-			t.Errorf("it knows %+v", p.entries)
+		p := after.pools.platform
+		if e := p.endpoints[7]; len(p.endpoints) != 2 || p.endpoints[id].State != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.ready[id] {
+			t.Errorf("it knows %+v", p.endpoints)
 		}
 		for _, state := range []string{"", "{", `{"List":{"Entries":"x"}}`, `{"Discovery":"127.0.0.1:1","List":{"Generation":9,"Entries":[{}]}}`,
 			fmt.Sprintf(`{"Discovery":%q,"List":{"Generation":4,"Entries":[{}]}}`, list)} {
-			if after.learn([]byte(state)); after.conf.Known.Generation != 5 {
+			if after.loadRestartState([]byte(state)); after.conf.Known.Generation != 5 {
 				t.Errorf("%s is taken", state)
 			}
 		}
@@ -132,7 +132,7 @@
 
 // Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
 func TestNothingBehindAnotherWhereCopiesAreBarred(t *testing.T) {
-	if piped(balancer.Settings{}, 100) != 1 || piped(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
+	if requestsPerConnection(balancer.Settings{}, 100) != 1 || requestsPerConnection(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
 		t.Error("executions are sent behind others")
 	}
 }
--- /dev/null
+++ b/internal/service/successor.go
@@ -0,0 +1,103 @@
+package service
+
+import (
+	"encoding/json"
+	"maps"
+
+	"bendtrestle/internal/hotrestart"
+)
+
+// successors serves the processes that follow this one: what they ask and become, on goroutines of package
+// hotrestart.
+type successors struct{ service *Service }
+
+var _ hotrestart.Heirs = successors{}
+
+// Sockets gives the descriptors of the sockets that clients connect to, by address; the caller closes them.
+func (h successors) Sockets() map[string]int {
+	result := make(chan map[string]int, 1)
+	h.service.loop.Post(func() { result <- h.service.listeningSockets() })
+	return <-result
+}
+
+// listeningSockets duplicates the sockets that clients connect to, while any is accepted here.
+func (s *Service) listeningSockets() map[string]int {
+	sockets := map[string]int{}
+	if s.clients.listener == nil || s.lifecycle.phase >= Finishing {
+		return sockets
+	}
+	listeners := maps.Clone(s.clients.teamListeners)
+	listeners[s.conf.Listen] = s.clients.listener
+	for address, listener := range listeners {
+		descriptor, err := listener.Descriptor()
+		if err == nil {
+			sockets[address] = descriptor
+		}
+	}
+	return sockets
+}
+
+// State gives the endpoint list as it was last told here, encoded.
+func (h successors) State() []byte {
+	result := make(chan restartState, 1)
+	h.service.loop.Post(func() { result <- h.service.restartState() })
+	text, err := json.Marshal(<-result)
+	if err != nil {
+		h.service.log.Error().Err(err).Msg("the endpoint list cannot be encoded for the successor")
+	}
+	return text
+}
+
+func (s *Service) restartState() restartState {
+	platform := s.pools.platform
+	state := restartState{Discovery: s.conf.Discovery}
+	state.List.Generation = max(platform.generation, s.conf.Known.Generation)
+	state.List.Whole = true
+	for _, entry := range platform.endpoints {
+		state.List.Entries = append(state.List.Entries, saveEntry(entry))
+	}
+	return state
+}
+
+// Asked takes that another process starts beside this one.
+func (h successors) Asked() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
+
+// Serves takes that a successor accepts clients: from here on it does so alone.
+func (h successors) Serves() { h.service.loop.Post(h.service.onSuccessorServes) }
+
+func (s *Service) onSuccessorServes() {
+	s.restart.servingSuccessors++
+	s.log.Info().Msg("the next process takes clients; this one accepts no more")
+	s.clients.suspendListeners()
+	s.publish()
+}
+
+// Lost takes the end of a successor; served tells whether it had accepted clients.
+func (h successors) Lost(served bool) {
+	h.service.loop.Post(func() { h.service.onSuccessorLost(served) })
+}
+
+// onSuccessorLost accepts clients again where the last successor that served has ended, unless this process is to
+// end, too.
+func (s *Service) onSuccessorLost(served bool) {
+	if s.lifecycle.phase == Ended {
+		return
+	}
+	if !served {
+		s.addProcessesBeside(-1)
+		return
+	}
+	s.releaseProcessBesideLater()
+	s.restart.servingSuccessors--
+	if s.restart.servingSuccessors > 0 || s.lifecycle.phase >= Leaving {
+		return
+	}
+	s.log.Warn().Msg("the next process has ended; this one takes clients again")
+	s.clients.resumeListeners()
+	if s.restart.offer != nil { // the path was the successor's
+		s.restart.offer.Close()
+		s.restart.offer = nil
+	}
+	s.offerSockets()
+	s.publish()
+}
--- a/internal/service/tiles_test.go
+++ b/internal/service/tiles_test.go
@@ -250,7 +250,7 @@
 			t.Errorf("it %s, and the tile server is still asked", name)
 		}
 	}
-	begun := func() uint64 { return s.pools["maps"].router.Counts.Attempts }
+	begun := func() uint64 { return s.pools.named["maps"].core.Counts.Attempts }
 	before := on(s, begun)
 	on(s, func() bool { // the loop is held until the end is behind all of it
 		conn, _ := asking(t, own, "", "")
@@ -260,7 +260,7 @@
 		ends(t, conn)
 		return true
 	})
-	until(t, "an end", s, func() bool { return s.front.Clients() == 0 })
+	until(t, "an end", s, func() bool { return s.clients.frontend.Clients() == 0 })
 	if n := on(s, begun) - before; n > 0 {
 		t.Errorf("%d more executions began", n)
 	}
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -1,305 +1,252 @@
 package service
 
 import (
-	"errors"
-	"hash/crc32"
-	"os"
-	"slices"
-	"strconv"
-	"time"
-
 	"bendtrestle/balancer"
-	"bendtrestle/internal/admin"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/zonefailover"
 )
 
-// looking is the time between two looks at the zones: a third of the shortest times that are promised, and far above what a look takes.
-const looking = 0.05
+const (
+	// zoneStepSeconds is the time between two steps: a third of the shortest latency objectives, and far above what a
+	// step takes.
+	zoneStepSeconds = 0.05
+	// maxCollisionsLogged bounds the zones that are logged as not to be told apart.
+	maxCollisionsLogged = 100
+)
 
-// zoneWatch brings what this process sees of zones, and what others say of them, to the decision, and its shares to all pools. A nil
-// one does nothing: zones are off.
-type zoneWatch struct {
-	s     *Service
-	fleet *zonefailover.Fleet
-	bans  *hotrestart.Bans // zones that are left by hand
-	hand  map[string]bool
-	twins map[string]bool // names that were logged as not to be told apart
+// zoneAdapter brings what this process observes of zones, and what other routers say of them, to the failover
+// decision, and the zones' shares to all pools. A nil one does nothing: zone failover is off.
+type zoneAdapter struct {
+	service          *Service
+	fleet            *zonefailover.Fleet
+	file             *hotrestart.Bans // zones that an operator has evacuated, for all processes of this router
+	evacuated        map[string]bool  // of these, those that are evacuated here
+	loggedCollisions map[string]bool  // zones that were logged as not to be told apart
 }
 
-// openZones makes the watch where the operators want it.
-func (s *Service) openZones(f operatorconfig.File) {
-	if !f.Zones.On {
+// openZones makes the adapter where the operators want it.
+func (s *Service) openZones(operators operatorconfig.File) {
+	if !operators.Zones.On {
 		return
 	}
-	c := s.conf
-	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
-	w := &zoneWatch{s: s, hand: map[string]bool{}, twins: map[string]bool{}}
-	w.fleet = zonefailover.New(zonefailover.Settings{Me: c.Settings.RouterIndex, Routers: c.Settings.RouterCount, Life: uint16(life), WarmWithin: c.Settings.WarmupDuration,
-		Regions: f.Groups()})
-	s.zones = w
-	if c.Settings.RouterCount > 1 && (s.peers == nil || !c.Settings.GossipAllowed) {
-		s.log.Warn().Msg("zones are on, and no other router can be heard: none is left but by hand")
+	settings := s.conf.Settings
+	s.zones = &zoneAdapter{
+		service:          s,
+		evacuated:        map[string]bool{},
+		loggedCollisions: map[string]bool{},
+		fleet: zonefailover.New(zonefailover.Settings{
+			Me:         settings.RouterIndex,
+			Routers:    settings.RouterCount,
+			Life:       uint16(newIncarnation()),
+			WarmWithin: settings.WarmupDuration,
+			Regions:    operators.Groups(),
+		}),
+	}
+	if settings.RouterCount > 1 && (s.peers.transport == nil || !settings.GossipAllowed) {
+		s.log.Warn().Msg("zone failover is on, but no other router can be heard: zones are evacuated by operators alone")
 	}
 }
 
-func (w *zoneWatch) begin() {
-	if w == nil {
+func (a *zoneAdapter) begin() {
+	if a == nil {
 		return
 	}
-	bans, names := hotrestart.OpenBans(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
-		func(names []string) { w.s.loop.Post(func() { w.byHand(names) }) }, w.s.log)
-	w.bans = bans
-	w.byHand(names)
-	w.tick()
+	s := a.service
+	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "zones")
+	changed := func(zones []string) { s.loop.Post(func() { a.applyEvacuated(zones) }) }
+	file, zones := hotrestart.OpenBans(path, changed, s.log)
+	a.file = file
+	a.applyEvacuated(zones)
+	a.step()
 }
 
-func (w *zoneWatch) close() {
-	if w != nil {
-		w.bans.Close()
+func (a *zoneAdapter) close() {
+	if a != nil {
+		a.file.Close()
 	}
 }
 
 // reconfigure takes the operators' file anew.
-func (w *zoneWatch) reconfigure(f operatorconfig.File) {
-	if w == nil {
-		return
+func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
+	if a != nil {
+		a.fleet.Regions(operators.Groups())
 	}
-	w.fleet.Regions(f.Groups())
 }
 
-func (w *zoneWatch) now() float64 { return w.s.loop.Now() }
+func (a *zoneAdapter) now() float64 { return a.service.loop.Now() }
 
-func (w *zoneWatch) tick() {
-	if w.s.phase == Ended {
+func (a *zoneAdapter) step() {
+	if a.service.lifecycle.phase == Ended {
 		return
 	}
-	w.fleet.Tick(w.now())
-	w.act()
-	if words := w.fleet.Say(w.now()); words != nil && w.s.conf.Settings.GossipAllowed { // else the platform allows none
-		w.s.peers.Tell(words)
+	a.fleet.Tick(a.now())
+	a.applyChanges()
+	message := a.fleet.Say(a.now())
+	if message != nil && a.service.conf.Settings.GossipAllowed {
+		a.service.peers.transport.Tell(message)
 	}
-	w.s.loop.After(looking, w.tick)
+	a.service.loop.After(zoneStepSeconds, a.step)
 }
 
-// act takes the decisions to the pools.
-func (w *zoneWatch) act() {
+// applyChanges takes the decisions to the pools.
+func (a *zoneAdapter) applyChanges() {
 	changed := map[string]bool{}
-	for _, c := range w.fleet.Changes() {
-		w.s.log.Info().Str("zone", c.Zone).Stringer("from", c.From).Stringer("to", c.To).Float64("share", c.Share).Str("why", c.Why).Msg("zone")
-		if !changed[c.Zone] {
-			changed[c.Zone] = true
-			w.share(w.s.platform, c.Zone)
-			for _, p := range w.s.pools {
-				w.share(p, c.Zone)
-			}
+	for _, change := range a.fleet.Changes() {
+		a.service.log.Info().
+			Str("zone", change.Zone).
+			Stringer("from", change.From).
+			Stringer("to", change.To).
+			Float64("share", change.Share).
+			Str("why", change.Why).
+			Msg("zone")
+		if changed[change.Zone] {
+			continue
+		}
+		changed[change.Zone] = true
+		for _, p := range a.service.pools.active() {
+			a.applyShare(p, change.Zone)
 		}
 	}
 	if len(changed) > 0 {
-		w.s.publish()
+		a.service.publish()
 	}
 }
 
-// share tells a pool what a zone serves now. What waits for a connection there was never sent, and goes elsewhere as such.
-func (w *zoneWatch) share(p *pool, zone string) {
-	x := w.fleet.Share(zone)
-	if x == 0 {
-		for id, e := range p.entries {
-			if e.Zone == zone {
-				p.fleet.LetGo(id)
+// applyShare tells a pool what part of its keys a zone serves now. What waits for a connection to an evacuated zone
+// was never sent, and is attempted elsewhere as such.
+func (a *zoneAdapter) applyShare(p *pool, zone string) {
+	share := a.fleet.Share(zone)
+	if share == 0 {
+		for id, entry := range p.endpoints {
+			if entry.Zone == zone {
+				p.servers.LetGo(id)
 			}
 		}
 	}
-	p.router.SetZoneShare(zone, x)
+	p.core.SetZoneShare(zone, share)
 }
 
-// apply tells a new pool of all zones.
-func (w *zoneWatch) apply(p *pool) {
-	if w == nil {
+// applyTo tells a new pool of all zones.
+func (a *zoneAdapter) applyTo(p *pool) {
+	if a == nil {
 		return
 	}
-	for _, z := range w.fleet.States(w.now()) {
-		if z.Share < 1 {
-			w.share(p, z.Zone)
+	for _, zone := range a.fleet.States(a.now()) {
+		if zone.Share < 1 {
+			a.applyShare(p, zone.Zone)
 		}
 	}
 }
 
-// listed takes the lists of all pools.
-func (w *zoneWatch) listed() {
-	if w == nil {
+// onEndpoints takes the endpoint lists of all pools.
+func (a *zoneAdapter) onEndpoints() {
+	if a == nil {
 		return
 	}
-	servers, ids := map[string]int{}, map[uint16]bool{}
-	take := func(p *pool) {
-		for id, e := range p.entries {
-			if ids[uint16(id)] = true; e.Zone != "" && e.State == balancer.Ready {
-				servers[e.Zone]++
+	readyServers := map[string]int{}
+	ids := map[uint16]bool{}
+	for _, p := range a.service.pools.active() {
+		for id, entry := range p.endpoints {
+			ids[uint16(id)] = true
+			if entry.Zone != "" && entry.State == balancer.Ready {
+				readyServers[entry.Zone]++
 			}
 		}
 	}
-	take(w.s.platform)
-	for _, p := range w.s.pools {
-		take(p)
+	for _, zone := range a.fleet.Listed(a.now(), readyServers, ids) {
+		a.logCollision(zone)
 	}
-	for _, name := range w.fleet.Listed(w.now(), servers, ids) {
-		if !w.twins[name] && len(w.twins) < 100 {
-			w.twins[name] = true
-			w.s.log.Warn().Str("zone", name).Msg("this zone cannot be told from another in words, or there are too many: it is never left")
-		}
+}
+
+// logCollision logs once that a zone takes no part.
+func (a *zoneAdapter) logCollision(zone string) {
+	if a.loggedCollisions[zone] || len(a.loggedCollisions) >= maxCollisionsLogged {
+		return
 	}
+	a.loggedCollisions[zone] = true
+	a.service.log.Warn().Str("zone", zone).
+		Msg("this zone cannot be told from another in messages, or there are too many: it is never evacuated")
 }
 
-// heard takes another router's words; false if they are not of zones.
-func (w *zoneWatch) heard(words []byte) bool { return w != nil && w.fleet.Heard(w.now(), words) }
+// onMessage takes another router's message; false if it is not about zones.
+func (a *zoneAdapter) onMessage(message []byte) bool {
+	return a != nil && a.fleet.Heard(a.now(), message)
+}
+
+// AttemptStarted takes that an attempt begins at a server of a zone. within is the seconds in which an answer is
+// expected; the result is for AttemptEnded.
+func (a *zoneAdapter) AttemptStarted(zone string, within float64) uint64 {
+	return a.fleet.Began(a.now(), zone, within)
+}
 
-// AttemptStarted takes that an execution begins.
-func (w *zoneWatch) AttemptStarted(zone string, within float64) uint64 {
-	return w.fleet.Began(w.now(), zone, within)
+// AttemptEnded takes the outcome of an attempt that took so many seconds, of those in which an answer was expected.
+func (a *zoneAdapter) AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, within float64) {
+	a.fleet.Ended(a.now(), zone, mark, zoneEvidence(outcome, took, within))
 }
 
-// AttemptEnded takes how it went.
-func (w *zoneWatch) AttemptEnded(zone string, mark uint64, how balancer.Outcome, took, within float64) {
-	end := zonefailover.Unsaid
-	switch how {
-	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss: // also an error is an answer
-		if end = zonefailover.Answered; took > within {
-			end = zonefailover.Late
+// zoneEvidence is what an attempt's outcome says about its zone. An error is an answer, too. A request whose client
+// was in a hurry says nothing by its timeout, nor does what was never sent.
+func zoneEvidence(outcome balancer.Outcome, took, within float64) zonefailover.How {
+	switch outcome {
+	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss:
+		if took > within {
+			return zonefailover.Late
 		}
+		return zonefailover.Answered
 	case balancer.Overloaded:
-		end = zonefailover.Full
+		return zonefailover.Full
 	case balancer.TimedOut:
-		if took >= within { // else its client was in a hurry
-			end = zonefailover.Silent
+		if took >= within {
+			return zonefailover.Silent
 		}
 	case balancer.ConnectFailed, balancer.ConnectionLost:
-		end = zonefailover.Silent
+		return zonefailover.Silent
 	}
-	w.fleet.Ended(w.now(), zone, mark, end)
+	return zonefailover.Unsaid
 }
 
-// byHand takes the whole set of zones that are left by hand.
-func (w *zoneWatch) byHand(names []string) {
-	now := map[string]bool{}
-	for _, name := range names {
-		now[name] = true
-		if w.hand[name] {
+// applyEvacuated takes the whole set of zones that operators have evacuated.
+func (a *zoneAdapter) applyEvacuated(zones []string) {
+	wanted := map[string]bool{}
+	for _, zone := range zones {
+		wanted[zone] = true
+		if a.evacuated[zone] {
 			continue
 		}
-		if w.hand[name] = w.fleet.Hand(w.now(), name, true); !w.hand[name] {
-			delete(w.hand, name)
-			w.s.log.Warn().Str("zone", name).Msg("it is written down as left by hand, and stays, as no other would remain")
+		if a.fleet.Hand(a.now(), zone, true) {
+			a.evacuated[zone] = true
+			continue
 		}
+		a.service.log.Warn().Str("zone", zone).
+			Msg("an operator has evacuated this zone, but it stays in use, as no other would remain")
 	}
-	for name := range w.hand {
-		if !now[name] {
-			w.fleet.Hand(w.now(), name, false)
-			delete(w.hand, name)
+	for zone := range a.evacuated {
+		if !wanted[zone] {
+			a.fleet.Hand(a.now(), zone, false)
+			delete(a.evacuated, zone)
 		}
 	}
-	w.act()
+	a.applyChanges()
 }
 
-// written tells whether a zone is to be left by hand, also one that could not be, as the last.
-func (w *zoneWatch) written(zone string) bool { return slices.Contains(w.bans.IDs(), zone) }
-
-// figures shows how zones stand.
-func (w *zoneWatch) figures(say func(name string, value uint64)) {
-	if w == nil {
+// writeMetrics shows how zones stand.
+func (a *zoneAdapter) writeMetrics(write func(name string, value uint64)) {
+	if a == nil {
 		return
 	}
-	left, returning, moves := uint64(0), uint64(0), uint64(0)
-	for _, z := range w.fleet.States(w.now()) {
-		switch moves += z.Moves; z.State {
+	var left, returning, moves uint64
+	for _, zone := range a.fleet.States(a.now()) {
+		moves += zone.Moves
+		switch zone.State {
 		case zonefailover.Left, zonefailover.Tried:
 			left++
 		case zonefailover.Returning:
 			returning++
 		}
 	}
-	say("zones_left", left)
-	say("zones_returning", returning)
-	say("zone_moves", moves)
-	say("zone_words", w.fleet.Words)
-}
-
-var (
-	errZonesOff = errors.New("zones are off: the operators' file is to say on = true under [zones]")
-	errLastZone = errors.New("no zone would remain; the last one is not left")
-)
-
-// Zones gives all zones.
-func (d *desk) Zones() (all []admin.Zone, err error) {
-	if d.s.zones == nil {
-		return nil, errZonesOff
-	}
-	err = d.do(func() error {
-		now := d.s.zones.now()
-		for _, z := range d.s.zones.fleet.States(now) {
-			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.Hand,
-				Servers: z.Servers, Against: z.Against, With: z.For, Known: z.Known, Times: z.Times, Why: z.Why})
-		}
-		return nil
-	})
-	return all, err
-}
-
-// LeaveZone leaves a zone until ReturnZone.
-func (d *desk) LeaveZone(zone string) error {
-	w, until := d.s.zones, time.Now().Add(patience)
-	if w == nil {
-		return errZonesOff
-	}
-	err := d.do(func() error {
-		switch {
-		case !w.fleet.Known(zone):
-			return admin.ErrNoZone
-		case !w.fleet.Hand(w.now(), zone, true):
-			return errLastZone
-		}
-		w.hand[zone] = true
-		w.act()
-		return nil
-	})
-	if err != nil {
-		return err
-	}
-	err = w.bans.Set(zone, true, until)
-	if errors.Is(err, hotrestart.ErrHere) {
-		d.s.log.Error().Err(err).Str("zone", zone).Msg("what was called by hand cannot be kept for the next process")
-	} else if err != nil { // nothing was changed, so it does not stay left
-		ids := w.bans.IDs()
-		d.s.loop.Post(func() { w.byHand(ids) })
-	}
-	return err
-}
-
-// ReturnZone lets a zone return, whoever left it.
-func (d *desk) ReturnZone(zone string) error {
-	w, until := d.s.zones, time.Now().Add(patience)
-	if w == nil {
-		return errZonesOff
-	}
-	if !w.written(zone) {
-		return d.do(func() error {
-			if !w.fleet.Return(w.now(), zone) {
-				return admin.ErrNoZone
-			}
-			w.act()
-			return nil
-		})
-	}
-	if err := w.bans.Set(zone, false, until); err != nil {
-		return err
-	}
-	late := d.do(func() error { // behind the set without it
-		w.fleet.Return(w.now(), zone) // it was to be left by hand and could not be, as the last, but by itself
-		w.act()
-		return nil
-	})
-	if late != nil {
-		return errWritten
-	}
-	return nil
+	write("zones_left", left)
+	write("zones_returning", returning)
+	write("zone_moves", moves)
+	write("zone_words", a.fleet.Words)
 }
--- /dev/null
+++ b/internal/service/zonesadmin.go
@@ -0,0 +1,118 @@
+package service
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"bendtrestle/internal/admin"
+	"bendtrestle/internal/hotrestart"
+)
+
+// Why an operator's call about zones is refused; the admin server answers with these texts.
+var (
+	errZonesOff = errors.New("zones are off: the operators' file is to say on = true under [zones]")
+	errLastZone = errors.New("no zone would remain; the last one is not left")
+)
+
+// Zones gives the state of all zones.
+func (h *adminHandler) Zones() ([]admin.Zone, error) {
+	zones := h.service.zones
+	if zones == nil {
+		return nil, errZonesOff
+	}
+	var all []admin.Zone
+	err := h.onLoop(func() error {
+		now := zones.now()
+		for _, zone := range zones.fleet.States(now) {
+			all = append(all, admin.Zone{
+				Zone:    zone.Zone,
+				State:   zone.State.String(),
+				Share:   zone.Share,
+				For:     now - max(zone.Since, h.service.lifecycle.startedAt),
+				Hand:    zone.Hand,
+				Servers: zone.Servers,
+				Against: zone.Against,
+				With:    zone.For,
+				Known:   zone.Known,
+				Times:   zone.Times,
+				Why:     zone.Why,
+			})
+		}
+		return nil
+	})
+	return all, err
+}
+
+// LeaveZone evacuates a zone until ReturnZone. It is refused for the last one.
+func (h *adminHandler) LeaveZone(zone string) error {
+	zones := h.service.zones
+	until := time.Now().Add(lockWaitTimeout)
+	if zones == nil {
+		return errZonesOff
+	}
+	err := h.onLoop(func() error { return zones.evacuate(zone) })
+	if err != nil {
+		return err
+	}
+	err = zones.file.Set(zone, true, until)
+	if err == nil {
+		return nil
+	}
+	if errors.Is(err, hotrestart.ErrHere) {
+		h.service.log.Error().Err(err).Str("zone", zone).
+			Msg("an operator's call holds here, but cannot be kept for the next process")
+		return err
+	}
+	kept := zones.file.IDs() // nothing was written, so the zone does not stay evacuated
+	h.service.loop.Post(func() { zones.applyEvacuated(kept) })
+	return err
+}
+
+// evacuate evacuates a zone for an operator.
+func (a *zoneAdapter) evacuate(zone string) error {
+	if !a.fleet.Known(zone) {
+		return admin.ErrNoZone
+	}
+	if !a.fleet.Hand(a.now(), zone, true) {
+		return errLastZone
+	}
+	a.evacuated[zone] = true
+	a.applyChanges()
+	return nil
+}
+
+// ReturnZone lets a zone return, whether an operator or the failover evacuated it.
+func (h *adminHandler) ReturnZone(zone string) error {
+	zones := h.service.zones
+	until := time.Now().Add(lockWaitTimeout)
+	if zones == nil {
+		return errZonesOff
+	}
+	// The file also has a zone that could not be evacuated, as the last.
+	kept := slices.Contains(zones.file.IDs(), zone)
+	if !kept {
+		return h.onLoop(func() error { return zones.startReturn(zone) })
+	}
+	if err := zones.file.Set(zone, false, until); err != nil {
+		return err
+	}
+	err := h.onLoop(func() error { // behind the set without it, which the file has posted
+		zones.fleet.Return(zones.now(), zone) // the failover itself may have evacuated it; else nothing is to return
+		zones.applyChanges()
+		return nil
+	})
+	if err != nil {
+		return errSavedNotApplied
+	}
+	return nil
+}
+
+// startReturn begins the return of a zone.
+func (a *zoneAdapter) startReturn(zone string) error {
+	if !a.fleet.Return(a.now(), zone) {
+		return admin.ErrNoZone
+	}
+	a.applyChanges()
+	return nil
+}
