--- /dev/null
+++ b/cmd/bendtrestle/golden_test.go
@@ -0,0 +1,62 @@
+package main
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"os"
+	"path/filepath"
+	"testing"
+
+	"bendtrestle/internal/config"
+	"bendtrestle/internal/operatorconfig"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares a text with a file that the build of 15122f5 wrote.
+func golden(t *testing.T, name, got string) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *writeGolden {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+}
+
+// People and scripts read what `bendtrestle check` prints: with every key stated, with the least, and of faulty files.
+func TestGoldenCheck(t *testing.T) {
+	for _, c := range []struct {
+		name, config, operators string
+	}{
+		{"check-full", "testdata/config-full.json", "testdata/operators-full.toml"},
+		{"check-platform-only", "testdata/config-full.json", ""},
+		{"check-least", "testdata/config-least.json", ""},
+	} {
+		env := map[string]string{"GW_CONFIG": c.config, "GW_NAME": "n9", "GW_DISCOVERY": "127.2.0.9:8500", "TMPDIR": "/shared"}
+		// The seed is the process's number where none is stated.
+		theirs, err := operatorconfig.Read(c.operators)
+		ours, other := config.Describe(func(name string) string { return env[name] })
+		if err = errors.Join(err, other); err != nil {
+			t.Fatal(err)
+		}
+		for i, setting := range ours {
+			if setting.Key == "seed" && setting.From == "the process's number" {
+				ours[i].Value = "PID"
+			}
+		}
+		var printed bytes.Buffer
+		if err := printSettings(&printed, ours, theirs); err != nil {
+			t.Fatal(err)
+		}
+		golden(t, c.name, printed.String())
+	}
+}
--- /dev/null
+++ b/internal/hotrestart/disabled_golden_test.go
@@ -0,0 +1,64 @@
+package hotrestart
+
+import (
+	"os"
+	"path/filepath"
+	"slices"
+	"strings"
+	"testing"
+	"time"
+
+	"github.com/rs/zerolog"
+)
+
+// The file of servers that are out is written as it was, and that of another build is read.
+func TestGoldenFileOfDisabledServers(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "out")
+	set, _ := OpenBans(path, func([]string) {}, zerolog.Nop())
+	for _, id := range []string{"s-1", "s-2", "10.0.0.1:11211", "ünïcode"} {
+		if err := set.Set(id, true, soon()); err != nil {
+			t.Fatal(err)
+		}
+	}
+	if err := set.Set("s-1", false, soon()); err != nil {
+		t.Fatal(err)
+	}
+	set.Close()
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := golden(t, "disabled-servers", string(text))
+	files, _ := filepath.Glob(path + "*")
+	for i := range files {
+		files[i] = filepath.Base(files[i])
+	}
+	golden(t, "disabled-servers-files", strings.Join(files, "\n"))
+
+	other := filepath.Join(t.TempDir(), "out")
+	if err := os.WriteFile(other, []byte(want), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	set, ids := OpenBans(other, func([]string) {}, zerolog.Nop())
+	set.Close()
+	if !slices.Equal(ids, []string{"s-2", "10.0.0.1:11211", "ünïcode"}) {
+		t.Errorf("read as %q", ids)
+	}
+}
+
+// Why a call is not carried out is read by operators in the admin server's answer.
+func TestGoldenErrors(t *testing.T) {
+	var texts []string
+	for _, err := range []error{ErrMany, ErrHere, ErrKept, ErrSlow, errBusy} {
+		texts = append(texts, err.Error())
+	}
+	path := filepath.Join(t.TempDir(), "out")
+	os.WriteFile(path, []byte("s-1\n"), 0o600)
+	set, _ := OpenBans(path, func([]string) {}, zerolog.Nop())
+	defer set.Close()
+	lock := held(t, path+".lock")
+	defer lock.Close()
+	texts = append(texts, set.Set("s-2", true, time.Now()).Error())
+	texts = append(texts, set.Set("s-1", false, time.Now()).Error())
+	golden(t, "disabled-servers-errors", strings.Join(texts, "\n"))
+}
