--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -28,27 +28,27 @@
 	again     = 200 * time.Millisecond // between two tries to open the door
 )
 
-// Router is what the door needs. Its methods may be called from any goroutine, and return within a second.
-type Router interface {
+// Handler is what the door needs. Its methods may be called from any goroutine, and return within a second.
+type Handler interface {
 	Ready() bool
-	Figures() []byte
-	Disable(id string) error
-	Enable(id string) error
+	Metrics() []byte
+	DisableServer(id string) error
+	EnableServer(id string) error
 	Drain() error
 	Undrain() error
 	Status() (Status, error)
 	Zones() ([]Zone, error)
-	LeaveZone(zone string) error
-	ReturnZone(zone string) error
+	EvacuateZone(zone string) error
+	RestoreZone(zone string) error
 }
 
 // Status is how far a start is.
 type Status struct {
 	Phase       string  `json:"phase"`
-	For         float64 `json:"for_s"`
-	FullService float64 `json:"full_service_seconds"` // that it took; 0: it is not there yet
-	Waits       string  `json:"waits_for"`
-	Taking      bool    `json:"taking_clients"`
+	PhaseSeconds         float64 `json:"for_s"`
+	FullServiceSeconds float64 `json:"full_service_seconds"` // that it took; 0: it is not there yet
+	WaitsFor       string  `json:"waits_for"`
+	AcceptsClients      bool    `json:"taking_clients"`
 }
 
 // Zone is what the door shows of one zone.
@@ -56,25 +56,25 @@
 	Zone    string  `json:"zone"`
 	State   string  `json:"state"`
 	Share   float64 `json:"share"`   // of its keys that it serves
-	For     float64 `json:"for_s"`   // seconds in this state
-	Hand    bool    `json:"by_hand"` // left by hand
+	StateSeconds     float64 `json:"for_s"`   // seconds in this state
+	ByOperator    bool    `json:"by_hand"` // left by hand
 	Servers int     `json:"servers"`
-	Against int     `json:"routers_without_answer"`
-	With    int     `json:"routers_with_later_answer"`
-	Known   int     `json:"routers_heard"`
-	Times   int     `json:"left_of_late"`
-	Why     string  `json:"why"`
+	RoutersWithoutAnswer int     `json:"routers_without_answer"`
+	RoutersWithLaterAnswer    int     `json:"routers_with_later_answer"`
+	RoutersHeard   int     `json:"routers_heard"`
+	RecentEvacuations   int     `json:"left_of_late"`
+	Reason     string  `json:"why"`
 }
 
 // Why a call is not carried out.
 var (
-	ErrUnknown = errors.New("no cache server is known by this id")
-	ErrNoZone  = errors.New("no zone is known by this name, or it is not left")
-	ErrNotNow  = errors.New("the router does not come to it now; nothing was done")
+	ErrUnknownServer = errors.New("no cache server is known by this id")
+	ErrUnknownZone  = errors.New("no zone is known by this name, or it is not left")
+	ErrBusy  = errors.New("the router does not come to it now; nothing was done")
 )
 
-// Door is one open door.
-type Door struct {
+// Server is one open door.
+type Server struct {
 	server *http.Server
 	addr   string
 	places int
@@ -83,9 +83,9 @@
 	once   sync.Once
 }
 
-// Open listens at an address, for so many callers at once. Where another process holds it, as while one version follows another, it is tried until it is free.
-func Open(addr string, places int, r Router, log zerolog.Logger) *Door {
-	d := &Door{addr: addr, places: places, log: log, ended: make(chan struct{})}
+// Start listens at an address, for so many callers at once. Where another process holds it, as while one version follows another, it is tried until it is free.
+func Start(addr string, places int, r Handler, log zerolog.Logger) *Server {
+	d := &Server{addr: addr, places: places, log: log, ended: make(chan struct{})}
 	d.server = &http.Server{Handler: handler(r), ReadTimeout: whole, WriteTimeout: whole, MaxHeaderBytes: headBound,
 		ErrorLog:    stdlog.New(io.Discard, "", 0),
 		ConnContext: func(ctx context.Context, c net.Conn) context.Context { return context.WithValue(ctx, callerKey{}, c) }}
@@ -110,7 +110,7 @@
 	return d
 }
 
-func (d *Door) serve(ln net.Listener) {
+func (d *Server) serve(ln net.Listener) {
 	select {
 	case <-d.ended:
 		ln.Close()
@@ -120,7 +120,7 @@
 }
 
 // Close ends the door and its callers' connections.
-func (d *Door) Close() {
+func (d *Server) Close() {
 	d.once.Do(func() { close(d.ended) })
 	d.server.Close()
 }
@@ -210,7 +210,7 @@
 	}
 }
 
-func handler(r Router) http.Handler {
+func handler(r Handler) http.Handler {
 	m := http.NewServeMux()
 	m.HandleFunc("GET /ready", func(w http.ResponseWriter, q *http.Request) {
 		came(q)
@@ -223,10 +223,10 @@
 	m.HandleFunc("GET /metrics", func(w http.ResponseWriter, q *http.Request) {
 		came(q)
 		w.Header().Set("Content-Type", "text/plain; charset=utf-8")
-		w.Write(r.Figures())
+		w.Write(r.Metrics())
 	})
-	m.HandleFunc("POST /cache-servers/disable", about("id of a cache server", r.Disable))
-	m.HandleFunc("POST /cache-servers/enable", about("id of a cache server", r.Enable))
+	m.HandleFunc("POST /cache-servers/disable", about("id of a cache server", r.DisableServer))
+	m.HandleFunc("POST /cache-servers/enable", about("id of a cache server", r.EnableServer))
 	m.HandleFunc("GET /zones", zones(r))
 	m.HandleFunc("GET /status", func(w http.ResponseWriter, q *http.Request) {
 		came(q)
@@ -238,15 +238,15 @@
 		w.Header().Set("Content-Type", "application/json")
 		json.NewEncoder(w).Encode(st)
 	})
-	m.HandleFunc("POST /zones/leave", about("name of a zone", r.LeaveZone))
-	m.HandleFunc("POST /zones/return", about("name of a zone", r.ReturnZone))
+	m.HandleFunc("POST /zones/leave", about("name of a zone", r.EvacuateZone))
+	m.HandleFunc("POST /zones/return", about("name of a zone", r.RestoreZone))
 	m.HandleFunc("POST /drain", plain(r.Drain))
 	m.HandleFunc("POST /undrain", plain(r.Undrain))
 	return m
 }
 
 // zones shows all zones: a table for people, or JSON to who asks for it.
-func zones(r Router) http.HandlerFunc {
+func zones(r Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, q *http.Request) {
 		came(q)
 		all, err := r.Zones()
@@ -263,8 +263,8 @@
 		t := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
 		fmt.Fprintln(t, "ZONE\tSTATE\tSHARE\tFOR\tSERVERS\tWITHOUT ANSWER\tWITH LATER\tHEARD\tLEFT OF LATE\tWHY")
 		for _, z := range all {
-			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%s\n", z.Zone, z.State, z.Share, z.For, z.Servers, z.Against, z.With,
-				z.Known, z.Times, z.Why)
+			fmt.Fprintf(t, "%s\t%s\t%.3f\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%s\n", z.Zone, z.State, z.Share, z.StateSeconds, z.Servers, z.RoutersWithoutAnswer, z.RoutersWithLaterAnswer,
+				z.RoutersHeard, z.RecentEvacuations, z.Reason)
 		}
 		t.Flush()
 	}
@@ -299,7 +299,7 @@
 	switch {
 	case err == nil:
 		say(w, http.StatusOK, "done")
-	case errors.Is(err, ErrUnknown), errors.Is(err, ErrNoZone):
+	case errors.Is(err, ErrUnknownServer), errors.Is(err, ErrUnknownZone):
 		say(w, http.StatusNotFound, err.Error())
 	default:
 		say(w, http.StatusServiceUnavailable, err.Error())
--- a/internal/admin/control_test.go
+++ b/internal/admin/control_test.go
@@ -16,16 +16,16 @@
 type routed struct{ err error }
 
 func (r routed) Zones() ([]Zone, error) {
-	return []Zone{{Zone: "a", State: "left", Why: "by hand"}}, r.err
+	return []Zone{{Zone: "a", State: "left", Reason: "by hand"}}, r.err
 }
 func (r routed) Status() (Status, error)      { return Status{Phase: "full"}, r.err }
-func (r routed) LeaveZone(zone string) error  { return r.err }
-func (r routed) ReturnZone(zone string) error { return r.err }
+func (r routed) EvacuateZone(zone string) error  { return r.err }
+func (r routed) RestoreZone(zone string) error { return r.err }
 
 func (r routed) Ready() bool          { return r.err == nil }
-func (r routed) Figures() []byte      { return []byte("gw.current=1\n") }
-func (r routed) Disable(string) error { return r.err }
-func (r routed) Enable(string) error  { return r.err }
+func (r routed) Metrics() []byte      { return []byte("gw.current=1\n") }
+func (r routed) DisableServer(string) error { return r.err }
+func (r routed) EnableServer(string) error  { return r.err }
 func (r routed) Drain() error         { return r.err }
 func (r routed) Undrain() error       { return r.err }
 
@@ -50,20 +50,20 @@
 		call, body, want string
 	}{
 		{nil, "GET /ready", "", "200 yes"},
-		{ErrNotNow, "GET /ready", "", "503 no: clients"},
+		{ErrBusy, "GET /ready", "", "503 no: clients"},
 		{nil, "GET /metrics", "", "200 gw.current=1"},
 		{nil, "POST /metrics", "", "405 GET, HEADMethod"},
 		{nil, "GET /other", "", "404 "},
 		{nil, "POST /drain", "", "200 done"},
-		{ErrNotNow, "POST /undrain", "", "503 " + ErrNotNow.Error()},
+		{ErrBusy, "POST /undrain", "", "503 " + ErrBusy.Error()},
 		{nil, "GET /drain", "", "405 POSTMethod"},
 		{nil, "POST /cache-servers/disable", " s-1\r\n", "200 done"},
 		{nil, "POST /zones/leave", "a", "200 done"},
-		{ErrNoZone, "POST /zones/return", "a", "404 " + ErrNoZone.Error()},
+		{ErrUnknownZone, "POST /zones/return", "a", "404 " + ErrUnknownZone.Error()},
 		{nil, "POST /zones/leave", "", "400 the body is to be the name of a zone"},
 		{nil, "GET /zones", "", "200 ZONE  STATE"},
 		{nil, "GET /status", "", `200 {"phase":"full"`},
-		{ErrUnknown, "POST /cache-servers/enable", "s-2", "404 " + ErrUnknown.Error()},
+		{ErrUnknownServer, "POST /cache-servers/enable", "s-2", "404 " + ErrUnknownServer.Error()},
 		{nil, "POST /cache-servers/enable", "", "400 the body is to be"},
 		{nil, "POST /cache-servers/disable", "s-1 s-2", "400 the body is to be"},
 		{nil, "POST /cache-servers/disable", "s\x00", "400 the body is to be"},
@@ -76,7 +76,7 @@
 			t.Fatal(err)
 		}
 		addr := held.Addr().String()
-		d := Open(addr, 24, routed{c.err}, zerolog.Nop())
+		d := Start(addr, 24, routed{c.err}, zerolog.Nop())
 		held.Close()
 		var callers []net.Conn
 		for i := 0; len(callers) < 60 && i < 200; i++ {
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -39,17 +39,17 @@
 // goldenRouter answers with values in every field.
 type goldenRouter struct{ routed }
 
-func (goldenRouter) Figures() []byte { return []byte("gw.current=1\ngw.sends=22\n") }
+func (goldenRouter) Metrics() []byte { return []byte("gw.current=1\ngw.sends=22\n") }
 
 func (r goldenRouter) Zones() ([]Zone, error) {
 	return []Zone{
-		{Zone: "a", State: "left", Share: 0.25, For: 12.5, Hand: true, Servers: 3, Against: 4, With: 5, Known: 6, Times: 7, Why: "by hand"},
-		{Zone: "zone-b", State: "serving", Share: 1, For: 0.04, Servers: 12, Why: "<answers> & all"},
+		{Zone: "a", State: "left", Share: 0.25, StateSeconds: 12.5, ByOperator: true, Servers: 3, RoutersWithoutAnswer: 4, RoutersWithLaterAnswer: 5, RoutersHeard: 6, RecentEvacuations: 7, Reason: "by hand"},
+		{Zone: "zone-b", State: "serving", Share: 1, StateSeconds: 0.04, Servers: 12, Reason: "<answers> & all"},
 	}, r.err
 }
 
 func (r goldenRouter) Status() (Status, error) {
-	return Status{Phase: "full", For: 1.25, FullService: 2.5, Waits: "nothing <yet>", Taking: true}, r.err
+	return Status{Phase: "full", PhaseSeconds: 1.25, FullServiceSeconds: 2.5, WaitsFor: "nothing <yet>", AcceptsClients: true}, r.err
 }
 
 // answered makes a call and gives the whole answer, with its headers in order and without its date.
@@ -99,12 +99,12 @@
 		err  error
 	}{
 		{"done", nil},
-		{"unknown", ErrUnknown},
-		{"no-zone", ErrNoZone},
-		{"not-now", ErrNotNow},
+		{"unknown", ErrUnknownServer},
+		{"no-zone", ErrUnknownZone},
+		{"not-now", ErrBusy},
 		{"other-error", fmt.Errorf("some reason: %w", io.EOF)},
 	} {
-		server := Open(addr, 24, goldenRouter{routed{c.err}}, zerolog.Nop())
+		server := Start(addr, 24, goldenRouter{routed{c.err}}, zerolog.Nop())
 		var all strings.Builder
 		ask := func(call, accept, body string) {
 			fmt.Fprintf(&all, "=== %s accept %q body %q\n%s", call, accept, body, answered(t, addr, call, accept, body))
@@ -143,5 +143,5 @@
 
 // Errors that reach the operator through an answer.
 func TestGoldenErrors(t *testing.T) {
-	golden(t, "errors", fmt.Sprintf("%v\n%v\n%v\n", ErrUnknown, ErrNoZone, ErrNotNow))
+	golden(t, "errors", fmt.Sprintf("%v\n%v\n%v\n", ErrUnknownServer, ErrUnknownZone, ErrBusy))
 }
--- a/internal/hotrestart/bans.go
+++ b/internal/hotrestart/bans.go
@@ -31,16 +31,16 @@
 
 // Why a call is not, or not wholly, carried out.
 var (
-	ErrMany = fmt.Errorf("more than %d are out already, or would be; nothing was changed", mostBans)
-	ErrHere = errors.New("it holds at this process alone, and ends with it, for it could not be written down; call again in a second")
-	ErrKept = errors.New("nothing was changed, for it could not be written down; call again in a second")
-	ErrSlow = errors.New("it is being written down, and may hold later; call again in a second")
+	ErrTooMany = fmt.Errorf("more than %d are out already, or would be; nothing was changed", mostBans)
+	ErrLocalOnly = errors.New("it holds at this process alone, and ends with it, for it could not be written down; call again in a second")
+	ErrUnchanged = errors.New("nothing was changed, for it could not be written down; call again in a second")
+	ErrPending = errors.New("it is being written down, and may hold later; call again in a second")
 
-	errBusy = errors.New("another call is being written")
+	ErrLockTimeout = errors.New("another call is being written")
 )
 
-// Bans is the set of cache servers that operators have taken out, shared by the processes of a router through a file.
-type Bans struct {
+// Registry is the set of cache servers that operators have taken out, shared by the processes of a router through a file.
+type Registry struct {
 	path    string // empty: kept in memory alone
 	changed func(ids []string)
 	log     zerolog.Logger
@@ -65,8 +65,8 @@
 // OpenBans reads the file, if there is one, and looks at it from then on. Changed is called with the whole set whenever it may
 // have changed, never for two changes at once. A disk that does not answer within a second is not waited for: what the file says
 // is told as soon as it does.
-func OpenBans(path string, changed func(ids []string), log zerolog.Logger) (*Bans, []string) {
-	b := &Bans{path: path, changed: changed, log: log, ended: make(chan struct{}), turn: make(chan struct{}, 1)}
+func OpenBans(path string, changed func(ids []string), log zerolog.Logger) (*Registry, []string) {
+	b := &Registry{path: path, changed: changed, log: log, ended: make(chan struct{}), turn: make(chan struct{}, 1)}
 	if path == "" {
 		return b, nil
 	}
@@ -88,16 +88,16 @@
 }
 
 // IDs gives what is out.
-func (b *Bans) IDs() []string {
+func (b *Registry) IDs() []string {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	return b.all()
 }
 
 // Close ends the looking.
-func (b *Bans) Close() { close(b.ended) }
+func (b *Registry) Close() { close(b.ended) }
 
-func (b *Bans) watch() {
+func (b *Registry) watch() {
 	for {
 		select {
 		case <-b.ended:
@@ -109,7 +109,7 @@
 }
 
 // all gives what is out: what is written down, and what could not be.
-func (b *Bans) all() []string {
+func (b *Registry) all() []string {
 	all := slices.Clone(b.ids)
 	for _, id := range b.alone {
 		if !slices.Contains(all, id) {
@@ -121,7 +121,7 @@
 
 // look takes what the file says, if that is new. It is read each time: its number and its time may be those of the one before, which
 // has gone. Where it is gone itself or cannot be read, what is known stays; so it does where a call was written meanwhile.
-func (b *Bans) look() {
+func (b *Registry) look() {
 	b.mu.Lock()
 	written := b.written
 	b.mu.Unlock()
@@ -137,7 +137,7 @@
 }
 
 // take takes what the file says, as far as the bound allows.
-func (b *Bans) take(text []byte) {
+func (b *Registry) take(text []byte) {
 	b.text, b.ids = text, listed(text)
 	if len(b.ids) > mostBans { // written by hand
 		b.log.Warn().Int("most", mostBans).Msg("more is out by hand than is heeded; the rest of the file is passed over")
@@ -146,7 +146,7 @@
 }
 
 // read gives the file, and no more of it than would be used; another user's is as none.
-func (b *Bans) read() ([]byte, error) {
+func (b *Registry) read() ([]byte, error) {
 	f, err := os.Open(b.path)
 	if err != nil {
 		return nil, err
@@ -185,10 +185,10 @@
 	kept  bool      // written down
 }
 
-// Set takes a server out or back, here and in the file. It waits until then for other calls and for the other process, and 0.2 s beyond
+// Update takes a server out or back, here and in the file. It waits until then for other calls and for the other process, and 0.2 s beyond
 // for the disk. ErrMany and ErrKept tell that nothing was changed, ErrHere that a server is out here alone, ErrSlow that it may yet
 // come; each may be called again.
-func (b *Bans) Set(id string, out bool, until time.Time) error {
+func (b *Registry) Update(id string, out bool, until time.Time) error {
 	if b.path == "" {
 		b.mu.Lock()
 		defer b.mu.Unlock()
@@ -207,9 +207,9 @@
 	select {
 	case err = <-done:
 	case <-late.C:
-		err = ErrSlow
+		err = ErrPending
 	}
-	if err == nil || errors.Is(err, ErrMany) {
+	if err == nil || errors.Is(err, ErrTooMany) {
 		return err
 	}
 	return b.unkept(c, err)
@@ -220,7 +220,7 @@
 	at := slices.Index(ids, id)
 	switch {
 	case out && at < 0 && len(ids) >= mostBans:
-		return nil, ErrMany
+		return nil, ErrTooMany
 	case out && at < 0:
 		return append(slices.Clone(ids), id), nil
 	case !out && at >= 0:
@@ -231,7 +231,7 @@
 
 // unkept takes a call that could not be written down. What is to be out is so here at least. What is to be back stays out, unless it
 // was out here alone: the other process would keep it out, and one that starts later, too.
-func (b *Bans) unkept(c *call, why error) error {
+func (b *Registry) unkept(c *call, why error) error {
 	b.mu.Lock()
 	defer b.mu.Unlock()
 	if c.kept { // just now
@@ -248,20 +248,20 @@
 	}
 	switch {
 	case c.out:
-		return fmt.Errorf("%w: %w", ErrHere, why)
+		return fmt.Errorf("%w: %w", ErrLocalOnly, why)
 	case here:
 		return nil
-	case errors.Is(why, ErrSlow):
-		return ErrSlow
+	case errors.Is(why, ErrPending):
+		return ErrPending
 	}
-	return fmt.Errorf("%w: %w", ErrKept, why)
+	return fmt.Errorf("%w: %w", ErrUnchanged, why)
 }
 
 // keep writes a call down: what the file says is read, changed and replaced under a lock, or not at all. Without the lock, or after a
 // file that cannot be read, it would take back what the other process has written.
-func (b *Bans) keep(c *call) error {
+func (b *Registry) keep(c *call) error {
 	if !b.begin(c.until) {
-		return errBusy
+		return ErrLockTimeout
 	}
 	defer func() { <-b.turn }()
 	unlock, err := b.lock(c.until)
@@ -279,7 +279,7 @@
 	case err != nil:
 		return err
 	case len(before) > mostBans || len(text) > fileBound: // written by hand; what is beyond the bound must not go unseen
-		return ErrMany
+		return ErrTooMany
 	}
 	ids, err := with(before, c.id, c.out)
 	if err != nil {
@@ -303,7 +303,7 @@
 }
 
 // begin waits for the turn among the calls at this process.
-func (b *Bans) begin(until time.Time) bool {
+func (b *Registry) begin(until time.Time) bool {
 	select {
 	case b.turn <- struct{}{}:
 		return true
@@ -321,7 +321,7 @@
 
 // lock keeps the other process from writing. Who waits for it holds the turn: one that writes call after call cannot have the lock
 // again before.
-func (b *Bans) lock(until time.Time) (unlock func(), err error) {
+func (b *Registry) lock(until time.Time) (unlock func(), err error) {
 	turn, err := locked(b.path+".turn", until)
 	if err != nil {
 		return nil, err
@@ -349,7 +349,7 @@
 			time.Sleep(trying)
 			continue
 		default:
-			err = errBusy
+			err = ErrLockTimeout
 		}
 		f.Close()
 		return nil, err
@@ -357,7 +357,7 @@
 }
 
 // write replaces the file as a whole. It is on the disk before it has the name: a machine that stops must not leave an empty one.
-func (b *Bans) write(text []byte) error {
+func (b *Registry) write(text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(b.path), filepath.Base(b.path)+".*")
 	if err != nil {
 		return err
--- a/internal/hotrestart/disabled_golden_test.go
+++ b/internal/hotrestart/disabled_golden_test.go
@@ -16,11 +16,11 @@
 	path := filepath.Join(t.TempDir(), "out")
 	set, _ := OpenBans(path, func([]string) {}, zerolog.Nop())
 	for _, id := range []string{"s-1", "s-2", "10.0.0.1:11211", "ünïcode"} {
-		if err := set.Set(id, true, soon()); err != nil {
+		if err := set.Update(id, true, soon()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := set.Set("s-1", false, soon()); err != nil {
+	if err := set.Update("s-1", false, soon()); err != nil {
 		t.Fatal(err)
 	}
 	set.Close()
@@ -49,7 +49,7 @@
 // Why a call is not carried out is read by operators in the admin server's answer.
 func TestGoldenErrors(t *testing.T) {
 	var texts []string
-	for _, err := range []error{ErrMany, ErrHere, ErrKept, ErrSlow, errBusy} {
+	for _, err := range []error{ErrTooMany, ErrLocalOnly, ErrUnchanged, ErrPending, ErrLockTimeout} {
 		texts = append(texts, err.Error())
 	}
 	path := filepath.Join(t.TempDir(), "out")
@@ -58,7 +58,7 @@
 	defer set.Close()
 	lock := held(t, path+".lock")
 	defer lock.Close()
-	texts = append(texts, set.Set("s-2", true, time.Now()).Error())
-	texts = append(texts, set.Set("s-1", false, time.Now()).Error())
+	texts = append(texts, set.Update("s-2", true, time.Now()).Error())
+	texts = append(texts, set.Update("s-1", false, time.Now()).Error())
 	golden(t, "disabled-servers-errors", strings.Join(texts, "\n"))
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -51,7 +51,7 @@
 func TestGoldenServingProcess(t *testing.T) {
 	r := running{[]byte(`{"some":"state"}`), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
-	offer, err := Open(path, r, zerolog.Nop())
+	offer, err := Listen(path, r, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -130,7 +130,7 @@
 		serving, _ := in.ReadString('\n')
 		said <- hello + serving
 	}()
-	predecessor, sockets, err := Take(path)
+	predecessor, sockets, err := Takeover(path)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -143,6 +143,6 @@
 			t.Errorf("no socket of %s", addr)
 		}
 	}
-	predecessor.Serving()
+	predecessor.NotifyServing()
 	golden(t, "starting-process", next(said))
 }
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -26,7 +26,7 @@
 }
 
 // opened gives a set and where its changes are told, as a text each.
-func opened(t *testing.T, path string) (*Bans, chan string) {
+func opened(t *testing.T, path string) (*Registry, chan string) {
 	told := make(chan string, 1000)
 	b, ids := OpenBans(path, func(ids []string) { told <- strings.Join(ids, " ") }, zerolog.Nop())
 	t.Cleanup(b.Close)
@@ -51,18 +51,18 @@
 		}
 	}
 	next(toldB)
-	a.Set("s-1", true, soon())
+	a.Update("s-1", true, soon())
 	come(toldB, "s-1")
-	b.Set("s-2", true, soon())
-	b.Set("s-2", true, soon())
+	b.Update("s-2", true, soon())
+	b.Update("s-2", true, soon())
 	come(toldA, "s-1 s-2")
-	b.Set("s-1", false, soon())
+	b.Update("s-1", false, soon())
 	come(toldA, "s-2")
 	done := make(chan bool)
-	for i, bans := range []*Bans{a, b} {
+	for i, bans := range []*Registry{a, b} {
 		go func() {
 			for j := range 40 {
-				if err := bans.Set(fmt.Sprint("s-", i, "-", j), true, soon()); err != nil {
+				if err := bans.Update(fmt.Sprint("s-", i, "-", j), true, soon()); err != nil {
 					t.Error(err)
 				}
 			}
@@ -90,12 +90,12 @@
 		path, first string
 		kept        bool
 		err         error
-	}{{"", "", true, nil}, {filepath.Join(dir, "gone", "x"), "", false, nil}, {theirs, "", true, nil}, {large, strings.Repeat("x ", mostBans-1) + "x", false, ErrMany}} {
+	}{{"", "", true, nil}, {filepath.Join(dir, "gone", "x"), "", false, nil}, {theirs, "", true, nil}, {large, strings.Repeat("x ", mostBans-1) + "x", false, ErrTooMany}} {
 		b, told := opened(t, c.path)
 		if first := next(told); first != c.first {
 			t.Errorf("%q: first out is %.20q", c.path, first)
 		}
-		if err := b.Set("s-1", true, soon()); c.kept != (err == nil) || c.err != nil && err != c.err {
+		if err := b.Update("s-1", true, soon()); c.kept != (err == nil) || c.err != nil && err != c.err {
 			t.Errorf("%q: a call gets %v", c.path, err)
 		}
 		if got := "s-1"; c.err == nil && next(told) != got {
@@ -134,8 +134,8 @@
 		bar  func(path string) (free func())
 		why  error
 	}{
-		{"another writes", func(path string) func() { f := held(t, path+".lock"); return func() { f.Close() } }, errBusy},
-		{"another waits to", func(path string) func() { f := held(t, path+".turn"); return func() { f.Close() } }, errBusy},
+		{"another writes", func(path string) func() { f := held(t, path+".lock"); return func() { f.Close() } }, ErrLockTimeout},
+		{"another waits to", func(path string) func() { f := held(t, path+".turn"); return func() { f.Close() } }, ErrLockTimeout},
 		{"no lock file", func(path string) func() {
 			os.Mkdir(path+".lock", 0o700)
 			return func() { os.Remove(path + ".lock") }
@@ -146,10 +146,10 @@
 		b, _ := opened(t, path)
 		free := c.bar(path)
 		os.WriteFile(path, []byte("s-1\ns-2\ns-3\n"), 0o600) // what the other writes now
-		if err := b.Set("s-4", true, time.Now()); !errors.Is(err, ErrHere) || !errors.Is(err, c.why) {
+		if err := b.Update("s-4", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, c.why) {
 			t.Errorf("%s: out gets %v", c.name, err)
 		}
-		if err := b.Set("s-1", false, time.Now()); !errors.Is(err, ErrKept) || !errors.Is(err, c.why) {
+		if err := b.Update("s-1", false, time.Now()); !errors.Is(err, ErrUnchanged) || !errors.Is(err, c.why) {
 			t.Errorf("%s: back gets %v", c.name, err)
 		}
 		if got := says(path); got != "s-1 s-2 s-3" {
@@ -160,7 +160,7 @@
 		}
 		free()
 		for id, out := range map[string]bool{"s-4": true, "s-1": false} {
-			if err := b.Set(id, out, soon()); err != nil {
+			if err := b.Update(id, out, soon()); err != nil {
 				t.Errorf("%s: called again it gets %v", c.name, err)
 			}
 		}
@@ -175,7 +175,7 @@
 	path := Path(t.TempDir(), "127.0.0.1:11211", "out")
 	b, _ := opened(t, path)
 	other, done := held(t, path+".lock"), make(chan error, 1)
-	go func() { done <- b.Set("s-2", true, soon()) }()
+	go func() { done <- b.Update("s-2", true, soon()) }()
 	turn, err := os.OpenFile(path+".turn", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		t.Fatal(err)
@@ -198,10 +198,10 @@
 	os.WriteFile(long, []byte("s-1\n"), 0o600)
 	b, told := opened(t, long)
 	next(told)
-	if err := b.Set("s-2", true, soon()); !errors.Is(err, ErrHere) || next(told) != "s-1 s-2" || says(long) != "s-1" {
+	if err := b.Update("s-2", true, soon()); !errors.Is(err, ErrLocalOnly) || next(told) != "s-1 s-2" || says(long) != "s-1" {
 		t.Errorf("out gets %v, and the file says %q", err, says(long))
 	}
-	if err := b.Set("s-1", false, soon()); !errors.Is(err, ErrKept) || strings.Join(b.IDs(), " ") != "s-1 s-2" {
+	if err := b.Update("s-1", false, soon()); !errors.Is(err, ErrUnchanged) || strings.Join(b.IDs(), " ") != "s-1 s-2" {
 		t.Errorf("back gets %v, and out are %q", err, b.IDs())
 	}
 	os.WriteFile(long, []byte("s-1\ns-3\n"), 0o600)
@@ -210,21 +210,21 @@
 			t.Fatalf("out are %q", b.IDs())
 		}
 	}
-	if err := b.Set("s-2", false, soon()); err != nil || strings.Join(b.IDs(), " ") != "s-1 s-3" {
+	if err := b.Update("s-2", false, soon()); err != nil || strings.Join(b.IDs(), " ") != "s-1 s-3" {
 		t.Errorf("taken back here alone it gets %v, and out are %q", err, b.IDs())
 	}
 
 	folder := filepath.Join(t.TempDir(), "folder") // it can be opened, and not be read
 	os.Mkdir(folder, 0o700)
 	b, _ = opened(t, folder)
-	if err := b.Set("s-1", true, soon()); !errors.Is(err, ErrHere) || !errors.Is(err, unix.EISDIR) {
+	if err := b.Update("s-1", true, soon()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, unix.EISDIR) {
 		t.Errorf("with a file that cannot be read it gets %v", err)
 	}
 
 	many := filepath.Join(t.TempDir(), "many")
 	os.WriteFile(many, slices.Repeat([]byte("x\n"), mostBans+1), 0o600)
 	b, _ = opened(t, many)
-	if err := b.Set("x", false, soon()); err != ErrMany || strings.Count(says(many), "x") != mostBans+1 {
+	if err := b.Update("x", false, soon()); err != ErrTooMany || strings.Count(says(many), "x") != mostBans+1 {
 		t.Errorf("with more than may be out back gets %v, and %d are left", err, strings.Count(says(many), "x"))
 	}
 }
@@ -237,16 +237,16 @@
 	if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
 		t.Fatal(err)
 	}
-	if err := b.Set("s-1", true, time.Now()); !errors.Is(err, ErrHere) || !errors.Is(err, ErrSlow) {
+	if err := b.Update("s-1", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, ErrPending) {
 		t.Errorf("out gets %v", err)
 	}
-	if err := b.Set("s-2", true, time.Now()); !errors.Is(err, ErrHere) || !errors.Is(err, errBusy) {
+	if err := b.Update("s-2", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, ErrLockTimeout) {
 		t.Errorf("the next gets %v", err)
 	}
 	if err := os.WriteFile(path, []byte("s-3\n"), 0); err != nil {
 		t.Fatal(err)
 	}
-	if err := b.Set("s-2", true, soon()); err != nil || says(path) != "s-3 s-1 s-2" || strings.Join(b.IDs(), " ") != says(path) {
+	if err := b.Update("s-2", true, soon()); err != nil || says(path) != "s-3 s-1 s-2" || strings.Join(b.IDs(), " ") != says(path) {
 		t.Errorf("then it gets %v, the file says %q, and out are %q", err, says(path), b.IDs())
 	}
 }
@@ -305,9 +305,9 @@
 	return map[string]int{"127.0.0.1:11211": fd}
 }
 func (r running) State() []byte    { return r.state }
-func (r running) Asked()           { r.said <- "asked" }
-func (r running) Serves()          { r.said <- "serves" }
-func (r running) Lost(served bool) { r.said <- fmt.Sprint("lost ", served) }
+func (r running) Started()           { r.said <- "asked" }
+func (r running) Serving()          { r.said <- "serves" }
+func (r running) Ended(served bool) { r.said <- fmt.Sprint("lost ", served) }
 
 // Sockets and a state larger than any buffer go over, and what becomes of who asked is told, whenever it ends. What is no process of a
 // router is not answered and holds nobody up; a path left over is no predecessor.
@@ -315,10 +315,10 @@
 	r := running{bytes.Repeat([]byte("state"), 200000), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
 	os.WriteFile(path, nil, 0o600)
-	if _, _, err := Take(path); err == nil {
+	if _, _, err := Takeover(path); err == nil {
 		t.Error("a file that is no socket is taken for a process")
 	}
-	o, err := Open(path, r, zerolog.Nop())
+	o, err := Listen(path, r, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -331,7 +331,7 @@
 		}
 	}
 	for _, serves := range []bool{false, true} {
-		p, sockets, err := Take(path)
+		p, sockets, err := Takeover(path)
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -340,7 +340,7 @@
 		}
 		want := []string{"asked", "lost false"}
 		if serves {
-			p.Serving()
+			p.NotifyServing()
 			want = []string{"asked", "serves", "lost true"}
 		}
 		time.Sleep(20 * time.Millisecond)
@@ -355,7 +355,7 @@
 	if _, err := os.Stat(path); err == nil {
 		t.Error("the path stays")
 	}
-	if _, err := Open("/tmp/"+strings.Repeat("d", 100), r, zerolog.Nop()); err == nil {
+	if _, err := Listen("/tmp/"+strings.Repeat("d", 100), r, zerolog.Nop()); err == nil {
 		t.Error("a path that is too long is no error")
 	}
 }
@@ -364,12 +364,12 @@
 // are gone to new ones: here the other's has the number that its own had.
 func TestASecondCloseRemovesNobodysPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sock")
-	first, err := Open(path, nil, zerolog.Nop())
+	first, err := Listen(path, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	first.Close()
-	second, err := Open(path, nil, zerolog.Nop())
+	second, err := Listen(path, nil, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -34,8 +34,8 @@
 	conn  *net.UnixConn
 }
 
-// Take asks the process that serves, if there is one, for its listening sockets; they come by their addresses.
-func Take(path string) (*Predecessor, map[string]int, error) {
+// Takeover asks the process that serves, if there is one, for its listening sockets; they come by their addresses.
+func Takeover(path string) (*Predecessor, map[string]int, error) {
 	if path == "" {
 		return nil, nil, errors.New("there is no folder for a socket")
 	}
@@ -105,38 +105,38 @@
 	return text
 }
 
-// Serving tells it that this process takes clients from now on.
-func (p *Predecessor) Serving() { fmt.Fprintln(p.conn, serving) }
+// NotifyServing tells it that this process takes clients from now on.
+func (p *Predecessor) NotifyServing() { fmt.Fprintln(p.conn, serving) }
 
-// Ended waits for its end.
-func (p *Predecessor) Ended() { p.conn.Read(make([]byte, 1)) }
+// WaitForExit waits for its end.
+func (p *Predecessor) WaitForExit() { p.conn.Read(make([]byte, 1)) }
 
 // Close lets go of it.
 func (p *Predecessor) Close() { p.conn.Close() }
 
-// Heirs are told what becomes of processes that ask, on goroutines of their own.
-type Heirs interface {
+// SuccessorHandler are told what becomes of processes that ask, on goroutines of their own.
+type SuccessorHandler interface {
 	Sockets() map[string]int // descriptors by their addresses, to be closed once they are sent
 	State() []byte           // what this process knows
-	Asked()                  // another process runs beside this one
-	Serves()                 // and takes clients from now on
-	Lost(served bool)        // it has ended
+	Started()                  // another process runs beside this one
+	Serving()                 // and takes clients from now on
+	Ended(served bool)        // it has ended
 }
 
-// Offer waits at a path for processes that come after this one.
-type Offer struct {
+// Listener waits at a path for processes that come after this one.
+type Listener struct {
 	ln    *net.UnixListener
 	path  string
 	mine  os.FileInfo
-	heirs Heirs
+	heirs SuccessorHandler
 	log   zerolog.Logger
 	mu    sync.Mutex
 	conns map[net.Conn]bool
 	ended bool
 }
 
-// Open takes the path over from whoever had it.
-func Open(path string, heirs Heirs, log zerolog.Logger) (*Offer, error) {
+// Listen takes the path over from whoever had it.
+func Listen(path string, heirs SuccessorHandler, log zerolog.Logger) (*Listener, error) {
 	if path == "" {
 		return nil, errors.New("there is no folder for a socket")
 	}
@@ -154,13 +154,13 @@
 		os.Remove(first)
 		return nil, err
 	}
-	o := &Offer{ln: ln, path: path, mine: mine, heirs: heirs, log: log, conns: map[net.Conn]bool{}}
+	o := &Listener{ln: ln, path: path, mine: mine, heirs: heirs, log: log, conns: map[net.Conn]bool{}}
 	go o.accept()
 	return o, nil
 }
 
 // followed tells whether another process waits at the path by now.
-func (o *Offer) followed() bool {
+func (o *Listener) followed() bool {
 	if now, err := os.Stat(o.path); err != nil || os.SameFile(now, o.mine) {
 		return false
 	}
@@ -172,7 +172,7 @@
 }
 
 // Close ends it; the path stays another's if one has taken it over.
-func (o *Offer) Close() {
+func (o *Listener) Close() {
 	o.mu.Lock()
 	again := o.ended
 	o.ended = true
@@ -191,7 +191,7 @@
 	}
 }
 
-func (o *Offer) accept() {
+func (o *Listener) accept() {
 	for {
 		conn, err := o.ln.AcceptUnix()
 		if err != nil {
@@ -223,7 +223,7 @@
 	return same
 }
 
-func (o *Offer) done(conn net.Conn) {
+func (o *Listener) done(conn net.Conn) {
 	o.mu.Lock()
 	delete(o.conns, conn)
 	o.mu.Unlock()
@@ -231,7 +231,7 @@
 }
 
 // serve follows one process that asks.
-func (o *Offer) serve(conn *net.UnixConn) {
+func (o *Listener) serve(conn *net.UnixConn) {
 	defer o.done(conn)
 	conn.SetDeadline(time.Now().Add(answering))
 	in := bufio.NewReaderSize(conn, 64)
@@ -253,15 +253,15 @@
 		fmt.Fprintf(conn, "%s %d\n%s", knows, len(text), text)
 	}
 	conn.SetDeadline(time.Time{})
-	o.heirs.Asked()
+	o.heirs.Started()
 	word, err := in.ReadSlice('\n')
 	served := err == nil && strings.TrimSpace(string(word)) == serving
 	if served {
-		o.heirs.Serves()
+		o.heirs.Serving()
 		in.ReadByte() // until it ends
 	}
 	for served && o.followed() { // one that came after it has the path, and the clients
 		time.Sleep(looking)
 	}
-	o.heirs.Lost(served)
+	o.heirs.Ended(served)
 }
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -57,11 +57,11 @@
 	return known
 }
 
-// Disable leaves a cache server out until Enable.
-func (d *desk) Disable(id string) error { return d.hand(id, true) }
+// DisableServer leaves a cache server out until Enable.
+func (d *desk) DisableServer(id string) error { return d.hand(id, true) }
 
-// Enable lets a cache server serve again.
-func (d *desk) Enable(id string) error { return d.hand(id, false) }
+// EnableServer lets a cache server serve again.
+func (d *desk) EnableServer(id string) error { return d.hand(id, false) }
 
 // patience is how long after its beginning a call waits for the other process to let go of the file: 0.2 s more may go by for the disk
 // and 0.4 s for the loop, and an answer is owed in a second. The loop waits for neither.
@@ -73,15 +73,15 @@
 	until := time.Now().Add(patience)
 	err := d.do(func() error {
 		if !d.s.known(id) {
-			return admin.ErrUnknown
+			return admin.ErrUnknownServer
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	err = d.s.bans.Set(id, out, until)
-	if err != nil && !errors.Is(err, hotrestart.ErrHere) {
+	err = d.s.bans.Update(id, out, until)
+	if err != nil && !errors.Is(err, hotrestart.ErrLocalOnly) {
 		return err
 	}
 	if err != nil {
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -27,8 +27,8 @@
 // Ready tells whether clients are taken.
 func (d *desk) Ready() bool { return d.ready.Load() }
 
-// Figures gives the last snapshot.
-func (d *desk) Figures() []byte { return *d.figures.Load() }
+// Metrics gives the last snapshot.
+func (d *desk) Metrics() []byte { return *d.figures.Load() }
 
 // do acts on the loop, and tells how it went. What the loop has not begun in time is not done.
 func (d *desk) do(act func() error) error {
@@ -47,7 +47,7 @@
 		return err
 	case <-time.After(late):
 		if begun.CompareAndSwap(false, true) {
-			return admin.ErrNotNow
+			return admin.ErrBusy
 		}
 		return <-ended
 	}
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -120,7 +120,7 @@
 	held := make(chan bool)
 	d.s.loop.Post(func() { <-held })
 	began := time.Now()
-	if err := d.Drain(); err != admin.ErrNotNow || time.Since(began) > time.Second {
+	if err := d.Drain(); err != admin.ErrBusy || time.Since(began) > time.Second {
 		t.Errorf("it is told %v after %v", err, time.Since(began))
 	}
 	close(held)
@@ -135,9 +135,9 @@
 	d, addr, _ := operated(t, giving(t, lengthy))
 	figures := func(want string) {
 		t.Helper()
-		before := d.Figures()
-		until(t, "newer figures", d.s, func() bool { return len(before) > 0 && &d.Figures()[0] != &before[0] })
-		if got := string(d.Figures()); !strings.Contains(got, want) {
+		before := d.Metrics()
+		until(t, "newer figures", d.s, func() bool { return len(before) > 0 && &d.Metrics()[0] != &before[0] })
+		if got := string(d.Metrics()); !strings.Contains(got, want) {
 			t.Errorf("the figures are %s, not with %s", got, want)
 		}
 	}
@@ -152,14 +152,14 @@
 	if on(d.s, idle) {
 		t.Error("no connection is kept")
 	}
-	if err := d.Disable("s-2"); err != admin.ErrUnknown {
+	if err := d.DisableServer("s-2"); err != admin.ErrUnknownServer {
 		t.Errorf("an unknown id gets %v", err)
 	}
 	var log bytes.Buffer
 	on(d.s, func() bool { d.s.platform.known[discovery.ID("s-3")], d.s.log = false, zerolog.New(&log); return true })
 	done := make(chan error)
 	for _, id := range []string{"s-1", "s-3", "s-1"} { // at once: no set of one call takes another's back for a moment
-		go func() { done <- d.Disable(id) }()
+		go func() { done <- d.DisableServer(id) }()
 	}
 	for range 3 {
 		if err := <-done; err != nil {
@@ -183,7 +183,7 @@
 		t.Errorf("with the only cache server out it answers %q", got)
 	}
 	figures("gw.transactions.t.answered=1\ngw.transactions.t.deferred=1\ngw.transactions.t.errored=0\ngw.sends=1\ngw.current=0\ngw.cluster_size=1\ngw.cluster_unhealthy=1\n")
-	if err := d.Enable("s-1"); err != nil {
+	if err := d.EnableServer("s-1"); err != nil {
 		t.Fatal(err)
 	}
 	figures("gw.cluster_size=1\ngw.cluster_unhealthy=0\n")
@@ -208,8 +208,8 @@
 		leave, back  func(string) error
 		out          func() bool
 	}{
-		{"s-1", "out", d.Disable, d.Enable, func() bool { return s.out["s-1"] }},
-		{"a", "zones", d.LeaveZone, d.ReturnZone, func() bool { return s.zones.hand["a"] && s.zones.fleet.Share("a") == 0 }},
+		{"s-1", "out", d.DisableServer, d.EnableServer, func() bool { return s.out["s-1"] }},
+		{"a", "zones", d.EvacuateZone, d.RestoreZone, func() bool { return s.zones.hand["a"] && s.zones.fleet.Share("a") == 0 }},
 	} {
 		path := hotrestart.Path(dir, addr, c.ending)
 		for _, step := range []struct {
@@ -217,7 +217,7 @@
 			held bool
 			err  error
 			out  bool
-		}{{c.leave, true, hotrestart.ErrHere, true}, {c.leave, false, nil, true}, {c.back, true, hotrestart.ErrKept, true}, {c.back, false, nil, false}} {
+		}{{c.leave, true, hotrestart.ErrLocalOnly, true}, {c.leave, false, nil, true}, {c.back, true, hotrestart.ErrUnchanged, true}, {c.back, false, nil, false}} {
 			lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 			if err == nil && step.held {
 				err = unix.Flock(int(lock.Fd()), unix.LOCK_EX)
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -52,16 +52,16 @@
 	if e, there := w.store.Get(startup.Rate); there {
 		w.number = e.Generation
 		x, err := strconv.ParseFloat(string(e.Body), 64)
-		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Believe(startup.Rate, e.At, now); ok {
+		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Believe(startup.Rate, e.StoredAt, now); ok {
 			s.conf.Settings.InitialCompletionRate, w.rate = x, x
 		}
-		s.log.Info().Float64("rate", x).Float64("age", now-e.At).Bool("used", s.conf.Settings.InitialCompletionRate > 0).Msg("kept from before")
+		s.log.Info().Float64("rate", x).Float64("age", now-e.StoredAt).Bool("used", s.conf.Settings.InitialCompletionRate > 0).Msg("kept from before")
 	}
 	if e, there := w.store.Get(startup.List); there {
 		w.number = max(w.number, e.Generation)
-		if len(s.conf.Known.Entries) == 0 && e.From == s.conf.Discovery && startup.Believe(startup.List, e.At, now) {
+		if len(s.conf.Known.Entries) == 0 && e.Source == s.conf.Discovery && startup.Believe(startup.List, e.StoredAt, now) {
 			s.conf.Known = keptList(e, now)
-			s.log.Info().Uint64("generation", s.conf.Known.Generation).Int("servers", len(s.conf.Known.Entries)).Float64("age", now-e.At).
+			s.log.Info().Uint64("generation", s.conf.Known.Generation).Int("servers", len(s.conf.Known.Entries)).Float64("age", now-e.StoredAt).
 				Msg("the list of before is used until another comes")
 		}
 	}
@@ -119,7 +119,7 @@
 
 func (w *recoveryWatch) keep(kind, from string, body []byte) {
 	w.number++
-	w.store.Put(kind, snapshot.Entry{Generation: w.number, At: w.s.loop.Now(), From: from, Body: body})
+	w.store.Put(kind, snapshot.Entry{Generation: w.number, StoredAt: w.s.loop.Now(), Source: from, Body: body})
 }
 
 // usual is the rate as one that has run for long would have it: at first less time than it is reckoned over has passed.
@@ -161,10 +161,10 @@
 	say("start_phase", uint64(p))
 	say("full_service_ms", uint64(full*1e3))
 	if w.store != nil {
-		c := w.store.Counts()
+		c := w.store.Stats()
 		say("store_written", c.Written)
 		say("store_failed", c.Failed)
-		say("store_slowest_ms", uint64(c.Slowest*1e3))
+		say("store_slowest_ms", uint64(c.SlowestWrite*1e3))
 	}
 }
 
@@ -172,7 +172,7 @@
 func (d *desk) Status() (st admin.Status, err error) {
 	err = d.do(func() error {
 		p, since, full := d.s.recovery.start.Phase()
-		st = admin.Status{Phase: p.String(), For: d.s.loop.Now() - since, FullService: full, Waits: p.Waits(), Taking: d.s.taking()}
+		st = admin.Status{Phase: p.String(), PhaseSeconds: d.s.loop.Now() - since, FullServiceSeconds: full, WaitsFor: p.Waits(), AcceptsClients: d.s.taking()}
 		return nil
 	})
 	return st, err
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -39,8 +39,8 @@
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
-		s.Put(startup.Rate, snapshot.Entry{Generation: 1, At: now - c.age, Body: []byte("12")})
-		s.Put(startup.List, snapshot.Entry{Generation: 2, At: now - c.age, From: c.from, Body: body})
+		s.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: now - c.age, Body: []byte("12")})
+		s.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: now - c.age, Source: c.from, Body: body})
 		s.Close(5 * time.Second)
 		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -78,19 +78,19 @@
 	tier      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
 	routers   int                              // as the modules were told last; 0: by the settings
 	desk      *desk                            // what the operators' door calls; nil: there is none
-	door      *admin.Door
+	door      *admin.Server
 	loaded    uint64                     // configurations that were taken, the first one too
 	invalid   uint64                     // that were not
 	sent      uint64                     // executions written to servers of pools that are gone
 	cut       [len(upstream.Cuts)]uint64 // and their connections that ended with something owed
 	recovery  *recoveryWatch
-	bans      *hotrestart.Bans
+	bans      *hotrestart.Registry
 	zones     *zoneWatch              // nil: zones are not left as one
 	gossip    *gossipWatch            // nil: what the module tells goes to all
 	out       map[string]bool         // cache servers that operators took out
 	before    *hotrestart.Predecessor // the process before this one, while it runs
 	inherited map[string]int          // its listening sockets that are not in use here yet
-	offer     *hotrestart.Offer       // where the process after this one asks
+	offer     *hotrestart.Listener       // where the process after this one asks
 	beside    int                     // processes of this router that run beside this one
 	heirs     int                     // of these, later ones that take clients
 	operators operatorconfig.File     // as last taken
@@ -246,7 +246,7 @@
 	if c.Ops != "" {
 		s.desk = &desk{s: s}
 		s.publish()
-		s.door = admin.Open(c.Ops, c.OpsPlaces, s.desk, s.log)
+		s.door = admin.Start(c.Ops, c.OpsPlaces, s.desk, s.log)
 	}
 	return s, nil
 }
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -15,7 +15,7 @@
 
 // succeed looks for a process of this router that runs already, and takes its listening sockets, to accept once this one serves.
 func (s *Service) succeed() {
-	before, sockets, err := hotrestart.Take(hotrestart.Path(s.conf.Shared, s.conf.Listen, "sock"))
+	before, sockets, err := hotrestart.Takeover(hotrestart.Path(s.conf.Shared, s.conf.Listen, "sock"))
 	if err != nil {
 		return // none, or it speaks no such thing: then the address is shared
 	}
@@ -24,7 +24,7 @@
 	s.log.Info().Int("sockets", len(sockets)).Msg("another process of this router serves; this one takes over once it can")
 	s.alongside(1)
 	go func() {
-		before.Ended()
+		before.WaitForExit()
 		before.Close()
 		s.loop.Post(func() {
 			s.before = nil
@@ -112,7 +112,7 @@
 	}
 	s.listen(s.operators)
 	if s.before != nil {
-		s.before.Serving()
+		s.before.NotifyServing()
 	}
 	for addr, fd := range s.inherited { // nobody here listens there any more
 		unix.Close(fd)
@@ -131,7 +131,7 @@
 		return
 	}
 	var err error
-	if s.offer, err = hotrestart.Open(path, heirs{s}, s.log); err != nil {
+	if s.offer, err = hotrestart.Listen(path, heirs{s}, s.log); err != nil {
 		s.log.Info().Err(err).Msg("no socket for the next process; it shares the address")
 	}
 }
@@ -216,11 +216,11 @@
 	return text
 }
 
-// Asked takes that another process starts beside this one.
-func (h heirs) Asked() { h.s.loop.Post(func() { h.s.alongside(1) }) }
+// Started takes that another process starts beside this one.
+func (h heirs) Started() { h.s.loop.Post(func() { h.s.alongside(1) }) }
 
-// Serves takes that it takes clients: from here on it accepts alone.
-func (h heirs) Serves() {
+// Serving takes that it takes clients: from here on it accepts alone.
+func (h heirs) Serving() {
 	h.s.loop.Post(func() {
 		s := h.s
 		s.heirs++
@@ -233,8 +233,8 @@
 	})
 }
 
-// Lost takes its end. If it took clients and this process was not told to end, it takes them again.
-func (h heirs) Lost(served bool) {
+// Ended takes its end. If it took clients and this process was not told to end, it takes them again.
+func (h heirs) Ended(served bool) {
 	h.s.loop.Post(func() {
 		s := h.s
 		if s.phase == Ended {
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -23,7 +23,7 @@
 type zoneWatch struct {
 	s     *Service
 	fleet *zonefailover.Fleet
-	bans  *hotrestart.Bans // zones that are left by hand
+	bans  *hotrestart.Registry // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
 }
@@ -237,16 +237,16 @@
 	err = d.do(func() error {
 		now := d.s.zones.now()
 		for _, z := range d.s.zones.fleet.States(now) {
-			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.Hand,
-				Servers: z.Servers, Against: z.Against, With: z.For, Known: z.Known, Times: z.Times, Why: z.Why})
+			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, StateSeconds: now - max(z.Since, d.s.began), ByOperator: z.Hand,
+				Servers: z.Servers, RoutersWithoutAnswer: z.Against, RoutersWithLaterAnswer: z.For, RoutersHeard: z.Known, RecentEvacuations: z.Times, Reason: z.Why})
 		}
 		return nil
 	})
 	return all, err
 }
 
-// LeaveZone leaves a zone until ReturnZone.
-func (d *desk) LeaveZone(zone string) error {
+// EvacuateZone leaves a zone until ReturnZone.
+func (d *desk) EvacuateZone(zone string) error {
 	w, until := d.s.zones, time.Now().Add(patience)
 	if w == nil {
 		return errZonesOff
@@ -254,7 +254,7 @@
 	err := d.do(func() error {
 		switch {
 		case !w.fleet.Known(zone):
-			return admin.ErrNoZone
+			return admin.ErrUnknownZone
 		case !w.fleet.Hand(w.now(), zone, true):
 			return errLastZone
 		}
@@ -265,8 +265,8 @@
 	if err != nil {
 		return err
 	}
-	err = w.bans.Set(zone, true, until)
-	if errors.Is(err, hotrestart.ErrHere) {
+	err = w.bans.Update(zone, true, until)
+	if errors.Is(err, hotrestart.ErrLocalOnly) {
 		d.s.log.Error().Err(err).Str("zone", zone).Msg("what was called by hand cannot be kept for the next process")
 	} else if err != nil { // nothing was changed, so it does not stay left
 		ids := w.bans.IDs()
@@ -275,8 +275,8 @@
 	return err
 }
 
-// ReturnZone lets a zone return, whoever left it.
-func (d *desk) ReturnZone(zone string) error {
+// RestoreZone lets a zone return, whoever left it.
+func (d *desk) RestoreZone(zone string) error {
 	w, until := d.s.zones, time.Now().Add(patience)
 	if w == nil {
 		return errZonesOff
@@ -284,13 +284,13 @@
 	if !w.written(zone) {
 		return d.do(func() error {
 			if !w.fleet.Return(w.now(), zone) {
-				return admin.ErrNoZone
+				return admin.ErrUnknownZone
 			}
 			w.act()
 			return nil
 		})
 	}
-	if err := w.bans.Set(zone, false, until); err != nil {
+	if err := w.bans.Update(zone, false, until); err != nil {
 		return err
 	}
 	late := d.do(func() error { // behind the set without it
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -41,8 +41,8 @@
 
 func goldenEntries() []Entry {
 	return []Entry{
-		{Generation: 41, At: 1700000000.25, From: "127.2.0.1:8500", Body: []byte("first body")},
-		{Generation: 1 << 40, At: 1700000001.5, Body: []byte{0, 0xff, 0x0a}},
+		{Generation: 41, StoredAt: 1700000000.25, Source: "127.2.0.1:8500", Body: []byte("first body")},
+		{Generation: 1 << 40, StoredAt: 1700000001.5, Body: []byte{0, 0xff, 0x0a}},
 	}
 }
 
@@ -73,7 +73,7 @@
 		store := Open(restored, goldenOwner, zerolog.Nop())
 		want := goldenEntries()[i]
 		entry, found := store.Get("list")
-		if !found || entry.Generation != want.Generation || entry.At != want.At || entry.From != want.From ||
+		if !found || entry.Generation != want.Generation || entry.StoredAt != want.StoredAt || entry.Source != want.Source ||
 			!bytes.Equal(entry.Body, want.Body) {
 			t.Errorf("copy %d is read as %+v, %t", i, entry, found)
 		}
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -24,8 +24,8 @@
 // Entry is one thing that is kept.
 type Entry struct {
 	Generation uint64  `cbor:"1,keyasint"` // of what it tells; decides what is newer, never a time
-	At         float64 `cbor:"2,keyasint"` // Unix seconds, by this machine's clock, when it was put
-	From       string  `cbor:"3,keyasint"` // where it came from
+	StoredAt         float64 `cbor:"2,keyasint"` // Unix seconds, by this machine's clock, when it was put
+	Source       string  `cbor:"3,keyasint"` // where it came from
 	Body       []byte  `cbor:"4,keyasint"`
 }
 
@@ -62,14 +62,14 @@
 	mu      sync.Mutex
 	now     content
 	written uint64 // number of the last copy that is on disk
-	Figures Figures
+	Figures Stats
 }
 
-// Figures tell how the store fares.
-type Figures struct {
-	Written, Failed, Refused uint64  // copies; entries that were too large
-	Slowest                  float64 // seconds that a copy took
-	Aside                    int     // files that were put aside at the start
+// Stats tell how the store fares.
+type Stats struct {
+	Written, Failed, Rejected uint64  // copies; entries that were too large
+	SlowestWrite                  float64 // seconds that a copy took
+	SetAside                    int     // files that were put aside at the start
 }
 
 const patience = time.Second // for the copies to be read at the start; a disk that is slower has no part in it
@@ -106,7 +106,7 @@
 		case errors.Is(err, os.ErrNotExist):
 		case err != nil:
 			s.mu.Lock()
-			s.Figures.Aside++
+			s.Figures.SetAside++
 			s.mu.Unlock()
 			moved := os.Rename(s.path(n), s.path(n)+aside)
 			s.log.Warn().Err(errors.Join(err, moved)).Str("file", s.path(n)).Msg("a copy of the store cannot be used and is put aside")
@@ -144,7 +144,7 @@
 		}
 	}
 	if size > largest/2 {
-		s.Figures.Refused++
+		s.Figures.Rejected++
 		s.mu.Unlock()
 		return
 	}
@@ -166,8 +166,8 @@
 	}
 }
 
-// Counts gives the figures.
-func (s *Store) Counts() Figures {
+// Stats gives the figures.
+func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	return s.Figures
@@ -187,7 +187,7 @@
 		err := s.write()
 		took := time.Since(began)
 		s.mu.Lock()
-		s.Figures.Slowest = max(s.Figures.Slowest, took.Seconds())
+		s.Figures.SlowestWrite = max(s.Figures.SlowestWrite, took.Seconds())
 		s.mu.Unlock()
 		if err != nil && !failing {
 			s.log.Warn().Err(err).Msg("the store cannot be written; the router goes on without")
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -22,10 +22,10 @@
 func TestKeepsTheNewest(t *testing.T) {
 	base := at(t)
 	s := open(base)
-	s.Put("rate", Entry{Generation: 7, At: 5, Body: []byte("seven")})
-	s.Put("rate", Entry{Generation: 6, At: 9, Body: []byte("six")})
+	s.Put("rate", Entry{Generation: 7, StoredAt: 5, Body: []byte("seven")})
+	s.Put("rate", Entry{Generation: 6, StoredAt: 9, Body: []byte("six")})
 	s.Close(5 * time.Second)
-	if e, there := open(base).Get("rate"); !there || string(e.Body) != "seven" || e.At != 5 {
+	if e, there := open(base).Get("rate"); !there || string(e.Body) != "seven" || e.StoredAt != 5 {
 		t.Errorf("got %+v, %t", e, there)
 	}
 }
@@ -50,8 +50,8 @@
 		os.WriteFile(s.path(0), old, 0o600)
 		os.WriteFile(s.path(1), text, 0o600)
 		c := open(base)
-		if e, _ := c.Get("k"); string(e.Body) != "old" || c.Counts().Aside != 1 {
-			t.Fatalf("try %d: %q counts, %d put aside", i, e.Body, c.Counts().Aside)
+		if e, _ := c.Get("k"); string(e.Body) != "old" || c.Stats().SetAside != 1 {
+			t.Fatalf("try %d: %q counts, %d put aside", i, e.Body, c.Stats().SetAside)
 		}
 		if _, err := os.Stat(s.path(1) + aside); err != nil {
 			t.Fatal(err)
@@ -75,7 +75,7 @@
 	}
 	s.Put("big", Entry{Body: make([]byte, largest)})
 	s.Close(3 * time.Second)
-	if c := s.Counts(); c.Failed == 0 || c.Refused != 1 {
+	if c := s.Stats(); c.Failed == 0 || c.Rejected != 1 {
 		t.Errorf("%+v", c)
 	}
 }
@@ -120,8 +120,8 @@
 		s := open(base)
 		a, _ := s.Get("a")
 		b, _ := s.Get("b")
-		if a.Generation != b.Generation || s.Counts().Aside > 0 || s.now.Number < last {
-			t.Fatalf("after kill %d: generations %d and %d, %d put aside, number %d after %d", i, a.Generation, b.Generation, s.Counts().Aside, s.now.Number, last)
+		if a.Generation != b.Generation || s.Stats().SetAside > 0 || s.now.Number < last {
+			t.Fatalf("after kill %d: generations %d and %d, %d put aside, number %d after %d", i, a.Generation, b.Generation, s.Stats().SetAside, s.now.Number, last)
 		}
 		last = s.now.Number
 		s.Close(time.Second)
