--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -30,6 +30,7 @@
 	servers int     // of each zone
 	skew    float64 // seconds by which each router's clock is ahead of the one before
 	log     []string
+	sent    func(from int, text []byte) // is told of each message; nil: nobody is
 }
 
 type letter struct {
@@ -101,6 +102,9 @@
 				w.log = append(w.log, fmt.Sprintf("%7.2f router %d %s: %v to %v, %.3f, %s", w.now-1000, n, c.Zone, c.From, c.To, c.Share, c.Why))
 			}
 			if text := f.Say(w.at(n)); text != nil {
+				if w.sent != nil {
+					w.sent(n, text)
+				}
 				if w.words++; len(text) > 256 {
 					w.t.Fatalf("a message of %d bytes", len(text))
 				}
