--- a/internal/experiment/scale/hear.go
+++ b/internal/experiment/scale/hear.go
@@ -29,15 +29,15 @@
 		servers[one.Zone]++
 		ids[uint16(discovery.ID(one.Name))] = true
 	}
-	fleets, at := make([]*zonefailover.Fleet, voices), make([]float64, voices)
+	fleets, at := make([]*zonefailover.Controller, voices), make([]float64, voices)
 	for n := range fleets {
-		fleets[n] = zonefailover.New(zonefailover.Settings{Me: n + 1, Routers: voices + 1, Life: 1, WarmWithin: 9})
-		fleets[n].Listed(0, servers, ids)
+		fleets[n] = zonefailover.New(zonefailover.Settings{RouterIndex: n + 1, RouterCount: voices + 1, Incarnation: 1, WarmupSeconds: 9})
+		fleets[n].OnEndpoints(0, servers, ids)
 	}
 	return func(n int) []byte {
 		at[n] += 1000 // by its own clock, as it is always time to speak
 		fleets[n].Tick(at[n])
-		return fleets[n].Say(at[n])
+		return fleets[n].NextMessage(at[n])
 	}
 }
 
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -48,9 +48,9 @@
 // goldenMessages gives a message of every kind, by its name, in a fixed order.
 func goldenMessages() (names []string, messages [][]byte) {
 	servers := map[string]int{"zone-a": 4, "zone-b": 4, "zone-c": 1}
-	fleet := func(ids map[uint16]bool) *Fleet {
-		f := New(Settings{Me: 513, Routers: 1000, Life: 0xbeef, WarmWithin: 6})
-		f.Listed(goldenNow, servers, ids)
+	fleet := func(ids map[uint16]bool) *Controller {
+		f := New(Settings{RouterIndex: 513, RouterCount: 1000, Incarnation: 0xbeef, WarmupSeconds: 6})
+		f.OnEndpoints(goldenNow, servers, ids)
 		f.peers[7] = &peer{at: goldenNow} // it hears another router, so it is not cut off
 		return f
 	}
@@ -58,7 +58,7 @@
 		names, messages = append(names, name), append(messages, message)
 	}
 	add("no zone", fleet(nil).words(goldenNow, nil))
-	for state := Well; state <= Returning; state++ {
+	for state := Serving; state <= Recovering; state++ {
 		for _, hand := range []bool{false, true} {
 			f := fleet(nil)
 			z := f.find("zone-a")
@@ -118,9 +118,9 @@
 	}
 	read := ""
 	for i, message := range messages {
-		f := New(Settings{Me: 1, Routers: 1000, Life: 1})
-		f.Listed(200, map[string]int{"zone-a": 1, "zone-b": 1, "zone-c": 1}, nil)
-		if !f.Heard(200, message) {
+		f := New(Settings{RouterIndex: 1, RouterCount: 1000, Incarnation: 1})
+		f.OnEndpoints(200, map[string]int{"zone-a": 1, "zone-b": 1, "zone-c": 1}, nil)
+		if !f.OnMessage(200, message) {
 			t.Fatalf("%s: no message", names[i])
 		}
 		p := f.peers[513]
@@ -130,7 +130,7 @@
 			zones = append(zones, fmt.Sprint("z", n))
 		}
 		for _, name := range zones {
-			if s, said := p.said[Sum(name)]; said {
+			if s, said := p.said[NameHash(name)]; said {
 				read += fmt.Sprintf("; %s %v %v %v %v %v %v %v", name, s.state, s.share, s.ok, s.bad, s.hand, s.good, s.poor)
 			}
 		}
@@ -151,7 +151,7 @@
 		states := ""
 		for n, f := range w.fleets {
 			if !w.down[n] {
-				states += fmt.Sprintln(n, f.States(w.at(n)), f.Words)
+				states += fmt.Sprintln(n, f.Statuses(w.at(n)), f.MessagesSent)
 			}
 		}
 		text += fmt.Sprintf("%.0f: %d changes %s, messages %s, states %s\n", w.now-1000, len(w.log), digest(strings.Join(w.log, "\n")), digest(string(sent)), digest(states))
@@ -211,20 +211,20 @@
 		{"operators-and-lists", func(t *testing.T, w *world) string {
 			text := trace(t, w, 3)
 			for n, f := range w.fleets {
-				text += fmt.Sprintln(f.Hand(w.at(n), "b", true), f.Hand(w.at(n), "new", true))
+				text += fmt.Sprintln(f.SetOperatorOverride(w.at(n), "b", true), f.SetOperatorOverride(w.at(n), "new", true))
 			}
 			text += trace(t, w, 2)
 			for n, f := range w.fleets {
-				text += fmt.Sprintln(f.Listed(w.at(n), map[string]int{"b": 4, "c": 2}, nil), f.Hand(w.at(n), "b", n%2 == 0))
+				text += fmt.Sprintln(f.OnEndpoints(w.at(n), map[string]int{"b": 4, "c": 2}, nil), f.SetOperatorOverride(w.at(n), "b", n%2 == 0))
 			}
 			w.up["c"], w.slow["a"] = 0, true
 			text += trace(t, w, 3)
 			for n, f := range w.fleets {
-				text += fmt.Sprintln(f.Return(w.at(n), "c"), f.Return(w.at(n), "a"), f.Known("new"), f.Known("c"))
+				text += fmt.Sprintln(f.StartRecovery(w.at(n), "c"), f.StartRecovery(w.at(n), "a"), f.Known("new"), f.Known("c"))
 			}
 			text += trace(t, w, 70)
 			for n, f := range w.fleets {
-				text += fmt.Sprintln(f.Listed(w.at(n), map[string]int{"a": 1, "b": 4}, nil), f.Known("c"))
+				text += fmt.Sprintln(f.OnEndpoints(w.at(n), map[string]int{"a": 1, "b": 4}, nil), f.Known("c"))
 			}
 			return text + trace(t, w, 3)
 		}},
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -11,7 +11,7 @@
 	t       *testing.T
 	now     float64
 	chance  *rand.Rand
-	fleets  []*Fleet
+	fleets  []*Controller
 	names   []string
 	up      map[string]float64 // part of the executions in a zone that are answered
 	reaches func(router int, zone string) bool
@@ -44,14 +44,14 @@
 	router int
 	zone   string
 	mark   uint64
-	how    How
+	how    Outcome
 }
 
 func build(t *testing.T, routers int, names ...string) *world {
 	w := &world{t: t, servers: 4, now: 1000, chance: rand.New(rand.NewPCG(1, 2)), names: names, up: map[string]float64{}, down: map[int]bool{}, stopped: map[int]bool{}, rate: 27,
 		delay: 0.002, burnt: map[string]int{}, slow: map[string]bool{}, full: map[string]bool{}, reaches: func(int, string) bool { return true },
 		hears: func(int, int) bool { return true }}
-	w.fleets = make([]*Fleet, routers)
+	w.fleets = make([]*Controller, routers)
 	for n := range routers {
 		w.start(n, 1, nil)
 	}
@@ -66,12 +66,12 @@
 
 // start begins a router's process anew.
 func (w *world) start(n int, life uint16, regions [][]string) {
-	f := New(Settings{Me: n, Routers: len(w.fleets), Life: life, WarmWithin: 6, Regions: regions})
+	f := New(Settings{RouterIndex: n, RouterCount: len(w.fleets), Incarnation: life, WarmupSeconds: 6, Regions: regions})
 	servers := map[string]int{}
 	for _, name := range w.names {
 		servers[name] = w.servers
 	}
-	f.Listed(w.at(n), servers, nil)
+	f.OnEndpoints(w.at(n), servers, nil)
 	w.fleets[n] = f
 	delete(w.down, n)
 }
@@ -80,12 +80,12 @@
 	for end := w.now + seconds; w.now < end; w.now += 0.01 {
 		for _, x := range take(&w.open, func(x exec) bool { return x.at <= w.now }) {
 			if !w.down[x.router] {
-				w.fleets[x.router].Ended(w.at(x.router), x.zone, x.mark, x.how)
+				w.fleets[x.router].OnAttemptEnd(w.at(x.router), x.zone, x.mark, x.how)
 			}
 		}
 		for _, l := range take(&w.mail, func(l letter) bool { return l.at <= w.now && !w.stopped[l.to] }) {
 			if !w.down[l.to] {
-				w.fleets[l.to].Heard(w.at(l.to), l.text)
+				w.fleets[l.to].OnMessage(w.at(l.to), l.text)
 			}
 		}
 		for n, f := range w.fleets {
@@ -98,10 +98,10 @@
 			if int(w.now*100+0.5)%5 == 0 {
 				f.Tick(w.at(n))
 			}
-			for _, c := range f.Changes() {
-				w.log = append(w.log, fmt.Sprintf("%7.2f router %d %s: %v to %v, %.3f, %s", w.now-1000, n, c.Zone, c.From, c.To, c.Share, c.Why))
+			for _, c := range f.TakeChanges() {
+				w.log = append(w.log, fmt.Sprintf("%7.2f router %d %s: %v to %v, %.3f, %s", w.now-1000, n, c.Zone, c.From, c.To, c.Share, c.Reason))
 			}
-			if text := f.Say(w.at(n)); text != nil {
+			if text := f.NextMessage(w.at(n)); text != nil {
 				if w.sent != nil {
 					w.sent(n, text)
 				}
@@ -118,20 +118,20 @@
 	}
 }
 
-func (w *world) send(n int, f *Fleet) {
+func (w *world) send(n int, f *Controller) {
 	zone := w.names[w.chance.IntN(len(w.names))]
 	if w.chance.Float64() >= f.Share(zone) {
 		return
 	}
-	x := exec{at: w.now + 0.02, router: n, zone: zone, mark: f.Began(w.at(n), zone, 0.15)}
+	x := exec{at: w.now + 0.02, router: n, zone: zone, mark: f.OnAttemptStart(w.at(n), zone, 0.15)}
 	if w.slow[zone] {
 		x.at, x.how = w.now+0.3, Late
 	}
 	if w.full[zone] {
-		x.how = Full
+		x.how = Overloaded
 	}
 	if w.chance.Float64() >= w.up[zone] || !w.reaches(n, zone) {
-		x.at, x.how = w.now+0.5, Silent
+		x.at, x.how = w.now+0.5, NoAnswer
 		w.burnt[zone]++
 	}
 	w.open = append(w.open, x)
@@ -151,7 +151,7 @@
 }
 
 // until runs until something holds at all routers that run, and gives how long that took; it fails after a bound.
-func (w *world) until(what string, bound float64, holds func(f *Fleet) bool) (first, last float64) {
+func (w *world) until(what string, bound float64, holds func(f *Controller) bool) (first, last float64) {
 	w.t.Helper()
 	began, first := w.now, -1.0
 	for w.now-began < bound {
@@ -181,8 +181,12 @@
 	}
 }
 
-func left(zone string) func(*Fleet) bool { return func(f *Fleet) bool { return f.Share(zone) < 0.3 } }
-func full(zone string) func(*Fleet) bool { return func(f *Fleet) bool { return f.Share(zone) == 1 } }
+func left(zone string) func(*Controller) bool {
+	return func(f *Controller) bool { return f.Share(zone) < 0.3 }
+}
+func full(zone string) func(*Controller) bool {
+	return func(f *Controller) bool { return f.Share(zone) == 1 }
+}
 
 // stays fails if a router has left a zone.
 func (w *world) stays(zone string) {
--- a/internal/policy/zonefailover/orders_test.go
+++ b/internal/policy/zonefailover/orders_test.go
@@ -17,8 +17,8 @@
 		n := rapid.IntRange(2, 12).Draw(t, "routers")
 		var words [][]byte
 		for from := range n {
-			f := New(Settings{Me: from, Routers: n, Life: 1})
-			f.Listed(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
+			f := New(Settings{RouterIndex: from, RouterCount: n, Incarnation: 1})
+			f.OnEndpoints(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
 			for _, name := range f.names {
 				z := f.find(name)
 				z.ok = rapid.Float64Range(96, 100).Draw(t, "ok")
@@ -32,17 +32,17 @@
 		}
 		verdicts := map[string]bool{}
 		for i := range 4 {
-			f := New(Settings{Me: n, Routers: n + 1, Life: 1})
-			f.Listed(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
+			f := New(Settings{RouterIndex: n, RouterCount: n + 1, Incarnation: 1})
+			f.OnEndpoints(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
 			order := append(slices.Clone(words), words[:rapid.IntRange(0, n).Draw(t, "twice")]...)
 			rand.New(rand.NewPCG(uint64(i), 1)).Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
 			for _, text := range order {
-				f.Heard(100, text)
+				f.OnMessage(100, text)
 			}
 			f.ticked = 100
 			f.Tick(100.05)
 			f.Tick(100.2)
-			verdicts[fmt.Sprint(f.States(100.2))] = true
+			verdicts[fmt.Sprint(f.Statuses(100.2))] = true
 		}
 		if len(verdicts) > 1 {
 			t.Fatalf("%d verdicts: %v", len(verdicts), verdicts)
@@ -71,7 +71,7 @@
 					for _, name := range w.names {
 						share, was := f.Share(name), before[fmt.Sprint(n, name)]
 						used = max(used, share)
-						if z := f.find(name); z.state == Returning && was > 0 && was < 1 && share > 2*was && z.why != "others are ahead" {
+						if z := f.find(name); z.state == Recovering && was > 0 && was < 1 && share > 2*was && z.why != "others are ahead" {
 							r.Fatalf("router %d gives %s %v after %v: %s", n, name, share, was, z.why)
 						}
 					}
@@ -87,7 +87,7 @@
 // small is a small world that can be copied: three routers, two zones, the newest word between each two.
 type small struct {
 	now    float64
-	fleets []*Fleet
+	fleets []*Controller
 	mail   map[[2]int][]byte
 	seen   int // routers that have had no answer in zone b, as bits
 }
@@ -138,11 +138,11 @@
 // steps gives every way on: an answer or none in zone b at a router, a word that comes or is lost, a tenth of a second.
 func (s *small) steps() (all []*small) {
 	for n := range s.fleets {
-		for _, how := range []How{Answered, Silent} {
+		for _, how := range []Outcome{Answered, NoAnswer} {
 			c := s.clone()
 			f := c.fleets[n]
-			f.Ended(c.now, "b", f.Began(c.now-0.001, "b", 0.15), how)
-			if how == Silent {
+			f.OnAttemptEnd(c.now, "b", f.OnAttemptStart(c.now-0.001, "b", 0.15), how)
+			if how == NoAnswer {
 				c.seen |= 1 << n
 			}
 			all = append(all, c)
@@ -152,7 +152,7 @@
 		for _, comes := range []bool{true, false} {
 			c := s.clone()
 			if delete(c.mail, way); comes {
-				c.fleets[way[1]].Heard(c.now, s.mail[way])
+				c.fleets[way[1]].OnMessage(c.now, s.mail[way])
 			}
 			all = append(all, c)
 		}
@@ -162,7 +162,7 @@
 		c.now += 0.11
 		for n, f := range c.fleets {
 			f.Tick(c.now)
-			if text := f.Say(c.now); text != nil {
+			if text := f.NextMessage(c.now); text != nil {
 				for to := range c.fleets {
 					if to != n {
 						c.mail[[2]int{n, to}] = text
--- a/internal/policy/zonefailover/words.go
+++ b/internal/policy/zonefailover/words.go
@@ -43,16 +43,16 @@
 }
 
 // period is the time between two words without news: each router hears a hundred a second at most.
-func (f *Fleet) period() float64 { return max(0.5, float64(f.set.Routers)/100) }
+func (f *Controller) period() float64 { return max(0.5, float64(f.set.RouterCount)/100) }
 
 // stale is when what a router said is forgotten: it lost three messages, or has gone.
-func (f *Fleet) stale() float64 { return 3.5 * f.period() }
+func (f *Controller) stale() float64 { return 3.5 * f.period() }
 
 const pause = 0.04 // seconds between two words with news: what happens in one tick is told together
 
-// Say gives the words to be sent now; nil: there are none. One message holds what is most needed; the rest is told in its turn.
-func (f *Fleet) Say(now float64) []byte {
-	if f.set.Routers < 2 || len(f.zones) == 0 {
+// NextMessage gives the words to be sent now; nil: there are none. One message holds what is most needed; the rest is told in its turn.
+func (f *Controller) NextMessage(now float64) []byte {
+	if f.set.RouterCount < 2 || len(f.zones) == 0 {
 		return nil
 	}
 	f.object(now)
@@ -69,17 +69,17 @@
 	for _, z := range zones {
 		z.fresh, z.owed, z.said = false, max(0, z.owed-1), now
 	}
-	f.Words++
+	f.MessagesSent++
 	return f.words(now, zones)
 }
 
 // object notes what others wait to hear: of a zone where one of them has no answer, or that one tries, this router has had one since.
-func (f *Fleet) object(now float64) {
+func (f *Controller) object(now float64) {
 	for _, z := range f.zones {
 		if z.ok <= z.said || z.owed > 0 { // what it had before, others know
 			continue
 		}
-		missed := z.state == Tried || z.state == Left
+		missed := z.state == Probing || z.state == Evacuated
 		for _, p := range f.peers {
 			s := p.said[z.sum]
 			missed = missed || now-p.at <= f.stale() && s.bad > 0 && z.ok > s.bad && now-z.said > 2*pause
@@ -91,9 +91,9 @@
 }
 
 // urgent tells whether others have to know something now.
-func (f *Fleet) urgent(now float64) bool {
+func (f *Controller) urgent(now float64) bool {
 	for _, z := range f.zones {
-		if z.owed > 0 || z.fresh && z.state != Left {
+		if z.owed > 0 || z.fresh && z.state != Evacuated {
 			return true
 		}
 	}
@@ -115,10 +115,10 @@
 	return now - float64(age)*ageStep
 }
 
-func (f *Fleet) words(now float64, zones []*zone) []byte {
+func (f *Controller) words(now float64, zones []*zone) []byte {
 	f.number++
-	b := binary.LittleEndian.AppendUint16([]byte{kind}, uint16(f.set.Me))
-	b = binary.LittleEndian.AppendUint16(b, f.set.Life)
+	b := binary.LittleEndian.AppendUint16([]byte{kind}, uint16(f.set.RouterIndex))
+	b = binary.LittleEndian.AppendUint16(b, f.set.Incarnation)
 	b = binary.LittleEndian.AppendUint32(b, f.number)
 	flags := byte(0)
 	if f.cut(now) {
@@ -142,7 +142,7 @@
 }
 
 // mark picks two bytes that end no server's id.
-func (f *Fleet) mark(ids map[uint16]bool) {
+func (f *Controller) mark(ids map[uint16]bool) {
 	for _, m := range markers {
 		if !ids[binary.LittleEndian.Uint16(m[:])] {
 			f.marker = m
@@ -172,14 +172,14 @@
 
 const mostLives = 8 // former lives remembered of each router: it restarts less often than words are late
 
-// Heard takes another router's words; false if they are not of zones.
-func (f *Fleet) Heard(now float64, words []byte) bool {
+// OnMessage takes another router's words; false if they are not of zones.
+func (f *Controller) OnMessage(now float64, words []byte) bool {
 	b := unpack(words)
 	if b == nil {
 		return false
 	}
 	from, life, number := int(binary.LittleEndian.Uint16(b[1:])), binary.LittleEndian.Uint16(b[3:]), binary.LittleEndian.Uint32(b[5:])
-	if f.wake(now); from == f.set.Me || from >= f.set.Routers || now < f.deaf {
+	if f.wake(now); from == f.set.RouterIndex || from >= f.set.RouterCount || now < f.deaf {
 		return true
 	}
 	p := f.peers[from]
@@ -205,7 +205,7 @@
 	p.number, p.at, p.cut = number, now, b[9] == 1
 	for e := b[plain:]; len(e) >= entry; e = e[entry:] {
 		sum := uint32(e[0]) | uint32(e[1])<<8 | uint32(e[2])<<16
-		if state := State(e[3] & 0x7f); state <= Returning && (f.zones[sum] != nil || len(p.said) < mostZones) {
+		if state := State(e[3] & 0x7f); state <= Recovering && (f.zones[sum] != nil || len(p.said) < mostZones) {
 			p.said[sum] = saying{state: state, share: min(float64(e[4])/128, 1), ok: when(now, e[5]), bad: when(now, e[6]), hand: e[3]&0x80 != 0,
 				good: int(e[7] & 15), poor: int(e[7] >> 4)}
 		}
@@ -214,7 +214,7 @@
 }
 
 // meet has words sent soon, for one that is new may know nothing; not for each that comes back at once.
-func (f *Fleet) meet(now float64, p *peer) {
+func (f *Controller) meet(now float64, p *peer) {
 	if now-p.spoke > f.period()/2 {
 		p.spoke, f.met = now, true
 	}
--- a/internal/policy/zonefailover/zones.go
+++ b/internal/policy/zonefailover/zones.go
@@ -17,35 +17,35 @@
 
 // The states, in the order in which a zone goes through them.
 const (
-	Well      State = iota // serves all of its keys
-	Suspected              // this router has had no answer there for a while, or others say so
-	Left                   // serves none
-	Tried                  // left, and this router is one of the few that try it now
-	Returning              // serves a part that grows
+	Serving    State = iota // serves all of its keys
+	Suspected               // this router has had no answer there for a while, or others say so
+	Evacuated               // serves none
+	Probing                 // left, and this router is one of the few that try it now
+	Recovering              // serves a part that grows
 )
 
 func (s State) String() string {
 	return [...]string{"well", "suspected", "left", "tried", "returning"}[s]
 }
 
-// How an execution ended, as far as it says something of a zone.
-type How uint8
+// Outcome an execution ended, as far as it says something of a zone.
+type Outcome uint8
 
 // The ends.
 const (
-	Answered How = iota // within its promised time
-	Late                // beyond it
-	Full                // turned away
-	Silent              // no answer, no connection, or it was lost
-	Unsaid              // given up by this router itself, or never sent
+	Answered     Outcome = iota // within its promised time
+	Late                        // beyond it
+	Overloaded                  // turned away
+	NoAnswer                    // no answer, no connection, or it was lost
+	Inconclusive                // given up by this router itself, or never sent
 )
 
 // Settings are what a router is told at its start.
 type Settings struct {
-	Me, Routers int
-	Life        uint16     // another one for each process of this router
-	WarmWithin  float64    // seconds that a cold server takes to be warm; 0: not stated
-	Regions     [][]string // zones by region, in the order in which they return; a zone of none is one by itself
+	RouterIndex, RouterCount int
+	Incarnation              uint16     // another one for each process of this router
+	WarmupSeconds            float64    // seconds that a cold server takes to be warm; 0: not stated
+	Regions                  [][]string // zones by region, in the order in which they return; a zone of none is one by itself
 }
 
 const (
@@ -66,23 +66,23 @@
 	Zone     string
 	From, To State
 	Share    float64
-	Why      string
+	Reason   string
 }
 
 // Status is what is known of one zone.
 type Status struct {
-	Zone    string
-	State   State
-	Share   float64
-	Since   float64 // of the state
-	Why     string
-	Hand    bool // left by hand
-	Servers int  // that the list has in service
-	Against int  // routers that have had no answer there since all others
-	For     int  // routers that have had one later
-	Known   int  // routers heard of lately, this one among them
-	Times   int  // that it was left of late
-	Moves   uint64
+	Zone             string
+	State            State
+	Share            float64
+	Since            float64 // of the state
+	Reason           string
+	OperatorOverride bool // left by hand
+	Servers          int  // that the list has in service
+	VotesAgainst     int  // routers that have had no answer there since all others
+	VotesFor         int  // routers that have had one later
+	RoutersHeard     int  // routers heard of lately, this one among them
+	Evacuations      int  // that it was left of late
+	Transitions      uint64
 }
 
 // zone is one record a zone.
@@ -116,36 +116,36 @@
 
 type sent struct{ at, within float64 }
 
-// Fleet is what one router knows of all zones.
-type Fleet struct {
-	set     Settings
-	zones   map[uint32]*zone
-	names   []string // sorted
-	region  map[string][]string
-	peers   map[int]*peer
-	changes []Change
-	marks   uint64
-	watched int
-	ticked  float64
-	purse   float64 // words that may be sent before their time
-	deaf    float64 // words are not listened to until then
-	told    float64 // when words were last sent
-	number  uint32  // of the words
-	met     bool    // a peer was heard for the first time, or anew: it may know nothing
-	marker  [2]byte
-	Words   uint64 // sent since the start
+// Controller is what one router knows of all zones.
+type Controller struct {
+	set          Settings
+	zones        map[uint32]*zone
+	names        []string // sorted
+	region       map[string][]string
+	peers        map[int]*peer
+	changes      []Change
+	marks        uint64
+	watched      int
+	ticked       float64
+	purse        float64 // words that may be sent before their time
+	deaf         float64 // words are not listened to until then
+	told         float64 // when words were last sent
+	number       uint32  // of the words
+	met          bool    // a peer was heard for the first time, or anew: it may know nothing
+	marker       [2]byte
+	MessagesSent uint64 // sent since the start
 }
 
 // New makes one that knows no zone.
-func New(set Settings) *Fleet {
-	set.Routers = max(1, set.Routers)
-	f := &Fleet{set: set, zones: map[uint32]*zone{}, peers: map[int]*peer{}, marker: markers[0], met: true}
-	f.Regions(set.Regions)
+func New(set Settings) *Controller {
+	set.RouterCount = max(1, set.RouterCount)
+	f := &Controller{set: set, zones: map[uint32]*zone{}, peers: map[int]*peer{}, marker: markers[0], met: true}
+	f.SetRegions(set.Regions)
 	return f
 }
 
-// Regions takes which zones return one after another.
-func (f *Fleet) Regions(all [][]string) {
+// SetRegions takes which zones return one after another.
+func (f *Controller) SetRegions(all [][]string) {
 	f.region = map[string][]string{}
 	for _, names := range all {
 		for _, name := range names {
@@ -154,12 +154,12 @@
 	}
 }
 
-// Sum is a zone's name in words.
-func Sum(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) & 0xffffff }
+// NameHash is a zone's name in words.
+func NameHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) & 0xffffff }
 
-// Listed takes how many servers each zone has in service, and which 16-bit ends of servers' ids there are. Of two zones
+// OnEndpoints takes how many servers each zone has in service, and which 16-bit ends of servers' ids there are. Of two zones
 // whose names have the same sum the second by name is told: nothing is decided of it, as words cannot tell it from the first.
-func (f *Fleet) Listed(now float64, servers map[string]int, ids map[uint16]bool) (twins []string) {
+func (f *Controller) OnEndpoints(now float64, servers map[string]int, ids map[uint16]bool) (twins []string) {
 	for _, z := range f.zones {
 		z.servers = 0
 	}
@@ -173,7 +173,7 @@
 	}
 	f.mark(ids)
 	for sum, z := range f.zones { // one that has gone and is as usual is forgotten; what is left or was lately is kept
-		if z.servers == 0 && z.state == Well && !z.hand && len(z.out) == 0 && now-z.back > forgiven {
+		if z.servers == 0 && z.state == Serving && !z.hand && len(z.out) == 0 && now-z.back > forgiven {
 			delete(f.zones, sum)
 		}
 	}
@@ -183,8 +183,8 @@
 
 const mostZones = 256
 
-func (f *Fleet) zone(name string) *zone {
-	sum := Sum(name)
+func (f *Controller) zone(name string) *zone {
+	sum := NameHash(name)
 	if f.zones[sum] == nil && len(f.zones) < mostZones {
 		f.zones[sum] = &zone{name: name, sum: sum, share: 1, out: map[uint64]sent{}, back: math.Inf(-1), why: "as usual"}
 		f.order()
@@ -192,7 +192,7 @@
 	return f.zones[sum]
 }
 
-func (f *Fleet) order() {
+func (f *Controller) order() {
 	f.names = f.names[:0]
 	for _, z := range f.zones {
 		f.names = append(f.names, z.name)
@@ -200,16 +200,16 @@
 	slices.Sort(f.names)
 }
 
-func (f *Fleet) find(name string) *zone {
-	if z := f.zones[Sum(name)]; z != nil && z.name == name {
+func (f *Controller) find(name string) *zone {
+	if z := f.zones[NameHash(name)]; z != nil && z.name == name {
 		return z
 	}
 	return nil
 }
 
-// Began takes that an execution begins in a zone that promises an answer within a time; the mark tells its end. 0: it is
+// OnAttemptStart takes that an execution begins in a zone that promises an answer within a time; the mark tells its end. 0: it is
 // not watched.
-func (f *Fleet) Began(now float64, name string, within float64) uint64 {
+func (f *Controller) OnAttemptStart(now float64, name string, within float64) uint64 {
 	z := f.find(name)
 	if z == nil || f.watched >= most {
 		return 0
@@ -223,8 +223,8 @@
 
 const rated = 4 // seconds over which the rate of executions is reckoned
 
-// Ended takes the end of an execution.
-func (f *Fleet) Ended(now float64, name string, mark uint64, how How) {
+// OnAttemptEnd takes the end of an execution.
+func (f *Controller) OnAttemptEnd(now float64, name string, mark uint64, how Outcome) {
 	z := f.find(name)
 	if z == nil || mark == 0 {
 		return
@@ -235,18 +235,18 @@
 	}
 	delete(z.out, mark)
 	f.watched--
-	if how == Unsaid {
+	if how == Inconclusive {
 		return
 	}
 	if x.at >= z.again { // a try from before tells nothing of how a return is borne
 		if how != Answered {
 			z.poor++
 		}
-		if how != Silent {
+		if how != NoAnswer {
 			z.good++
 		}
 	}
-	if how == Silent {
+	if how == NoAnswer {
 		z.strike(x.at)
 	} else {
 		z.ok, z.bad = now, 0
@@ -260,9 +260,9 @@
 	}
 }
 
-// Hand takes that operators leave a zone, or take that back; false where no zone would remain. One that is not known yet is
+// SetOperatorOverride takes that operators leave a zone, or take that back; false where no zone would remain. One that is not known yet is
 // left once it is.
-func (f *Fleet) Hand(now float64, name string, out bool) bool {
+func (f *Controller) SetOperatorOverride(now float64, name string, out bool) bool {
 	z := f.zone(name)
 	if z == nil || z.name != name {
 		return false
@@ -276,53 +276,53 @@
 	z.hand = out
 	switch {
 	case out:
-		f.move(now, z, Left, 0, "by hand")
+		f.move(now, z, Evacuated, 0, "by hand")
 	default:
-		f.move(now, z, Returning, first, "by hand")
+		f.move(now, z, Recovering, first, "by hand")
 	}
 	return true
 }
 
-// Return begins the return of a zone that was left by itself, without waiting; false if it is not left.
-func (f *Fleet) Return(now float64, name string) bool {
+// StartRecovery begins the return of a zone that was left by itself, without waiting; false if it is not left.
+func (f *Controller) StartRecovery(now float64, name string) bool {
 	z := f.find(name)
-	if z == nil || z.hand || z.state != Left && z.state != Tried {
+	if z == nil || z.hand || z.state != Evacuated && z.state != Probing {
 		return false
 	}
-	f.move(now, z, Returning, first, "by hand")
+	f.move(now, z, Recovering, first, "by hand")
 	return true
 }
 
 // Known tells whether a zone was ever named here.
-func (f *Fleet) Known(name string) bool { return f.find(name) != nil }
+func (f *Controller) Known(name string) bool { return f.find(name) != nil }
 
 // Share is the part of its keys that a zone serves.
-func (f *Fleet) Share(name string) float64 {
+func (f *Controller) Share(name string) float64 {
 	if z := f.find(name); z != nil {
 		return z.share
 	}
 	return 1
 }
 
-// Changes gives what has changed since it was last asked.
-func (f *Fleet) Changes() []Change {
+// TakeChanges gives what has changed since it was last asked.
+func (f *Controller) TakeChanges() []Change {
 	all := f.changes
 	f.changes = nil
 	return all
 }
 
-// States gives all zones, by name.
-func (f *Fleet) States(now float64) (all []Status) {
+// Statuses gives all zones, by name.
+func (f *Controller) Statuses(now float64) (all []Status) {
 	for _, name := range f.names {
 		z := f.find(name)
 		v := f.weigh(now, z)
-		all = append(all, Status{Zone: name, State: z.state, Share: z.share, Since: z.since, Why: z.why, Hand: z.hand, Servers: z.servers,
-			Against: v.against, For: v.held, Known: v.known, Times: z.times, Moves: z.moves})
+		all = append(all, Status{Zone: name, State: z.state, Share: z.share, Since: z.since, Reason: z.why, OperatorOverride: z.hand, Servers: z.servers,
+			VotesAgainst: v.against, VotesFor: v.held, RoutersHeard: v.known, Evacuations: z.times, Transitions: z.moves})
 	}
 	return all
 }
 
-func (f *Fleet) move(now float64, z *zone, to State, share float64, why string) {
+func (f *Controller) move(now float64, z *zone, to State, share float64, why string) {
 	if to == z.state && share == z.share {
 		return
 	}
@@ -331,16 +331,16 @@
 		z.since = now
 	}
 	switch {
-	case to == Left && z.state != Tried:
+	case to == Evacuated && z.state != Probing:
 		z.left, z.enough, z.moves = now, 0, z.moves+1
 		z.owed = 2 // twice: what is lost of a word is lost by chance
-	case to == Returning && z.state != Returning:
+	case to == Recovering && z.state != Recovering:
 		z.bad, z.again, z.moves = 0, now, z.moves+1
 		z.good, z.poor = 0, 0 // what was lost before is no strain of the return
 		z.owed = 2
-	case to == Returning:
+	case to == Recovering:
 		z.owed = max(z.owed, 1)
-	case to == Well && z.state == Returning:
+	case to == Serving && z.state == Recovering:
 		z.back = now
 	}
 	z.state, z.share, z.why = to, share, why
@@ -348,19 +348,19 @@
 }
 
 // step begins to count anew how executions in a zone go.
-func (f *Fleet) step(now float64, z *zone) {
+func (f *Controller) step(now float64, z *zone) {
 	z.before, z.stepped, z.good, z.poor = [2]int{z.good, z.poor}, now, 0, 0
 }
 
 // Tick looks at all zones; it is to be called several times in what an execution is promised.
-func (f *Fleet) Tick(now float64) {
+func (f *Controller) Tick(now float64) {
 	passed := now - f.ticked
 	f.wake(now)
 	f.ticked = now
 	f.purse = min(f.purse+passed/f.period(), mostUrgent)
 	for _, name := range f.names {
 		z := f.find(name)
-		if z.state < Left {
+		if z.state < Evacuated {
 			z.rate *= math.Exp(-passed / rated)
 		}
 		oldest := math.Inf(1)
@@ -373,7 +373,7 @@
 			z.strike(oldest)
 		}
 	}
-	if f.set.Routers > 1 {
+	if f.set.RouterCount > 1 {
 		f.follow(now)
 	}
 	f.leave(now)
@@ -385,7 +385,7 @@
 
 // remain sees to it that some zone serves all of its keys, also when the list takes the others away: what returns is furthest, else
 // all that were left by themselves.
-func (f *Fleet) remain(now float64) {
+func (f *Controller) remain(now float64) {
 	var best *zone
 	var gone []*zone
 	for _, name := range f.names {
@@ -393,9 +393,9 @@
 		case z.servers == 0 || z.hand:
 		case z.share == 1:
 			return
-		case z.state == Returning && (best == nil || z.share > best.share):
+		case z.state == Recovering && (best == nil || z.share > best.share):
 			best = z
-		case z.state != Returning:
+		case z.state != Recovering:
 			gone = append(gone, z)
 		}
 	}
@@ -403,13 +403,13 @@
 		gone = []*zone{best}
 	}
 	for _, z := range gone {
-		f.move(now, z, Returning, 1, "no other zone serves all of its keys")
+		f.move(now, z, Recovering, 1, "no other zone serves all of its keys")
 	}
 }
 
 // wake notices that this process stood still: what is out is old, what it knows of others is past, and so are the words that
 // have waited for it, which it does not listen to. What is the case now others tell it.
-func (f *Fleet) wake(now float64) {
+func (f *Controller) wake(now float64) {
 	if f.ticked == 0 || now-f.ticked <= asleep {
 		return
 	}
@@ -441,13 +441,13 @@
 
 // quorum is how many routers have to say something for it to count: a quarter of those heard of, and more than one where
 // there are more. What one router sees alone moves nobody.
-func (f *Fleet) quorum(known int) int {
-	return max(min(2, f.set.Routers), (known+3)/4)
+func (f *Controller) quorum(known int) int {
+	return max(min(2, f.set.RouterCount), (known+3)/4)
 }
 
 // weigh sums up what is known of a zone: counts, a median and a place in a sorted row, so that the same evidence gives the same
 // whatever its order.
-func (f *Fleet) weigh(now float64, z *zone) verdict {
+func (f *Controller) weigh(now float64, z *zone) verdict {
 	v := verdict{known: 1, share: 1}
 	var bads, oks, shares []float64
 	take := func(ok, bad float64, state State, share float64, counts bool) {
@@ -456,9 +456,9 @@
 		}
 		oks = append(oks, ok)
 		switch state {
-		case Left, Tried:
+		case Evacuated, Probing:
 			v.away++
-		case Returning:
+		case Recovering:
 			v.returning++
 			shares = append(shares, share)
 		default:
@@ -499,13 +499,13 @@
 
 // cut tells that what fails is rather this router's than the zones': it hears nobody, or, since the trouble began, less than half of
 // the fleet while most zones fail.
-func (f *Fleet) cut(now float64) bool {
-	if f.set.Routers == 1 {
+func (f *Controller) cut(now float64) bool {
+	if f.set.RouterCount == 1 {
 		return false
 	}
 	seen, bad, began := 0, 0, now
 	for _, z := range f.zones {
-		if z.state == Left || z.state == Tried || z.ok == 0 && z.bad == 0 {
+		if z.state == Evacuated || z.state == Probing || z.ok == 0 && z.bad == 0 {
 			continue
 		}
 		if seen++; z.bad > 0 {
@@ -522,11 +522,11 @@
 			since++
 		}
 	}
-	return heard == 1 || 2*bad > seen && 2*since < f.set.Routers
+	return heard == 1 || 2*bad > seen && 2*since < f.set.RouterCount
 }
 
 // follow takes what others have decided, where this router knows no better: it has just started, was stopped, or lost their words.
-func (f *Fleet) follow(now float64) {
+func (f *Controller) follow(now float64) {
 	for _, name := range f.names {
 		z := f.find(name)
 		if z.hand {
@@ -535,23 +535,23 @@
 		v := f.weigh(now, z)
 		enough := f.quorum(v.known)
 		switch z.state {
-		case Well, Suspected:
+		case Serving, Suspected:
 			others := v.as - 1
 			if v.away >= enough && v.away > others+v.returning && now-z.ok > recently && f.others(z) {
 				f.depart(now, z, fmt.Sprintf("%d of %d routers have left it", v.away, v.known))
 			} else if v.returning >= enough && v.returning > others && now-z.ok > recently && v.share < 1 {
-				f.move(now, z, Returning, v.share, fmt.Sprintf("%d of %d routers let it return", v.returning, v.known))
+				f.move(now, z, Recovering, v.share, fmt.Sprintf("%d of %d routers let it return", v.returning, v.known))
 			}
-		case Left, Tried:
+		case Evacuated, Probing:
 			if v.returning >= enough && v.returning+v.as >= v.away && now > z.left+z.held()/2 && f.turn(z) {
-				f.move(now, z, Returning, min(v.share, 0.5), fmt.Sprintf("%d of %d routers let it return", v.returning, v.known))
+				f.move(now, z, Recovering, min(v.share, 0.5), fmt.Sprintf("%d of %d routers let it return", v.returning, v.known))
 			}
 		}
 	}
 }
 
 // others tells whether another zone would be left to serve all keys: all are never left, for then the fault is not theirs.
-func (f *Fleet) others(z *zone) bool {
+func (f *Controller) others(z *zone) bool {
 	for _, o := range f.zones {
 		if o != z && o.servers > 0 && o.share == 1 {
 			return true
@@ -561,18 +561,18 @@
 }
 
 // leave leaves the zones against which there is enough evidence, unless none would remain.
-func (f *Fleet) leave(now float64) {
+func (f *Controller) leave(now float64) {
 	var gone []*zone
 	stay, cut := 0, f.cut(now)
 	for _, name := range f.names {
 		z := f.find(name)
-		if z.hand || z.state == Left || z.state == Tried {
+		if z.hand || z.state == Evacuated || z.state == Probing {
 			continue
 		}
 		v := f.weigh(now, z)
 		enough := f.quorum(v.known)
-		if z.times > 0 && (z.state == Returning || now-z.back < forgiven) { // it has failed of late
-			enough = min(2, f.set.Routers)
+		if z.times > 0 && (z.state == Recovering || now-z.back < forgiven) { // it has failed of late
+			enough = min(2, f.set.RouterCount)
 		}
 		// Routers that had an answer later speak for it: an eighth as many as those without outweigh them, so that a zone
 		// of which some servers are down stays.
@@ -581,8 +581,8 @@
 		case !fails || cut:
 			z.enough = 0
 			if z.state == Suspected && (!fails && v.against == 0 || v.held > 0) {
-				f.move(now, z, Well, 1, "answers came")
-			} else if z.state == Well && v.against >= min(2, f.set.Routers) && v.held == 0 && z.servers > 0 {
+				f.move(now, z, Serving, 1, "answers came")
+			} else if z.state == Serving && v.against >= min(2, f.set.RouterCount) && v.held == 0 && z.servers > 0 {
 				f.move(now, z, Suspected, 1, fmt.Sprintf("%d of %d routers have had no answer there", v.against, v.known))
 			}
 			if z.servers > 0 && z.share == 1 {
@@ -600,7 +600,7 @@
 	for _, z := range gone {
 		switch v := f.weigh(now, z); {
 		case stay == 0:
-			if z.state == Well {
+			if z.state == Serving {
 				f.move(now, z, Suspected, 1, "no zone would remain")
 			}
 		case now-z.enough >= objecting:
@@ -609,12 +609,12 @@
 	}
 }
 
-func (f *Fleet) depart(now float64, z *zone, why string) {
-	if now-z.back > forgiven && z.state != Returning {
+func (f *Controller) depart(now float64, z *zone, why string) {
+	if now-z.back > forgiven && z.state != Recovering {
 		z.times = 0
 	}
 	z.times = min(z.times+1, mostHeld+1)
-	f.move(now, z, Left, 0, why)
+	f.move(now, z, Evacuated, 0, why)
 }
 
 // held is how long a zone is left before it is tried.
@@ -622,37 +622,37 @@
 
 // pace is how long a returning zone stays at a share before that is doubled: four doublings and what the list and the words
 // take stay within half of a cold server's warm-up, in which the module gives it a slice of its own.
-func (f *Fleet) pace() float64 { return min(max(f.set.WarmWithin/12, 0.25), 2) }
+func (f *Controller) pace() float64 { return min(max(f.set.WarmupSeconds/12, 0.25), 2) }
 
 // back leads a zone that was left back to all of its keys.
-func (f *Fleet) back(now float64, z *zone) {
+func (f *Controller) back(now float64, z *zone) {
 	if z.hand || z.servers == 0 {
 		return
 	}
 	switch z.state {
-	case Left, Tried:
+	case Evacuated, Probing:
 		if now < z.left+z.held() {
 			return
 		}
 		if answered := f.answered(now, z); answered >= min(2, f.triers()) && f.turn(z) {
-			f.move(now, z, Returning, first, fmt.Sprintf("%d routers had answers there", answered))
+			f.move(now, z, Recovering, first, fmt.Sprintf("%d routers had answers there", answered))
 			return
 		}
 		round := math.Floor((now - z.left - z.held()) / trying)
 		switch mine := f.chosen(z, uint32(round)); {
-		case mine && z.state == Left:
+		case mine && z.state == Evacuated:
 			// A try or two a round: more would be burnt where nothing answers.
-			f.move(now, z, Tried, min(max(2/max(z.rate*trying, 1e-9), least), 0.25), "its turn to be tried from here")
-		case !mine && z.state == Tried:
-			f.move(now, z, Left, 0, "others' turn to try it")
+			f.move(now, z, Probing, min(max(2/max(z.rate*trying, 1e-9), least), 0.25), "its turn to be tried from here")
+		case !mine && z.state == Probing:
+			f.move(now, z, Evacuated, 0, "others' turn to try it")
 		}
-	case Returning:
+	case Recovering:
 		f.grow(now, z)
 	}
 }
 
 // answered counts the routers that had an answer since the zone was left, not one that was on its way then.
-func (f *Fleet) answered(now float64, z *zone) (n int) {
+func (f *Controller) answered(now float64, z *zone) (n int) {
 	count := func(ok, bad float64) {
 		if ok > z.left+z.held()/2 && ok > bad {
 			n++
@@ -668,29 +668,29 @@
 }
 
 // triers is how many routers try a zone at once.
-func (f *Fleet) triers() int { return min(f.set.Routers, max(3, f.set.Routers/8)) }
+func (f *Controller) triers() int { return min(f.set.RouterCount, max(3, f.set.RouterCount/8)) }
 
 // chosen tells whether this router is one of those that try a zone in a round: those of the least hashes of their numbers.
-func (f *Fleet) chosen(z *zone, round uint32) bool {
-	mine, before := f.draw(z, round, f.set.Me), 0
-	for n := range f.set.Routers {
-		if h := f.draw(z, round, n); h < mine || h == mine && n < f.set.Me {
+func (f *Controller) chosen(z *zone, round uint32) bool {
+	mine, before := f.draw(z, round, f.set.RouterIndex), 0
+	for n := range f.set.RouterCount {
+		if h := f.draw(z, round, n); h < mine || h == mine && n < f.set.RouterIndex {
 			before++
 		}
 	}
 	return before < f.triers()
 }
 
-func (f *Fleet) draw(z *zone, round uint32, router int) uint32 {
+func (f *Controller) draw(z *zone, round uint32, router int) uint32 {
 	h := crc32.ChecksumIEEE([]byte{byte(z.sum), byte(z.sum >> 8), byte(z.sum >> 16), byte(round), byte(round >> 8), byte(router), byte(router >> 8)})
 	h = (h ^ h>>16) * 0x85ebca6b // crc32 alone is affine: the same routers would be the first in every round
 	return (h ^ h>>13) * 0xc2b2ae35
 }
 
 // turn tells whether a zone may return now: of a region one at a time, since origin and neighbours bear the sum.
-func (f *Fleet) turn(z *zone) bool {
+func (f *Controller) turn(z *zone) bool {
 	for _, name := range f.region[z.name] {
-		if o := f.find(name); o != nil && o != z && o.state == Returning {
+		if o := f.find(name); o != nil && o != z && o.state == Recovering {
 			return false
 		}
 	}
@@ -699,20 +699,20 @@
 
 // grow moves the share of a zone that returns: doubled as long as what it has finishes in time, halved where it strains, and
 // never far from what the others give it.
-func (f *Fleet) grow(now float64, z *zone) {
+func (f *Controller) grow(now float64, z *zone) {
 	good, poor, at := z.good, z.poor, 0
 	if z.poor > 0 {
 		at++
 	}
 	for _, p := range f.peers { // each sees little: what all tell of their last step counts together
-		if s, said := p.said[z.sum]; said && now-p.at <= f.stale() && s.state == Returning && !p.cut {
+		if s, said := p.said[z.sum]; said && now-p.at <= f.stale() && s.state == Recovering && !p.cut {
 			good, poor = good+s.good, poor+s.poor
 			if s.poor > 0 {
 				at++
 			}
 		}
 	}
-	strained := poor >= 2 && 4*poor > good && (at >= min(2, f.set.Routers) || z.poor >= 2 && 4*z.poor > z.good)
+	strained := poor >= 2 && 4*poor > good && (at >= min(2, f.set.RouterCount) || z.poor >= 2 && 4*z.poor > z.good)
 	if !strained && now-z.stepped < f.pace() || strained && now-z.stepped < f.pace()/2 {
 		return
 	}
@@ -723,18 +723,18 @@
 		share, why = max(z.share/2, least), fmt.Sprintf("%d executions there were late, turned away or without an answer, and %d were answered", poor, good)
 	case fleet < z.share/2:
 		share, why = z.share, "others hold it back"
-	case fleet > z.share && f.set.Routers > 1:
+	case fleet > z.share && f.set.RouterCount > 1:
 		share, why = max(share, fleet), "others are ahead"
 	}
 	if share = min(share, 1); share == 1 && z.share == 1 {
-		f.move(now, z, Well, 1, "it is back")
+		f.move(now, z, Serving, 1, "it is back")
 		return
 	}
 	if share == z.share {
 		f.step(now, z)
 		return
 	}
-	f.move(now, z, Returning, share, why)
+	f.move(now, z, Recovering, share, why)
 }
 
 // byNeed orders zones for words: what others have to hear, what is not as usual, and what was told of longest ago.
@@ -743,7 +743,7 @@
 		switch {
 		case z.owed > 0 || z.fresh:
 			return 0
-		case z.state != Well || z.bad > 0:
+		case z.state != Serving || z.bad > 0:
 			return 1
 		}
 		return 2
--- a/internal/policy/zonefailover/zones_test.go
+++ b/internal/policy/zonefailover/zones_test.go
@@ -19,7 +19,7 @@
 	w.run(4)
 	burnt := w.burnt["b"]
 	w.up["b"] = 1
-	_, began := w.until("its return begins", 0.3, func(f *Fleet) bool { return f.find("b").state == Returning })
+	_, began := w.until("its return begins", 0.3, func(f *Controller) bool { return f.find("b").state == Recovering })
 	first, last = w.until("full", 3, full("b"))
 	t.Logf("its return began everywhere within %.2f s", began)
 	t.Logf("%d burnt in all, full after %.2f to %.2f s; %d words in %.0f s", burnt, first, last, w.words, w.now-1000)
@@ -112,8 +112,8 @@
 			w.run(3)
 			w.up["b"] = 0
 			c.begin(w)
-			_, last := w.until("left", c.bound, func(f *Fleet) bool {
-				insider := what == "its own routers reach it" && f.set.Me < 6
+			_, last := w.until("left", c.bound, func(f *Controller) bool {
+				insider := what == "its own routers reach it" && f.set.RouterIndex < 6
 				return insider || left("b")(f)
 			})
 			for _, other := range []string{"a", "c", "d"} {
@@ -166,13 +166,13 @@
 		w.up["b"] = float64(i % 2)
 		w.run(3)
 	}
-	for _, s := range w.fleets[0].States(w.now) {
+	for _, s := range w.fleets[0].Statuses(w.now) {
 		// The n-th time is no sooner than the holds before it, 1, 2, 4, ... s, have passed: six in 63 s, then one in each 64 s.
-		if s.Zone == "b" && s.Moves > 2*8 {
+		if s.Zone == "b" && s.Transitions > 2*8 {
 			w.tell()
-			t.Errorf("%d moves in two minutes", s.Moves)
+			t.Errorf("%d moves in two minutes", s.Transitions)
 		} else if s.Zone == "b" {
-			t.Logf("%d moves in two minutes", s.Moves)
+			t.Logf("%d moves in two minutes", s.Transitions)
 		}
 	}
 }
@@ -193,7 +193,7 @@
 	for range 400 {
 		w.run(0.01)
 		for _, f := range w.fleets {
-			if f.find("b").state == Returning && f.find("c").state == Returning {
+			if f.find("b").state == Recovering && f.find("c").state == Recovering {
 				t.Fatal("two zones of a region return at once")
 			}
 			most = max(most, f.Share("b"))
@@ -212,14 +212,14 @@
 	w := build(t, 4, "a", "b")
 	w.run(3)
 	f := w.fleets[0]
-	if !f.Hand(w.now, "b", true) || f.Hand(w.now, "a", true) {
+	if !f.SetOperatorOverride(w.now, "b", true) || f.SetOperatorOverride(w.now, "a", true) {
 		t.Fatal("b is left by hand, and a, the last, is not")
 	}
 	w.run(5)
 	if f.Share("b") != 0 || w.fleets[1].Share("b") != 1 {
 		t.Fatalf("shares %v and %v, want 0 by hand and 1 elsewhere", f.Share("b"), w.fleets[1].Share("b"))
 	}
-	f.Hand(w.now, "b", false)
+	f.SetOperatorOverride(w.now, "b", false)
 	w.until("full", 4, full("b"))
 }
 
@@ -230,13 +230,13 @@
 	a, b := w.fleets[0], w.fleets[1]
 	first := a.words(w.now, []*zone{a.find("a")})
 	second := a.words(w.now, []*zone{a.find("a")})
-	if !b.Heard(w.now, second) || !b.Heard(w.now, first) || b.peers[0].number != a.number {
+	if !b.OnMessage(w.now, second) || !b.OnMessage(w.now, first) || b.peers[0].number != a.number {
 		t.Error("a word that is older than the last was taken")
 	}
 	w.start(0, 7, nil)
-	b.Heard(w.now, w.fleets[0].words(w.now, nil))
+	b.OnMessage(w.now, w.fleets[0].words(w.now, nil))
 	a.number += 10
-	if b.Heard(w.now, a.words(w.now, nil)); b.peers[0].life != 7 {
+	if b.OnMessage(w.now, a.words(w.now, nil)); b.peers[0].life != 7 {
 		t.Error("the life before came back")
 	}
 	for i := range second {
@@ -248,7 +248,7 @@
 	}
 	ids := map[uint16]bool{0xffc7: true}
 	for _, f := range w.fleets { // old builds take the first two bytes of three for the end of an id
-		f.Listed(w.now, map[string]int{"a": 1}, ids)
+		f.OnEndpoints(w.now, map[string]int{"a": 1}, ids)
 		if text := f.words(w.now, nil); ids[uint16(text[0])|uint16(text[1])<<8] {
 			t.Error("words name a server")
 		}
@@ -258,7 +258,7 @@
 	}
 }
 
-func make9(f *Fleet) (all []*zone) {
+func make9(f *Controller) (all []*zone) {
 	for i := range perWord {
 		all = append(all, f.zone(fmt.Sprint("z", i)))
 	}
@@ -272,8 +272,8 @@
 	w.up["b"] = 0
 	w.until("left", 1, left("b"))
 	for _, f := range w.fleets {
-		f.Began(w.now, "a", 9) // something is out there yet
-		f.Listed(w.now, map[string]int{"b": 4}, nil)
+		f.OnAttemptStart(w.now, "a", 9) // something is out there yet
+		f.OnEndpoints(w.now, map[string]int{"b": 4}, nil)
 	}
 	w.until("b serves all", 0.2, full("b"))
 }
@@ -325,23 +325,23 @@
 	w := build(t, 4, "a", "b")
 	w.run(3)
 	f := w.fleets[0]
-	f.Began(w.now, "a", 0.15)
-	f.Began(w.now, "b", 0.15)
+	f.OnAttemptStart(w.now, "a", 0.15)
+	f.OnAttemptStart(w.now, "b", 0.15)
 	f.find("a").bad = w.now
 	w.fleets[1].find("b").bad = w.now
 	old := w.fleets[1].words(w.now, []*zone{w.fleets[1].find("b")})
 	now := w.now + 5
-	f.Heard(now, old)
+	f.OnMessage(now, old)
 	f.Tick(now + 0.01)
-	for _, s := range f.States(now + 0.01) {
-		if s.Against > 0 || s.Known > 1 {
-			t.Errorf("%s: %d against it, of %d heard, after five seconds of standing still", s.Zone, s.Against, s.Known)
+	for _, s := range f.Statuses(now + 0.01) {
+		if s.VotesAgainst > 0 || s.RoutersHeard > 1 {
+			t.Errorf("%s: %d against it, of %d heard, after five seconds of standing still", s.Zone, s.VotesAgainst, s.RoutersHeard)
 		}
 	}
 	if f.find("a").bad > 0 {
 		t.Error("what began to fail before it stood still counts")
 	}
-	if f.watched > 0 || f.Say(now+0.05) == nil {
+	if f.watched > 0 || f.NextMessage(now+0.05) == nil {
 		t.Error("what was out is still watched, or nobody is asked")
 	}
 }
@@ -354,9 +354,9 @@
 	w.until("left", 1, left("b"))
 	w.run(1)
 	f := w.fleets[0]
-	f.Return(w.now, "b")
+	f.StartRecovery(w.now, "b")
 	for now := w.now + 0.05; now < w.now+0.4; now += 0.05 {
-		if f.Tick(now); f.find("b").state != Returning {
+		if f.Tick(now); f.find("b").state != Recovering {
 			t.Fatalf("it is %v again: %s", f.find("b").state, f.find("b").why)
 		}
 	}
@@ -405,19 +405,19 @@
 	w := build(t, 6, "a", "b")
 	w.run(2)
 	for n := range 3 {
-		w.fleets[n].Listed(w.now, map[string]int{"a": 4}, nil)
+		w.fleets[n].OnEndpoints(w.now, map[string]int{"a": 4}, nil)
 	}
 	w.run(3)
 	w.stays("b")
 	for n := range 3 {
-		w.fleets[n].Listed(w.now, map[string]int{"a": 4, "b": 4}, nil)
+		w.fleets[n].OnEndpoints(w.now, map[string]int{"a": 4, "b": 4}, nil)
 	}
 	w.run(1)
 	w.stays("b")
 	for _, f := range w.fleets {
-		for _, s := range f.States(w.now) {
-			if s.Against > 0 {
-				t.Errorf("%d against %s", s.Against, s.Zone)
+		for _, s := range f.Statuses(w.now) {
+			if s.VotesAgainst > 0 {
+				t.Errorf("%d against %s", s.VotesAgainst, s.Zone)
 			}
 		}
 	}
@@ -430,7 +430,7 @@
 	w.up["b"] = 0
 	w.until("left", 1, left("b"))
 	w.up["b"] = 1
-	w.until("its return begins", 2, func(f *Fleet) bool { return f.find("b").state == Returning })
+	w.until("its return begins", 2, func(f *Controller) bool { return f.find("b").state == Recovering })
 	w.reaches = func(n int, z string) bool { return n >= 3 || z != "b" }
 	for _, f := range w.fleets[:3] { // three of 24 miss answers, nobody else had one since
 		f.find("b").ok, f.find("b").bad = 0, w.now+0.01
@@ -439,5 +439,5 @@
 		f.find("b").ok = 0
 	}
 	w.rate = 0
-	w.until("left again", 0.4, func(f *Fleet) bool { return f.find("b").state == Left })
+	w.until("left again", 0.4, func(f *Controller) bool { return f.find("b").state == Evacuated })
 }
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -198,7 +198,7 @@
 	d := on(s, func() *desk {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		s.desk = &desk{s: s}
 		s.publish()
 		return s.desk
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -22,7 +22,7 @@
 // one does nothing: zones are off.
 type zoneWatch struct {
 	s     *Service
-	fleet *zonefailover.Fleet
+	fleet *zonefailover.Controller
 	bans  *hotrestart.Bans // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
@@ -36,7 +36,7 @@
 	c := s.conf
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 	w := &zoneWatch{s: s, hand: map[string]bool{}, twins: map[string]bool{}}
-	w.fleet = zonefailover.New(zonefailover.Settings{Me: c.Settings.RouterIndex, Routers: c.Settings.RouterCount, Life: uint16(life), WarmWithin: c.Settings.WarmupDuration,
+	w.fleet = zonefailover.New(zonefailover.Settings{RouterIndex: c.Settings.RouterIndex, RouterCount: c.Settings.RouterCount, Incarnation: uint16(life), WarmupSeconds: c.Settings.WarmupDuration,
 		Regions: f.Groups()})
 	s.zones = w
 	if c.Settings.RouterCount > 1 && (s.peers == nil || !c.Settings.GossipAllowed) {
@@ -66,7 +66,7 @@
 	if w == nil {
 		return
 	}
-	w.fleet.Regions(f.Groups())
+	w.fleet.SetRegions(f.Groups())
 }
 
 func (w *zoneWatch) now() float64 { return w.s.loop.Now() }
@@ -77,7 +77,7 @@
 	}
 	w.fleet.Tick(w.now())
 	w.act()
-	if words := w.fleet.Say(w.now()); words != nil && w.s.conf.Settings.GossipAllowed { // else the platform allows none
+	if words := w.fleet.NextMessage(w.now()); words != nil && w.s.conf.Settings.GossipAllowed { // else the platform allows none
 		w.s.peers.Tell(words)
 	}
 	w.s.loop.After(looking, w.tick)
@@ -86,8 +86,8 @@
 // act takes the decisions to the pools.
 func (w *zoneWatch) act() {
 	changed := map[string]bool{}
-	for _, c := range w.fleet.Changes() {
-		w.s.log.Info().Str("zone", c.Zone).Stringer("from", c.From).Stringer("to", c.To).Float64("share", c.Share).Str("why", c.Why).Msg("zone")
+	for _, c := range w.fleet.TakeChanges() {
+		w.s.log.Info().Str("zone", c.Zone).Stringer("from", c.From).Stringer("to", c.To).Float64("share", c.Share).Str("why", c.Reason).Msg("zone")
 		if !changed[c.Zone] {
 			changed[c.Zone] = true
 			w.share(w.s.platform, c.Zone)
@@ -119,7 +119,7 @@
 	if w == nil {
 		return
 	}
-	for _, z := range w.fleet.States(w.now()) {
+	for _, z := range w.fleet.Statuses(w.now()) {
 		if z.Share < 1 {
 			w.share(p, z.Zone)
 		}
@@ -143,7 +143,7 @@
 	for _, p := range w.s.pools {
 		take(p)
 	}
-	for _, name := range w.fleet.Listed(w.now(), servers, ids) {
+	for _, name := range w.fleet.OnEndpoints(w.now(), servers, ids) {
 		if !w.twins[name] && len(w.twins) < 100 {
 			w.twins[name] = true
 			w.s.log.Warn().Str("zone", name).Msg("this zone cannot be told from another in words, or there are too many: it is never left")
@@ -152,31 +152,31 @@
 }
 
 // heard takes another router's words; false if they are not of zones.
-func (w *zoneWatch) heard(words []byte) bool { return w != nil && w.fleet.Heard(w.now(), words) }
+func (w *zoneWatch) heard(words []byte) bool { return w != nil && w.fleet.OnMessage(w.now(), words) }
 
 // AttemptStarted takes that an execution begins.
 func (w *zoneWatch) AttemptStarted(zone string, within float64) uint64 {
-	return w.fleet.Began(w.now(), zone, within)
+	return w.fleet.OnAttemptStart(w.now(), zone, within)
 }
 
 // AttemptEnded takes how it went.
 func (w *zoneWatch) AttemptEnded(zone string, mark uint64, how balancer.Outcome, took, within float64) {
-	end := zonefailover.Unsaid
+	end := zonefailover.Inconclusive
 	switch how {
 	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss: // also an error is an answer
 		if end = zonefailover.Answered; took > within {
 			end = zonefailover.Late
 		}
 	case balancer.Overloaded:
-		end = zonefailover.Full
+		end = zonefailover.Overloaded
 	case balancer.TimedOut:
 		if took >= within { // else its client was in a hurry
-			end = zonefailover.Silent
+			end = zonefailover.NoAnswer
 		}
 	case balancer.ConnectFailed, balancer.ConnectionLost:
-		end = zonefailover.Silent
+		end = zonefailover.NoAnswer
 	}
-	w.fleet.Ended(w.now(), zone, mark, end)
+	w.fleet.OnAttemptEnd(w.now(), zone, mark, end)
 }
 
 // byHand takes the whole set of zones that are left by hand.
@@ -187,14 +187,14 @@
 		if w.hand[name] {
 			continue
 		}
-		if w.hand[name] = w.fleet.Hand(w.now(), name, true); !w.hand[name] {
+		if w.hand[name] = w.fleet.SetOperatorOverride(w.now(), name, true); !w.hand[name] {
 			delete(w.hand, name)
 			w.s.log.Warn().Str("zone", name).Msg("it is written down as left by hand, and stays, as no other would remain")
 		}
 	}
 	for name := range w.hand {
 		if !now[name] {
-			w.fleet.Hand(w.now(), name, false)
+			w.fleet.SetOperatorOverride(w.now(), name, false)
 			delete(w.hand, name)
 		}
 	}
@@ -210,18 +210,18 @@
 		return
 	}
 	left, returning, moves := uint64(0), uint64(0), uint64(0)
-	for _, z := range w.fleet.States(w.now()) {
-		switch moves += z.Moves; z.State {
-		case zonefailover.Left, zonefailover.Tried:
+	for _, z := range w.fleet.Statuses(w.now()) {
+		switch moves += z.Transitions; z.State {
+		case zonefailover.Evacuated, zonefailover.Probing:
 			left++
-		case zonefailover.Returning:
+		case zonefailover.Recovering:
 			returning++
 		}
 	}
 	say("zones_left", left)
 	say("zones_returning", returning)
 	say("zone_moves", moves)
-	say("zone_words", w.fleet.Words)
+	say("zone_words", w.fleet.MessagesSent)
 }
 
 var (
@@ -236,9 +236,9 @@
 	}
 	err = d.do(func() error {
 		now := d.s.zones.now()
-		for _, z := range d.s.zones.fleet.States(now) {
-			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.Hand,
-				Servers: z.Servers, Against: z.Against, With: z.For, Known: z.Known, Times: z.Times, Why: z.Why})
+		for _, z := range d.s.zones.fleet.Statuses(now) {
+			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.OperatorOverride,
+				Servers: z.Servers, Against: z.VotesAgainst, With: z.VotesFor, Known: z.RoutersHeard, Times: z.Evacuations, Why: z.Reason})
 		}
 		return nil
 	})
@@ -255,7 +255,7 @@
 		switch {
 		case !w.fleet.Known(zone):
 			return admin.ErrNoZone
-		case !w.fleet.Hand(w.now(), zone, true):
+		case !w.fleet.SetOperatorOverride(w.now(), zone, true):
 			return errLastZone
 		}
 		w.hand[zone] = true
@@ -283,7 +283,7 @@
 	}
 	if !w.written(zone) {
 		return d.do(func() error {
-			if !w.fleet.Return(w.now(), zone) {
+			if !w.fleet.StartRecovery(w.now(), zone) {
 				return admin.ErrNoZone
 			}
 			w.act()
@@ -294,7 +294,7 @@
 		return err
 	}
 	late := d.do(func() error { // behind the set without it
-		w.fleet.Return(w.now(), zone) // it was to be left by hand and could not be, as the last, but by itself
+		w.fleet.StartRecovery(w.now(), zone) // it was to be left by hand and could not be, as the last, but by itself
 		w.act()
 		return nil
 	})
