--- a/internal/admin/control.go
+++ b/internal/admin/control.go
@@ -44,33 +44,33 @@
 
 // Status is how far a start is.
 type Status struct {
-	Phase       string  `json:"phase"`
-	PhaseSeconds         float64 `json:"for_s"`
+	Phase              string  `json:"phase"`
+	PhaseSeconds       float64 `json:"for_s"`
 	FullServiceSeconds float64 `json:"full_service_seconds"` // that it took; 0: it is not there yet
-	WaitsFor       string  `json:"waits_for"`
-	AcceptsClients      bool    `json:"taking_clients"`
+	WaitsFor           string  `json:"waits_for"`
+	AcceptsClients     bool    `json:"taking_clients"`
 }
 
 // Zone is what the door shows of one zone.
 type Zone struct {
-	Zone    string  `json:"zone"`
-	State   string  `json:"state"`
-	Share   float64 `json:"share"`   // of its keys that it serves
-	StateSeconds     float64 `json:"for_s"`   // seconds in this state
-	ByOperator    bool    `json:"by_hand"` // left by hand
-	Servers int     `json:"servers"`
-	RoutersWithoutAnswer int     `json:"routers_without_answer"`
-	RoutersWithLaterAnswer    int     `json:"routers_with_later_answer"`
-	RoutersHeard   int     `json:"routers_heard"`
-	RecentEvacuations   int     `json:"left_of_late"`
-	Reason     string  `json:"why"`
+	Zone                   string  `json:"zone"`
+	State                  string  `json:"state"`
+	Share                  float64 `json:"share"`   // of its keys that it serves
+	StateSeconds           float64 `json:"for_s"`   // seconds in this state
+	ByOperator             bool    `json:"by_hand"` // left by hand
+	Servers                int     `json:"servers"`
+	RoutersWithoutAnswer   int     `json:"routers_without_answer"`
+	RoutersWithLaterAnswer int     `json:"routers_with_later_answer"`
+	RoutersHeard           int     `json:"routers_heard"`
+	RecentEvacuations      int     `json:"left_of_late"`
+	Reason                 string  `json:"why"`
 }
 
 // Why a call is not carried out.
 var (
 	ErrUnknownServer = errors.New("no cache server is known by this id")
-	ErrUnknownZone  = errors.New("no zone is known by this name, or it is not left")
-	ErrBusy  = errors.New("the router does not come to it now; nothing was done")
+	ErrUnknownZone   = errors.New("no zone is known by this name, or it is not left")
+	ErrBusy          = errors.New("the router does not come to it now; nothing was done")
 )
 
 // Server is one open door.
--- a/internal/admin/control_test.go
+++ b/internal/admin/control_test.go
@@ -18,16 +18,16 @@
 func (r routed) Zones() ([]Zone, error) {
 	return []Zone{{Zone: "a", State: "left", Reason: "by hand"}}, r.err
 }
-func (r routed) Status() (Status, error)      { return Status{Phase: "full"}, r.err }
-func (r routed) EvacuateZone(zone string) error  { return r.err }
-func (r routed) RestoreZone(zone string) error { return r.err }
+func (r routed) Status() (Status, error)        { return Status{Phase: "full"}, r.err }
+func (r routed) EvacuateZone(zone string) error { return r.err }
+func (r routed) RestoreZone(zone string) error  { return r.err }
 
-func (r routed) Ready() bool          { return r.err == nil }
-func (r routed) Metrics() []byte      { return []byte("gw.current=1\n") }
+func (r routed) Ready() bool                { return r.err == nil }
+func (r routed) Metrics() []byte            { return []byte("gw.current=1\n") }
 func (r routed) DisableServer(string) error { return r.err }
 func (r routed) EnableServer(string) error  { return r.err }
-func (r routed) Drain() error         { return r.err }
-func (r routed) Undrain() error       { return r.err }
+func (r routed) Drain() error               { return r.err }
+func (r routed) Undrain() error             { return r.err }
 
 // ask makes a call and gives what is answered, with its status; a call that is not answered within its second is an error.
 func ask(addr, call, body string) string {
--- a/internal/hotrestart/bans.go
+++ b/internal/hotrestart/bans.go
@@ -31,10 +31,10 @@
 
 // Why a call is not, or not wholly, carried out.
 var (
-	ErrTooMany = fmt.Errorf("more than %d are out already, or would be; nothing was changed", mostBans)
+	ErrTooMany   = fmt.Errorf("more than %d are out already, or would be; nothing was changed", mostBans)
 	ErrLocalOnly = errors.New("it holds at this process alone, and ends with it, for it could not be written down; call again in a second")
 	ErrUnchanged = errors.New("nothing was changed, for it could not be written down; call again in a second")
-	ErrPending = errors.New("it is being written down, and may hold later; call again in a second")
+	ErrPending   = errors.New("it is being written down, and may hold later; call again in a second")
 
 	ErrLockTimeout = errors.New("another call is being written")
 )
--- a/internal/hotrestart/handover_test.go
+++ b/internal/hotrestart/handover_test.go
@@ -304,8 +304,8 @@
 	fd, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	return map[string]int{"127.0.0.1:11211": fd}
 }
-func (r running) State() []byte    { return r.state }
-func (r running) Started()           { r.said <- "asked" }
+func (r running) State() []byte     { return r.state }
+func (r running) Started()          { r.said <- "asked" }
 func (r running) Serving()          { r.said <- "serves" }
 func (r running) Ended(served bool) { r.said <- fmt.Sprint("lost ", served) }
 
--- a/internal/hotrestart/sockets.go
+++ b/internal/hotrestart/sockets.go
@@ -118,9 +118,9 @@
 type SuccessorHandler interface {
 	Sockets() map[string]int // descriptors by their addresses, to be closed once they are sent
 	State() []byte           // what this process knows
-	Started()                  // another process runs beside this one
-	Serving()                 // and takes clients from now on
-	Ended(served bool)        // it has ended
+	Started()                // another process runs beside this one
+	Serving()                // and takes clients from now on
+	Ended(served bool)       // it has ended
 }
 
 // Listener waits at a path for processes that come after this one.
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -90,7 +90,7 @@
 	out       map[string]bool         // cache servers that operators took out
 	before    *hotrestart.Predecessor // the process before this one, while it runs
 	inherited map[string]int          // its listening sockets that are not in use here yet
-	offer     *hotrestart.Listener       // where the process after this one asks
+	offer     *hotrestart.Listener    // where the process after this one asks
 	beside    int                     // processes of this router that run beside this one
 	heirs     int                     // of these, later ones that take clients
 	operators operatorconfig.File     // as last taken
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -24,8 +24,8 @@
 // Entry is one thing that is kept.
 type Entry struct {
 	Generation uint64  `cbor:"1,keyasint"` // of what it tells; decides what is newer, never a time
-	StoredAt         float64 `cbor:"2,keyasint"` // Unix seconds, by this machine's clock, when it was put
-	Source       string  `cbor:"3,keyasint"` // where it came from
+	StoredAt   float64 `cbor:"2,keyasint"` // Unix seconds, by this machine's clock, when it was put
+	Source     string  `cbor:"3,keyasint"` // where it came from
 	Body       []byte  `cbor:"4,keyasint"`
 }
 
@@ -68,8 +68,8 @@
 // Stats tell how the store fares.
 type Stats struct {
 	Written, Failed, Rejected uint64  // copies; entries that were too large
-	SlowestWrite                  float64 // seconds that a copy took
-	SetAside                    int     // files that were put aside at the start
+	SlowestWrite              float64 // seconds that a copy took
+	SetAside                  int     // files that were put aside at the start
 }
 
 const patience = time.Second // for the copies to be read at the start; a disk that is slower has no part in it
