--- /dev/null
+++ b/internal/broker/golden_test.go
@@ -0,0 +1,135 @@
+package broker
+
+import (
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"slices"
+	"strings"
+	"testing"
+
+	"bendtrestle/balancer"
+	"bendtrestle/internal/policy/quota"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares lines with a file that the build of 15122f5 wrote.
+func golden(t *testing.T, name string, lines []string) {
+	t.Helper()
+	path, got := "testdata/"+name+".golden", strings.Join(lines, "\n")+"\n"
+	if *writeGolden {
+		if err := os.WriteFile(path, []byte(got), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if got != string(want) {
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
+	}
+}
+
+func goldenTerms() []Terms {
+	a, c, d := terms("a", "own", 1), terms("c", "", 0.5), terms("d", "own", 0)
+	a.Listen, a.Borrow, a.Weight = "127.0.0.1:1", 0.5, 2
+	c.Prefix = "lab:"
+	c.Types = []balancer.TrafficClass{{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5}, {Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2}}
+	return []Terms{a, c, d}
+}
+
+// The lines that operators find in the log for each change of contracts.
+func TestGoldenChangeLines(t *testing.T) {
+	b, _, pools := serving(t, ample)
+	var lines []string
+	change := func(what string, pools []Pool, all []Terms, others Others) {
+		lines = append(lines, "# "+what)
+		lines = append(lines, b.Change(pools, all, others)...)
+	}
+	all := goldenTerms()
+	change("three teams", pools, all, ToPlatform)
+	change("nothing", pools, all, ToPlatform)
+	other := slices.Clone(all)
+	other[0].Budget, other[1].Tenant = 2.5, "x"
+	other[2].Types = nil
+	change("each is another", pools, other, ToNobody)
+	pools[1].Capacity = 3.25
+	pools[0].Capacity = 2
+	change("capacities", pools, other, ToNobody)
+	more := append(slices.Clone(pools), Pool{Name: "third", Core: pools[1].Core, Capacity: 1.5, Connections: 3})
+	change("a pool comes, teams go", more, other[1:2], ToPlatform)
+	change("a pool goes", pools[:1], []Terms{terms("z", "", 0.1)}, ToPlatform)
+	golden(t, "change-lines", lines)
+}
+
+// What becomes of each operation of a day in small, and what the operators' page shows of the teams.
+func TestGoldenDecisions(t *testing.T) {
+	b, o, pools := serving(t, Limits{Open: 40, Held: 1000, Connections: 8}, goldenTerms()...)
+	var lines []string
+	ask := func(listener, tenant, key, kind string) {
+		r := b.Route(listener, tenant, key)
+		if r == nil {
+			lines = append(lines, fmt.Sprintf("%q %q %q: nobody's", listener, tenant, key))
+			return
+		}
+		stop, known := r.HardStop(kind)
+		line := fmt.Sprintf("%q %q %q %s: hard stop %v %t", listener, tenant, key, kind, stop, known)
+		if !known {
+			lines = append(lines, line)
+			return
+		}
+		if !r.Room() {
+			lines = append(lines, line+", no room")
+			return
+		}
+		c := goldenTake(r, kind, tenant, key)
+		lines = append(lines, fmt.Sprintf("%s, %d %d %d after %v", line, c.finished, c.declined, c.terminated, c.after))
+	}
+	show := func() {
+		lines = append(lines, fmt.Sprintf("open %d, longest %v, revision %d", b.Open(), b.LongestStop(), b.Revision()))
+		for _, s := range b.States() {
+			lines = append(lines, fmt.Sprintf("%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v", s.Team, s.Pool, s.Budget, s.Part, s.Balance,
+				s.Open, s.Taken, s.Finished, s.Declined, s.Terminated, s.Left, s.Reasons, s.Took))
+		}
+		kinds := b.Kinds()
+		slices.Sort(kinds)
+		lines = append(lines, fmt.Sprint(kinds, b.Has("a"), b.Has("who")))
+		for _, words := range b.Words() {
+			lines = append(lines, hex.EncodeToString(words))
+		}
+	}
+	for i := range 24 {
+		ask("", "a", fmt.Sprint("k", i), "view")
+		ask("127.0.0.1:1", "c", "k", "view")
+		ask("", "", "lab:7", []string{"put", "add", "view"}[i%3])
+		ask("", "d", "k", "view")
+		ask("", "who", "k", "view")
+		if i%6 == 5 {
+			show()
+			o.finish(0.3)
+		}
+	}
+	for _, listener := range []string{"127.0.0.1:1", "127.0.0.1:1", "", "127.0.0.1:9", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"} {
+		lines = append(lines, fmt.Sprintf("connection at %q: %t", listener, b.Door(listener)))
+	}
+	b.Gone("127.0.0.1:1")
+	b.Gone("")
+	lines = append(lines, fmt.Sprintf("one went: %t", b.Door("127.0.0.1:1")))
+	b.Change(pools, []Terms{terms("a", "", 1), {Contract: quota.Contract{Team: "c", Budget: 3, Burst: 3, Flat: 0.1}, Pool: "own", Prefix: "lab:",
+		Types: goldenTerms()[1].Types}}, ToNobody)
+	show()
+	for i := range 24 {
+		ask("", "a", fmt.Sprint("k", i), "view")
+		ask("", "", "lab:7", "put")
+		ask("", "who", "k", "view")
+		if i%6 == 5 {
+			show()
+			o.finish(0.3)
+		}
+	}
+	show()
+	golden(t, "decisions", lines)
+}
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -99,3 +99,10 @@
 }
 
 var ample = Limits{Open: 1000, Held: 1 << 20, Connections: 100}
+
+// goldenTake hands an operation over and gives its client.
+func goldenTake(r requestcore.Route, kind, tenant, key string) *client {
+	c := &client{}
+	r.Take(&requestcore.Request{Class: kind, Tenant: tenant, Key: key, TimeLeft: 3}, c)
+	return c
+}
--- /dev/null
+++ b/internal/policy/gossip/golden_test.go
@@ -0,0 +1,282 @@
+package gossip
+
+import (
+	"crypto/sha256"
+	"encoding/hex"
+	"flag"
+	"fmt"
+	"os"
+	"path/filepath"
+	"strings"
+	"testing"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares lines with a file that the build of 15122f5 wrote, and returns the file's lines.
+func golden(t *testing.T, name string, lines []string) []string {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *writeGolden {
+		if err := os.WriteFile(path, []byte(strings.Join(lines, "\n")+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.Split(strings.TrimSuffix(string(text), "\n"), "\n")
+	for i := range max(len(lines), len(want)) {
+		switch {
+		case i >= len(lines):
+			t.Fatalf("%s: line %d is missing: want %s", name, i+1, want[i])
+		case i >= len(want):
+			t.Fatalf("%s: line %d is more than was written: %s", name, i+1, lines[i])
+		case lines[i] != want[i]:
+			t.Fatalf("%s: line %d:\n got %s\nwant %s", name, i+1, lines[i], want[i])
+		}
+	}
+	return want
+}
+
+// goldenEntries are sums and totals with each flag, and values at and beyond the bounds of the form.
+func goldenEntries() []entry {
+	return []entry{
+		{born: 1000},
+		{rank: 1, life: 7, number: 1, load: 1, joint: 1, born: 999.95},
+		{rank: 2, life: 255, number: 255, load: 4095.9375, joint: 7.9375, born: 995.5},
+		{rank: 15, refused: true, load: 0.03, joint: 0.0156, born: 999.999},
+		{rank: 3, well: true, load: 0.04, joint: 0.0157, born: 987.25},
+		{rank: 4, news: true, load: 5000, joint: 100, born: 900},
+		{rank: 5, refused: true, well: true, news: true, life: 128, number: 200, load: 123.456, joint: 2.5, born: 1003},
+		{rank: 0, load: -4, joint: 0.5, born: 999.4999},
+	}
+}
+
+func goldenEntry(id uint16, e entry) string {
+	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v", id, e.rank, e.refused, e.well, e.news, e.life,
+		e.number, e.born, e.load, e.joint)
+}
+
+// What a sum or a total looks like in a datagram, and what is read from it by a router whose clock is another.
+func TestGoldenEntries(t *testing.T) {
+	var lines []string
+	for i, e := range goldenEntries() {
+		id := uint16(i*8191 + 7)
+		b := write(nil, id, e, 1000)
+		readID, readEntry := read(b, 50)
+		lines = append(lines, hex.EncodeToString(b), goldenEntry(readID, readEntry))
+	}
+	want := golden(t, "entries", lines)
+	for i := 0; i < len(want); i += 2 {
+		b, err := hex.DecodeString(want[i])
+		if err != nil {
+			t.Fatal(err)
+		}
+		id, e := read(b, 50)
+		if got := goldenEntry(id, e); got != want[i+1] {
+			t.Errorf("%s is read as %s, want %s", want[i], got, want[i+1])
+		}
+	}
+}
+
+// goldenRouter is the router 0 of a quiet block of four, which knows that all others speak this.
+func goldenRouter() *Fleet {
+	f := New(1000, Settings{Me: 0, Seed: 9, Life: 77, BytesPerSecond: 7000, Longest: 0.6}, NewView(names(4)))
+	f.Listed([]uint16{7, 157, 307, 457, 607})
+	f.Tick(1000)
+	for from := 1; from < 4; from++ {
+		f.Heard(1000, from, []byte{answer})
+	}
+	return f
+}
+
+// goldenTicks steps a router for some time and gives what it sends, a line each, and what it feeds.
+func goldenTicks(f *Fleet, from, to float64) (lines []string) {
+	for i := 0; from+float64(i)*0.05 < to; i++ {
+		now := from + float64(i)*0.05
+		for _, d := range f.Tick(now) {
+			lines = append(lines, fmt.Sprintf("%.2f to %d: %s", now-1000, d.To, hex.EncodeToString(d.Bytes)))
+		}
+		if b := f.Feed(now); len(b) > 0 {
+			lines = append(lines, fmt.Sprintf("%.2f feeds %s", now-1000, hex.EncodeToString(b)))
+		}
+	}
+	return lines
+}
+
+// Each kind of datagram, byte for byte, as one router makes it: calls, answers, words, totals, a pull and what answers it. What is read
+// shows in what is sent next.
+func TestGoldenDatagrams(t *testing.T) {
+	f := goldenRouter()
+	var lines []string
+	say := func(what string) { lines = append(lines, "# "+what) }
+	say("words of this router")
+	f.Tell(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
+	lines = append(lines, goldenTicks(f, 1000.05, 1003)...)
+	say("words of another")
+	for from := 1; from < 4; from++ {
+		b, err := hex.DecodeString([]string{"6701070020", "67019d00fe", "67013301ff"}[from-1])
+		if err != nil {
+			t.Fatal(err)
+		}
+		if !f.Heard(1003, from, seal(b)) {
+			t.Errorf("%x was not taken", b)
+		}
+	}
+	lines = append(lines, goldenTicks(f, 1003, 1006)...)
+	say("a pull")
+	f.Heard(1006, 2, seal([]byte{tag, wanted, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
+	lines = append(lines, goldenTicks(f, 1006, 1006.1)...)
+	say("a call")
+	f.Heard(1006.1, 3, []byte{call})
+	lines = append(lines, goldenTicks(f, 1006.1, 1006.2)...)
+	say("totals of others")
+	b := []byte{tag, entries}
+	for i, e := range goldenEntries() {
+		e.born += 6.2
+		b = write(b, uint16(i*150+7), e, 1006.2)
+	}
+	f.Heard(1006.2, 1, seal(b))
+	lines = append(lines, goldenTicks(f, 1006.2, 1020)...)
+	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d", f.Counts.Datagrams, f.Counts.Bytes, f.Counts.Heard,
+		f.Counts.Foreign, f.Counts.Bounded, f.Counts.Missed))
+	golden(t, "datagrams", lines)
+}
+
+// goldenStream writes a line of each half second of all that a simulated fleet sends, hears and feeds, as a hash. Any change of one byte, of one
+// receiver or of one draw of chance shows from there on.
+type goldenStream struct {
+	w     *net
+	lines []string
+	sum   []byte
+}
+
+func newGoldenStream(t *testing.T, routers, servers int) *goldenStream {
+	s := &goldenStream{w: build(t, routers, servers)}
+	s.w.spy = func(l letter) {
+		s.add("%d %d %x\n", l.from, l.to, l.b)
+	}
+	s.w.fed = func(n int, b []byte) {
+		s.add("%d feeds %x\n", n, b)
+	}
+	return s
+}
+
+func (s *goldenStream) add(format string, about ...any) {
+	h := sha256.New()
+	h.Write(s.sum)
+	fmt.Fprintf(h, format, about...)
+	s.sum = h.Sum(nil)
+}
+
+func (s *goldenStream) run(what string, seconds float64) {
+	for ; seconds > 0; seconds -= 0.5 {
+		s.w.run(0.5)
+		s.line(what)
+	}
+}
+
+func (s *goldenStream) line(what string) {
+	var all Counts
+	for n, f := range s.w.fleets {
+		all.Datagrams += f.Counts.Datagrams
+		all.Bytes += f.Counts.Bytes
+		all.Heard += f.Counts.Heard
+		all.Foreign += f.Counts.Foreign
+		all.Bounded += f.Counts.Bounded
+		all.Missed += f.Counts.Missed
+		for _, v := range f.order {
+			load, mean, age, ok := f.Held(s.w.at(n), v.id)
+			s.add("%v %v %v %t\n", load, mean, age, ok)
+		}
+	}
+	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.w.now(), all.Datagrams, all.Bytes, all.Heard, all.Foreign, all.Bounded,
+		all.Missed, s.sum[:8]))
+}
+
+// All that a block of a hundred routers sends to the byte, while servers refuse, datagrams are lost and doubled, homes die and come back, a process
+// stands still, one floods, one has an older build, another an older list, and servers come and go.
+func TestGoldenFleetOfOneBlock(t *testing.T) {
+	s := newGoldenStream(t, 100, 40)
+	w := s.w
+	w.slow[9] = 4
+	s.run("starts", 6)
+	w.crashed[5] = true
+	s.run("a server refuses", 4)
+	w.crashed[5] = false
+	w.say(3, 6, refused)
+	w.loss, w.twice = 0.1, 0.05
+	s.run("a tenth is lost", 6)
+	w.loss, w.twice = 0, 0
+	first, second := int(w.homes(0, 3)[0]), int(w.homes(0, 3)[1])
+	w.down[first], w.down[second] = true, true
+	s.run("two homes are gone", 24)
+	w.start(first)
+	w.start(second)
+	w.stopped[20] = true
+	w.old[21] = true
+	s.run("they are back, one stands still", 8)
+	w.resume(20)
+	delete(w.old, 21)
+	w.start(21)
+	w.rate = 40
+	s.run("all tell more than counts", 4)
+	w.rate = 5
+	home := int(w.homes(0, 4)[0])
+	liar := (home + 1) % 100
+	forged := w.fleets[liar].order[4].held
+	forged.number, forged.load, forged.news = forged.number+100, 4000, true
+	id := uint16(4*150 + 7)
+	for i := range 300 {
+		w.fleets[home].Heard(w.at(home), liar, seal([]byte{tag, words, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
+		w.fleets[home].Heard(w.at(home), liar, seal(write([]byte{tag, rows}, id, entry{load: 4000, joint: 1, born: w.at(home)}, w.at(home))))
+		w.fleets[home].Heard(w.at(home), liar, seal(write([]byte{tag, entries}, id, forged, w.at(home))))
+		w.fleets[home].Heard(w.at(home), liar, []byte{tag, entries, byte(i), 9, 1})
+	}
+	s.run("one floods", 6)
+	var ids []uint16
+	for i := range 40 {
+		if i != 8 {
+			ids = append(ids, uint16(i*150+7))
+		}
+	}
+	for n, f := range w.fleets {
+		f.Listed(append(ids, 9999))
+		if n%3 == 0 {
+			f.See(NewView(names(100)))
+		}
+	}
+	s.run("another list of servers, another view", 10)
+	golden(t, "fleet-one-block", s.lines)
+}
+
+// The same with two blocks, of which one is cut off for a while, with a router at the edge that takes itself to be of the other block.
+func TestGoldenFleetOfTwoBlocks(t *testing.T) {
+	s := newGoldenStream(t, 520, 12)
+	w := s.w
+	s.run("starts", 8)
+	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
+	for n, name := range names(520) {
+		if n != 20 && n != 30 && n != 40 {
+			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
+		}
+	}
+	from, to := w.view.span(1)
+	w.views[from] = v
+	w.startWith(from, NewView(all))
+	w.fleets[from].set.Me = v.from[from]
+	w.fleets[from].See(NewView(all))
+	w.crashed[2] = true
+	s.run("one has an old list, a server refuses", 5)
+	part := func(n int) bool { return n >= from && n < to }
+	w.cut = func(a, b int) bool { return part(a) != part(b) }
+	w.crashed[2] = false
+	s.run("cut", 12)
+	w.cut = func(int, int) bool { return false }
+	w.down[int(w.homes(0, 1)[0])] = true
+	w.down[int(w.homes(from, 4)[0])] = true
+	s.run("healed, homes are gone", 14)
+	golden(t, "fleet-two-blocks", s.lines)
+}
