--- /dev/null
+++ b/balancer/attempts.go
@@ -0,0 +1,172 @@
+package balancer
+
+import "slices"
+
+// retryAfterJitterStart: the time after which a rejected client is to come back is drawn from this part of the
+// latency objective on.
+const retryAfterJitterStart = 0.5
+
+// request is a client's request, from its arrival until its final answer is out and no attempt is in flight.
+type request struct {
+	id            uint64
+	class         *classState
+	keyHash       uint32
+	replicas      float64      // how many of the nearest servers share its key
+	valueFraction float64      // part of its priority weight that an answer may still bring
+	chargedTenant *tenantState // whose token it took; nil for none
+	retryBudget   *float64     // what its retries come from
+	streaming     bool         // the stream of its answer has begun
+	answered      bool         // its final answer is out, or its client has gone
+	objectiveAt   float64      // seconds, when an answer ceases to be in time
+	deadline      float64      // seconds, when its client gives up
+	attempts      []*attempt
+}
+
+// slot is the slot of the request's key on the ring.
+func (r *request) slot() uint32 { return r.keyHash % ringSlots }
+
+// anyAttempt tells whether an attempt is like that.
+func (r *request) anyAttempt(like func(*attempt) bool) bool {
+	return slices.ContainsFunc(r.attempts, like)
+}
+
+// attemptedOn tells whether a server was already sent the request.
+func (r *request) attemptedOn(server *serverState) bool {
+	for _, earlier := range r.attempts {
+		if earlier.server == server {
+			return true
+		}
+	}
+	return false
+}
+
+// attempt is one sending of a request to a server.
+type attempt struct {
+	request     *request
+	server      *serverState
+	number      int     // among the request's attempts, from 0
+	sentAt      float64 // seconds
+	inFlight    bool
+	notExecuted bool // proved never to have been executed
+	serverError bool // its server answered with an error
+}
+
+func (a *attempt) isInFlight() bool { return a.inFlight }
+
+// startAttempt sends a request to a server. Whoever calls it has asked mayAttempt.
+func (b *Balancer) startAttempt(req *request, server *serverState) {
+	if !b.mayAttempt(req, server) {
+		panic("an attempt that the rules forbid")
+	}
+	started := &attempt{request: req, server: server, number: len(req.attempts), sentAt: b.now, inFlight: true}
+	req.attempts = append(req.attempts, started)
+	server.inFlight = append(server.inFlight, started)
+	b.inFlight++
+	server.slowStart.budget--
+	b.shedding.rejectedInARow = 0
+	b.shedding.lastAttemptedAt = b.now
+	timeout := b.attemptTimeout(req, server)
+	b.host.StartAttempt(req.id, server.ID, timeout, b.writeTimeout(req, started, timeout))
+}
+
+// attemptTimeout is how long an attempt may take, in seconds: until the client's deadline. On a server that
+// just failed it ends while a retry still fits into the latency objective. Elsewhere a timeout may stop no
+// work, and a retry fares no better.
+func (b *Balancer) attemptTimeout(req *request, server *serverState) float64 {
+	untilDeadline := req.deadline - b.now
+	untilRetry := req.objectiveAt - req.class.meanLatency - b.now
+	retryFits := *req.retryBudget >= 1 && untilRetry > req.class.meanLatency && req.class.Idempotency == Idempotent
+	if server.health.consecutiveFailures > 0 && retryFits {
+		return min(untilDeadline, untilRetry)
+	}
+	return untilDeadline
+}
+
+// writeTimeout is within how many seconds an attempt is to be written to its server, or not at all. A repeat of
+// a request with an idempotency key must not wait for a connection beyond the deduplication window of the first
+// attempt that may have been executed: it would take effect twice.
+func (b *Balancer) writeTimeout(req *request, started *attempt, timeout float64) float64 {
+	if req.class.Idempotency != IdempotencyKeyed {
+		return timeout
+	}
+	for _, earlier := range req.attempts {
+		if earlier != started && !earlier.notExecuted {
+			return min(timeout, earlier.sentAt+req.class.DeduplicationWindow-b.now)
+		}
+	}
+	return timeout
+}
+
+// OnStreamStart takes the start of an answer's stream from the number-th attempt: the deadline does not end it
+// from here on, and there is no other attempt.
+func (b *Balancer) OnStreamStart(now float64, id uint64, number int) {
+	b.now = now
+	req := b.requests[id]
+	if req == nil || number < 0 || number >= len(req.attempts) {
+		return
+	}
+	req.streaming = true
+	b.cancelAttempts(req, func(a *attempt) bool { return a.number != number })
+}
+
+// OnAttemptEnd takes the end of the number-th attempt of a request, after latency seconds. final says that the
+// client has its answer by it.
+func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, how Outcome, latency float64, final bool) {
+	b.now = now
+	req := b.requests[id]
+	if req == nil || number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight {
+		return
+	}
+	ended := req.attempts[number]
+	ended.inFlight = false
+	ended.notExecuted = how.provesNotExecuted()
+	b.inFlight--
+	ended.server.inFlight = slices.DeleteFunc(ended.server.inFlight, func(a *attempt) bool { return a == ended })
+	b.recordOutcome(ended, how, latency)
+	if final || req.answered {
+		b.finish(req)
+		return
+	}
+	b.retry(req, ended, how)
+}
+
+// provesNotExecuted tells that the server surely did not execute the attempt.
+func (o Outcome) provesNotExecuted() bool {
+	switch o {
+	case Overloaded, ConnectFailed, NotAttempted, CacheMiss:
+		return true
+	}
+	return false
+}
+
+// OnClientGone takes the client's departure: the request needs no answer any more.
+func (b *Balancer) OnClientGone(now float64, id uint64) {
+	b.now = now
+	req := b.requests[id]
+	if req != nil {
+		b.finish(req)
+	}
+}
+
+// finish cancels what is in flight of a request that needs no other answer, and forgets it once nothing is.
+func (b *Balancer) finish(req *request) {
+	if !req.answered {
+		req.answered = true
+		b.cancelAttempts(req, (*attempt).isInFlight)
+	}
+	if !req.anyAttempt((*attempt).isInFlight) {
+		delete(b.requests, req.id)
+	}
+}
+
+// cancelAttempts cancels those of a request's attempts in flight that are chosen, where the settings allow it.
+func (b *Balancer) cancelAttempts(req *request, chosen func(*attempt) bool) {
+	if !b.settings.CancellationAllowed {
+		return
+	}
+	for _, a := range req.attempts {
+		if a.inFlight && chosen(a) {
+			b.host.CancelAttempt(req.id, a.number)
+		}
+	}
+}
--- /dev/null
+++ b/balancer/balancer.go
@@ -0,0 +1,116 @@
+package balancer
+
+import (
+	"hash/crc32"
+
+	"bendtrestle/internal/seedhash"
+)
+
+// two32 is one more than the largest hash, as a float64.
+const two32 = 1 << 32
+
+// Balancer decides for one pool of servers at one router. It is not safe for concurrent use.
+type Balancer struct {
+	host      Host
+	settings  Settings
+	now       float64             // seconds, of the current call
+	random    seedhash.Sequence   // the one source of chance
+	requests  map[uint64]*request // those without a final answer, or with an attempt in flight
+	inFlight  int                 // attempts, of all requests
+	fleetSize float64             // routers, by the settings or as many as are heard
+
+	classes      trafficClasses
+	tenants      tenantQuotas
+	retryBudgets retryBudgets
+	servers      serverSet
+	ring         ring
+	zones        zoneShares
+	hotKeys      hotKeys
+	errorsByKey  [ringSlots]float64 // errors in a row, at several servers, of requests for a slot's keys
+	recent       recentOutcomes
+	completions  completions
+	totalLoad    decayingLoad // reported, of all caches together
+	gossip       gossipQueue
+	shedding     sheddingState
+	polling      endpointPolling
+}
+
+// longAgo is how many seconds ago the counting of completions is taken to have begun where their rate is known
+// at the start.
+const longAgo = 1e3
+
+// New starts a balancer at a time, in seconds. It may call the host before it returns.
+func New(now float64, settings Settings, host Host) *Balancer {
+	settings.RouterCount = max(1, settings.RouterCount)
+	b := &Balancer{
+		host:         host,
+		settings:     settings,
+		now:          now,
+		random:       seedhash.NewSequence(settings.Seed),
+		requests:     map[uint64]*request{},
+		fleetSize:    float64(settings.RouterCount),
+		tenants:      newTenantQuotas(now, settings.Tenants, settings.RouterCount),
+		retryBudgets: retryBudgets{byTenant: map[string]*float64{}},
+		servers:      serverSet{byID: map[uint64]*serverState{}},
+		zones:        zoneShares{withheld: map[string]float64{}},
+		recent:       recentOutcomes{acceptanceRate: initialAcceptanceRate},
+		completions: completions{
+			rate:      settings.InitialCompletionRate,
+			rateAt:    now,
+			startedAt: now - longAgo*min(settings.InitialCompletionRate, 1),
+		},
+		gossip: gossipQueue{tokens: 1},
+	}
+	b.SetTrafficClasses(settings.TrafficClasses)
+	if settings.PollEndpoints {
+		b.pollEndpoints()
+	}
+	return b
+}
+
+// OnRequest takes a request from a client, which gives up after timeLeft seconds. It is attempted at once or
+// rejected at once. An empty key belongs to no server: the request is spread over all by its id.
+func (b *Balancer) OnRequest(now float64, id uint64, class, tenant, key string, timeLeft float64) {
+	b.now = now
+	req := b.newRequest(id, class, key, timeLeft)
+	b.chargeTenant(req, tenant)
+	b.recognizeTry(req, timeLeft)
+	req.retryBudget = b.retryBudget(tenant)
+	b.requests[id] = req
+
+	server := b.pick(req)
+	decision := b.admitRequest(req, server)
+	if !decision.admitted {
+		b.reject(req, decision.reason)
+		return
+	}
+	b.startAttempt(req, server)
+}
+
+// newRequest counts the use of a key and gives the record of a request for it.
+func (b *Balancer) newRequest(id uint64, className, key string, timeLeft float64) *request {
+	class := b.classOf(className, timeLeft)
+	keyHash := seedhash.Avalanche(crc32.ChecksumIEEE([]byte(key)))
+	if key == "" {
+		keyHash = seedhash.Mix(b.settings.Seed, id)
+	}
+	return &request{
+		id:            id,
+		class:         class,
+		keyHash:       keyHash,
+		replicas:      b.replicasFor(keyHash%ringSlots, class),
+		valueFraction: 1,
+		objectiveAt:   b.now + class.LatencyObjective,
+		// An answer takes effect with the next event: it leaves one event interval before the client gives up.
+		deadline: b.now + timeLeft - b.settings.EventInterval,
+	}
+}
+
+// SetFleetSize takes how many routers are heard. The settings' number holds where fewer are: some cannot be heard.
+func (b *Balancer) SetFleetSize(now float64, routers int) {
+	b.now = now
+	b.fleetSize = float64(max(b.settings.RouterCount, routers))
+}
+
+// OnProbeResult takes the end of a health check. No decision depends on it.
+func (b *Balancer) OnProbeResult(now float64, _ uint64, _ Outcome) { b.now = now }
--- /dev/null
+++ b/balancer/doc.go
@@ -0,0 +1,63 @@
+// Package balancer decides which server gets a request, whether a request is rejected, and whether it is
+// attempted again.
+//
+// It is a state machine without I/O: events come in as method calls, actions go out through the Host, before
+// the method returns. It starts no goroutine, reads no clock, and draws chance from a seeded sequence, so equal
+// calls lead to equal actions: a recorded day can be replayed, and the simulator and the real router run the
+// same text. One goroutine makes all calls of a Balancer, the event loop of its pool. Every method takes the
+// current time; times and durations are seconds, as float64, everywhere in this package.
+//
+//	b := balancer.New(now, settings, host)        // host is told what to do
+//	b.OnEndpoints(now, balancer.UpdateFull, list) // the servers
+//	b.OnRequest(now, 1, "view", "tenant", "key", 2.0)
+//	// ... host.StartAttempt(1, server, timeout, writeTimeout) was called, or host.Reject(1, retryAfter, reason)
+//	b.OnAttemptEnd(now, 1, 0, balancer.Succeeded, 0.012, true)
+//
+// # Events and actions
+//
+// A request comes with OnRequest. It ends with Host.Reject, with Host.Fail, with OnAttemptEnd that is final, or
+// with OnClientGone. In between, each Host.StartAttempt is answered by one OnAttemptEnd, also where
+// Host.CancelAttempt was called. OnStreamStart says that the client has begun to get an answer: no other
+// attempt follows.
+//
+// The servers come with OnEndpoints; SetDisabled (an operator), SetZoneShare (a zone is failing or recovering)
+// and SetFleetSize (routers that are heard) change what may be sent to them. SetTrafficClasses replaces the
+// classes of requests. OnGossip brings what a peer's Host.Gossip sent. OnTimer ends a Host.SetTimer.
+//
+// The course of a request is OnRequest in balancer.go, that of its attempts OnAttemptEnd in attempts.go.
+//
+// # Which file answers which question
+//
+//	question at night                         file and function
+//	--------                                  -----------------
+//	why was this request rejected?            admission.go: admitRequest
+//	  after an attempt                        retries.go: admitRetry
+//	  by load (ReasonOverloaded)              admission.go: shedsForLatency, shedsForFailures
+//	  no server (ReasonNoEndpoint)            placement.go: pick, and what it asks in rules.go: mayAttempt
+//	  no time, no budget (ReasonNoTime)       retries.go: admitRetry
+//	why was it answered as failed?            rules.go: mayReject; admission.go: reject
+//	why was it attempted under overload?      admission.go: mustAttemptAgain
+//	why did it go to this server?             placement.go: pick, nearestServer; ring.go: nearestNodes
+//	  and not to the nearest one?             placement.go: answersForKey; loadreport.go: overloaded
+//	  one of several for a hot key?           hotkeys.go: replicasFor; placement.go: pickReplica
+//	  the origin?                             retries.go: pickForRetry; origin.go: pickOrigin
+//	why was it not retried?                   rules.go: mayContinue; retries.go: admitRetry
+//	where is a retry bounded?                 retries.go: retryIsFree, admitRetry; retrybudget.go
+//	                                          rules.go: mayContinue
+//	why did the attempt time out so early?    attempts.go: attemptTimeout, writeTimeout
+//	why is this server ejected?               outlier.go: ejected, failServer, ejectByReport
+//	why is it not ejected for its errors?     outlier.go: errorFollowsRequest
+//	why does the warming server get nothing?  slowstart.go: hasSlowStartBudget; placement.go: answersForKey
+//	why does a slow server get fewer keys?    outcomes.go: observeLatency; loadreport.go: rebalanceKeyShares
+//	what happens when a zone is evacuated?    zoneshare.go: SetZoneShare, serves
+//	what does a disabled server still get?    endpoints.go: SetDisabled; rules.go: mayAttempt
+//	what does a tenant beyond its quota get?  tenants.go: chargeTenant; admission.go: shedsForLatency
+//	what do peers hear, and what of it counts?loadreport.go: reportAttempt, OnGossip, fewSamples
+//	why is the list polled again?             endpointpolling.go: retryPolling, OnTimer
+//
+// # The mechanism
+//
+// A key and a server's virtual nodes are each a slot in a table of circular hypervectors (hypervector.go), and
+// a key goes to the virtual node with the least Hamming distance (ring.go), the same one at every router. It is
+// Hyperdimensional Hashing, with the departures that docs/design.md tells and gives reasons for.
+package balancer
--- /dev/null
+++ b/balancer/endpointpolling.go
@@ -0,0 +1,65 @@
+package balancer
+
+// The names of the timers. The host gives them back to OnTimer.
+const (
+	pollTimer      = "watch"   // checks whether a poll was answered
+	retryPollTimer = "rewatch" // polls again after a failed poll
+)
+
+const (
+	// minPollCheckInterval is the least time after which an unanswered poll is repeated, in seconds.
+	minPollCheckInterval = 1
+	// minRetryDelayLimit is the least upper bound of the delay after failed polls, in seconds.
+	minRetryDelayLimit = 1
+	// retryDelayJitterStart: the delay is drawn from this part of it on, up to one and this part.
+	retryDelayJitterStart = 0.5
+)
+
+// endpointPolling is the state of asking for the endpoint list, where it only comes when asked for.
+type endpointPolling struct {
+	askedAt    float64 // seconds, when the list was last asked for; 0: answered, or failed
+	retryDelay float64 // seconds, the backoff after the last failure; 0: the last poll did not fail
+}
+
+// pollEndpoints asks for the list, and sets a timer that asks again if nothing comes at all.
+func (b *Balancer) pollEndpoints() {
+	b.polling.askedAt = b.now
+	b.host.WatchEndpoints(true)
+	b.host.SetTimer(b.pollCheckInterval(), pollTimer)
+}
+
+// pollCheckInterval is after how many seconds a poll that was not answered is repeated.
+func (b *Balancer) pollCheckInterval() float64 {
+	return max(minPollCheckInterval, b.settings.PollInterval/2)
+}
+
+// retryPolling sets the timer for the next poll after a failed one. The backoff doubles up to half of the poll
+// interval, so that failed polls do not keep the list service overloaded.
+func (b *Balancer) retryPolling() {
+	first := b.settings.PollInterval / 16
+	longest := max(b.settings.PollInterval/2, minRetryDelayLimit)
+	b.polling.retryDelay = min(max(2*b.polling.retryDelay, first, b.settings.EventInterval), longest)
+	b.polling.askedAt = 0
+	jitter := retryDelayJitterStart + b.random.Float64()
+	b.host.SetTimer(b.polling.retryDelay*jitter, retryPollTimer)
+}
+
+// OnTimer takes the end of a timer that was set by Host.SetTimer. Unknown names are ignored.
+func (b *Balancer) OnTimer(now float64, name string) {
+	b.now = now
+	switch name {
+	case retryPollTimer:
+		b.pollEndpoints()
+	case pollTimer:
+		if b.pollOverdue() {
+			b.pollEndpoints()
+		}
+	}
+}
+
+func (b *Balancer) pollOverdue() bool {
+	if b.polling.askedAt <= 0 {
+		return false
+	}
+	return b.now-b.polling.askedAt >= b.pollCheckInterval()-b.settings.EventInterval
+}
--- /dev/null
+++ b/balancer/endpoints.go
@@ -0,0 +1,179 @@
+package balancer
+
+import (
+	"cmp"
+	"slices"
+)
+
+// serverState is all that is known of one cache server, or of one server of the origin. It lives as long as a
+// list names the server, or an operator has disabled it.
+type serverState struct {
+	Endpoint
+	size         float64    // the largest weight it had since it started
+	virtualNodes int        // on the ring
+	keyShare     float64    // part of its virtual nodes that it answers for, from 0 to 1
+	disabled     bool       // by an operator
+	inFlight     []*attempt // of this router, the earliest first
+	latency      observedLatency
+	reported     reportedLoad
+	health       health
+	slowStart    slowStart
+	originLimit  originLimit
+}
+
+// serverSet holds the servers that the list names.
+type serverSet struct {
+	byID     map[uint64]*serverState // draining and disabled ones, too
+	ready    []*serverState          // the caches that may be sent requests, by id
+	origins  []*serverState          // the origin's servers that may be sent requests, by id
+	meanSize float64                 // of the ready caches
+	allCold  bool                    // no ready cache was warm when the ring was last rebuilt
+}
+
+// newServer is a server of which nothing is known.
+func newServer() *serverState {
+	return &serverState{
+		keyShare: 1,
+		latency:  observedLatency{slowness: 1},
+		reported: reportedLoad{slowness: 1},
+	}
+}
+
+// OnEndpoints takes an update of the endpoint list.
+func (b *Balancer) OnEndpoints(now float64, update EndpointUpdate, entries []Endpoint) {
+	b.now = now
+	if update == UpdateFailed {
+		b.retryPolling()
+		return
+	}
+	if update != UpdateSaved {
+		b.polling = endpointPolling{}
+	}
+	named := map[*serverState]bool{}
+	changed := false
+	for _, entry := range entries {
+		server := b.servers.byID[entry.ID]
+		if server == nil {
+			server = &serverState{originLimit: originLimit{attempts: initialOriginLimit}}
+			b.servers.byID[entry.ID] = server
+		}
+		if b.updateServer(server, entry) {
+			changed = true
+		}
+		named[server] = true
+	}
+	if b.removeServers(update, named) {
+		changed = true
+	}
+	if changed {
+		b.rebuildRing()
+	}
+	if b.settings.WeightMode == WeightsLive {
+		b.rebalanceKeyShares(min(now-b.totalLoad.loadAt, 1))
+	}
+}
+
+// updateServer takes what the list says of a server, and tells whether the ring has to be rebuilt for it.
+func (b *Balancer) updateServer(server *serverState, entry Endpoint) (changed bool) {
+	changed = server.State != entry.State || server.StartedAt != entry.StartedAt
+	restarted := entry.StartedAt > server.StartedAt || server.State != Ready
+	if entry.State == Ready && restarted {
+		b.resetServer(server, entry.StartedAt)
+	}
+	size := entry.Capacity
+	if b.settings.WeightMode == WeightsLive {
+		size = max(size, server.size) // its weight when it held nothing: the weights of its work move no virtual nodes
+	}
+	if size != server.size {
+		changed = true
+	}
+	server.Endpoint = entry
+	server.size = size
+	if b.settings.WeightMode == WeightsLive && entry.Capacity > 0 {
+		server.reported.load = size/entry.Capacity - 1
+		server.reported.loadAt = b.now
+	}
+	return changed
+}
+
+// resetServer forgets what was known of a server that started, or is back. startedAt is by the list, in seconds.
+func (b *Balancer) resetServer(server *serverState, startedAt float64) {
+	fresh := newServer()
+	fresh.inFlight = server.inFlight
+	fresh.disabled = server.disabled
+	fresh.originLimit.attempts = server.originLimit.attempts
+	fresh.slowStart = slowStart{
+		startedAt:  b.latestStart(startedAt),
+		refilledAt: b.now,
+		budget:     b.random.Float64(),
+	}
+	*server = *fresh
+}
+
+// removeServers removes the servers that the list removes or, if it is a full one, does not name, and tells
+// whether the ring has to be rebuilt for it. Attempts in flight there still know their server; disabled servers
+// are remembered.
+func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (changed bool) {
+	for id, server := range b.servers.byID {
+		if server.State != Removed && (update == UpdateDelta || named[server]) {
+			continue
+		}
+		server.State = Removed
+		if server.disabled {
+			continue
+		}
+		changed = true
+		delete(b.servers.byID, id)
+	}
+	return changed
+}
+
+// SetDisabled takes that an operator disables a server, whatever lists say, or enables it again. It may have
+// restarted meanwhile, before a list tells of that, and so counts as cold then.
+func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
+	b.now = now
+	server := b.servers.byID[id]
+	if server == nil {
+		server = newServer()
+		b.servers.byID[id] = server
+	}
+	if server.disabled && !disabled {
+		b.restartSlowStart(server)
+		server.health.consecutiveFailures = 0
+		server.health.refusesConnections = false
+	}
+	server.disabled = disabled
+	b.rebuildRing()
+}
+
+// rebuildRing sorts out the servers that may be sent requests, and places their virtual nodes.
+func (b *Balancer) rebuildRing() {
+	set := &b.servers
+	set.ready = nil
+	set.origins = nil
+	set.allCold = true
+	largestSize := 0.0
+	for _, server := range set.byID {
+		if server.State != Ready || server.disabled {
+			continue
+		}
+		if b.isOrigin(server) {
+			set.origins = append(set.origins, server)
+			continue
+		}
+		set.ready = append(set.ready, server)
+		largestSize = max(largestSize, server.size)
+		if b.warmFraction(server) >= 1 {
+			set.allCold = false
+		}
+	}
+	byID := func(a, b *serverState) int { return cmp.Compare(a.ID, b.ID) }
+	slices.SortFunc(set.ready, byID)
+	slices.SortFunc(set.origins, byID)
+	set.meanSize = 0
+	for _, server := range set.ready {
+		set.meanSize += server.size / float64(len(set.ready))
+		server.virtualNodes = virtualNodesOf(server.size, largestSize, b.settings.WeightMode)
+	}
+	b.ring.rebuild(set.ready)
+}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -14,7 +14,7 @@
 
 // gossipRecorder is a host that keeps the messages to peers.
 type gossipRecorder struct {
-	notes
+	recordingHost
 	messages []string
 }
 
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,34 +7,40 @@
 	"math"
 	"slices"
 	"testing"
+
+	"bendtrestle/internal/seedhash"
 )
 
 // notes is a host that writes down what the module does.
-type notes struct{ did []string }
+type recordingHost struct{ actions []string }
 
-func (n *notes) StartAttempt(op, s uint64, limit, _ float64) { n.add("execute %d on %d", op, s) }
-func (n *notes) CancelAttempt(op uint64, at int)             { n.add("withdraw %d/%d", op, at) }
-func (n *notes) Reject(op uint64, after float64, _ RejectReason) {
-	n.add("decline %d after %t", op, after > 0)
+func (n *recordingHost) StartAttempt(op, s uint64, limit, _ float64) {
+	n.record("execute %d on %d", op, s)
+}
+func (n *recordingHost) CancelAttempt(op uint64, at int) { n.record("withdraw %d/%d", op, at) }
+func (n *recordingHost) Reject(op uint64, after float64, _ RejectReason) {
+	n.record("decline %d after %t", op, after > 0)
+}
+func (n *recordingHost) Fail(op uint64)                      { n.record("terminate %d", op) }
+func (n *recordingHost) Gossip(words []byte)                 { n.record("tell %x", words) }
+func (n *recordingHost) Probe(s uint64)                      { n.record("probe %d", s) }
+func (n *recordingHost) SetTimer(delay float64, name string) {}
+func (n *recordingHost) WatchEndpoints(on bool)              { n.record("watch %t", on) }
+
+func (n *recordingHost) record(format string, args ...any) {
+	n.actions = append(n.actions, fmt.Sprintf(format, args...))
 }
-func (n *notes) Fail(op uint64)                      { n.add("terminate %d", op) }
-func (n *notes) Gossip(words []byte)                 { n.add("tell %x", words) }
-func (n *notes) Probe(s uint64)                      { n.add("probe %d", s) }
-func (n *notes) SetTimer(delay float64, name string) {}
-func (n *notes) WatchEndpoints(on bool)              { n.add("watch %t", on) }
-
-func (n *notes) add(format string, args ...any) { n.did = append(n.did, fmt.Sprintf(format, args...)) }
 
 // last is the latest action, or nothing.
-func (n *notes) last() string {
-	if len(n.did) == 0 {
+func (n *recordingHost) lastAction() string {
+	if len(n.actions) == 0 {
 		return ""
 	}
-	return n.did[len(n.did)-1]
+	return n.actions[len(n.actions)-1]
 }
 
 // fleet starts a router with caches 1 to n, long started.
-func fleet(n int, change func(*Settings)) (*Balancer, *notes) {
+func newTestBalancer(n int, change func(*Settings)) (*Balancer, *recordingHost) {
 	set := Settings{RouterCount: 2, EventInterval: 0.001, MaxAttempts: 3, HedgingAllowed: true, CancellationAllowed: true,
 		MaxRetryAfter: 1, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.25, WarmupDuration: 20,
 		OverQuotaWeight: 0.05, TrafficClasses: []TrafficClass{
@@ -44,32 +50,32 @@
 	if change != nil {
 		change(&set)
 	}
-	n0 := &notes{}
-	r := New(0, set, n0)
+	host := &recordingHost{}
+	b := New(0, set, host)
 	var members []Endpoint
 	for i := range n {
 		members = append(members, Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"})
 	}
-	r.OnEndpoints(0, UpdateFull, members)
-	n0.did = nil
-	return r, n0
+	b.OnEndpoints(0, UpdateFull, members)
+	host.actions = nil
+	return b, host
 }
 
 // many starts one of 80 routers, which sees little of each cache; caches fetch.
-func many(n int) (*Balancer, *notes) {
-	return fleet(n, func(s *Settings) { s.GossipAllowed, s.RouterCount, s.GossipPrice = true, 80, 0.01 })
+func newGossipingBalancer(n int) (*Balancer, *recordingHost) {
+	return newTestBalancer(n, func(s *Settings) { s.GossipAllowed, s.RouterCount, s.GossipPrice = true, 80, 0.01 })
 }
 
 // weighed starts one of 600 routers, of caches with these live weights.
-func weighed(seed uint32, weights ...float64) (*Balancer, *notes) {
-	r, did := fleet(0, func(s *Settings) {
+func newLiveWeightBalancer(seed uint32, weights ...float64) (*Balancer, *recordingHost) {
+	b, host := newTestBalancer(0, func(s *Settings) {
 		s.Seed, s.RouterCount, s.WeightMode, s.WarmupStartCapacity = seed, 600, WeightsLive, 0.17
 	})
-	r.OnEndpoints(0, UpdateFull, members(weights...))
-	return r, did
+	b.OnEndpoints(0, UpdateFull, endpointsOfWeights(weights...))
+	return b, host
 }
 
-func members(weights ...float64) (all []Endpoint) {
+func endpointsOfWeights(weights ...float64) (all []Endpoint) {
 	for i, w := range weights {
 		all = append(all, Endpoint{ID: uint64(i + 1), State: Ready, Capacity: w})
 	}
@@ -77,10 +83,10 @@
 }
 
 // leaves is the part of a thousand keys that pass a cache over.
-func (r *Balancer) leaves(s *server) float64 {
+func (b *Balancer) passedOverPart(server *serverState) float64 {
 	n := 0
 	for key := range uint32(1000) {
-		if r.passed(&operation{row: r.rows["view"], hash: stir(key)}, s) {
+		if b.overloaded(&request{class: b.classes.byName["view"], keyHash: seedhash.Avalanche(key)}, server) {
 			n++
 		}
 	}
@@ -88,28 +94,28 @@
 }
 
 // begun is an operation with one execution on s, or another server, settled as harmless or not, or still out.
-func begun(r *Balancer, kind string, s *server, out, harmless bool) *operation {
-	if s == nil {
-		s = &server{}
+func requestWithAttempt(b *Balancer, kind string, server *serverState, out, harmless bool) *request {
+	if server == nil {
+		server = &serverState{}
 	}
-	op := &operation{id: 7, row: r.rows[kind], worth: 1, due: r.now + 0.4, hardStop: r.now + 2}
-	op.purse = &r.spare
-	op.executions = []*execution{{of: op, on: s, sent: r.now, out: out, harmless: harmless}}
-	r.ops[7] = op
-	return op
+	req := &request{id: 7, class: b.classes.byName[kind], valueFraction: 1, objectiveAt: b.now + 0.4, deadline: b.now + 2}
+	req.retryBudget = &b.retryBudgets.shared
+	req.attempts = []*attempt{{request: req, server: server, sentAt: b.now, inFlight: out, notExecuted: harmless}}
+	b.requests[7] = req
+	return req
 }
 
 // slice is how many of 2000 keys a cache answers for.
-func (r *Balancer) slice(s *server) (n int) {
+func (b *Balancer) keysAnsweredBy(server *serverState) (n int) {
 	for key := range uint32(2000) {
-		if r.nearest(stir(key), func(*server) bool { return true }) == s {
+		if b.nearestServer(seedhash.Avalanche(key), func(*serverState) bool { return true }) == server {
 			n++
 		}
 	}
 	return n
 }
 
-func expect(t *testing.T, what string, got, want any) {
+func expectEqual(t *testing.T, what string, got, want any) {
 	t.Helper()
 	if got != want {
 		t.Errorf("%s: got %v, want %v", what, got, want)
@@ -117,212 +123,216 @@
 }
 
 // reasons is a host that keeps why operations were declined.
-type reasons struct {
-	notes
-	told []RejectReason
+type reasonRecorder struct {
+	recordingHost
+	reasons []RejectReason
 }
 
-func (r *reasons) Reject(_ uint64, _ float64, why RejectReason) { r.told = append(r.told, why) }
+func (r *reasonRecorder) Reject(_ uint64, _ float64, why RejectReason) {
+	r.reasons = append(r.reasons, why)
+}
 
 // tier is a made-up day in which many routers meet one cold server: all of them are modules, time and chance are reckoned.
-type tier struct {
-	routers, stated       int // how many there are, and how many the settings say
-	caches                int
-	each                  float64 // requests of mean work that a warm one does a second
-	load                  float64 // part of what all can do that comes in calm
-	burst                 float64 // times as much for four seconds from the start on
-	pull                  float64 // part of the traffic then that is for keys of the cold server's slice
-	late                  float64 // seconds from the start until that
-	skew                  float64 // how many times the mean the busiest tenth of the routers carry
-	spread                float64 // seconds over which routers are told of the start
-	anew                  float64 // part of the routers that start anew when the server does
-	again                 float64 // seconds after which it starts cold once more; 0: it does not
-	was                   bool    // it served before; else it is new
-	easy                  bool    // the cold server answers at once whatever it gets: nothing warns the routers
-	lost                  int     // caches that go when it starts
-	news                  int     // servers that start cold then, the first of which are looked at
-	peers                 bool
-	weights               WeightMode
-	seed                  uint32
-	fall, tip, from, warm float64 // the settings of rule 4
-}
-
-const tierCalm, tierEnd = 20.0, 12.0 // seconds before the start, and after it
+type slowStartScenario struct {
+	routers, statedRouters                                        int // how many there are, and how many the settings say
+	servers                                                       int
+	warmRate                                                      float64 // requests of mean work that a warm one does a second
+	load                                                          float64 // part of what all can do that comes in calm
+	burst                                                         float64 // times as much for four seconds from the start on
+	pulledPart                                                    float64 // part of the traffic then that is for keys of the cold server's slice
+	burstDelay                                                    float64 // seconds from the start until that
+	skew                                                          float64 // how many times the mean the busiest tenth of the routers carry
+	noticeSpread                                                  float64 // seconds over which routers are told of the start
+	restartedPart                                                 float64 // part of the routers that start anew when the server does
+	secondStartAfter                                              float64 // seconds after which it starts cold once more; 0: it does not
+	servedBefore                                                  bool    // it served before; else it is new
+	answersAtOnce                                                 bool    // the cold server answers at once whatever it gets: nothing warns the routers
+	lostServers                                                   int     // caches that go when it starts
+	coldServers                                                   int     // servers that start cold then, the first of which are looked at
+	gossip                                                        bool
+	weightMode                                                    WeightMode
+	seed                                                          uint32
+	overloadWindow, overloadFactor, startCapacity, warmupDuration float64 // the settings of rule 4
+}
+
+const calmBefore, timeAfter = 20.0, 12.0 // seconds before the start, and after it
 
 // flight is an execution at a server, until it ends.
-type flight struct {
-	at, sent float64
-	turn     uint64
-	by       *post
-	op       uint64
-	n        int
-	how      Outcome
+type pendingAnswer struct {
+	endsAt, sentAt float64
+	order          uint64
+	router         *simulatedRouter
+	requestID      uint64
+	number         int
+	outcome        Outcome
 }
 
-type flights []flight
+type pendingAnswers []pendingAnswer
 
-func (f flights) Len() int { return len(f) }
-func (f flights) Less(i, j int) bool {
-	return f[i].at < f[j].at || f[i].at == f[j].at && f[i].turn < f[j].turn
+func (f pendingAnswers) Len() int { return len(f) }
+func (f pendingAnswers) Less(i, j int) bool {
+	return f[i].endsAt < f[j].endsAt || f[i].endsAt == f[j].endsAt && f[i].order < f[j].order
 }
-func (f flights) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
-func (f *flights) Push(x any)   { *f = append(*f, x.(flight)) }
-func (f *flights) Pop() any {
+func (f pendingAnswers) Swap(i, j int) { f[i], f[j] = f[j], f[i] }
+func (f *pendingAnswers) Push(x any)   { *f = append(*f, x.(pendingAnswer)) }
+func (f *pendingAnswers) Pop() any {
 	x := (*f)[len(*f)-1]
 	*f = (*f)[:len(*f)-1]
 	return x
 }
 
 // post is one router of the tier, and its module's host.
-type post struct {
-	notes
-	day    *play
-	r      *Balancer
-	told   float64 // when it was told of the cold server's last start
-	counts map[uint64]int
+type simulatedRouter struct {
+	recordingHost
+	simulation *simulation
+	balancer   *Balancer
+	noticedAt  float64 // when it was told of the cold server's last start
+	attempts   map[uint64]int
 }
 
-func (p *post) StartAttempt(op, server uint64, limit, _ float64) {
-	p.day.begin(p, op, server, p.counts[op], limit)
-	p.counts[op]++
+func (p *simulatedRouter) StartAttempt(op, server uint64, limit, _ float64) {
+	p.simulation.startAttempt(p, op, server, p.attempts[op], limit)
+	p.attempts[op]++
+}
+func (p *simulatedRouter) Gossip(words []byte) {
+	p.simulation.messages = append(p.simulation.messages, slices.Clone(words))
 }
-func (p *post) Gossip(words []byte) { p.day.words = append(p.day.words, slices.Clone(words)) }
 
-func (p *post) Reject(op uint64, _ float64, _ RejectReason) { delete(p.counts, op) }
-func (p *post) Fail(op uint64)                              { delete(p.counts, op) }
+func (p *simulatedRouter) Reject(op uint64, _ float64, _ RejectReason) { delete(p.attempts, op) }
+func (p *simulatedRouter) Fail(op uint64)                              { delete(p.attempts, op) }
 
 // play is a day under way.
-type play struct {
-	tier
-	now, started float64 // when the cold server last started
-	draws        uint64
-	posts        []*post
-	busy         []float64 // until when each server has work
-	out          flights
-	turns        uint64
-	words        [][]byte
-	sent         [][]sending // to each cold server since it started
-	worst        float64     // the most that a window held over the bound of chance; only what rule 4 counts
-	most         float64     // the most that a window held over what is allowed
-	breaks       int         // starts with a window above that
-	starts       int
-	used         int // requests to cold servers
-}
-
-type sending struct {
-	at   float64
-	told bool
-}
-
-func (d *play) chance() float64 {
+type simulation struct {
+	slowStartScenario
+	now, coldSince     float64 // when the cold server last started
+	draws              uint64
+	fleet              []*simulatedRouter
+	busyUntil          []float64 // until when each server has work
+	pending            pendingAnswers
+	sequence           uint64
+	messages           [][]byte
+	coldSends          [][]coldSend // to each cold server since it started
+	worstOverBound     float64      // the most that a window held over the bound of chance; only what rule 4 counts
+	worstOverAllowance float64      // the most that a window held over what is allowed
+	startsAboveBound   int          // starts with a window above that
+	starts             int
+	coldSendCount      int // requests to cold servers
+}
+
+type coldSend struct {
+	sentAt  float64
+	noticed bool
+}
+
+func (d *simulation) chance() float64 {
 	d.draws++
-	return (float64(mix(d.seed, d.draws)) + 0.5) / (1 << 32)
+	return (float64(seedhash.Mix(d.seed, d.draws)) + 0.5) / (1 << 32)
 }
 
 // warmth is the part that the cold server can do.
-func (d *play) warmth(now float64) float64 {
-	return d.from + (1-d.from)*min(1, (now-d.started)/d.warm)
+func (d *simulation) warmth(now float64) float64 {
+	return d.startCapacity + (1-d.startCapacity)*min(1, (now-d.coldSince)/d.warmupDuration)
 }
 
-func (d *play) begin(p *post, op, server uint64, n int, limit float64) {
-	i, does := int(server-1), d.each
-	if i < d.news && d.now >= d.started {
+func (d *simulation) startAttempt(p *simulatedRouter, op, server uint64, n int, limit float64) {
+	i, does := int(server-1), d.warmRate
+	if i < d.coldServers && d.now >= d.coldSince {
 		does *= d.warmth(d.now)
-		d.sent[i] = append(d.sent[i], sending{d.now, p.told <= d.now})
-		d.used++
+		d.coldSends[i] = append(d.coldSends[i], coldSend{d.now, p.noticedAt <= d.now})
+		d.coldSendCount++
 	}
-	d.turns++
-	f := flight{sent: d.now, turn: d.turns, by: p, op: op, n: n, how: Succeeded}
-	if i < d.news && d.easy && d.now >= d.started {
-		f.at = d.now + 0.005
-	} else if free := max(d.now, d.busy[i]); free-d.now > 0.5 { // its queue is full
-		f.at, f.how = d.now+0.005, Overloaded
+	d.sequence++
+	f := pendingAnswer{sentAt: d.now, order: d.sequence, router: p, requestID: op, number: n, outcome: Succeeded}
+	if i < d.coldServers && d.answersAtOnce && d.now >= d.coldSince {
+		f.endsAt = d.now + 0.005
+	} else if free := max(d.now, d.busyUntil[i]); free-d.now > 0.5 { // its queue is full
+		f.endsAt, f.outcome = d.now+0.005, Overloaded
 	} else {
-		d.busy[i] = free + 1/does
-		f.at = d.busy[i] + 0.005
+		d.busyUntil[i] = free + 1/does
+		f.endsAt = d.busyUntil[i] + 0.005
 	}
-	if f.at > d.now+limit {
-		f.at, f.how = d.now+limit, TimedOut
+	if f.endsAt > d.now+limit {
+		f.endsAt, f.outcome = d.now+limit, TimedOut
 	}
-	heap.Push(&d.out, f)
+	heap.Push(&d.pending, f)
 }
 
 // fresh starts a router anew.
-func (d *play) fresh(p *post, n int) {
-	set := Settings{Seed: mix(d.seed, uint64(n)+1<<40+d.turns), RouterIndex: n, RouterCount: d.stated, EventInterval: 0.002, MaxAttempts: 3, HedgingAllowed: true,
-		CancellationAllowed: true, MaxRetryAfter: 1, GossipAllowed: d.peers, GossipPrice: 0.01, WeightMode: d.weights, OverloadWindow: d.fall, OverloadFactor: d.tip,
-		WarmupStartCapacity: d.from, WarmupDuration: d.warm, OverQuotaWeight: 0.05, TrafficClasses: []TrafficClass{
+func (d *simulation) startRouter(p *simulatedRouter, n int) {
+	set := Settings{Seed: seedhash.Mix(d.seed, uint64(n)+1<<40+d.sequence), RouterIndex: n, RouterCount: d.statedRouters, EventInterval: 0.002, MaxAttempts: 3, HedgingAllowed: true,
+		CancellationAllowed: true, MaxRetryAfter: 1, GossipAllowed: d.gossip, GossipPrice: 0.01, WeightMode: d.weightMode, OverloadWindow: d.overloadWindow, OverloadFactor: d.overloadFactor,
+		WarmupStartCapacity: d.startCapacity, WarmupDuration: d.warmupDuration, OverQuotaWeight: 0.05, TrafficClasses: []TrafficClass{
 			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1}}}
-	p.day, p.counts = d, map[uint64]int{}
-	p.r = New(d.now, set, p)
+	p.simulation, p.attempts = d, map[uint64]int{}
+	p.balancer = New(d.now, set, p)
 }
 
-func (d *play) list(p *post, cold bool) {
+func (d *simulation) tellList(p *simulatedRouter, cold bool) {
 	var all []Endpoint
-	for i := range d.caches {
+	for i := range d.servers {
 		m := Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"}
-		if cold && i < d.news {
-			m.StartedAt = d.started
+		if cold && i < d.coldServers {
+			m.StartedAt = d.coldSince
 		}
-		if i < d.news && (cold || d.was) || i >= d.news && (!cold || i+d.lost < d.caches) {
+		if i < d.coldServers && (cold || d.servedBefore) || i >= d.coldServers && (!cold || i+d.lostServers < d.servers) {
 			all = append(all, m)
 		}
 	}
-	p.r.OnEndpoints(d.now, UpdateFull, all)
+	p.balancer.OnEndpoints(d.now, UpdateFull, all)
 }
 
 // judge looks at each window that ends with a request to a cold server.
-func (d *play) judge() {
-	for i := range d.sent {
+func (d *simulation) judgeWindows() {
+	for i := range d.coldSends {
 		d.starts++
 		from, told, over := 0, 0, false
-		for k, s := range d.sent[i] {
-			if s.told {
+		for k, s := range d.coldSends[i] {
+			if s.noticed {
 				told++
 			}
-			for ; d.sent[i][from].at <= s.at-d.fall; from++ {
-				if d.sent[i][from].told {
+			for ; d.coldSends[i][from].sentAt <= s.sentAt-d.overloadWindow; from++ {
+				if d.coldSends[i][from].noticed {
 					told--
 				}
 			}
 			// What it could do in the middle of the window: it warms evenly.
-			n := d.tip * d.warmth(max(d.started, s.at-d.fall/2)) * d.each * d.fall
+			n := d.overloadFactor * d.warmth(max(d.coldSince, s.sentAt-d.overloadWindow/2)) * d.warmRate * d.overloadWindow
 			count, bound := float64(k-from+1), n+2*math.Sqrt(n)+2
-			if cold := s.at < d.started+d.warm; cold && 3*told > 2*(k-from+1) {
-				d.worst, d.most = max(d.worst, count/bound), max(d.most, count/n)
+			if cold := s.sentAt < d.coldSince+d.warmupDuration; cold && 3*told > 2*(k-from+1) {
+				d.worstOverBound, d.worstOverAllowance = max(d.worstOverBound, count/bound), max(d.worstOverAllowance, count/n)
 				over = over || count > bound
 			}
 		}
-		if d.sent[i] = d.sent[i][:0]; over {
-			d.breaks++
+		if d.coldSends[i] = d.coldSends[i][:0]; over {
+			d.startsAboveBound++
 		}
 	}
 }
 
 // slice are keys that are the cold server's while it has just started.
-func (d *play) slice() (keys []string) {
-	p := &post{}
-	d.fresh(p, 0)
-	d.list(p, true)
-	p.r.taken, p.r.servers[1].fresh = 1, d.now
+func (d *simulation) keysOfColdServer() (keys []string) {
+	p := &simulatedRouter{}
+	d.startRouter(p, 0)
+	d.tellList(p, true)
+	p.balancer.recent.acceptanceRate, p.balancer.servers.byID[1].slowStart.startedAt = 1, d.now
 	for i := 0; len(keys) < 3000 && i < 1e6; i++ {
 		key := fmt.Sprint("own-", i)
-		if s := p.r.nearest(stir(crc32.ChecksumIEEE([]byte(key))), func(*server) bool { return true }); s != nil && s.ID == 1 {
+		if server := p.balancer.nearestServer(seedhash.Avalanche(crc32.ChecksumIEEE([]byte(key))), func(*serverState) bool { return true }); server != nil && server.ID == 1 {
 			keys = append(keys, key)
 		}
 	}
 	return keys
 }
 
-func (t tier) play() *play {
-	d := &play{tier: t, busy: make([]float64, t.caches), sent: make([][]sending, t.news)}
-	own := d.slice()
+func (t slowStartScenario) run() *simulation {
+	d := &simulation{slowStartScenario: t, busyUntil: make([]float64, t.servers), coldSends: make([][]coldSend, t.coldServers)}
+	own := d.keysOfColdServer()
 	weights, sum := []float64(nil), 0.0
 	for n := range t.routers {
-		p := &post{told: 0}
-		d.posts = append(d.posts, p)
-		d.fresh(p, n)
-		d.list(p, false)
+		p := &simulatedRouter{noticedAt: 0}
+		d.fleet = append(d.fleet, p)
+		d.startRouter(p, n)
+		d.tellList(p, false)
 		w := 1.0
 		if t.skew > 1 && n%10 == 3 {
 			w = t.skew
@@ -331,51 +341,51 @@
 		weights = append(weights, sum)
 	}
 	const step = 0.01
-	calm, id := t.load*t.each*float64(t.caches), uint64(0)
+	calm, id := t.load*t.warmRate*float64(t.servers), uint64(0)
 	due := 0.0
 	up, twice := false, false
-	d.started = math.Inf(1)
-	for d.now = 0; d.now < tierCalm+tierEnd; d.now += step {
-		since := d.now - tierCalm
-		if since >= 0 && !up || t.again > 0 && !twice && since >= t.again && up {
+	d.coldSince = math.Inf(1)
+	for d.now = 0; d.now < calmBefore+timeAfter; d.now += step {
+		since := d.now - calmBefore
+		if since >= 0 && !up || t.secondStartAfter > 0 && !twice && since >= t.secondStartAfter && up {
 			if up {
-				d.judge()
+				d.judgeWindows()
 				twice = true
 			}
-			up, d.started = true, d.now
-			for n, p := range d.posts {
-				if d.chance() < t.anew {
-					d.fresh(p, n)
-					d.list(p, twice)
+			up, d.coldSince = true, d.now
+			for n, p := range d.fleet {
+				if d.chance() < t.restartedPart {
+					d.startRouter(p, n)
+					d.tellList(p, twice)
 				}
-				if p.told = d.now + d.chance()*t.spread; t.spread == 0 {
-					p.told = d.now
+				if p.noticedAt = d.now + d.chance()*t.noticeSpread; t.noticeSpread == 0 {
+					p.noticedAt = d.now
 				}
 			}
 		}
-		for _, p := range d.posts {
-			if up && p.told <= d.now && p.told > d.now-step {
-				d.list(p, true)
+		for _, p := range d.fleet {
+			if up && p.noticedAt <= d.now && p.noticedAt > d.now-step {
+				d.tellList(p, true)
 			}
 		}
-		for len(d.out) > 0 && d.out[0].at <= d.now {
-			f := heap.Pop(&d.out).(flight)
-			if f.by.r.ops[f.op] != nil {
-				if f.how == Succeeded {
-					delete(f.by.counts, f.op)
+		for len(d.pending) > 0 && d.pending[0].endsAt <= d.now {
+			f := heap.Pop(&d.pending).(pendingAnswer)
+			if f.router.balancer.requests[f.requestID] != nil {
+				if f.outcome == Succeeded {
+					delete(f.router.attempts, f.requestID)
 				}
-				f.by.r.OnAttemptEnd(d.now, f.op, f.n, f.how, d.now-f.sent, f.how == Succeeded)
+				f.router.balancer.OnAttemptEnd(d.now, f.requestID, f.number, f.outcome, d.now-f.sentAt, f.outcome == Succeeded)
 			}
 		}
-		for _, w := range d.words {
-			for _, p := range d.posts {
-				p.r.OnGossip(d.now, w)
+		for _, w := range d.messages {
+			for _, p := range d.fleet {
+				p.balancer.OnGossip(d.now, w)
 			}
 		}
-		d.words = d.words[:0]
+		d.messages = d.messages[:0]
 		rate, pulled := calm, 0.0
-		if since >= d.late && math.Mod(since-d.late, 6) < 4 {
-			rate, pulled = calm*t.burst, t.pull
+		if since >= d.burstDelay && math.Mod(since-d.burstDelay, 6) < 4 {
+			rate, pulled = calm*t.burst, t.pulledPart
 		}
 		for due += rate * step; ; due += math.Log(d.chance()) {
 			if due <= 0 {
@@ -387,34 +397,34 @@
 			if d.chance() < pulled {
 				key = own[int(d.chance()*float64(len(own)))]
 			}
-			d.posts[min(at, t.routers-1)].r.OnRequest(d.now, id, "view", "", key, 2)
+			d.fleet[min(at, t.routers-1)].balancer.OnRequest(d.now, id, "view", "", key, 2)
 		}
 	}
-	d.judge()
+	d.judgeWindows()
 	return d
 }
 
 // rush is a time in which every router is asked for more than it may send to one cold server among a dozen.
-type rush struct {
-	routers, stated int     // how many there are, and how many the settings say
-	heard           int     // how many each router hears; 0: it hears none
-	each, load      float64 // requests of mean work that a warm server does a second, and the part of it that finished of late
-	skew            float64 // how many times as much as the others a tenth of the routers finished
-	late            float64 // seconds from the start until it comes
-	lost            int     // of the dozen, those that went with the start
-	slow            bool    // other settings: a server that warms slowly, and falls sooner
-	seed            uint32
+type fleetBurst struct {
+	routers, statedRouters int     // how many there are, and how many the settings say
+	heardRouters           int     // how many each router hears; 0: it hears none
+	warmRate, load         float64 // requests of mean work that a warm server does a second, and the part of it that finished of late
+	skew                   float64 // how many times as much as the others a tenth of the routers finished
+	delay                  float64 // seconds from the start until it comes
+	lostServers            int     // of the dozen, those that went with the start
+	slowWarmup             bool    // other settings: a server that warms slowly, and falls sooner
+	seed                   uint32
 }
 
 // most is the most that a window brought, over what is put down to chance.
-func (x rush) most() (worst float64) {
-	set := Settings{RouterCount: x.stated, WeightMode: WeightsStatic, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9, SlowStartSharedUpTo: 1000}
-	if x.slow {
+func (x fleetBurst) worstOverBound() (worst float64) {
+	set := Settings{RouterCount: x.statedRouters, WeightMode: WeightsStatic, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9, SlowStartSharedUpTo: 1000}
+	if x.slowWarmup {
 		set.OverloadWindow, set.OverloadFactor, set.WarmupStartCapacity, set.WarmupDuration = 1.5, 3, 0.14, 21
 	}
 	const dozen, start = 12, 100.0
 	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: start}}
-	for id := range uint64(dozen - 1 - x.lost) {
+	for id := range uint64(dozen - 1 - x.lostServers) {
 		list = append(list, Endpoint{ID: id + 2, State: Ready, Capacity: 1})
 	}
 	finish := func(n int) float64 {
@@ -428,27 +438,27 @@
 		sum += finish(n)
 	}
 	for n := range x.routers {
-		set.Seed = mix(x.seed, uint64(n))
-		r := New(0, set, &notes{})
-		r.OnEndpoints(start, UpdateFull, list)
-		if x.heard > 0 {
-			r.SetFleetSize(start, x.heard)
+		set.Seed = seedhash.Mix(x.seed, uint64(n))
+		b := New(0, set, &recordingHost{})
+		b.OnEndpoints(start, UpdateFull, list)
+		if x.heardRouters > 0 {
+			b.SetFleetSize(start, x.heardRouters)
 		}
-		r.flow, r.among = x.load*dozen*x.each*finish(n)/sum, dozen
-		all = append(all, r)
+		b.completions.rate, b.completions.meanServers = x.load*dozen*x.warmRate*finish(n)/sum, dozen
+		all = append(all, b)
 	}
 	var sent []float64
-	for at := x.late; at < min(set.WarmupDuration, x.late+2*set.OverloadWindow); at += 0.02 {
-		for _, r := range all {
-			r.now, r.flowAt = start+at, start+at // as much finishes as before
-			for s := r.servers[1]; !r.tips(s); s.budget-- {
+	for at := x.delay; at < min(set.WarmupDuration, x.delay+2*set.OverloadWindow); at += 0.02 {
+		for _, b := range all {
+			b.now, b.completions.rateAt = start+at, start+at // as much finishes as before
+			for server := b.servers.byID[1]; b.hasSlowStartBudget(server); server.slowStart.budget-- {
 				sent = append(sent, at)
 			}
 		}
 		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= at-set.OverloadWindow })
 		// What it can do in the middle of the window: it warms evenly.
 		w := set.WarmupStartCapacity + (1-set.WarmupStartCapacity)*max(0, at-set.OverloadWindow/2)/set.WarmupDuration
-		allowed := set.OverloadFactor * w * x.each * set.OverloadWindow
+		allowed := set.OverloadFactor * w * x.warmRate * set.OverloadWindow
 		worst = max(worst, float64(len(sent))/(allowed+2*math.Sqrt(allowed)+2))
 	}
 	return worst
--- /dev/null
+++ b/balancer/origin.go
@@ -0,0 +1,60 @@
+package balancer
+
+import "math"
+
+const (
+	// initialOriginLimit is how many attempts a server of the origin holds of this router at first.
+	initialOriginLimit = 4
+	// originObjectivePart: the origin keeps up while it answers within the latency objective over this.
+	originObjectivePart = 2
+	minOriginLimit      = 1
+)
+
+// originLimit bounds this router's attempts in flight at one server of the origin (additive increase,
+// multiplicative decrease). The origin is slow and shared by all routers: beyond what it bears it answers
+// nothing at all.
+type originLimit struct {
+	attempts  float64
+	loweredAt float64 // seconds
+}
+
+// isOrigin tells whether a server is one of the origin's, which hold all keys, and not a cache.
+func (b *Balancer) isOrigin(server *serverState) bool {
+	if !b.settings.CacheAside || server.MachineType == "" {
+		return false
+	}
+	return server.MachineType == b.settings.OriginMachineType
+}
+
+// pickOrigin gives the origin's server with the fewest attempts of this router in flight that has capacity for
+// one more and that the rules allow; nil if there is none.
+func (b *Balancer) pickOrigin(req *request) (best *serverState) {
+	for _, server := range b.servers.origins {
+		hasCapacity := float64(len(server.inFlight)) < server.originLimit.attempts*math.Sqrt(req.valueFraction)
+		if !hasCapacity || !b.mayAttempt(req, server) {
+			continue
+		}
+		if best == nil || len(server.inFlight) < len(best.inFlight) {
+			best = server
+		}
+	}
+	return best
+}
+
+// adjustOriginLimit raises the limit by one for each round of attempts that end in time, and lowers it by a
+// third, once a round, when one does not. latency is in seconds.
+func (b *Balancer) adjustOriginLimit(server *serverState, how Outcome, latency float64, class *classState) {
+	limit := &server.originLimit
+	inTime := how == Succeeded && latency < class.LatencyObjective/originObjectivePart
+	if inTime {
+		limitReached := float64(len(server.inFlight))+1 >= limit.attempts/2
+		if limitReached {
+			limit.attempts += 1 / limit.attempts
+		}
+		return
+	}
+	if b.now-limit.loweredAt > latency {
+		limit.attempts = max(minOriginLimit, limit.attempts*2/3)
+		limit.loweredAt = b.now
+	}
+}
--- /dev/null
+++ b/balancer/placement.go
@@ -0,0 +1,143 @@
+package balancer
+
+import (
+	"slices"
+
+	"bendtrestle/internal/seedhash"
+)
+
+// pick gives the server of a request's next attempt, nil for none. Of the servers that share a hot key it is
+// one whose turn it is by chance, as long as one of them has capacity; else the nearest to the key that is
+// neither ejected nor overloaded, else the nearest that is not ejected, else the nearest that the rules allow.
+func (b *Balancer) pick(req *request) *serverState {
+	if !b.mayContinue(req) {
+		return nil // else a lookup in which no server is accepted would rank them all
+	}
+	allowed := func(server *serverState) bool {
+		if req.attemptedOn(server) || !b.mayAttempt(req, server) {
+			return false
+		}
+		return b.hasSlowStartBudget(server)
+	}
+	healthy := func(server *serverState) bool { return allowed(server) && !b.ejected(server) }
+	unloaded := func(server *serverState) bool { return healthy(server) && !b.overloaded(req, server) }
+
+	server := b.pickReplica(req, healthy)
+	if server != nil {
+		return server
+	}
+	for _, accept := range [...]func(*serverState) bool{unloaded, healthy, allowed} {
+		server = b.nearestServer(req.keyHash, accept)
+		if server != nil {
+			return server
+		}
+	}
+	return nil
+}
+
+// pickReplica gives one of the servers that share a request's key, from a random one on the first with
+// capacity; nil where none has.
+func (b *Balancer) pickReplica(req *request, healthy func(*serverState) bool) *serverState {
+	replicas := b.replicasOf(req, healthy)
+	first := b.firstReplica(req, replicas)
+	for _, server := range replicas[first:] {
+		if b.hasCapacity(req, server) {
+			return server
+		}
+	}
+	return nil
+}
+
+// replicasOf gives the healthy servers that share a request's key, the nearest first.
+func (b *Balancer) replicasOf(req *request, healthy func(*serverState) bool) (replicas []*serverState) {
+	wanted := min(int(req.replicas), len(b.servers.ready))
+	b.nearestServer(req.keyHash, func(server *serverState) bool {
+		if !slices.Contains(replicas, server) && healthy(server) {
+			replicas = append(replicas, server)
+		}
+		return len(replicas) >= wanted // ends the lookup, which else would walk the whole circle
+	})
+	return replicas
+}
+
+// firstReplica draws the index of the replica whose turn it is. A router with few samples takes the less loaded
+// of two draws: all routers together would overload the least loaded one.
+func (b *Balancer) firstReplica(req *request, replicas []*serverState) int {
+	first := int(b.random.Float64() * float64(len(replicas)))
+	if req.replicas <= 1 || !b.fewSamples(req.class) {
+		return first
+	}
+	other := int(b.random.Float64() * float64(len(replicas)))
+	if len(replicas) > 0 && b.reportedLoad(replicas[other]) < b.reportedLoad(replicas[first]) {
+		return other
+	}
+	return first
+}
+
+// hasCapacity tells whether a replica takes a request. A hot key is not shed while one of its replicas has
+// capacity: a replica that would shed it is passed over.
+func (b *Balancer) hasCapacity(req *request, server *serverState) bool {
+	passesOn := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
+	if passesOn {
+		slow := b.shedsForLatency(req, server)
+		if slow {
+			return false
+		}
+	}
+	return !b.overloaded(req, server)
+}
+
+// nearestServer gives the server that is most similar to a key, by Hamming distance, of those that answer for
+// the key now and are accepted; ties go by a hash of key and server. It is nil where there is none.
+func (b *Balancer) nearestServer(keyHash uint32, accept func(*serverState) bool) (nearest *serverState) {
+	var nodes []virtualNode
+	var nearestTie uint32
+	nearestDistance := 0
+	warmingShare := b.warmingShare()
+	for i := range b.ring.nodes {
+		if i == len(nodes) {
+			nodes = b.ring.nearestNodes(keyHash%ringSlots, max(firstLookupNodes, lookupGrowth*i))
+		}
+		node := &nodes[i]
+		if nearest != nil && node.distance > nearestDistance {
+			break
+		}
+		server := node.server
+		tie := seedhash.Mix(keyHash, server.ID)
+		if !b.answersForKey(node, keyHash, float64(tie)/two32, warmingShare) || !accept(server) {
+			continue
+		}
+		if nearest == nil || tie < nearestTie {
+			nearest = server
+			nearestTie = tie
+			nearestDistance = node.distance
+		}
+	}
+	return nearest
+}
+
+// answersForKey tells whether a virtual node answers for a key now: a server that is warming up answers for a
+// slice of its keys, one that is slower than others for a part of its virtual nodes, and one in a zone with a
+// share for that share. part places the key between 0 and 1 for this server (keyPart).
+func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, part, warmingShare float64) bool {
+	server := node.server
+	// By part of the keys of all its nodes: one node's part would follow the gap to its neighbour.
+	warm := b.warmFraction(server)
+	if warm < 1 && part >= warm*warmingShare {
+		return false
+	}
+	if float64(node.index)+part >= float64(server.virtualNodes)*server.keyShare {
+		return false
+	}
+	return b.zones.serves(server.Zone, keyHash)
+}
+
+// warmingShare is by what the slice of keys of servers that are warming up is multiplied. They take no part of
+// what warm servers shed, so it is the acceptance rate; where reports tell how loaded they are, or no server is
+// warm, it is 1.
+func (b *Balancer) warmingShare() float64 {
+	if b.servers.allCold || b.loadReportsAreCurrent() {
+		return 1
+	}
+	return b.recent.acceptanceRate
+}
--- /dev/null
+++ b/balancer/rules.go
@@ -0,0 +1,97 @@
+package balancer
+
+import "slices"
+
+// The rules that no decision may break stand here alone: whether any server may attempt a request, whether one
+// server may, and whether the client may be told that trying again is harmless.
+
+// mayContinue tells whether a request may be attempted, or attempted again, at any server.
+func (b *Balancer) mayContinue(req *request) bool {
+	if req.answered || req.streaming || b.now >= req.deadline {
+		return false
+	}
+	if b.settings.MaxAttempts > 0 && len(req.attempts) >= b.settings.MaxAttempts {
+		return false
+	}
+	for _, earlier := range req.attempts {
+		if earlier.inFlight && !b.settings.HedgingAllowed {
+			return false
+		}
+		if !earlier.notExecuted && !b.mayRepeat(req.class, earlier) {
+			return false
+		}
+	}
+	return true
+}
+
+// mayRepeat tells whether a request may be attempted again after an attempt that may have been executed.
+func (b *Balancer) mayRepeat(class *classState, earlier *attempt) bool {
+	switch class.Idempotency {
+	case AtMostOnce:
+		return false
+	case IdempotencyKeyed:
+		return b.now-earlier.sentAt < class.DeduplicationWindow
+	}
+	return true
+}
+
+// mayAttempt tells whether one server may attempt a request now.
+func (b *Balancer) mayAttempt(req *request, server *serverState) bool {
+	if server.State != Ready || server.disabled {
+		return false
+	}
+	if !req.class.allowsServer(server) && !b.isOrigin(server) {
+		return false
+	}
+	if !b.mayContinue(req) {
+		return false
+	}
+	if req.class.Idempotency != IdempotencyKeyed {
+		return true
+	}
+	for _, earlier := range req.attempts {
+		if !earlier.notExecuted && !req.class.deduplicates(earlier.server, server) {
+			return false
+		}
+	}
+	return true
+}
+
+// deduplicates tells whether a server drops repeats of a request that another server may have executed.
+func (c *classState) deduplicates(executedOn, server *serverState) bool {
+	switch c.DeduplicationScope {
+	case ScopeZone:
+		return executedOn.Zone == server.Zone
+	case ScopeCell:
+		return executedOn.Cell == server.Cell
+	}
+	return true
+}
+
+// allowsServer tells whether a class may be sent to a server at all, by what the list says of it now. Where
+// none of these can take a request it is rejected, however idle the others are.
+func (c *classState) allowsServer(server *serverState) bool {
+	return allows(c.AllowedZones, server.Zone) && allows(c.AllowedMachineTypes, server.MachineType)
+}
+
+// allows tells whether a name is among those allowed; nil allows all.
+func allows(allowed []string, name string) bool {
+	return allowed == nil || slices.Contains(allowed, name)
+}
+
+// mayReject tells whether the client may be told that trying again is harmless.
+func (b *Balancer) mayReject(req *request) bool {
+	class := req.class
+	if class.Idempotency == Idempotent {
+		return true
+	}
+	if class.Idempotency == IdempotencyKeyed && class.DeduplicationScope == ScopeAll {
+		return true
+	}
+	for _, earlier := range req.attempts {
+		if !earlier.notExecuted {
+			return false
+		}
+	}
+	return true
+}
--- /dev/null
+++ b/balancer/tenants.go
@@ -0,0 +1,51 @@
+package balancer
+
+// minTenantBurst is the least number of requests that a tenant's token bucket holds.
+const minTenantBurst = 8
+
+// tenantState is the token bucket of one tenant at this router.
+type tenantState struct {
+	quota      float64 // requests a second over all routers
+	tokens     float64 // requests within the quota that may come now
+	refilledAt float64 // seconds
+}
+
+// tenantQuotas holds the tenants that have a quota.
+type tenantQuotas struct {
+	byName     map[string]*tenantState
+	totalQuota float64 // requests a second, of all tenants over all routers
+}
+
+func newTenantQuotas(now float64, tenants []Tenant, routers int) tenantQuotas {
+	quotas := tenantQuotas{byName: map[string]*tenantState{}}
+	for _, tenant := range tenants {
+		quotas.byName[tenant.Name] = &tenantState{
+			quota:      max(0, tenant.Quota),
+			tokens:     max(1, tenant.Quota/float64(routers)),
+			refilledAt: now,
+		}
+		quotas.totalQuota += max(0, tenant.Quota)
+	}
+	return quotas
+}
+
+// chargeTenant takes a token for a request of a tenant with a quota. A request beyond the quota is not rejected
+// here: it is worth less, and so shed first.
+func (b *Balancer) chargeTenant(req *request, name string) {
+	tenant := b.tenants.byName[name]
+	if tenant == nil {
+		return
+	}
+	// Other routers may be down or carry unlike traffic: this router's part of the quota is its part of what caches
+	// complete, if that is more than an equal part.
+	part := max(1/float64(b.settings.RouterCount), b.completionRate()/max(1, b.tenants.totalQuota))
+	rate := tenant.quota * part
+	tenant.tokens = min(tenant.tokens+rate*(b.now-tenant.refilledAt), max(minTenantBurst, rate))
+	tenant.refilledAt = b.now
+	if tenant.tokens < 1 {
+		req.valueFraction = b.settings.OverQuotaWeight
+		return
+	}
+	tenant.tokens--
+	req.chargedTenant = tenant
+}
--- /dev/null
+++ b/balancer/trafficclass.go
@@ -0,0 +1,97 @@
+package balancer
+
+import (
+	"cmp"
+	"math"
+)
+
+const (
+	// unobservedLatencyPart: until it is observed, an attempt is taken to last the latency objective over this.
+	unobservedLatencyPart = 4
+	// minObjective is the least latency objective of a class that states none, in seconds.
+	minObjective = 1e-3
+	// lateTryTries: a client's later try has at most its deadline, less the time of one whole first try and
+	// half of one for pauses, left.
+	lateTryTries = 1.5
+	// firstTryTolerance is by how many event intervals the time left of two first tries may differ.
+	firstTryTolerance = 2
+)
+
+// classState is the settings of a traffic class and what was observed of it.
+type classState struct {
+	TrafficClass
+	firstTry    firstTryTime
+	meanLatency float64 // seconds, of an attempt that succeeded
+	latencyAt   float64 // seconds, when that was last observed
+}
+
+// firstTryTime is the time that clients leave for the first try of a request, found by majority vote.
+type firstTryTime struct {
+	timeLeft float64 // seconds
+	votes    int     // for timeLeft, less those against
+}
+
+// trafficClasses holds the classes that requests may have now.
+type trafficClasses struct {
+	byName           map[string]*classState
+	longestObjective float64 // seconds, of all classes
+}
+
+// SetTrafficClasses replaces the traffic classes of requests from now on. Requests that have arrived end under
+// their own. What was observed of a class that stays is kept.
+func (b *Balancer) SetTrafficClasses(classes []TrafficClass) {
+	byName := map[string]*classState{}
+	b.classes.longestObjective = 0
+	for _, class := range classes {
+		allThereIs := max(class.Deadline, b.settings.EventInterval, minObjective)
+		class.LatencyObjective = cmp.Or(max(0, class.LatencyObjective), allThereIs)
+		state := &classState{TrafficClass: class, meanLatency: class.LatencyObjective / unobservedLatencyPart}
+		previous := b.classes.byName[class.Name]
+		if previous != nil {
+			state.meanLatency = previous.meanLatency
+			state.latencyAt = previous.latencyAt
+		}
+		byName[class.Name] = state
+		b.classes.longestObjective = max(b.classes.longestObjective, class.LatencyObjective)
+	}
+	b.classes.byName = byName
+	clear(b.retryBudgets.byTenant) // of tenants that may be gone
+}
+
+// classOf gives the state of a class. A request of a class that the settings lack may take the time that it
+// brought, in seconds, and is attempted at most once.
+func (b *Balancer) classOf(name string, timeLeft float64) *classState {
+	class := b.classes.byName[name]
+	if class != nil {
+		return class
+	}
+	deadline := max(timeLeft, b.settings.EventInterval, minObjective)
+	return &classState{
+		TrafficClass: TrafficClass{LatencyObjective: deadline, Deadline: deadline},
+		meanLatency:  deadline / unobservedLatencyPart,
+	}
+}
+
+// recognizeTry tells a first try of a client from a later one, by the time left in seconds: a client gives all
+// its tries one deadline together, and most requests are first tries with the same time left. The objective of
+// a later try began with the first, and one that can no longer meet it is worth less: it must not crowd out
+// those that can.
+func (b *Balancer) recognizeTry(req *request, timeLeft float64) {
+	class := req.class
+	first := &class.firstTry
+	// No later try of a client has less time left than this: one that has is the first try of a client in a hurry.
+	leastOfLaterTry := min(class.LatencyObjective, class.Deadline-lateTryTries*first.timeLeft)
+	switch {
+	case math.Abs(timeLeft-first.timeLeft) <= firstTryTolerance*b.settings.EventInterval:
+		first.votes++
+	case first.votes == 0:
+		first.timeLeft = timeLeft
+		first.votes = 1
+	case timeLeft >= leastOfLaterTry:
+		first.votes--
+		req.objectiveAt = b.now + timeLeft - class.Deadline + class.LatencyObjective
+		if req.objectiveAt <= b.now {
+			req.valueFraction *= class.LateValue
+		}
+	}
+}
--- /dev/null
+++ b/balancer/zoneshare.go
@@ -0,0 +1,42 @@
+package balancer
+
+import (
+	"hash/crc32"
+	"maps"
+	"slices"
+
+	"bendtrestle/internal/seedhash"
+)
+
+// zoneShares holds the part of its keys that a zone's servers do not answer for now, from 0 up to 1; no entry is 0.
+type zoneShares struct {
+	withheld map[string]float64
+}
+
+// serves tells whether a zone answers for a key now. It is the same keys at every router.
+func (z *zoneShares) serves(zone string, keyHash uint32) bool {
+	withheld := z.withheld[zone]
+	if withheld <= 0 {
+		return true
+	}
+	zoneHash := uint64(crc32.ChecksumIEEE([]byte(zone)))
+	return float64(seedhash.Mix(keyHash, zoneHash)) < (1-withheld)*two32
+}
+
+// SetZoneShare sets the part of its keys, from 0 to 1, that a zone's servers answer for from now on. With share
+// 0 the zone is evacuated: attempts in flight there whose requests may be attempted again are cancelled, so
+// that they go elsewhere instead of waiting until their deadline. Servers of the origin are not concerned.
+func (b *Balancer) SetZoneShare(now float64, zone string, share float64) {
+	b.now = now
+	b.zones.withheld[zone] = 1 - share
+	if share != 0 {
+		return
+	}
+	inZone := func(a *attempt) bool { return a.server.Zone == zone && !b.isOrigin(a.server) }
+	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
+		req := b.requests[id]
+		if b.mayReject(req) {
+			b.cancelAttempts(req, inZone)
+		}
+	}
+}
