--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -52,7 +52,7 @@
 //	what happens when a zone is evacuated?    zoneshare.go: SetZoneShare, serves
 //	what does a disabled server still get?    endpoints.go: SetDisabled; rules.go: mayAttempt
 //	what does a tenant beyond its quota get?  tenants.go: chargeTenant; admission.go: shedsForLatency
-//	what do peers hear, and what of it counts?loadreport.go: reportAttempt, OnGossip, fewSamples
+//	what do peers tell, and what counts?      loadreport.go: reportAttempt, OnGossip, fewSamples
 //	why is the list polled again?             endpointpolling.go: retryPolling, OnTimer
 //
 // # The mechanism
--- a/cmd/simadapter/main.go
+++ b/cmd/simadapter/main.go
@@ -1,4 +1,4 @@
-// Command simadapter serves the decision module on standard input and output.
+// Command simadapter hosts balancers for the simulator on standard input and output.
 package main
 
 import (
--- /dev/null
+++ b/internal/simadapter/events.go
@@ -0,0 +1,124 @@
+package simadapter
+
+import (
+	"encoding/base64"
+	"fmt"
+
+	"bendtrestle/balancer"
+	"bendtrestle/internal/settings"
+)
+
+// router is one router of the simulation: its balancer, and the balancer's host.
+type router struct {
+	session  *session
+	id       uint64
+	balancer *balancer.Balancer // nil if its start panicked
+}
+
+// guard turns a panic of the balancer into a report for its router.
+func (r *router) guard(call func()) {
+	defer func() {
+		if cause := recover(); cause != nil {
+			r.line(replyPanic).text("what", fmt.Sprint(cause)).end()
+		}
+	}()
+	call()
+}
+
+// takeEvent makes the call that an event stands for. An event with a fault in a field that is read makes none.
+func (r *router) takeEvent(name string, fields *settings.Object) {
+	switch name {
+	case eventListUpdate:
+		r.takeListUpdate(fields)
+	case eventRequest:
+		r.takeRequest(fields)
+	case eventStreamStart:
+		r.takeStreamStart(fields)
+	case eventAttemptEnd:
+		r.takeAttemptEnd(fields)
+	case eventClientGone:
+		r.takeClientGone(fields)
+	case eventTimer:
+		r.takeTimer(fields)
+	case eventGossip:
+		r.takeGossip(fields)
+	case eventProbeResult:
+		r.takeProbeResult(fields)
+	}
+}
+
+func (r *router) now() float64 { return r.session.now }
+
+func (r *router) takeListUpdate(fields *settings.Object) {
+	form := fields.Text("form")
+	update, known := endpointUpdates[form]
+	if !known {
+		fields.Fault("form", fmt.Sprintf("unknown %q", form))
+	}
+	list := r.session.sheets[fields.Count("table")]
+	if fields.Err() == nil {
+		r.balancer.OnEndpoints(r.now(), update, list)
+	}
+}
+
+func (r *router) takeRequest(fields *settings.Object) {
+	id := fields.ID("txn")
+	class := fields.Text("band")
+	timeLeft := fields.Seconds("remaining")
+	tenant := fields.Name0("realm")
+	key := fields.Text("key")
+	if fields.Err() == nil {
+		r.balancer.OnRequest(r.now(), id, class, tenant, key, timeLeft)
+	}
+}
+
+func (r *router) takeStreamStart(fields *settings.Object) {
+	id := fields.ID("txn")
+	number := int(fields.Count("n"))
+	if fields.Err() == nil {
+		r.balancer.OnStreamStart(r.now(), id, number)
+	}
+}
+
+func (r *router) takeAttemptEnd(fields *settings.Object) {
+	id := fields.ID("txn")
+	number := int(fields.Count("n"))
+	outcome := outcomes[fields.Text("reason")]
+	latency := fields.Seconds("lag")
+	final := fields.Flag("final")
+	if fields.Err() == nil {
+		r.balancer.OnAttemptEnd(r.now(), id, number, outcome, latency, final)
+	}
+}
+
+func (r *router) takeClientGone(fields *settings.Object) {
+	id := fields.ID("txn")
+	if fields.Err() == nil {
+		r.balancer.OnClientGone(r.now(), id)
+	}
+}
+
+func (r *router) takeTimer(fields *settings.Object) {
+	timer := fields.Text("name")
+	if fields.Err() == nil {
+		r.balancer.OnTimer(r.now(), timer)
+	}
+}
+
+func (r *router) takeGossip(fields *settings.Object) {
+	message, err := base64.StdEncoding.DecodeString(fields.Text("body"))
+	if err != nil {
+		fields.Fault("body", "not base64")
+	}
+	if fields.Err() == nil {
+		r.balancer.OnGossip(r.now(), message)
+	}
+}
+
+func (r *router) takeProbeResult(fields *settings.Object) {
+	server := fields.ID("server")
+	outcome := outcomes[fields.Text("reason")]
+	if fields.Err() == nil {
+		r.balancer.OnProbeResult(r.now(), server, outcome)
+	}
+}
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -9,8 +9,8 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/session.golden anew, from the code as it is")
 
-// The simulator reads the replies: a session with every event, setting and kind of endpoint list is answered to the byte as
-// the build of 15122f5 answered it.
+// The simulator reads the replies: a session with every event, setting and kind of endpoint list is answered to
+// the byte as the build of 15122f5 answered it.
 func TestGoldenSession(t *testing.T) {
 	input, err := os.Open("testdata/session.jsonl")
 	if err != nil {
--- /dev/null
+++ b/internal/simadapter/names.go
@@ -0,0 +1,76 @@
+package simadapter
+
+import "bendtrestle/balancer"
+
+// Events of the simulator.
+const (
+	eventClock       = "CLOCK"            // begins a batch
+	eventYourTurn    = "YOUR_TURN"        // ends a batch
+	eventSheet       = "SHEET"            // an endpoint list
+	eventEnlist      = "ENLIST"           // balancer.New
+	eventKill        = "KILL"             // the process of a router ends
+	eventListUpdate  = "DIRECTORY_UPDATE" // OnEndpoints
+	eventRequest     = "ACCEPT"           // OnRequest
+	eventStreamStart = "HEAD_RECEIVED"    // OnStreamStart
+	eventAttemptEnd  = "SETTLED"          // OnAttemptEnd
+	eventClientGone  = "GONE"             // OnClientGone
+	eventTimer       = "WAKE"             // OnTimer
+	eventProbeResult = "PROBE_RESULT"     // OnProbeResult
+	eventGossip      = "MESSAGE"          // OnGossip
+)
+
+// Actions, as the simulator names them in the reply.
+const (
+	actionStartAttempt   = "CALL_OUT"
+	actionCancelAttempt  = "WITHDRAW"
+	actionReject         = "BOUNCE"
+	actionFail           = "RESPOND_ERROR"
+	actionGossip         = "SIGNAL"
+	actionProbe          = "SAMPLE"
+	actionSetTimer       = "SET_TIMER"
+	actionWatchEndpoints = "WATCH"
+
+	replyBatchDone = "OK"
+	replyPanic     = "FATAL"
+)
+
+// namesRouter holds the events that must name a router; others may, and are ignored without one.
+var namesRouter = map[string]bool{
+	eventEnlist:      true,
+	eventKill:        true,
+	eventListUpdate:  true,
+	eventRequest:     true,
+	eventStreamStart: true,
+	eventAttemptEnd:  true,
+	eventClientGone:  true,
+	eventTimer:       true,
+	eventProbeResult: true,
+	eventGossip:      true,
+}
+
+// outcomes maps how attempts and probes end. A name that is not here reads as balancer.OutcomeUnknown.
+var outcomes = map[string]balancer.Outcome{
+	"served":          balancer.Succeeded,
+	"server_error":    balancer.ServerError,
+	"turned_away":     balancer.Overloaded,
+	"no_answer":       balancer.TimedOut,
+	"no_connection":   balancer.ConnectFailed,
+	"connection_lost": balancer.ConnectionLost,
+	"called_off":      balancer.Cancelled,
+	"not_sent":        balancer.NotAttempted,
+	"not_stored":      balancer.CacheMiss,
+}
+
+// endpointStates maps what a list says of a server. A name that is not here reads as balancer.Removed.
+var endpointStates = map[string]balancer.EndpointState{
+	"in_service":  balancer.Ready,
+	"terminating": balancer.Draining,
+}
+
+// endpointUpdates maps the kinds of list update. Another name is a fault.
+var endpointUpdates = map[string]balancer.EndpointUpdate{
+	"diff":     balancer.UpdateDelta,
+	"snapshot": balancer.UpdateFull,
+	"disk":     balancer.UpdateSaved,
+	"error":    balancer.UpdateFailed,
+}
