--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -73,24 +73,24 @@
 		s.zones.begin()
 		s.desk = &desk{s: s}
 		s.publish()
-		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
+		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
 		return s.desk
 	})
 	until(t, "a list of before", s, func() bool { phase, _, _ := s.recovery.start.Phase(); return phase.String() == "listed" })
-	if err := d.LeaveZone("a"); err != nil {
+	if err := d.EvacuateZone("a"); err != nil {
 		t.Fatal(err)
 	}
 	status, err := d.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
-	status.For, status.FullService = 0, 0
+	status.PhaseSeconds, status.FullServiceSeconds = 0, 0
 	zones, err := d.Zones()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range zones {
-		zones[i].For = 0
+		zones[i].StateSeconds = 0
 	}
 	text, err := json.Marshal(struct {
 		Status admin.Status
@@ -174,12 +174,12 @@
 	serving(t, first)
 	d := on(first, func() *desk { first.desk = &desk{s: first}; first.publish(); return first.desk })
 	on(first, func() bool {
-		first.zones.fleet.Listed(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+		first.zones.fleet.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		first.recovery.keep("rate", "this router", []byte("12"))
 		return true
 	})
-	until(t, "a written snapshot", first, func() bool { return first.recovery.store.Counts().Written > 1 })
-	for _, err := range []error{d.Drain(), d.Undrain(), d.Disable("s-1"), d.Enable("s-1"), d.LeaveZone("a"), d.ReturnZone("a")} {
+	until(t, "a written snapshot", first, func() bool { return first.recovery.store.Stats().Written > 1 })
+	for _, err := range []error{d.Drain(), d.Undrain(), d.DisableServer("s-1"), d.EnableServer("s-1"), d.EvacuateZone("a"), d.RestoreZone("a")} {
 		if err != nil {
 			t.Fatal(err)
 		}
