--- a/internal/hotrestart/disabled_golden_test.go
+++ b/internal/disabledservers/golden_test.go
@@ -1,6 +1,7 @@
-package hotrestart
+package disabledservers
 
 import (
+	"flag"
 	"os"
 	"path/filepath"
 	"slices"
@@ -11,19 +12,41 @@
 	"github.com/rs/zerolog"
 )
 
-// The file of servers that are out is written as it was, and that of another build is read.
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares a text with a file that the build of 15122f5 wrote, and returns what the file holds.
+func golden(t *testing.T, name, got string) string {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *writeGolden {
+		if err := os.WriteFile(path, []byte(got+"\n"), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	text, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	want := strings.TrimSuffix(string(text), "\n")
+	if got != want {
+		t.Errorf("%s:\n got %q\nwant %q", name, got, want)
+	}
+	return want
+}
+
+// The file of servers that are disabled is written as it was, and that of another build is read.
 func TestGoldenFileOfDisabledServers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
-	set, _ := OpenBans(path, func([]string) {}, zerolog.Nop())
+	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	for _, id := range []string{"s-1", "s-2", "10.0.0.1:11211", "ünïcode"} {
-		if err := set.Update(id, true, soon()); err != nil {
+		if err := registry.Update(id, true, soon()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := set.Update("s-1", false, soon()); err != nil {
+	if err := registry.Update("s-1", false, soon()); err != nil {
 		t.Fatal(err)
 	}
-	set.Close()
+	registry.Close()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		t.Fatal(err)
@@ -39,8 +62,8 @@
 	if err := os.WriteFile(other, []byte(want), 0o600); err != nil {
 		t.Fatal(err)
 	}
-	set, ids := OpenBans(other, func([]string) {}, zerolog.Nop())
-	set.Close()
+	registry, ids := Open(other, func([]string) {}, zerolog.Nop())
+	registry.Close()
 	if !slices.Equal(ids, []string{"s-2", "10.0.0.1:11211", "ünïcode"}) {
 		t.Errorf("read as %q", ids)
 	}
@@ -54,11 +77,11 @@
 	}
 	path := filepath.Join(t.TempDir(), "out")
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
-	set, _ := OpenBans(path, func([]string) {}, zerolog.Nop())
-	defer set.Close()
+	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
+	defer registry.Close()
 	lock := held(t, path+".lock")
 	defer lock.Close()
-	texts = append(texts, set.Update("s-2", true, time.Now()).Error())
-	texts = append(texts, set.Update("s-1", false, time.Now()).Error())
+	texts = append(texts, registry.Update("s-2", true, time.Now()).Error())
+	texts = append(texts, registry.Update("s-1", false, time.Now()).Error())
 	golden(t, "disabled-servers-errors", strings.Join(texts, "\n"))
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -49,13 +49,13 @@
 // What a process that serves says to one of another build: the line with the sockets' addresses, which has the sockets with it, and
 // the state behind its length.
 func TestGoldenServingProcess(t *testing.T) {
-	r := running{[]byte(`{"some":"state"}`), make(chan string, 10)}
+	process := running{[]byte(`{"some":"state"}`), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
-	offer, err := Listen(path, r, zerolog.Nop())
+	successors, err := Listen(path, process, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer offer.Close()
+	defer successors.Close()
 	conn, err := net.Dial("unix", path)
 	if err != nil {
 		t.Fatal(err)
@@ -88,16 +88,16 @@
 		said += string(next)
 	}
 	golden(t, "serving-process", said)
-	if got := next(r.said); got != "asked" {
-		t.Errorf("told %q", got)
+	if got := next(process.calls); got != "started" {
+		t.Errorf("the handler's call is %q", got)
 	}
 	fmt.Fprint(conn, "serving\n")
-	if got := next(r.said); got != "serves" {
-		t.Errorf("told %q", got)
+	if got := next(process.calls); got != "serving" {
+		t.Errorf("the handler's call is %q", got)
 	}
 	conn.Close()
-	if got := next(r.said); got != "lost true" {
-		t.Errorf("told %q", got)
+	if got := next(process.calls); got != "ended true" {
+		t.Errorf("the handler's call is %q", got)
 	}
 }
 
--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
 )
@@ -12,7 +13,7 @@
 // openBans takes what operators have called before this process began, and what they call at another process of this router.
 func (s *Service) openBans() {
 	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "out")
-	bans, ids := hotrestart.OpenBans(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
+	bans, ids := disabledservers.Open(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
 	s.bans = bans
 	s.bar(ids)
 }
@@ -81,7 +82,7 @@
 		return err
 	}
 	err = d.s.bans.Update(id, out, until)
-	if err != nil && !errors.Is(err, hotrestart.ErrLocalOnly) {
+	if err != nil && !errors.Is(err, disabledservers.ErrLocalOnly) {
 		return err
 	}
 	if err != nil {
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -14,6 +14,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
@@ -217,7 +218,7 @@
 			held bool
 			err  error
 			out  bool
-		}{{c.leave, true, hotrestart.ErrLocalOnly, true}, {c.leave, false, nil, true}, {c.back, true, hotrestart.ErrUnchanged, true}, {c.back, false, nil, false}} {
+		}{{c.leave, true, disabledservers.ErrLocalOnly, true}, {c.leave, false, nil, true}, {c.back, true, disabledservers.ErrUnchanged, true}, {c.back, false, nil, false}} {
 			lock, err := os.OpenFile(path+".lock", os.O_CREATE|os.O_RDWR, 0o600)
 			if err == nil && step.held {
 				err = unix.Flock(int(lock.Fd()), unix.LOCK_EX)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,6 +18,7 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
@@ -84,13 +85,13 @@
 	sent      uint64                     // executions written to servers of pools that are gone
 	cut       [len(upstream.Cuts)]uint64 // and their connections that ended with something owed
 	recovery  *recoveryWatch
-	bans      *hotrestart.Registry
+	bans      *disabledservers.Registry
 	zones     *zoneWatch              // nil: zones are not left as one
 	gossip    *gossipWatch            // nil: what the module tells goes to all
 	out       map[string]bool         // cache servers that operators took out
 	before    *hotrestart.Predecessor // the process before this one, while it runs
 	inherited map[string]int          // its listening sockets that are not in use here yet
-	offer     *hotrestart.Listener       // where the process after this one asks
+	offer     *hotrestart.Listener    // where the process after this one asks
 	beside    int                     // processes of this router that run beside this one
 	heirs     int                     // of these, later ones that take clients
 	operators operatorconfig.File     // as last taken
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -10,6 +10,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/zonefailover"
@@ -23,7 +24,7 @@
 type zoneWatch struct {
 	s     *Service
 	fleet *zonefailover.Fleet
-	bans  *hotrestart.Registry // zones that are left by hand
+	bans  *disabledservers.Registry // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
 }
@@ -48,7 +49,7 @@
 	if w == nil {
 		return
 	}
-	bans, names := hotrestart.OpenBans(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
+	bans, names := disabledservers.Open(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
 		func(names []string) { w.s.loop.Post(func() { w.byHand(names) }) }, w.s.log)
 	w.bans = bans
 	w.byHand(names)
@@ -266,7 +267,7 @@
 		return err
 	}
 	err = w.bans.Update(zone, true, until)
-	if errors.Is(err, hotrestart.ErrLocalOnly) {
+	if errors.Is(err, disabledservers.ErrLocalOnly) {
 		d.s.log.Error().Err(err).Str("zone", zone).Msg("what was called by hand cannot be kept for the next process")
 	} else if err != nil { // nothing was changed, so it does not stay left
 		ids := w.bans.IDs()
