--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -18,6 +18,7 @@
 	"bendtrestle/internal/admin"
 	"bendtrestle/internal/broker"
 	"bendtrestle/internal/config"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/eventloop"
 	"bendtrestle/internal/frontend"
 	"bendtrestle/internal/frontend/tileserver"
@@ -84,7 +85,7 @@
 	sent      uint64                     // executions written to servers of pools that are gone
 	cut       [len(upstream.Cuts)]uint64 // and their connections that ended with something owed
 	recovery  *recoveryWatch
-	bans      *hotrestart.Registry
+	bans      *disabledservers.Registry
 	zones     *zoneWatch              // nil: zones are not left as one
 	gossip    *gossipWatch            // nil: what the module tells goes to all
 	out       map[string]bool         // cache servers that operators took out
