--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -21,7 +21,7 @@
 func (b *bench) gossipSizes() (all []int) {
 	var left []string
 	for _, n := range b.plan.Routers {
-		if n > mostGossips || !b.plan.Small && !gossip.Pays(n, simrouter.GossipBudget) {
+		if n > mostGossips || !b.plan.Small && !gossip.CheaperThanBroadcast(n, simrouter.GossipBudget) {
 			left = append(left, fmt.Sprint(n))
 			continue
 		}
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -25,7 +25,7 @@
 	p     Place
 	heard func(words []byte)
 	peers *peertransport.Peers
-	fleet *gossip.Fleet
+	fleet *gossip.Gossiper
 	steps int
 
 	told, fed, datagramsIn uint64
@@ -46,9 +46,9 @@
 		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + p.Listen))
-	w := &gossips{p: p, heard: heard, fleet: gossip.New(p.Loop.Now(), gossip.Settings{Me: p.Me, Seed: set.Seed ^ life, Life: life,
-		BytesPerSecond: GossipBudget, Longest: longest}, gossip.NewView(names))}
-	w.fleet.Listed(p.Servers)
+	w := &gossips{p: p, heard: heard, fleet: gossip.New(p.Loop.Now(), gossip.Settings{Self: p.Me, Seed: set.Seed ^ life, Incarnation: life,
+		BytesPerSecond: GossipBudget, LongestObjective: longest}, gossip.NewView(names))}
+	w.fleet.SetServers(p.Servers)
 	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, place int, words []byte) {
 		p.Loop.Post(func() { w.hear(place, words) })
 	}, p.Log)
@@ -64,7 +64,7 @@
 
 func (w *gossips) hear(from int, words []byte) {
 	w.datagramsIn++
-	if !w.fleet.Heard(w.p.Loop.Now(), from, words) {
+	if !w.fleet.OnDatagram(w.p.Loop.Now(), from, words) {
 		w.heard(words)
 	}
 }
@@ -75,7 +75,7 @@
 		w.peers.Send(d.To, d.Bytes)
 	}
 	if w.steps++; w.steps%feeding == 0 {
-		if words := w.fleet.Feed(now); len(words) > 0 {
+		if words := w.fleet.SynthesizeObservations(now); len(words) > 0 {
 			w.fed++
 			w.p.Feed(words)
 		}
@@ -85,12 +85,12 @@
 
 func (w *gossips) Tell(words []byte) {
 	w.told++
-	w.fleet.Tell(w.p.Loop.Now(), words)
+	w.fleet.Report(w.p.Loop.Now(), words)
 }
 
 // Traffic counts as heard how often the module was fed: no message that another told comes to it by itself.
 func (w *gossips) Traffic() Traffic {
-	c := w.fleet.Counts
-	return Traffic{Told: w.told, Heard: w.fed, DatagramsIn: w.datagramsIn, DatagramsOut: c.Datagrams, BytesIn: c.Heard, BytesOut: c.Bytes,
-		LeastHeard: w.fed, MostHeard: w.fed, LeastBytesIn: c.Heard, MostBytesIn: c.Heard, LeastBytesOut: c.Bytes, MostBytesOut: c.Bytes}
+	c := w.fleet.Counters
+	return Traffic{Told: w.told, Heard: w.fed, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent, BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
+		LeastHeard: w.fed, MostHeard: w.fed, LeastBytesIn: c.BytesReceived, MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
 }
--- a/internal/policy/gossip/cases_test.go
+++ b/internal/policy/gossip/cases_test.go
@@ -9,20 +9,20 @@
 const inTime = 2.9 // seconds within which the last router is to know
 
 // homes gives a server's homes in the block of a router.
-func (w *net) homes(router, server int) [ranks]int16 {
-	return w.view.ranked(w.view.block(router), uint16(server*150+7))
+func (w *network) homes(router, server int) [ownersPerGroup]int16 {
+	return w.view.ownersOf(w.view.groupOf(router), uint16(server*150+7))
 }
 
-// quietly is a fleet that is through with its calls, and in which nobody tells of server 5.
-func quietly(t *testing.T, routers int) *net {
-	w := build(t, routers, 40)
+// newQuietNetwork is a fleet that is through with its calls, and in which nobody tells of server 5.
+func newQuietNetwork(t *testing.T, routers int) *network {
+	w := newNetwork(t, routers, 40)
 	w.quiet[5] = true
 	w.run(12)
 	return w
 }
 
 // teller gives a router that is none of the first homes of a server.
-func (w *net) teller(server int) int {
+func (w *network) teller(server int) int {
 	homes := w.homes(0, server)
 	n := 1
 	for n == int(homes[0]) || n == int(homes[1]) {
@@ -35,17 +35,17 @@
 // that nobody ever told of or of one that the first home spoke of just before.
 func TestOnlyOneToKnowDies(t *testing.T) {
 	for _, spoken := range []bool{false, true} {
-		w := build(t, 100, 40)
+		w := newNetwork(t, 100, 40)
 		w.quiet[5] = !spoken
 		w.run(12)
 		w.quiet[5] = true
 		w.run(1)
 		first, teller := int(w.homes(0, 5)[0]), w.teller(5)
 		w.cut = func(from, to int) bool { return from == first } // nothing that it says from now on leaves it
-		w.say(teller, 5, refused)
+		w.say(teller, 5, refusalByte)
 		w.run(0.06)
 		w.down[teller], w.down[first] = true, true
-		if _, _, last := w.reach(6, bad(5)); last > inTime {
+		if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
 			t.Errorf("spoken of before: %t: the last knew after %v s", spoken, last)
 		}
 	}
@@ -53,37 +53,37 @@
 
 // Both homes of a server are gone, and never come back: the next two are told.
 func TestBothHomesGone(t *testing.T) {
-	w := quietly(t, 100)
+	w := newQuietNetwork(t, 100)
 	homes := w.homes(0, 3)
 	w.down[int(homes[0])], w.down[int(homes[1])] = true, true
-	w.run(3 * hold)
+	w.run(3 * summaryLifetime)
 	for _, n := range w.up() {
-		if s := w.fleets[n].servers[3*150+7]; w.at(n)-s.held.born > hold || s.held.rank < 2 {
-			t.Fatalf("router %d has an entry of rank %d, %.1f s old", n, s.held.rank, w.at(n)-s.held.born)
+		if s := w.fleets[n].serverByID[3*150+7]; w.at(n)-s.held.originatedAt > summaryLifetime || s.held.rank < 2 {
+			t.Fatalf("router %d has an entry of rank %d, %.1f s old", n, s.held.rank, w.at(n)-s.held.originatedAt)
 		}
 	}
 	w.start(int(homes[0])) // the first is told again once it is back
-	w.run(2 * hold)
+	w.run(2 * summaryLifetime)
 	for _, n := range w.up() {
-		if s := w.fleets[n].servers[3*150+7]; s.held.rank != 0 || s.base != 0 {
-			t.Fatalf("router %d goes by rank %d, base %d", n, s.held.rank, s.base)
+		if s := w.fleets[n].serverByID[3*150+7]; s.held.rank != 0 || s.baseRank != 0 {
+			t.Fatalf("router %d goes by rank %d, base %d", n, s.held.rank, s.baseRank)
 		}
 	}
 }
 
 // A fleet of one says nothing; of two, three, and one more than a block holds, all learn.
 func TestFewRouters(t *testing.T) {
-	w := build(t, 1, 40)
+	w := newNetwork(t, 1, 40)
 	w.run(5)
 	if w.out[0] > 0 {
 		t.Errorf("one router sends %d bytes", w.out[0])
 	}
-	for _, n := range []int{2, 3, block + 1} {
-		w := build(t, n, 40)
+	for _, n := range []int{2, 3, maxGroupRouters + 1} {
+		w := newNetwork(t, n, 40)
 		w.quiet[5] = true
 		w.run(12)
-		w.say(n-1, 5, refused)
-		if _, _, last := w.reach(6, bad(5)); last > inTime {
+		w.say(n-1, 5, refusalByte)
+		if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
 			t.Errorf("%d routers: the last knew after %v s", n, last)
 		}
 	}
@@ -92,11 +92,11 @@
 // A list whose last block would be one router is split evenly: nobody is alone in a block.
 func TestBlocks(t *testing.T) {
 	for n := 1; n < 4000; n++ {
-		v := &View{names: make([]uint32, n), blocks: max(1, (n+block-1)/block)}
+		v := &View{hashes: make([]uint32, n), groups: max(1, (n+maxGroupRouters-1)/maxGroupRouters)}
 		next := 0
-		for b := range v.blocks {
-			from, to := v.span(b)
-			if from != next || to-from > block || to-from < min(n, block/2) || v.block(from) != b || v.block(to-1) != b {
+		for b := range v.groups {
+			from, to := v.groupBounds(b)
+			if from != next || to-from > maxGroupRouters || to-from < min(n, maxGroupRouters/2) || v.groupOf(from) != b || v.groupOf(to-1) != b {
 				t.Fatalf("%d routers: block %d is %d to %d", n, b, from, to)
 			}
 			next = to
@@ -109,7 +109,7 @@
 
 // All routers of a site restart at once, with both homes of a server among them: what is told half a second later still arrives.
 func TestSiteRestarts(t *testing.T) {
-	w := quietly(t, 150)
+	w := newQuietNetwork(t, 150)
 	homes := w.homes(0, 5)
 	for n := 40; n < 65; n++ {
 		w.start(n)
@@ -117,15 +117,15 @@
 	w.start(int(homes[0]))
 	w.start(int(homes[1]))
 	w.run(0.5)
-	w.say(w.teller(5), 5, refused)
-	if _, _, last := w.reach(6, bad(5)); last > inTime {
+	w.say(w.teller(5), 5, refusalByte)
+	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
 }
 
 // Routers that start hold what the others do within seconds.
 func TestStartLearns(t *testing.T) {
-	w := build(t, 100, 380)
+	w := newNetwork(t, 100, 380)
 	w.run(30)
 	var all []int
 	for n := 17; n < 87; n += 7 {
@@ -135,8 +135,8 @@
 	w.run(4.5)
 	missing := 0
 	for _, n := range all {
-		for _, s := range w.fleets[n].order {
-			if w.at(n)-s.held.born > hold {
+		for _, s := range w.fleets[n].servers {
+			if w.at(n)-s.held.originatedAt > summaryLifetime {
 				missing++
 			}
 		}
@@ -148,7 +148,7 @@
 
 // A router goes by a list from which three are missing, so that its places are others': it learns, what it tells counts, and it misleads nobody.
 func TestOldView(t *testing.T) {
-	w := quietly(t, 100)
+	w := newQuietNetwork(t, 100)
 	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
 	for n, name := range names(100) {
 		if n != 20 && n != 30 && n != 95 {
@@ -157,11 +157,11 @@
 	}
 	w.views[50] = v
 	w.startWith(50, NewView(all))
-	w.fleets[50].set.Me = v.from[50]
-	w.fleets[50].See(NewView(all))
+	w.fleets[50].settings.Self = v.from[50]
+	w.fleets[50].SetView(NewView(all))
 	w.run(12)
-	w.say(50, 5, refused)
-	if _, _, last := w.reach(6, bad(5)); last > inTime {
+	w.say(50, 5, refusalByte)
+	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
 	w.run(5)
@@ -174,14 +174,14 @@
 // what has waited for it, changes nobody's mind, not even its own.
 func TestStopped(t *testing.T) {
 	for _, who := range []string{"a home", "another"} {
-		w := quietly(t, 100)
+		w := newQuietNetwork(t, 100)
 		n := w.teller(5)
 		teller := n
 		if who == "a home" {
 			n = int(w.homes(0, 5)[0])
 		}
-		w.say(teller, 5, refused)
-		w.say(n, 5, refused)
+		w.say(teller, 5, refusalByte)
+		w.say(n, 5, refusalByte)
 		w.stopped[n] = true
 		w.run(20)
 		w.quiet[5] = false
@@ -190,13 +190,13 @@
 		for range 100 {
 			w.run(0.05)
 			for _, r := range w.up() {
-				if bad(5)(w.fleets[r], w.at(r)) {
+				if believesRefusing(5)(w.fleets[r], w.at(r)) {
 					t.Fatalf("%s stood still: router %d believes what is over", who, r)
 				}
 			}
 		}
-		for id, s := range w.fleets[n].order {
-			if w.at(n)-s.held.born > hold {
+		for id, s := range w.fleets[n].servers {
+			if w.at(n)-s.held.originatedAt > summaryLifetime {
 				t.Errorf("%s stood still: it has no entry of server %d after 5 s", who, id)
 			}
 		}
@@ -206,14 +206,14 @@
 // Half of the fleet is the build before: it is sent nothing that it could take for words, and the others learn as ever. One that is put back to
 // that build is sent nothing more once it speaks as that does.
 func TestOldBuilds(t *testing.T) {
-	w := build(t, 100, 40)
+	w := newNetwork(t, 100, 40)
 	w.quiet[5] = true
 	for n := 1; n < 100; n += 2 {
 		w.old[n] = true
 	}
 	w.run(20)
-	w.say(0, 5, refused)
-	if _, _, last := w.reach(6, bad(5)); last > inTime {
+	w.say(0, 5, refusalByte)
+	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
 	if len(w.plain) > 0 {
@@ -221,7 +221,7 @@
 	}
 	w.old[10] = true
 	for _, n := range w.up() {
-		if w.fleets[n].Heard(w.at(n), 10, []byte{1, 2, 3}) {
+		if w.fleets[n].OnDatagram(w.at(n), 10, []byte{1, 2, 3}) {
 			t.Fatal("words of the build before were not left to the module")
 		}
 	}
@@ -234,8 +234,8 @@
 	delete(w.old, 11)
 	w.start(11)
 	w.run(10)
-	for id, s := range w.fleets[11].order {
-		if !w.quiet[id] && w.at(11)-s.held.born > hold {
+	for id, s := range w.fleets[11].servers {
+		if !w.quiet[id] && w.at(11)-s.held.originatedAt > summaryLifetime {
 			t.Errorf("one that was brought forward has no entry of server %d", id)
 		}
 	}
@@ -243,9 +243,9 @@
 
 // Datagrams of this package are told apart from all that routers say already, by length and first byte.
 func TestToldApart(t *testing.T) {
-	w := quietly(t, 30)
+	w := newQuietNetwork(t, 30)
 	seen := map[int]int{}
-	w.spy = func(l letter) {
+	w.spy = func(l packet) {
 		if seen[len(l.b)]++; len(l.b) >= 3 && len(l.b)%3 == 0 || len(l.b) > 2 && l.b[0] == 0xc7 {
 			t.Fatalf("%d bytes that begin with %#x", len(l.b), l.b[0])
 		}
@@ -257,7 +257,7 @@
 	f := w.fleets[0]
 	contract := append([]byte{0xc7, 1, 0, 1}, 1, 2, 3, 4, 5, 6)
 	for _, b := range [][]byte{{1, 2, 3}, contract, make([]byte, 15), make([]byte, 66)} {
-		if f.Heard(w.at(0), 3, b) {
+		if f.OnDatagram(w.at(0), 3, b) {
 			t.Errorf("%d bytes that others say were taken", len(b))
 		}
 	}
@@ -265,26 +265,26 @@
 
 // What comes from an address that is nobody's changes nothing, as does what is damaged.
 func TestStrangers(t *testing.T) {
-	w := quietly(t, 30)
+	w := newQuietNetwork(t, 30)
 	f := w.fleets[0]
-	forged := entry{born: w.at(0), number: 100, load: 900, joint: 1, news: true}
+	forged := summary{originatedAt: w.at(0), version: 100, load: 900, mean: 1, urgent: true}
 	for _, from := range []int{-1, 30, 4000, 0} {
-		f.Heard(w.at(0), from, seal(write([]byte{tag, entries}, 7, forged, w.at(0))))
-		f.Heard(w.at(0), from, seal([]byte{tag, words, 7, 0, 254}))
-		f.Heard(w.at(0), from, []byte{call})
+		f.OnDatagram(w.at(0), from, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, w.at(0))))
+		f.OnDatagram(w.at(0), from, appendChecksum([]byte{messageTag, kindObservations, 7, 0, 254}))
+		f.OnDatagram(w.at(0), from, []byte{probeByte})
 	}
-	damaged := seal(write([]byte{tag, entries}, 7, forged, w.at(0)))
+	damaged := appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, w.at(0)))
 	damaged[9] ^= 4
-	f.Heard(w.at(0), 3, damaged)
-	if s := f.servers[7]; s.held.load > 100 || s.mine.load > 50 || f.peers[-1] != nil || f.peers[4000] != nil {
-		t.Errorf("held %v, own sum %v, %d peers", s.held.load, s.mine.load, len(f.peers))
+	f.OnDatagram(w.at(0), 3, damaged)
+	if s := f.serverByID[7]; s.held.load > 100 || s.own.load > 50 || f.peerByRouter[-1] != nil || f.peerByRouter[4000] != nil {
+		t.Errorf("held %v, own sum %v, %d peers", s.held.load, s.own.load, len(f.peerByRouter))
 	}
 }
 
 // One router floods: with words, sums that are not its own to tell, and totals. A home's sum moves by what one router may tell; other homes' sums stay;
 // the memory stays; and a forged total is taken back by the home that never said it, while the flood lasts.
 func TestFlood(t *testing.T) {
-	w := quietly(t, 100)
+	w := newQuietNetwork(t, 100)
 	homes := w.homes(0, 4)
 	home := int(homes[0])
 	liar := 1
@@ -293,27 +293,27 @@
 	}
 	id := uint16(4*150 + 7)
 	f := w.fleets[home]
-	before := f.servers[id].mine.load
+	before := f.serverByID[id].own.load
 	for i := range 5000 {
-		f.Heard(w.at(home), liar, seal([]byte{tag, words, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
-		f.Heard(w.at(home), liar, seal(write([]byte{tag, rows}, id, entry{load: 4000, joint: 1, born: w.at(home)}, w.at(home))))
+		f.OnDatagram(w.at(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
+		f.OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: w.at(home)}, w.at(home))))
 	}
-	if moved := f.servers[id].mine.load - before; moved > burst*8 {
+	if moved := f.serverByID[id].own.load - before; moved > observationBurst*8 {
 		t.Errorf("one router moved a sum by %v", moved)
 	}
-	if f.Counts.Foreign == 0 || len(f.servers) != 40 || len(f.servers[id].rows) > 0 || !math.IsInf(f.servers[id].first[0], -1) && f.servers[id].first[0] == w.at(home) {
-		t.Errorf("%d dropped, %d servers, rows %v", f.Counts.Foreign, len(f.servers), f.servers[id].rows)
+	if f.Counters.DatagramsDropped == 0 || len(f.serverByID) != 40 || len(f.serverByID[id].groupSums) > 0 || !math.IsInf(f.serverByID[id].ownerHeardAt[0], -1) && f.serverByID[id].ownerHeardAt[0] == w.at(home) {
+		t.Errorf("%d dropped, %d servers, rows %v", f.Counters.DatagramsDropped, len(f.serverByID), f.serverByID[id].groupSums)
 	}
-	if f.Counts.Bounded > 2*2*letters { // two words a datagram
-		t.Errorf("%d words of a flood were read", f.Counts.Bounded)
+	if f.Counters.ObservationsLimited > 2*2*datagramsPerSecond { // two words a datagram
+		t.Errorf("%d words of a flood were read", f.Counters.ObservationsLimited)
 	}
 	w.run(10)
-	forged := w.fleets[liar].servers[id].held
-	forged.number, forged.load, forged.joint, forged.news = forged.number+100, 4000, 7, true
+	forged := w.fleets[liar].serverByID[id].held
+	forged.version, forged.load, forged.mean, forged.urgent = forged.version+100, 4000, 7, true
 	lie := func() {
 		for to := range 100 {
 			if to != liar {
-				w.deliver(letter{liar, to, seal(write([]byte{tag, entries}, id, forged, w.now()+forged.born-w.at(liar)))})
+				w.deliver(packet{liar, to, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, w.now()+forged.originatedAt-w.at(liar)))})
 			}
 		}
 	}
@@ -321,7 +321,7 @@
 	w.run(2)
 	wrong := 0
 	for _, n := range w.up() {
-		if w.fleets[n].servers[id].held.load > 1000 {
+		if w.fleets[n].serverByID[id].held.load > 1000 {
 			wrong++
 		}
 	}
@@ -332,35 +332,35 @@
 
 // Sums and totals merge alike in whatever order and however often they come.
 func TestOrder(t *testing.T) {
-	w := quietly(t, 30)
+	w := newQuietNetwork(t, 30)
 	var all [][]byte
 	for i := range 20 {
-		all = append(all, seal(write([]byte{tag, entries}, 7, entry{number: byte(100 + i), life: 9, load: float64(i), joint: 1, born: w.at(0) - 2 + float64(i)/10}, w.at(0))))
+		all = append(all, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, summary{version: byte(100 + i), incarnation: 9, load: float64(i), mean: 1, originatedAt: w.at(0) - 2 + float64(i)/10}, w.at(0))))
 	}
 	for round := range 50 {
-		f := New(w.at(0), Settings{Me: 0, BytesPerSecond: 7000}, w.view)
-		f.Listed([]uint16{7})
+		f := New(w.at(0), Settings{Self: 0, BytesPerSecond: 7000}, w.view)
+		f.SetServers([]uint16{7})
 		for _, i := range w.chance.Perm(40) {
-			f.Heard(w.at(0), 1+i%20, all[i%20])
+			f.OnDatagram(w.at(0), 1+i%20, all[i%20])
 		}
-		if held := f.servers[7].held; held.number != 119 || held.load != 19 {
-			t.Fatalf("round %d: number %d, load %v", round, held.number, held.load)
+		if held := f.serverByID[7].held; held.version != 119 || held.load != 19 {
+			t.Fatalf("round %d: number %d, load %v", round, held.version, held.load)
 		}
 	}
 }
 
 // While an eighth is cut off each part goes on, by what its own routers tell; and after the cut all have the sums of all again within 5 s.
 func TestCutAndHealed(t *testing.T) {
-	w := build(t, 520, 60) // two blocks
+	w := newNetwork(t, 520, 60) // two blocks
 	w.run(15)
-	from, to := w.view.span(0)
+	from, to := w.view.groupBounds(0)
 	part := func(n int) bool { return n >= from && n < to }
 	w.cut = func(a, b int) bool { return part(a) != part(b) }
 	w.run(15)
 	loads := func() (inside, outside float64) {
 		for n, f := range w.fleets {
 			sum := 0.0
-			for _, s := range f.order {
+			for _, s := range f.servers {
 				sum += s.held.load
 			}
 			if part(n) {
@@ -391,18 +391,18 @@
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
-	f := New(1000, Settings{Me: 5, BytesPerSecond: 7000, Longest: 0.6}, NewView(names(3700)))
+	f := New(1000, Settings{Self: 5, BytesPerSecond: 7000, LongestObjective: 0.6}, NewView(names(3700)))
 	var ids []uint16
 	for id := range 380 {
 		ids = append(ids, uint16(id*150+7))
 	}
-	f.Listed(ids)
+	f.SetServers(ids)
 	for n := range 3700 {
-		f.Heard(1000, n, []byte{call})
+		f.OnDatagram(1000, n, []byte{probeByte})
 	}
-	for b := range f.view.blocks {
+	for b := range f.view.groups {
 		for _, id := range ids {
-			f.view.ranked(b, id)
+			f.view.ownersOf(b, id)
 		}
 	}
 	f.Tick(1000.05)
@@ -419,7 +419,7 @@
 // At three routers, and wherever telling all costs less, all is as it was.
 func TestPays(t *testing.T) {
 	for n, want := range map[int]bool{1: false, 3: false, 24: false, 80: false, 100: true, 3700: true} {
-		if got := Pays(n, 7000); got != want {
+		if got := CheaperThanBroadcast(n, 7000); got != want {
 			t.Errorf("%d routers: %t", n, got)
 		}
 	}
@@ -432,15 +432,15 @@
 	for id := range 380 {
 		ids = append(ids, uint16(id*150+7))
 	}
-	v.list(ids)
+	v.setServers(ids)
 	firsts, before := map[int16]int{}, map[uint16]int16{}
 	for _, id := range ids {
-		all := v.ranked(2, id)
+		all := v.ownersOf(2, id)
 		firsts[all[0]]++
 		before[id] = all[0]
 		seen := map[int16]bool{}
 		for _, r := range all {
-			if from, to := v.span(2); int(r) < from || int(r) >= to || seen[r] {
+			if from, to := v.groupBounds(2); int(r) < from || int(r) >= to || seen[r] {
 				t.Fatalf("server %d: homes %v", id, all)
 			}
 			seen[r] = true
@@ -458,10 +458,10 @@
 	if twice > 4 {
 		t.Errorf("%d routers are the first homes of two servers", twice)
 	}
-	v.list(append(ids[:100:100], ids[101:]...))
+	v.setServers(append(ids[:100:100], ids[101:]...))
 	moved := 0
 	for i, id := range ids {
-		if i != 100 && v.ranked(2, id)[0] != before[id] {
+		if i != 100 && v.ownersOf(2, id)[0] != before[id] {
 			moved++
 		}
 	}
@@ -472,13 +472,13 @@
 
 // Of two homes' totals that of the lower rank counts while it is told; a refusal counts of either.
 func TestRanks(t *testing.T) {
-	w := quietly(t, 30)
-	f := New(w.at(0), Settings{Me: 0, BytesPerSecond: 7000}, w.view)
-	f.Listed([]uint16{7})
+	w := newQuietNetwork(t, 30)
+	f := New(w.at(0), Settings{Self: 0, BytesPerSecond: 7000}, w.view)
+	f.SetServers([]uint16{7})
 	now := w.at(0)
 	hear := func(rank uint8, after, load float64, bad bool) float64 {
-		f.hear(f.servers[7], entry{rank: rank, life: rank, number: byte(after * 10), born: now + after, load: load, joint: 1, refused: bad, news: bad})
-		return f.servers[7].held.load
+		f.hear(f.serverByID[7], summary{rank: rank, incarnation: rank, version: byte(after * 10), originatedAt: now + after, load: load, mean: 1, refusing: bad, urgent: bad})
+		return f.serverByID[7].held.load
 	}
 	f.now = now + 20
 	if got := hear(0, 14, 50, false); got != 50 {
@@ -493,14 +493,14 @@
 	if got := hear(0, 14.5, 51, false); got != 51 {
 		t.Errorf("the first home does not count after the second: load %v", got)
 	}
-	if got := hear(2, 14.5+late, 30, false); got != 30 {
+	if got := hear(2, 14.5+overdueInterval, 30, false); got != 30 {
 		t.Errorf("where the first home is silent the third does not count: load %v", got)
 	}
 }
 
 // The same for one that stands where two blocks meet, and by its list is of the other one: its words count at once, and it learns by pulling.
 func TestOldViewAtTheEdge(t *testing.T) {
-	w := build(t, 600, 40)
+	w := newNetwork(t, 600, 40)
 	w.quiet[5] = true
 	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
 	for n, name := range names(600) {
@@ -512,23 +512,23 @@
 	me := 300 // the first of the second block
 	w.views[me] = v
 	w.startWith(me, NewView(all))
-	w.fleets[me].set.Me = v.from[me]
-	w.fleets[me].See(NewView(all))
-	if w.view.block(me) != 1 || w.fleets[me].me != 0 {
-		t.Fatalf("it is in block %d, and by its list in %d", w.view.block(me), w.fleets[me].me)
+	w.fleets[me].settings.Self = v.from[me]
+	w.fleets[me].SetView(NewView(all))
+	if w.view.groupOf(me) != 1 || w.fleets[me].group != 0 {
+		t.Fatalf("it is in block %d, and by its list in %d", w.view.groupOf(me), w.fleets[me].group)
 	}
 	w.run(15)
 	missing := 0
-	for id, s := range w.fleets[me].order {
-		if !w.quiet[id] && w.at(me)-s.held.born > hold {
+	for id, s := range w.fleets[me].servers {
+		if !w.quiet[id] && w.at(me)-s.held.originatedAt > summaryLifetime {
 			missing++
 		}
 	}
 	if missing > 4 {
 		t.Errorf("it lacks %d of 39 entries", missing)
 	}
-	w.say(me, 5, refused)
-	if _, _, last := w.reach(8, func(f *Fleet, now float64) bool { return f == w.fleets[me] || bad(5)(f, now) }); last > inTime {
+	w.say(me, 5, refusalByte)
+	if _, _, last := w.reach(8, func(f *Gossiper, now float64) bool { return f == w.fleets[me] || believesRefusing(5)(f, now) }); last > inTime {
 		t.Errorf("the last of the others knew after %v s", last)
 	}
 }
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -11,14 +11,14 @@
 type reckoned struct{ load, at, joint float64 }
 
 func (m *reckoned) weigh(now, took float64) {
-	m.load = m.load*math.Exp((m.at-now)/recall) + took
+	m.load = m.load*math.Exp((m.at-now)/loadDecay) + took
 	m.joint += (took - m.joint) * min(max(1-math.Exp(m.at-now), 1.0/32), 0.5)
 	m.at = now
 }
 
 // A module that is fed comes to the loads and means of one that hears all, over some time: the loads' sum, those of each server, and which are slow.
 func TestModuleComesToTheSame(t *testing.T) {
-	w := build(t, 100, 40)
+	w := newNetwork(t, 100, 40)
 	w.slow[9], w.slow[10] = 4, 0.1
 	all, fed := make([]reckoned, 40), make([]reckoned, 40)
 	for id := range 40 {
@@ -36,8 +36,8 @@
 	for range looks {
 		w.run(0.5)
 		for id := range 40 {
-			load[id] += fed[id].load * math.Exp((fed[id].at-w.now())/recall) / looks
-			was[id] += all[id].load * math.Exp((all[id].at-w.now())/recall) / looks
+			load[id] += fed[id].load * math.Exp((fed[id].at-w.now())/loadDecay) / looks
+			was[id] += all[id].load * math.Exp((all[id].at-w.now())/loadDecay) / looks
 			joint[id] += fed[id].joint / looks
 			right[id] += all[id].joint / looks
 		}
@@ -75,7 +75,7 @@
 // A server that refuses everywhere is benched by the module of a router that never asked it; one that refuses one router while others finish there is not.
 func TestModuleBenches(t *testing.T) {
 	for crashed, want := range map[bool]bool{true: true, false: false} {
-		w := build(t, 100, 40)
+		w := newNetwork(t, 100, 40)
 		m := balancer.New(w.now(), balancer.Settings{RouterCount: 100, GossipAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
 		var members []balancer.Endpoint
 		for id := range 40 {
@@ -94,7 +94,7 @@
 		w.crashed[5] = crashed
 		benched := 0.0
 		for range 58 { // 2.9 s
-			w.say(60, 5, refused)
+			w.say(60, 5, refusalByte)
 			w.run(0.05)
 			if m.Avoids(5*150 + 7) {
 				benched += 0.05
--- a/internal/policy/gossip/golden_test.go
+++ b/internal/policy/gossip/golden_test.go
@@ -41,22 +41,22 @@
 }
 
 // goldenEntries are sums and totals with each flag, and values at and beyond the bounds of the form.
-func goldenEntries() []entry {
-	return []entry{
-		{born: 1000},
-		{rank: 1, life: 7, number: 1, load: 1, joint: 1, born: 999.95},
-		{rank: 2, life: 255, number: 255, load: 4095.9375, joint: 7.9375, born: 995.5},
-		{rank: 15, refused: true, load: 0.03, joint: 0.0156, born: 999.999},
-		{rank: 3, well: true, load: 0.04, joint: 0.0157, born: 987.25},
-		{rank: 4, news: true, load: 5000, joint: 100, born: 900},
-		{rank: 5, refused: true, well: true, news: true, life: 128, number: 200, load: 123.456, joint: 2.5, born: 1003},
-		{rank: 0, load: -4, joint: 0.5, born: 999.4999},
+func goldenEntries() []summary {
+	return []summary{
+		{originatedAt: 1000},
+		{rank: 1, incarnation: 7, version: 1, load: 1, mean: 1, originatedAt: 999.95},
+		{rank: 2, incarnation: 255, version: 255, load: 4095.9375, mean: 7.9375, originatedAt: 995.5},
+		{rank: 15, refusing: true, load: 0.03, mean: 0.0156, originatedAt: 999.999},
+		{rank: 3, answering: true, load: 0.04, mean: 0.0157, originatedAt: 987.25},
+		{rank: 4, urgent: true, load: 5000, mean: 100, originatedAt: 900},
+		{rank: 5, refusing: true, answering: true, urgent: true, incarnation: 128, version: 200, load: 123.456, mean: 2.5, originatedAt: 1003},
+		{rank: 0, load: -4, mean: 0.5, originatedAt: 999.4999},
 	}
 }
 
-func goldenEntry(id uint16, e entry) string {
-	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v", id, e.rank, e.refused, e.well, e.news, e.life,
-		e.number, e.born, e.load, e.joint)
+func goldenEntry(id uint16, e summary) string {
+	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v", id, e.rank, e.refusing, e.answering, e.urgent, e.incarnation,
+		e.version, e.originatedAt, e.load, e.mean)
 }
 
 // What a sum or a total looks like in a datagram, and what is read from it by a router whose clock is another.
@@ -64,8 +64,8 @@
 	var lines []string
 	for i, e := range goldenEntries() {
 		id := uint16(i*8191 + 7)
-		b := write(nil, id, e, 1000)
-		readID, readEntry := read(b, 50)
+		b := appendSummary(nil, id, e, 1000)
+		readID, readEntry := parseSummary(b, 50)
 		lines = append(lines, hex.EncodeToString(b), goldenEntry(readID, readEntry))
 	}
 	want := golden(t, "entries", lines)
@@ -74,7 +74,7 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		id, e := read(b, 50)
+		id, e := parseSummary(b, 50)
 		if got := goldenEntry(id, e); got != want[i+1] {
 			t.Errorf("%s is read as %s, want %s", want[i], got, want[i+1])
 		}
@@ -82,24 +82,24 @@
 }
 
 // goldenRouter is the router 0 of a quiet block of four, which knows that all others speak this.
-func goldenRouter() *Fleet {
-	f := New(1000, Settings{Me: 0, Seed: 9, Life: 77, BytesPerSecond: 7000, Longest: 0.6}, NewView(names(4)))
-	f.Listed([]uint16{7, 157, 307, 457, 607})
+func goldenRouter() *Gossiper {
+	f := New(1000, Settings{Self: 0, Seed: 9, Incarnation: 77, BytesPerSecond: 7000, LongestObjective: 0.6}, NewView(names(4)))
+	f.SetServers([]uint16{7, 157, 307, 457, 607})
 	f.Tick(1000)
 	for from := 1; from < 4; from++ {
-		f.Heard(1000, from, []byte{answer})
+		f.OnDatagram(1000, from, []byte{probeAckByte})
 	}
 	return f
 }
 
 // goldenTicks steps a router for some time and gives what it sends, a line each, and what it feeds.
-func goldenTicks(f *Fleet, from, to float64) (lines []string) {
+func goldenTicks(f *Gossiper, from, to float64) (lines []string) {
 	for i := 0; from+float64(i)*0.05 < to; i++ {
 		now := from + float64(i)*0.05
 		for _, d := range f.Tick(now) {
 			lines = append(lines, fmt.Sprintf("%.2f to %d: %s", now-1000, d.To, hex.EncodeToString(d.Bytes)))
 		}
-		if b := f.Feed(now); len(b) > 0 {
+		if b := f.SynthesizeObservations(now); len(b) > 0 {
 			lines = append(lines, fmt.Sprintf("%.2f feeds %s", now-1000, hex.EncodeToString(b)))
 		}
 	}
@@ -113,7 +113,7 @@
 	var lines []string
 	say := func(what string) { lines = append(lines, "# "+what) }
 	say("words of this router")
-	f.Tell(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
+	f.Report(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
 	lines = append(lines, goldenTicks(f, 1000.05, 1003)...)
 	say("words of another")
 	for from := 1; from < 4; from++ {
@@ -121,41 +121,41 @@
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !f.Heard(1003, from, seal(b)) {
+		if !f.OnDatagram(1003, from, appendChecksum(b)) {
 			t.Errorf("%x was not taken", b)
 		}
 	}
 	lines = append(lines, goldenTicks(f, 1003, 1006)...)
 	say("a pull")
-	f.Heard(1006, 2, seal([]byte{tag, wanted, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
+	f.OnDatagram(1006, 2, appendChecksum([]byte{messageTag, kindPull, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
 	lines = append(lines, goldenTicks(f, 1006, 1006.1)...)
 	say("a call")
-	f.Heard(1006.1, 3, []byte{call})
+	f.OnDatagram(1006.1, 3, []byte{probeByte})
 	lines = append(lines, goldenTicks(f, 1006.1, 1006.2)...)
 	say("totals of others")
-	b := []byte{tag, entries}
+	b := []byte{messageTag, kindSummaries}
 	for i, e := range goldenEntries() {
-		e.born += 6.2
-		b = write(b, uint16(i*150+7), e, 1006.2)
+		e.originatedAt += 6.2
+		b = appendSummary(b, uint16(i*150+7), e, 1006.2)
 	}
-	f.Heard(1006.2, 1, seal(b))
+	f.OnDatagram(1006.2, 1, appendChecksum(b))
 	lines = append(lines, goldenTicks(f, 1006.2, 1020)...)
-	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d", f.Counts.Datagrams, f.Counts.Bytes, f.Counts.Heard,
-		f.Counts.Foreign, f.Counts.Bounded, f.Counts.Missed))
+	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d", f.Counters.DatagramsSent, f.Counters.BytesSent, f.Counters.BytesReceived,
+		f.Counters.DatagramsDropped, f.Counters.ObservationsLimited, f.Counters.ObservationsUnsent))
 	golden(t, "datagrams", lines)
 }
 
 // goldenStream writes a line of each half second of all that a simulated fleet sends, hears and feeds, as a hash. Any change of one byte, of one
 // receiver or of one draw of chance shows from there on.
 type goldenStream struct {
-	w     *net
+	w     *network
 	lines []string
 	sum   []byte
 }
 
 func newGoldenStream(t *testing.T, routers, servers int) *goldenStream {
-	s := &goldenStream{w: build(t, routers, servers)}
-	s.w.spy = func(l letter) {
+	s := &goldenStream{w: newNetwork(t, routers, servers)}
+	s.w.spy = func(l packet) {
 		s.add("%d %d %x\n", l.from, l.to, l.b)
 	}
 	s.w.fed = func(n int, b []byte) {
@@ -179,21 +179,21 @@
 }
 
 func (s *goldenStream) line(what string) {
-	var all Counts
+	var all Counters
 	for n, f := range s.w.fleets {
-		all.Datagrams += f.Counts.Datagrams
-		all.Bytes += f.Counts.Bytes
-		all.Heard += f.Counts.Heard
-		all.Foreign += f.Counts.Foreign
-		all.Bounded += f.Counts.Bounded
-		all.Missed += f.Counts.Missed
-		for _, v := range f.order {
-			load, mean, age, ok := f.Held(s.w.at(n), v.id)
+		all.DatagramsSent += f.Counters.DatagramsSent
+		all.BytesSent += f.Counters.BytesSent
+		all.BytesReceived += f.Counters.BytesReceived
+		all.DatagramsDropped += f.Counters.DatagramsDropped
+		all.ObservationsLimited += f.Counters.ObservationsLimited
+		all.ObservationsUnsent += f.Counters.ObservationsUnsent
+		for _, v := range f.servers {
+			load, mean, age, ok := f.Summary(s.w.at(n), v.id)
 			s.add("%v %v %v %t\n", load, mean, age, ok)
 		}
 	}
-	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.w.now(), all.Datagrams, all.Bytes, all.Heard, all.Foreign, all.Bounded,
-		all.Missed, s.sum[:8]))
+	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.w.now(), all.DatagramsSent, all.BytesSent, all.BytesReceived, all.DatagramsDropped, all.ObservationsLimited,
+		all.ObservationsUnsent, s.sum[:8]))
 }
 
 // All that a block of a hundred routers sends to the byte, while servers refuse, datagrams are lost and doubled, homes die and come back, a process
@@ -206,7 +206,7 @@
 	w.crashed[5] = true
 	s.run("a server refuses", 4)
 	w.crashed[5] = false
-	w.say(3, 6, refused)
+	w.say(3, 6, refusalByte)
 	w.loss, w.twice = 0.1, 0.05
 	s.run("a tenth is lost", 6)
 	w.loss, w.twice = 0, 0
@@ -226,14 +226,14 @@
 	w.rate = 5
 	home := int(w.homes(0, 4)[0])
 	liar := (home + 1) % 100
-	forged := w.fleets[liar].order[4].held
-	forged.number, forged.load, forged.news = forged.number+100, 4000, true
+	forged := w.fleets[liar].servers[4].held
+	forged.version, forged.load, forged.urgent = forged.version+100, 4000, true
 	id := uint16(4*150 + 7)
 	for i := range 300 {
-		w.fleets[home].Heard(w.at(home), liar, seal([]byte{tag, words, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
-		w.fleets[home].Heard(w.at(home), liar, seal(write([]byte{tag, rows}, id, entry{load: 4000, joint: 1, born: w.at(home)}, w.at(home))))
-		w.fleets[home].Heard(w.at(home), liar, seal(write([]byte{tag, entries}, id, forged, w.at(home))))
-		w.fleets[home].Heard(w.at(home), liar, []byte{tag, entries, byte(i), 9, 1})
+		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
+		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: w.at(home)}, w.at(home))))
+		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, w.at(home))))
+		w.fleets[home].OnDatagram(w.at(home), liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
 	}
 	s.run("one floods", 6)
 	var ids []uint16
@@ -243,9 +243,9 @@
 		}
 	}
 	for n, f := range w.fleets {
-		f.Listed(append(ids, 9999))
+		f.SetServers(append(ids, 9999))
 		if n%3 == 0 {
-			f.See(NewView(names(100)))
+			f.SetView(NewView(names(100)))
 		}
 	}
 	s.run("another list of servers, another view", 10)
@@ -263,11 +263,11 @@
 			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
 		}
 	}
-	from, to := w.view.span(1)
+	from, to := w.view.groupBounds(1)
 	w.views[from] = v
 	w.startWith(from, NewView(all))
-	w.fleets[from].set.Me = v.from[from]
-	w.fleets[from].See(NewView(all))
+	w.fleets[from].settings.Self = v.from[from]
+	w.fleets[from].SetView(NewView(all))
 	w.crashed[2] = true
 	s.run("one has an old list, a server refuses", 5)
 	part := func(n int) bool { return n >= from && n < to }
--- a/internal/policy/gossip/gossip.go
+++ b/internal/policy/gossip/gossip.go
@@ -15,94 +15,94 @@
 )
 
 const (
-	header   = 28                     // bytes of UDP and IP round each datagram
-	bound    = 256                    // bytes of a datagram, by the protocol
-	block    = 512                    // routers of a block at most: 380 entries each few seconds reach as many for a third of 7 KB/s; more blocks cost little
-	edge     = 32                     // routers beside a block that may take themselves to be of it: a rack comes or goes in a week
-	slack    = 1.15                   // times its even part of the servers that a router may be the first home of
-	ranks    = 16                     // homes in a row that a block has for a server: with half of the routers of another build one in 65,000 has none left
-	recall   = 3.0                    // seconds over which the module sums load up
-	glance   = 1.0                    // seconds over which it reckons how slow a server is
-	refresh  = 5.0                    // seconds between two totals of a server of which nothing has changed
-	between  = 1.0                    // seconds between two totals that differ
-	apart    = 2.0                    // seconds between two sums from home to home; the second homes of other blocks have each third
-	hold     = 8.0                    // seconds for which an entry counts as it is: one total that was missed, and the way of the next
-	nothing  = 4.5                    // seconds without a sum of the home before it after which a home speaks itself: two were lost
-	overdue  = refresh + 0.75*between // seconds after which a router asks another for a total: pushing leaves out a fifth
-	late     = refresh + 1.5*between  // seconds after which a total is due in any case
-	barring  = 1.6                    // seconds for which a refusal is told: three waves of news
-	eager    = 0.4                    // the same for news: the first home's would have been here twice over
-	gap      = 0.5                    // seconds between two ticks beyond which this process has stood still
-	known    = 400.0                  // seconds for which a router is taken to speak this after a sign of it: two rounds of calls
-	again    = 0.5                    // seconds between two calls of a home that gave no sign
-	patience = 2.0                    // seconds without an answer after which a router that was called is taken for mute: a lost call was followed by others
-	round    = 150.0                  // seconds within which each router of a block is called: 100 bytes a second
-	share    = 0.88                   // of the budget that is planned with: what comes in is others' doing
-	lump     = 0.25                   // seconds for which entries wait for others to fill their datagram
-	calls    = 6.0                    // calls a second of one that has just started, 350 bytes with their answers: others make themselves known meanwhile
-	pulls    = 2.0                    // pulls a second of one that has just started: beside what comes anyhow 380 entries within 5 s
-	rest     = 1.0                    // seconds between two pulls later
-	joining  = 5.0                    // seconds for which a router that starts, or stood still, pulls more
-	spread   = 4                      // datagrams in which an entry is passed on, less those in which it comes again
-	urgent   = 8                      // the same for news, at once, and told thrice: of 512 routers with a tenth lost none is missed
-	sown     = 6                      // datagrams at once in which a home begins to pass an entry on
-	young    = 0.25                   // seconds of age up to which it is passed on at once: few routers have it, so what small datagrams cost is little
-	early    = 2                      // datagrams in which that is
-	telling  = 12.0                   // words a second of one router that count: twice what 27 operations a second come to with the module's price
-	burst    = 36.0                   // and at once
-	letters  = 40.0                   // datagrams a second of one router that are read: three times what one sends to all
-	most     = 1024                   // servers; more are not told of
-	sharply  = 2.5                    // times the usual from which on the module takes keys from a server
+	datagramOverhead   = 28                             // bytes of UDP and IP round each datagram
+	maxDatagramBytes   = 256                            // bytes of a datagram, by the protocol
+	maxGroupRouters    = 512                            // routers of a block at most: 380 entries each few seconds reach as many for a third of 7 KB/s; more blocks cost little
+	edge               = 32                             // routers beside a block that may take themselves to be of it: a rack comes or goes in a week
+	slack              = 1.15                           // times its even part of the servers that a router may be the first home of
+	ownersPerGroup     = 16                             // homes in a row that a block has for a server: with half of the routers of another build one in 65,000 has none left
+	loadDecay          = 3.0                            // seconds over which the module sums load up
+	glance             = 1.0                            // seconds over which it reckons how slow a server is
+	refreshInterval    = 5.0                            // seconds between two totals of a server of which nothing has changed
+	between            = 1.0                            // seconds between two totals that differ
+	apart              = 2.0                            // seconds between two sums from home to home; the second homes of other blocks have each third
+	summaryLifetime    = 8.0                            // seconds for which an entry counts as it is: one total that was missed, and the way of the next
+	nothing            = 4.5                            // seconds without a sum of the home before it after which a home speaks itself: two were lost
+	overdue            = refreshInterval + 0.75*between // seconds after which a router asks another for a total: pushing leaves out a fifth
+	overdueInterval    = refreshInterval + 1.5*between  // seconds after which a total is due in any case
+	barring            = 1.6                            // seconds for which a refusal is told: three waves of news
+	eager              = 0.4                            // the same for news: the first home's would have been here twice over
+	gap                = 0.5                            // seconds between two ticks beyond which this process has stood still
+	known              = 400.0                          // seconds for which a router is taken to speak this after a sign of it: two rounds of calls
+	again              = 0.5                            // seconds between two calls of a home that gave no sign
+	patience           = 2.0                            // seconds without an answer after which a router that was called is taken for mute: a lost call was followed by others
+	round              = 150.0                          // seconds within which each router of a block is called: 100 bytes a second
+	share              = 0.88                           // of the budget that is planned with: what comes in is others' doing
+	lump               = 0.25                           // seconds for which entries wait for others to fill their datagram
+	calls              = 6.0                            // calls a second of one that has just started, 350 bytes with their answers: others make themselves known meanwhile
+	pulls              = 2.0                            // pulls a second of one that has just started: beside what comes anyhow 380 entries within 5 s
+	rest               = 1.0                            // seconds between two pulls later
+	joining            = 5.0                            // seconds for which a router that starts, or stood still, pulls more
+	spread             = 4                              // datagrams in which an entry is passed on, less those in which it comes again
+	urgent             = 8                              // the same for news, at once, and told thrice: of 512 routers with a tenth lost none is missed
+	sown               = 6                              // datagrams at once in which a home begins to pass an entry on
+	young              = 0.25                           // seconds of age up to which it is passed on at once: few routers have it, so what small datagrams cost is little
+	early              = 2                              // datagrams in which that is
+	telling            = 12.0                           // words a second of one router that count: twice what 27 operations a second come to with the module's price
+	observationBurst   = 36.0                           // and at once
+	datagramsPerSecond = 40.0                           // datagrams a second of one router that are read: three times what one sends to all
+	most               = 1024                           // servers; more are not told of
+	sharply            = 2.5                            // times the usual from which on the module takes keys from a server
 )
 
 // Settings is what a router knows at its start.
 type Settings struct {
-	Me             int     // its place in the view
-	Seed           uint32  // of its chance
-	Life           uint32  // another one for each process
-	BytesPerSecond float64 // in and out together, with headers
-	Longest        float64 // seconds: the longest promised time of a traffic type
+	Self             int     // its place in the view
+	Seed             uint32  // of its chance
+	Incarnation      uint32  // another one for each process
+	BytesPerSecond   float64 // in and out together, with headers
+	LongestObjective float64 // seconds: the longest promised time of a traffic type
 }
 
 // View is who may be there: what a router goes by until it is given another. Routers share what it has reckoned.
 type View struct {
-	names  []uint32
-	blocks int
-	homes  map[uint32][ranks]int16 // by weight alone
-	ids    []uint16                // the servers, in order
-	plan   map[uint32][ranks]int16 // with even parts
+	hashes []uint32
+	groups int
+	homes  map[uint32][ownersPerGroup]int16 // by weight alone
+	ids    []uint16                         // the servers, in order
+	plan   map[uint32][ownersPerGroup]int16 // with even parts
 }
 
 // NewView takes all routers by a number of each that every router knows alike, in the order of the list.
 func NewView(names []uint32) *View {
-	return &View{names: names, blocks: max(1, (len(names)+block-1)/block), homes: map[uint32][ranks]int16{}, plan: map[uint32][ranks]int16{}}
+	return &View{hashes: names, groups: max(1, (len(names)+maxGroupRouters-1)/maxGroupRouters), homes: map[uint32][ownersPerGroup]int16{}, plan: map[uint32][ownersPerGroup]int16{}}
 }
 
-// Pays tells whether so many routers cost less by this than by telling each other: one message of five words a second, both ways.
-func Pays(routers int, bytesPerSecond float64) bool {
-	return float64(routers-1)*2*(header+15) > bytesPerSecond
+// CheaperThanBroadcast tells whether so many routers cost less by this than by telling each other: one message of five words a second, both ways.
+func CheaperThanBroadcast(routers int, bytesPerSecond float64) bool {
+	return float64(routers-1)*2*(datagramOverhead+15) > bytesPerSecond
 }
 
-func (v *View) block(router int) int { return router * v.blocks / len(v.names) }
+func (v *View) groupOf(router int) int { return router * v.groups / len(v.hashes) }
 
-// span gives the first router of a block and the first after it.
-func (v *View) span(b int) (from, to int) {
-	n := len(v.names)
-	return (b*n + v.blocks - 1) / v.blocks, ((b+1)*n + v.blocks - 1) / v.blocks
+// groupBounds gives the first router of a block and the first after it.
+func (v *View) groupBounds(b int) (from, to int) {
+	n := len(v.hashes)
+	return (b*n + v.groups - 1) / v.groups, ((b+1)*n + v.groups - 1) / v.groups
 }
 
-// list takes the servers that homes are to be shared out for.
-func (v *View) list(ids []uint16) {
+// setServers takes the servers that homes are to be shared out for.
+func (v *View) setServers(ids []uint16) {
 	if !slices.Equal(v.ids, ids) {
 		v.ids = slices.Clone(ids)
 		clear(v.plan)
 	}
 }
 
-// ranked gives a server's homes in a block, the first one first; -1 where there are fewer. Weights alone would make one router the first home of
+// ownersOf gives a server's homes in a block, the first one first; -1 where there are fewer. Weights alone would make one router the first home of
 // five servers, at half a kilobyte a second each: so the first is the heaviest that is not the first of its part of the servers already, in the
 // order of their ids (rendezvous hashing with bounded loads). A server more or less moves few.
-func (v *View) ranked(b int, id uint16) [ranks]int16 {
+func (v *View) ownersOf(b int, id uint16) [ownersPerGroup]int16 {
 	key := uint32(b)<<16 | uint32(id)
 	if all, ok := v.plan[key]; ok {
 		return all
@@ -110,7 +110,7 @@
 	if _, listed := slices.BinarySearch(v.ids, id); !listed {
 		return v.weighed(b, id)
 	}
-	from, to := v.span(b)
+	from, to := v.groupBounds(b)
 	firsts, part := make([]int, to-from), int(math.Ceil(slack*float64(len(v.ids))/float64(to-from)))
 	for _, id := range v.ids {
 		all := v.weighed(b, id)
@@ -131,22 +131,22 @@
 }
 
 // weighed gives them by weight alone.
-func (v *View) weighed(b int, id uint16) [ranks]int16 {
+func (v *View) weighed(b int, id uint16) [ownersPerGroup]int16 {
 	key := uint32(b)<<16 | uint32(id)
 	if all, ok := v.homes[key]; ok {
 		return all
 	}
-	if len(v.homes) >= most*v.blocks {
+	if len(v.homes) >= most*v.groups {
 		clear(v.homes)
 	}
-	var all [ranks]int16
-	var weights [ranks]uint32
+	var all [ownersPerGroup]int16
+	var weights [ownersPerGroup]uint32
 	for i := range all {
 		all[i] = -1
 	}
-	from, to := v.span(b)
+	from, to := v.groupBounds(b)
 	for r := from; r < to; r++ {
-		w, who := mix(v.names[r], uint64(id)), int16(r)
+		w, who := mix(v.hashes[r], uint64(id)), int16(r)
 		for i := range all {
 			if all[i] < 0 || w > weights[i] {
 				all[i], who = who, all[i]
@@ -176,77 +176,77 @@
 	Bytes []byte
 }
 
-// Fleet is one router's part.
-type Fleet struct {
-	set     Settings
-	view    *View
-	me      int // block
-	from    int // first of the block
-	to      int
-	now     float64
-	began   float64
-	deaf    float64
-	draws   uint64
-	peers   map[int]*peer
-	talkers []int // those of the block that have spoken this
-	servers map[uint16]*server
-	order   []*server // by id
-	told    []word
-	out     []Datagram
-	purse   bucket // for entries
-	haste   bucket // for what goes at once
-	answers bucket // for pulls
-	rows    bucket // for sums between blocks
-	voice   bucket // for this router's own words
-	called  float64
-	caller  int
-	pulled  float64
-	pending []*server
-	passed  float64 // when entries were last passed on
-	fed     float64
-	shown   float64 // part of the loads that is fed
-	Counts  Counts
-}
-
-// Held is what is held of a server by the end of its id: its load and mean over the fleet, and how many seconds ago its home said so; false: nothing
+// Gossiper is one router's part.
+type Gossiper struct {
+	settings     Settings
+	view         *View
+	group        int // block
+	from         int // first of the block
+	to           int
+	now          float64
+	began        float64
+	deaf         float64
+	draws        uint64
+	peerByRouter map[int]*peerState
+	talkers      []int // those of the block that have spoken this
+	serverByID   map[uint16]*serverState
+	servers      []*serverState // by id
+	told         []observation
+	out          []Datagram
+	purse        tokenBucket // for entries
+	haste        tokenBucket // for what goes at once
+	answers      tokenBucket // for pulls
+	rows         tokenBucket // for sums between blocks
+	voice        tokenBucket // for this router's own words
+	called       float64
+	caller       int
+	pulled       float64
+	pending      []*serverState
+	passed       float64 // when entries were last passed on
+	fed          float64
+	feedFraction float64 // part of the loads that is fed
+	Counters     Counters
+}
+
+// Summary is what is held of a server by the end of its id: its load and mean over the fleet, and how many seconds ago its home said so; false: nothing
 // that counts.
-func (f *Fleet) Held(now float64, id uint16) (load, mean, age float64, ok bool) {
-	s := f.servers[id]
-	if s == nil || now-s.held.born >= hold {
+func (f *Gossiper) Summary(now float64, id uint16) (load, mean, age float64, ok bool) {
+	s := f.serverByID[id]
+	if s == nil || now-s.held.originatedAt >= summaryLifetime {
 		return 0, 0, 0, false
 	}
-	return s.held.load, s.held.joint, now - s.held.born, true
+	return s.held.load, s.held.mean, now - s.held.originatedAt, true
 }
 
-// Counts is what happened since the start.
-type Counts struct {
-	Datagrams, Bytes uint64 // sent, with headers
-	Heard            uint64 // bytes that came in, with headers
-	Foreign          uint64 // datagrams that were dropped: damaged, or beyond what one router may send
-	Bounded          uint64 // words of one router beyond what counts
-	Missed           uint64 // own words that were not told
+// Counters is what happened since the start.
+type Counters struct {
+	DatagramsSent, BytesSent uint64 // sent, with headers
+	BytesReceived            uint64 // bytes that came in, with headers
+	DatagramsDropped         uint64 // datagrams that were dropped: damaged, or beyond what one router may send
+	ObservationsLimited      uint64 // words of one router beyond what counts
+	ObservationsUnsent       uint64 // own words that were not told
 }
 
-type word struct {
+type observation struct {
 	id   uint16
 	took byte
 	at   float64
 	to   [3]int // the homes that were told, plus one
 }
 
-type peer struct {
-	until  float64 // taken to speak this until then
-	called float64 // since when it has given no sign; 0: it was not called
-	last   float64 // when it was called last
-	listed bool    // among the talkers
-	words  bucket
-	letter bucket
+type peerState struct {
+	until           float64 // taken to speak this until then
+	called          float64 // since when it has given no sign; 0: it was not called
+	last            float64 // when it was called last
+	listed          bool    // among the talkers
+	observationRate tokenBucket
+	datagramRate    tokenBucket
 }
 
-// bucket is an allowance that fills with time.
-type bucket struct{ has, at float64 }
+// tokenBucket is an allowance that fills with time.
+type tokenBucket struct{ has, at float64 }
 
-func (b *bucket) take(now, rate, full, n float64) bool {
+func (b *tokenBucket) take(now, rate, full, n float64) bool {
 	b.has = min(full, b.has+rate*max(0, now-b.at))
 	if b.at = now; b.has < n {
 		return false
@@ -255,103 +255,103 @@
 	return true
 }
 
-// entry is a server's load as one home has it: of its block, or of all.
-type entry struct {
-	rank          uint8
-	life, number  uint8
-	refused, well bool
-	news          bool
-	load, joint   float64 // the module's: times over their type's mean, summed up over recall; and their mean
-	born          float64 // by this router's clock
-}
-
-// sums is what a home has been told.
-type sums struct {
-	load, took, count float64 // over recall; over glance
-	at                float64
-	refused, well     float64 // when that was last told
-}
-
-type server struct {
-	id     uint16
-	base   int     // rank of the first of the homes told
-	sought float64 // since when an entry is missed
-	mine   sums
-	rows   map[int]entry // of other blocks
-	first  [ranks]float64
-	rowed  float64
-	turn   uint8 // of sums to other homes
-	spoke  float64
-	last   entry // as this router last said as a home
-	number uint8
-	held   entry
-	left   int // datagrams in which held is still to be passed on
-	queued bool
-	hurry  int     // those of them that go at once
-	load   float64 // as fed to the module
-	fedAt  float64
-	barred float64
+// summary is a server's load as one home has it: of its block, or of all.
+type summary struct {
+	rank                 uint8
+	incarnation, version uint8
+	refusing, answering  bool
+	urgent               bool
+	load, mean           float64 // the module's: times over their type's mean, summed up over recall; and their mean
+	originatedAt         float64 // by this router's clock
+}
+
+// observationSum is what a home has been told.
+type observationSum struct {
+	load, timeSum, count  float64 // over recall; over glance
+	updatedAt             float64
+	refusedAt, answeredAt float64 // when that was last told
+}
+
+type serverState struct {
+	id           uint16
+	baseRank     int     // rank of the first of the homes told
+	sought       float64 // since when an entry is missed
+	own          observationSum
+	groupSums    map[int]summary // of other blocks
+	ownerHeardAt [ownersPerGroup]float64
+	rowed        float64
+	turn         uint8 // of sums to other homes
+	spoke        float64
+	last         summary // as this router last said as a home
+	number       uint8
+	held         summary
+	left         int // datagrams in which held is still to be passed on
+	queued       bool
+	hurry        int     // those of them that go at once
+	fedLoad      float64 // as fed to the module
+	fedAt        float64
+	barred       float64
 }
 
 // New starts a router's part.
-func New(now float64, set Settings, view *View) *Fleet {
-	f := &Fleet{set: set, now: now, began: now, called: now, pulled: now, passed: now, fed: now, shown: 1, peers: map[int]*peer{}, servers: map[uint16]*server{}}
-	for _, b := range []*bucket{&f.purse, &f.haste, &f.answers, &f.rows} { // one that starts has much to hear
+func New(now float64, set Settings, view *View) *Gossiper {
+	f := &Gossiper{settings: set, now: now, began: now, called: now, pulled: now, passed: now, fed: now, feedFraction: 1, peerByRouter: map[int]*peerState{}, serverByID: map[uint16]*serverState{}}
+	for _, b := range []*tokenBucket{&f.purse, &f.haste, &f.answers, &f.rows} { // one that starts has much to hear
 		b.at = now
 	}
-	f.See(view)
+	f.SetView(view)
 	return f
 }
 
-// See takes another view of who may be there. What is known of servers stays; who speaks has to be found out again, as places may differ.
-func (f *Fleet) See(view *View) {
-	f.view, f.me, f.caller = view, view.block(f.set.Me), 0
-	f.from, f.to = view.span(f.me)
-	clear(f.peers)
+// SetView takes another view of who may be there. What is known of servers stays; who speaks has to be found out again, as places may differ.
+func (f *Gossiper) SetView(view *View) {
+	f.view, f.group, f.caller = view, view.groupOf(f.settings.Self), 0
+	f.from, f.to = view.groupBounds(f.group)
+	clear(f.peerByRouter)
 	f.talkers = nil
 	f.began = f.now
-	view.list(f.ids())
-	for _, s := range f.order {
-		s.rows, s.first = nil, [ranks]float64{}
+	view.setServers(f.ids())
+	for _, s := range f.servers {
+		s.groupSums, s.ownerHeardAt = nil, [ownersPerGroup]float64{}
 	}
 }
 
-// Listed takes the ends of the ids of all servers there are; words of others are not heeded.
-func (f *Fleet) Listed(ids []uint16) {
+// SetServers takes the ends of the ids of all servers there are; words of others are not heeded.
+func (f *Gossiper) SetServers(ids []uint16) {
 	there := map[uint16]bool{}
 	for _, id := range ids {
-		if there[id] = true; f.servers[id] == nil && len(f.servers) < most {
-			f.servers[id] = &server{id: id, spoke: math.Inf(-1), rowed: math.Inf(-1), mine: sums{refused: math.Inf(-1), well: math.Inf(-1)},
-				held: entry{born: math.Inf(-1)}, barred: math.Inf(-1)}
+		if there[id] = true; f.serverByID[id] == nil && len(f.serverByID) < most {
+			f.serverByID[id] = &serverState{id: id, spoke: math.Inf(-1), rowed: math.Inf(-1), own: observationSum{refusedAt: math.Inf(-1), answeredAt: math.Inf(-1)},
+				held: summary{originatedAt: math.Inf(-1)}, barred: math.Inf(-1)}
 		}
 	}
-	f.order = f.order[:0]
-	for id, s := range f.servers {
+	f.servers = f.servers[:0]
+	for id, s := range f.serverByID {
 		if !there[id] {
-			delete(f.servers, id)
+			delete(f.serverByID, id)
 			s.left = 0
 		} else {
-			f.order = append(f.order, s)
+			f.servers = append(f.servers, s)
 		}
 	}
-	slices.SortFunc(f.order, func(a, b *server) int { return cmp.Compare(a.id, b.id) })
-	f.view.list(f.ids())
+	slices.SortFunc(f.servers, func(a, b *serverState) int { return cmp.Compare(a.id, b.id) })
+	f.view.setServers(f.ids())
 }
 
-func (f *Fleet) ids() (all []uint16) {
-	for _, s := range f.order {
+func (f *Gossiper) ids() (all []uint16) {
+	for _, s := range f.servers {
 		all = append(all, s.id)
 	}
 	return all
 }
 
-func (f *Fleet) chance(n int) int {
+func (f *Gossiper) chance(n int) int {
 	f.draws++
-	return int(uint64(mix(f.set.Seed, f.draws)) * uint64(n) >> 32)
+	return int(uint64(mix(f.settings.Seed, f.draws)) * uint64(n) >> 32)
 }
 
 // wake notes the time. After a stop what waited in the socket is old, and says so nowhere: it is not listened to.
-func (f *Fleet) wake(now float64) {
+func (f *Gossiper) wake(now float64) {
 	if now-f.now > gap {
 		f.deaf = now + gap
 		f.told = f.told[:0]
@@ -359,40 +359,40 @@
 	f.now = now
 }
 
-// Tell takes words that the module has for the others.
-func (f *Fleet) Tell(now float64, words []byte) {
+// Report takes words that the module has for the others.
+func (f *Gossiper) Report(now float64, words []byte) {
 	f.wake(now)
 	for ; len(words) >= 3; words = words[3:] {
-		if !f.voice.take(now, telling, burst, 1) || len(f.told) >= burst {
-			f.Counts.Missed++
+		if !f.voice.take(now, telling, observationBurst, 1) || len(f.told) >= observationBurst {
+			f.Counters.ObservationsUnsent++
 			continue
 		}
-		f.told = append(f.told, word{id: uint16(words[0]) | uint16(words[1])<<8, took: words[2], at: now})
+		f.told = append(f.told, observation{id: uint16(words[0]) | uint16(words[1])<<8, took: words[2], at: now})
 	}
 }
 
 // speaks tells whether a router has shown that it understands this.
-func (f *Fleet) speaks(router int) bool {
-	p := f.peers[router]
-	return router == f.set.Me || p != nil && f.now < p.until
+func (f *Gossiper) speaks(router int) bool {
+	p := f.peerByRouter[router]
+	return router == f.settings.Self || p != nil && f.now < p.until
 }
 
 // post sends, or calls one of whom nothing is known: a build that does not know this would take a datagram for words.
-func (f *Fleet) post(to int, b []byte) bool {
+func (f *Gossiper) post(to int, b []byte) bool {
 	ok := f.speaks(to)
 	if !ok {
-		b = []byte{call}
+		b = []byte{probeByte}
 		f.ring(to)
 	}
-	if !ok || b[1] != entries { // those were paid before
-		f.pay(len(b) + header)
+	if !ok || b[1] != kindSummaries { // those were paid before
+		f.pay(len(b) + datagramOverhead)
 	}
 	f.note(to, b)
 	return ok
 }
 
 // ring notes that a router is called.
-func (f *Fleet) ring(to int) {
+func (f *Gossiper) ring(to int) {
 	p := f.peer(to)
 	if p.last = f.now; !f.speaks(to) && p.called == 0 {
 		p.called = f.now
@@ -400,26 +400,26 @@
 }
 
 // peer gives what is known of a router of the view.
-func (f *Fleet) peer(router int) *peer {
-	p := f.peers[router]
+func (f *Gossiper) peer(router int) *peerState {
+	p := f.peerByRouter[router]
 	if p == nil {
-		p = &peer{words: bucket{burst, f.now}, letter: bucket{2 * letters, f.now}}
-		f.peers[router] = p
+		p = &peerState{observationRate: tokenBucket{observationBurst, f.now}, datagramRate: tokenBucket{2 * datagramsPerSecond, f.now}}
+		f.peerByRouter[router] = p
 	}
 	return p
 }
 
-func (f *Fleet) note(to int, b []byte) {
-	f.Counts.Datagrams++
-	f.Counts.Bytes += uint64(len(b) + header)
+func (f *Gossiper) note(to int, b []byte) {
+	f.Counters.DatagramsSent++
+	f.Counters.BytesSent += uint64(len(b) + datagramOverhead)
 	f.out = append(f.out, Datagram{to, b})
 }
 
 // Tick gives what is to be sent now; it is called some twenty times a second.
-func (f *Fleet) Tick(now float64) []Datagram {
+func (f *Gossiper) Tick(now float64) []Datagram {
 	f.wake(now)
 	f.deliver()
-	for _, s := range f.order {
+	for _, s := range f.servers {
 		f.seek(s)
 		f.sum(s)
 	}
@@ -431,22 +431,22 @@
 }
 
 // deliver brings this router's words to the homes. One that gave no sign yet is called, and a word waits for its answer.
-func (f *Fleet) deliver() {
+func (f *Gossiper) deliver() {
 	wait := f.told[:0]
 	for _, w := range f.told {
-		s := f.servers[w.id]
+		s := f.serverByID[w.id]
 		if s == nil {
 			continue
 		}
 		for i, home := range f.homes(s) {
-			if w.to[i] == home+1 || i == 1 && w.took != refused { // the second has the first's sum; what is news it is told itself
+			if w.to[i] == home+1 || i == 1 && w.took != refusalByte { // the second has the first's sum; what is news it is told itself
 				continue
 			}
 			switch {
-			case home == f.set.Me:
+			case home == f.settings.Self:
 				f.count(s, w.took)
 			case f.speaks(home):
-				f.post(home, seal([]byte{tag, words, byte(w.id), byte(w.id >> 8), w.took}))
+				f.post(home, appendChecksum([]byte{messageTag, kindObservations, byte(w.id), byte(w.id >> 8), w.took}))
 			default:
 				if p := f.peer(home); f.now-p.last > again {
 					f.post(home, nil)
@@ -455,7 +455,7 @@
 			}
 			w.to[i] = home + 1
 		}
-		if (w.to[0] == 0 || w.to[1] == 0 && w.took == refused) && f.now-w.at < patience {
+		if (w.to[0] == 0 || w.to[1] == 0 && w.took == refusalByte) && f.now-w.at < patience {
 			wait = append(wait, w)
 		}
 	}
@@ -464,11 +464,11 @@
 
 // homes gives those that are told of a server: two from its base on that are not known to be of another build, and where the first of these is not
 // the first of all, also that one, which so is heard again once it is back.
-func (f *Fleet) homes(s *server) []int {
-	all := f.view.ranked(f.me, s.id)
+func (f *Gossiper) homes(s *serverState) []int {
+	all := f.view.ownersOf(f.group, s.id)
 	to := make([]int, 0, 3)
 	for i := range all {
-		if home := int(all[(i+s.base)%ranks]); home >= 0 && len(to) < 2 && !f.mute(home) {
+		if home := int(all[(i+s.baseRank)%ownersPerGroup]); home >= 0 && len(to) < 2 && !f.mute(home) {
 			to = append(to, home)
 		}
 	}
@@ -485,138 +485,138 @@
 
 // mute tells whether a router was called and gave no sign: it is of another build, or down. Of one that was never called nothing is known, and to
 // go past it would make homes of many.
-func (f *Fleet) mute(router int) bool {
-	p := f.peers[router]
+func (f *Gossiper) mute(router int) bool {
+	p := f.peerByRouter[router]
 	return !f.speaks(router) && p != nil && p.called > 0 && f.now-p.called > patience
 }
 
 // seek turns to the next two homes of a server once those told are of no use: an entry is due from them and none comes.
-func (f *Fleet) seek(s *server) {
-	if f.now-s.held.born < hold || f.now-f.began < joining+hold {
-		s.sought = f.now - hold/2
+func (f *Gossiper) seek(s *serverState) {
+	if f.now-s.held.originatedAt < summaryLifetime || f.now-f.began < joining+summaryLifetime {
+		s.sought = f.now - summaryLifetime/2
 		return
 	}
-	if f.now-s.sought > hold {
-		s.base, s.sought = (s.base+2)%ranks, f.now
+	if f.now-s.sought > summaryLifetime {
+		s.baseRank, s.sought = (s.baseRank+2)%ownersPerGroup, f.now
 	}
 }
 
 // count takes a word told to this router as a home.
-func (f *Fleet) count(s *server, took byte) {
-	m := &s.mine
-	if took == refused {
-		m.refused = f.now
+func (f *Gossiper) count(s *serverState, took byte) {
+	m := &s.own
+	if took == refusalByte {
+		m.refusedAt = f.now
 		return
 	}
 	x := float64(took) / 32
-	m.load = m.load*math.Exp((m.at-f.now)/recall) + x
-	fade := math.Exp((m.at - f.now) / glance)
-	m.took, m.count, m.at = m.took*fade+x, m.count*fade+1, f.now
+	m.load = m.load*math.Exp((m.updatedAt-f.now)/loadDecay) + x
+	fade := math.Exp((m.updatedAt - f.now) / glance)
+	m.timeSum, m.count, m.updatedAt = m.timeSum*fade+x, m.count*fade+1, f.now
 	if x < 4 {
-		m.well = f.now
+		m.answeredAt = f.now
 	}
 }
 
 // rank is this router's among the homes of a server in its block, or ranks.
-func (f *Fleet) rank(s *server) int {
-	homes := f.view.ranked(f.me, s.id)
+func (f *Gossiper) rank(s *serverState) int {
+	homes := f.view.ownersOf(f.group, s.id)
 	for i, r := range homes {
-		if int(r) == f.set.Me {
+		if int(r) == f.settings.Self {
 			return i
 		}
 	}
-	return ranks
+	return ownersPerGroup
 }
 
 // sum has a home speak: to the homes of other blocks, and to its block.
-func (f *Fleet) sum(s *server) {
-	m := &s.mine
-	if m.at == 0 && math.IsInf(m.refused, -1) && len(s.rows) == 0 || f.now-max(m.at, m.refused, f.heardRows(s)) > hold {
+func (f *Gossiper) sum(s *serverState) {
+	m := &s.own
+	if m.updatedAt == 0 && math.IsInf(m.refusedAt, -1) && len(s.groupSums) == 0 || f.now-max(m.updatedAt, m.refusedAt, f.heardRows(s)) > summaryLifetime {
 		return
 	}
 	rank := f.rank(s)
-	if rank == ranks {
+	if rank == ownersPerGroup {
 		return // of an old view
 	}
-	own := entry{rank: uint8(rank), life: byte(mix(f.view.names[f.set.Me], uint64(f.set.Life))), born: f.now,
-		load: m.load * math.Exp((m.at-f.now)/recall), joint: m.took / max(m.count, 1e-9), refused: f.now-m.refused < barring, well: f.now-m.well < f.set.Longest}
+	own := summary{rank: uint8(rank), incarnation: byte(mix(f.view.hashes[f.settings.Self], uint64(f.settings.Incarnation))), originatedAt: f.now,
+		load: m.load * math.Exp((m.updatedAt-f.now)/loadDecay), mean: m.timeSum / max(m.count, 1e-9), refusing: f.now-m.refusedAt < barring, answering: f.now-m.answeredAt < f.settings.LongestObjective}
 	ahead := math.Inf(-1)
 	for i := range rank {
-		ahead = max(ahead, s.first[i])
+		ahead = max(ahead, s.ownerHeardAt[i])
 	}
 	total := f.total(s, own)
-	wait := late
+	wait := overdueInterval
 	if rank > 1 { // some that missed totals may tell it what the first two know: it speaks once these are gone
-		wait = 1.5 * hold
+		wait = 1.5 * summaryLifetime
 	}
-	behind := f.now-ahead < nothing || int(s.held.rank) < rank && f.now-s.held.born < wait
-	bad := own.refused && !own.well && !(s.held.refused && !s.held.well && f.now-s.held.born < between)
-	if behind && !(bad && f.now-m.refused > eager) {
+	behind := f.now-ahead < nothing || int(s.held.rank) < rank && f.now-s.held.originatedAt < wait
+	bad := own.refusing && !own.answering && !(s.held.refusing && !s.held.answering && f.now-s.held.originatedAt < between)
+	if behind && !(bad && f.now-m.refusedAt > eager) {
 		return
 	}
-	if f.now-s.rowed >= apart || (own.refused != s.last.refused || bad) && f.now-s.rowed >= between/2 {
+	if f.now-s.rowed >= apart || (own.refusing != s.last.refusing || bad) && f.now-s.rowed >= between/2 {
 		f.row(s, own, rank)
 	}
-	s.last.refused = own.refused
+	s.last.refusing = own.refusing
 	was := s.held
-	news := total.refused && !total.well != (was.refused && !was.well) || (total.joint > sharply) != (was.joint > sharply) ||
+	news := total.refusing && !total.answering != (was.refusing && !was.answering) || (total.mean > sharply) != (was.mean > sharply) ||
 		math.Abs(total.load-was.load) > max(8, was.load)
-	differs := news || math.Abs(total.load-was.load) > max(2, 0.25*was.load) || math.Abs(total.joint-was.joint) > 0.3*max(was.joint, 0.2)
+	differs := news || math.Abs(total.load-was.load) > max(2, 0.25*was.load) || math.Abs(total.mean-was.mean) > 0.3*max(was.mean, 0.2)
 	// Where much waits to be passed on, what differs is told less often: it would come no sooner, and keep the rest back.
 	due, pause := f.now-s.spoke, between+float64(len(f.pending))/perDatagram/2
-	if due >= refresh || differs && due >= pause || news && due >= between/2 || total.refused && !total.well && due >= between/2 {
+	if due >= refreshInterval || differs && due >= pause || news && due >= between/2 || total.refusing && !total.answering && due >= between/2 {
 		s.number++
-		total.number, total.news, total.rank, total.life, total.born = s.number, news || total.refused && !total.well, own.rank, own.life, f.now
+		total.version, total.urgent, total.rank, total.incarnation, total.originatedAt = s.number, news || total.refusing && !total.answering, own.rank, own.incarnation, f.now
 		s.spoke = f.now
 		f.hear(s, total)
 	}
 }
 
-func (f *Fleet) heardRows(s *server) float64 {
+func (f *Gossiper) heardRows(s *serverState) float64 {
 	at := math.Inf(-1)
-	for _, r := range s.rows {
-		at = max(at, r.born)
+	for _, r := range s.groupSums {
+		at = max(at, r.originatedAt)
 	}
 	return at
 }
 
 // total merges the newest sums of all blocks: each fades as if its words had been heard here.
-func (f *Fleet) total(s *server, own entry) (total entry) {
+func (f *Gossiper) total(s *serverState, own summary) (total summary) {
 	total = own
-	counts := own.load / max(own.joint, 1.0/32)
-	for b := range f.view.blocks { // in one order: sums of fractions depend on it
-		r, ok := s.rows[b]
-		if age := f.now - r.born; ok && age < hold {
-			load := r.load * math.Exp(-max(0, age-apart)/recall)
+	counts := own.load / max(own.mean, 1.0/32)
+	for b := range f.view.groups { // in one order: sums of fractions depend on it
+		r, ok := s.groupSums[b]
+		if age := f.now - r.originatedAt; ok && age < summaryLifetime {
+			load := r.load * math.Exp(-max(0, age-apart)/loadDecay)
 			total.load += load
-			counts += load / max(r.joint, 1.0/32)
-			total.refused = total.refused || r.refused && age < barring
-			total.well = total.well || r.well && age < f.set.Longest+eager
+			counts += load / max(r.mean, 1.0/32)
+			total.refusing = total.refusing || r.refusing && age < barring
+			total.answering = total.answering || r.answering && age < f.settings.LongestObjective+eager
 		}
 	}
 	if counts > 0 && total.load > 0 {
-		total.joint = total.load / counts
+		total.mean = total.load / counts
 	}
 	return total
 }
 
 // row sends this block's sum to the two homes of each other block, and to the homes after this one here: they hear that it is there.
-func (f *Fleet) row(s *server, own entry, rank int) {
+func (f *Gossiper) row(s *serverState, own summary, rank int) {
 	heard := true
 	s.turn++
-	own.number = s.number
-	b := seal(write([]byte{tag, rows}, s.id, own, f.now))
-	for blk := range f.view.blocks {
-		homes := f.view.ranked(blk, s.id)
+	own.version = s.number
+	b := appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, s.id, own, f.now))
+	for blk := range f.view.groups {
+		homes := f.view.ownersOf(blk, s.id)
 		to := homes[:1]
-		if s.turn%3 == 0 || own.refused {
+		if s.turn%3 == 0 || own.refusing {
 			to = homes[:2]
 		}
-		if blk == f.me {
-			to = homes[rank+1 : min(rank+2, ranks)]
+		if blk == f.group {
+			to = homes[rank+1 : min(rank+2, ownersPerGroup)]
 		}
 		for _, home := range to {
-			if home >= 0 && int(home) != f.set.Me && f.rows.take(f.now, f.set.BytesPerSecond/5, f.set.BytesPerSecond/2, float64(len(b)+header)) {
+			if home >= 0 && int(home) != f.settings.Self && f.rows.take(f.now, f.settings.BytesPerSecond/5, f.settings.BytesPerSecond/2, float64(len(b)+datagramOverhead)) {
 				heard = f.post(int(home), b) && heard
 			}
 		}
@@ -627,33 +627,33 @@
 }
 
 // hear takes a total of a server, and has it passed on if it is newer than what is held.
-func (f *Fleet) hear(s *server, e entry) {
+func (f *Gossiper) hear(s *serverState, e summary) {
 	h := &s.held
-	same := h.rank == e.rank && h.life == e.life
+	same := h.rank == e.rank && h.incarnation == e.incarnation
 	switch {
-	case same && h.number == e.number:
-		if s.left > 0 && !e.news { // others have it by now
+	case same && h.version == e.version:
+		if s.left > 0 && !e.urgent { // others have it by now
 			s.left--
 		}
 		return
-	case f.now-h.born > hold: // whatever comes is better
-	case same && int8(e.number-h.number) < 0:
+	case f.now-h.originatedAt > summaryLifetime: // whatever comes is better
+	case same && int8(e.version-h.version) < 0:
 		return
-	case !same && e.rank > h.rank && e.born < h.born+late && !(e.news && e.refused && e.born > h.born+eager): // the home before it speaks
+	case !same && e.rank > h.rank && e.originatedAt < h.originatedAt+overdueInterval && !(e.urgent && e.refusing && e.originatedAt > h.originatedAt+eager): // the home before it speaks
 		return
-	case !same && e.rank == h.rank && e.born < h.born+0.3: // another process, or view: by its age, which is rounded up
+	case !same && e.rank == h.rank && e.originatedAt < h.originatedAt+0.3: // another process, or view: by its age, which is rounded up
 		return
 	}
 	s.held, s.left, s.hurry = e, spread, 0
 	switch {
-	case e.news:
+	case e.urgent:
 		s.left, s.hurry = urgent, urgent
-	case e.born == f.now:
+	case e.originatedAt == f.now:
 		s.left, s.hurry = sown, sown
-	case f.now-e.born <= young:
+	case f.now-e.originatedAt <= young:
 		s.hurry = early
 	}
-	s.base = int(e.rank)
+	s.baseRank = int(e.rank)
 	if !s.queued {
 		s.queued = true
 		f.pending = append(f.pending, s)
@@ -661,9 +661,9 @@
 }
 
 // pass sends entries on, those with news first, then those that were passed on least.
-func (f *Fleet) pass() {
-	f.pending = slices.DeleteFunc(f.pending, func(s *server) bool {
-		if s.left <= 0 || f.now-s.held.born >= hold {
+func (f *Gossiper) pass() {
+	f.pending = slices.DeleteFunc(f.pending, func(s *serverState) bool {
+		if s.left <= 0 || f.now-s.held.originatedAt >= summaryLifetime {
 			s.left, s.hurry, s.queued = 0, 0, false
 		}
 		return s.left <= 0
@@ -678,10 +678,10 @@
 		switch {
 		case to < 0:
 			return
-		case news > 0 && f.haste.take(f.now, f.set.BytesPerSecond/7, f.set.BytesPerSecond/4, float64(news*size+4+header)):
+		case news > 0 && f.haste.take(f.now, f.settings.BytesPerSecond/7, f.settings.BytesPerSecond/4, float64(news*size+4+datagramOverhead)):
 			n = news // by themselves: small, and at once
-			f.pay(n*size + 4 + header)
-		case news == 0 && n < perDatagram && f.now-f.passed < lump || !f.may(float64(n*size+4+header)):
+			f.pay(n*size + 4 + datagramOverhead)
+		case news == 0 && n < perDatagram && f.now-f.passed < lump || !f.may(float64(n*size+4+datagramOverhead)):
 			return
 		default:
 			f.passed = f.now
@@ -691,7 +691,7 @@
 			least--
 			sum += counts[least]
 		}
-		b, turn, spare := []byte{tag, entries}, f.chance(len(f.pending)), n-(sum-counts[least])
+		b, turn, spare := []byte{messageTag, kindSummaries}, f.chance(len(f.pending)), n-(sum-counts[least])
 		for i := range f.pending {
 			s := f.pending[(i+turn)%len(f.pending)]
 			need := s.need()
@@ -701,11 +701,11 @@
 			if need == least {
 				spare--
 			}
-			b = write(b, s.id, s.held, f.now)
+			b = appendSummary(b, s.id, s.held, f.now)
 			s.left, s.hurry = s.left-1, max(0, s.hurry-1)
 		}
-		f.post(to, seal(b))
-		f.pending = slices.DeleteFunc(f.pending, func(s *server) bool {
+		f.post(to, appendChecksum(b))
+		f.pending = slices.DeleteFunc(f.pending, func(s *serverState) bool {
 			s.queued = s.left > 0
 			return !s.queued
 		})
@@ -721,7 +721,7 @@
 }
 
 // need tells how much an entry is to be passed on: what is to go at once before all else, then what was passed on least.
-func (s *server) need() int {
+func (s *serverState) need() int {
 	if s.hurry > 0 {
 		return urgent + 1 + min(s.hurry, urgent)
 	}
@@ -730,18 +730,18 @@
 
 // may takes what a datagram of entries costs from the budget, which all else that goes out or comes in is taken from, too: who has much to do as
 // a home passes on less. The debt is bounded, else who was flooded would be silent for long.
-func (f *Fleet) may(n float64) bool {
-	return f.purse.take(f.now, share*f.set.BytesPerSecond, 6*(bound+header), n)
+func (f *Gossiper) may(n float64) bool {
+	return f.purse.take(f.now, share*f.settings.BytesPerSecond, 6*(maxDatagramBytes+datagramOverhead), n)
 }
 
 // pay takes from the budget what goes out or comes in anyhow.
-func (f *Fleet) pay(n int) {
-	f.purse.take(f.now, share*f.set.BytesPerSecond, 6*(bound+header), math.Inf(1))
-	f.purse.has = max(f.purse.has-float64(n), -f.set.BytesPerSecond/4)
+func (f *Gossiper) pay(n int) {
+	f.purse.take(f.now, share*f.settings.BytesPerSecond, 6*(maxDatagramBytes+datagramOverhead), math.Inf(1))
+	f.purse.has = max(f.purse.has-float64(n), -f.settings.BytesPerSecond/4)
 }
 
 // someone gives a router of the block by chance, of those that are known to speak this; -1: there is none.
-func (f *Fleet) someone() int {
+func (f *Gossiper) someone() int {
 	for len(f.talkers) > 0 {
 		i := f.chance(len(f.talkers))
 		r := f.talkers[i]
@@ -750,13 +750,13 @@
 		}
 		f.talkers[i] = f.talkers[len(f.talkers)-1]
 		f.talkers = f.talkers[:len(f.talkers)-1]
-		f.peers[r].listed = false
+		f.peerByRouter[r].listed = false
 	}
 	return -1
 }
 
 // greet calls the routers of the block in turn, so that each knows who understands, and pulls entries that may have been missed.
-func (f *Fleet) greet() {
+func (f *Gossiper) greet() {
 	n := f.to - f.from
 	rate := float64(n) / round
 	if f.caller < n {
@@ -764,14 +764,14 @@
 	}
 	for ; f.called+1/rate <= f.now; f.called += 1 / rate {
 		f.called = max(f.called, f.now-0.5) // after a stop there is nothing to make up for
-		r := f.from + (f.set.Me-f.from+f.caller+1)%n
-		if f.caller++; r != f.set.Me {
-			b := byte(answer)
+		r := f.from + (f.settings.Self-f.from+f.caller+1)%n
+		if f.caller++; r != f.settings.Self {
+			b := byte(probeAckByte)
 			if f.caller <= n || !f.speaks(r) {
-				b = call
+				b = probeByte
 				f.ring(r)
 			}
-			f.pay(header + 1)
+			f.pay(datagramOverhead + 1)
 			f.note(r, []byte{b})
 		}
 	}
@@ -779,18 +779,18 @@
 	if f.now-f.began < joining || f.deaf > 0 && f.now-f.deaf < joining {
 		pause = 1 / pulls
 	}
-	if f.now-f.pulled < pause || len(f.order) == 0 {
+	if f.now-f.pulled < pause || len(f.servers) == 0 {
 		return
 	}
 	f.pulled = f.now
-	b, at := []byte{tag, wanted}, f.chance(len(f.order))
-	for i := range f.order {
-		s := f.order[(at+i)%len(f.order)]
-		if f.now-s.held.born > overdue && len(b) < 2+3*perDatagram {
+	b, at := []byte{messageTag, kindPull}, f.chance(len(f.servers))
+	for i := range f.servers {
+		s := f.servers[(at+i)%len(f.servers)]
+		if f.now-s.held.originatedAt > overdue && len(b) < 2+3*perDatagram {
 			b = append(b, byte(s.id), byte(s.id>>8), 0)
 		}
 	}
 	if to := f.someone(); to >= 0 && len(b) > 2 {
-		f.post(to, seal(b))
+		f.post(to, appendChecksum(b))
 	}
 }
--- a/internal/policy/gossip/helpers_test.go
+++ b/internal/policy/gossip/helpers_test.go
@@ -9,13 +9,13 @@
 	"testing"
 )
 
-// net is routers and what lies between them, in steps of a hundredth of a second; each ticks every fifth one, at a time of its own.
-type net struct {
+// network is routers and what lies between them, in steps of a hundredth of a second; each ticks every fifth one, at a time of its own.
+type network struct {
 	t       *testing.T
 	step    int
 	chance  *rand.Rand
 	view    *View
-	fleets  []*Fleet
+	fleets  []*Gossiper
 	lives   []uint32
 	servers int
 	loss    float64 // part of the datagrams
@@ -25,19 +25,19 @@
 	down    map[int]bool
 	stopped map[int]bool
 	old     map[int]bool // builds that do not know this
-	waiting map[int][]letter
-	mail    [400][]letter
+	waiting map[int][]packet
+	mail    [400][]packet
 	rate    float64          // words a second of each router
 	slow    []float64        // of each server: the time of an execution over its type's mean
 	quiet   map[int]bool     // servers of which nothing is told
 	crashed map[int]bool     // servers that refuse
-	asTold  []sums           // what all told
+	asTold  []observationSum // what all told
 	plain   [][2]int         // words that came to builds that know nothing of this: from, to
 	in, out []int            // bytes of each router, with headers
 	dins    []int            // datagrams in
 	peak    []int            // most bytes of a router in a second, both ways
 	second  []int            // of this second
-	spy     func(l letter)   // sees all that is sent
+	spy     func(l packet)   // sees all that is sent
 	views   map[int]*foreign // of routers with another list
 	told    func(server int, took byte)
 	fed     func(n int, words []byte)
@@ -49,7 +49,7 @@
 	from map[int]int
 }
 
-type letter struct {
+type packet struct {
 	from, to int
 	b        []byte
 }
@@ -61,21 +61,21 @@
 	return all
 }
 
-func build(t *testing.T, routers, servers int) *net {
-	w := &net{t: t, chance: rand.New(rand.NewPCG(1, uint64(routers))), view: NewView(names(routers)), fleets: make([]*Fleet, routers), lives: make([]uint32, routers),
-		servers: servers, down: map[int]bool{}, stopped: map[int]bool{}, old: map[int]bool{}, waiting: map[int][]letter{}, rate: 5, quiet: map[int]bool{}, views: map[int]*foreign{},
+func newNetwork(t *testing.T, routers, servers int) *network {
+	w := &network{t: t, chance: rand.New(rand.NewPCG(1, uint64(routers))), view: NewView(names(routers)), fleets: make([]*Gossiper, routers), lives: make([]uint32, routers),
+		servers: servers, down: map[int]bool{}, stopped: map[int]bool{}, old: map[int]bool{}, waiting: map[int][]packet{}, rate: 5, quiet: map[int]bool{}, views: map[int]*foreign{},
 		crashed: map[int]bool{}, in: make([]int, routers), out: make([]int, routers), dins: make([]int, routers), peak: make([]int, routers),
 		second: make([]int, routers), step: 100000}
 	w.cut = func(int, int) bool { return false }
 	w.delay = func(from, to int) int { // within a block 10 to 30 ms, else up to 150
-		if w.view.block(from) == w.view.block(to) {
+		if w.view.groupOf(from) == w.view.groupOf(to) {
 			return 1 + w.chance.IntN(3)
 		}
 		return 5 + w.chance.IntN(11)
 	}
 	for id := range servers {
 		w.slow = append(w.slow, 0.5+float64(id%16)/16)
-		w.asTold = append(w.asTold, sums{})
+		w.asTold = append(w.asTold, observationSum{})
 	}
 	for n := range routers {
 		w.start(n)
@@ -83,37 +83,37 @@
 	return w
 }
 
-func (w *net) now() float64 { return float64(w.step) / 100 }
+func (w *network) now() float64 { return float64(w.step) / 100 }
 
 // start begins a router's process anew, with nothing known.
-func (w *net) start(n int) {
+func (w *network) start(n int) {
 	w.lives[n]++
 	w.startWith(n, w.view)
 }
 
-func (w *net) startWith(n int, view *View) {
-	f := New(w.now()+float64(n%7), Settings{Me: n, Seed: uint32(n)*7919 + w.lives[n], Life: w.lives[n]*31 + uint32(n), BytesPerSecond: 7000, Longest: 0.6}, view)
+func (w *network) startWith(n int, view *View) {
+	f := New(w.now()+float64(n%7), Settings{Self: n, Seed: uint32(n)*7919 + w.lives[n], Incarnation: w.lives[n]*31 + uint32(n), BytesPerSecond: 7000, LongestObjective: 0.6}, view)
 	var ids []uint16
 	for id := range w.servers {
 		ids = append(ids, uint16(id*150+7))
 	}
-	f.Listed(ids)
+	f.SetServers(ids)
 	w.fleets[n] = f
 	delete(w.down, n)
 }
 
 // at is a router's own clock: none has another's.
-func (w *net) at(n int) float64 { return w.now() + float64(n%7) }
+func (w *network) at(n int) float64 { return w.now() + float64(n%7) }
 
-func (w *net) send(from int, all []Datagram) {
+func (w *network) send(from int, all []Datagram) {
 	for _, d := range all {
 		if v := w.views[from]; v != nil {
 			d.To = v.to[d.To]
 		}
-		l := letter{from, d.To, d.Bytes}
-		w.out[from] += len(d.Bytes) + header
-		w.second[from] += len(d.Bytes) + header
-		if len(d.Bytes) > bound || d.To == from || d.To < 0 {
+		l := packet{from, d.To, d.Bytes}
+		w.out[from] += len(d.Bytes) + datagramOverhead
+		w.second[from] += len(d.Bytes) + datagramOverhead
+		if len(d.Bytes) > maxDatagramBytes || d.To == from || d.To < 0 {
 			w.t.Fatalf("%d sends %d bytes to %d", from, len(d.Bytes), d.To)
 		}
 		if w.spy != nil {
@@ -131,7 +131,7 @@
 	}
 }
 
-func (w *net) deliver(l letter) {
+func (w *network) deliver(l packet) {
 	switch {
 	case w.down[l.to]:
 		return
@@ -141,8 +141,8 @@
 		}
 		return
 	}
-	w.in[l.to] += len(l.b) + header
-	w.second[l.to] += len(l.b) + header
+	w.in[l.to] += len(l.b) + datagramOverhead
+	w.second[l.to] += len(l.b) + datagramOverhead
 	w.dins[l.to]++
 	if w.old[l.to] {
 		if len(l.b) >= 3 {
@@ -158,11 +158,11 @@
 		}
 		from = place
 	}
-	w.fleets[l.to].Heard(w.at(l.to), from, l.b)
+	w.fleets[l.to].OnDatagram(w.at(l.to), from, l.b)
 }
 
 // resume ends a stop: what waited is read first, then the process goes on.
-func (w *net) resume(n int) {
+func (w *network) resume(n int) {
 	delete(w.stopped, n)
 	for _, l := range w.waiting[n] {
 		w.deliver(l)
@@ -171,14 +171,14 @@
 }
 
 // say has a router tell one word.
-func (w *net) say(n, server int, took byte) {
+func (w *network) say(n, server int, took byte) {
 	id := uint16(server*150 + 7)
 	if !w.old[n] {
-		w.fleets[n].Tell(w.at(n), []byte{byte(id), byte(id >> 8), took})
+		w.fleets[n].Report(w.at(n), []byte{byte(id), byte(id >> 8), took})
 	}
 }
 
-func (w *net) run(seconds float64) {
+func (w *network) run(seconds float64) {
 	for end := w.step + int(math.Round(seconds*100)); w.step < end; w.step++ {
 		slot := w.step % len(w.mail)
 		mail := w.mail[slot]
@@ -197,20 +197,20 @@
 				}
 				took := byte(min(254, math.Round(32*w.slow[server]*(0.5+w.chance.Float64()))))
 				if w.crashed[server] {
-					took = refused
+					took = refusalByte
 				} else {
 					s, x := &w.asTold[server], float64(took)/32
-					s.load = s.load*math.Exp((s.at-w.now())/recall) + x
-					s.at = w.now()
+					s.load = s.load*math.Exp((s.updatedAt-w.now())/loadDecay) + x
+					s.updatedAt = w.now()
 				}
-				if w.told != nil && took != refused {
+				if w.told != nil && took != refusalByte {
 					w.told(server, took)
 				}
 				w.say(n, server, took)
 			}
 			w.send(n, w.fleets[n].Tick(w.at(n)))
 			if w.step%10 < 5 {
-				b := w.fleets[n].Feed(w.at(n))
+				b := w.fleets[n].SynthesizeObservations(w.at(n))
 				if w.fed != nil {
 					w.fed(n, b)
 				}
@@ -233,19 +233,19 @@
 }
 
 // forget begins the counts of bytes anew.
-func (w *net) forget() {
+func (w *network) forget() {
 	clear(w.in)
 	clear(w.out)
 	clear(w.dins)
 	clear(w.peak)
 	clear(w.second)
 	for _, f := range w.fleets {
-		f.Counts = Counts{}
+		f.Counters = Counters{}
 	}
 }
 
 // up is the routers that run and know this.
-func (w *net) up() (all []int) {
+func (w *network) up() (all []int) {
 	for n := range w.fleets {
 		if !w.down[n] && !w.stopped[n] && !w.old[n] {
 			all = append(all, n)
@@ -255,7 +255,7 @@
 }
 
 // reach runs until all that are up hold it, and gives when the half, 99 of 100 and the last came to.
-func (w *net) reach(limit float64, holds func(f *Fleet, now float64) bool) (half, most, last float64) {
+func (w *network) reach(limit float64, holds func(f *Gossiper, now float64) bool) (half, most, last float64) {
 	start, when := w.step, map[int]float64{}
 	for {
 		w.run(0.05)
@@ -282,26 +282,26 @@
 	}
 }
 
-// bad tells whether a router holds that a server refuses.
-func bad(server int) func(f *Fleet, now float64) bool {
-	return func(f *Fleet, now float64) bool {
-		s := f.servers[uint16(server*150+7)]
-		return s.held.refused && !s.held.well && now-s.held.born < hold
+// believesRefusing tells whether a router holds that a server refuses.
+func believesRefusing(server int) func(f *Gossiper, now float64) bool {
+	return func(f *Gossiper, now float64) bool {
+		s := f.serverByID[uint16(server*150+7)]
+		return s.held.refusing && !s.held.answering && now-s.held.originatedAt < summaryLifetime
 	}
 }
 
 // errors gives how far the loads that routers feed are from what all told, as a part of that: the middle and 95 of 100; and the mean.
-func (w *net) errors() (middle, most, mean float64) {
+func (w *network) errors() (middle, most, mean float64) {
 	var all []float64
 	sum := 0.0
 	for _, n := range w.up() {
 		f := w.fleets[n]
-		for id, s := range f.order {
+		for id, s := range f.servers {
 			if w.quiet[id] || w.crashed[id] {
 				continue
 			}
-			is := w.asTold[id].load * math.Exp((w.asTold[id].at-w.now())/recall) * f.shown
-			got := s.load * math.Exp((s.fedAt-w.at(n))/recall)
+			is := w.asTold[id].load * math.Exp((w.asTold[id].updatedAt-w.now())/loadDecay) * f.feedFraction
+			got := s.fedLoad * math.Exp((s.fedAt-w.at(n))/loadDecay)
 			all = append(all, math.Abs(got-is)/max(is, 1))
 			sum += (got - is) / max(is, 1)
 		}
@@ -311,18 +311,18 @@
 }
 
 // traffic gives the mean and the most bytes a second over routers, both ways, and datagrams in and out.
-func (w *net) traffic(seconds float64) (mean, most, peak, messages float64) {
+func (w *network) traffic(seconds float64) (mean, most, peak, messages float64) {
 	up := w.up()
 	for _, n := range up {
 		both := float64(w.in[n]+w.out[n]) / seconds
 		mean += both / float64(len(up))
 		most, peak = max(most, both), max(peak, float64(w.peak[n]))
-		messages += (float64(w.fleets[n].Counts.Datagrams) + float64(w.dins[n])) / seconds / float64(len(up))
+		messages += (float64(w.fleets[n].Counters.DatagramsSent) + float64(w.dins[n])) / seconds / float64(len(up))
 	}
 	return mean, most, peak, messages
 }
 
-func (w *net) row(what string, half, most, last, seconds float64) string {
+func (w *network) row(what string, half, most, last, seconds float64) string {
 	mean, top, peak, messages := w.traffic(seconds)
 	e1, e2, e3 := w.errors()
 	return fmt.Sprintf("| %5d | %-22s | %5.0f | %5.0f | %5.0f | %4.0f | %4.2f | %4.2f | %4.2f | %4.2f | %4.2f | %+5.2f |", len(w.fleets), what, mean, top, peak, messages,
--- a/internal/policy/gossip/size_test.go
+++ b/internal/policy/gossip/size_test.go
@@ -24,7 +24,7 @@
 			t.Fatal(err)
 		}
 		began := time.Now()
-		w := build(t, routers, 380)
+		w := newNetwork(t, routers, 380)
 		for _, s := range []int{5, 6, 7, 8} {
 			w.quiet[s] = true
 		}
@@ -44,8 +44,8 @@
 			w.forget()
 			from := w.step
 			teller := w.up()[len(w.up())/3]
-			w.say(teller, server, refused)
-			half, most, last := w.reach(5, bad(server))
+			w.say(teller, server, refusalByte)
+			half, most, last := w.reach(5, believesRefusing(server))
 			if rest := 5 - float64(w.step-from)/100; rest > 0 {
 				w.run(rest)
 			}
@@ -67,8 +67,8 @@
 		w.cut = func(int, int) bool { return false }
 		w.forget()
 		from := w.step
-		w.say(1, 8, refused)
-		half, most, last := w.reach(5, bad(8))
+		w.say(1, 8, refusalByte)
+		half, most, last := w.reach(5, believesRefusing(8))
 		w.run(max(0, 5-float64(w.step-from)/100))
 		within("after a cut of 30 s", half, most, last, float64(w.step-from)/100)
 		t.Logf("%d routers: %.1f s", routers, time.Since(began).Seconds())
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -20,7 +20,7 @@
 // gossipWatch brings the module's words to the fleet, and what the fleet holds to the module. A nil one does nothing: each tells all.
 type gossipWatch struct {
 	s     *Service
-	fleet *gossip.Fleet
+	fleet *gossip.Gossiper
 	steps int
 }
 
@@ -34,7 +34,7 @@
 	case s.peers == nil || !c.Settings.GossipAllowed || c.Settings.RouterIndex >= routers:
 		s.log.Warn().Int("peers", routers).Msg("gossip is on, and there is no list of peers with this router in it, or none may be told: it does nothing")
 		return
-	case !gossip.Pays(routers, f.Gossip.BytesPerSecond):
+	case !gossip.CheaperThanBroadcast(routers, f.Gossip.BytesPerSecond):
 		s.log.Info().Int("peers", routers).Msg("gossip is on, and so few routers tell each other for less: they do")
 		return
 	}
@@ -48,8 +48,8 @@
 		longest = max(longest, t.LatencyObjective)
 	}
 	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
-	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Me: c.Settings.RouterIndex, Seed: c.Settings.Seed ^ life, Life: life,
-		BytesPerSecond: f.Gossip.BytesPerSecond, Longest: longest}, gossip.NewView(names))}
+	s.gossip = &gossipWatch{s: s, fleet: gossip.New(s.loop.Now(), gossip.Settings{Self: c.Settings.RouterIndex, Seed: c.Settings.Seed ^ life, Incarnation: life,
+		BytesPerSecond: f.Gossip.BytesPerSecond, LongestObjective: longest}, gossip.NewView(names))}
 }
 
 // telling is what the module of a pool tells by. Through the fleet go the platform's words alone: no other pool hears any.
@@ -58,7 +58,7 @@
 	case s.gossip == nil:
 		return s.peers.Tell
 	case pool == "":
-		return func(words []byte) { s.gossip.fleet.Tell(s.loop.Now(), words) }
+		return func(words []byte) { s.gossip.fleet.Report(s.loop.Now(), words) }
 	}
 	return func([]byte) {}
 }
@@ -78,7 +78,7 @@
 		w.s.peers.Send(d.To, d.Bytes)
 	}
 	if w.steps++; w.steps%feeding == 0 {
-		if words := w.fleet.Feed(now); len(words) > 0 {
+		if words := w.fleet.SynthesizeObservations(now); len(words) > 0 {
 			w.s.platform.router.OnGossip(words)
 		}
 	}
@@ -96,12 +96,12 @@
 			ids = append(ids, uint16(id))
 		}
 	}
-	w.fleet.Listed(ids)
+	w.fleet.SetServers(ids)
 }
 
 // heard takes a peer's words; false if they do not go through the fleet.
 func (w *gossipWatch) heard(from int, words []byte) bool {
-	return w != nil && w.fleet.Heard(w.s.loop.Now(), from, words)
+	return w != nil && w.fleet.OnDatagram(w.s.loop.Now(), from, words)
 }
 
 // figures shows what it costs.
@@ -109,11 +109,11 @@
 	if w == nil {
 		return
 	}
-	c := w.fleet.Counts
-	say("gossip_datagrams", c.Datagrams)
-	say("gossip_bytes", c.Bytes)
-	say("gossip_heard_bytes", c.Heard)
-	say("gossip_dropped", c.Foreign)
-	say("gossip_bounded_words", c.Bounded)
-	say("gossip_untold_words", c.Missed)
+	c := w.fleet.Counters
+	say("gossip_datagrams", c.DatagramsSent)
+	say("gossip_bytes", c.BytesSent)
+	say("gossip_heard_bytes", c.BytesReceived)
+	say("gossip_dropped", c.DatagramsDropped)
+	say("gossip_bounded_words", c.ObservationsLimited)
+	say("gossip_untold_words", c.ObservationsUnsent)
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -51,15 +51,15 @@
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
 	var lock sync.Mutex
-	var fleets []*gossip.Fleet
+	var fleets []*gossip.Gossiper
 	var ways []*peertransport.Peers
 	for me := from; me < len(at); me++ {
-		f := gossip.New(now(), gossip.Settings{Me: me, Seed: uint32(me), Life: uint32(me), BytesPerSecond: 7000, Longest: 0.6}, gossip.NewView(names))
-		f.Listed(ids)
+		f := gossip.New(now(), gossip.Settings{Self: me, Seed: uint32(me), Incarnation: uint32(me), BytesPerSecond: 7000, LongestObjective: 0.6}, gossip.NewView(names))
+		f.SetServers(ids)
 		p, err := peertransport.Open(at[me], "", at, me, func(_ netip.AddrPort, from int, words []byte) {
 			lock.Lock()
 			defer lock.Unlock()
-			f.Heard(now(), from, words)
+			f.OnDatagram(now(), from, words)
 		}, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
@@ -119,8 +119,8 @@
 		if looks++; looks%50 == 1 { // the first ones may come before they know each other
 			both[0].loop.Post(func() { tell([]byte{7, 0, 32, 8, 0, 64}) })
 		}
-		one, _, _, ok := both[1].gossip.fleet.Held(both[1].loop.Now(), 7)
-		two, _, _, too := both[1].gossip.fleet.Held(both[1].loop.Now(), 8)
+		one, _, _, ok := both[1].gossip.fleet.Summary(both[1].loop.Now(), 7)
+		two, _, _, too := both[1].gossip.fleet.Summary(both[1].loop.Now(), 8)
 		return ok && too && one > 0 && two > 0
 	})
 }
