--- a/internal/service/adminhandler.go
+++ b/internal/service/adminhandler.go
@@ -29,7 +29,7 @@
 // adminSide is the admin server and what it calls; both nil where the configuration names no address for it.
 type adminSide struct {
 	handler *adminHandler
-	server  *admin.Door
+	server  *admin.Server
 }
 
 // adminHandler is what the admin server may call, from its goroutines. Each call returns within a second.
@@ -41,16 +41,16 @@
 	publishScheduled bool
 }
 
-var _ admin.Router = (*adminHandler)(nil)
+var _ admin.Handler = (*adminHandler)(nil)
 
 // Ready tells whether clients are accepted.
 func (h *adminHandler) Ready() bool { return h.ready.Load() }
 
-// Figures gives the last snapshot of the metrics.
-func (h *adminHandler) Figures() []byte { return *h.metrics.Load() }
+// Metrics gives the last snapshot of the metrics.
+func (h *adminHandler) Metrics() []byte { return *h.metrics.Load() }
 
 // onLoop carries a call out on the loop, and gives its error. What the loop has not begun in time is not done:
-// admin.ErrNotNow then.
+// admin.ErrBusy then.
 func (h *adminHandler) onLoop(act func() error) error {
 	var begun atomic.Bool
 	result := make(chan error, 1)
@@ -68,7 +68,7 @@
 	case <-time.After(loopCallTimeout):
 	}
 	if begun.CompareAndSwap(false, true) {
-		return admin.ErrNotNow
+		return admin.ErrBusy
 	}
 	return <-result
 }
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
 )
@@ -12,7 +13,7 @@
 // disabledServers is the servers that operators have disabled, by their ids in the endpoint list.
 type disabledServers struct {
 	ids  map[string]bool
-	file *hotrestart.Bans // for all processes of this router
+	file *disabledservers.Registry // for all processes of this router
 }
 
 // openDisabledServers takes what operators have called before this process began, and what they call at another
@@ -20,7 +21,7 @@
 func (s *Service) openDisabledServers() {
 	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "out")
 	changed := func(ids []string) { s.loop.Post(func() { s.applyDisabled(ids) }) }
-	file, ids := hotrestart.OpenBans(path, changed, s.log)
+	file, ids := disabledservers.Open(path, changed, s.log)
 	s.disabled.file = file
 	s.applyDisabled(ids)
 }
@@ -67,11 +68,11 @@
 	return false
 }
 
-// Disable leaves a server out until Enable.
-func (h *adminHandler) Disable(id string) error { return h.setServerDisabled(id, true) }
+// DisableServer leaves a server out until EnableServer.
+func (h *adminHandler) DisableServer(id string) error { return h.setServerDisabled(id, true) }
 
-// Enable lets a server serve again.
-func (h *adminHandler) Enable(id string) error { return h.setServerDisabled(id, false) }
+// EnableServer lets a server serve again.
+func (h *adminHandler) EnableServer(id string) error { return h.setServerDisabled(id, false) }
 
 // setServerDisabled saves the call and returns once the loop has applied it. The loop takes whole sets in the order
 // in which they were saved, so that two calls at once do not undo one another for a moment: a server would count as
@@ -80,15 +81,15 @@
 	until := time.Now().Add(lockWaitTimeout)
 	err := h.onLoop(func() error {
 		if !h.service.knowsServer(id) {
-			return admin.ErrUnknown
+			return admin.ErrUnknownServer
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	err = h.service.disabled.file.Set(id, disabled, until)
-	if err != nil && !errors.Is(err, hotrestart.ErrHere) {
+	err = h.service.disabled.file.Update(id, disabled, until)
+	if err != nil && !errors.Is(err, disabledservers.ErrLocalOnly) {
 		return err
 	}
 	if err != nil {
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -73,24 +73,24 @@
 		s.zones.begin()
 		s.admin.handler = &adminHandler{service: s}
 		s.publish()
-		s.zones.fleet.Listed(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
+		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
 		return s.admin.handler
 	})
 	until(t, "a list of before", s, func() bool { phase, _, _ := s.startup.start.Phase(); return phase.String() == "listed" })
-	if err := d.LeaveZone("a"); err != nil {
+	if err := d.EvacuateZone("a"); err != nil {
 		t.Fatal(err)
 	}
 	status, err := d.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
-	status.For, status.FullService = 0, 0
+	status.PhaseSeconds, status.FullServiceSeconds = 0, 0
 	zones, err := d.Zones()
 	if err != nil {
 		t.Fatal(err)
 	}
 	for i := range zones {
-		zones[i].For = 0
+		zones[i].StateSeconds = 0
 	}
 	text, err := json.Marshal(struct {
 		Status admin.Status
@@ -178,12 +178,12 @@
 		return first.admin.handler
 	})
 	on(first, func() bool {
-		first.zones.fleet.Listed(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+		first.zones.fleet.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		first.startup.save("rate", "this router", []byte("12"))
 		return true
 	})
-	until(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Counts().Written > 1 })
-	for _, err := range []error{d.Drain(), d.Undrain(), d.Disable("s-1"), d.Enable("s-1"), d.LeaveZone("a"), d.ReturnZone("a")} {
+	until(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
+	for _, err := range []error{d.Drain(), d.Undrain(), d.DisableServer("s-1"), d.EnableServer("s-1"), d.EvacuateZone("a"), d.RestoreZone("a")} {
 		if err != nil {
 			t.Fatal(err)
 		}
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -22,7 +22,7 @@
 // nil one does nothing: each router sends to all others then.
 type gossipAdapter struct {
 	service *Service
-	fleet   *gossip.Fleet
+	fleet   *gossip.Gossiper
 	steps   int
 }
 
@@ -38,18 +38,18 @@
 			Msg("gossip is on, but there is no list of peers with this router in it, or none may be told: it does nothing")
 		return
 	}
-	if !gossip.Pays(routers, operators.Gossip.BytesPerSecond) {
+	if !gossip.CheaperThanBroadcast(routers, operators.Gossip.BytesPerSecond) {
 		s.log.Info().Int("peers", routers).
 			Msg("gossip is on, but among so few routers sending to all costs less: each sends to all")
 		return
 	}
 	incarnation := newIncarnation()
 	fleet := gossip.New(s.loop.Now(), gossip.Settings{
-		Me:             settings.RouterIndex,
-		Seed:           settings.Seed ^ incarnation,
-		Life:           incarnation,
-		BytesPerSecond: operators.Gossip.BytesPerSecond,
-		Longest:        longestObjective(settings),
+		Self:             settings.RouterIndex,
+		Seed:             settings.Seed ^ incarnation,
+		Incarnation:      incarnation,
+		BytesPerSecond:   operators.Gossip.BytesPerSecond,
+		LongestObjective: longestObjective(settings),
 	}, gossip.NewView(peerHashes(s.conf)))
 	s.gossip = &gossipAdapter{service: s, fleet: fleet}
 }
@@ -82,7 +82,7 @@
 	if pool != "" {
 		return func([]byte) {}
 	}
-	return func(message []byte) { s.gossip.fleet.Tell(s.loop.Now(), message) }
+	return func(message []byte) { s.gossip.fleet.Report(s.loop.Now(), message) }
 }
 
 func (a *gossipAdapter) begin() {
@@ -108,7 +108,7 @@
 
 // feed tells the balancer what the fleet knows.
 func (a *gossipAdapter) feed(now float64) {
-	message := a.fleet.Feed(now)
+	message := a.fleet.SynthesizeObservations(now)
 	if len(message) > 0 {
 		a.service.pools.platform.core.OnGossip(message)
 	}
@@ -125,12 +125,12 @@
 			ids = append(ids, uint16(id))
 		}
 	}
-	a.fleet.Listed(ids)
+	a.fleet.SetServers(ids)
 }
 
 // onMessage takes another router's message; false if it does not go through the fleet.
 func (a *gossipAdapter) onMessage(from int, message []byte) bool {
-	return a != nil && a.fleet.Heard(a.service.loop.Now(), from, message)
+	return a != nil && a.fleet.OnDatagram(a.service.loop.Now(), from, message)
 }
 
 // writeMetrics shows what gossip costs.
@@ -138,11 +138,11 @@
 	if a == nil {
 		return
 	}
-	counts := a.fleet.Counts
-	write("gossip_datagrams", counts.Datagrams)
-	write("gossip_bytes", counts.Bytes)
-	write("gossip_heard_bytes", counts.Heard)
-	write("gossip_dropped", counts.Foreign)
-	write("gossip_bounded_words", counts.Bounded)
-	write("gossip_untold_words", counts.Missed)
+	counts := a.fleet.Counters
+	write("gossip_datagrams", counts.DatagramsSent)
+	write("gossip_bytes", counts.BytesSent)
+	write("gossip_heard_bytes", counts.BytesReceived)
+	write("gossip_dropped", counts.DatagramsDropped)
+	write("gossip_bounded_words", counts.ObservationsLimited)
+	write("gossip_untold_words", counts.ObservationsUnsent)
 }
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -12,7 +12,7 @@
 type hotRestart struct {
 	predecessor       *hotrestart.Predecessor // nil: there is none, or none any more
 	inheritedSockets  map[string]int          // descriptors of its listening sockets by address, until in use here
-	offer             *hotrestart.Offer       // where successors ask; nil: it is not open
+	listener          *hotrestart.Listener    // where successors ask; nil: it is not open
 	processesBeside   int                     // processes of this router beside this one
 	servingSuccessors int                     // successors that accept clients
 }
@@ -33,7 +33,7 @@
 // findPredecessor looks for a process of this router that runs already, and takes its listening sockets, to accept
 // once this one serves.
 func (s *Service) findPredecessor() {
-	predecessor, sockets, err := hotrestart.Take(s.hotRestartSocket())
+	predecessor, sockets, err := hotrestart.Takeover(s.hotRestartSocket())
 	if err != nil {
 		return // there is none, or it does not speak this protocol: then the address is shared
 	}
@@ -44,7 +44,7 @@
 		Msg("another process of this router serves; this one takes over once it can")
 	s.addProcessesBeside(1)
 	go func() {
-		predecessor.Ended()
+		predecessor.WaitForExit()
 		predecessor.Close()
 		s.loop.Post(s.onPredecessorEnded)
 	}()
@@ -82,7 +82,7 @@
 
 // offerSockets waits for a successor.
 func (s *Service) offerSockets() {
-	if s.restart.offer != nil || s.lifecycle.phase >= Leaving {
+	if s.restart.listener != nil || s.lifecycle.phase >= Leaving {
 		return
 	}
 	path := s.hotRestartSocket()
@@ -90,7 +90,7 @@
 		return
 	}
 	var err error
-	s.restart.offer, err = hotrestart.Open(path, successors{s}, s.log)
+	s.restart.listener, err = hotrestart.Listen(path, successors{s}, s.log)
 	if err != nil {
 		s.log.Info().Err(err).Msg("no socket for a successor; it will share the address")
 	}
@@ -98,8 +98,8 @@
 
 // disconnectOtherProcesses lets go of the predecessor and of successors.
 func (s *Service) disconnectOtherProcesses() {
-	if s.restart.offer != nil {
-		s.restart.offer.Close()
+	if s.restart.listener != nil {
+		s.restart.listener.Close()
 	}
 	if s.restart.predecessor != nil {
 		s.restart.predecessor.Close()
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -123,9 +123,9 @@
 	if s.restart.predecessor != nil && noSuccessorServes { // it is the only process left that can accept
 		s.disconnectOtherProcesses()
 	}
-	if s.restart.offer != nil && s.restart.processesBeside > 0 && noSuccessorServes {
+	if s.restart.listener != nil && s.restart.processesBeside > 0 && noSuccessorServes {
 		// The successor is not ready; it alone can answer now, if only that it starts.
-		s.restart.offer.Close()
+		s.restart.listener.Close()
 	}
 	s.enter(Finishing)
 	s.clients.frontend.Leave()
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -105,7 +105,7 @@
 	}
 	s.openTeamListeners(s.operators)
 	if s.restart.predecessor != nil {
-		s.restart.predecessor.Serving()
+		s.restart.predecessor.NotifyServing()
 	}
 	s.restart.closeUnusedSockets()
 	s.offerSockets()
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -179,5 +179,5 @@
 	}
 	s.admin.handler = &adminHandler{service: s}
 	s.publish()
-	s.admin.server = admin.Open(conf.Ops, conf.OpsPlaces, s.admin.handler, s.log)
+	s.admin.server = admin.Start(conf.Ops, conf.OpsPlaces, s.admin.handler, s.log)
 }
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -71,13 +71,13 @@
 	settings := &a.service.conf.Settings
 	rate, err := strconv.ParseFloat(string(entry.Body), 64)
 	valid := err == nil && rate > 0 && !math.IsInf(rate, 0)
-	if valid && startup.Believe(startup.Rate, entry.At, now) {
+	if valid && startup.Believe(startup.Rate, entry.StoredAt, now) {
 		settings.InitialCompletionRate = rate
 		a.rate = rate
 	}
 	a.service.log.Info().
 		Float64("rate", rate).
-		Float64("age", now-entry.At).
+		Float64("age", now-entry.StoredAt).
 		Bool("used", settings.InitialCompletionRate > 0).
 		Msg("completion rate of the last run, from the snapshot")
 }
@@ -90,15 +90,15 @@
 	}
 	a.generation = max(a.generation, entry.Generation)
 	conf := &a.service.conf
-	usable := len(conf.Known.Entries) == 0 && entry.From == conf.Discovery
-	if !usable || !startup.Believe(startup.List, entry.At, now) {
+	usable := len(conf.Known.Entries) == 0 && entry.Source == conf.Discovery
+	if !usable || !startup.Believe(startup.List, entry.StoredAt, now) {
 		return
 	}
 	conf.Known = parseSnapshotList(entry.Body, now)
 	a.service.log.Info().
 		Uint64("generation", conf.Known.Generation).
 		Int("servers", len(conf.Known.Entries)).
-		Float64("age", now-entry.At).
+		Float64("age", now-entry.StoredAt).
 		Msg("the endpoint list of the snapshot is used until another comes")
 }
 
@@ -154,8 +154,8 @@
 	a.generation++
 	a.snapshot.Put(kind, snapshot.Entry{
 		Generation: a.generation,
-		At:         a.service.loop.Now(),
-		From:       from,
+		StoredAt:   a.service.loop.Now(),
+		Source:     from,
 		Body:       body,
 	})
 }
@@ -196,10 +196,10 @@
 	write("start_phase", uint64(phase))
 	write("full_service_ms", uint64(fullServiceSeconds*1e3))
 	if a.snapshot != nil {
-		counts := a.snapshot.Counts()
+		counts := a.snapshot.Stats()
 		write("store_written", counts.Written)
 		write("store_failed", counts.Failed)
-		write("store_slowest_ms", uint64(counts.Slowest*1e3))
+		write("store_slowest_ms", uint64(counts.SlowestWrite*1e3))
 	}
 }
 
@@ -209,11 +209,11 @@
 	err := h.onLoop(func() error {
 		phase, since, fullServiceSeconds := h.service.startup.start.Phase()
 		status = admin.Status{
-			Phase:       phase.String(),
-			For:         h.service.loop.Now() - since,
-			FullService: fullServiceSeconds,
-			Waits:       phase.Waits(),
-			Taking:      h.service.acceptsClients(),
+			Phase:              phase.String(),
+			PhaseSeconds:       h.service.loop.Now() - since,
+			FullServiceSeconds: fullServiceSeconds,
+			WaitsFor:           phase.Waits(),
+			AcceptsClients:     h.service.acceptsClients(),
 		}
 		return nil
 	})
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -11,7 +11,7 @@
 // hotrestart.
 type successors struct{ service *Service }
 
-var _ hotrestart.Heirs = successors{}
+var _ hotrestart.SuccessorHandler = successors{}
 
 // Sockets gives the descriptors of the sockets that clients connect to, by address; the caller closes them.
 func (h successors) Sockets() map[string]int {
@@ -59,11 +59,11 @@
 	return state
 }
 
-// Asked takes that another process starts beside this one.
-func (h successors) Asked() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
+// Started takes that another process starts beside this one.
+func (h successors) Started() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
 
-// Serves takes that a successor accepts clients: from here on it does so alone.
-func (h successors) Serves() { h.service.loop.Post(h.service.onSuccessorServes) }
+// Serving takes that a successor accepts clients: from here on it does so alone.
+func (h successors) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
 	s.restart.servingSuccessors++
@@ -72,8 +72,8 @@
 	s.publish()
 }
 
-// Lost takes the end of a successor; served tells whether it had accepted clients.
-func (h successors) Lost(served bool) {
+// Ended takes the end of a successor; served tells whether it had accepted clients.
+func (h successors) Ended(served bool) {
 	h.service.loop.Post(func() { h.service.onSuccessorLost(served) })
 }
 
@@ -94,9 +94,9 @@
 	}
 	s.log.Warn().Msg("the next process has ended; this one takes clients again")
 	s.clients.resumeListeners()
-	if s.restart.offer != nil { // the path was the successor's
-		s.restart.offer.Close()
-		s.restart.offer = nil
+	if s.restart.listener != nil { // the path was the successor's
+		s.restart.listener.Close()
+		s.restart.listener = nil
 	}
 	s.offerSockets()
 	s.publish()
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -2,6 +2,7 @@
 
 import (
 	"bendtrestle/balancer"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/zonefailover"
@@ -19,10 +20,10 @@
 // decision, and the zones' shares to all pools. A nil one does nothing: zone failover is off.
 type zoneAdapter struct {
 	service          *Service
-	fleet            *zonefailover.Fleet
-	file             *hotrestart.Bans // zones that an operator has evacuated, for all processes of this router
-	evacuated        map[string]bool  // of these, those that are evacuated here
-	loggedCollisions map[string]bool  // zones that were logged as not to be told apart
+	fleet            *zonefailover.Controller
+	file             *disabledservers.Registry // zones that an operator has evacuated, for all processes of this router
+	evacuated        map[string]bool           // of these, those that are evacuated here
+	loggedCollisions map[string]bool           // zones that were logged as not to be told apart
 }
 
 // openZones makes the adapter where the operators want it.
@@ -36,11 +37,11 @@
 		evacuated:        map[string]bool{},
 		loggedCollisions: map[string]bool{},
 		fleet: zonefailover.New(zonefailover.Settings{
-			Me:         settings.RouterIndex,
-			Routers:    settings.RouterCount,
-			Life:       uint16(newIncarnation()),
-			WarmWithin: settings.WarmupDuration,
-			Regions:    operators.Groups(),
+			RouterIndex:   settings.RouterIndex,
+			RouterCount:   settings.RouterCount,
+			Incarnation:   uint16(newIncarnation()),
+			WarmupSeconds: settings.WarmupDuration,
+			Regions:       operators.Groups(),
 		}),
 	}
 	if settings.RouterCount > 1 && (s.peers.transport == nil || !settings.GossipAllowed) {
@@ -55,7 +56,7 @@
 	s := a.service
 	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "zones")
 	changed := func(zones []string) { s.loop.Post(func() { a.applyEvacuated(zones) }) }
-	file, zones := hotrestart.OpenBans(path, changed, s.log)
+	file, zones := disabledservers.Open(path, changed, s.log)
 	a.file = file
 	a.applyEvacuated(zones)
 	a.step()
@@ -70,7 +71,7 @@
 // reconfigure takes the operators' file anew.
 func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
 	if a != nil {
-		a.fleet.Regions(operators.Groups())
+		a.fleet.SetRegions(operators.Groups())
 	}
 }
 
@@ -82,7 +83,7 @@
 	}
 	a.fleet.Tick(a.now())
 	a.applyChanges()
-	message := a.fleet.Say(a.now())
+	message := a.fleet.NextMessage(a.now())
 	if message != nil && a.service.conf.Settings.GossipAllowed {
 		a.service.peers.transport.Tell(message)
 	}
@@ -92,13 +93,13 @@
 // applyChanges takes the decisions to the pools.
 func (a *zoneAdapter) applyChanges() {
 	changed := map[string]bool{}
-	for _, change := range a.fleet.Changes() {
+	for _, change := range a.fleet.TakeChanges() {
 		a.service.log.Info().
 			Str("zone", change.Zone).
 			Stringer("from", change.From).
 			Stringer("to", change.To).
 			Float64("share", change.Share).
-			Str("why", change.Why).
+			Str("why", change.Reason).
 			Msg("zone")
 		if changed[change.Zone] {
 			continue
@@ -132,7 +133,7 @@
 	if a == nil {
 		return
 	}
-	for _, zone := range a.fleet.States(a.now()) {
+	for _, zone := range a.fleet.Statuses(a.now()) {
 		if zone.Share < 1 {
 			a.applyShare(p, zone.Zone)
 		}
@@ -154,7 +155,7 @@
 			}
 		}
 	}
-	for _, zone := range a.fleet.Listed(a.now(), readyServers, ids) {
+	for _, zone := range a.fleet.OnEndpoints(a.now(), readyServers, ids) {
 		a.logCollision(zone)
 	}
 }
@@ -171,23 +172,23 @@
 
 // onMessage takes another router's message; false if it is not about zones.
 func (a *zoneAdapter) onMessage(message []byte) bool {
-	return a != nil && a.fleet.Heard(a.now(), message)
+	return a != nil && a.fleet.OnMessage(a.now(), message)
 }
 
 // AttemptStarted takes that an attempt begins at a server of a zone. within is the seconds in which an answer is
 // expected; the result is for AttemptEnded.
 func (a *zoneAdapter) AttemptStarted(zone string, within float64) uint64 {
-	return a.fleet.Began(a.now(), zone, within)
+	return a.fleet.OnAttemptStart(a.now(), zone, within)
 }
 
 // AttemptEnded takes the outcome of an attempt that took so many seconds, of those in which an answer was expected.
 func (a *zoneAdapter) AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, within float64) {
-	a.fleet.Ended(a.now(), zone, mark, zoneEvidence(outcome, took, within))
+	a.fleet.OnAttemptEnd(a.now(), zone, mark, zoneEvidence(outcome, took, within))
 }
 
 // zoneEvidence is what an attempt's outcome says about its zone. An error is an answer, too. A request whose client
 // was in a hurry says nothing by its timeout, nor does what was never sent.
-func zoneEvidence(outcome balancer.Outcome, took, within float64) zonefailover.How {
+func zoneEvidence(outcome balancer.Outcome, took, within float64) zonefailover.Outcome {
 	switch outcome {
 	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss:
 		if took > within {
@@ -195,15 +196,15 @@
 		}
 		return zonefailover.Answered
 	case balancer.Overloaded:
-		return zonefailover.Full
+		return zonefailover.Overloaded
 	case balancer.TimedOut:
 		if took >= within {
-			return zonefailover.Silent
+			return zonefailover.NoAnswer
 		}
 	case balancer.ConnectFailed, balancer.ConnectionLost:
-		return zonefailover.Silent
+		return zonefailover.NoAnswer
 	}
-	return zonefailover.Unsaid
+	return zonefailover.Inconclusive
 }
 
 // applyEvacuated takes the whole set of zones that operators have evacuated.
@@ -214,7 +215,7 @@
 		if a.evacuated[zone] {
 			continue
 		}
-		if a.fleet.Hand(a.now(), zone, true) {
+		if a.fleet.SetOperatorOverride(a.now(), zone, true) {
 			a.evacuated[zone] = true
 			continue
 		}
@@ -223,7 +224,7 @@
 	}
 	for zone := range a.evacuated {
 		if !wanted[zone] {
-			a.fleet.Hand(a.now(), zone, false)
+			a.fleet.SetOperatorOverride(a.now(), zone, false)
 			delete(a.evacuated, zone)
 		}
 	}
@@ -236,17 +237,17 @@
 		return
 	}
 	var left, returning, moves uint64
-	for _, zone := range a.fleet.States(a.now()) {
-		moves += zone.Moves
+	for _, zone := range a.fleet.Statuses(a.now()) {
+		moves += zone.Transitions
 		switch zone.State {
-		case zonefailover.Left, zonefailover.Tried:
+		case zonefailover.Evacuated, zonefailover.Probing:
 			left++
-		case zonefailover.Returning:
+		case zonefailover.Recovering:
 			returning++
 		}
 	}
 	write("zones_left", left)
 	write("zones_returning", returning)
 	write("zone_moves", moves)
-	write("zone_words", a.fleet.Words)
+	write("zone_words", a.fleet.MessagesSent)
 }
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -6,7 +6,7 @@
 	"time"
 
 	"bendtrestle/internal/admin"
-	"bendtrestle/internal/hotrestart"
+	"bendtrestle/internal/disabledservers"
 )
 
 // Why an operator's call about zones is refused; the admin server answers with these texts.
@@ -24,19 +24,19 @@
 	var all []admin.Zone
 	err := h.onLoop(func() error {
 		now := zones.now()
-		for _, zone := range zones.fleet.States(now) {
+		for _, zone := range zones.fleet.Statuses(now) {
 			all = append(all, admin.Zone{
-				Zone:    zone.Zone,
-				State:   zone.State.String(),
-				Share:   zone.Share,
-				For:     now - max(zone.Since, h.service.lifecycle.startedAt),
-				Hand:    zone.Hand,
-				Servers: zone.Servers,
-				Against: zone.Against,
-				With:    zone.For,
-				Known:   zone.Known,
-				Times:   zone.Times,
-				Why:     zone.Why,
+				Zone:                   zone.Zone,
+				State:                  zone.State.String(),
+				Share:                  zone.Share,
+				StateSeconds:           now - max(zone.Since, h.service.lifecycle.startedAt),
+				ByOperator:             zone.OperatorOverride,
+				Servers:                zone.Servers,
+				RoutersWithoutAnswer:   zone.VotesAgainst,
+				RoutersWithLaterAnswer: zone.VotesFor,
+				RoutersHeard:           zone.RoutersHeard,
+				RecentEvacuations:      zone.Evacuations,
+				Reason:                 zone.Reason,
 			})
 		}
 		return nil
@@ -44,8 +44,8 @@
 	return all, err
 }
 
-// LeaveZone evacuates a zone until ReturnZone. It is refused for the last one.
-func (h *adminHandler) LeaveZone(zone string) error {
+// EvacuateZone evacuates a zone until RestoreZone. It is refused for the last one.
+func (h *adminHandler) EvacuateZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
 	if zones == nil {
@@ -55,11 +55,11 @@
 	if err != nil {
 		return err
 	}
-	err = zones.file.Set(zone, true, until)
+	err = zones.file.Update(zone, true, until)
 	if err == nil {
 		return nil
 	}
-	if errors.Is(err, hotrestart.ErrHere) {
+	if errors.Is(err, disabledservers.ErrLocalOnly) {
 		h.service.log.Error().Err(err).Str("zone", zone).
 			Msg("an operator's call holds here, but cannot be kept for the next process")
 		return err
@@ -72,9 +72,9 @@
 // evacuate evacuates a zone for an operator.
 func (a *zoneAdapter) evacuate(zone string) error {
 	if !a.fleet.Known(zone) {
-		return admin.ErrNoZone
+		return admin.ErrUnknownZone
 	}
-	if !a.fleet.Hand(a.now(), zone, true) {
+	if !a.fleet.SetOperatorOverride(a.now(), zone, true) {
 		return errLastZone
 	}
 	a.evacuated[zone] = true
@@ -82,8 +82,8 @@
 	return nil
 }
 
-// ReturnZone lets a zone return, whether an operator or the failover evacuated it.
-func (h *adminHandler) ReturnZone(zone string) error {
+// RestoreZone lets a zone return, whether an operator or the failover evacuated it.
+func (h *adminHandler) RestoreZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
 	if zones == nil {
@@ -94,11 +94,11 @@
 	if !kept {
 		return h.onLoop(func() error { return zones.startReturn(zone) })
 	}
-	if err := zones.file.Set(zone, false, until); err != nil {
+	if err := zones.file.Update(zone, false, until); err != nil {
 		return err
 	}
 	err := h.onLoop(func() error { // behind the set without it, which the file has posted
-		zones.fleet.Return(zones.now(), zone) // the failover itself may have evacuated it; else nothing is to return
+		zones.fleet.StartRecovery(zones.now(), zone) // the failover itself may have evacuated it; else nothing is to return
 		zones.applyChanges()
 		return nil
 	})
@@ -110,8 +110,8 @@
 
 // startReturn begins the return of a zone.
 func (a *zoneAdapter) startReturn(zone string) error {
-	if !a.fleet.Return(a.now(), zone) {
-		return admin.ErrNoZone
+	if !a.fleet.StartRecovery(a.now(), zone) {
+		return admin.ErrUnknownZone
 	}
 	a.applyChanges()
 	return nil
