--- /dev/null
+++ b/balancer/admission_test.go
@@ -0,0 +1,234 @@
+package balancer
+
+import (
+	"fmt"
+	"strings"
+	"testing"
+)
+
+// atMeanValue makes a request's value the mean of all.
+func atMeanValue(b *Balancer, req *request) {
+	b.shedding.meanValue = req.class.PriorityWeight / req.class.meanLatency
+}
+
+// With an attempt in flight nearly half were shed at servers that answered nine of ten in time.
+func TestRampWidensWhileNearlyAllIsInTime(t *testing.T) {
+	for _, ordered := range []bool{false, true} {
+		b, _ := newTestBalancer(1, func(s *Settings) { s.OrderedConnections = ordered })
+		server := b.servers.byID[1]
+		endAttempt := func(how Outcome, latency float64, final bool) {
+			req := requestWithAttempt(b, "view", server, true, false)
+			b.OnAttemptEnd(b.now+0.01, req.id, 0, how, latency, final)
+		}
+		for range 400 {
+			endAttempt(Succeeded, 0.25, true)
+		}
+		server.inFlight = []*attempt{{sentAt: b.now}}
+		req := requestWithAttempt(b, "view", nil, false, true)
+		atMeanValue(b, req)
+		for range 50 {
+			expectEqual(t, fmt.Sprint("shed where ordered is ", ordered), b.shedsForLatency(req, server), ordered)
+		}
+		for range 100 {
+			endAttempt(TimedOut, 0.5, false)
+		}
+		expectEqual(t, "late ones count", b.recent.onTimeRate < 0.3, true)
+	}
+}
+
+// The one attempt of each router kept an overloaded server overloaded.
+func TestIdleConnectionDoesNotKeepAnOverloadAlive(t *testing.T) {
+	b, _ := newTestBalancer(1, nil)
+	server := b.servers.byID[1]
+	req := requestWithAttempt(b, "view", nil, false, true)
+	atMeanValue(b, req)
+	server.latency.slowness = 3
+	expectEqual(t, "slow, but in time", b.shedsForLatency(req, server), false)
+	server.latency.slowness = 4.5
+	expectEqual(t, "too slow", b.shedsForLatency(req, server), true)
+}
+
+// A class that was shed whole was never measured again.
+func TestShedClassIsAttemptedAgain(t *testing.T) {
+	b, _ := newTestBalancer(1, nil)
+	req := requestWithAttempt(b, "view", nil, false, true)
+	req.class.meanLatency = 1
+	req.class.latencyAt = 0
+	b.shedding.meanValue = req.class.PriorityWeight
+	expectEqual(t, "at once", b.shedsForLatency(req, b.servers.byID[1]), true)
+	b.now = 16 * req.class.LatencyObjective
+	req.objectiveAt = b.now + req.class.LatencyObjective
+	expectEqual(t, "later", b.shedsForLatency(req, b.servers.byID[1]), false)
+}
+
+// offeredLoad is requests of one class that arrive for some time. What is attempted ends at once.
+type offeredLoad struct {
+	from, to float64 // seconds
+	rate     float64 // requests a second
+	class    string
+	outcome  func(now float64) Outcome
+}
+
+// run offers the load, and gives the longest time in seconds in which 15 or more requests were rejected with no
+// attempt started, and how many were attempted.
+func (l offeredLoad) run(b *Balancer) (longestPause float64, attempted int) {
+	since := l.from
+	rejected := 0
+	for now := l.from; now < l.to; now += (0.5 + b.random.Float64()) / l.rate {
+		id := uint64(now * 1e6)
+		key := fmt.Sprint("k", id%97) // few keys, for speed; none is hot
+		b.OnRequest(now, id, l.class, "", key, 2)
+		req := b.requests[id]
+		if req == nil {
+			rejected++
+			if rejected >= 15 {
+				longestPause = max(longestPause, now-since)
+			}
+			continue
+		}
+		since = now
+		rejected = 0
+		attempted++
+		for n := 0; b.requests[id] == req; n++ {
+			how := l.outcome(now)
+			b.OnAttemptEnd(now, id, n, how, req.class.LatencyObjective/4, how == Succeeded)
+		}
+	}
+	return longestPause, attempted
+}
+
+func always(how Outcome) func(float64) Outcome {
+	return func(float64) Outcome { return how }
+}
+
+// setMeanLatencies makes all classes as slow, and their values the mean.
+func setMeanLatencies(b *Balancer, latency, meanValue float64) {
+	for _, class := range b.classes.byName {
+		class.meanLatency = latency
+	}
+	b.shedding.meanValue = meanValue
+}
+
+// A class's mean latency fades over eight latency objectives; until it had, all was shed, and the first that
+// was attempted brought it back.
+func TestAfterAnOverloadTheTenthIsAttempted(t *testing.T) {
+	for _, objective := range []float64{0.08, 0.4, 1, 10} {
+		for times := 2.0; times <= 8; times++ {
+			over := 0
+			longest := 0.0
+			for seed := range uint32(200) {
+				b, _ := newTestBalancer(6, func(s *Settings) {
+					s.Seed = seed
+					for i := range s.TrafficClasses {
+						s.TrafficClasses[i].LatencyObjective = objective
+						s.TrafficClasses[i].Deadline = 5 * objective
+					}
+				})
+				setMeanLatencies(b, times*objective, 1/(times*objective))
+				pause, _ := offeredLoad{
+					to:      10,
+					rate:    []float64{5, 10, 20, 50}[seed%4],
+					class:   []string{"view", "pay", "amend"}[seed%3],
+					outcome: always(Succeeded),
+				}.run(b)
+				longest = max(longest, pause)
+				if pause > 4 {
+					over++
+				}
+			}
+			if over > 0 {
+				t.Errorf("an objective of %v s, a mean of %v times that: %d of 200 routers rejected 15 or more "+
+					"for over 4 s with no attempt, the worst for %.1f s", objective, times, over, longest)
+			}
+		}
+	}
+}
+
+// With nothing left that succeeded, one in 32 was attempted by chance: one router of six began none for over
+// four seconds.
+func TestAfterErrorsTheTenthIsAttempted(t *testing.T) {
+	failingFor16Seconds := func(now float64) Outcome {
+		if now >= 10 && now < 26 {
+			return ServerError
+		}
+		return Succeeded
+	}
+	for _, rate := range []float64{5, 10, 20, 50} {
+		over := 0
+		longest := 0.0
+		for seed := range uint32(200) {
+			b, _ := newTestBalancer(6, func(s *Settings) { s.Seed = seed })
+			pause, _ := offeredLoad{to: 46, rate: rate, class: "view", outcome: failingFor16Seconds}.run(b)
+			longest = max(longest, pause)
+			if pause > 4 {
+				over++
+			}
+		}
+		if over > 0 {
+			t.Errorf("%v a second, all failing for 16 s: %d of 200 routers rejected 15 or more for over 4 s with no "+
+				"attempt, the worst for %.1f s", rate, over, longest)
+		}
+	}
+}
+
+// What is attempted in an overload must not keep it up: a tenth where little comes, one each latency objective,
+// 0.4 s, where much does.
+func TestWhatIsAttemptedInAnOverloadIsBounded(t *testing.T) {
+	for rate, most := range map[float64]int{1: 3, 5: 15, 20: 60, 500: 76} {
+		b, _ := newTestBalancer(6, nil)
+		setMeanLatencies(b, 1e6, 1e-6)
+		_, attempted := offeredLoad{to: 30, rate: rate, class: "view", outcome: always(Cancelled)}.run(b)
+		if attempted > most || attempted < most*2/3 {
+			t.Errorf("%d of %v requests were attempted in an overload, want at most %d", attempted, 30*rate, most)
+		}
+	}
+}
+
+// The rule on servers that are warming up goes before it: however much was rejected, one gets no more than its
+// budget.
+func TestTheTenthKeepsToTheSlowStartBudget(t *testing.T) {
+	for budget, want := range []int{0, 1} {
+		b, host := newTestBalancer(1, nil)
+		b.servers.byID[1].slowStart = slowStart{startedAt: 1, refilledAt: 1, budget: float64(budget)}
+		b.servers.allCold = true
+		b.classes.byName["view"].meanLatency = 100
+		b.classes.byName["view"].latencyAt = 1
+		for n := range uint64(200) {
+			b.OnRequest(1, n, "view", "", fmt.Sprint("k", n), 2)
+		}
+		attempts := strings.Count(fmt.Sprint(host.actions), "attempt")
+		expectEqual(t, fmt.Sprint("attempts with a budget of ", budget), attempts, want)
+	}
+}
+
+func TestRejectingAnswersAtOnce(t *testing.T) {
+	for class, want := range map[string]string{"view": "reject 7 after true", "pay": "fail 7"} {
+		b, host := newTestBalancer(1, nil)
+		b.reject(requestWithAttempt(b, class, b.servers.byID[1], false, false), ReasonNoTime)
+		expectEqual(t, class, host.lastAction(), want)
+		expectEqual(t, "requests kept", len(b.requests), 0)
+	}
+}
+
+// A rejection tells why.
+func TestReasons(t *testing.T) {
+	host := &reasonRecorder{}
+
+	b, _ := newTestBalancer(0, nil)
+	b.host = host
+	b.OnRequest(0, 5, "view", "", "k", 2)
+
+	b, _ = newTestBalancer(1, nil)
+	b.host = host
+	b.servers.byID[1].inFlight = []*attempt{{sentAt: 0.1, request: &request{}}}
+	b.OnRequest(2, 6, "view", "", "k", 2)
+
+	b, _ = newTestBalancer(2, nil)
+	b.host = host
+	b.OnRequest(0, 7, "view", "", "k", 2)
+	*b.requests[7].retryBudget = 1
+	b.OnAttemptEnd(1.99, 7, 0, Overloaded, 1.99, false)
+
+	want := []RejectReason{ReasonNoEndpoint, ReasonOverloaded, ReasonNoTime}
+	expectEqual(t, "the reasons", fmt.Sprint(host.reasons), fmt.Sprint(want))
+}
--- /dev/null
+++ b/balancer/attempts_test.go
@@ -0,0 +1,84 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestLateEventsOfAnEndedRequest(t *testing.T) {
+	b, host := newTestBalancer(1, nil)
+	req := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
+	req.answered = true
+	b.servers.byID[1].inFlight = []*attempt{req.attempts[0]}
+	b.OnAttemptEnd(0.01, 7, 0, Succeeded, 0.01, true)
+	b.OnAttemptEnd(0.02, 7, 0, Succeeded, 0.01, true)
+	b.OnClientGone(0.03, 7)
+	b.OnTimer(0.04, "7")
+	b.OnTimer(0.04, "no such name")
+	expectEqual(t, "actions", len(host.actions), 0)
+	expectEqual(t, "in flight at the server", len(b.servers.byID[1].inFlight), 0)
+}
+
+// Where nothing stops the work, ending attempts early under load wasted it.
+func TestNoEarlyTimeoutOnAServerThatAnswers(t *testing.T) {
+	for failures, want := range map[int]bool{0: false, 1: true} {
+		b, _ := newTestBalancer(1, func(s *Settings) { s.HedgingAllowed = false })
+		host := &timeoutRecorder{}
+		b.host = host
+		server := b.servers.byID[1]
+		server.health.consecutiveFailures = failures
+		b.retryBudgets.shared = 5
+		req := &request{
+			id:          7,
+			class:       b.classes.byName["view"],
+			objectiveAt: 0.4,
+			deadline:    1,
+			retryBudget: &b.retryBudgets.shared,
+		}
+		b.startAttempt(req, server)
+		expectEqual(t, fmt.Sprint("early timeout after failures: ", failures), host.timeout < 1, want)
+	}
+}
+
+// A repeat of a request with an idempotency key that waits for a connection beyond its window would take effect
+// twice. What is proved never to have run bounds nothing, nor is any other class bound.
+func TestARepeatIsWrittenWithinItsWindow(t *testing.T) {
+	for _, c := range []struct {
+		name, class string
+		notExecuted bool // the earlier attempt
+		want        float64
+	}{
+		{"keyed, may have run", "amend", false, 0.7},
+		{"keyed, never run", "amend", true, 1.6},
+		{"idempotent, may have run", "view", false, 1.6},
+		{"idempotent, never run", "view", true, 1.6},
+	} {
+		b, _ := newTestBalancer(2, nil)
+		host := &timeoutRecorder{}
+		b.host = host
+		req := requestWithAttempt(b, c.class, b.servers.byID[1], false, c.notExecuted)
+		firstSentAt := req.attempts[0].sentAt
+		b.now = firstSentAt + 0.3 // of a window of 1 s
+		req.deadline = firstSentAt + 1.9
+		b.startAttempt(req, b.servers.byID[2])
+		expectEqual(t, "write timeout, "+c.name, math.Round(host.writeTimeout*1e6)/1e6, c.want)
+	}
+}
+
+// Finite records: servers were replaced all day under new ids, and classes made up by clients: each left a
+// record for ever.
+func TestWhatIsGoneIsForgotten(t *testing.T) {
+	b, _ := newTestBalancer(2, nil)
+	old := b.servers.byID[1]
+	classes := len(b.classes.byName)
+	req := requestWithAttempt(b, "view", old, true, false)
+	b.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready, Capacity: 1}})
+	expectEqual(t, "servers while one drains", len(b.servers.byID), 3)
+	b.OnEndpoints(2, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
+	expectEqual(t, "servers", len(b.servers.byID), 2)
+	expectEqual(t, "may be attempted there", b.mayAttempt(req, old), false)
+	b.OnAttemptEnd(3, 7, 0, Succeeded, 0.1, true)
+	b.OnRequest(4, 8, "made up", "", "k", 1)
+	expectEqual(t, "classes", len(b.classes.byName), classes)
+}
--- /dev/null
+++ b/balancer/endpoints_test.go
@@ -0,0 +1,63 @@
+package balancer
+
+import (
+	"fmt"
+	"math"
+	"testing"
+)
+
+func TestRestartUnderTheSameIDIsCold(t *testing.T) {
+	b, _ := newTestBalancer(2, nil)
+	b.OnEndpoints(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: 29}})
+	expectEqual(t, "warm fraction", math.Round(b.warmFraction(b.servers.byID[1])*1e4), 2875.0)
+}
+
+func TestAbsentFromAFullUpdateIsGone(t *testing.T) {
+	b, _ := newTestBalancer(2, nil)
+	b.OnEndpoints(1, UpdateFull, []Endpoint{{ID: 2, State: Ready, Capacity: 1}})
+	expectEqual(t, "ready", len(b.servers.ready), 1)
+}
+
+// No list undoes that an operator disabled a server: not one that drops it and names it anew, nor for a server
+// that no list has named yet.
+func TestDisabledStaysOutWhateverTheListSays(t *testing.T) {
+	b, _ := newTestBalancer(3, nil)
+	list := []Endpoint{
+		{ID: 1, State: Ready, Capacity: 1},
+		{ID: 2, State: Ready, Capacity: 1, StartedAt: 5},
+		{ID: 9, State: Ready, Capacity: 1},
+	}
+	for _, id := range []uint64{2, 2, 9} {
+		b.SetDisabled(1, id, true)
+	}
+	b.OnEndpoints(2, UpdateDelta, []Endpoint{{ID: 2, State: Removed}})
+	b.OnEndpoints(3, UpdateFull, list[:1])
+	b.OnEndpoints(6, UpdateFull, list)
+	req := requestWithAttempt(b, "view", nil, false, true)
+	for _, server := range b.servers.byID {
+		expectEqual(t, fmt.Sprint("may be attempted on ", server.ID), b.mayAttempt(req, server), server.ID == 1)
+	}
+	expectEqual(t, "ready servers", len(b.servers.ready), 1)
+	b.SetDisabled(7, 2, false)
+	expectEqual(t, "ready servers after one was enabled", len(b.servers.ready), 2)
+	b.SetDisabled(8, 7, false) // it was not disabled, and no list names it
+	b.OnEndpoints(9, UpdateDelta, nil)
+	expectEqual(t, "records", len(b.servers.byID), 3)
+}
+
+// It may have restarted while it was disabled, before a list tells: it gets the slice and the budget of a cold one.
+func TestEnabledServerIsCold(t *testing.T) {
+	b, _ := newTestBalancer(4, nil)
+	b.SetDisabled(50, 2, true)
+	server := b.servers.byID[2]
+	server.health.consecutiveFailures = 7
+	server.health.refusesConnections = true
+	b.SetDisabled(60, 2, false)
+	expectEqual(t, "its certain capacity", b.warmFraction(server), 0.25)
+	expectEqual(t, "avoided for failures before", b.Avoids(2), false)
+	if server.slowStart.budget >= 1 {
+		t.Errorf("its first budget is %v", server.slowStart.budget)
+	}
+	b.SetDisabled(61, 2, false)
+	expectEqual(t, "cold since", server.slowStart.startedAt, 60.0)
+}
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -45,8 +45,8 @@
 	return b
 }
 
-// Routers of two builds gossip with each other: a record is the low 16 bits of a server's id, little endian, and a byte for
-// the latency over its class's mean, in 32nds, or 255 where the connection was refused.
+// Routers of two builds gossip with each other: a record is the low 16 bits of a server's id, little endian,
+// and a byte for the latency over its class's mean, in 32nds, or 255 where the connection was refused.
 func TestGoldenGossipMessages(t *testing.T) {
 	host := &gossipRecorder{}
 	b := gossipingBalancer(host)
--- /dev/null
+++ b/balancer/slowstart_simulation_test.go
@@ -0,0 +1,400 @@
+package balancer
+
+import (
+	"container/heap"
+	"fmt"
+	"hash/crc32"
+	"math"
+	"slices"
+
+	"bendtrestle/internal/seedhash"
+)
+
+// slowStartScenario is a made-up half minute in which many routers meet cold servers. All of the routers are
+// balancers; time and chance are reckoned.
+type slowStartScenario struct {
+	routers, statedRouters int // how many there are, and how many the settings say
+	servers                int
+	coldServers            int     // servers that start cold, the first ones; their requests are judged
+	lostServers            int     // servers that go when these start
+	servedBefore           bool    // the cold servers served before; else they are new
+	answersAtOnce          bool    // they answer at once whatever they get: nothing warns the routers
+	warmRate               float64 // requests of mean work that a warm server does a second
+	load                   float64 // part of what all can do that comes in calm
+	burst                  float64 // times as much in a burst of four seconds
+	burstDelay             float64 // seconds from the start until the first burst
+	pulledPart             float64 // part of a burst that is for keys of the cold server's slice
+	skew                   float64 // how many times the mean the busiest tenth of the routers carry
+	noticeSpread           float64 // seconds over which routers are told of the start
+	restartedPart          float64 // part of the routers that restart when the servers start
+	secondStartAfter       float64 // seconds after which these start cold once more; 0: they do not
+	gossip                 bool
+	weightMode             WeightMode
+	seed                   uint32
+
+	overloadWindow, overloadFactor, startCapacity, warmupDuration float64 // as in Settings
+}
+
+// Times of the simulation, in seconds.
+const (
+	calmBefore     = 20.0 // before the start
+	timeAfter      = 12.0 // after it
+	simulationStep = 0.01
+	burstPeriod    = 6.0 // of which burstLength are a burst
+	burstLength    = 4.0
+	longestQueue   = 0.5 // of work; a server rejects what comes beyond it
+	networkTime    = 0.005
+)
+
+// pendingAnswer is an attempt at a server, until it ends.
+type pendingAnswer struct {
+	endsAt, sentAt float64 // seconds
+	order          uint64  // of sending, among those that end at once
+	router         *simulatedRouter
+	requestID      uint64
+	number         int
+	outcome        Outcome
+}
+
+// pendingAnswers is a heap, the earliest end first.
+type pendingAnswers []pendingAnswer
+
+func (p pendingAnswers) Len() int { return len(p) }
+func (p pendingAnswers) Less(i, j int) bool {
+	return p[i].endsAt < p[j].endsAt || p[i].endsAt == p[j].endsAt && p[i].order < p[j].order
+}
+func (p pendingAnswers) Swap(i, j int) { p[i], p[j] = p[j], p[i] }
+func (p *pendingAnswers) Push(x any)   { *p = append(*p, x.(pendingAnswer)) }
+func (p *pendingAnswers) Pop() any {
+	last := (*p)[len(*p)-1]
+	*p = (*p)[:len(*p)-1]
+	return last
+}
+
+// simulatedRouter is one router, and its balancer's host.
+type simulatedRouter struct {
+	recordingHost
+	simulation *simulation
+	balancer   *Balancer
+	noticedAt  float64        // seconds, when it is told of the cold servers' last start
+	attempts   map[uint64]int // by request, those started
+}
+
+func (r *simulatedRouter) StartAttempt(request, server uint64, timeout, _ float64) {
+	r.simulation.startAttempt(r, request, server, r.attempts[request], timeout)
+	r.attempts[request]++
+}
+
+func (r *simulatedRouter) Gossip(message []byte) {
+	r.simulation.messages = append(r.simulation.messages, slices.Clone(message))
+}
+
+func (r *simulatedRouter) Reject(request uint64, _ float64, _ RejectReason) {
+	delete(r.attempts, request)
+}
+func (r *simulatedRouter) Fail(request uint64) { delete(r.attempts, request) }
+
+// coldSend is an attempt at a cold server.
+type coldSend struct {
+	sentAt  float64 // seconds
+	noticed bool    // its router had been told of the start
+}
+
+// simulation is a scenario under way.
+type simulation struct {
+	slowStartScenario
+	now, coldSince float64 // coldSince: when the cold servers last started
+	started        bool    // they have started
+	restarted      bool    // they have started twice
+	draws          uint64
+	fleet          []*simulatedRouter
+	routerWeights  []float64 // summed up: the traffic that routers carry, in proportion
+	keysOfCold     []string  // keys that are the first cold server's while it has just started
+	requests       uint64    // so far
+	surplus        float64   // of the requests that are to come, by the rate, over those that came
+	busyUntil      []float64 // until when each server has work
+	pending        pendingAnswers
+	sequence       uint64
+	messages       [][]byte
+	coldSends      [][]coldSend // to each cold server since it started
+
+	worstOverBound     float64 // the most that a window held over the bound of chance; only what the rule counts
+	worstOverAllowance float64 // the most that a window held over what is allowed
+	starts             int
+	startsAboveBound   int // starts with a window above the bound
+	coldSendCount      int // attempts at cold servers
+}
+
+func (s *simulation) chance() float64 {
+	s.draws++
+	return (float64(seedhash.Mix(s.seed, s.draws)) + 0.5) / (1 << 32)
+}
+
+// warmFraction is the part of its work that a cold server can do.
+func (s *simulation) warmFraction(now float64) float64 {
+	return s.startCapacity + (1-s.startCapacity)*min(1, (now-s.coldSince)/s.warmupDuration)
+}
+
+// startAttempt sends an attempt to a server, which answers it in turn.
+func (s *simulation) startAttempt(router *simulatedRouter, request, id uint64, number int, timeout float64) {
+	server := int(id - 1)
+	rate := s.warmRate
+	cold := server < s.coldServers && s.now >= s.coldSince
+	if cold {
+		rate *= s.warmFraction(s.now)
+		s.coldSends[server] = append(s.coldSends[server], coldSend{s.now, router.noticedAt <= s.now})
+		s.coldSendCount++
+	}
+	s.sequence++
+	answer := pendingAnswer{
+		sentAt:    s.now,
+		order:     s.sequence,
+		router:    router,
+		requestID: request,
+		number:    number,
+		outcome:   Succeeded,
+	}
+	free := max(s.now, s.busyUntil[server])
+	switch {
+	case cold && s.answersAtOnce:
+		answer.endsAt = s.now + networkTime
+	case free-s.now > longestQueue:
+		answer.endsAt = s.now + networkTime
+		answer.outcome = Overloaded
+	default:
+		s.busyUntil[server] = free + 1/rate
+		answer.endsAt = s.busyUntil[server] + networkTime
+	}
+	if answer.endsAt > s.now+timeout {
+		answer.endsAt = s.now + timeout
+		answer.outcome = TimedOut
+	}
+	heap.Push(&s.pending, answer)
+}
+
+// startRouter starts a router anew.
+func (s *simulation) startRouter(router *simulatedRouter, index int) {
+	router.simulation = s
+	router.attempts = map[uint64]int{}
+	router.balancer = New(s.now, Settings{
+		Seed:                seedhash.Mix(s.seed, uint64(index)+1<<40+s.sequence),
+		RouterIndex:         index,
+		RouterCount:         s.statedRouters,
+		EventInterval:       0.002,
+		MaxAttempts:         3,
+		HedgingAllowed:      true,
+		CancellationAllowed: true,
+		MaxRetryAfter:       1,
+		GossipAllowed:       s.gossip,
+		GossipPrice:         0.01,
+		WeightMode:          s.weightMode,
+		OverloadWindow:      s.overloadWindow,
+		OverloadFactor:      s.overloadFactor,
+		WarmupStartCapacity: s.startCapacity,
+		WarmupDuration:      s.warmupDuration,
+		OverQuotaWeight:     0.05,
+		TrafficClasses: []TrafficClass{
+			{Name: "view", Idempotency: Idempotent, LatencyObjective: 0.4, Deadline: 2, PriorityWeight: 1},
+		},
+	}, router)
+}
+
+// tellList tells a router the list, as it is before the cold servers' start or after it.
+func (s *simulation) tellList(router *simulatedRouter, afterStart bool) {
+	var list []Endpoint
+	for i := range s.servers {
+		endpoint := Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"}
+		cold := i < s.coldServers
+		if cold && afterStart {
+			endpoint.StartedAt = s.coldSince
+		}
+		listed := !afterStart || i+s.lostServers < s.servers
+		if cold {
+			listed = afterStart || s.servedBefore
+		}
+		if listed {
+			list = append(list, endpoint)
+		}
+	}
+	router.balancer.OnEndpoints(s.now, UpdateFull, list)
+}
+
+// judgeWindows looks at each overload window that ends with a request to a cold server.
+func (s *simulation) judgeWindows() {
+	for i, sends := range s.coldSends {
+		s.starts++
+		if s.judgeStart(sends) {
+			s.startsAboveBound++
+		}
+		s.coldSends[i] = sends[:0]
+	}
+}
+
+// judgeStart tells whether a window of one server's start held more than is put down to chance. Only windows of
+// which two thirds came from routers that had been told of the start count.
+func (s *simulation) judgeStart(sends []coldSend) (above bool) {
+	first, noticed := 0, 0 // of the window
+	for last, send := range sends {
+		if send.noticed {
+			noticed++
+		}
+		for ; sends[first].sentAt <= send.sentAt-s.overloadWindow; first++ {
+			if sends[first].noticed {
+				noticed--
+			}
+		}
+		// What it could do in the middle of the window: it warms evenly.
+		middle := max(s.coldSince, send.sentAt-s.overloadWindow/2)
+		allowed := s.overloadFactor * s.warmFraction(middle) * s.warmRate * s.overloadWindow
+		count := last - first + 1
+		counts := send.sentAt < s.coldSince+s.warmupDuration && 3*noticed > 2*count
+		if !counts {
+			continue
+		}
+		s.worstOverBound = max(s.worstOverBound, float64(count)/chanceBound(allowed))
+		s.worstOverAllowance = max(s.worstOverAllowance, float64(count)/allowed)
+		if float64(count) > chanceBound(allowed) {
+			above = true
+		}
+	}
+	return above
+}
+
+// findKeysOfCold gives keys that are the first cold server's while it has just started.
+func (s *simulation) findKeysOfCold() (keys []string) {
+	router := &simulatedRouter{}
+	s.startRouter(router, 0)
+	s.tellList(router, true)
+	b := router.balancer
+	b.recent.acceptanceRate = 1
+	b.servers.byID[1].slowStart.startedAt = s.now
+	for i := 0; len(keys) < 3000 && i < 1e6; i++ {
+		key := fmt.Sprint("own-", i)
+		keyHash := seedhash.Avalanche(crc32.ChecksumIEEE([]byte(key)))
+		server := b.nearestServer(keyHash, anyServer)
+		if server != nil && server.ID == 1 {
+			keys = append(keys, key)
+		}
+	}
+	return keys
+}
+
+// newSimulation starts the fleet, before the cold servers' start.
+func newSimulation(scenario slowStartScenario) *simulation {
+	s := &simulation{
+		slowStartScenario: scenario,
+		busyUntil:         make([]float64, scenario.servers),
+		coldSends:         make([][]coldSend, scenario.coldServers),
+	}
+	s.keysOfCold = s.findKeysOfCold()
+	sum := 0.0
+	for index := range s.routers {
+		router := &simulatedRouter{}
+		s.fleet = append(s.fleet, router)
+		s.startRouter(router, index)
+		s.tellList(router, false)
+		weight := 1.0
+		if s.skew > 1 && index%10 == 3 {
+			weight = s.skew
+		}
+		sum += weight
+		s.routerWeights = append(s.routerWeights, sum)
+	}
+	s.coldSince = math.Inf(1)
+	return s
+}
+
+// run plays a scenario.
+func (scenario slowStartScenario) run() *simulation {
+	s := newSimulation(scenario)
+	for s.now = 0; s.now < calmBefore+timeAfter; s.now += simulationStep {
+		sinceStart := s.now - calmBefore
+		s.startColdServers(sinceStart)
+		s.notifyRouters()
+		s.endAttempts()
+		s.deliverGossip()
+		s.sendRequests(sinceStart)
+	}
+	s.judgeWindows()
+	return s
+}
+
+// startColdServers starts the cold servers once it is time, and once more where the scenario says so; some
+// routers restart with them.
+func (s *simulation) startColdServers(sinceStart float64) {
+	first := sinceStart >= 0 && !s.started
+	second := s.started && s.secondStartAfter > 0 && !s.restarted && sinceStart >= s.secondStartAfter
+	if !first && !second {
+		return
+	}
+	if second {
+		s.judgeWindows()
+		s.restarted = true
+	}
+	s.started = true
+	s.coldSince = s.now
+	for index, router := range s.fleet {
+		if s.chance() < s.restartedPart {
+			s.startRouter(router, index)
+			s.tellList(router, s.restarted)
+		}
+		router.noticedAt = s.now + s.chance()*s.noticeSpread
+		if s.noticeSpread == 0 {
+			router.noticedAt = s.now
+		}
+	}
+}
+
+// notifyRouters tells routers of the start whose time it is.
+func (s *simulation) notifyRouters() {
+	for _, router := range s.fleet {
+		if s.started && router.noticedAt <= s.now && router.noticedAt > s.now-simulationStep {
+			s.tellList(router, true)
+		}
+	}
+}
+
+func (s *simulation) endAttempts() {
+	for len(s.pending) > 0 && s.pending[0].endsAt <= s.now {
+		ended := heap.Pop(&s.pending).(pendingAnswer)
+		router := ended.router
+		if router.balancer.requests[ended.requestID] == nil {
+			continue
+		}
+		final := ended.outcome == Succeeded
+		if final {
+			delete(router.attempts, ended.requestID)
+		}
+		router.balancer.OnAttemptEnd(s.now, ended.requestID, ended.number, ended.outcome, s.now-ended.sentAt, final)
+	}
+}
+
+func (s *simulation) deliverGossip() {
+	for _, message := range s.messages {
+		for _, router := range s.fleet {
+			router.balancer.OnGossip(s.now, message)
+		}
+	}
+	s.messages = s.messages[:0]
+}
+
+// sendRequests sends the requests of one step, at random times by the rate.
+func (s *simulation) sendRequests(sinceStart float64) {
+	rate := s.load * s.warmRate * float64(s.servers)
+	pulledPart := 0.0
+	if sinceStart >= s.burstDelay && math.Mod(sinceStart-s.burstDelay, burstPeriod) < burstLength {
+		rate *= s.burst
+		pulledPart = s.pulledPart
+	}
+	for s.surplus += rate * simulationStep; s.surplus > 0; s.surplus += math.Log(s.chance()) {
+		s.requests++
+		sum := s.routerWeights[len(s.routerWeights)-1]
+		index, _ := slices.BinarySearch(s.routerWeights, s.chance()*sum)
+		key := fmt.Sprint("key-", int(2000*math.Pow(s.chance(), 2)))
+		if s.chance() < pulledPart {
+			key = s.keysOfCold[int(s.chance()*float64(len(s.keysOfCold)))]
+		}
+		router := s.fleet[min(index, s.routers-1)]
+		router.balancer.OnRequest(s.now, s.requests, "view", "", key, 2)
+	}
+}
