--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -1,6 +1,7 @@
 package snapshot
 
 import (
+	"errors"
 	"fmt"
 	"io"
 	"os"
@@ -14,99 +15,152 @@
 	"github.com/rs/zerolog"
 )
 
-func at(t *testing.T) string { return filepath.Join(t.TempDir(), "r") }
+func basePath(t *testing.T) string { return filepath.Join(t.TempDir(), "r") }
 
 func open(base string) *Store { return Open(base, "r", zerolog.Nop()) }
 
 // What was put is there for the next process, and nothing older replaces it.
-func TestKeepsTheNewest(t *testing.T) {
-	base := at(t)
-	s := open(base)
-	s.Put("rate", Entry{Generation: 7, StoredAt: 5, Body: []byte("seven")})
-	s.Put("rate", Entry{Generation: 6, StoredAt: 9, Body: []byte("six")})
-	s.Close(5 * time.Second)
-	if e, there := open(base).Get("rate"); !there || string(e.Body) != "seven" || e.StoredAt != 5 {
-		t.Errorf("got %+v, %t", e, there)
+func TestKeepsTheNewestGeneration(t *testing.T) {
+	base := basePath(t)
+	store := open(base)
+	store.Put("rate", Entry{Generation: 7, StoredAt: 5, Body: []byte("seven")})
+	store.Put("rate", Entry{Generation: 6, StoredAt: 9, Body: []byte("six")})
+	store.Close(5 * time.Second)
+	entry, found := open(base).Get("rate")
+	if !found || string(entry.Body) != "seven" || entry.StoredAt != 5 {
+		t.Errorf("got %+v, %t", entry, found)
 	}
 }
 
-// A copy that is cut or changed at any byte, foreign, newer, or another router's: the other copy counts, this one is put aside, and the
-// start goes on.
-func TestAnyByte(t *testing.T) {
-	base := at(t)
-	s := open(base)
-	old, _ := pack(content{Owner: "r", Number: 2, Entries: map[string]Entry{"k": {Generation: 1, Body: []byte("old")}}})
-	next, _ := pack(content{Owner: "r", Number: 3, Entries: map[string]Entry{"k": {Generation: 2, Body: []byte("new")}}})
-	other, _ := pack(content{Owner: "q", Number: 9, Entries: map[string]Entry{"k": {Generation: 9, Body: []byte("theirs")}}})
-	s.Close(time.Second)
-	tries := [][]byte{other, []byte("# a file"), nil, append([]byte(magic), 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0)}
-	for i := range next {
-		tries = append(tries, next[:i])
-		flipped := append([]byte(nil), next...)
+// A copy that is cut or changed at any byte, foreign, newer, or another router's: the other copy counts, this one is set aside, and
+// the start goes on.
+func TestCopyDamagedAtAnyByte(t *testing.T) {
+	base := basePath(t)
+	store := open(base)
+	encoded := func(owner string, number uint64, entry Entry) []byte {
+		text, err := encode(content{Owner: owner, Number: number, Entries: map[string]Entry{"k": entry}})
+		if err != nil {
+			t.Fatal(err)
+		}
+		return text
+	}
+	old := encoded("r", 2, Entry{Generation: 1, Body: []byte("old")})
+	newer := encoded("r", 3, Entry{Generation: 2, Body: []byte("new")})
+	otherRouters := encoded("q", 9, Entry{Generation: 9, Body: []byte("theirs")})
+	store.Close(time.Second)
+	unusable := [][]byte{
+		otherRouters,
+		[]byte("# a file"),
+		nil,
+		append([]byte(magic), 0, 9, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0, 0),
+	}
+	for i := range newer {
+		flipped := append([]byte(nil), newer...)
 		flipped[i] ^= 0x10
-		tries = append(tries, flipped)
-	}
-	for i, text := range tries {
-		os.WriteFile(s.path(0), old, 0o600)
-		os.WriteFile(s.path(1), text, 0o600)
-		c := open(base)
-		if e, _ := c.Get("k"); string(e.Body) != "old" || c.Stats().SetAside != 1 {
-			t.Fatalf("try %d: %q counts, %d put aside", i, e.Body, c.Stats().SetAside)
+		unusable = append(unusable, newer[:i], flipped)
+	}
+	for i, text := range unusable {
+		os.WriteFile(store.copyPath(0), old, 0o600)
+		os.WriteFile(store.copyPath(1), text, 0o600)
+		next := open(base)
+		if entry, _ := next.Get("k"); string(entry.Body) != "old" || next.Stats().SetAside != 1 {
+			t.Fatalf("case %d: %q counts, %d set aside", i, entry.Body, next.Stats().SetAside)
 		}
-		if _, err := os.Stat(s.path(1) + aside); err != nil {
+		if _, err := os.Stat(store.copyPath(1) + unusableEnding); err != nil {
 			t.Fatal(err)
 		}
-		c.Close(time.Second)
+		next.Close(time.Second)
+	}
+	os.WriteFile(store.copyPath(1), newer, 0o600)
+	if entry, _ := open(base).Get("k"); string(entry.Body) != "new" {
+		t.Errorf("the newer copy does not count: %q", entry.Body)
+	}
+}
+
+// A caller can tell by type why a copy cannot be used, and why an entry was not taken.
+func TestErrorsAreTyped(t *testing.T) {
+	text, err := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{}})
+	if err != nil {
+		t.Fatal(err)
+	}
+	newer := append([]byte(nil), text...)
+	newer[versionOffset+1] = 9
+	_, err = decode(newer, "r")
+	var version *VersionError
+	if !errors.As(err, &version) || version.Version != 9 || version.Newest != formatVersion {
+		t.Errorf("a newer build's copy gets %v", err)
+	}
+	_, err = decode(text[:len(text)-1], "r")
+	var damaged *DamagedError
+	if !errors.As(err, &damaged) {
+		t.Errorf("a cut copy gets %v", err)
+	}
+	_, err = decode(text, "q")
+	var owner *OwnerError
+	if !errors.As(err, &owner) || owner.Owner != "r" || owner.Want != "q" {
+		t.Errorf("another router's copy gets %v", err)
+	}
+	_, err = decode([]byte("# a file"), "r")
+	if !errors.Is(err, ErrForeign) {
+		t.Errorf("a file of something else gets %v", err)
 	}
-	os.WriteFile(s.path(1), next, 0o600)
-	if e, _ := open(base).Get("k"); string(e.Body) != "new" {
-		t.Errorf("the newer copy does not count: %q", e.Body)
+	err = open(basePath(t)).Put("big", Entry{Body: make([]byte, maxStoreSize+1)})
+	var capacity *CapacityError
+	if !errors.As(err, &capacity) || capacity.Kind != "big" || capacity.Limit != maxStoreSize {
+		t.Errorf("an entry that is too large gets %v", err)
 	}
 }
 
 // A disk that takes nothing costs nothing but a figure.
-func TestNoDisk(t *testing.T) {
-	s := open(filepath.Join(at(t), "gone", "r"))
+func TestDiskThatTakesNothing(t *testing.T) {
+	store := open(filepath.Join(basePath(t), "gone", "r"))
 	for i := range 5 {
-		s.Put("k", Entry{Generation: uint64(i), Body: []byte("x")})
+		store.Put("k", Entry{Generation: uint64(i), Body: []byte("x")})
 	}
-	if e, there := s.Get("k"); !there || e.Generation != 4 {
-		t.Errorf("got %+v, %t", e, there)
+	if entry, found := store.Get("k"); !found || entry.Generation != 4 {
+		t.Errorf("got %+v, %t", entry, found)
 	}
-	s.Put("big", Entry{Body: make([]byte, largest)})
-	s.Close(3 * time.Second)
-	if c := s.Stats(); c.Failed == 0 || c.Rejected != 1 {
-		t.Errorf("%+v", c)
+	store.Put("big", Entry{Body: make([]byte, maxCopySize)})
+	store.Close(3 * time.Second)
+	if stats := store.Stats(); stats.Failed == 0 || stats.Rejected != 1 {
+		t.Errorf("%+v", stats)
 	}
 }
 
 // TestMain lets the test's own program be one that writes without end.
 func TestMain(m *testing.M) {
 	if base := os.Getenv("STORE_WRITES"); base != "" {
-		s := open(base)
-		for i := uint64(1); ; i++ { // both entries are of one number, whatever of it is on disk
-			s.mu.Lock()
-			for _, kind := range []string{"a", "b"} {
-				s.now.Entries[kind] = Entry{Generation: i, Body: []byte(strconv.FormatUint(i, 10) + string(make([]byte, 3000)))}
-			}
-			s.now.Number++
-			s.mu.Unlock()
-			s.write()
-			fmt.Println(i)
-		}
+		writeWithoutEnd(base)
 	}
 	os.Exit(m.Run())
 }
 
+// writeWithoutEnd writes two entries of one generation, again and again, whatever of it gets to the disk.
+func writeWithoutEnd(base string) {
+	store := open(base)
+	for i := uint64(1); ; i++ {
+		body := []byte(strconv.FormatUint(i, 10) + string(make([]byte, 3000)))
+		store.mu.Lock()
+		for _, kind := range []string{"a", "b"} {
+			store.content.Entries[kind] = Entry{Generation: i, Body: body}
+		}
+		store.content.Number++
+		store.mu.Unlock()
+		store.writeCopy()
+		fmt.Println(i)
+	}
+}
+
 // A process killed at any moment of a write leaves the state before it or after it, never a mixture, and no start fails.
 func TestKilledWhileWriting(t *testing.T) {
-	self, err := os.Executable()
+	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
 	}
-	base, last := at(t), uint64(0)
+	base := basePath(t)
+	last := uint64(0)
 	for i := range 150 {
-		cmd := exec.Command(self)
+		cmd := exec.Command(program)
 		cmd.Env = append(os.Environ(), "STORE_WRITES="+base)
 		out, _ := cmd.StdoutPipe()
 		if err := cmd.Start(); err != nil {
@@ -117,44 +171,46 @@
 		cmd.Process.Kill()
 		io.Copy(io.Discard, out)
 		cmd.Wait()
-		s := open(base)
-		a, _ := s.Get("a")
-		b, _ := s.Get("b")
-		if a.Generation != b.Generation || s.Stats().SetAside > 0 || s.now.Number < last {
-			t.Fatalf("after kill %d: generations %d and %d, %d put aside, number %d after %d", i, a.Generation, b.Generation, s.Stats().SetAside, s.now.Number, last)
+		store := open(base)
+		a, _ := store.Get("a")
+		b, _ := store.Get("b")
+		number := store.content.Number
+		if a.Generation != b.Generation || store.Stats().SetAside > 0 || number < last {
+			t.Fatalf("after kill %d: generations %d and %d, %d set aside, number %d after %d",
+				i, a.Generation, b.Generation, store.Stats().SetAside, number, last)
 		}
-		last = s.now.Number
-		s.Close(time.Second)
+		last = number
+		store.Close(time.Second)
 	}
 	t.Logf("%d copies over 150 kills", last)
 }
 
-func FuzzUnpack(f *testing.F) {
-	text, _ := pack(content{Owner: "r", Number: 2, Entries: map[string]Entry{"k": {Generation: 1, Body: []byte("x")}}})
+func FuzzDecode(f *testing.F) {
+	text, _ := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{"k": {Generation: 1, Body: []byte("x")}}})
 	f.Add(text)
-	f.Fuzz(func(t *testing.T, text []byte) { unpack(text, "r") })
+	f.Fuzz(func(t *testing.T, text []byte) { decode(text, "r") })
 }
 
 // A disk that does not answer, here a pipe that nobody writes, holds no start up; what is no file of this user is not read.
 func TestDiskThatHangs(t *testing.T) {
-	base := at(t)
+	base := basePath(t)
 	if err := syscall.Mkfifo(base+".store-0", 0o600); err != nil {
 		t.Fatal(err)
 	}
 	began := time.Now()
-	s := open(base)
-	if took := time.Since(began); took > 2*patience {
+	store := open(base)
+	if took := time.Since(began); took > 2*openTimeout {
 		t.Errorf("the start took %v", took)
 	}
-	s.Put("k", Entry{Body: []byte("x")})
-	s.Close(time.Second)
-	f, err := os.OpenFile(base+".store-0", os.O_RDWR, 0) // lets the reader go, which puts it aside
+	store.Put("k", Entry{Body: []byte("x")})
+	store.Close(time.Second)
+	pipe, err := os.OpenFile(base+".store-0", os.O_RDWR, 0) // lets the reader go, which sets it aside
 	if err != nil {
 		t.Fatal(err)
 	}
-	f.Close()
+	pipe.Close()
 	os.Mkdir(base+".store-1", 0o700)
-	if e, there := open(base).Get("k"); there {
-		t.Errorf("got %+v", e)
+	if entry, found := open(base).Get("k"); found {
+		t.Errorf("got %+v", entry)
 	}
 }
