--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -36,20 +36,20 @@
 	}
 }
 
-// goldenRouter answers with values in every field.
-type goldenRouter struct{ routed }
+// goldenHandler answers with values in every field.
+type goldenHandler struct{ fixedHandler }
 
-func (goldenRouter) Metrics() []byte { return []byte("gw.current=1\ngw.sends=22\n") }
+func (goldenHandler) Metrics() []byte { return []byte("gw.current=1\ngw.sends=22\n") }
 
-func (r goldenRouter) Zones() ([]Zone, error) {
+func (h goldenHandler) Zones() ([]Zone, error) {
 	return []Zone{
 		{Zone: "a", State: "left", Share: 0.25, StateSeconds: 12.5, ByOperator: true, Servers: 3, RoutersWithoutAnswer: 4, RoutersWithLaterAnswer: 5, RoutersHeard: 6, RecentEvacuations: 7, Reason: "by hand"},
 		{Zone: "zone-b", State: "serving", Share: 1, StateSeconds: 0.04, Servers: 12, Reason: "<answers> & all"},
-	}, r.err
+	}, h.err
 }
 
-func (r goldenRouter) Status() (Status, error) {
-	return Status{Phase: "full", PhaseSeconds: 1.25, FullServiceSeconds: 2.5, WaitsFor: "nothing <yet>", AcceptsClients: true}, r.err
+func (h goldenHandler) Status() (Status, error) {
+	return Status{Phase: "full", PhaseSeconds: 1.25, FullServiceSeconds: 2.5, WaitsFor: "nothing <yet>", AcceptsClients: true}, h.err
 }
 
 // answered makes a call and gives the whole answer, with its headers in order and without its date.
@@ -104,7 +104,7 @@
 		{"not-now", ErrBusy},
 		{"other-error", fmt.Errorf("some reason: %w", io.EOF)},
 	} {
-		server := Start(addr, 24, goldenRouter{routed{c.err}}, zerolog.Nop())
+		server := Start(addr, 24, goldenHandler{fixedHandler{c.err}}, zerolog.Nop())
 		var all strings.Builder
 		ask := func(call, accept, body string) {
 			fmt.Fprintf(&all, "=== %s accept %q body %q\n%s", call, accept, body, answered(t, addr, call, accept, body))
--- /dev/null
+++ b/internal/admin/routes.go
@@ -0,0 +1,150 @@
+package admin
+
+import (
+	"encoding/json"
+	"errors"
+	"fmt"
+	"io"
+	"net/http"
+	"strings"
+	"text/tabwriter"
+	"unicode/utf8"
+)
+
+const (
+	maxBodyBytes = 1 << 10 // a name, and white space around it
+	maxNameBytes = 256     // of a server's id or a zone's name
+
+	plainText = "text/plain; charset=utf-8"
+	jsonText  = "application/json"
+)
+
+// routes maps the admin server's paths to the handler's methods.
+func routes(h Handler) http.Handler {
+	mux := http.NewServeMux()
+	mux.HandleFunc("GET /ready", readyRoute(h))
+	mux.HandleFunc("GET /metrics", metricsRoute(h))
+	mux.HandleFunc("GET /status", statusRoute(h))
+	mux.HandleFunc("GET /zones", zonesRoute(h))
+	mux.HandleFunc("POST /cache-servers/disable", actOnName("id of a cache server", h.DisableServer))
+	mux.HandleFunc("POST /cache-servers/enable", actOnName("id of a cache server", h.EnableServer))
+	mux.HandleFunc("POST /zones/leave", actOnName("name of a zone", h.EvacuateZone))
+	mux.HandleFunc("POST /zones/return", actOnName("name of a zone", h.RestoreZone))
+	mux.HandleFunc("POST /drain", act(h.Drain))
+	mux.HandleFunc("POST /undrain", act(h.Undrain))
+	return mux
+}
+
+func readyRoute(h Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		markRequestRead(request)
+		if !h.Ready() {
+			writeText(w, http.StatusServiceUnavailable, "no: clients are not taken")
+			return
+		}
+		writeText(w, http.StatusOK, "yes")
+	}
+}
+
+func metricsRoute(h Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		markRequestRead(request)
+		w.Header().Set("Content-Type", plainText)
+		w.Write(h.Metrics())
+	}
+}
+
+func statusRoute(h Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		markRequestRead(request)
+		status, err := h.Status()
+		if err != nil {
+			writeResult(w, err)
+			return
+		}
+		writeJSON(w, status)
+	}
+}
+
+// zonesRoute shows all zones: as JSON to a caller that accepts it, else as a table for people.
+func zonesRoute(h Handler) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		markRequestRead(request)
+		zones, err := h.Zones()
+		if err != nil {
+			writeResult(w, err)
+			return
+		}
+		if strings.Contains(request.Header.Get("Accept"), jsonText) {
+			writeJSON(w, zones)
+			return
+		}
+		w.Header().Set("Content-Type", plainText)
+		writeZoneTable(w, zones)
+	}
+}
+
+func writeZoneTable(w io.Writer, zones []Zone) {
+	table := tabwriter.NewWriter(w, 0, 0, 2, ' ', 0)
+	fmt.Fprintln(table, "ZONE\tSTATE\tSHARE\tFOR\tSERVERS\tWITHOUT ANSWER\tWITH LATER\tHEARD\tLEFT OF LATE\tWHY")
+	for _, z := range zones {
+		fmt.Fprintf(table, "%s\t%s\t%.3f\t%.1f s\t%d\t%d\t%d\t%d\t%d\t%s\n",
+			z.Zone, z.State, z.Share, z.StateSeconds, z.Servers, z.RoutersWithoutAnswer, z.RoutersWithLaterAnswer,
+			z.RoutersHeard, z.RecentEvacuations, z.Reason)
+	}
+	table.Flush()
+}
+
+// actOnName serves a request whose body names something; what says to the caller what that is.
+func actOnName(what string, do func(name string) error) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
+		markRequestRead(request)
+		name := strings.TrimSpace(string(body))
+		switch {
+		case err != nil || len(name) > maxNameBytes:
+			writeText(w, http.StatusBadRequest, "the body is too long for the "+what+", or did not come")
+		case !validName(name):
+			writeText(w, http.StatusBadRequest, "the body is to be the "+what+", as the list has it")
+		default:
+			writeResult(w, do(name))
+		}
+	}
+}
+
+// validName tells whether a text can be a name of the list: one word of UTF-8 without control characters.
+func validName(name string) bool {
+	invalid := func(c rune) bool { return c <= ' ' || c == 0x7f || c == utf8.RuneError }
+	return name != "" && !strings.ContainsFunc(name, invalid)
+}
+
+// act serves a request without a body; one that comes is not read.
+func act(do func() error) http.HandlerFunc {
+	return func(w http.ResponseWriter, request *http.Request) {
+		markRequestRead(request)
+		writeResult(w, do())
+	}
+}
+
+// writeResult tells how an action went.
+func writeResult(w http.ResponseWriter, err error) {
+	switch {
+	case err == nil:
+		writeText(w, http.StatusOK, "done")
+	case errors.Is(err, ErrUnknownServer), errors.Is(err, ErrUnknownZone):
+		writeText(w, http.StatusNotFound, err.Error())
+	default:
+		writeText(w, http.StatusServiceUnavailable, err.Error())
+	}
+}
+
+func writeText(w http.ResponseWriter, status int, text string) {
+	w.Header().Set("Content-Type", plainText)
+	w.WriteHeader(status)
+	fmt.Fprintln(w, text)
+}
+
+func writeJSON(w http.ResponseWriter, value any) {
+	w.Header().Set("Content-Type", jsonText)
+	json.NewEncoder(w).Encode(value)
+}
