--- /dev/null
+++ b/internal/policy/zonefailover/attempts.go
@@ -0,0 +1,97 @@
+package zonefailover
+
+import "math"
+
+// attempts are those of this router in one zone.
+type attempts struct {
+	open map[uint64]openAttempt // by token
+	rate float64                // attempts a second, averaged over rateWindow
+}
+
+// openAttempt is an attempt without an outcome yet.
+type openAttempt struct {
+	began     float64
+	objective float64 // seconds within which an answer is promised
+}
+
+// OnAttemptStart takes that an attempt begins in a zone that promises an answer within objective seconds. The token
+// names the attempt in OnAttemptEnd; 0: it is not watched, as the zone is not known or too many attempts are open.
+func (c *Controller) OnAttemptStart(now float64, name string, objective float64) (token uint64) {
+	z := c.find(name)
+	if z == nil || c.watchedAttempts >= maxWatchedAttempts {
+		return 0
+	}
+	c.lastToken++
+	c.watchedAttempts++
+	z.attempts.open[c.lastToken] = openAttempt{now, objective}
+	z.attempts.rate += 1.0 / rateWindow
+	return c.lastToken
+}
+
+// OnAttemptEnd takes the outcome of an attempt. Tokens that are not open, 0 among them, are ignored.
+func (c *Controller) OnAttemptEnd(now float64, name string, token uint64, outcome Outcome) {
+	z := c.find(name)
+	if z == nil || token == 0 {
+		return
+	}
+	attempt, open := z.attempts.open[token]
+	if !open {
+		return
+	}
+	delete(z.attempts.open, token)
+	c.watchedAttempts--
+	if outcome == Inconclusive {
+		return
+	}
+	if attempt.began >= z.history.recoveryBegan {
+		z.step.counts.add(outcome)
+	}
+	if outcome == NoAnswer {
+		z.strike(attempt.began)
+		return
+	}
+	z.evidence.lastAnswer = now
+	z.evidence.failingSince = 0
+}
+
+// add counts an attempt. Late and rejected ones are answers and strain at once.
+func (s *stepCounts) add(outcome Outcome) {
+	if outcome != Answered {
+		s.strained++
+	}
+	if outcome != NoAnswer {
+		s.answered++
+	}
+}
+
+// ageAttempts lets the zones' rates decay, and counts attempts beyond their latency objective as unanswered.
+func (c *Controller) ageAttempts(now, sinceLastTick float64) {
+	for _, name := range c.names {
+		z := c.find(name)
+		if z.state == Serving || z.state == Suspected {
+			z.attempts.rate *= math.Exp(-sinceLastTick / rateWindow)
+		}
+		if began := z.oldestOverdue(now); began < now {
+			z.strike(began)
+		}
+	}
+}
+
+// oldestOverdue is when the oldest open attempt beyond its objective began, of those since the last answer; +Inf:
+// there is none.
+func (z *zone) oldestOverdue(now float64) float64 {
+	oldest := math.Inf(1)
+	for _, attempt := range z.attempts.open {
+		overdue := now-attempt.began > attempt.objective
+		if overdue && attempt.began > z.evidence.lastAnswer {
+			oldest = min(oldest, attempt.began)
+		}
+	}
+	return oldest
+}
+
+// forgetAttempts drops all open attempts of a zone.
+func (c *Controller) forgetAttempts(z *zone) {
+	c.watchedAttempts -= len(z.attempts.open)
+	clear(z.attempts.open)
+}
--- /dev/null
+++ b/internal/policy/zonefailover/controller.go
@@ -0,0 +1,194 @@
+package zonefailover
+
+import (
+	"hash/crc32"
+	"maps"
+	"math"
+	"slices"
+)
+
+// zoneHashMask keeps the 24 bits of a name's hash that a message carries.
+const zoneHashMask = 0xffffff
+
+// Controller is one router's view of all zones and its verdict on each. See the package's comment for who calls it.
+type Controller struct {
+	settings Settings
+	zones    map[uint32]*zone // by the hash of their names
+	names    []string         // of the zones, sorted: loops follow it wherever their order matters
+	regions  map[string][]string
+	peers    map[int]*peer // by their router index
+	changes  []Change      // not taken yet
+
+	lastTick        float64
+	lastToken       uint64 // of an attempt
+	watchedAttempts int
+
+	gossip gossip
+	// MessagesSent counts the messages given by NextMessage since the start.
+	MessagesSent uint64
+}
+
+// New makes a Controller that knows no zone.
+func New(settings Settings) *Controller {
+	settings.RouterCount = max(1, settings.RouterCount)
+	c := &Controller{
+		settings: settings,
+		zones:    map[uint32]*zone{},
+		peers:    map[int]*peer{},
+		gossip:   gossip{marker: markers[0], greeting: true},
+	}
+	c.SetRegions(settings.Regions)
+	return c
+}
+
+// SetRegions replaces the zones by region, as Settings.Regions.
+func (c *Controller) SetRegions(regions [][]string) {
+	c.regions = map[string][]string{}
+	for _, names := range regions {
+		for _, name := range names {
+			c.regions[name] = names
+		}
+	}
+}
+
+// NameHash is a zone's name as messages have it.
+func NameHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) & zoneHashMask }
+
+// OnEndpoints takes the endpoint lists: how many servers each zone has in service, and the low 16 bits of all
+// servers' ids, which messages must not name. It gives the zones that are never evacuated: those beyond maxZones, and
+// of two zones whose names have the same hash the second by name, as messages cannot tell them apart.
+func (c *Controller) OnEndpoints(now float64, servers map[string]int, ids map[uint16]bool) (untracked []string) {
+	for _, z := range c.zones {
+		z.servers = 0
+	}
+	for _, name := range slices.Sorted(maps.Keys(servers)) {
+		z := c.findOrAdd(name)
+		if z == nil {
+			untracked = append(untracked, name)
+			continue
+		}
+		z.servers = servers[name]
+	}
+	c.gossip.chooseMarker(ids)
+	for hash, z := range c.zones {
+		if c.forgettable(now, z) {
+			delete(c.zones, hash)
+		}
+	}
+	c.sortNames()
+	return untracked
+}
+
+// forgettable tells whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
+func (c *Controller) forgettable(now float64, z *zone) bool {
+	if z.servers > 0 || z.state != Serving || z.operatorOverride {
+		return false
+	}
+	return len(z.attempts.open) == 0 && now-z.history.recoveredAt > failureMemory
+}
+
+// findOrAdd gives the zone of a name, a new one if need be; nil: there are too many, or another zone's name has the
+// same hash.
+func (c *Controller) findOrAdd(name string) *zone {
+	hash := NameHash(name)
+	if c.zones[hash] == nil && len(c.zones) < maxZones {
+		c.zones[hash] = newZone(name)
+		c.sortNames()
+	}
+	return c.find(name)
+}
+
+func (c *Controller) sortNames() {
+	c.names = c.names[:0]
+	for _, z := range c.zones {
+		c.names = append(c.names, z.name)
+	}
+	slices.Sort(c.names)
+}
+
+// find gives the zone of a name; nil: it is not known.
+func (c *Controller) find(name string) *zone {
+	z := c.zones[NameHash(name)]
+	if z == nil || z.name != name {
+		return nil
+	}
+	return z
+}
+
+// Known tells whether the zone is known: a list has named it or an operator, and it was not forgotten since.
+func (c *Controller) Known(name string) bool { return c.find(name) != nil }
+
+// Share is the part of its keys that a zone serves, 0 to 1; 1 for a zone that is not known.
+func (c *Controller) Share(name string) float64 {
+	z := c.find(name)
+	if z == nil {
+		return 1
+	}
+	return z.share
+}
+
+// TakeChanges gives the transitions since it was last called, in their order.
+func (c *Controller) TakeChanges() []Change {
+	changes := c.changes
+	c.changes = nil
+	return changes
+}
+
+// Statuses gives all zones, sorted by name.
+func (c *Controller) Statuses(now float64) []Status {
+	var all []Status
+	for _, name := range c.names {
+		z := c.find(name)
+		votes := c.count(now, z)
+		all = append(all, Status{
+			Zone:             name,
+			State:            z.state,
+			Share:            z.share,
+			Since:            z.since,
+			Reason:           z.reason,
+			OperatorOverride: z.operatorOverride,
+			Servers:          z.servers,
+			VotesAgainst:     votes.against,
+			VotesFor:         votes.inFavour,
+			RoutersHeard:     votes.routers,
+			Evacuations:      z.history.evacuations,
+			Transitions:      z.transitions,
+		})
+	}
+	return all
+}
+
+// Tick decides on all zones. It is to be called several times within the shortest latency objective.
+func (c *Controller) Tick(now float64) {
+	sinceLastTick := now - c.lastTick
+	c.noticeStandstill(now)
+	c.lastTick = now
+	c.gossip.addTokens(sinceLastTick / c.messagePeriod())
+	c.ageAttempts(now, sinceLastTick)
+	if c.settings.RouterCount > 1 {
+		c.followPeers(now)
+	}
+	c.evacuateFailing(now)
+	for _, name := range c.names {
+		c.advance(now, c.find(name))
+	}
+	c.keepOneZone(now)
+}
+
+// noticeStandstill notices that this process stood still. Its open attempts are old, what it knows of its peers is
+// past, and so are the messages that waited for it: all is forgotten, and the peers are asked to speak.
+func (c *Controller) noticeStandstill(now float64) {
+	if c.lastTick == 0 || now-c.lastTick <= maxTickGap {
+		return
+	}
+	c.lastTick = now
+	for _, z := range c.zones {
+		z.evidence = evidence{}
+		c.forgetAttempts(z)
+	}
+	for _, p := range c.peers {
+		p.lastHeard = math.Inf(-1)
+	}
+	c.gossip.greeting = true
+	c.gossip.ignoreUntil = now + staleInputWindow
+}
--- /dev/null
+++ b/internal/policy/zonefailover/evacuation.go
@@ -0,0 +1,174 @@
+package zonefailover
+
+import "fmt"
+
+// evacuateFailing evacuates the zones with enough votes against them, after objectionWindow, unless no zone would
+// remain.
+func (c *Controller) evacuateFailing(now float64) {
+	failing, remaining := c.failingZones(now)
+	for _, z := range failing {
+		if remaining == 0 {
+			if z.state == Serving {
+				c.transition(now, z, Suspected, 1, reasonLastZone)
+			}
+			continue
+		}
+		votes := c.count(now, z)
+		if now-z.evidence.sufficientSince >= objectionWindow {
+			reason := fmt.Sprintf("%d of %d routers have had no answer there, %d have",
+				votes.against, votes.routers, votes.inFavour)
+			c.evacuate(now, z, reason)
+		}
+	}
+}
+
+// failingZones gives the zones in use with enough votes against them, by name, and how many others serve all of their
+// keys.
+func (c *Controller) failingZones(now float64) (failing []*zone, remaining int) {
+	isolated := c.isolated(now)
+	for _, name := range c.names {
+		z := c.find(name)
+		if z.operatorOverride || z.state.evacuated() {
+			continue
+		}
+		votes := c.count(now, z)
+		if isolated || !c.votedOut(now, z, votes) {
+			z.evidence.sufficientSince = 0
+			c.updateSuspicion(now, z, votes)
+			if z.servers > 0 && z.share == 1 {
+				remaining++
+			}
+			continue
+		}
+		if z.evidence.sufficientSince == 0 {
+			z.evidence.sufficientSince = now
+		}
+		if z.servers > 0 {
+			failing = append(failing, z)
+		}
+	}
+	return failing, remaining
+}
+
+// votedOut tells whether the votes against a zone suffice: a quorum, or two routers if it failed lately, that no
+// votes for it outweigh.
+func (c *Controller) votedOut(now float64, z *zone, votes votes) bool {
+	needed := c.quorum(votes.routers)
+	if z.failedLately(now) {
+		needed = c.minVotes()
+	}
+	return votes.against >= needed && votesForWeight*votes.inFavour <= votes.against
+}
+
+// updateSuspicion moves a zone that is not voted out between Serving and Suspected.
+func (c *Controller) updateSuspicion(now float64, z *zone, votes votes) {
+	switch z.state {
+	case Suspected:
+		if votes.against == 0 || votes.inFavour > 0 {
+			c.transition(now, z, Serving, 1, reasonAnswers)
+		}
+	case Serving:
+		if votes.against >= c.minVotes() && votes.inFavour == 0 && z.servers > 0 {
+			reason := fmt.Sprintf("%d of %d routers have had no answer there", votes.against, votes.routers)
+			c.transition(now, z, Suspected, 1, reason)
+		}
+	}
+}
+
+func (c *Controller) evacuate(now float64, z *zone, reason string) {
+	if now-z.history.recoveredAt > failureMemory && z.state != Recovering {
+		z.history.evacuations = 0
+	}
+	z.history.evacuations = min(z.history.evacuations+1, maxHoldDoublings+1)
+	c.transition(now, z, Evacuated, 0, reason)
+}
+
+// followPeers takes over what a quorum of peers has decided, where this router knows no better: it has just started,
+// stood still, or lost their messages.
+func (c *Controller) followPeers(now float64) {
+	for _, name := range c.names {
+		z := c.find(name)
+		if z.operatorOverride {
+			continue
+		}
+		votes := c.count(now, z)
+		switch z.state {
+		case Serving, Suspected:
+			c.followOutOf(now, z, votes)
+		case Evacuated, Probing:
+			c.followInto(now, z, votes)
+		}
+	}
+}
+
+// followOutOf has a zone that serves all of its keys evacuated or recovering, as it is at most peers. A recent answer
+// of this router's own keeps it from that.
+func (c *Controller) followOutOf(now float64, z *zone, votes votes) {
+	if now-z.evidence.lastAnswer <= ownAnswerWindow {
+		return
+	}
+	quorum := c.quorum(votes.routers)
+	servingPeers := votes.serving - 1
+	mostEvacuated := votes.evacuated >= quorum && votes.evacuated > servingPeers+votes.recovering
+	if mostEvacuated && c.otherZoneServes(z) {
+		c.evacuate(now, z, fmt.Sprintf("%d of %d routers have left it", votes.evacuated, votes.routers))
+		return
+	}
+	if votes.recovering >= quorum && votes.recovering > servingPeers && votes.share < 1 {
+		c.transition(now, z, Recovering, votes.share, recoveringElsewhere(votes))
+	}
+}
+
+// followInto begins the recovery of an evacuated zone that already recovers at a quorum of routers.
+func (c *Controller) followInto(now float64, z *zone, votes votes) {
+	quorum := c.quorum(votes.routers)
+	mostRecovering := votes.recovering >= quorum && votes.recovering+votes.serving >= votes.evacuated
+	heldLongEnough := now > z.history.evacuatedAt+z.holdTime()/2
+	if mostRecovering && heldLongEnough && c.isItsTurn(z) {
+		c.transition(now, z, Recovering, min(votes.share, maxFollowedShare), recoveringElsewhere(votes))
+	}
+}
+
+func recoveringElsewhere(votes votes) string {
+	return fmt.Sprintf("%d of %d routers let it return", votes.recovering, votes.routers)
+}
+
+// otherZoneServes tells whether another zone serves all of its keys. All zones are never evacuated: then the fault is
+// not theirs.
+func (c *Controller) otherZoneServes(z *zone) bool {
+	for _, other := range c.zones {
+		if other != z && other.servers > 0 && other.share == 1 {
+			return true
+		}
+	}
+	return false
+}
+
+// keepOneZone sees to it that some zone serves all of its keys, also when an endpoint list takes the others away: the
+// one whose recovery is furthest, else all that were evacuated by evidence.
+func (c *Controller) keepOneZone(now float64) {
+	var furthest *zone
+	var evacuated []*zone
+	for _, name := range c.names {
+		z := c.find(name)
+		if z.servers == 0 || z.operatorOverride {
+			continue
+		}
+		if z.share == 1 {
+			return
+		}
+		if z.state != Recovering {
+			evacuated = append(evacuated, z)
+			continue
+		}
+		if furthest == nil || z.share > furthest.share {
+			furthest = z
+		}
+	}
+	if furthest != nil {
+		evacuated = []*zone{furthest}
+	}
+	for _, z := range evacuated {
+		c.transition(now, z, Recovering, 1, reasonNoOtherZone)
+	}
+}
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -6,195 +6,267 @@
 	"testing"
 )
 
-// world is routers, zones and what lies between, stepped by hundredths of a second.
-type world struct {
+const (
+	simulationStart = 1000.0
+	simulationStep  = 0.01
+	ticksEvery      = 5 // steps
+	objective       = 0.15
+	answerTime      = 0.02
+	lateAnswerTime  = 0.3
+	timeout         = 0.5
+)
+
+// simulation is routers, zones and the network between them, stepped by hundredths of a second.
+type simulation struct {
 	t       *testing.T
 	now     float64
 	chance  *rand.Rand
-	fleets  []*Controller
-	names   []string
-	up      map[string]float64 // part of the executions in a zone that are answered
-	reaches func(router int, zone string) bool
-	hears   func(from, to int) bool
-	down    map[int]bool // routers that do not run
-	stopped map[int]bool // of these, those that stand still: words wait for them
-	loss    float64
-	delay   float64
-	rate    float64 // executions a second of each router
-	mail    []letter
-	open    []exec
-	burnt   map[string]int
-	slow    map[string]bool
-	full    map[string]bool
-	words   int
-	servers int     // of each zone
-	skew    float64 // seconds by which each router's clock is ahead of the one before
-	log     []string
-	sent    func(from int, text []byte) // is told of each message; nil: nobody is
-}
-
-type letter struct {
-	at   float64
-	to   int
-	text []byte
-}
-
-type exec struct {
-	at     float64 // when it ends
-	router int
-	zone   string
-	mark   uint64
-	how    Outcome
-}
-
-func build(t *testing.T, routers int, names ...string) *world {
-	w := &world{t: t, servers: 4, now: 1000, chance: rand.New(rand.NewPCG(1, 2)), names: names, up: map[string]float64{}, down: map[int]bool{}, stopped: map[int]bool{}, rate: 27,
-		delay: 0.002, burnt: map[string]int{}, slow: map[string]bool{}, full: map[string]bool{}, reaches: func(int, string) bool { return true },
-		hears: func(int, int) bool { return true }}
-	w.fleets = make([]*Controller, routers)
-	for n := range routers {
-		w.start(n, 1, nil)
+	routers []*Controller
+	names   []string // of the zones
+	servers int      // of each zone
+	skew    float64  // seconds by which each router's clock is ahead of the one before
+	rate    float64  // attempts a second of each router
+
+	answered   map[string]float64 // part of the attempts in a zone that are answered
+	slow       map[string]bool    // zones whose answers are late
+	overloaded map[string]bool    // zones that reject
+	reaches    func(router int, zone string) bool
+	hears      func(from, to int) bool
+	down       map[int]bool // routers that do not run
+	stopped    map[int]bool // of these, those that stand still: messages wait for them
+	loss       float64      // part of the messages
+	delay      float64      // seconds that a message takes at least
+
+	inTransit    []datagram
+	open         []simulatedAttempt
+	unanswered   map[string]int // attempts by zone
+	messagesSent int
+	log          []string
+	onMessage    func(from int, message []byte) // is told of each message; nil: nobody is
+}
+
+type datagram struct {
+	at      float64 // when it arrives
+	to      int
+	message []byte
+}
+
+type simulatedAttempt struct {
+	at      float64 // when it ends
+	router  int
+	zone    string
+	token   uint64
+	outcome Outcome
+}
+
+func newSimulation(t *testing.T, routers int, names ...string) *simulation {
+	sim := &simulation{
+		t:          t,
+		now:        simulationStart,
+		chance:     rand.New(rand.NewPCG(1, 2)),
+		routers:    make([]*Controller, routers),
+		names:      names,
+		servers:    4,
+		rate:       27,
+		answered:   map[string]float64{},
+		slow:       map[string]bool{},
+		overloaded: map[string]bool{},
+		reaches:    func(int, string) bool { return true },
+		hears:      func(int, int) bool { return true },
+		down:       map[int]bool{},
+		stopped:    map[int]bool{},
+		delay:      0.002,
+		unanswered: map[string]int{},
+	}
+	for index := range routers {
+		sim.start(index, 1, nil)
 	}
 	for _, name := range names {
-		w.up[name] = 1
+		sim.answered[name] = 1
 	}
-	return w
+	return sim
 }
 
-// at is a router's own time.
-func (w *world) at(router int) float64 { return w.now + w.skew*float64(router) }
+// clock is a router's own time.
+func (sim *simulation) clock(index int) float64 { return sim.now + sim.skew*float64(index) }
 
-// start begins a router's process anew.
-func (w *world) start(n int, life uint16, regions [][]string) {
-	f := New(Settings{RouterIndex: n, RouterCount: len(w.fleets), Incarnation: life, WarmupSeconds: 6, Regions: regions})
+// start starts a router's process anew.
+func (sim *simulation) start(index int, incarnation uint16, regions [][]string) {
+	router := New(Settings{
+		RouterIndex:   index,
+		RouterCount:   len(sim.routers),
+		Incarnation:   incarnation,
+		WarmupSeconds: 6,
+		Regions:       regions,
+	})
 	servers := map[string]int{}
-	for _, name := range w.names {
-		servers[name] = w.servers
+	for _, name := range sim.names {
+		servers[name] = sim.servers
 	}
-	f.OnEndpoints(w.at(n), servers, nil)
-	w.fleets[n] = f
-	delete(w.down, n)
+	router.OnEndpoints(sim.clock(index), servers, nil)
+	sim.routers[index] = router
+	delete(sim.down, index)
 }
 
-func (w *world) run(seconds float64) {
-	for end := w.now + seconds; w.now < end; w.now += 0.01 {
-		for _, x := range take(&w.open, func(x exec) bool { return x.at <= w.now }) {
-			if !w.down[x.router] {
-				w.fleets[x.router].OnAttemptEnd(w.at(x.router), x.zone, x.mark, x.how)
+// restartAll starts all routers anew and lets them settle.
+func (sim *simulation) restartAll() {
+	for index := range sim.routers {
+		sim.start(index, 2, nil)
+	}
+	sim.run(3)
+}
+
+func (sim *simulation) run(seconds float64) {
+	for end := sim.now + seconds; sim.now < end; sim.now += simulationStep {
+		sim.endAttempts()
+		sim.deliver()
+		for index, router := range sim.routers {
+			if !sim.down[index] {
+				sim.step(index, router)
 			}
 		}
-		for _, l := range take(&w.mail, func(l letter) bool { return l.at <= w.now && !w.stopped[l.to] }) {
-			if !w.down[l.to] {
-				w.fleets[l.to].OnMessage(w.at(l.to), l.text)
-			}
+	}
+}
+
+func (sim *simulation) endAttempts() {
+	ended := take(&sim.open, func(attempt simulatedAttempt) bool { return attempt.at <= sim.now })
+	for _, attempt := range ended {
+		if !sim.down[attempt.router] {
+			sim.routers[attempt.router].OnAttemptEnd(sim.clock(attempt.router), attempt.zone, attempt.token, attempt.outcome)
 		}
-		for n, f := range w.fleets {
-			if w.down[n] {
-				continue
-			}
-			if w.chance.Float64() < w.rate*0.01 {
-				w.send(n, f)
-			}
-			if int(w.now*100+0.5)%5 == 0 {
-				f.Tick(w.at(n))
-			}
-			for _, c := range f.TakeChanges() {
-				w.log = append(w.log, fmt.Sprintf("%7.2f router %d %s: %v to %v, %.3f, %s", w.now-1000, n, c.Zone, c.From, c.To, c.Share, c.Reason))
-			}
-			if text := f.NextMessage(w.at(n)); text != nil {
-				if w.sent != nil {
-					w.sent(n, text)
-				}
-				if w.words++; len(text) > 256 {
-					w.t.Fatalf("a message of %d bytes", len(text))
-				}
-				for to := range w.fleets {
-					if to != n && w.hears(n, to) && w.chance.Float64() >= w.loss {
-						w.mail = append(w.mail, letter{w.now + w.delay*(1+w.chance.Float64()), to, text})
-					}
-				}
-			}
+	}
+}
+
+func (sim *simulation) deliver() {
+	arrived := take(&sim.inTransit, func(d datagram) bool { return d.at <= sim.now && !sim.stopped[d.to] })
+	for _, d := range arrived {
+		if !sim.down[d.to] {
+			sim.routers[d.to].OnMessage(sim.clock(d.to), d.message)
+		}
+	}
+}
+
+func (sim *simulation) step(index int, router *Controller) {
+	if sim.chance.Float64() < sim.rate*simulationStep {
+		sim.attempt(index, router)
+	}
+	if int(sim.now*100+0.5)%ticksEvery == 0 {
+		router.Tick(sim.clock(index))
+	}
+	for _, c := range router.TakeChanges() {
+		line := fmt.Sprintf("%7.2f router %d %s: %v to %v, %.3f, %s",
+			sim.now-simulationStart, index, c.Zone, c.From, c.To, c.Share, c.Reason)
+		sim.log = append(sim.log, line)
+	}
+	if message := router.NextMessage(sim.clock(index)); message != nil {
+		sim.broadcast(index, message)
+	}
+}
+
+func (sim *simulation) broadcast(from int, message []byte) {
+	if sim.onMessage != nil {
+		sim.onMessage(from, message)
+	}
+	sim.messagesSent++
+	if len(message) > maxMessageBytes {
+		sim.t.Fatalf("a message of %d bytes", len(message))
+	}
+	for to := range sim.routers {
+		if to != from && sim.hears(from, to) && sim.chance.Float64() >= sim.loss {
+			sim.inTransit = append(sim.inTransit, datagram{sim.now + sim.delay*(1+sim.chance.Float64()), to, message})
 		}
 	}
 }
 
-func (w *world) send(n int, f *Controller) {
-	zone := w.names[w.chance.IntN(len(w.names))]
-	if w.chance.Float64() >= f.Share(zone) {
+// attempt has a router send to a zone by chance, if its share allows it.
+func (sim *simulation) attempt(index int, router *Controller) {
+	zone := sim.names[sim.chance.IntN(len(sim.names))]
+	if sim.chance.Float64() >= router.Share(zone) {
 		return
 	}
-	x := exec{at: w.now + 0.02, router: n, zone: zone, mark: f.OnAttemptStart(w.at(n), zone, 0.15)}
-	if w.slow[zone] {
-		x.at, x.how = w.now+0.3, Late
+	token := router.OnAttemptStart(sim.clock(index), zone, objective)
+	attempt := simulatedAttempt{at: sim.now + answerTime, router: index, zone: zone, token: token}
+	if sim.slow[zone] {
+		attempt.at = sim.now + lateAnswerTime
+		attempt.outcome = Late
 	}
-	if w.full[zone] {
-		x.how = Overloaded
+	if sim.overloaded[zone] {
+		attempt.outcome = Overloaded
 	}
-	if w.chance.Float64() >= w.up[zone] || !w.reaches(n, zone) {
-		x.at, x.how = w.now+0.5, NoAnswer
-		w.burnt[zone]++
+	if sim.chance.Float64() >= sim.answered[zone] || !sim.reaches(index, zone) {
+		attempt.at = sim.now + timeout
+		attempt.outcome = NoAnswer
+		sim.unanswered[zone]++
 	}
-	w.open = append(w.open, x)
+	sim.open = append(sim.open, attempt)
 }
 
+// take removes the items of a list that a condition holds for, and gives them.
 func take[T any](all *[]T, which func(T) bool) (taken []T) {
 	rest := (*all)[:0:0]
-	for _, x := range *all {
-		if which(x) {
-			taken = append(taken, x)
+	for _, item := range *all {
+		if which(item) {
+			taken = append(taken, item)
 		} else {
-			rest = append(rest, x)
+			rest = append(rest, item)
 		}
 	}
 	*all = rest
 	return taken
 }
 
-// until runs until something holds at all routers that run, and gives how long that took; it fails after a bound.
-func (w *world) until(what string, bound float64, holds func(f *Controller) bool) (first, last float64) {
-	w.t.Helper()
-	began, first := w.now, -1.0
-	for w.now-began < bound {
-		w.run(0.01)
+// until runs until something holds at all routers that run, and gives how long that took at the first and at the
+// last; it fails after a bound in seconds.
+func (sim *simulation) until(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
+	sim.t.Helper()
+	began, first := sim.now, -1.0
+	for sim.now-began < bound {
+		sim.run(simulationStep)
 		all := true
-		for n, f := range w.fleets {
-			if !w.down[n] && holds(f) {
-				if first < 0 {
-					first = w.now - began
-				}
-			} else if !w.down[n] {
+		for index, router := range sim.routers {
+			if sim.down[index] {
+				continue
+			}
+			if !holds(router) {
 				all = false
+			} else if first < 0 {
+				first = sim.now - began
 			}
 		}
 		if all {
-			return first, w.now - began
+			return first, sim.now - began
 		}
 	}
-	w.tell()
-	w.t.Fatalf("%s: not everywhere within %.1f s", what, bound)
+	sim.showLog()
+	sim.t.Fatalf("%s: not everywhere within %.1f s", what, bound)
 	return 0, 0
 }
 
-func (w *world) tell() {
-	for _, line := range w.log[max(0, len(w.log)-40):] {
-		w.t.Log(line)
+func (sim *simulation) showLog() {
+	for _, line := range sim.log[max(0, len(sim.log)-40):] {
+		sim.t.Log(line)
 	}
 }
 
-func left(zone string) func(*Controller) bool {
-	return func(f *Controller) bool { return f.Share(zone) < 0.3 }
+func evacuated(zone string) func(*Controller) bool {
+	return func(router *Controller) bool { return router.Share(zone) < 0.3 }
 }
-func full(zone string) func(*Controller) bool {
-	return func(f *Controller) bool { return f.Share(zone) == 1 }
+
+func serving(zone string) func(*Controller) bool {
+	return func(router *Controller) bool { return router.Share(zone) == 1 }
+}
+
+func recovering(zone string) func(*Controller) bool {
+	return func(router *Controller) bool { return router.find(zone).state == Recovering }
 }
 
-// stays fails if a router has left a zone.
-func (w *world) stays(zone string) {
-	w.t.Helper()
-	for n, f := range w.fleets {
-		if !w.down[n] && f.Share(zone) != 1 {
-			w.tell()
-			w.t.Fatalf("router %d gives %s %v of its keys", n, zone, f.Share(zone))
+// mustServe fails if a router that runs gives a zone less than all of its keys.
+func (sim *simulation) mustServe(zone string) {
+	sim.t.Helper()
+	for index, router := range sim.routers {
+		if !sim.down[index] && router.Share(zone) != 1 {
+			sim.showLog()
+			sim.t.Fatalf("router %d gives %s %v of its keys", index, zone, router.Share(zone))
 		}
 	}
 }
--- /dev/null
+++ b/internal/policy/zonefailover/message.go
@@ -0,0 +1,167 @@
+package zonefailover
+
+import (
+	"encoding/binary"
+	"hash/crc32"
+	"math"
+	"slices"
+)
+
+// A message tells the other routers what one router has seen of up to maxZonesPerMessage zones, in 256 bytes at most.
+//
+// It shares its socket with other kinds of messages. Builds that do not know it take each three bytes of a datagram
+// for the end of a server's id and a time; so only every third byte carries data, and the two before it, the marker,
+// are the end of no server's id.
+//
+// The data are a header, the zones' reports and a checksum, all little-endian:
+//
+//	header   kind(1) router(2) incarnation(2) sequence(4) flags(1) zones(1) unused(1)
+//	report   name hash(3) state(1) share(1) last answer(1) failing since(1) last step(1)
+//	checksum the low 16 bits of a CRC-32
+const (
+	maxMessageBytes    = 256
+	bytesPerData       = 3 // a marker and one byte of data
+	headerBytes        = 12
+	reportBytes        = 8
+	checksumBytes      = 2
+	maxZonesPerMessage = (maxMessageBytes/bytesPerData - headerBytes - checksumBytes) / reportBytes
+
+	messageKind  = 0x5a
+	isolatedFlag = 1
+	overrideFlag = 0x80 // beside the state
+	stateMask    = 0x7f
+	shareSteps   = 128 // of a share of 1
+	maxStepCount = 15
+	stepBits     = 4
+
+	// ageStep is the unit of ages in seconds: maxAge of them are 5 s, beyond which an age makes no difference.
+	ageStep  = 0.02
+	maxAge   = 254
+	neverAge = 255
+)
+
+// markers are what may precede a byte of data.
+var markers = [...][2]byte{{0xc7, 0xff}, {0x5a, 0xfe}, {0xb1, 0xfd}, {0x3e, 0xfc}}
+
+// header is what a message says of its sender.
+type header struct {
+	router      int
+	incarnation uint16
+	sequence    uint32 // a later message has a larger one, modulo 2^32
+	isolated    bool
+	zones       int // reports that follow
+}
+
+// report is what a router says of a zone. Times are by the clock of the router that has the report.
+type report struct {
+	hash             uint32 // of the zone's name
+	state            State
+	operatorOverride bool
+	share            float64
+	lastAnswer       float64 // 0: never
+	failingSince     float64 // 0: it does not fail
+	lastStep         stepCounts
+}
+
+func (h header) appendTo(data []byte) []byte {
+	var flags byte
+	if h.isolated {
+		flags = isolatedFlag
+	}
+	data = append(data, messageKind)
+	data = binary.LittleEndian.AppendUint16(data, uint16(h.router))
+	data = binary.LittleEndian.AppendUint16(data, h.incarnation)
+	data = binary.LittleEndian.AppendUint32(data, h.sequence)
+	return append(data, flags, byte(h.zones), 0)
+}
+
+// parseHeader reads a header from data that unpack has checked.
+func parseHeader(data []byte) header {
+	return header{
+		router:      int(binary.LittleEndian.Uint16(data[1:])),
+		incarnation: binary.LittleEndian.Uint16(data[3:]),
+		sequence:    binary.LittleEndian.Uint32(data[5:]),
+		isolated:    data[9] == isolatedFlag,
+		zones:       int(data[10]),
+	}
+}
+
+func (r report) appendTo(data []byte, now float64) []byte {
+	state := byte(r.state)
+	if r.operatorOverride {
+		state |= overrideFlag
+	}
+	step := byte(min(maxStepCount, r.lastStep.answered) | min(maxStepCount, r.lastStep.strained)<<stepBits)
+	return append(data,
+		byte(r.hash), byte(r.hash>>8), byte(r.hash>>16),
+		state,
+		byte(math.Round(r.share*shareSteps)),
+		encodeAge(now, r.lastAnswer),
+		encodeAge(now, r.failingSince),
+		step)
+}
+
+// parseReport reads a report of reportBytes bytes.
+func parseReport(data []byte, now float64) report {
+	return report{
+		hash:             uint32(data[0]) | uint32(data[1])<<8 | uint32(data[2])<<16,
+		state:            State(data[3] & stateMask),
+		operatorOverride: data[3]&overrideFlag != 0,
+		share:            min(float64(data[4])/shareSteps, 1),
+		lastAnswer:       decodeAge(now, data[5]),
+		failingSince:     decodeAge(now, data[6]),
+		lastStep:         stepCounts{answered: int(data[7] & maxStepCount), strained: int(data[7] >> stepBits)},
+	}
+}
+
+// encodeAge gives how long ago a time is, in steps; neverAge for the time 0.
+func encodeAge(now, at float64) byte {
+	if at == 0 {
+		return neverAge
+	}
+	return byte(min(maxAge, max(0, math.Round((now-at)/ageStep))))
+}
+
+// decodeAge gives the time of an age; 0 for neverAge.
+func decodeAge(now float64, age byte) float64 {
+	if age == neverAge {
+		return 0
+	}
+	return now - float64(age)*ageStep
+}
+
+// pack makes a datagram of data: the checksum is added, and the marker put before each byte.
+func pack(data []byte, marker [2]byte) []byte {
+	data = binary.LittleEndian.AppendUint16(data, uint16(crc32.ChecksumIEEE(data)))
+	datagram := make([]byte, 0, bytesPerData*len(data))
+	for _, b := range data {
+		datagram = append(datagram, marker[0], marker[1], b)
+	}
+	return datagram
+}
+
+// unpack gives the data of a datagram without the checksum; nil: it is of another kind, or damaged.
+func unpack(datagram []byte) []byte {
+	if len(datagram)%bytesPerData != 0 || len(datagram) < bytesPerData*(headerBytes+checksumBytes) {
+		return nil
+	}
+	marker := [2]byte(datagram[:2])
+	if !slices.Contains(markers[:], marker) {
+		return nil
+	}
+	data := make([]byte, 0, len(datagram)/bytesPerData)
+	for i := 0; i < len(datagram); i += bytesPerData {
+		if [2]byte(datagram[i:i+2]) != marker {
+			return nil
+		}
+		data = append(data, datagram[i+2])
+	}
+	end := len(data) - checksumBytes
+	if data[0] != messageKind || binary.LittleEndian.Uint16(data[end:]) != uint16(crc32.ChecksumIEEE(data[:end])) {
+		return nil
+	}
+	if end != headerBytes+parseHeader(data).zones*reportBytes {
+		return nil
+	}
+	return data[:end]
+}
--- /dev/null
+++ b/internal/policy/zonefailover/properties_test.go
@@ -0,0 +1,251 @@
+package zonefailover
+
+import (
+	"fmt"
+	"maps"
+	"math"
+	"math/rand/v2"
+	"slices"
+	"testing"
+
+	"pgregory.net/rapid"
+)
+
+// The same evidence gives the same verdict, in whatever order messages come, doubled or not.
+func TestSameEvidenceSameVerdict(t *testing.T) {
+	rapid.Check(t, func(t *rapid.T) {
+		peers := rapid.IntRange(2, 12).Draw(t, "routers")
+		var messages [][]byte
+		for from := range peers {
+			router := New(Settings{RouterIndex: from, RouterCount: peers, Incarnation: 1})
+			router.OnEndpoints(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
+			for _, name := range router.names {
+				z := router.find(name)
+				z.evidence.lastAnswer = rapid.Float64Range(96, 100).Draw(t, "last answer")
+				if rapid.Bool().Draw(t, "fails") {
+					z.evidence.failingSince = min(100, z.evidence.lastAnswer+rapid.Float64Range(0, 1).Draw(t, "failing since"))
+				}
+				z.state = State(rapid.IntRange(0, 4).Draw(t, "state"))
+				z.share = 1
+			}
+			messages = append(messages, router.message(100, []*zone{router.find("a"), router.find("b"), router.find("c")}))
+		}
+		verdicts := map[string]bool{}
+		for i := range 4 {
+			router := New(Settings{RouterIndex: peers, RouterCount: peers + 1, Incarnation: 1})
+			router.OnEndpoints(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
+			order := append(slices.Clone(messages), messages[:rapid.IntRange(0, peers).Draw(t, "doubled")]...)
+			rand.New(rand.NewPCG(uint64(i), 1)).Shuffle(len(order), func(a, b int) { order[a], order[b] = order[b], order[a] })
+			for _, message := range order {
+				router.OnMessage(100, message)
+			}
+			router.lastTick = 100
+			router.Tick(100.05)
+			router.Tick(100.2)
+			verdicts[fmt.Sprint(router.Statuses(100.2))] = true
+		}
+		if len(verdicts) > 1 {
+			t.Fatalf("%d verdicts: %v", len(verdicts), verdicts)
+		}
+	})
+}
+
+// sharesOf gives the shares of all zones at all routers, by "router zone".
+func (sim *simulation) sharesOf() map[string]float64 {
+	shares := map[string]float64{}
+	for index, router := range sim.routers {
+		for _, name := range sim.names {
+			shares[fmt.Sprint(index, name)] = router.Share(name)
+		}
+	}
+	return shares
+}
+
+// Whatever is answered and whatever is lost, every router uses some zone; and a recovery that has begun grows only by
+// doublings.
+func TestSomeZoneIsUsedAndSharesOnlyDouble(t *testing.T) {
+	rapid.Check(t, func(r *rapid.T) {
+		sim := newSimulation(t, rapid.IntRange(1, 5).Draw(r, "routers"), "a", "b", "c")
+		sim.rate = 60
+		sim.chance = rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 3))
+		for range rapid.IntRange(1, 8).Draw(r, "faults") {
+			zone := rapid.SampledFrom(sim.names).Draw(r, "zone")
+			sim.answered[zone] = rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(r, "answered")
+			sim.loss = rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(r, "loss")
+			for range rapid.IntRange(1, 30).Draw(r, "duration") {
+				before := sim.sharesOf()
+				sim.run(0.05)
+				for index, router := range sim.routers {
+					used := 0.0
+					for _, name := range sim.names {
+						share, was := router.Share(name), before[fmt.Sprint(index, name)]
+						used = max(used, share)
+						z := router.find(name)
+						grows := z.state == Recovering && was > 0 && was < 1 && z.reason != "others are ahead"
+						if grows && share > 2*was {
+							r.Fatalf("router %d gives %s %v after %v: %s", index, name, share, was, z.reason)
+						}
+					}
+					if used < 1 {
+						r.Fatalf("router %d gives no zone all of its keys", index)
+					}
+				}
+			}
+		}
+	})
+}
+
+// model is a small fleet that can be copied: three routers, two zones, the newest message between each two routers.
+type model struct {
+	now       float64
+	routers   []*Controller
+	inTransit map[[2]int][]byte // by sender and receiver
+	failing   int               // routers that have had no answer in zone b, as bits
+}
+
+func (m *model) clone() *model {
+	c := &model{now: m.now, inTransit: maps.Clone(m.inTransit), failing: m.failing}
+	for _, router := range m.routers {
+		c.routers = append(c.routers, cloneController(router))
+	}
+	return c
+}
+
+func cloneController(router *Controller) *Controller {
+	c := *router
+	c.zones, c.peers, c.changes = map[uint32]*zone{}, map[int]*peer{}, nil
+	for hash, z := range router.zones {
+		zone := *z
+		zone.attempts.open = maps.Clone(z.attempts.open)
+		c.zones[hash] = &zone
+	}
+	for index, p := range router.peers {
+		peer := *p
+		peer.reports = maps.Clone(p.reports)
+		peer.previousIncarnations = slices.Clone(p.previousIncarnations)
+		c.peers[index] = &peer
+	}
+	return &c
+}
+
+// key tells models apart by what decides on: ages to a hundredth of a second.
+func (m *model) key() string {
+	age := func(at float64) int { return int(math.Round((m.now - at) * 100)) }
+	text := ""
+	for _, router := range m.routers {
+		for _, name := range router.names {
+			z := router.find(name)
+			text += fmt.Sprint(z.state, z.share,
+				age(z.evidence.lastAnswer), age(z.evidence.failingSince), age(z.evidence.sufficientSince),
+				age(z.history.evacuatedAt), age(z.step.began), z.step.counts.answered, z.step.counts.strained,
+				z.announcement.newFailure, z.announcement.owed, age(z.announcement.lastSent), ";")
+			for _, index := range slices.Sorted(maps.Keys(router.peers)) {
+				p := router.peers[index]
+				r := p.reports[z.hash]
+				text += fmt.Sprint(age(p.lastHeard), r.state, r.share, age(r.lastAnswer), age(r.failingSince), p.isolated, ",")
+			}
+		}
+		text += fmt.Sprint(router.gossip.greeting, age(router.gossip.lastSent), int(router.gossip.tokens*10))
+	}
+	for from := range 3 {
+		for to := range 3 {
+			text += string(m.inTransit[[2]int{from, to}])
+		}
+	}
+	return text
+}
+
+// next gives every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
+// second.
+func (m *model) next() (all []*model) {
+	for index := range m.routers {
+		for _, outcome := range []Outcome{Answered, NoAnswer} {
+			c := m.clone()
+			router := c.routers[index]
+			router.OnAttemptEnd(c.now, "b", router.OnAttemptStart(c.now-0.001, "b", 0.15), outcome)
+			if outcome == NoAnswer {
+				c.failing |= 1 << index
+			}
+			all = append(all, c)
+		}
+	}
+	for way, message := range m.inTransit {
+		for _, arrives := range []bool{true, false} {
+			c := m.clone()
+			delete(c.inTransit, way)
+			if arrives {
+				c.routers[way[1]].OnMessage(c.now, message)
+			}
+			all = append(all, c)
+		}
+	}
+	c := m.clone()
+	c.tick()
+	return append(all, c)
+}
+
+// tick lets a tenth of a second pass at all routers.
+func (m *model) tick() {
+	m.now += 0.11
+	for from, router := range m.routers {
+		router.Tick(m.now)
+		message := router.NextMessage(m.now)
+		if message == nil {
+			continue
+		}
+		for to := range m.routers {
+			if to != from {
+				m.inTransit[[2]int{from, to}] = message
+			}
+		}
+	}
+}
+
+// A small fleet explored whole: every order of answers, messages, losses and times to a depth. What one router alone
+// has seen evacuates no zone, no router evacuates all, and a zone of which two have had no answer can be evacuated:
+// the depth reaches that far.
+func TestEveryOrder(t *testing.T) {
+	const depth = 6
+	sim := newSimulation(t, 3, "a", "b")
+	sim.rate = 50
+	sim.run(2)
+	first := &model{now: sim.now, routers: sim.routers, inTransit: map[[2]int][]byte{}}
+	for _, router := range sim.routers {
+		for _, z := range router.zones {
+			clear(z.attempts.open)
+		}
+		router.watchedAttempts, router.changes = 0, nil
+	}
+	level := []*model{first}
+	known := map[string]bool{first.key(): true}
+	evacuations := 0
+	for range depth {
+		var next []*model
+		for _, m := range level {
+			for _, c := range m.next() {
+				key := c.key()
+				if known[key] {
+					continue
+				}
+				known[key] = true
+				for index, router := range c.routers {
+					if router.Share("b") == 1 {
+						continue
+					}
+					evacuations++
+					oneAlone := c.failing&(c.failing-1) == 0
+					if oneAlone || router.Share("a") < 1 {
+						t.Fatalf("router %d evacuated b, seen without an answer by routers %03b, and gives a %v",
+							index, c.failing, router.Share("a"))
+					}
+				}
+				next = append(next, c)
+			}
+		}
+		level = next
+	}
+	t.Logf("%d states to a depth of %d, b was evacuated in %d", len(known), depth, evacuations)
+	if evacuations == 0 {
+		t.Error("no order evacuates the zone: the depth shows nothing")
+	}
+}
--- /dev/null
+++ b/internal/policy/zonefailover/recovery.go
@@ -0,0 +1,90 @@
+package zonefailover
+
+import "fmt"
+
+// isItsTurn tells whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
+// neighbours bear the sum.
+func (c *Controller) isItsTurn(z *zone) bool {
+	for _, name := range c.regions[z.name] {
+		other := c.find(name)
+		if other != nil && other != z && other.state == Recovering {
+			return false
+		}
+	}
+	return true
+}
+
+// stepTime is how long a recovering zone stays at a share before that is doubled, in seconds.
+func (c *Controller) stepTime() float64 {
+	return min(max(c.settings.WarmupSeconds/stepsPerWarmup, minStepTime), maxStepTime)
+}
+
+// strain is how the present step of a recovery goes at all routers.
+type strain struct {
+	counts   stepCounts
+	routers  int // with a strained attempt
+	strained bool
+}
+
+// strain sums up this router's step and the last ones that peers have told of: each router alone sees little.
+func (c *Controller) strain(now float64, z *zone) strain {
+	own := z.step.counts
+	sum := strain{counts: own}
+	if own.strained > 0 {
+		sum.routers++
+	}
+	for _, p := range c.peers {
+		report, reported := p.reports[z.hash]
+		if !reported || report.state != Recovering || p.isolated || !c.heardLately(now, p) {
+			continue
+		}
+		sum.counts.answered += report.lastStep.answered
+		sum.counts.strained += report.lastStep.strained
+		if report.lastStep.strained > 0 {
+			sum.routers++
+		}
+	}
+	seenByEnough := sum.routers >= c.minVotes() || own.isStrained()
+	sum.strained = sum.counts.isStrained() && seenByEnough
+	return sum
+}
+
+// advanceRecovery moves the share of a recovering zone at the end of each step.
+func (c *Controller) advanceRecovery(now float64, z *zone) {
+	strain := c.strain(now, z)
+	stepTime := c.stepTime()
+	if strain.strained {
+		stepTime /= 2
+	}
+	if now-z.step.began < stepTime {
+		return
+	}
+	share, reason := c.nextShare(z, c.count(now, z).share, strain)
+	switch {
+	case share == 1 && z.share == 1:
+		c.transition(now, z, Serving, 1, reasonRecovered)
+	case share == z.share:
+		z.beginStep(now)
+	default:
+		c.transition(now, z, Recovering, share, reason)
+	}
+}
+
+// nextShare is the share of a recovering zone's next step: doubled as long as its attempts are answered in time,
+// halved under strain, and never far from the share that the fleet gives it.
+func (c *Controller) nextShare(z *zone, fleetShare float64, strain strain) (share float64, reason string) {
+	doubled := min(2*z.share, max(2*fleetShare, z.share))
+	switch {
+	case strain.strained:
+		share = max(z.share/2, minShare)
+		reason = fmt.Sprintf("%d executions there were late, turned away or without an answer, and %d were answered",
+			strain.counts.strained, strain.counts.answered)
+	case fleetShare < z.share/2:
+		share, reason = z.share, reasonHeldBack
+	case fleetShare > z.share && c.settings.RouterCount > 1:
+		share, reason = max(doubled, fleetShare), reasonOthersAhead
+	default:
+		share, reason = doubled, reasonInTime
+	}
+	return min(share, 1), reason
+}
--- a/internal/policy/zonefailover/zones_test.go
+++ b/internal/policy/zonefailover/zones_test.go
@@ -5,239 +5,250 @@
 	"testing"
 )
 
-// A zone that answers nobody is left by all together, with little sent there in vain, and is back once it answers.
-func TestLeftAsOneAndBack(t *testing.T) {
-	w := build(t, 24, "a", "b", "c", "d")
-	w.run(3)
-	w.stays("b")
-	w.up["b"] = 0
-	first, last := w.until("left", 0.6, left("b"))
-	t.Logf("left after %.2f to %.2f s, %d executions burnt", first, last, w.burnt["b"])
+// A zone that answers nobody is evacuated by all routers together, with few requests lost there, and recovers once it
+// answers.
+func TestEvacuatedTogetherAndRecovered(t *testing.T) {
+	sim := newSimulation(t, 24, "a", "b", "c", "d")
+	sim.run(3)
+	sim.mustServe("b")
+	sim.answered["b"] = 0
+	first, last := sim.until("evacuated", 0.6, evacuated("b"))
+	t.Logf("evacuated after %.2f to %.2f s, %d attempts unanswered", first, last, sim.unanswered["b"])
 	if last-first > 0.3 {
 		t.Errorf("%.2f s from first to last", last-first)
 	}
-	w.run(4)
-	burnt := w.burnt["b"]
-	w.up["b"] = 1
-	_, began := w.until("its return begins", 0.3, func(f *Controller) bool { return f.find("b").state == Recovering })
-	first, last = w.until("full", 3, full("b"))
-	t.Logf("its return began everywhere within %.2f s", began)
-	t.Logf("%d burnt in all, full after %.2f to %.2f s; %d words in %.0f s", burnt, first, last, w.words, w.now-1000)
-	w.run(5)
-	w.stays("b")
+	sim.run(4)
+	unanswered := sim.unanswered["b"]
+	sim.answered["b"] = 1
+	_, began := sim.until("its recovery begins", 0.3, recovering("b"))
+	first, last = sim.until("serving", 3, serving("b"))
+	t.Logf("its recovery began everywhere within %.2f s", began)
+	t.Logf("%d unanswered in all, serving after %.2f to %.2f s; %d messages in %.0f s",
+		unanswered, first, last, sim.messagesSent, sim.now-simulationStart)
+	sim.run(5)
+	sim.mustServe("b")
 }
 
-// What is no failure of a zone, or cannot be told from one's own, moves nobody.
-func TestNothingIsLeft(t *testing.T) {
-	for what, c := range map[string]func(w *world){
-		"a third of its servers are down": func(w *world) { w.up["b"] = 0.67 },
-		"it is slow":                      func(w *world) { w.slow["b"] = true },
-		"one router does not reach it":    func(w *world) { w.reaches = func(n int, z string) bool { return n != 3 || z != "b" } },
-		"a router is cut off": func(w *world) {
-			w.reaches = func(n int, _ string) bool { return n != 3 }
-			w.hears = func(from, to int) bool { return from != 3 && to != 3 }
+// What is no failure of a zone, or cannot be told from a failure of the router itself, evacuates nothing.
+func TestNothingIsEvacuated(t *testing.T) {
+	for name, fault := range map[string]func(sim *simulation){
+		"a third of its servers are down": func(sim *simulation) { sim.answered["b"] = 0.67 },
+		"it is slow":                      func(sim *simulation) { sim.slow["b"] = true },
+		"one router does not reach it": func(sim *simulation) {
+			sim.reaches = func(router int, zone string) bool { return router != 3 || zone != "b" }
 		},
-		"a router sends nothing through, and is heard": func(w *world) { w.reaches = func(n int, _ string) bool { return n != 3 } },
-		"no zone answers":         func(w *world) { clear(w.up) },
-		"it is the only zone":     func(w *world) { w.names, w.up["b"] = []string{"b"}, 0; w.again() },
-		"nobody hears any other":  func(w *world) { w.hears = func(int, int) bool { return false }; w.up["b"] = 0 },
-		"halves hear only halves": func(w *world) { w.hears = func(from, to int) bool { return from%2 == to%2 } },
+		"a router is isolated": func(sim *simulation) {
+			sim.reaches = func(n int, _ string) bool { return n != 3 }
+			sim.hears = func(from, to int) bool { return from != 3 && to != 3 }
+		},
+		"a router reaches no zone, and is heard": func(sim *simulation) {
+			sim.reaches = func(router int, _ string) bool { return router != 3 }
+		},
+		"no zone answers": func(sim *simulation) { clear(sim.answered) },
+		"it is the only zone": func(sim *simulation) {
+			sim.names = []string{"b"}
+			sim.answered["b"] = 0
+			sim.restartAll()
+		},
+		"nobody hears any other": func(sim *simulation) {
+			sim.hears = func(int, int) bool { return false }
+			sim.answered["b"] = 0
+		},
+		"halves hear only halves": func(sim *simulation) { sim.hears = func(from, to int) bool { return from%2 == to%2 } },
 	} {
-		t.Run(what, func(t *testing.T) {
-			w := build(t, 12, "a", "b", "c", "d")
-			w.run(3)
-			c(w)
-			w.run(8)
-			for _, zone := range w.names {
-				w.stays(zone)
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, 12, "a", "b", "c", "d")
+			sim.run(3)
+			fault(sim)
+			sim.run(8)
+			for _, zone := range sim.names {
+				sim.mustServe(zone)
 			}
 		})
 	}
 }
 
-func (w *world) again() {
-	for n := range w.fleets {
-		w.start(n, 2, nil)
-	}
-	w.run(3)
-}
-
-// Trouble beside the loss of a zone does not keep the fleet from leaving it, nor from coming back.
-func TestLeftInTrouble(t *testing.T) {
-	for what, c := range map[string]struct {
-		begin, end func(w *world)
+// Faults beside the loss of a zone do not keep the fleet from evacuating it, nor from its recovery.
+func TestEvacuatedDespiteOtherFaults(t *testing.T) {
+	for name, c := range map[string]struct {
+		begin, end func(sim *simulation)
 		bound      float64
 	}{
-		"words are lost by half": {func(w *world) { w.loss = 0.5 }, nil, 2.5},
-		"words are late":         {func(w *world) { w.delay = 0.2 }, nil, 2.5},
-		"seven in ten routers are killed": {func(w *world) {
+		"half of the messages are lost": {func(sim *simulation) { sim.loss = 0.5 }, nil, 2.5},
+		"messages are late":             {func(sim *simulation) { sim.delay = 0.2 }, nil, 2.5},
+		"seven in ten routers are killed": {func(sim *simulation) {
 			for n := range 17 {
-				w.down[n] = true
+				sim.down[n] = true
 			}
-		}, func(w *world) {
+		}, func(sim *simulation) {
 			for n := range 17 {
-				w.start(n, 2, nil)
+				sim.start(n, 2, nil)
 			}
 		}, 2.5},
-		"its own routers reach it": {func(w *world) {
-			w.up["b"] = 1
+		"its own routers reach it": {func(sim *simulation) {
+			sim.answered["b"] = 1
 			inside := func(n int) bool { return n < 6 }
-			w.reaches = func(n int, z string) bool { return inside(n) == (z == "b") }
-			w.hears = func(from, to int) bool { return inside(from) == inside(to) }
-		}, func(w *world) {
-			w.reaches, w.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+			sim.reaches = func(n int, z string) bool { return inside(n) == (z == "b") }
+			sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
+		}, func(sim *simulation) {
+			sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
 		}, 1.5},
-		"clocks are off by minutes": {func(w *world) {
-			for n := range w.fleets {
-				w.skew = 60
-				w.start(n, 2, nil)
+		"clocks are off by minutes": {func(sim *simulation) {
+			for n := range sim.routers {
+				sim.skew = 60
+				sim.start(n, 2, nil)
 			}
-			w.up["b"] = 1
-			w.run(3)
-			w.up["b"] = 0
+			sim.answered["b"] = 1
+			sim.run(3)
+			sim.answered["b"] = 0
 		}, nil, 1.5},
-		"each zone has one server": {func(w *world) {
-			w.servers = 1
-			for n := range w.fleets {
-				w.start(n, 2, nil)
+		"each zone has one server": {func(sim *simulation) {
+			sim.servers = 1
+			for n := range sim.routers {
+				sim.start(n, 2, nil)
 			}
-			w.up["b"] = 1
-			w.run(3)
-			w.up["b"] = 0
+			sim.answered["b"] = 1
+			sim.run(3)
+			sim.answered["b"] = 0
 		}, nil, 1.5},
-		"half of the builds do not know zones": {func(w *world) { w.hears = func(from, _ int) bool { return from%2 == 0 } }, nil, 2.5},
+		"half of the builds do not know zones": {func(sim *simulation) {
+			sim.hears = func(from, _ int) bool { return from%2 == 0 }
+		}, nil, 2.5},
 	} {
-		t.Run(what, func(t *testing.T) {
-			w := build(t, 24, "a", "b", "c", "d")
-			w.run(3)
-			w.up["b"] = 0
-			c.begin(w)
-			_, last := w.until("left", c.bound, func(f *Controller) bool {
-				insider := what == "its own routers reach it" && f.set.RouterIndex < 6
-				return insider || left("b")(f)
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, 24, "a", "b", "c", "d")
+			sim.run(3)
+			sim.answered["b"] = 0
+			c.begin(sim)
+			_, last := sim.until("evacuated", c.bound, func(router *Controller) bool {
+				insider := name == "its own routers reach it" && router.settings.RouterIndex < 6
+				return insider || evacuated("b")(router)
 			})
 			for _, other := range []string{"a", "c", "d"} {
-				w.stays(other)
+				sim.mustServe(other)
 			}
-			w.run(3)
+			sim.run(3)
 			for _, other := range []string{"a", "c", "d"} { // also by those that are inside
-				w.stays(other)
+				sim.mustServe(other)
 			}
 			if c.end != nil {
-				c.end(w)
+				c.end(sim)
 			}
-			w.run(1)
-			w.up["b"] = 1
-			_, back := w.until("full", 9, full("b"))
-			t.Logf("left after %.2f s, full after %.2f s", last, back)
+			sim.run(1)
+			sim.answered["b"] = 1
+			_, back := sim.until("serving", 9, serving("b"))
+			t.Logf("evacuated after %.2f s, serving after %.2f s", last, back)
 		})
 	}
 }
 
-// A router that starts while a zone is left, or that was stopped, follows the others and does not undo what they did.
-func TestFollowsOthers(t *testing.T) {
-	w := build(t, 12, "a", "b", "c")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1.5, left("b"))
-	w.start(5, 2, nil)
-	w.run(1.2)
-	if !left("b")(w.fleets[5]) {
-		w.tell()
-		t.Fatal("the new process uses a zone that all others have left")
-	}
-	w.down[7], w.stopped[7] = true, true // it knows what it knew, and words wait for it
-	w.run(3)
-	w.up["b"] = 1
-	w.run(8)
-	w.down[7], w.stopped[7] = false, false
-	w.until("full", 3, full("b"))
-	for range 60 { // and what it believed moves nobody
-		w.run(0.05)
-		w.stays("b")
+// A router that starts while a zone is evacuated, or that was stopped, follows the others and does not undo what they
+// did.
+func TestFollowsPeers(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1.5, evacuated("b"))
+	sim.start(5, 2, nil)
+	sim.run(1.2)
+	if !evacuated("b")(sim.routers[5]) {
+		sim.showLog()
+		t.Fatal("the new process uses a zone that all others have evacuated")
+	}
+	sim.down[7], sim.stopped[7] = true, true // it knows what it knew, and messages wait for it
+	sim.run(3)
+	sim.answered["b"] = 1
+	sim.run(8)
+	sim.down[7], sim.stopped[7] = false, false
+	sim.until("serving", 3, serving("b"))
+	for range 60 { // and what it believed changes nothing
+		sim.run(0.05)
+		sim.mustServe("b")
 	}
 }
 
-// A zone that comes and goes is left a bounded number of times, less and less often.
+// A zone that fails and answers by turns is evacuated a bounded number of times, less and less often.
 func TestFlapping(t *testing.T) {
-	w := build(t, 12, "a", "b", "c")
-	w.run(3)
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
 	for i := range 40 { // two minutes
-		w.up["b"] = float64(i % 2)
-		w.run(3)
+		sim.answered["b"] = float64(i % 2)
+		sim.run(3)
 	}
-	for _, s := range w.fleets[0].Statuses(w.now) {
-		// The n-th time is no sooner than the holds before it, 1, 2, 4, ... s, have passed: six in 63 s, then one in each 64 s.
+	for _, s := range sim.routers[0].Statuses(sim.now) {
+		// The n-th time is no sooner than the hold times before it, 1, 2, 4, ... s, have passed: six in 63 s, then
+		// one in each 64 s.
 		if s.Zone == "b" && s.Transitions > 2*8 {
-			w.tell()
-			t.Errorf("%d moves in two minutes", s.Transitions)
+			sim.showLog()
+			t.Errorf("%d transitions in two minutes", s.Transitions)
 		} else if s.Zone == "b" {
-			t.Logf("%d moves in two minutes", s.Transitions)
+			t.Logf("%d transitions in two minutes", s.Transitions)
 		}
 	}
 }
 
-// Where the return strains the zone, all take it back together; the zones of one region return one after another.
-func TestReturnIsBorne(t *testing.T) {
-	w := build(t, 12, "a", "b", "c", "d")
-	for n := range w.fleets {
-		w.start(n, 2, [][]string{{"b", "c"}})
-	}
-	w.run(3)
-	w.up["b"], w.up["c"] = 0, 0
-	w.until("b left", 2, left("b"))
-	w.until("c left", 2, left("c"))
-	w.run(3)
-	w.up["b"], w.up["c"], w.full["b"] = 1, 1, true
+// Where the recovery strains the zone, all routers hold it back together; the zones of one region recover one after
+// another.
+func TestRecoveryIsHeldBackByStrainAndRegion(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c", "d")
+	for n := range sim.routers {
+		sim.start(n, 2, [][]string{{"b", "c"}})
+	}
+	sim.run(3)
+	sim.answered["b"], sim.answered["c"] = 0, 0
+	sim.until("b evacuated", 2, evacuated("b"))
+	sim.until("c evacuated", 2, evacuated("c"))
+	sim.run(3)
+	sim.answered["b"], sim.answered["c"], sim.overloaded["b"] = 1, 1, true
 	most := 0.0
 	for range 400 {
-		w.run(0.01)
-		for _, f := range w.fleets {
-			if f.find("b").state == Recovering && f.find("c").state == Recovering {
-				t.Fatal("two zones of a region return at once")
+		sim.run(0.01)
+		for _, router := range sim.routers {
+			if router.find("b").state == Recovering && router.find("c").state == Recovering {
+				t.Fatal("two zones of a region recover at once")
 			}
-			most = max(most, f.Share("b"))
+			most = max(most, router.Share("b"))
 		}
 	}
 	if most > 0.5 {
-		t.Errorf("a zone that turns all away was given %v of its keys", most)
+		t.Errorf("a zone that rejects all was given %v of its keys", most)
 	}
-	w.full["b"] = false
-	w.until("b full", 12, full("b"))
-	w.until("c full", 12, full("c"))
+	sim.overloaded["b"] = false
+	sim.until("b serving", 12, serving("b"))
+	sim.until("c serving", 12, serving("c"))
 }
 
-// By hand goes before evidence, at this router alone, and the last zone is not left.
-func TestByHand(t *testing.T) {
-	w := build(t, 4, "a", "b")
-	w.run(3)
-	f := w.fleets[0]
-	if !f.SetOperatorOverride(w.now, "b", true) || f.SetOperatorOverride(w.now, "a", true) {
-		t.Fatal("b is left by hand, and a, the last, is not")
-	}
-	w.run(5)
-	if f.Share("b") != 0 || w.fleets[1].Share("b") != 1 {
-		t.Fatalf("shares %v and %v, want 0 by hand and 1 elsewhere", f.Share("b"), w.fleets[1].Share("b"))
-	}
-	f.SetOperatorOverride(w.now, "b", false)
-	w.until("full", 4, full("b"))
+// An operator's override goes before evidence, at this router alone, and the last zone is not evacuated.
+func TestOperatorOverride(t *testing.T) {
+	sim := newSimulation(t, 4, "a", "b")
+	sim.run(3)
+	router := sim.routers[0]
+	if !router.SetOperatorOverride(sim.now, "b", true) || router.SetOperatorOverride(sim.now, "a", true) {
+		t.Fatal("b is evacuated by the override, and a, the last, is not")
+	}
+	sim.run(5)
+	if router.Share("b") != 0 || sim.routers[1].Share("b") != 1 {
+		t.Fatalf("shares %v and %v, want 0 by the override and 1 elsewhere", router.Share("b"), sim.routers[1].Share("b"))
+	}
+	router.SetOperatorOverride(sim.now, "b", false)
+	sim.until("serving", 4, serving("b"))
 }
 
-// Words twice, in any order and from a former life of their router change nothing; damaged ones are no words.
-func TestWords(t *testing.T) {
-	w := build(t, 2, "a", "b")
-	w.run(2)
-	a, b := w.fleets[0], w.fleets[1]
-	first := a.words(w.now, []*zone{a.find("a")})
-	second := a.words(w.now, []*zone{a.find("a")})
-	if !b.OnMessage(w.now, second) || !b.OnMessage(w.now, first) || b.peers[0].number != a.number {
-		t.Error("a word that is older than the last was taken")
-	}
-	w.start(0, 7, nil)
-	b.OnMessage(w.now, w.fleets[0].words(w.now, nil))
-	a.number += 10
-	if b.OnMessage(w.now, a.words(w.now, nil)); b.peers[0].life != 7 {
-		t.Error("the life before came back")
+// Messages that are doubled, out of order or from a former incarnation change nothing; damaged ones are no messages.
+func TestMessages(t *testing.T) {
+	sim := newSimulation(t, 2, "a", "b")
+	sim.run(2)
+	a, b := sim.routers[0], sim.routers[1]
+	first := a.message(sim.now, []*zone{a.find("a")})
+	second := a.message(sim.now, []*zone{a.find("a")})
+	if !b.OnMessage(sim.now, second) || !b.OnMessage(sim.now, first) || b.peers[0].sequence != a.gossip.sequence {
+		t.Error("a message older than the last was taken")
+	}
+	sim.start(0, 7, nil)
+	b.OnMessage(sim.now, sim.routers[0].message(sim.now, nil))
+	a.gossip.sequence += 10
+	if b.OnMessage(sim.now, a.message(sim.now, nil)); b.peers[0].incarnation != 7 {
+		t.Error("the former incarnation came back")
 	}
 	for i := range second {
 		bad := append([]byte(nil), second...)
@@ -247,175 +258,185 @@
 		}
 	}
 	ids := map[uint16]bool{0xffc7: true}
-	for _, f := range w.fleets { // old builds take the first two bytes of three for the end of an id
-		f.OnEndpoints(w.now, map[string]int{"a": 1}, ids)
-		if text := f.words(w.now, nil); ids[uint16(text[0])|uint16(text[1])<<8] {
-			t.Error("words name a server")
+	// Old builds take the first two bytes of three for the end of a server's id.
+	for _, router := range sim.routers {
+		router.OnEndpoints(sim.now, map[string]int{"a": 1}, ids)
+		message := router.message(sim.now, nil)
+		if ids[uint16(message[0])|uint16(message[1])<<8] {
+			t.Error("a message names a server")
 		}
 	}
-	if most := len(a.words(w.now, make9(a))); most > 256 {
-		t.Errorf("%d bytes", most)
+	if longest := len(a.message(sim.now, fullMessage(a))); longest > 256 {
+		t.Errorf("%d bytes", longest)
 	}
 }
 
-func make9(f *Controller) (all []*zone) {
-	for i := range perWord {
-		all = append(all, f.zone(fmt.Sprint("z", i)))
+// fullMessage gives as many zones as a message holds.
+func fullMessage(router *Controller) (all []*zone) {
+	for i := range maxZonesPerMessage {
+		all = append(all, router.findOrAdd(fmt.Sprint("z", i)))
 	}
 	return all
 }
 
-// Where the list takes away the zones that serve, those that were left serve again: some zone always serves all of its keys.
-func TestSomeZoneRemains(t *testing.T) {
-	w := build(t, 6, "a", "b")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1, left("b"))
-	for _, f := range w.fleets {
-		f.OnAttemptStart(w.now, "a", 9) // something is out there yet
-		f.OnEndpoints(w.now, map[string]int{"b": 4}, nil)
-	}
-	w.until("b serves all", 0.2, full("b"))
+// Where the endpoint list takes away the zones that serve, those that were evacuated serve again: some zone always
+// serves all of its keys.
+func TestSomeZoneAlwaysServes(t *testing.T) {
+	sim := newSimulation(t, 6, "a", "b")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	for _, router := range sim.routers {
+		router.OnAttemptStart(sim.now, "a", 9) // an attempt is open there
+		router.OnEndpoints(sim.now, map[string]int{"b": 4}, nil)
+	}
+	sim.until("b serves all", 0.2, serving("b"))
 }
 
-// Those inside a zone that is cut off judge no other, also none that failed of late and would be left on the word of two.
-func TestInsidersJudgeNone(t *testing.T) {
-	w := build(t, 24, "a", "b", "c", "d")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1, left("b"))
-	w.up["b"] = 1
-	w.until("full", 9, full("b"))
-	w.run(1)
+// Routers inside a zone that is cut off evacuate no other, also none that failed lately and would be evacuated by two
+// votes.
+func TestRoutersInsideACutOffZoneEvacuateNone(t *testing.T) {
+	sim := newSimulation(t, 24, "a", "b", "c", "d")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	sim.answered["b"] = 1
+	sim.until("serving", 9, serving("b"))
+	sim.run(1)
 	inside := func(n int) bool { return n < 6 }
-	w.reaches = func(n int, z string) bool { return inside(n) == (z == "a") }
-	w.hears = func(from, to int) bool { return inside(from) == inside(to) }
+	sim.reaches = func(n int, z string) bool { return inside(n) == (z == "a") }
+	sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
 	for range 60 {
-		w.run(0.05)
-		w.stays("b")
+		sim.run(0.05)
+		sim.mustServe("b")
 	}
 }
 
-// Two parts of a fleet that meet again: who has answers in a zone goes on using it, and the others, though they are more, come back to it.
-func TestPartsMeetAgain(t *testing.T) {
-	w := build(t, 12, "a", "b", "c", "d")
-	w.run(3)
+// Two parts of a fleet were partitioned and meet again: routers with answers in a zone go on using it, and the
+// others, though they are more, come back to it.
+func TestPartitionHeals(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c", "d")
+	sim.run(3)
 	few := func(n int) bool { return n < 4 }
-	w.reaches = func(n int, z string) bool { return few(n) || z != "b" }
-	w.hears = func(from, to int) bool { return few(from) == few(to) }
-	w.run(3)
-	if !left("b")(w.fleets[8]) {
-		t.Fatal("who does not reach the zone still uses it")
+	sim.reaches = func(n int, z string) bool { return few(n) || z != "b" }
+	sim.hears = func(from, to int) bool { return few(from) == few(to) }
+	sim.run(3)
+	if !evacuated("b")(sim.routers[8]) {
+		t.Fatal("a router that does not reach the zone still uses it")
 	}
-	w.reaches, w.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+	sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
 	for range 80 {
-		w.run(0.05)
+		sim.run(0.05)
 		for n := range 4 {
-			if !full("b")(w.fleets[n]) {
-				w.tell()
-				t.Fatalf("router %d, which has answers there, gives it %v", n, w.fleets[n].Share("b"))
+			if !serving("b")(sim.routers[n]) {
+				sim.showLog()
+				t.Fatalf("router %d, which has answers there, gives it %v", n, sim.routers[n].Share("b"))
 			}
 		}
 	}
-	w.until("full", 3, full("b"))
+	sim.until("serving", 3, serving("b"))
 }
 
-// A process that stood still knows nothing: neither what is out since before nor the words that waited for it count.
-func TestWaking(t *testing.T) {
-	w := build(t, 4, "a", "b")
-	w.run(3)
-	f := w.fleets[0]
-	f.OnAttemptStart(w.now, "a", 0.15)
-	f.OnAttemptStart(w.now, "b", 0.15)
-	f.find("a").bad = w.now
-	w.fleets[1].find("b").bad = w.now
-	old := w.fleets[1].words(w.now, []*zone{w.fleets[1].find("b")})
-	now := w.now + 5
-	f.OnMessage(now, old)
-	f.Tick(now + 0.01)
-	for _, s := range f.Statuses(now + 0.01) {
+// A process that stood still knows nothing: neither attempts from before nor the messages that waited for it count.
+func TestStandstillForgetsEvidence(t *testing.T) {
+	sim := newSimulation(t, 4, "a", "b")
+	sim.run(3)
+	router := sim.routers[0]
+	router.OnAttemptStart(sim.now, "a", 0.15)
+	router.OnAttemptStart(sim.now, "b", 0.15)
+	router.find("a").evidence.failingSince = sim.now
+	sim.routers[1].find("b").evidence.failingSince = sim.now
+	old := sim.routers[1].message(sim.now, []*zone{sim.routers[1].find("b")})
+	now := sim.now + 5
+	router.OnMessage(now, old)
+	router.Tick(now + 0.01)
+	for _, s := range router.Statuses(now + 0.01) {
 		if s.VotesAgainst > 0 || s.RoutersHeard > 1 {
-			t.Errorf("%s: %d against it, of %d heard, after five seconds of standing still", s.Zone, s.VotesAgainst, s.RoutersHeard)
+			t.Errorf("%s: %d against it, of %d heard, after five seconds of standing still",
+				s.Zone, s.VotesAgainst, s.RoutersHeard)
 		}
 	}
-	if f.find("a").bad > 0 {
+	if router.find("a").evidence.failingSince > 0 {
 		t.Error("what began to fail before it stood still counts")
 	}
-	if f.watched > 0 || f.NextMessage(now+0.05) == nil {
-		t.Error("what was out is still watched, or nobody is asked")
+	if router.watchedAttempts > 0 || router.NextMessage(now+0.05) == nil {
+		t.Error("an old attempt is still watched, or no peer is asked")
 	}
 }
 
-// What others said before a zone began to return does not have it left again: they have not come to say that they let it return, too.
-func TestOldEvidence(t *testing.T) {
-	w := build(t, 12, "a", "b", "c")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1, left("b"))
-	w.run(1)
-	f := w.fleets[0]
-	f.StartRecovery(w.now, "b")
-	for now := w.now + 0.05; now < w.now+0.4; now += 0.05 {
-		if f.Tick(now); f.find("b").state != Recovering {
-			t.Fatalf("it is %v again: %s", f.find("b").state, f.find("b").why)
+// What others reported before a zone began its recovery does not have it evacuated again: they have not come to say
+// that they let it recover, too.
+func TestEvidenceFromBeforeTheRecoveryIsOver(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	sim.run(1)
+	router := sim.routers[0]
+	router.StartRecovery(sim.now, "b")
+	for now := sim.now + 0.05; now < sim.now+0.4; now += 0.05 {
+		router.Tick(now)
+		if b := router.find("b"); b.state != Recovering {
+			t.Fatalf("it is %v again: %s", b.state, b.reason)
 		}
 	}
 }
 
-// A router that heard nothing while the others returned catches up at once.
-func TestCatchesUp(t *testing.T) {
-	w := build(t, 12, "a", "b", "c")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1, left("b"))
-	w.run(1)
-	w.up["b"] = 1
-	w.hears = func(from, to int) bool { return to != 3 }
-	w.run(4)
-	w.hears = func(from, to int) bool { return true }
-	w.until("full", 1.8, full("b"))
+// A router that heard nothing while the zone recovered elsewhere catches up at once.
+func TestCatchesUpWithARecovery(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	sim.run(1)
+	sim.answered["b"] = 1
+	sim.hears = func(from, to int) bool { return to != 3 }
+	sim.run(4)
+	sim.hears = func(from, to int) bool { return true }
+	sim.until("serving", 1.8, serving("b"))
 }
 
-// More zones than a message holds are told in turn, one message at a time, and what others have to hear first.
-func TestManyZones(t *testing.T) {
+// More zones than a message holds are announced in turn, one message at a time, and what others have to hear first.
+func TestMoreZonesThanAMessageHolds(t *testing.T) {
 	var names []string
-	for n := range 3 * perWord {
+	for n := range 3 * maxZonesPerMessage {
 		names = append(names, fmt.Sprintf("zone-%02d", n))
 	}
-	w := build(t, 8, names...)
-	w.rate = 300
-	w.run(5)
-	if most := 8 * (5/w.fleets[0].period() + mostUrgent); float64(w.words) > 1.5*most {
-		t.Errorf("%d words in 5 s of calm, want some %.0f", w.words, most)
+	sim := newSimulation(t, 8, names...)
+	sim.rate = 300
+	sim.run(5)
+	if most := 8 * (5/sim.routers[0].messagePeriod() + maxGossipTokens); float64(sim.messagesSent) > 1.5*most {
+		t.Errorf("%d messages in 5 s of calm, want some %.0f", sim.messagesSent, most)
 	}
 	last := names[len(names)-1]
-	w.up[last] = 0.6 // who has answers there says so, of all those zones
-	w.run(6)
-	w.stays(last)
-	w.up[last] = 1
-	w.run(1)
-	w.up[last] = 0
-	w.until("left", 1.5, left(last))
-	w.up[last] = 1
-	w.until("full", 6, full(last))
+	sim.answered[last] = 0.6 // routers with answers there say so, of all those zones
+	sim.run(6)
+	sim.mustServe(last)
+	sim.answered[last] = 1
+	sim.run(1)
+	sim.answered[last] = 0
+	sim.until("evacuated", 1.5, evacuated(last))
+	sim.answered[last] = 1
+	sim.until("serving", 6, serving(last))
 }
 
-// What one router's list says is gone, while others have answers there, is no vote against it, and it comes back with the list.
-func TestListSaysGone(t *testing.T) {
-	w := build(t, 6, "a", "b")
-	w.run(2)
+// A zone that some routers' lists no longer have, while others have answers there, gets no vote against it, and comes
+// back with the list.
+func TestZoneGoneFromSomeLists(t *testing.T) {
+	sim := newSimulation(t, 6, "a", "b")
+	sim.run(2)
 	for n := range 3 {
-		w.fleets[n].OnEndpoints(w.now, map[string]int{"a": 4}, nil)
+		sim.routers[n].OnEndpoints(sim.now, map[string]int{"a": 4}, nil)
 	}
-	w.run(3)
-	w.stays("b")
+	sim.run(3)
+	sim.mustServe("b")
 	for n := range 3 {
-		w.fleets[n].OnEndpoints(w.now, map[string]int{"a": 4, "b": 4}, nil)
+		sim.routers[n].OnEndpoints(sim.now, map[string]int{"a": 4, "b": 4}, nil)
 	}
-	w.run(1)
-	w.stays("b")
-	for _, f := range w.fleets {
-		for _, s := range f.Statuses(w.now) {
+	sim.run(1)
+	sim.mustServe("b")
+	for _, router := range sim.routers {
+		for _, s := range router.Statuses(sim.now) {
 			if s.VotesAgainst > 0 {
 				t.Errorf("%d against %s", s.VotesAgainst, s.Zone)
 			}
@@ -423,21 +444,22 @@
 	}
 }
 
-// A zone that fails again while it returns is left on the word of two, not of a quarter.
-func TestFailsAgainOnReturn(t *testing.T) {
-	w := build(t, 24, "a", "b", "c", "d")
-	w.run(3)
-	w.up["b"] = 0
-	w.until("left", 1, left("b"))
-	w.up["b"] = 1
-	w.until("its return begins", 2, func(f *Controller) bool { return f.find("b").state == Recovering })
-	w.reaches = func(n int, z string) bool { return n >= 3 || z != "b" }
-	for _, f := range w.fleets[:3] { // three of 24 miss answers, nobody else had one since
-		f.find("b").ok, f.find("b").bad = 0, w.now+0.01
-	}
-	for _, f := range w.fleets[3:] {
-		f.find("b").ok = 0
-	}
-	w.rate = 0
-	w.until("left again", 0.4, func(f *Controller) bool { return f.find("b").state == Evacuated })
+// A zone that fails again while it recovers is evacuated by two votes, not by a quarter of the routers.
+func TestFailsAgainWhileRecovering(t *testing.T) {
+	sim := newSimulation(t, 24, "a", "b", "c", "d")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	sim.answered["b"] = 1
+	sim.until("its recovery begins", 2, recovering("b"))
+	sim.reaches = func(n int, z string) bool { return n >= 3 || z != "b" }
+	for _, router := range sim.routers[:3] { // three of 24 miss answers, nobody else had one since
+		router.find("b").evidence.lastAnswer = 0
+		router.find("b").evidence.failingSince = sim.now + 0.01
+	}
+	for _, router := range sim.routers[3:] {
+		router.find("b").evidence.lastAnswer = 0
+	}
+	sim.rate = 0
+	sim.until("evacuated again", 0.4, func(router *Controller) bool { return router.find("b").state == Evacuated })
 }
