--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -10,6 +10,7 @@
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/zonefailover"
@@ -23,7 +24,7 @@
 type zoneWatch struct {
 	s     *Service
 	fleet *zonefailover.Controller
-	bans  *hotrestart.Bans // zones that are left by hand
+	bans  *disabledservers.Registry // zones that are left by hand
 	hand  map[string]bool
 	twins map[string]bool // names that were logged as not to be told apart
 }
@@ -48,7 +49,7 @@
 	if w == nil {
 		return
 	}
-	bans, names := hotrestart.OpenBans(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
+	bans, names := disabledservers.Open(hotrestart.Path(w.s.conf.Shared, w.s.conf.Listen, "zones"),
 		func(names []string) { w.s.loop.Post(func() { w.byHand(names) }) }, w.s.log)
 	w.bans = bans
 	w.byHand(names)
@@ -237,16 +238,16 @@
 	err = d.do(func() error {
 		now := d.s.zones.now()
 		for _, z := range d.s.zones.fleet.Statuses(now) {
-			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, For: now - max(z.Since, d.s.began), Hand: z.OperatorOverride,
-				Servers: z.Servers, Against: z.VotesAgainst, With: z.VotesFor, Known: z.RoutersHeard, Times: z.Evacuations, Why: z.Reason})
+			all = append(all, admin.Zone{Zone: z.Zone, State: z.State.String(), Share: z.Share, StateSeconds: now - max(z.Since, d.s.began), ByOperator: z.OperatorOverride,
+				Servers: z.Servers, RoutersWithoutAnswer: z.VotesAgainst, RoutersWithLaterAnswer: z.VotesFor, RoutersHeard: z.RoutersHeard, RecentEvacuations: z.Evacuations, Reason: z.Reason})
 		}
 		return nil
 	})
 	return all, err
 }
 
-// LeaveZone leaves a zone until ReturnZone.
-func (d *desk) LeaveZone(zone string) error {
+// EvacuateZone leaves a zone until ReturnZone.
+func (d *desk) EvacuateZone(zone string) error {
 	w, until := d.s.zones, time.Now().Add(patience)
 	if w == nil {
 		return errZonesOff
@@ -254,7 +255,7 @@
 	err := d.do(func() error {
 		switch {
 		case !w.fleet.Known(zone):
-			return admin.ErrNoZone
+			return admin.ErrUnknownZone
 		case !w.fleet.SetOperatorOverride(w.now(), zone, true):
 			return errLastZone
 		}
@@ -265,8 +266,8 @@
 	if err != nil {
 		return err
 	}
-	err = w.bans.Set(zone, true, until)
-	if errors.Is(err, hotrestart.ErrHere) {
+	err = w.bans.Update(zone, true, until)
+	if errors.Is(err, disabledservers.ErrLocalOnly) {
 		d.s.log.Error().Err(err).Str("zone", zone).Msg("what was called by hand cannot be kept for the next process")
 	} else if err != nil { // nothing was changed, so it does not stay left
 		ids := w.bans.IDs()
@@ -275,8 +276,8 @@
 	return err
 }
 
-// ReturnZone lets a zone return, whoever left it.
-func (d *desk) ReturnZone(zone string) error {
+// RestoreZone lets a zone return, whoever left it.
+func (d *desk) RestoreZone(zone string) error {
 	w, until := d.s.zones, time.Now().Add(patience)
 	if w == nil {
 		return errZonesOff
@@ -284,13 +285,13 @@
 	if !w.written(zone) {
 		return d.do(func() error {
 			if !w.fleet.StartRecovery(w.now(), zone) {
-				return admin.ErrNoZone
+				return admin.ErrUnknownZone
 			}
 			w.act()
 			return nil
 		})
 	}
-	if err := w.bans.Set(zone, false, until); err != nil {
+	if err := w.bans.Update(zone, false, until); err != nil {
 		return err
 	}
 	late := d.do(func() error { // behind the set without it
