--- /dev/null
+++ b/internal/discovery/golden_test.go
@@ -0,0 +1,130 @@
+package discovery
+
+import (
+	"bufio"
+	"bytes"
+	"context"
+	"fmt"
+	"net"
+	"strings"
+	"testing"
+
+	"github.com/rs/zerolog"
+)
+
+// readRequest reads the bytes of a request up to its empty line.
+func readRequest(in *bufio.Reader) (string, error) {
+	text := ""
+	for !strings.HasSuffix(text, "\r\n\r\n") {
+		line, err := in.ReadString('\n')
+		if err != nil {
+			return "", err
+		}
+		text += line
+	}
+	return text, nil
+}
+
+// The list service gets these bytes and operators read these lines: all are as the build of 15122f5 wrote them.
+func TestGoldenRequestsAndLog(t *testing.T) {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer ln.Close()
+	answer := func(status, body string) string {
+		return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
+	}
+	answers := []string{
+		answer("200 OK", `{"generation":41,"reset":true,"instances":[{"instanceId":"s-1"},{"instanceId":"s-2","cell":"x"}]}`),
+		answer("503 Service Unavailable", ""),
+		answer("200 OK", `{"generation":40,"reset":true,"instances":[]}`),
+		answer("200 OK", `{"generation":39,"reset":true,"instances":[]}`),
+		answer("200 OK", `[]`),
+		answer("200 OK", `{"generation":42,"reset":true,"instances":[]}`),
+	}
+	ctx, stop := context.WithCancel(context.Background())
+	requests := make(chan string)
+	go func() {
+		defer close(requests)
+		for len(answers) > 0 {
+			conn, err := ln.Accept()
+			if err != nil {
+				return
+			}
+			in := bufio.NewReader(conn)
+			for len(answers) > 0 {
+				text, err := readRequest(in)
+				if err != nil {
+					break
+				}
+				requests <- text
+				conn.Write([]byte(answers[0]))
+				answers = answers[1:]
+			}
+			defer conn.Close()
+		}
+	}()
+	var log bytes.Buffer
+	rhythm := quick
+	rhythm.Late = 1e3 // no answer of this test is late, however busy the machine
+	done := make(chan bool)
+	failures := ""
+	go func() {
+		defer close(done)
+		Watch(ctx, ln.Addr().String(), Start{Rhythm: rhythm}, func(l List) error {
+			if l.Generation == 39 {
+				return fmt.Errorf("%w: 39, 41", ErrOld)
+			}
+			if l.Generation == 42 {
+				stop()
+			}
+			return nil
+		}, func(err error) { failures += err.Error() + "\n" }, zerolog.New(&log))
+	}()
+	got := ""
+	for text := range requests {
+		got += strings.ReplaceAll(text, ln.Addr().String(), "ADDRESS")
+	}
+	<-done
+	got = strings.ReplaceAll(got, "\r\n", "\n") + log.String() + failures
+	if got != wantRequestsAndLog {
+		t.Errorf("got\n%s\nwant\n%s", got, wantRequestsAndLog)
+	}
+}
+
+const wantRequestsAndLog = `GET /catalog/members HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+GET /catalog/members?from=41&hold_ms=2000 HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+GET /catalog/members?from=41&hold_ms=0 HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+GET /catalog/members HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+GET /catalog/members HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+GET /catalog/members HTTP/1.1
+Host: ADDRESS
+User-Agent: Go-http-client/1.1
+
+{"level":"warn","fault":"instances: cell: not a whole number","message":"entries of the list cannot be used; these servers get nothing new"}
+{"level":"warn","error":"the list service answers 503 Service Unavailable","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"generation 40 is older than what was asked for, 41","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"the list is older than the one that is known: 39, 41","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"malformed list: not an object","message":"the list service fails; the last list stays"}
+{"level":"info","message":"the list service answers again"}
+the list service answers 503 Service Unavailable
+generation 40 is older than what was asked for, 41
+the list is older than the one that is known: 39, 41
+malformed list: not an object
+`
--- /dev/null
+++ b/internal/policy/startup/golden_test.go
@@ -0,0 +1,68 @@
+package startup
+
+import (
+	"fmt"
+	"testing"
+)
+
+const wantTexts = `listening: a list of servers
+listed: the list service
+confirmed: answers of servers
+learning: nineteen in twenty operations finished in a second
+full: nothing
+rate: executions a second that servers finished here	hint	300	it allows cold servers work; what finishes now takes its place over the warm-up
+list: the last list, where the platform gives none	hint	600	its servers are used as if they had just started: which have, it cannot tell (rule 4)
+out: servers and zones out by hand	binding	0	held as they stand, in files of their own
+0.5 {listening listed servers are known from before}
+0.5 {listed confirmed the list service has told the list}
+0.5 {confirmed learning servers answer}
+3.5 {learning full 388 of 176 finished in a second}
+0.5 {listening listed servers are known from before}
+0.5 {listed confirmed the list service has told the list}
+0.5 {confirmed learning servers answer}
+61 {learning full not as usual after 60 s, which is no matter of the start any more}
+1 {listening listed servers are known from before}
+1 {listed confirmed the list service has told the list}
+5 {confirmed full hardly anything came for five seconds}
+`
+
+// Logs, the admin server and `check` show these texts, and the store's records are found by their kind's name.
+func TestGoldenTexts(t *testing.T) {
+	got := ""
+	for p := Listening; p <= Full; p++ {
+		got += fmt.Sprintf("%v: %s\n", p, p.Waits())
+	}
+	for _, k := range Kinds {
+		got += fmt.Sprintf("%s: %s\t%s\t%v\t%s\n", k.Name, k.What, k.Rule, k.Oldest, k.Until)
+	}
+	for _, enough := range []bool{true, false} {
+		s := Begin(0)
+		s.Known(1, true)
+		for now := 0.5; now < 7; now += 0.5 {
+			for _, c := range s.Tick(now, uint64(now*8), uint64(now*4)) {
+				got += fmt.Sprintln(now, c)
+			}
+			if enough && now > 3 {
+				for _, c := range s.Tick(now+1.25, 200, 400) {
+					got += fmt.Sprintln(now, c)
+				}
+				break
+			}
+		}
+		if !enough {
+			for _, c := range s.Tick(61, 400, 24) {
+				got += fmt.Sprintln(61, c)
+			}
+		}
+	}
+	s := Begin(0)
+	s.Known(1, true)
+	for now := 1.0; now < 7; now++ {
+		for _, c := range s.Tick(now, 0, 0) {
+			got += fmt.Sprintln(now, c)
+		}
+	}
+	if got != wantTexts {
+		t.Errorf("got\n%s\nwant\n%s", got, wantTexts)
+	}
+}
