--- a/internal/service/descriptors_test.go
+++ b/internal/service/descriptors_test.go
@@ -19,9 +19,9 @@
 	"time"
 )
 
-// crowd keeps so many connections to an address open, each anew as it ends; each says its word, and hears what is answered. Done
+// keepConnections keeps so many connections to an address open, each anew as it ends; each says its word, and hears what is answered. Done
 // ends it.
-func crowd(addr string, word func() string, many int, done chan bool, heard func(line string)) {
+func keepConnections(addr string, word func() string, many int, done chan bool, heard func(line string)) {
 	for range many {
 		go func() {
 			for {
@@ -56,7 +56,7 @@
 	if out, err := exec.Command("go", "build", "-o", program, "bendtrestle/cmd/bendtrestle").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	text := strings.Replace(fmt.Sprintf(usual, addr, list), "{", fmt.Sprintf(`{"limits":{"sockets":%d},`, sockets), 1)
+	text := strings.Replace(fmt.Sprintf(baseConfig, addr, list), "{", fmt.Sprintf(`{"limits":{"sockets":%d},`, sockets), 1)
 	os.WriteFile(conf, []byte(text), 0o600)
 	start := func() (p *exec.Cmd, ops string) {
 		p, ops = exec.Command("sh", "-c", fmt.Sprintf("ulimit -n %d && exec %s", sockets, program)), freeAddress(t)
@@ -90,7 +90,7 @@
 	defer close(done)
 	var asked, heard, served, answered atomic.Int64
 	one := func() string { return fmt.Sprintf("mn\r\nmg k v Oc%d Pc=t,d=1900\r\n", asked.Add(1)) }
-	crowd(addr, one, 4*sockets, done, func(line string) {
+	keepConnections(addr, one, 4*sockets, done, func(line string) {
 		switch heard.Add(1); {
 		case line == "MN\r\n":
 			served.Add(1)
@@ -98,9 +98,9 @@
 			answered.Add(1)
 		}
 	})
-	crowd(ops, func() string { return "" }, 2*sockets, done, func(string) {})
+	keepConnections(ops, func() string { return "" }, 2*sockets, done, func(string) {})
 	within("the crowd", func() bool { return heard.Load() > 4*sockets })
-	target, _ := url.Parse("http://" + fleet(t, 0))
+	target, _ := url.Parse("http://" + startCacheServer(t, 0))
 	proxy := httputil.NewSingleHostReverseProxy(target)
 	proxy.ErrorLog = log.New(io.Discard, "", 0)
 	ln, err := net.Listen("tcp", list)
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -27,12 +27,12 @@
 // never pauses or says nothing, but for a long value on its way, which comes whole. Taken again at once, and told to end in
 // another drain, the router ends in time.
 func TestDrain(t *testing.T) {
-	d, addr, ended := operated(t, giving(t, lengthy))
-	silent, _ := asking(t, addr, "", "")
-	_, late := asking(t, addr, "late", "slow")
+	d, addr, ended := startWithAdmin(t, startScriptedServer(t, serveLongValues))
+	silent, _ := dialAndSend(t, addr, "", "")
+	_, late := dialAndSend(t, addr, "late", "slow")
 	var ends []chan error
 	for i := range 6 {
-		ends = append(ends, asker(t, addr, fmt.Sprint("a", i), time.Duration(i)*60*time.Millisecond))
+		ends = append(ends, startClient(t, addr, fmt.Sprint("a", i), time.Duration(i)*60*time.Millisecond))
 	}
 	time.Sleep(200 * time.Millisecond)
 	for range 2 {
@@ -40,7 +40,7 @@
 			t.Fatalf("drain: %v, ready %v", err, d.Ready())
 		}
 	}
-	if got := ask(addr, "mn") + ask(addr, "mg short v Ob Pc=t,d=1900"); got != "SERVER_ERROR drainingVA 2 Ob" {
+	if got := sendCommand(addr, "mn") + sendCommand(addr, "mg short v Ob Pc=t,d=1900"); got != "SERVER_ERROR drainingVA 2 Ob" {
 		t.Errorf("in a drain it answers %q", got)
 	}
 	began := time.Now()
@@ -62,15 +62,15 @@
 	if _, err := silent.Read(make([]byte, 1)); err != io.EOF {
 		t.Errorf("a client that says nothing gets %v", err)
 	}
-	if err := whole(late, "late"); err != nil {
+	if err := readLongValue(late, "late"); err != nil {
 		t.Errorf("the long value: %v", err)
 	}
-	conn, in := asking(t, addr, "", "")
+	conn, in := dialAndSend(t, addr, "", "")
 	fmt.Fprint(conn, "mn\r\n") // later still it is told no and closed
 	if text, err := io.ReadAll(in); string(text) != "SERVER_ERROR draining\r\n" || err != nil {
 		t.Errorf("drained for long it answers %q, %v", text, err)
 	}
-	if err := d.Undrain(); err != nil || !d.Ready() || ask(addr, "mn") != "MN" {
+	if err := d.Undrain(); err != nil || !d.Ready() || sendCommand(addr, "mn") != "MN" {
 		t.Errorf("undrain: %v, ready %v", err, d.Ready())
 	}
 	d.Drain()
@@ -78,20 +78,20 @@
 	if err := d.Undrain(); err != errShuttingDown {
 		t.Errorf("as it ends a call gets %v", err)
 	}
-	gone(t, d.service, ended)
+	shutDown(t, d.service, ended)
 }
 
 // Drains that were called off end no connection later. One that begins before the router serves holds once it does.
 func TestDrainCalledOff(t *testing.T) {
-	list := giving(t, lengthy)
-	d, addr, _ := operated(t, "127.0.0.1:1")
+	list := startScriptedServer(t, serveLongValues)
+	d, addr, _ := startWithAdmin(t, "127.0.0.1:1")
 	if d.Ready() {
 		t.Error("it is ready without a list")
 	}
 	d.Drain()
 	d.service.loop.Post(func() { d.service.pools.platform.follow(list) })
-	serving(t, d.service)
-	if got := ask(addr, "mn"); d.Ready() || got != "SERVER_ERROR draining" {
+	waitServing(t, d.service)
+	if got := sendCommand(addr, "mn"); d.Ready() || got != "SERVER_ERROR draining" {
 		t.Errorf("drained before it served, it answers %q", got)
 	}
 	for range 3 {
@@ -100,7 +100,7 @@
 	}
 	d.Undrain()
 	select {
-	case err := <-asker(t, addr, "a", 20*time.Millisecond):
+	case err := <-startClient(t, addr, "a", 20*time.Millisecond):
 		t.Errorf("the connection ended: %v", err)
 	case <-time.After(1800 * time.Millisecond):
 	}
@@ -109,7 +109,7 @@
 	time.Sleep(400 * time.Millisecond)
 	d.Drain() // its steps count from here
 	select {
-	case <-asker(t, addr, "b", 20*time.Millisecond):
+	case <-startClient(t, addr, "b", 20*time.Millisecond):
 		t.Error("the connection ended by the step of a drain that was called off")
 	case <-time.After(300 * time.Millisecond):
 	}
@@ -117,7 +117,7 @@
 
 // A loop that is held up answers no in time, and does nothing later.
 func TestCallsAreDoneOrNot(t *testing.T) {
-	d, addr, _ := operated(t, fleet(t, 0))
+	d, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
 	held := make(chan bool)
 	d.service.loop.Post(func() { <-held })
 	began := time.Now()
@@ -125,7 +125,7 @@
 		t.Errorf("it is told %v after %v", err, time.Since(began))
 	}
 	close(held)
-	if got := ask(addr, "mn"); got != "MN" {
+	if got := sendCommand(addr, "mn"); got != "MN" {
 		t.Errorf("later mn is answered %q", got)
 	}
 }
@@ -133,31 +133,31 @@
 // A cache server that is out gets nothing from the yes on, whatever the list says, and no connection is kept; one call back undoes
 // two calls out, and an id that no list has named is refused. The figures follow, from 0 for each class.
 func TestOutByHand(t *testing.T) {
-	d, addr, _ := operated(t, giving(t, lengthy))
+	d, addr, _ := startWithAdmin(t, startScriptedServer(t, serveLongValues))
 	figures := func(want string) {
 		t.Helper()
 		before := d.Metrics()
-		until(t, "newer figures", d.service, func() bool { return len(before) > 0 && &d.Metrics()[0] != &before[0] })
+		waitUntil(t, "newer figures", d.service, func() bool { return len(before) > 0 && &d.Metrics()[0] != &before[0] })
 		if got := string(d.Metrics()); !strings.Contains(got, want) {
 			t.Errorf("the figures are %s, not with %s", got, want)
 		}
 	}
 	figures("gw.transactions.t.answered=0\ngw.transactions.t.deferred=0\ngw.transactions.t.errored=0\ngw.sends=0\ngw.current=0\n")
-	_, in := asking(t, addr, "a", "short") // and stays: who leaves before all of its answer is written has none
+	_, in := dialAndSend(t, addr, "a", "short") // and stays: who leaves before all of its answer is written has none
 	for _, want := range []string{"VA 2 Oa\r\n", "hi\r\n"} {
 		if got, _ := in.ReadString('\n'); got != want {
 			t.Errorf("it answers %q", got)
 		}
 	}
 	idle := func() bool { return d.service.pools.platform.servers.Idle() == 0 }
-	if on(d.service, idle) {
+	if callOnLoop(d.service, idle) {
 		t.Error("no connection is kept")
 	}
 	if err := d.DisableServer("s-2"); err != admin.ErrUnknownServer {
 		t.Errorf("an unknown id gets %v", err)
 	}
 	var log bytes.Buffer
-	on(d.service, func() bool {
+	callOnLoop(d.service, func() bool {
 		d.service.pools.platform.known[discovery.ID("s-3")], d.service.log = false, zerolog.New(&log)
 		return true
 	})
@@ -170,20 +170,20 @@
 			t.Error(err)
 		}
 	}
-	if text := on(d.service, log.String); strings.Contains(text, `"out":false`) || strings.Count(text, `"out":true`) != 2 {
+	if text := callOnLoop(d.service, log.String); strings.Contains(text, `"out":false`) || strings.Count(text, `"out":true`) != 2 {
 		t.Errorf("it did %s", text)
 	}
-	if !on(d.service, idle) {
+	if !callOnLoop(d.service, idle) {
 		t.Error("connections to it are kept")
 	}
-	on(d.service, func() bool { // it leaves the list and comes back under another start
+	callOnLoop(d.service, func() bool { // it leaves the list and comes back under another start
 		e := discovery.Entry{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
 		d.service.pools.platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
 		e.State, e.StartedAt, e.Addr = balancer.Ready, 7, netip.MustParseAddrPort("127.0.0.1:1")
 		d.service.pools.platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
 		return true
 	})
-	if got := ask(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+	if got := sendCommand(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("with the only cache server out it answers %q", got)
 	}
 	figures("gw.transactions.t.answered=1\ngw.transactions.t.deferred=1\ngw.transactions.t.errored=0\ngw.sends=1\ngw.current=0\ngw.cluster_size=1\ngw.cluster_unhealthy=1\n")
@@ -197,9 +197,9 @@
 // through once the file is free. So it is with zones.
 func TestCallsByHandBesideAHeldLock(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddress(t)
-	s, _ := next(t, addr, fleet(t, 0), dir)
-	serving(t, s)
-	d := on(s, func() *adminHandler {
+	s, _ := startProcess(t, addr, startCacheServer(t, 0), dir)
+	waitServing(t, s)
+	d := callOnLoop(s, func() *adminHandler {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
@@ -229,8 +229,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if err := step.call(c.name); !errors.Is(err, step.err) || on(s, c.out) != step.out {
-				t.Errorf("%s, held: %t: it gets %v, and is out: %t", c.name, step.held, err, on(s, c.out))
+			if err := step.call(c.name); !errors.Is(err, step.err) || callOnLoop(s, c.out) != step.out {
+				t.Errorf("%s, held: %t: it gets %v, and is out: %t", c.name, step.held, err, callOnLoop(s, c.out))
 			}
 			lock.Close()
 		}
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -54,21 +54,21 @@
 // Dashboards read the figures by their names, and some by their order.
 func TestGoldenFigures(t *testing.T) {
 	for name, operators := range map[string]string{"figures-plain": "", "figures-all": fmt.Sprintf(goldenOperators, freeAddress(t))} {
-		conf := fleetOf(t, 0, 100, freeUDP(t))
-		s, err := assemble(Setup{Platform: conf, Operators: theirs(t, operators)}, requestcore.DefaultBalancer, zerolog.Nop())
+		conf := peerConfig(t, 0, 100, freeUDPAddress(t))
+		s, err := assemble(Setup{Platform: conf, Operators: parseOperators(t, operators)}, requestcore.DefaultBalancer, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		golden(t, name, s.metrics())
-		s.runs(t)
+		s.runLoop(t)
 	}
 }
 
 // What the admin server answers as JSON to GET /status and GET /zones, but for the seconds, which differ from run to run.
 func TestGoldenStatusAndZones(t *testing.T) {
-	s, _ := next(t, freeAddress(t), fleet(t, 0), t.TempDir())
-	serving(t, s)
-	d := on(s, func() *adminHandler {
+	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), t.TempDir())
+	waitServing(t, s)
+	d := callOnLoop(s, func() *adminHandler {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		s.admin.handler = &adminHandler{service: s}
@@ -76,7 +76,7 @@
 		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
 		return s.admin.handler
 	})
-	until(t, "a list of before", s, func() bool { phase, _, _ := s.startup.start.Phase(); return phase.String() == "listed" })
+	waitUntil(t, "a list of before", s, func() bool { phase, _, _ := s.startup.start.Phase(); return phase.String() == "listed" })
 	if err := d.EvacuateZone("a"); err != nil {
 		t.Fatal(err)
 	}
@@ -104,7 +104,7 @@
 
 // The list as this process tells it to the next one, from a process that runs.
 func TestGoldenStateToldToTheNextProcess(t *testing.T) {
-	conf, err := config.Parse(fmt.Appendf(nil, usual, freeAddress(t), "127.0.0.1:1"), func(string) string { return "" })
+	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, freeAddress(t), "127.0.0.1:1"), func(string) string { return "" })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -112,8 +112,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.runs(t)
-	on(s, func() bool {
+	s.runLoop(t)
+	callOnLoop(s, func() bool {
 		s.pools.platform.applyList(balancer.UpdateFull, discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]})
 		s.pools.platform.generation = 41
 		return true
@@ -140,10 +140,10 @@
 
 // Log lines by level, message and the names of their fields, in order: dashboards find them by these. A life of a router brings them.
 func TestGoldenLogLines(t *testing.T) {
-	log := &noted{}
-	dir, addr, list := t.TempDir(), freeAddress(t), fleet(t, 0)
+	log := &logBuffer{}
+	dir, addr, list := t.TempDir(), freeAddress(t), startCacheServer(t, 0)
 	parse := func(addr, list string) config.Config {
-		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, list), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
+		conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, list), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -171,43 +171,43 @@
 	}
 	switchedOn := operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}
 	first, firstEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
-	serving(t, first)
-	d := on(first, func() *adminHandler {
+	waitServing(t, first)
+	d := callOnLoop(first, func() *adminHandler {
 		first.admin.handler = &adminHandler{service: first}
 		first.publish()
 		return first.admin.handler
 	})
-	on(first, func() bool {
+	callOnLoop(first, func() bool {
 		first.zones.fleet.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		first.startup.save("rate", "this router", []byte("12"))
 		return true
 	})
-	until(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
+	waitUntil(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
 	for _, err := range []error{d.Drain(), d.Undrain(), d.DisableServer("s-1"), d.EnableServer("s-1"), d.EvacuateZone("a"), d.RestoreZone("a")} {
 		if err != nil {
 			t.Fatal(err)
 		}
 	}
-	contracts := theirs(t, fmt.Sprintf(goldenTeam, list)) // an address that is taken
+	contracts := parseOperators(t, fmt.Sprintf(goldenTeam, list)) // an address that is taken
 	changed := parse("127.0.0.1:2", list)
-	on(first, func() bool {
+	callOnLoop(first, func() bool {
 		first.reconfigure(Setup{Platform: changed, Operators: contracts})
 		return true
 	})
-	if got := ask(addr, "mg k v Oq1 Pc=t,d=1900,tenant=pharmacy"); !strings.HasPrefix(got, "VA") {
+	if got := sendCommand(addr, "mg k v Oq1 Pc=t,d=1900,tenant=pharmacy"); !strings.HasPrefix(got, "VA") {
 		t.Errorf("the contract's request is answered %q", got)
 	}
-	on(first, func() bool { first.logCounts(); return true })
+	callOnLoop(first, func() bool { first.logCounts(); return true })
 	signals := make(chan os.Signal)
 	go first.handleSignals(signals, func() (Setup, error) { return Setup{}, errors.New("not read") })
 	signals <- syscall.SIGHUP
 	close(signals)
 	says("the new configuration cannot be used")
 	second, secondEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
-	until(t, "the successor", first, func() bool { return first.restart.servingSuccessors == 1 })
-	gone(t, second, secondEnded)
+	waitUntil(t, "the successor", first, func() bool { return first.restart.servingSuccessors == 1 })
+	shutDown(t, second, secondEnded)
 	says("has ended; this one takes clients again")
-	on(first, func() bool {
+	callOnLoop(first, func() bool {
 		first.beginShutdown()
 		first.reconfigure(Setup{Platform: parse(addr, list)})
 		return true
@@ -215,7 +215,7 @@
 	<-firstEnded
 	dir = ""
 	third, _ := start(Setup{Platform: parse(freeAddress(t), list), Operators: switchedOn})
-	serving(t, third)
+	waitServing(t, third)
 	var out strings.Builder
 	for _, message := range goldenMessages {
 		out.WriteString(goldenLine(t, log.text(), message))
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -21,10 +21,10 @@
 	"github.com/rs/zerolog"
 )
 
-// fleetOf gives the platform's configuration of one of so many routers, of which the first two have the addresses given.
-func fleetOf(t *testing.T, me, routers int, first ...string) config.Config {
+// peerConfig gives the platform's configuration of one of so many routers, of which the first two have the addresses given.
+func peerConfig(t *testing.T, me, routers int, first ...string) config.Config {
 	t.Helper()
-	conf, err := config.Parse(fmt.Appendf(nil, usual, freeAddress(t), "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": t.TempDir()}[name] })
+	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, freeAddress(t), "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": t.TempDir()}[name] })
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -37,13 +37,13 @@
 	return conf
 }
 
-func (s *Service) runs(t *testing.T) {
+func (s *Service) runLoop(t *testing.T) {
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
 }
 
-// others is the rest of a fleet on its own sockets, from a place on: the part of each that words go through, without a router round it.
-func others(t *testing.T, at []string, from int, ids []uint16) {
+// startOtherRouters is the rest of a fleet on its own sockets, from a place on: the part of each that words go through, without a router round it.
+func startOtherRouters(t *testing.T, at []string, from int, ids []uint16) {
 	var names []uint32
 	for _, text := range at {
 		names = append(names, crc32.ChecksumIEEE([]byte(text)))
@@ -91,12 +91,12 @@
 func TestGossipOnSockets(t *testing.T) {
 	var at []string
 	for range 100 {
-		at = append(at, freeUDP(t))
+		at = append(at, freeUDPAddress(t))
 	}
 	set := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}
 	var both []*Service
 	for me := range 2 {
-		conf := fleetOf(t, me, 100, at...)
+		conf := peerConfig(t, me, 100, at...)
 		conf.Known = discovery.List{Generation: 1, Whole: true}
 		for _, id := range []uint64{7, 8} {
 			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
@@ -111,11 +111,11 @@
 		both = append(both, s)
 	}
 	for _, s := range both {
-		s.runs(t)
+		s.runLoop(t)
 	}
-	others(t, at, 2, []uint16{7, 8})
+	startOtherRouters(t, at, 2, []uint16{7, 8})
 	tell, looks := both[0].gossipSender(""), 0
-	until(t, "an entry at the other router", both[1], func() bool {
+	waitUntil(t, "an entry at the other router", both[1], func() bool {
 		if looks++; looks%50 == 1 { // the first ones may come before they know each other
 			both[0].loop.Post(func() { tell([]byte{7, 0, 32, 8, 0, 64}) })
 		}
@@ -138,13 +138,13 @@
 			t.Fatal(err)
 		}
 		defer peer.Close()
-		s, err := assemble(Setup{Platform: fleetOf(t, 0, c.routers, freeUDP(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.DefaultBalancer, zerolog.Nop())
+		s, err := assemble(Setup{Platform: peerConfig(t, 0, c.routers, freeUDPAddress(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.DefaultBalancer, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		s.runs(t)
+		s.runLoop(t)
 		words := "abcabcabc"
-		on(s, func() bool { s.gossipSender("")([]byte(words)); return true })
+		callOnLoop(s, func() bool { s.gossipSender("")([]byte(words)); return true })
 		buf := make([]byte, 300)
 		n, _, err := peer.ReadFrom(buf)
 		if err != nil || string(buf[:n]) != words || s.gossip != nil {
@@ -155,40 +155,40 @@
 
 // A list without this router in it, or a platform that lets no peer be told, leaves it off.
 func TestGossipNeedsAList(t *testing.T) {
-	log := &noted{}
-	conf := fleetOf(t, 0, 100, freeUDP(t))
+	log := &logBuffer{}
+	conf := peerConfig(t, 0, 100, freeUDPAddress(t))
 	conf.Settings.GossipAllowed = false
 	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.DefaultBalancer, zerolog.New(log))
 	if err != nil {
 		t.Fatal(err)
 	}
-	s.runs(t)
+	s.runLoop(t)
 	if s.gossip != nil || !strings.Contains(log.text(), "no list of peers with this router in it") {
 		t.Errorf("it is on, or nothing was said: %s", log.text())
 	}
 }
 
-// noted is a log that is read while others write.
-type noted struct {
+// logBuffer is a log that is read while others write.
+type logBuffer struct {
 	lock sync.Mutex
 	all  []byte
 }
 
-func (k *noted) Write(b []byte) (int, error) {
+func (k *logBuffer) Write(b []byte) (int, error) {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	k.all = append(k.all, b...)
 	return len(b), nil
 }
 
-func (k *noted) text() string {
+func (k *logBuffer) text() string {
 	k.lock.Lock()
 	defer k.lock.Unlock()
 	return string(k.all)
 }
 
-// freeUDP gives an address that nothing listens at.
-func freeUDP(t *testing.T) string {
+// freeUDPAddress gives an address that nothing listens at.
+func freeUDPAddress(t *testing.T) string {
 	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -20,8 +20,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// ends ends a client's sending and waits until the other side's kernel knows.
-func ends(t *testing.T, conn net.Conn) {
+// closeWriteAndWait closeWriteAndWait a client's sending and waits until the other side's kernel knows.
+func closeWriteAndWait(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.(*net.TCPConn).CloseWrite()
 	raw, _ := conn.(*net.TCPConn).SyscallConn()
@@ -35,11 +35,11 @@
 	}
 }
 
-// next starts a process of a router at an address, which knows its list service's list from the start, if there is one; shared
+// startProcess starts a process of a router at an address, which knows its list service's list from the start, if there is one; shared
 // is the processes' folder.
-func next(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
+func startProcess(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
 	t.Helper()
-	conf, err := config.Parse(fmt.Appendf(nil, usual, addr, list), func(name string) string { return map[string]string{"TMPDIR": shared}[name] })
+	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, list), func(name string) string { return map[string]string{"TMPDIR": shared}[name] })
 	if answer, other := http.Get("http://" + list + "/catalog/members"); other == nil {
 		text, _ := io.ReadAll(answer.Body)
 		answer.Body.Close()
@@ -57,17 +57,17 @@
 	return s, ended
 }
 
-// on calls on a service's loop and waits for it.
-func on[T any](s *Service, call func() T) T {
+// callOnLoop calls callOnLoop a service's loop and waits for it.
+func callOnLoop[T any](s *Service, call func() T) T {
 	got := make(chan T, 1)
 	s.loop.Post(func() { got <- call() })
 	return <-got
 }
 
-// until waits for a state of a service.
-func until(t *testing.T, what string, s *Service, is func() bool) {
+// waitUntil waits for a state of a service.
+func waitUntil(t *testing.T, what string, s *Service, is func() bool) {
 	t.Helper()
-	for i := 0; !on(s, is); i++ {
+	for i := 0; !callOnLoop(s, is); i++ {
 		if i > 500 {
 			t.Fatalf("%s does not come", what)
 		}
@@ -75,21 +75,21 @@
 	}
 }
 
-// serving waits until it is.
-func serving(t *testing.T, s *Service) {
+// waitServing waits until it is.
+func waitServing(t *testing.T, s *Service) {
 	t.Helper()
-	until(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
+	waitUntil(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
-// operated gives what the door calls of a service.
-func operated(t *testing.T, list string) (d *adminHandler, addr string, ended chan error) {
+// startWithAdmin gives what the door calls of a service.
+func startWithAdmin(t *testing.T, list string) (d *adminHandler, addr string, ended chan error) {
 	addr = freeAddress(t)
-	s, ended := next(t, addr, list, "")
-	return on(s, func() *adminHandler { s.admin.handler = &adminHandler{service: s}; s.publish(); return s.admin.handler }), addr, ended
+	s, ended := startProcess(t, addr, list, "")
+	return callOnLoop(s, func() *adminHandler { s.admin.handler = &adminHandler{service: s}; s.publish(); return s.admin.handler }), addr, ended
 }
 
-// load asks on ever new connections until it is stopped; then all must have been answered, and many.
-func load(t *testing.T, addr string) (stop func()) {
+// startLoad asks on ever new connections until it is stopped; then all must have been answered, and many.
+func startLoad(t *testing.T, addr string) (stop func()) {
 	var done, asked atomic.Int64
 	var all sync.WaitGroup
 	for range 4 {
@@ -97,7 +97,7 @@
 		go func() {
 			defer all.Done()
 			for done.Load() == 0 {
-				if got := ask(addr, fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", asked.Add(1))); !strings.HasPrefix(got, "VA") {
+				if got := sendCommand(addr, fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", asked.Add(1))); !strings.HasPrefix(got, "VA") {
 					t.Errorf("under load it answers %q", got)
 				}
 				time.Sleep(2 * time.Millisecond)
@@ -113,15 +113,15 @@
 	}
 }
 
-// asker asks on one connection, one command after another, and without a pause one ahead; it tells when the connection is closed, and
+// startClient asks on one connection, one command after another, and without a pause one ahead; it tells when the connection is closed, and
 // if that cut an answer.
-func asker(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
+func startClient(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
 	ended = make(chan error, 1)
 	key := "short"
 	if pause == 0 {
 		key = "later"
 	}
-	conn, in := asking(t, addr, name, key)
+	conn, in := dialAndSend(t, addr, name, key)
 	go func() {
 		if pause == 0 { // answers and commands cross
 			time.Sleep(10 * time.Millisecond)
@@ -146,8 +146,8 @@
 	return ended
 }
 
-// asking gives a connection on which a key was asked for; without one, nothing was.
-func asking(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
+// dialAndSend gives a connection on which a key was asked for; without one, nothing was.
+func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -160,13 +160,13 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// counter is a module that keeps how many routers it was told of.
-type counter struct {
+// fleetSizeRecorder is a module that keeps how many routers it was told of.
+type fleetSizeRecorder struct {
 	requestcore.Balancer
-	routers []int
+	sizes []int
 }
 
-func (c *counter) SetFleetSize(now float64, n int) {
-	c.routers = append(c.routers, n)
+func (c *fleetSizeRecorder) SetFleetSize(now float64, n int) {
+	c.sizes = append(c.sizes, n)
 	c.Balancer.SetFleetSize(now, n)
 }
--- a/internal/service/long_test.go
+++ b/internal/service/long_test.go
@@ -11,19 +11,19 @@
 	"time"
 )
 
-const long = 4 << 20
+const longLength = 4 << 20
 
-var value = bytes.Repeat([]byte("0123456789abcdef"), long/16)
+var longValue = bytes.Repeat([]byte("0123456789abcdef"), longLength/16)
 
-// lengthy gives a long value, all of it in pieces of any size or a part, as a key says.
-func lengthy(conn net.Conn, id, key string) {
-	part, partly := map[string]int{"head": 0, "half": long / 2, "silent": 100, "frame": long}[key]
+// serveLongValues gives a long value, all of it in pieces of any size or a part, as a key says.
+func serveLongValues(conn net.Conn, id, key string) {
+	part, partly := map[string]int{"head": 0, "half": longLength / 2, "silent": 100, "frame": longLength}[key]
 	switch {
 	case key == "short", key == "later":
 		time.Sleep(map[string]time.Duration{"later": 20 * time.Millisecond}[key])
 		fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r\n", id)
 	case partly:
-		fmt.Fprintf(conn, "VA %d O%s\r\n%s", long, id, value[:part])
+		fmt.Fprintf(conn, "VA %d O%s\r\n%s", longLength, id, longValue[:part])
 		if key == "frame" {
 			io.WriteString(conn, "!!")
 		}
@@ -31,8 +31,8 @@
 			conn.Close()
 		}
 	default:
-		fmt.Fprintf(conn, "VA %d O%s\r\n", long, id)
-		for rest, piece := value, 1; len(rest) > 0; piece = piece*3%50000 + 1 {
+		fmt.Fprintf(conn, "VA %d O%s\r\n", longLength, id)
+		for rest, piece := longValue, 1; len(rest) > 0; piece = piece*3%50000 + 1 {
 			n, _ := conn.Write(rest[:min(piece, len(rest))])
 			if rest = rest[n:]; n == 0 {
 				return
@@ -48,9 +48,9 @@
 	}
 }
 
-// whole reads a long answer and tells what is wrong with it.
-func whole(in *bufio.Reader, id string) error {
-	want := append(fmt.Appendf(nil, "VA %d O%s\r\n", long, id), value...)
+// readLongValue reads a long answer and tells what is wrong with it.
+func readLongValue(in *bufio.Reader, id string) error {
+	want := append(fmt.Appendf(nil, "VA %d O%s\r\n", longLength, id), longValue...)
 	got := make([]byte, len(want)+2)
 	if n, err := io.ReadFull(in, got); err != nil || !bytes.Equal(got, append(want, "\r\n"...)) {
 		return fmt.Errorf("%d bytes, %.40q, %v", n, got, err)
@@ -61,16 +61,16 @@
 // Long values come whole, in order with others, to clients that read slowly or late; there are more of them at once than may be
 // held.
 func TestLongValues(t *testing.T) {
-	s, addr, _ := running(t, giving(t, lengthy))
+	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	ends := make(chan error)
 	for i := range 20 {
 		id := fmt.Sprint("a", i)
-		conn, in := asking(t, addr, id, []string{"fast", "slow"}[i%2])
+		conn, in := dialAndSend(t, addr, id, []string{"fast", "slow"}[i%2])
 		fmt.Fprintf(conn, "mg short v Ob%d Pc=t,d=1900\r\n", i)
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond) // as long as the others wait in the router
-			err := whole(in, id)
+			err := readLongValue(in, id)
 			if line, _ := in.ReadString('\n'); err == nil && line != fmt.Sprintf("VA 2 Ob%d\r\n", i) {
 				err = fmt.Errorf("behind it comes %q", line)
 			}
@@ -82,18 +82,18 @@
 			t.Error(err)
 		}
 	}
-	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
+	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
 }
 
 // Servers that close right behind a long answer, before clients that read it late or slowly: each has the whole of it, and the door counts
 // no connection that ended with something owed.
 func TestServersThatCloseBehindLongValues(t *testing.T) {
-	s, addr, _ := running(t, giving(t, lengthy))
+	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	ends := make(chan error)
 	for i := range 10 {
 		id := fmt.Sprint("c", i)
-		conn, in := asking(t, addr, id, "later")
+		conn, in := dialAndSend(t, addr, id, "later")
 		in.ReadString('\n')
 		in.ReadString('\n')
 		conn.(*net.TCPConn).SetReadBuffer(64 << 10) // else the kernel reads for it
@@ -101,7 +101,7 @@
 		fmt.Fprintf(conn, "mg last v O%s Pc=t,d=1900\r\n", id)
 		go func() {
 			time.Sleep(time.Duration(i) * 50 * time.Millisecond)
-			ends <- whole(in, id)
+			ends <- readLongValue(in, id)
 		}()
 	}
 	for range 10 {
@@ -109,7 +109,7 @@
 			t.Error(err)
 		}
 	}
-	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
+	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
 	s.loop.Post(func() {
 		for line := range strings.Lines(string(s.metrics())) {
 			if strings.HasPrefix(line, "gw.cut.") && !strings.HasSuffix(line, "=0\n") {
@@ -124,22 +124,22 @@
 // One that breaks off ends its client's connection, so that it can tell; one that never begins leaves another try possible; and a
 // client that goes away ends what it asked for.
 func TestLongValueBreaksOff(t *testing.T) {
-	s, addr, _ := running(t, giving(t, lengthy))
+	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	for _, key := range []string{"half", "frame"} {
-		_, in := asking(t, addr, key, key)
-		if text, err := io.ReadAll(in); len(text) < long/2 || bytes.HasSuffix(text, []byte("\r\n")) {
+		_, in := dialAndSend(t, addr, key, key)
+		if text, err := io.ReadAll(in); len(text) < longLength/2 || bytes.HasSuffix(text, []byte("\r\n")) {
 			t.Errorf("%s: %d bytes, %v", key, len(text), err)
 		}
 	}
-	if got := ask(addr, "mg head v Ohead Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR") {
+	if got := sendCommand(addr, "mg head v Ohead Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR") {
 		t.Errorf("with a head alone it answers %q", got)
 	}
-	conn, in := asking(t, addr, "left", "silent")
+	conn, in := dialAndSend(t, addr, "left", "silent")
 	in.ReadString('\n')
 	conn.Close()
-	until(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
-	if got := ask(addr, "mg short v Oz Pc=t,d=1900"); got != "VA 2 Oz" {
+	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
+	if got := sendCommand(addr, "mg short v Oz Pc=t,d=1900"); got != "VA 2 Oz" {
 		t.Errorf("afterwards it answers %q", got)
 	}
 }
@@ -147,8 +147,8 @@
 // A long value that is on its way as the router is told to end comes whole, also to a client that reads only once the process is
 // gone, as a kill would have it: the kernel has taken all of it.
 func TestLongValueAtTheEnd(t *testing.T) {
-	s, addr, ended := running(t, giving(t, lengthy))
-	_, in := asking(t, addr, "a", "fast")
+	s, addr, ended := startServing(t, startScriptedServer(t, serveLongValues))
+	_, in := dialAndSend(t, addr, "a", "fast")
 	in.Peek(1)
 	s.loop.Post(s.beginShutdown)
 	select {
@@ -156,7 +156,7 @@
 	case <-time.After(1900 * time.Millisecond): // the longest hard stop and its margin are later still
 		t.Error("the router waits for its client")
 	}
-	if err := whole(in, "a"); err != nil {
+	if err := readLongValue(in, "a"); err != nil {
 		t.Error(err)
 	}
 }
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -42,7 +42,7 @@
 		s.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: now - c.age, Body: []byte("12")})
 		s.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: now - c.age, Source: c.from, Body: body})
 		s.Close(5 * time.Second)
-		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
+		conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -58,7 +58,7 @@
 		}
 		go x.loop.Run()
 		t.Cleanup(func() { x.loop.Post(x.end) })
-		entries := on(x, func() int {
+		entries := callOnLoop(x, func() int {
 			for _, e := range x.conf.Known.Entries {
 				if e.StartedAt < now-1 {
 					t.Errorf("%s: a server of the kept list counts as long started", what)
@@ -102,7 +102,7 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { door.Close() })
-			from, calls := fleet(t, 0), 0
+			from, calls := startCacheServer(t, 0), 0
 			var mu sync.Mutex
 			list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 				mu.Lock()
@@ -123,7 +123,7 @@
 				}
 			}))
 			t.Cleanup(func() { list.CloseClientConnections(); list.Close() })
-			text := strings.Replace(fmt.Sprintf(usual, addr, list.Listener.Addr()), `"settings":{`,
+			text := strings.Replace(fmt.Sprintf(baseConfig, addr, list.Listener.Addr()), `"settings":{`,
 				fmt.Sprintf(`"ops":%q,"settings":{"discovery":%q,"rules":{"askWithin":10000000000},`, door.Addr(), kind), 1)
 			conf, err := config.Parse([]byte(text), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 			if err != nil {
@@ -138,7 +138,7 @@
 					return
 				}
 				go s.loop.Run()
-				for !on(s, s.acceptsClients) {
+				for !callOnLoop(s, s.acceptsClients) {
 					time.Sleep(10 * time.Millisecond)
 				}
 				ready <- s
@@ -156,13 +156,13 @@
 // A call that fails, of which the module is told where lists are asked for, confirms nothing: neither the start's phase nor the list that
 // is kept may take the list of before for one that was told now.
 func TestACallThatFailsConfirmsNoList(t *testing.T) {
-	s, _, err := assembled(listed, "127.0.0.1:1", zerolog.Nop())
+	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
-	on(s, func() bool {
+	callOnLoop(s, func() bool {
 		phase := func() startup.Phase {
 			s.startup.start.Tick(s.loop.Now(), 0, 0)
 			p, _, _ := s.startup.start.Phase()
@@ -171,7 +171,7 @@
 		if s.pools.platform.onPollFailed(s.pools.platform.nextWatch); phase() != startup.Listed {
 			t.Errorf("after a call that failed the start is %s", phase())
 		}
-		if err := s.pools.platform.onList(s.pools.platform.nextWatch, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
+		if err := s.pools.platform.onList(s.pools.platform.nextWatch, endpointList(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
 		return true
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -20,16 +20,16 @@
 	"github.com/rs/zerolog"
 )
 
-// fleet is one cache server and the list service that names it; a read is answered after a while.
-func fleet(t *testing.T, while time.Duration) (discovery string) {
-	return giving(t, func(conn net.Conn, id, _ string) {
+// startCacheServer is one cache server and the list service that names it; a read is answered after a while.
+func startCacheServer(t *testing.T, while time.Duration) (discovery string) {
+	return startScriptedServer(t, func(conn net.Conn, id, _ string) {
 		time.Sleep(while)
 		fmt.Fprintf(conn, "VA 2 O%s h1\r\nhi\r\n", id)
 	})
 }
 
-// giving is one cache server that answers commands by their ids and keys, and the list service that names it.
-func giving(t *testing.T, give func(conn net.Conn, id, key string)) (discovery string) {
+// startScriptedServer is one cache server that answers commands by their ids and keys, and the list service that names it.
+func startScriptedServer(t *testing.T, give func(conn net.Conn, id, key string)) (discovery string) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -63,11 +63,11 @@
 	return list.Listener.Addr().String()
 }
 
-const usual = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
+const baseConfig = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
 	"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
 
-// assembled gives a service of a configuration with places for its own address, which is free, and the list service's.
-func assembled(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
+// assembleConfig gives a service of a configuration with places for its own address, which is free, and the list service's.
+func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return nil, "", err
@@ -81,16 +81,16 @@
 	return s, addr, err
 }
 
-// running gives a service that serves, its address, and where its end is told.
-func running(t *testing.T, discovery string) (_ *Service, addr string, ended chan error) {
-	s, addr, err := assembled(usual, discovery, zerolog.Nop())
+// startServing gives a service that serves, its address, and where its end is told.
+func startServing(t *testing.T, discovery string) (_ *Service, addr string, ended chan error) {
+	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended = make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
 	t.Cleanup(func() { s.loop.Post(s.end) }) // before the list service's, which waits for the calls that are out
-	for i := 0; ask(addr, "mn") != "MN"; i++ {
+	for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
 		if i > 500 {
 			t.Fatal("it does not come to serve")
 		}
@@ -99,8 +99,8 @@
 	return s, addr, ended
 }
 
-// ask sends one command on a connection of its own and gives the first line of the answer, or what went wrong.
-func ask(addr, command string) string {
+// sendCommand sends one command on a connection of its own and gives the first line of the answer, or what went wrong.
+func sendCommand(addr, command string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		return "no connection"
@@ -116,19 +116,19 @@
 }
 
 const (
-	read  = "mg k v Oa1 Pc=t,d=1900"
-	again = "mg k v Oa2 Pc=t,d=1900"
+	firstGet  = "mg k v Oa1 Pc=t,d=1900"
+	secondGet = "mg k v Oa2 Pc=t,d=1900"
 )
 
 // From start to exit: it serves, goes on accepting for a while once told to end, finishes what it has taken,
 // and ends by itself.
 func TestFromStartToExit(t *testing.T) {
-	s, addr, ended := running(t, fleet(t, 700*time.Millisecond)) // longer than new connections are taken
-	if got := ask(addr, read); got != "VA 2 Oa1" {
+	s, addr, ended := startServing(t, startCacheServer(t, 700*time.Millisecond)) // longer than new connections are taken
+	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
 		t.Errorf("serving, it answers %q", got)
 	}
 	s.loop.Post(s.beginShutdown)
-	if got := ask(addr, again); got != "VA 2 Oa2" {
+	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" {
 		t.Errorf("leaving, it answers %q", got)
 	}
 	select {
@@ -139,14 +139,14 @@
 	case <-time.After(5 * time.Second):
 		t.Fatal("it does not end")
 	}
-	if got := ask(addr, read); got != "no connection" {
+	if got := sendCommand(addr, firstGet); got != "no connection" {
 		t.Errorf("ended, it answers %q", got)
 	}
 }
 
 // A client that keeps its connection and sends nothing does not keep the router from ending.
 func TestIdleClientDoesNotHoldTheEnd(t *testing.T) {
-	s, addr, ended := running(t, fleet(t, 0))
+	s, addr, ended := startServing(t, startCacheServer(t, 0))
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
@@ -163,8 +163,8 @@
 // SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the
 // watch there without a gap, and neither ends the router nor an operation.
 func TestNewConfiguration(t *testing.T) {
-	old, other := fleet(t, 300*time.Millisecond), fleet(t, 0)
-	s, addr, _ := running(t, old)
+	old, other := startCacheServer(t, 300*time.Millisecond), startCacheServer(t, 0)
+	s, addr, _ := startServing(t, old)
 	defer s.loop.Post(s.end)
 	path := filepath.Join(t.TempDir(), "config.json")
 	signals := make(chan os.Signal)
@@ -174,12 +174,12 @@
 	})
 	defer close(signals)
 	answer := make(chan string, 1)
-	go func() { answer <- ask(addr, read) }()
+	go func() { answer <- sendCommand(addr, firstGet) }()
 	for _, c := range []struct{ text, follows string }{
 		{"{", old}, // the file is broken
-		{fmt.Sprintf(usual, addr, "nowhere"), old},
-		{fmt.Sprintf(usual, addr, "127.0.0.1:1"), old}, // nobody is there: the old list service goes on telling
-		{fmt.Sprintf(usual, "127.0.0.1:1", other), other},
+		{fmt.Sprintf(baseConfig, addr, "nowhere"), old},
+		{fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // nobody is there: the old list service goes on telling
+		{fmt.Sprintf(baseConfig, "127.0.0.1:1", other), other},
 	} {
 		os.WriteFile(path, []byte(c.text), 0o600)
 		signals <- syscall.SIGHUP
@@ -197,7 +197,7 @@
 	if got := <-answer; got != "VA 2 Oa1" {
 		t.Errorf("an operation under way is answered %q", got)
 	}
-	if got := ask(addr, again); got != "VA 2 Oa2" || s.clients.listener == nil {
+	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" || s.clients.listener == nil {
 		t.Errorf("moved, it answers %q", got)
 	}
 }
@@ -205,15 +205,15 @@
 // Without a list it takes what comes, declines it and is not yet said to serve; the list's silence later
 // changes nothing.
 func TestStarting(t *testing.T) {
-	s, addr, err := assembled(usual, "127.0.0.1:1", zerolog.Nop())
+	s, addr, err := assembleConfig(baseConfig, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.loop.Run()
-	if got := ask(addr, "mn"); got != "SERVER_ERROR starting" {
+	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" {
 		t.Errorf("starting, mn is answered %q", got)
 	}
-	if got := ask(addr, read); got != "SERVER_ERROR busy" {
+	if got := sendCommand(addr, firstGet); got != "SERVER_ERROR busy" {
 		t.Errorf("starting, it answers %q", got)
 	}
 	s.loop.Post(s.end)
@@ -229,9 +229,9 @@
 	}))
 	defer full.Close()
 	at := full.Listener.Addr().String()
-	text := strings.Replace(usual, `"settings":{`, `"known":{"generation":7,"reset":true,"instances":[
+	text := strings.Replace(baseConfig, `"settings":{`, `"known":{"generation":7,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"ready"}]},"settings":{"discovery":"on_request","rules":{"askWithin":4000000000},`, 1)
-	s, _, err := assembled(text, at, zerolog.Nop())
+	s, _, err := assembleConfig(text, at, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -260,7 +260,7 @@
 		fmt.Sprintf(live, false): "", fmt.Sprintf(live, true): "settings: limits: peers: true, but",
 	} {
 		var log strings.Builder
-		s, addr, err := assembled(strings.Replace(usual, `"limits":{"mostExecutions":3},`, settings, 1), fleet(t, 0), zerolog.New(&log))
+		s, addr, err := assembleConfig(strings.Replace(baseConfig, `"limits":{"mostExecutions":3},`, settings, 1), startCacheServer(t, 0), zerolog.New(&log))
 		if fault != "" || err != nil {
 			if err == nil || fault == "" || !strings.Contains(err.Error(), fault) {
 				t.Errorf("%s: refused with %v", settings, err)
@@ -272,10 +272,10 @@
 		}
 		s.log = zerolog.Nop()
 		go s.loop.Run()
-		for i := 0; ask(addr, "mn") != "MN" && i < 500; i++ {
+		for i := 0; sendCommand(addr, "mn") != "MN" && i < 500; i++ {
 			time.Sleep(10 * time.Millisecond)
 		}
-		if got := ask(addr, read); got != "VA 2 Oa1" {
+		if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
 			t.Errorf("%s: it answers %q", settings, got)
 		}
 		s.loop.Post(s.end)
@@ -299,14 +299,14 @@
 		"another's answer":   func(conn net.Conn, _, _ string) { io.WriteString(conn, "VA 2 Oelse\r\nhi\r\n") },
 		"half, then its end": func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 9 O%s\r\nhalf", id); conn.Close() },
 	} {
-		s, addr, err := assembled(types, giving(t, give), zerolog.Nop())
+		s, addr, err := assembleConfig(types, startScriptedServer(t, give), zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		go s.loop.Run()
 		t.Cleanup(func() { s.loop.Post(s.end) })
-		serving(t, s)
-		conn, in := asking(t, addr, "", "")
+		waitServing(t, s)
+		conn, in := dialAndSend(t, addr, "", "")
 		for _, kind := range []string{"t", "u", "w", "x"} {
 			for _, command := range []string{"mg k v O%s1 Pc=%[1]s,d=80\r\nmn\r\n", "ms k 2 O%s2 Pc=%[1]s\r\nhi\r\nmn\r\n"} {
 				fmt.Fprintf(conn, command, kind)
@@ -318,7 +318,7 @@
 				}
 			}
 		}
-		until(t, "an end of all executions", s, func() bool { return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.Open() == 0 })
+		waitUntil(t, "an end of all executions", s, func() bool { return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.Open() == 0 })
 	}
 }
 
@@ -334,36 +334,36 @@
 		"its time is over":  {`"openCap":20`, "300000000", false},
 		"and none is known": {`"openCap":20,"mostExecutions":1`, "300000000", false},
 	} {
-		list := giving(t, func(conn net.Conn, id, key string) {
+		list := startScriptedServer(t, func(conn net.Conn, id, key string) {
 			if key != "hangs" {
 				fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r\n", id)
 			}
 		})
 		text := `{"listen":"%s","discovery":"%s","settings":{"limits":{` + c.limits + `},"trafficTypes":[
 			{"name":"t","effect":"retryable","promisedTime":60000000000,"hardStop":` + c.stop + `,"benefit":1}]}}`
-		s, addr, err := assembled(text, list, zerolog.Nop())
+		s, addr, err := assembleConfig(text, list, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
 		go s.loop.Run()
 		t.Cleanup(func() { s.loop.Post(s.end) })
-		serving(t, s)
-		conn, _ := asking(t, addr, "", "")
-		on(s, func() bool { // the loop is held until all of the burst is there
+		waitServing(t, s)
+		conn, _ := dialAndSend(t, addr, "", "")
+		callOnLoop(s, func() bool { // the loop is held until all of the burst is there
 			for i := range 30 {
 				fmt.Fprintf(conn, "mg hangs v Ob%d Pc=t\r\n", i)
 			}
 			return true
 		})
 		if c.leave {
-			until(t, "a full router", s, func() bool { return s.broker.Open() == 20 })
-			if got := ask(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
+			waitUntil(t, "a full router", s, func() bool { return s.broker.Open() == 20 })
+			if got := sendCommand(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
 				t.Errorf("%s: full, it answers %q", name, got)
 			}
 			conn.Close()
 		}
-		until(t, "an end of all that was out", s, func() bool { return s.broker.Open() == 0 })
-		if got := ask(addr, "mg k v Oc2 Pc=t"); got != "VA 2 Oc2" {
+		waitUntil(t, "an end of all that was out", s, func() bool { return s.broker.Open() == 0 })
+		if got := sendCommand(addr, "mg k v Oc2 Pc=t"); got != "VA 2 Oc2" {
 			t.Errorf("%s: after the burst it answers %q", name, got)
 		}
 	}
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -13,7 +13,7 @@
 // Settings of any customer, as their pages allow and beyond: a start either serves by them and gives each operation one answer, or
 // names the key that is at fault.
 func TestAnySettingsServeOrNameTheKey(t *testing.T) {
-	list := fleet(t, 0)
+	list := startCacheServer(t, 0)
 	names := rapid.StringMatching(`[A-Za-z0-9_.:/+-]{1,24}`)
 	served := 0
 	rapid.Check(t, func(rt *rapid.T) {
@@ -56,7 +56,7 @@
 			`"rules":{` + strings.Join([]string{field("drainGrace", ns("grace")), field("fall", ns("fall")), field("warmWithin", ns("warm")),
 				field("askWithin", ns("ask")), field("tipMultiple", rapid.SampledFrom([]string{"", "0", "4"}).Draw(rt, "tip"))}, ",") + "}",
 			`"tenants":[` + strings.Join(tenants, ",") + "]", `"trafficTypes":[` + strings.Join(types, ",") + "]"}, ",") + "}}"
-		s, addr, err := assembled(text, list, zerolog.Nop())
+		s, addr, err := assembleConfig(text, list, zerolog.Nop())
 		if err != nil {
 			if !strings.Contains(err.Error(), "settings: ") {
 				rt.Fatalf("it is refused without a key: %v", err)
@@ -68,7 +68,7 @@
 		go func() { ended <- s.loop.Run() }()
 		defer func() { <-ended }()
 		defer s.loop.Post(s.end)
-		for i := 0; ask(addr, "mn") != "MN"; i++ {
+		for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
 			if i > 500 {
 				rt.Fatal("it does not come to serve")
 			}
@@ -76,13 +76,13 @@
 		}
 		for i, kind := range kinds[:min(2, len(kinds))] {
 			for _, command := range []string{"mg k v O%d Pc=%s,d=1900", "mg k v O%d Pc=%s", "mg k v O%d Pc=%s,d=0"} {
-				got := ask(addr, fmt.Sprintf(command, len(command)*100+i, kind))
+				got := sendCommand(addr, fmt.Sprintf(command, len(command)*100+i, kind))
 				if !strings.HasPrefix(got, "VA 2 ") && !strings.HasPrefix(got, "SERVER_ERROR ") {
 					rt.Fatalf("it answers %q to %s", got, command)
 				}
 			}
 		}
-		if faults := on(s, func() uint64 { return s.pools.platform.core.Counts.Faults }); faults > 0 {
+		if faults := callOnLoop(s, func() uint64 { return s.pools.platform.core.Counts.Faults }); faults > 0 {
 			rt.Fatalf("the module failed %d times", faults)
 		}
 	})
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -15,8 +15,8 @@
 	"bendtrestle/internal/discovery"
 )
 
-// gone ends a service as SIGTERM does, and waits for it.
-func gone(t *testing.T, s *Service, ended chan error) {
+// shutDown ends a service as SIGTERM does, and waits for it.
+func shutDown(t *testing.T, s *Service, ended chan error) {
 	t.Helper()
 	s.loop.Post(s.beginShutdown)
 	select {
@@ -26,74 +26,74 @@
 	}
 }
 
-// halted waits until a process has been followed by another.
-func halted(t *testing.T, s *Service) {
+// waitHandedOver waits until a process has been followed by another.
+func waitHandedOver(t *testing.T, s *Service) {
 	t.Helper()
-	until(t, "the old one's halt", s, func() bool { return s.restart.servingSuccessors == 1 && !s.acceptsClients() })
+	waitUntil(t, "the old one's halt", s, func() bool { return s.restart.servingSuccessors == 1 && !s.acceptsClients() })
 }
 
 // Under load, all in a row: one that follows dies before its yes, by SIGTERM; one after it; two follow at once and one of them goes; the
 // last follows a process in a drain, and takes clients. Nothing is refused, reset or left unread, and limits are shared.
 func TestUpgradesUnderLoad(t *testing.T) {
-	list, shared, addr := fleet(t, time.Millisecond), t.TempDir(), freeAddress(t)
-	s, ended := next(t, addr, list, shared)
-	serving(t, s)
-	stop := load(t, addr)
-	early, earlyEnded := next(t, addr, "127.0.0.1:1", shared) // it never has a list
-	until(t, "the old one's notice", s, func() bool { return s.restart.processesBeside == 1 && s.processLimits().Clients < s.conf.Clients })
-	gone(t, early, earlyEnded)
-	late, lateEnded := next(t, addr, list, shared)
-	halted(t, s)
-	until(t, "half of the limits", late, func() bool { return late.processLimits().Clients < late.conf.Clients })
-	gone(t, late, lateEnded)
-	until(t, "the old one's return", s, func() bool { return s.acceptsClients() && s.processLimits().Clients == s.conf.Clients })
-	one, oneEnded := next(t, addr, list, shared)
-	halted(t, s)
-	two, twoEnded := next(t, addr, list, shared)
-	halted(t, one)
-	gone(t, one, oneEnded)
-	gone(t, s, ended)
-	until(t, "the whole limits", two, func() bool { return two.processLimits().Clients == two.conf.Clients && two.acceptsClients() })
+	list, shared, addr := startCacheServer(t, time.Millisecond), t.TempDir(), freeAddress(t)
+	s, ended := startProcess(t, addr, list, shared)
+	waitServing(t, s)
+	stop := startLoad(t, addr)
+	early, earlyEnded := startProcess(t, addr, "127.0.0.1:1", shared) // it never has a list
+	waitUntil(t, "the old one's notice", s, func() bool { return s.restart.processesBeside == 1 && s.processLimits().Clients < s.conf.Clients })
+	shutDown(t, early, earlyEnded)
+	late, lateEnded := startProcess(t, addr, list, shared)
+	waitHandedOver(t, s)
+	waitUntil(t, "half of the limits", late, func() bool { return late.processLimits().Clients < late.conf.Clients })
+	shutDown(t, late, lateEnded)
+	waitUntil(t, "the old one's return", s, func() bool { return s.acceptsClients() && s.processLimits().Clients == s.conf.Clients })
+	one, oneEnded := startProcess(t, addr, list, shared)
+	waitHandedOver(t, s)
+	two, twoEnded := startProcess(t, addr, list, shared)
+	waitHandedOver(t, one)
+	shutDown(t, one, oneEnded)
+	shutDown(t, s, ended)
+	waitUntil(t, "the whole limits", two, func() bool { return two.processLimits().Clients == two.conf.Clients && two.acceptsClients() })
 	stop()
-	on(two, func() error { return two.setDraining(true) })
-	last, _ := next(t, addr, list, shared)
-	halted(t, two)
+	callOnLoop(two, func() error { return two.setDraining(true) })
+	last, _ := startProcess(t, addr, list, shared)
+	waitHandedOver(t, two)
 	for range 20 { // the one in a drain accepts no more
-		if got := ask(addr, "mn"); got != "MN" || !on(last, last.acceptsClients) {
+		if got := sendCommand(addr, "mn"); got != "MN" || !callOnLoop(last, last.acceptsClients) {
 			t.Fatalf("after one in a drain mn is answered %q", got)
 		}
 	}
-	gone(t, two, twoEnded)
+	shutDown(t, two, twoEnded)
 }
 
 // One that cannot serve yet takes no client from the process before it, by sockets handed over or, without a folder, a shared address;
 // it takes them as soon as it can, whether that one has ended, been killed before, or goes on.
 func TestNotBeforeItServes(t *testing.T) {
 	for _, c := range []struct{ folder, killed bool }{{true, true}, {true, false}, {false, false}} {
-		list, shared, addr := fleet(t, 0), "", freeAddress(t)
+		list, shared, addr := startCacheServer(t, 0), "", freeAddress(t)
 		if c.folder {
 			shared = t.TempDir()
 		}
-		s, ended := next(t, addr, list, shared)
-		serving(t, s)
-		after, _ := next(t, addr, "127.0.0.1:1", shared)
+		s, ended := startProcess(t, addr, list, shared)
+		waitServing(t, s)
+		after, _ := startProcess(t, addr, "127.0.0.1:1", shared)
 		want := "MN"
 		if c.killed {
 			want = "SERVER_ERROR starting"
 			s.loop.Post(s.end)
-			until(t, "the notice of its end", after, func() bool { return after.restart.processesBeside == 0 })
+			waitUntil(t, "the notice of its end", after, func() bool { return after.restart.processesBeside == 0 })
 		}
 		for range 20 {
-			if got := ask(addr, "mn"); got != want {
+			if got := sendCommand(addr, "mn"); got != want {
 				t.Fatalf("%v: before the next serves it answers %q", c, got)
 			}
 		}
 		after.loop.Post(func() { after.pools.platform.follow(list) })
-		serving(t, after)
+		waitServing(t, after)
 		if !c.killed {
-			gone(t, s, ended)
+			shutDown(t, s, ended)
 		}
-		if got := ask(addr, "mn"); got != "MN" {
+		if got := sendCommand(addr, "mn"); got != "MN" {
 			t.Errorf("%v: the next one answers %q", c, got)
 		}
 	}
@@ -102,11 +102,11 @@
 // What the process before was told last is known from the start: the list service may be silent, and a drain must be kept. What cannot
 // be read, is of another list service, or older, is refused whole.
 func TestListIsHandedOver(t *testing.T) {
-	list, shared, addr := fleet(t, 0), t.TempDir(), freeAddress(t)
-	s, _ := next(t, addr, list, shared)
-	serving(t, s)
+	list, shared, addr := startCacheServer(t, 0), t.TempDir(), freeAddress(t)
+	s, _ := startProcess(t, addr, list, shared)
+	waitServing(t, s)
 	id := discovery.ID("s-1")
-	on(s, func() bool {
+	callOnLoop(s, func() bool {
 		drains := s.pools.platform.endpoints[id]
 		other := drains
 		drains.State, other.ID, other.Zone = balancer.Draining, 7, "b"
@@ -114,8 +114,8 @@
 		s.pools.platform.generation = 5
 		return true
 	})
-	after, _ := next(t, addr, list, shared) // whose own start says that it is ready, generation 1
-	on(after, func() bool {
+	after, _ := startProcess(t, addr, list, shared) // whose own start says that it is ready, generation 1
+	callOnLoop(after, func() bool {
 		p := after.pools.platform
 		if e := p.endpoints[7]; len(p.endpoints) != 2 || p.endpoints[id].State != balancer.Draining || e.Zone != "b" || !e.Addr.IsValid() || p.ready[id] {
 			t.Errorf("it knows %+v", p.endpoints)
@@ -145,7 +145,7 @@
 	if out, err := exec.Command("go", "build", "-o", program, "bendtrestle/cmd/bendtrestle").CombinedOutput(); err != nil {
 		t.Fatalf("%v: %s", err, out)
 	}
-	os.WriteFile(conf, fmt.Appendf(nil, usual, addr, fleet(t, time.Millisecond)), 0o600)
+	os.WriteFile(conf, fmt.Appendf(nil, baseConfig, addr, startCacheServer(t, time.Millisecond)), 0o600)
 	start := func() (p *exec.Cmd, ops string) {
 		p, ops = exec.Command(program), freeAddress(t)
 		p.Env = append(os.Environ(), "GW_CONFIG="+conf, "TMPDIR="+dir, "GW_OPS="+ops)
@@ -164,7 +164,7 @@
 		return nil, ""
 	}
 	p, ops := start()
-	stop := load(t, addr)
+	stop := startLoad(t, addr)
 	for range 2 {
 		time.Sleep(200 * time.Millisecond)
 		old := p
@@ -181,7 +181,7 @@
 			t.Errorf("%s: %v", call, err)
 		}
 		_, ops = start()
-		if got := ask(addr, fmt.Sprintf("mg k v Oz%d Pc=t,d=1900", i)); strings.HasPrefix(got, "VA") != (call == "enable") {
+		if got := sendCommand(addr, fmt.Sprintf("mg k v Oz%d Pc=t,d=1900", i)); strings.HasPrefix(got, "VA") != (call == "enable") {
 			t.Errorf("after %s and another version it answers %q", call, got)
 		}
 	}
--- a/internal/service/tier_test.go
+++ b/internal/service/tier_test.go
@@ -27,7 +27,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := &counter{}
+	told := &fleetSizeRecorder{}
 	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
 		told.Balancer = requestcore.DefaultBalancer(now, set, host)
 		return told
@@ -48,9 +48,9 @@
 				t.Fatal(err)
 			}
 		}
-		until(t, fmt.Sprint(n+1, " heard"), s, func() bool { return slices.Max(append(told.routers, 0)) == max(3, n+2) })
+		waitUntil(t, fmt.Sprint(n+1, " heard"), s, func() bool { return slices.Max(append(told.sizes, 0)) == max(3, n+2) })
 	}
-	if got := on(s, func() []int { return slices.Clone(told.routers) }); !slices.Equal(got, []int{3, 4, 5, 6}) {
+	if got := callOnLoop(s, func() []int { return slices.Clone(told.sizes) }); !slices.Equal(got, []int{3, 4, 5, 6}) {
 		t.Errorf("the module was told %v", got)
 	}
 }
--- a/internal/service/tiles_test.go
+++ b/internal/service/tiles_test.go
@@ -15,7 +15,7 @@
 	"github.com/rs/zerolog"
 )
 
-const mapsFile = `
+const tilePoolFile = `
 [[pool]]
 name = "maps"
 protocol = "tiles"
@@ -44,8 +44,8 @@
 benefit = 1
 `
 
-// tileServers is one tile server of the standard library's and the list service that names it.
-func tileServers(t *testing.T, serve http.HandlerFunc) (discovery string) {
+// startTileServer is one tile server of the standard library's and the list service that names it.
+func startTileServer(t *testing.T, serve http.HandlerFunc) (discovery string) {
 	server := httptest.NewServer(serve)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.RawQuery != "" {
@@ -62,7 +62,7 @@
 // is told as the standard has it, and reaches no server.
 func TestTiles(t *testing.T) {
 	asked := make(chan string, 10000)
-	maps := tileServers(t, func(w http.ResponseWriter, r *http.Request) {
+	maps := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		asked <- r.URL.Path
 		switch {
 		case strings.Contains(r.URL.Path, "/6/1/"):
@@ -78,10 +78,10 @@
 			fmt.Fprintf(w, "tile %s for %s", r.URL.Path, r.Header.Get("X-Request-Id"))
 		}
 	})
-	s, _, _ := running(t, fleet(t, 0))
+	s, _, _ := startServing(t, startCacheServer(t, 0))
 	defer s.loop.Post(s.end)
 	own := freeAddress(t)
-	f := theirs(t, fmt.Sprintf(mapsFile, maps, own, ""))
+	f := parseOperators(t, fmt.Sprintf(tilePoolFile, maps, own, ""))
 	s.loop.Post(func() { s.reconfigure(Setup{Platform: s.conf, Operators: f}) })
 	get := func(target string, headers ...string) (int, string, http.Header) {
 		t.Helper()
@@ -163,16 +163,16 @@
 
 // What cannot be read is told by its status and ends the connection; requests behind one another are answered in order.
 func TestTileConnections(t *testing.T) {
-	slow := tileServers(t, func(w http.ResponseWriter, r *http.Request) {
+	slow := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "/1/0/0.png") {
 			time.Sleep(200 * time.Millisecond)
 		}
 		io.WriteString(w, r.URL.Path)
 	})
-	s, _, _ := running(t, fleet(t, 0))
+	s, _, _ := startServing(t, startCacheServer(t, 0))
 	defer s.loop.Post(s.end)
 	own := freeAddress(t)
-	f := theirs(t, fmt.Sprintf(mapsFile, slow, own, ""))
+	f := parseOperators(t, fmt.Sprintf(tilePoolFile, slow, own, ""))
 	s.loop.Post(func() { s.reconfigure(Setup{Platform: s.conf, Operators: f}) })
 	say := func(text string) *bufio.Reader {
 		t.Helper()
@@ -185,7 +185,7 @@
 		io.WriteString(conn, text)
 		return bufio.NewReader(conn)
 	}
-	for i := 0; ask(own, "GET /roads/0/0/0.png HTTP/1.1\r\nHost: a\r\n") != "HTTP/1.1 200 OK"; i++ {
+	for i := 0; sendCommand(own, "GET /roads/0/0/0.png HTTP/1.1\r\nHost: a\r\n") != "HTTP/1.1 200 OK"; i++ {
 		if i > 300 {
 			t.Fatal("the pool does not come")
 		}
@@ -212,7 +212,7 @@
 // while it waited to be accepted, is not asked for.
 func TestATileWhoseClientHasLeft(t *testing.T) {
 	asked, over := make(chan string, 1000), make(chan string, 1000)
-	maps := tileServers(t, func(w http.ResponseWriter, r *http.Request) {
+	maps := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "/0/0/0.png") { // by which the test knows that the pool is there
 			return
 		}
@@ -220,17 +220,17 @@
 		<-r.Context().Done()
 		over <- r.URL.Path
 	})
-	s, _, err := assembled(strings.Replace(usual, `"mostExecutions":3`, `"cancelling":true`, 1), fleet(t, 0), zerolog.Nop())
+	s, _, err := assembleConfig(strings.Replace(baseConfig, `"mostExecutions":3`, `"cancelling":true`, 1), startCacheServer(t, 0), zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.loop.Run()
 	t.Cleanup(func() { s.loop.Post(s.end) })
-	serving(t, s)
+	waitServing(t, s)
 	own := freeAddress(t)
-	f := theirs(t, strings.NewReplacer("= 500", "= 50000", "= 1900", "= 190000").Replace(fmt.Sprintf(mapsFile, maps, own, "")))
+	f := parseOperators(t, strings.NewReplacer("= 500", "= 50000", "= 1900", "= 190000").Replace(fmt.Sprintf(tilePoolFile, maps, own, "")))
 	s.loop.Post(func() { s.reconfigure(Setup{Platform: s.conf, Operators: f}) })
-	for i := 0; ask(own, "GET /roads/0/0/0.png HTTP/1.1\r\nHost: a\r\n") != "HTTP/1.1 200 OK"; i++ {
+	for i := 0; sendCommand(own, "GET /roads/0/0/0.png HTTP/1.1\r\nHost: a\r\n") != "HTTP/1.1 200 OK"; i++ {
 		if i > 300 {
 			t.Fatal("the pool does not come")
 		}
@@ -240,7 +240,7 @@
 		"closes": func(conn net.Conn) { conn.Close() },
 		"resets": func(conn net.Conn) { conn.(*net.TCPConn).SetLinger(0); conn.Close() },
 	} {
-		conn, _ := asking(t, own, "", "")
+		conn, _ := dialAndSend(t, own, "", "")
 		io.WriteString(conn, "GET /roads/3/1/1.png HTTP/1.1\r\nHost: a\r\n\r\n")
 		<-asked
 		leave(conn)
@@ -251,17 +251,17 @@
 		}
 	}
 	begun := func() uint64 { return s.pools.named["maps"].core.Counts.Attempts }
-	before := on(s, begun)
-	on(s, func() bool { // the loop is held until the end is behind all of it
-		conn, _ := asking(t, own, "", "")
+	before := callOnLoop(s, begun)
+	callOnLoop(s, func() bool { // the loop is held until the end is behind all of it
+		conn, _ := dialAndSend(t, own, "", "")
 		for i := range 20 { // more than is read at once
 			fmt.Fprintf(conn, "GET /roads/5/%d/1.png HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		}
-		ends(t, conn)
+		closeWriteAndWait(t, conn)
 		return true
 	})
-	until(t, "an end", s, func() bool { return s.clients.frontend.Clients() == 0 })
-	if n := on(s, begun) - before; n > 0 {
+	waitUntil(t, "an end", s, func() bool { return s.clients.frontend.Clients() == 0 })
+	if n := callOnLoop(s, begun) - before; n > 0 {
 		t.Errorf("%d more executions began", n)
 	}
 }
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -10,8 +10,8 @@
 
 // How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
 func TestWhatSpeaksOfZones(t *testing.T) {
-	s, _ := next(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
-	on(s, func() bool {
+	s, _ := startProcess(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
+	callOnLoop(s, func() bool {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
 		return true
@@ -22,7 +22,7 @@
 		bad  bool
 	}{{balancer.TimedOut, 0.5, true}, {balancer.TimedOut, 0.05, false}, {balancer.ConnectFailed, 0, true}, {balancer.ConnectionLost, 0, true},
 		{balancer.NotAttempted, 0.5, false}, {balancer.Cancelled, 0.5, false}, {balancer.ServerError, 0.1, false}, {balancer.Overloaded, 0, false}} {
-		suspected := on(s, func() int {
+		suspected := callOnLoop(s, func() int {
 			f := zonefailover.New(zonefailover.Settings{RouterCount: 1})
 			s.zones.fleet = f
 			f.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
