--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -210,7 +210,7 @@
 }
 
 // The new process is told to end before the old one: the old one accepts again at once, not once the new one has finished what it has.
-func TestTheNewProcessIsToldToEndFirst(t *testing.T) {
+func TestSuccessorIsToldToEndFirst(t *testing.T) {
 	held := make(chan bool)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
 		if key == "later" {
@@ -245,7 +245,7 @@
 
 // The old process is told to end before the new one is ready: the new one answers at once, if only that it starts, not once the old one has
 // finished what it has.
-func TestTheOldProcessIsToldToEndBeforeTheNewOneIsReady(t *testing.T) {
+func TestPredecessorIsToldToEndBeforeTheSuccessorIsReady(t *testing.T) {
 	held := make(chan bool)
 	defer close(held)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
@@ -333,7 +333,7 @@
 }
 
 // The new process dies after it took the sockets and before it is ready: the old one never stopped, and has all places again.
-func TestTheNewProcessDiesBeforeItIsReady(t *testing.T) {
+func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
 	addr, shared := freeAddress(t), t.TempDir()
 	old, _ := startProcess(t, addr, startCacheServer(t, 0), shared)
 	waitServing(t, old)
@@ -359,7 +359,7 @@
 }
 
 // What is taken once the process is told to end is given no more time than the process has.
-func TestWhatIsTakenOnceToldToEndMayTakeNoLongerThanThat(t *testing.T) {
+func TestRequestsDuringShutdownGetNoMoreTimeThanIsLeft(t *testing.T) {
 	left := make(chan float64, 10)
 	addr := freeAddress(t)
 	conf, err := config.Parse(fmt.Appendf(nil, strings.Replace(baseConfig, `"hardStop":2000000000,`, "", 1), addr, startCacheServer(t, 0)), func(string) string { return "" })
--- a/internal/service/descriptors_test.go
+++ b/internal/service/descriptors_test.go
@@ -49,7 +49,7 @@
 // With the fewest descriptors that the configuration allows, all places for clients and at the operators' door filled by who says
 // nothing more, and the list service down, what is set apart is there once it returns: its call gets a descriptor and a server is
 // dialled, the door answers, and a successor takes over.
-func TestWhatIsSetApartIsThereInACrowd(t *testing.T) {
+func TestReservedDescriptorsAreFreeInACrowd(t *testing.T) {
 	const sockets = 64
 	dir, addr, list := t.TempDir(), freeAddress(t), freeAddress(t)
 	program, conf := filepath.Join(dir, "bendtrestle"), filepath.Join(dir, "config.json")
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -116,7 +116,7 @@
 }
 
 // A loop that is held up answers no in time, and does nothing later.
-func TestCallsAreDoneOrNot(t *testing.T) {
+func TestAdminCallIsDoneInTimeOrNotAtAll(t *testing.T) {
 	d, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
 	held := make(chan bool)
 	d.service.loop.Post(func() { <-held })
@@ -132,7 +132,7 @@
 
 // A cache server that is out gets nothing from the yes on, whatever the list says, and no connection is kept; one call back undoes
 // two calls out, and an id that no list has named is refused. The figures follow, from 0 for each class.
-func TestOutByHand(t *testing.T) {
+func TestDisabledServer(t *testing.T) {
 	d, addr, _ := startWithAdmin(t, startScriptedServer(t, serveLongValues))
 	figures := func(want string) {
 		t.Helper()
@@ -195,7 +195,7 @@
 
 // While another process holds the file of what is out, a call out holds here and says so, and a call back leaves all as it was; both
 // through once the file is free. So it is with zones.
-func TestCallsByHandBesideAHeldLock(t *testing.T) {
+func TestOperatorCallsBesideAHeldLock(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddress(t)
 	s, _ := startProcess(t, addr, startCacheServer(t, 0), dir)
 	waitServing(t, s)
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -52,7 +52,7 @@
 `
 
 // Dashboards read the figures by their names, and some by their order.
-func TestGoldenFigures(t *testing.T) {
+func TestGoldenMetrics(t *testing.T) {
 	for name, operators := range map[string]string{"figures-plain": "", "figures-all": fmt.Sprintf(goldenOperators, freeAddress(t))} {
 		conf := peerConfig(t, 0, 100, freeUDPAddress(t))
 		s, err := assemble(Setup{Platform: conf, Operators: parseOperators(t, operators)}, requestcore.DefaultBalancer, zerolog.Nop())
@@ -224,7 +224,7 @@
 }
 
 // The fields for reasons of declines, of which a line has only those that there were.
-func TestGoldenReasons(t *testing.T) {
+func TestGoldenRejectReasons(t *testing.T) {
 	var log strings.Builder
 	logger := zerolog.New(&log)
 	counts := make([]uint64, len(requestcore.ReasonNames))
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -28,7 +28,7 @@
 
 // What was kept goes to the platform's pool alone, and the list's servers count as just started; what is too old, or of another list
 // service, is not used.
-func TestWhatWasKept(t *testing.T) {
+func TestSnapshotOfTheLastRun(t *testing.T) {
 	for what, c := range map[string]struct {
 		age   float64
 		from  string
@@ -155,7 +155,7 @@
 
 // A call that fails, of which the module is told where lists are asked for, confirms nothing: neither the start's phase nor the list that
 // is kept may take the list of before for one that was told now.
-func TestACallThatFailsConfirmsNoList(t *testing.T) {
+func TestFailedPollConfirmsNoList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -221,7 +221,7 @@
 
 // A start with a known list asks for what changed since, of the service that told it alone; and one that is full, which all
 // routers ask, it leaves time: calls each 0.1 s kept it full all day.
-func TestKnownListIsFollowedAndAFullServiceLeftTime(t *testing.T) {
+func TestKnownListAndBackoffFromAFullListService(t *testing.T) {
 	calls := make(chan string, 1000)
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		calls <- r.URL.RawQuery
@@ -253,7 +253,7 @@
 }
 
 // One build serves both shapes of a deployment, which the settings alone tell apart, and refuses a mix of them.
-func TestBothShapes(t *testing.T) {
+func TestBothDeploymentShapes(t *testing.T) {
 	live := `"weights":"live","loadInfo":{"how":"inline","names":["tps"]},"limits":{"peers":%v,"mostExecutions":4},`
 	for settings, fault := range map[string]string{
 		`"weights":"nominal","limits":{"peers":true,"probes":true,"mostExecutions":3},`: "",
@@ -324,7 +324,7 @@
 
 // A burst takes all places while no cache server answers: what comes beyond is declined. Once its clients have left, or its time is
 // over, the next operation is sent on.
-func TestPlacesComeBackAfterABurst(t *testing.T) {
+func TestCapacityComesBackAfterABurst(t *testing.T) {
 	for name, c := range map[string]struct {
 		limits, stop string
 		leave        bool
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -34,7 +34,7 @@
 
 // Under load, all in a row: one that follows dies before its yes, by SIGTERM; one after it; two follow at once and one of them goes; the
 // last follows a process in a drain, and takes clients. Nothing is refused, reset or left unread, and limits are shared.
-func TestUpgradesUnderLoad(t *testing.T) {
+func TestHotRestartsUnderLoad(t *testing.T) {
 	list, shared, addr := startCacheServer(t, time.Millisecond), t.TempDir(), freeAddress(t)
 	s, ended := startProcess(t, addr, list, shared)
 	waitServing(t, s)
@@ -68,7 +68,7 @@
 
 // One that cannot serve yet takes no client from the process before it, by sockets handed over or, without a folder, a shared address;
 // it takes them as soon as it can, whether that one has ended, been killed before, or goes on.
-func TestNotBeforeItServes(t *testing.T) {
+func TestSuccessorAcceptsOnlyOnceItServes(t *testing.T) {
 	for _, c := range []struct{ folder, killed bool }{{true, true}, {true, false}, {false, false}} {
 		list, shared, addr := startCacheServer(t, 0), "", freeAddress(t)
 		if c.folder {
@@ -101,7 +101,7 @@
 
 // What the process before was told last is known from the start: the list service may be silent, and a drain must be kept. What cannot
 // be read, is of another list service, or older, is refused whole.
-func TestListIsHandedOver(t *testing.T) {
+func TestSuccessorGetsTheEndpointList(t *testing.T) {
 	list, shared, addr := startCacheServer(t, 0), t.TempDir(), freeAddress(t)
 	s, _ := startProcess(t, addr, list, shared)
 	waitServing(t, s)
@@ -131,7 +131,7 @@
 }
 
 // Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
-func TestNothingBehindAnotherWhereCopiesAreBarred(t *testing.T) {
+func TestOneAttemptAConnectionWithoutHedging(t *testing.T) {
 	if requestsPerConnection(balancer.Settings{}, 100) != 1 || requestsPerConnection(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
 		t.Error("executions are sent behind others")
 	}
@@ -139,7 +139,7 @@
 
 // Two versions follow each other as real processes under load: every operation is answered, each old process ends by itself with 0,
 // and what was taken out by hand at one is out at the next, which takes it back.
-func TestUpgradeOfRealProcesses(t *testing.T) {
+func TestHotRestartOfRealProcesses(t *testing.T) {
 	dir, addr := t.TempDir(), freeAddress(t)
 	program, conf := filepath.Join(dir, "bendtrestle"), filepath.Join(dir, "config.json")
 	if out, err := exec.Command("go", "build", "-o", program, "bendtrestle/cmd/bendtrestle").CombinedOutput(); err != nil {
--- a/internal/service/tier_test.go
+++ b/internal/service/tier_test.go
@@ -14,7 +14,7 @@
 )
 
 // More routers are heard than the settings say: the module is told, once for each number; of fewer it hears nothing new.
-func TestRoutersThatAreHeardAreCounted(t *testing.T) {
+func TestFleetSizeCountsRoutersHeard(t *testing.T) {
 	free, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -9,7 +9,7 @@
 )
 
 // How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
-func TestWhatSpeaksOfZones(t *testing.T) {
+func TestZoneEvidence(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
 	callOnLoop(s, func() bool {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
