--- /dev/null
+++ b/internal/service/adminhandler_test.go
@@ -0,0 +1,23 @@
+package service
+
+import (
+	"testing"
+	"time"
+
+	"bendtrestle/internal/admin"
+)
+
+// A loop that is held up answers no in time, and does nothing later.
+func TestAdminCallIsDoneInTimeOrNotAtAll(t *testing.T) {
+	d, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
+	held := make(chan bool)
+	d.service.loop.Post(func() { <-held })
+	began := time.Now()
+	if err := d.Drain(); err != admin.ErrBusy || time.Since(began) > time.Second {
+		t.Errorf("it is told %v after %v", err, time.Since(began))
+	}
+	close(held)
+	if got := sendCommand(addr, "mn"); got != "MN" {
+		t.Errorf("later mn is answered %q", got)
+	}
+}
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -2,15 +2,11 @@
 
 import (
 	"fmt"
-	"net"
-	"os"
-	"path/filepath"
 	"strings"
 	"testing"
 	"time"
 
 	"bendtrestle/internal/config"
-	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
@@ -37,27 +33,6 @@
 benefit = 1
 `
 
-// parseOperators reads an operators' file.
-func parseOperators(t *testing.T, text string) operatorconfig.File {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "operators.toml")
-	os.WriteFile(path, []byte(text), 0o600)
-	f, err := operatorconfig.Read(path)
-	if err != nil {
-		t.Fatal(err)
-	}
-	return f
-}
-
-func freeAddress(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
 // A pool and a contract come, change, and go by SIGHUP while the router serves: operations end under what they began
 // with, listeners open and close, and what has no contract goes to the platform's pool as before.
 func TestContractsWhileServing(t *testing.T) {
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -37,11 +37,6 @@
 	return conf
 }
 
-func (s *Service) runLoop(t *testing.T) {
-	go s.loop.Run()
-	t.Cleanup(func() { s.loop.Post(s.end) })
-}
-
 // startOtherRouters is the rest of a fleet on its own sockets, from a place on: the part of each that words go through, without a router round it.
 func startOtherRouters(t *testing.T, at []string, from int, ids []uint16) {
 	var names []uint32
@@ -167,32 +162,3 @@
 		t.Errorf("it is on, or nothing was said: %s", log.text())
 	}
 }
-
-// logBuffer is a log that is read while others write.
-type logBuffer struct {
-	lock sync.Mutex
-	all  []byte
-}
-
-func (k *logBuffer) Write(b []byte) (int, error) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.all = append(k.all, b...)
-	return len(b), nil
-}
-
-func (k *logBuffer) text() string {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	return string(k.all)
-}
-
-// freeUDPAddress gives an address that nothing listens at.
-func freeUDPAddress(t *testing.T) string {
-	c, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	return c.LocalAddr().String()
-}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -1,38 +1,58 @@
 package service
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strings"
+	"os"
+	"path/filepath"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/sys/unix"
 )
 
-// closeWriteAndWait closeWriteAndWait a client's sending and waits until the other side's kernel knows.
-func closeWriteAndWait(t *testing.T, conn net.Conn) {
-	t.Helper()
-	conn.(*net.TCPConn).CloseWrite()
-	raw, _ := conn.(*net.TCPConn).SyscallConn()
-	const finWait2, closed = 5, 7 // of the kernel's states; closed: it was even answered by a reset
-	for state := uint8(0); state != finWait2 && state != closed; time.Sleep(time.Millisecond) {
-		raw.Control(func(fd uintptr) {
-			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-				state = info.State
-			}
-		})
+const baseConfig = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
+	"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
+
+// assembleConfig gives a service of a configuration with places for its own address, which is free, and the list service's.
+func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, "", err
+	}
+	addr = free.Addr().String()
+	free.Close()
+	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), func(string) string { return "" })
+	if err == nil {
+		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, log)
+	}
+	return s, addr, err
+}
+
+// startServing gives a service that serves, its address, and where its end is told.
+func startServing(t *testing.T, discovery string) (_ *Service, addr string, ended chan error) {
+	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
 	}
+	ended = make(chan error, 1)
+	go func() { ended <- s.loop.Run() }()
+	t.Cleanup(func() { s.loop.Post(s.end) }) // before the list service's, which waits for the calls that are out
+	for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
+		if i > 500 {
+			t.Fatal("it does not come to serve")
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+	return s, addr, ended
 }
 
 // startProcess starts a process of a router at an address, which knows its list service's list from the start, if there is one; shared
@@ -88,85 +108,68 @@
 	return callOnLoop(s, func() *adminHandler { s.admin.handler = &adminHandler{service: s}; s.publish(); return s.admin.handler }), addr, ended
 }
 
-// startLoad asks on ever new connections until it is stopped; then all must have been answered, and many.
-func startLoad(t *testing.T, addr string) (stop func()) {
-	var done, asked atomic.Int64
-	var all sync.WaitGroup
-	for range 4 {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for done.Load() == 0 {
-				if got := sendCommand(addr, fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", asked.Add(1))); !strings.HasPrefix(got, "VA") {
-					t.Errorf("under load it answers %q", got)
-				}
-				time.Sleep(2 * time.Millisecond)
-			}
-		}()
-	}
-	end := func() { done.Store(1); all.Wait() }
-	t.Cleanup(end) // also where the test fails before: what it would tell afterwards would end the whole program
-	return func() {
-		if end(); asked.Load() < 100 {
-			t.Errorf("only %d were asked", asked.Load())
-		}
+// parseOperators reads an operators' file.
+func parseOperators(t *testing.T, text string) operatorconfig.File {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operators.toml")
+	os.WriteFile(path, []byte(text), 0o600)
+	f, err := operatorconfig.Read(path)
+	if err != nil {
+		t.Fatal(err)
 	}
+	return f
 }
 
-// startClient asks on one connection, one command after another, and without a pause one ahead; it tells when the connection is closed, and
-// if that cut an answer.
-func startClient(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
-	ended = make(chan error, 1)
-	key := "short"
-	if pause == 0 {
-		key = "later"
+func freeAddress(t *testing.T) string {
+	ln, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	conn, in := dialAndSend(t, addr, name, key)
-	go func() {
-		if pause == 0 { // answers and commands cross
-			time.Sleep(10 * time.Millisecond)
-			fmt.Fprintf(conn, "mg later v O%s- Pc=t,d=1900\r\n", name)
-		}
-		for i := 0; ; i++ {
-			line, err := in.ReadString('\n')
-			if err == nil && strings.HasPrefix(line, "VA") {
-				_, err = in.ReadString('\n')
-			}
-			if err != nil && line != "" {
-				ended <- fmt.Errorf("cut in %q", line)
-			}
-			if err != nil {
-				ended <- nil
-				return
-			}
-			time.Sleep(pause)
-			fmt.Fprintf(conn, "mg %s v O%s%d Pc=t,d=1900\r\n", key, name, i)
-		}
-	}()
-	return ended
+	defer ln.Close()
+	return ln.Addr().String()
+}
+
+func (s *Service) runLoop(t *testing.T) {
+	go s.loop.Run()
+	t.Cleanup(func() { s.loop.Post(s.end) })
+}
+
+// logBuffer is a log that is read while others write.
+type logBuffer struct {
+	lock sync.Mutex
+	all  []byte
+}
+
+func (k *logBuffer) Write(b []byte) (int, error) {
+	k.lock.Lock()
+	defer k.lock.Unlock()
+	k.all = append(k.all, b...)
+	return len(b), nil
+}
+
+func (k *logBuffer) text() string {
+	k.lock.Lock()
+	defer k.lock.Unlock()
+	return string(k.all)
 }
 
-// dialAndSend gives a connection on which a key was asked for; without one, nothing was.
-func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
-	conn, err := net.Dial("tcp", addr)
+// freeUDPAddress gives an address that nothing listens at.
+func freeUDPAddress(t *testing.T) string {
+	c, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(15 * time.Second))
-	if key != "" {
-		fmt.Fprintf(conn, "mg %s v O%s Pc=t,d=1900\r\n", key, id)
-	}
-	return conn, bufio.NewReader(conn)
-}
-
-// fleetSizeRecorder is a module that keeps how many routers it was told of.
-type fleetSizeRecorder struct {
-	requestcore.Balancer
-	sizes []int
+	defer c.Close()
+	return c.LocalAddr().String()
 }
 
-func (c *fleetSizeRecorder) SetFleetSize(now float64, n int) {
-	c.sizes = append(c.sizes, n)
-	c.Balancer.SetFleetSize(now, n)
+// shutDown ends a service as SIGTERM does, and waits for it.
+func shutDown(t *testing.T, s *Service, ended chan error) {
+	t.Helper()
+	s.loop.Post(s.beginShutdown)
+	select {
+	case <-ended:
+	case <-time.After(4 * time.Second):
+		t.Fatal("it does not end")
+	}
 }
--- a/internal/service/succession_test.go
+++ b/internal/service/hotrestart_test.go
@@ -2,6 +2,7 @@
 
 import (
 	"fmt"
+	"net"
 	"net/http"
 	"os"
 	"os/exec"
@@ -15,14 +16,78 @@
 	"bendtrestle/internal/discovery"
 )
 
-// shutDown ends a service as SIGTERM does, and waits for it.
-func shutDown(t *testing.T, s *Service, ended chan error) {
-	t.Helper()
-	s.loop.Post(s.beginShutdown)
-	select {
-	case <-ended:
-	case <-time.After(4 * time.Second):
-		t.Fatal("it does not end")
+// The new process is told to end before the old one: the old one accepts again at once, not once the new one has finished what it has.
+func TestSuccessorIsToldToEndFirst(t *testing.T) {
+	held := make(chan bool)
+	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
+		if key == "later" {
+			<-held
+		}
+		fmt.Fprintf(conn, "VA 2 O%s h1\r\nhi\r\n", id)
+	})
+	addr, shared := freeAddress(t), t.TempDir()
+	old, _ := startProcess(t, addr, list, shared)
+	waitServing(t, old)
+	heir, _ := startProcess(t, addr, list, shared)
+	waitServing(t, heir)
+	waitUntil(t, "the hand-over", old, func() bool { return old.restart.servingSuccessors == 1 })
+	_, in := dialAndSend(t, addr, "a", "later")
+	waitUntil(t, "the operation", heir, func() bool { return heir.clients.frontend.Open() == 1 })
+	heir.loop.Post(heir.beginShutdown)
+	waitUntil(t, "the end's second part", heir, func() bool { return heir.lifecycle.phase == Finishing })
+	if got := sendCommand(addr, "mg k v Ob Pc=t,d=1900"); got != "VA 2 Ob" || callOnLoop(heir, func() Phase { return heir.lifecycle.phase }) != Finishing {
+		t.Errorf("while the new process finishes it answers %q", got)
+	}
+	callOnLoop(old, func() bool {
+		if old.restart.processesBeside != 1 {
+			t.Error("the old process takes all places while the new one still has connections")
+		}
+		return true
+	})
+	close(held)
+	if line, _ := in.ReadString('\n'); line != "VA 2 Oa h1\r\n" && line != "VA 2 Oa\r\n" {
+		t.Errorf("what the new process had taken is answered %q", line)
+	}
+}
+
+// The old process is told to end before the new one is ready: the new one answers at once, if only that it starts, not once the old one has
+// finished what it has.
+func TestPredecessorIsToldToEndBeforeTheSuccessorIsReady(t *testing.T) {
+	held := make(chan bool)
+	defer close(held)
+	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
+		<-held
+		fmt.Fprintf(conn, "VA 2 O%s h1\r\nhi\r\n", id)
+	})
+	addr, shared := freeAddress(t), t.TempDir()
+	old, _ := startProcess(t, addr, list, shared)
+	waitServing(t, old)
+	heir, _ := startProcess(t, addr, "127.0.0.1:1", shared) // its list service does not answer
+	waitUntil(t, "the new process's question", old, func() bool { return old.restart.processesBeside == 1 })
+	dialAndSend(t, addr, "a", "later")
+	waitUntil(t, "the operation", old, func() bool { return old.clients.frontend.Open() == 1 })
+	old.loop.Post(old.beginShutdown)
+	waitUntil(t, "the end's second part", old, func() bool { return old.lifecycle.phase == Finishing })
+	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" || callOnLoop(old, func() Phase { return old.lifecycle.phase }) != Finishing {
+		t.Errorf("while the old process finishes it answers %q", got)
+	}
+	if callOnLoop(heir, func() int { return heir.restart.processesBeside }) != 1 {
+		t.Error("the new process takes all places while the old one still has connections")
+	}
+}
+
+// The new process dies after it took the sockets and before it is ready: the old one never stopped, and has all places again.
+func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
+	addr, shared := freeAddress(t), t.TempDir()
+	old, _ := startProcess(t, addr, startCacheServer(t, 0), shared)
+	waitServing(t, old)
+	heir, gone := startProcess(t, addr, "127.0.0.1:1", shared)
+	waitUntil(t, "the new process's question", old, func() bool { return old.restart.processesBeside == 1 })
+	callOnLoop(heir, func() bool { heir.disconnectOtherProcesses(); heir.loop.Stop(); return true }) // as its kernel does for it
+	<-gone
+	waitUntil(t, "its end", old, func() bool { return old.restart.processesBeside == 0 })
+	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" || old.restart.servingSuccessors != 0 {
+		t.Errorf("then the old one answers %q", got)
 	}
 }
 
@@ -130,13 +195,6 @@
 	})
 }
 
-// Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
-func TestOneAttemptAConnectionWithoutHedging(t *testing.T) {
-	if requestsPerConnection(balancer.Settings{}, 100) != 1 || requestsPerConnection(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
-		t.Error("executions are sent behind others")
-	}
-}
-
 // Two versions follow each other as real processes under load: every operation is answered, each old process ends by itself with 0,
 // and what was taken out by hand at one is out at the next, which takes it back.
 func TestHotRestartOfRealProcesses(t *testing.T) {
--- a/internal/service/descriptors_test.go
+++ b/internal/service/limits_test.go
@@ -1,7 +1,6 @@
 package service
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"log"
@@ -19,33 +18,6 @@
 	"time"
 )
 
-// keepConnections keeps so many connections to an address open, each anew as it ends; each says its word, and hears what is answered. Done
-// ends it.
-func keepConnections(addr string, word func() string, many int, done chan bool, heard func(line string)) {
-	for range many {
-		go func() {
-			for {
-				select {
-				case <-done:
-					return
-				default:
-				}
-				conn, err := net.Dial("tcp", addr)
-				if err != nil {
-					time.Sleep(5 * time.Millisecond)
-					continue
-				}
-				fmt.Fprint(conn, word())
-				in := bufio.NewReader(conn)
-				for line, err := in.ReadString('\n'); err == nil; line, err = in.ReadString('\n') {
-					heard(line)
-				}
-				conn.Close()
-			}
-		}()
-	}
-}
-
 // With the fewest descriptors that the configuration allows, all places for clients and at the operators' door filled by who says
 // nothing more, and the list service down, what is set apart is there once it returns: its call gets a descriptor and a server is
 // dialled, the door answers, and a successor takes over.
--- a/internal/service/long_test.go
+++ b/internal/service/longvalues_test.go
@@ -1,7 +1,6 @@
 package service
 
 import (
-	"bufio"
 	"bytes"
 	"fmt"
 	"io"
@@ -11,53 +10,6 @@
 	"time"
 )
 
-const longLength = 4 << 20
-
-var longValue = bytes.Repeat([]byte("0123456789abcdef"), longLength/16)
-
-// serveLongValues gives a long value, all of it in pieces of any size or a part, as a key says.
-func serveLongValues(conn net.Conn, id, key string) {
-	part, partly := map[string]int{"head": 0, "half": longLength / 2, "silent": 100, "frame": longLength}[key]
-	switch {
-	case key == "short", key == "later":
-		time.Sleep(map[string]time.Duration{"later": 20 * time.Millisecond}[key])
-		fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r\n", id)
-	case partly:
-		fmt.Fprintf(conn, "VA %d O%s\r\n%s", longLength, id, longValue[:part])
-		if key == "frame" {
-			io.WriteString(conn, "!!")
-		}
-		if key != "silent" {
-			conn.Close()
-		}
-	default:
-		fmt.Fprintf(conn, "VA %d O%s\r\n", longLength, id)
-		for rest, piece := longValue, 1; len(rest) > 0; piece = piece*3%50000 + 1 {
-			n, _ := conn.Write(rest[:min(piece, len(rest))])
-			if rest = rest[n:]; n == 0 {
-				return
-			}
-			if key == "slow" && piece < 100 {
-				time.Sleep(time.Millisecond)
-			}
-		}
-		io.WriteString(conn, "\r\n")
-		if key == "last" {
-			conn.Close()
-		}
-	}
-}
-
-// readLongValue reads a long answer and tells what is wrong with it.
-func readLongValue(in *bufio.Reader, id string) error {
-	want := append(fmt.Appendf(nil, "VA %d O%s\r\n", longLength, id), longValue...)
-	got := make([]byte, len(want)+2)
-	if n, err := io.ReadFull(in, got); err != nil || !bytes.Equal(got, append(want, "\r\n"...)) {
-		return fmt.Errorf("%d bytes, %.40q, %v", n, got, err)
-	}
-	return nil
-}
-
 // Long values come whole, in order with others, to clients that read slowly or late; there are more of them at once than may be
 // held.
 func TestLongValues(t *testing.T) {
--- a/internal/service/tier_test.go
+++ b/internal/service/peers_test.go
@@ -13,6 +13,17 @@
 	"github.com/rs/zerolog"
 )
 
+// fleetSizeRecorder is a module that keeps how many routers it was told of.
+type fleetSizeRecorder struct {
+	requestcore.Balancer
+	sizes []int
+}
+
+func (c *fleetSizeRecorder) SetFleetSize(now float64, n int) {
+	c.sizes = append(c.sizes, n)
+	c.Balancer.SetFleetSize(now, n)
+}
+
 // More routers are heard than the settings say: the module is told, once for each number; of fewer it hears nothing new.
 func TestFleetSizeCountsRoutersHeard(t *testing.T) {
 	free, err := net.ListenPacket("udp", "127.0.0.1:0")
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -10,6 +10,36 @@
 	"pgregory.net/rapid"
 )
 
+// One build serves both shapes of a deployment, which the settings alone tell apart, and refuses a mix of them.
+func TestBothDeploymentShapes(t *testing.T) {
+	live := `"weights":"live","loadInfo":{"how":"inline","names":["tps"]},"limits":{"peers":%v,"mostExecutions":4},`
+	for settings, fault := range map[string]string{
+		`"weights":"nominal","limits":{"peers":true,"probes":true,"mostExecutions":3},`: "",
+		fmt.Sprintf(live, false): "", fmt.Sprintf(live, true): "settings: limits: peers: true, but",
+	} {
+		var log strings.Builder
+		s, addr, err := assembleConfig(strings.Replace(baseConfig, `"limits":{"mostExecutions":3},`, settings, 1), startCacheServer(t, 0), zerolog.New(&log))
+		if fault != "" || err != nil {
+			if err == nil || fault == "" || !strings.Contains(err.Error(), fault) {
+				t.Errorf("%s: refused with %v", settings, err)
+			}
+			continue
+		}
+		if told := strings.Contains(log.String(), "load reports are not available"); told != strings.Contains(settings, "live") {
+			t.Errorf("%s: said of reports: %v", settings, told)
+		}
+		s.log = zerolog.Nop()
+		go s.loop.Run()
+		for i := 0; sendCommand(addr, "mn") != "MN" && i < 500; i++ {
+			time.Sleep(10 * time.Millisecond)
+		}
+		if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
+			t.Errorf("%s: it answers %q", settings, got)
+		}
+		s.loop.Post(s.end)
+	}
+}
+
 // Settings of any customer, as their pages allow and beyond: a start either serves by them and gives each operation one answer, or
 // names the key that is at fault.
 func TestAnySettingsServeOrNameTheKey(t *testing.T) {
