--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -13,6 +13,12 @@
 	"golang.org/x/sys/unix"
 )
 
+// Commands of clients; the reply to each begins with VA, the length and the id.
+const (
+	firstGet  = "mg k v Oa1 Pc=t,d=1900"
+	secondGet = "mg k v Oa2 Pc=t,d=1900"
+)
+
 // sendCommand sends one command on a connection of its own and gives the first line of the answer, or what went wrong.
 func sendCommand(addr, command string) string {
 	conn, err := net.Dial("tcp", addr)
@@ -29,12 +35,32 @@
 	return strings.TrimSpace(line)
 }
 
-const (
-	firstGet  = "mg k v Oa1 Pc=t,d=1900"
-	secondGet = "mg k v Oa2 Pc=t,d=1900"
-)
+// waitAnswer sends a command again and again until it is answered as wanted, for some five seconds.
+func waitAnswer(t *testing.T, addr, command, want string) {
+	t.Helper()
+	for i := 0; sendCommand(addr, command) != want; i++ {
+		if i > 500 {
+			t.Fatalf("%q is never answered %q", command, want)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
+// dialAndSend gives a connection on which a key was asked for; with the key "", nothing was.
+func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { conn.Close() })
+	conn.SetDeadline(time.Now().Add(15 * time.Second))
+	if key != "" {
+		fmt.Fprintf(conn, "mg %s v O%s Pc=t,d=1900\r\n", key, id)
+	}
+	return conn, bufio.NewReader(conn)
+}
 
-// closeWriteAndWait closeWriteAndWait a client's sending and waits until the other side's kernel knows.
+// closeWriteAndWait ends a client's sending and waits until the other side's kernel knows.
 func closeWriteAndWait(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.(*net.TCPConn).CloseWrite()
@@ -49,33 +75,38 @@
 	}
 }
 
-// startLoad asks on ever new connections until it is stopped; then all must have been answered, and many.
+// startLoad sends commands on ever new connections until it is stopped; then all must have been answered, and many.
 func startLoad(t *testing.T, addr string) (stop func()) {
-	var done, asked atomic.Int64
-	var all sync.WaitGroup
+	var done, sent atomic.Int64
+	var clients sync.WaitGroup
 	for range 4 {
-		all.Add(1)
+		clients.Add(1)
 		go func() {
-			defer all.Done()
+			defer clients.Done()
 			for done.Load() == 0 {
-				if got := sendCommand(addr, fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", asked.Add(1))); !strings.HasPrefix(got, "VA") {
+				command := fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", sent.Add(1))
+				if got := sendCommand(addr, command); !strings.HasPrefix(got, "VA") {
 					t.Errorf("under load it answers %q", got)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
 		}()
 	}
-	end := func() { done.Store(1); all.Wait() }
-	t.Cleanup(end) // also where the test fails before: what it would tell afterwards would end the whole program
+	end := func() {
+		done.Store(1)
+		clients.Wait()
+	}
+	t.Cleanup(end) // also where the test fails before: an error after its end would end the whole program
 	return func() {
-		if end(); asked.Load() < 100 {
-			t.Errorf("only %d were asked", asked.Load())
+		end()
+		if sent.Load() < 100 {
+			t.Errorf("only %d commands were sent", sent.Load())
 		}
 	}
 }
 
-// startClient asks on one connection, one command after another, and without a pause one ahead; it tells when the connection is closed, and
-// if that cut an answer.
+// startClient sends one command after another on one connection, and without a pause one ahead. It tells when the connection is
+// closed, and whether that cut an answer off.
 func startClient(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
 	ended = make(chan error, 1)
 	key := "short"
@@ -107,24 +138,10 @@
 	return ended
 }
 
-// dialAndSend gives a connection on which a key was asked for; without one, nothing was.
-func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
-	conn, err := net.Dial("tcp", addr)
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(15 * time.Second))
-	if key != "" {
-		fmt.Fprintf(conn, "mg %s v O%s Pc=t,d=1900\r\n", key, id)
-	}
-	return conn, bufio.NewReader(conn)
-}
-
-// keepConnections keeps so many connections to an address open, each anew as it ends; each says its word, and hears what is answered. Done
-// ends it.
-func keepConnections(addr string, word func() string, many int, done chan bool, heard func(line string)) {
-	for range many {
+// keepConnections keeps so many connections to an address open until done is closed, each anew as it ends. On each it sends what
+// text gives, and passes on the lines that are answered.
+func keepConnections(addr string, text func() string, connections int, done chan bool, received func(line string)) {
+	for range connections {
 		go func() {
 			for {
 				select {
@@ -137,10 +154,10 @@
 					time.Sleep(5 * time.Millisecond)
 					continue
 				}
-				fmt.Fprint(conn, word())
+				fmt.Fprint(conn, text())
 				in := bufio.NewReader(conn)
 				for line, err := in.ReadString('\n'); err == nil; line, err = in.ReadString('\n') {
-					heard(line)
+					received(line)
 				}
 				conn.Close()
 			}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -19,10 +19,39 @@
 	"github.com/rs/zerolog"
 )
 
+// baseConfig has places for the router's own address and the list service's.
 const baseConfig = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
 	"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
 
-// assembleConfig gives a service of a configuration with places for its own address, which is free, and the list service's.
+// environment is that of a process with a folder for files that outlive it; "": without one.
+func environment(folder string) func(name string) string {
+	return func(name string) string { return map[string]string{"TMPDIR": folder}[name] }
+}
+
+// parseConfig reads a configuration with places for the router's own address and the list service's.
+func parseConfig(t *testing.T, text, addr, discovery, folder string) config.Config {
+	t.Helper()
+	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), environment(folder))
+	if err != nil {
+		t.Fatal(err)
+	}
+	return conf
+}
+
+// parseOperators reads an operators' file.
+func parseOperators(t *testing.T, text string) operatorconfig.File {
+	t.Helper()
+	path := filepath.Join(t.TempDir(), "operators.toml")
+	os.WriteFile(path, []byte(text), 0o600)
+	file, err := operatorconfig.Read(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// assembleConfig gives a service that does not run yet, at an address that is free. The configuration's text has places for that
+// address and the list service's.
 func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -30,61 +59,99 @@
 	}
 	addr = free.Addr().String()
 	free.Close()
-	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), func(string) string { return "" })
+	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), environment(""))
 	if err == nil {
 		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, log)
 	}
 	return s, addr, err
 }
 
-// startServing gives a service that serves, its address, and where its end is told.
-func startServing(t *testing.T, discovery string) (_ *Service, addr string, ended chan error) {
-	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
+// assembleSetup gives a service that does not run yet.
+func assembleSetup(t *testing.T, setup Setup, log zerolog.Logger) *Service {
+	t.Helper()
+	s, err := assemble(setup, requestcore.DefaultBalancer, log)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+// runLoop runs a service until it ends by itself, or the test does.
+func (s *Service) runLoop(t *testing.T) (ended chan error) {
 	ended = make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
-	t.Cleanup(func() { s.loop.Post(s.end) }) // before the list service's, which waits for the calls that are out
-	for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
-		if i > 500 {
-			t.Fatal("it does not come to serve")
-		}
-		time.Sleep(10 * time.Millisecond)
+	t.Cleanup(func() { s.loop.Post(s.end) })
+	return ended
+}
+
+// startServing gives a service that serves, its address, and where its end is told.
+func startServing(t *testing.T, discovery string) (s *Service, addr string, ended chan error) {
+	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
 	}
+	ended = s.runLoop(t) // its end comes before the list service's, which waits for polls in flight
+	waitAnswer(t, addr, "mn", "MN")
 	return s, addr, ended
 }
 
-// startProcess starts a process of a router at an address, which knows its list service's list from the start, if there is one; shared
-// is the processes' folder.
+// startProcess starts a process of a router at an address, which knows the list of its list service from the start, if there is
+// one. shared is the folder that all processes of the router share.
 func startProcess(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
 	t.Helper()
-	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, list), func(name string) string { return map[string]string{"TMPDIR": shared}[name] })
-	if answer, other := http.Get("http://" + list + "/catalog/members"); other == nil {
+	conf := parseConfig(t, baseConfig, addr, list, shared)
+	if answer, err := http.Get("http://" + list + "/catalog/members"); err == nil {
 		text, _ := io.ReadAll(answer.Body)
 		answer.Body.Close()
 		conf.Known, _ = discovery.Parse(text)
 	}
-	if err == nil {
-		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, zerolog.Nop())
-	}
-	if err != nil {
-		t.Fatal(err)
+	s = assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
+	return s, s.runLoop(t)
+}
+
+// startWithAdmin starts a process with an admin handler, but no admin server.
+func startWithAdmin(t *testing.T, list string) (handler *adminHandler, addr string, ended chan error) {
+	addr = freeAddress(t)
+	s, ended := startProcess(t, addr, list, "")
+	return addAdminHandler(s), addr, ended
+}
+
+// addAdminHandler gives a running service an admin handler.
+func addAdminHandler(s *Service) *adminHandler {
+	return callOnLoop(s, func() *adminHandler {
+		s.admin.handler = &adminHandler{service: s}
+		s.publish()
+		return s.admin.handler
+	})
+}
+
+// shutDown ends a service as SIGTERM does, and waits for its end.
+func shutDown(t *testing.T, s *Service, ended chan error) {
+	t.Helper()
+	s.loop.Post(s.beginShutdown)
+	select {
+	case <-ended:
+	case <-time.After(4 * time.Second):
+		t.Fatal("it does not end")
 	}
-	ended = make(chan error, 1)
-	go func() { ended <- s.loop.Run() }()
-	t.Cleanup(func() { s.loop.Post(s.end) })
-	return s, ended
 }
 
-// callOnLoop calls callOnLoop a service's loop and waits for it.
+// callOnLoop calls a function on a service's loop and waits for its result.
 func callOnLoop[T any](s *Service, call func() T) T {
-	got := make(chan T, 1)
-	s.loop.Post(func() { got <- call() })
-	return <-got
+	result := make(chan T, 1)
+	s.loop.Post(func() { result <- call() })
+	return <-result
 }
 
-// waitUntil waits for a state of a service.
+// runOnLoop runs a function on a service's loop and waits for its end.
+func runOnLoop(s *Service, run func()) {
+	callOnLoop(s, func() bool {
+		run()
+		return true
+	})
+}
+
+// waitUntil waits for a state of a service, up to some five seconds.
 func waitUntil(t *testing.T, what string, s *Service, is func() bool) {
 	t.Helper()
 	for i := 0; !callOnLoop(s, is); i++ {
@@ -95,81 +162,47 @@
 	}
 }
 
-// waitServing waits until it is.
+// waitServing waits until a service serves.
 func waitServing(t *testing.T, s *Service) {
 	t.Helper()
 	waitUntil(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
-// startWithAdmin gives what the door calls of a service.
-func startWithAdmin(t *testing.T, list string) (d *adminHandler, addr string, ended chan error) {
-	addr = freeAddress(t)
-	s, ended := startProcess(t, addr, list, "")
-	return callOnLoop(s, func() *adminHandler { s.admin.handler = &adminHandler{service: s}; s.publish(); return s.admin.handler }), addr, ended
-}
-
-// parseOperators reads an operators' file.
-func parseOperators(t *testing.T, text string) operatorconfig.File {
-	t.Helper()
-	path := filepath.Join(t.TempDir(), "operators.toml")
-	os.WriteFile(path, []byte(text), 0o600)
-	f, err := operatorconfig.Read(path)
+// freeAddress gives a TCP address that nothing listens at.
+func freeAddress(t *testing.T) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	return f
+	defer listener.Close()
+	return listener.Addr().String()
 }
 
-func freeAddress(t *testing.T) string {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
+// freeUDPAddress gives a UDP address that nothing listens at.
+func freeUDPAddress(t *testing.T) string {
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer ln.Close()
-	return ln.Addr().String()
-}
-
-func (s *Service) runLoop(t *testing.T) {
-	go s.loop.Run()
-	t.Cleanup(func() { s.loop.Post(s.end) })
+	defer conn.Close()
+	return conn.LocalAddr().String()
 }
 
-// logBuffer is a log that is read while others write.
+// logBuffer is a log that may be read while others write.
 type logBuffer struct {
-	lock sync.Mutex
-	all  []byte
+	mu  sync.Mutex
+	all []byte
 }
 
-func (k *logBuffer) Write(b []byte) (int, error) {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	k.all = append(k.all, b...)
-	return len(b), nil
-}
-
-func (k *logBuffer) text() string {
-	k.lock.Lock()
-	defer k.lock.Unlock()
-	return string(k.all)
-}
-
-// freeUDPAddress gives an address that nothing listens at.
-func freeUDPAddress(t *testing.T) string {
-	c, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	defer c.Close()
-	return c.LocalAddr().String()
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.all = append(b.all, line...)
+	return len(line), nil
 }
 
-// shutDown ends a service as SIGTERM does, and waits for it.
-func shutDown(t *testing.T, s *Service, ended chan error) {
-	t.Helper()
-	s.loop.Post(s.beginShutdown)
-	select {
-	case <-ended:
-	case <-time.After(4 * time.Second):
-		t.Fatal("it does not end")
-	}
+func (b *logBuffer) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return string(b.all)
 }
