--- a/internal/service/adminhandler_test.go
+++ b/internal/service/adminhandler_test.go
@@ -7,13 +7,13 @@
 	"bendtrestle/internal/admin"
 )
 
-// A loop that is held up answers no in time, and does nothing later.
+// A loop that is held up refuses a call in time, and does not carry it out later.
 func TestAdminCallIsDoneInTimeOrNotAtAll(t *testing.T) {
-	d, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
+	handler, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
 	held := make(chan bool)
-	d.service.loop.Post(func() { <-held })
+	handler.service.loop.Post(func() { <-held })
 	began := time.Now()
-	if err := d.Drain(); err != admin.ErrBusy || time.Since(began) > time.Second {
+	if err := handler.Drain(); err != admin.ErrBusy || time.Since(began) > time.Second {
 		t.Errorf("it is told %v after %v", err, time.Since(began))
 	}
 	close(held)
--- a/internal/service/peers_test.go
+++ b/internal/service/peers_test.go
@@ -13,55 +13,54 @@
 	"github.com/rs/zerolog"
 )
 
-// fleetSizeRecorder is a module that keeps how many routers it was told of.
+// fleetSizeRecorder is a balancer that notes the fleet sizes that it is told.
 type fleetSizeRecorder struct {
 	requestcore.Balancer
 	sizes []int
 }
 
-func (c *fleetSizeRecorder) SetFleetSize(now float64, n int) {
-	c.sizes = append(c.sizes, n)
-	c.Balancer.SetFleetSize(now, n)
+func (r *fleetSizeRecorder) SetFleetSize(now float64, routers int) {
+	r.sizes = append(r.sizes, routers)
+	r.Balancer.SetFleetSize(now, routers)
 }
 
-// More routers are heard than the settings say: the module is told, once for each number; of fewer it hears nothing new.
+// More routers are heard than the settings say: the balancer is told, once for each number; of fewer it hears nothing new.
 func TestFleetSizeCountsRoutersHeard(t *testing.T) {
-	free, err := net.ListenPacket("udp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	at := free.LocalAddr().String()
-	free.Close()
-	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"%s","settings":{"me":0,"fleetSize":3,"limits":{"peers":true,"mostExecutions":3},
+	at := freeUDPAddress(t)
+	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"%s",
+		"settings":{"me":0,"fleetSize":3,"limits":{"peers":true,"mostExecutions":3},
 		"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
-	conf, err := config.Parse(fmt.Appendf(nil, text, at), func(string) string { return "" })
+	conf, err := config.Parse(fmt.Appendf(nil, text, at), environment(""))
 	if err != nil {
 		t.Fatal(err)
 	}
-	told := &fleetSizeRecorder{}
-	s, err := assemble(Setup{Platform: conf}, func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
-		told.Balancer = requestcore.DefaultBalancer(now, set, host)
-		return told
-	}, zerolog.Nop())
+	recorder := &fleetSizeRecorder{}
+	newBalancer := func(now float64, settings balancer.Settings, host balancer.Host) requestcore.Balancer {
+		recorder.Balancer = requestcore.DefaultBalancer(now, settings, host)
+		return recorder
+	}
+	s, err := assemble(Setup{Platform: conf}, newBalancer, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.loop.Run()
-	t.Cleanup(func() { s.loop.Post(s.end) })
+	s.runLoop(t)
 	for n := range 5 {
 		from, err := net.Dial("udp", at)
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer from.Close()
-		for range 2 { // the second time it is no other
+		for range 2 { // the second time it is no other router
 			if _, err := from.Write([]byte{1, 0, 32}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		waitUntil(t, fmt.Sprint(n+1, " heard"), s, func() bool { return slices.Max(append(told.sizes, 0)) == max(3, n+2) })
+		waitUntil(t, fmt.Sprint(n+1, " heard"), s, func() bool {
+			return slices.Max(append(recorder.sizes, 0)) == max(3, n+2)
+		})
 	}
-	if got := callOnLoop(s, func() []int { return slices.Clone(told.sizes) }); !slices.Equal(got, []int{3, 4, 5, 6}) {
-		t.Errorf("the module was told %v", got)
+	sizes := callOnLoop(s, func() []int { return slices.Clone(recorder.sizes) })
+	if !slices.Equal(sizes, []int{3, 4, 5, 6}) {
+		t.Errorf("the balancer was told %v", sizes)
 	}
 }
--- a/internal/service/pool_test.go
+++ b/internal/service/pool_test.go
@@ -6,9 +6,12 @@
 	"bendtrestle/balancer"
 )
 
-// Where second copies are barred nothing is sent behind another execution: one given up behind a long value would still be out.
+// Where hedging is not allowed no attempt is sent behind another: one that is given up behind a long value would stay in flight.
 func TestOneAttemptAConnectionWithoutHedging(t *testing.T) {
-	if requestsPerConnection(balancer.Settings{}, 100) != 1 || requestsPerConnection(balancer.Settings{HedgingAllowed: true}, 100) != 100 {
-		t.Error("executions are sent behind others")
+	if got := requestsPerConnection(balancer.Settings{}, 100); got != 1 {
+		t.Errorf("without hedging %d attempts share a connection", got)
+	}
+	if got := requestsPerConnection(balancer.Settings{HedgingAllowed: true}, 100); got != 100 {
+		t.Errorf("with hedging %d attempts share a connection", got)
 	}
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -13,10 +13,11 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-// SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the
-// watch there without a gap, and neither ends the router nor an operation.
+// SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the watch there
+// without a gap, and neither ends the router or a request.
 func TestNewConfiguration(t *testing.T) {
-	old, other := startCacheServer(t, 300*time.Millisecond), startCacheServer(t, 0)
+	old := startCacheServer(t, 300*time.Millisecond)
+	other := startCacheServer(t, 0)
 	s, addr, _ := startServing(t, old)
 	defer s.loop.Post(s.end)
 	path := filepath.Join(t.TempDir(), "config.json")
@@ -28,27 +29,25 @@
 	defer close(signals)
 	answer := make(chan string, 1)
 	go func() { answer <- sendCommand(addr, firstGet) }()
-	for _, c := range []struct{ text, follows string }{
-		{"{", old}, // the file is broken
-		{fmt.Sprintf(baseConfig, addr, "nowhere"), old},
-		{fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // nobody is there: the old list service goes on telling
-		{fmt.Sprintf(baseConfig, "127.0.0.1:1", other), other},
+	for _, file := range []struct{ name, text, follows string }{
+		{"broken", "{", old},
+		{"no address", fmt.Sprintf(baseConfig, addr, "nowhere"), old},
+		{"nobody there", fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // the old list service goes on telling
+		{"another list service", fmt.Sprintf(baseConfig, "127.0.0.1:1", other), other},
 	} {
-		os.WriteFile(path, []byte(c.text), 0o600)
+		os.WriteFile(path, []byte(file.text), 0o600)
 		signals <- syscall.SIGHUP
 		var follows string
-		for deadline := time.Now().Add(3 * time.Second); follows != c.follows && time.Now().Before(deadline); {
+		for deadline := time.Now().Add(3 * time.Second); follows != file.follows && time.Now().Before(deadline); {
 			time.Sleep(50 * time.Millisecond)
-			done := make(chan string)
-			s.loop.Post(func() { done <- s.pools.platform.watch.address })
-			follows = <-done
+			follows = callOnLoop(s, func() string { return s.pools.platform.watch.address })
 		}
-		if follows != c.follows {
-			t.Errorf("after %s it follows %s", c.text, follows)
+		if follows != file.follows {
+			t.Errorf("%s: it follows %s", file.name, follows)
 		}
 	}
 	if got := <-answer; got != "VA 2 Oa1" {
-		t.Errorf("an operation under way is answered %q", got)
+		t.Errorf("a request in flight is answered %q", got)
 	}
 	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" || s.clients.listener == nil {
 		t.Errorf("moved, it answers %q", got)
@@ -58,9 +57,13 @@
 // A disk that hangs while SIGHUP's file is read must not hide SIGTERM, however many SIGHUPs came before it.
 func TestSIGTERMIsHeardWhileAFileIsRead(t *testing.T) {
 	s, _, ended := startServing(t, startCacheServer(t, 0))
-	signals, read := make(chan os.Signal), make(chan bool)
-	defer close(read)
-	go s.handleSignals(signals, func() (Setup, error) { <-read; return Setup{}, errors.New("never") })
+	signals := make(chan os.Signal)
+	hang := make(chan bool)
+	defer close(hang)
+	go s.handleSignals(signals, func() (Setup, error) {
+		<-hang
+		return Setup{}, errors.New("never")
+	})
 	for range 20 {
 		signals <- syscall.SIGHUP
 	}
@@ -76,14 +79,16 @@
 // A configuration that comes after SIGTERM, or in one round with it, moves the list service and opens nothing.
 func TestAConfigurationAfterTheEndBegan(t *testing.T) {
 	s, _, _ := startServing(t, startCacheServer(t, 0))
-	set := Setup{Platform: s.conf, Operators: operatorconfig.File{Teams: []operatorconfig.Team{{Name: "late", Listen: freeAddress(t), Budget: 1}}}}
-	set.Platform.Discovery = "127.0.0.1:1"
-	callOnLoop(s, func() bool {
+	team := operatorconfig.Team{Name: "late", Listen: freeAddress(t), Budget: 1}
+	setup := Setup{Platform: s.conf, Operators: operatorconfig.File{Teams: []operatorconfig.Team{team}}}
+	setup.Platform.Discovery = "127.0.0.1:1"
+	runOnLoop(s, func() {
 		s.beginShutdown()
-		s.reconfigure(set)
-		if len(s.clients.teamListeners) > 0 || s.broker.Revision() > 0 || s.pools.platform.nextWatch == nil || s.pools.platform.nextWatch.address != "127.0.0.1:1" {
-			t.Errorf("%d listeners, revision %d, it goes on to %+v", len(s.clients.teamListeners), s.broker.Revision(), s.pools.platform.nextWatch)
+		s.reconfigure(setup)
+		listeners := len(s.clients.teamListeners)
+		next := s.pools.platform.nextWatch
+		if listeners > 0 || s.broker.Revision() > 0 || next == nil || next.address != "127.0.0.1:1" {
+			t.Errorf("%d listeners, revision %d, it goes on to %+v", listeners, s.broker.Revision(), next)
 		}
-		return true
 	})
 }
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -8,29 +8,39 @@
 	"bendtrestle/internal/policy/zonefailover"
 )
 
-// How an execution ended says something of a zone, or not: a client in a hurry and what was never sent say nothing.
+// How an attempt ended says something against its zone, or not: a client in a hurry and what was never sent say nothing.
 func TestZoneEvidence(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
-	callOnLoop(s, func() bool {
+	runOnLoop(s, func() {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		return true
 	})
-	for _, c := range []struct {
-		how  balancer.Outcome
-		took float64
-		bad  bool
-	}{{balancer.TimedOut, 0.5, true}, {balancer.TimedOut, 0.05, false}, {balancer.ConnectFailed, 0, true}, {balancer.ConnectionLost, 0, true},
-		{balancer.NotAttempted, 0.5, false}, {balancer.Cancelled, 0.5, false}, {balancer.ServerError, 0.1, false}, {balancer.Overloaded, 0, false}} {
-		suspected := callOnLoop(s, func() int {
-			f := zonefailover.New(zonefailover.Settings{RouterCount: 1})
-			s.zones.fleet = f
-			f.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
-			s.zones.AttemptEnded("a", s.zones.AttemptStarted("a", 0.2), c.how, c.took, 0.2)
-			return f.Statuses(s.loop.Now())[0].VotesAgainst
+	const within = 0.2 // seconds
+	for _, attempt := range []struct {
+		name    string
+		outcome balancer.Outcome
+		took    float64 // seconds
+		against bool
+	}{
+		{"timed out", balancer.TimedOut, 0.5, true},
+		{"timed out, in a hurry", balancer.TimedOut, 0.05, false},
+		{"connect failed", balancer.ConnectFailed, 0, true},
+		{"connection lost", balancer.ConnectionLost, 0, true},
+		{"not attempted", balancer.NotAttempted, 0.5, false},
+		{"cancelled", balancer.Cancelled, 0.5, false},
+		{"server error", balancer.ServerError, 0.1, false},
+		{"overloaded", balancer.Overloaded, 0, false},
+	} {
+		votes := callOnLoop(s, func() int {
+			controller := zonefailover.New(zonefailover.Settings{RouterCount: 1})
+			s.zones.fleet = controller
+			controller.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+			mark := s.zones.AttemptStarted("a", within)
+			s.zones.AttemptEnded("a", mark, attempt.outcome, attempt.took, within)
+			return controller.Statuses(s.loop.Now())[0].VotesAgainst
 		})
-		if (suspected > 0) != c.bad {
-			t.Errorf("outcome %d after %v s: %d against the zone, want some: %t", c.how, c.took, suspected, c.bad)
+		if (votes > 0) != attempt.against {
+			t.Errorf("%s: %d against the zone, want some: %t", attempt.name, votes, attempt.against)
 		}
 	}
 }
