--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -6,12 +6,12 @@
 	"testing"
 	"time"
 
-	"bendtrestle/internal/config"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
 
+// contractFile has places for the pool's list service, more of the pool's keys, the team's listener and its budget.
 const contractFile = `
 [[pool]]
 name = "stock"
@@ -33,100 +33,84 @@
 benefit = 1
 `
 
-// A pool and a contract come, change, and go by SIGHUP while the router serves: operations end under what they began
+// A pool and a contract come, change, and go by SIGHUP while the router serves: requests end under the contract that they began
 // with, listeners open and close, and what has no contract goes to the platform's pool as before.
 func TestContractsWhileServing(t *testing.T) {
-	platform, stock := startCacheServer(t, 0), startCacheServer(t, 300*time.Millisecond)
+	platform := startCacheServer(t, 0)
+	stock := startCacheServer(t, 300*time.Millisecond)
 	s, addr, _ := startServing(t, platform)
 	defer s.loop.Post(s.end)
-	own := freeAddress(t)
-	set := func(text string) {
-		f := parseOperators(t, text)
-		done := make(chan bool)
-		s.loop.Post(func() { s.reconfigure(Setup{Platform: s.conf, Operators: f}); close(done) })
-		<-done
+	teamAddr := freeAddress(t)
+	reconfigure := func(text string) {
+		operators := parseOperators(t, text)
+		runOnLoop(s, func() { s.reconfigure(Setup{Platform: s.conf, Operators: operators}) })
 	}
-	wait := func(what string, is func() bool) {
-		t.Helper()
-		for i := 0; ; i++ {
-			if is() {
-				return
-			}
-			if i > 300 {
-				t.Fatalf("%s does not come", what)
-			}
-			time.Sleep(10 * time.Millisecond)
-		}
+	sent := 0
+	send := func(addr, more string) string {
+		sent++
+		return sendCommand(addr, fmt.Sprintf("mg k v Oc%d Pc=t,d=1900%s", sent, more))
 	}
-	n := 0
-	command := func(more string) string {
-		n++
-		return fmt.Sprintf("mg k v Oc%d Pc=t,d=1900%s", n, more)
-	}
-	set(fmt.Sprintf(contractFile, stock, "", own, 2.0))
-	wait("the pool", func() bool { return strings.HasPrefix(sendCommand(own, command("")), "VA") })
-	if got := sendCommand(addr, command(",tenant=pharmacy")); !strings.HasPrefix(got, "VA") {
+	succeeded := func(answer string) bool { return strings.HasPrefix(answer, "VA") }
+
+	reconfigure(fmt.Sprintf(contractFile, stock, "", teamAddr, 2.0))
+	waitFor(t, "the pool", 300, func() bool { return succeeded(send(teamAddr, "")) })
+	if got := send(addr, ",tenant=pharmacy"); !succeeded(got) {
 		t.Errorf("by tenant it is answered %q", got)
 	}
 	began := time.Now()
-	if got := sendCommand(addr, command("")); !strings.HasPrefix(got, "VA") || time.Since(began) > 250*time.Millisecond {
+	if got := send(addr, ""); !succeeded(got) || time.Since(began) > 250*time.Millisecond {
 		t.Errorf("without a contract it is answered %q after %v", got, time.Since(began))
 	}
-	answer := make(chan string)
-	go func() { answer <- sendCommand(own, command("")) }()
+	inFlight := make(chan string)
+	command := fmt.Sprintf("mg k v Oc%d Pc=t,d=1900", 1000)
+	go func() { inFlight <- sendCommand(teamAddr, command) }()
 	time.Sleep(50 * time.Millisecond)
-	set(fmt.Sprintf(contractFile, stock, "", own, 0.0)) // nothing more, from now on
-	if got := sendCommand(own, command("")); got != "SERVER_ERROR busy" && got[:len("SERVER_ERROR busy")] != "SERVER_ERROR busy" {
-		t.Errorf("with a budget of nothing it is answered %q", got)
+
+	reconfigure(fmt.Sprintf(contractFile, stock, "", teamAddr, 0.0)) // no budget from now on
+	if got := send(teamAddr, ""); !strings.HasPrefix(got, "SERVER_ERROR busy") {
+		t.Errorf("without a budget it is answered %q", got)
 	}
-	if got := <-answer; !strings.HasPrefix(got, "VA") {
-		t.Errorf("an operation under way is answered %q", got)
+	if got := <-inFlight; !succeeded(got) {
+		t.Errorf("a request in flight is answered %q", got)
 	}
-	set("[broker]\nothers = \"nobody\"\n")
-	wait("the listener's end", func() bool { return sendCommand(own, command("")) == "no connection" })
-	if got := sendCommand(addr, command("")); got != "CLIENT_ERROR no contract holds for this traffic" {
+
+	reconfigure("[broker]\nothers = \"nobody\"\n")
+	waitFor(t, "the listener's end", 300, func() bool { return send(teamAddr, "") == "no connection" })
+	if got := send(addr, ""); got != "CLIENT_ERROR no contract holds for this traffic" {
 		t.Errorf("without any contract it is answered %q", got)
 	}
-	wait("the pool's end", func() bool {
-		left := make(chan int)
-		s.loop.Post(func() { left <- len(s.pools.named) + len(s.pools.retiring) })
-		return <-left == 0
+	waitFor(t, "the pool's end", 300, func() bool {
+		pools := callOnLoop(s, func() int { return len(s.pools.named) + len(s.pools.retiring) })
+		return pools == 0
 	})
-	set("")
-	if got := sendCommand(addr, command("")); !strings.HasPrefix(got, "VA") {
+
+	reconfigure("")
+	if got := send(addr, ""); !succeeded(got) {
 		t.Errorf("as at first it is answered %q", got)
 	}
 }
 
-// A pool whose list never comes costs the others nothing, and serves nobody.
+// A pool whose endpoint list never comes costs the others nothing, and serves nobody.
 func TestPoolWithoutServers(t *testing.T) {
-	platform, addr, own := startCacheServer(t, 0), freeAddress(t), freeAddress(t)
-	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, platform), func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := assemble(Setup{Platform: conf, Operators: parseOperators(t, fmt.Sprintf(contractFile, "127.0.0.1:1", "", own, 2.0))}, requestcore.DefaultBalancer, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
+	platform := startCacheServer(t, 0)
+	addr := freeAddress(t)
+	teamAddr := freeAddress(t)
+	operators := parseOperators(t, fmt.Sprintf(contractFile, "127.0.0.1:1", "", teamAddr, 2.0))
+	conf := parseConfig(t, baseConfig, addr, platform, "")
+	s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.Nop())
 	defer s.loop.Post(s.end)
 	go s.loop.Run()
-	for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
-		if i > 300 {
-			t.Fatal("it does not come to serve")
-		}
-		time.Sleep(10 * time.Millisecond)
-	}
+	waitFor(t, "serving", 300, func() bool { return sendCommand(addr, "mn") == "MN" })
 	began := time.Now()
-	if got := sendCommand(own, "mg k v Ox Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 200*time.Millisecond {
+	got := sendCommand(teamAddr, "mg k v Ox Pc=t,d=1900")
+	if !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 200*time.Millisecond {
 		t.Errorf("the pool without servers answers %q after %v", got, time.Since(began))
 	}
 	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
 		t.Errorf("the platform's pool answers %q", got)
 	}
-	tally := make(chan uint64)
-	s.loop.Post(func() { tally <- s.broker.States()[0].Reasons[requestcore.ReasonNoEndpoint] })
-	if got := <-tally; got != 1 {
-		t.Errorf("%d declines are for want of a server", got)
+	rejections := callOnLoop(s, func() uint64 { return s.broker.States()[0].Reasons[requestcore.ReasonNoEndpoint] })
+	if rejections != 1 {
+		t.Errorf("%d rejections are for want of a server", rejections)
 	}
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -16,52 +16,72 @@
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/peertransport"
 	"bendtrestle/internal/policy/gossip"
-	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
 )
 
-// peerConfig gives the platform's configuration of one of so many routers, of which the first two have the addresses given.
-func peerConfig(t *testing.T, me, routers int, first ...string) config.Config {
+// bytesPerSecond is the budget of gossip in these tests.
+const bytesPerSecond = 7000
+
+// peerConfig gives the platform's configuration of one of so many routers, of which the first have the addresses given.
+func peerConfig(t *testing.T, index, routers int, first ...string) config.Config {
 	t.Helper()
-	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, freeAddress(t), "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": t.TempDir()}[name] })
-	if err != nil {
-		t.Fatal(err)
-	}
-	conf.Settings.GossipAllowed, conf.Settings.RouterIndex, conf.Settings.RouterCount = true, me, routers
+	conf := parseConfig(t, baseConfig, freeAddress(t), "127.0.0.1:1", t.TempDir())
+	conf.Settings.GossipAllowed = true
+	conf.Settings.RouterIndex = index
+	conf.Settings.RouterCount = routers
 	conf.Peers = first
 	for i := len(first); i < routers; i++ {
 		conf.Peers = append(conf.Peers, fmt.Sprintf("127.99.%d.%d:9", i/250, i%250+1))
 	}
-	conf.PeerListen = conf.Peers[me]
+	conf.PeerListen = conf.Peers[index]
 	return conf
 }
 
-// startOtherRouters is the rest of a fleet on its own sockets, from a place on: the part of each that words go through, without a router round it.
-func startOtherRouters(t *testing.T, at []string, from int, ids []uint16) {
-	var names []uint32
-	for _, text := range at {
-		names = append(names, crc32.ChecksumIEEE([]byte(text)))
+// startOtherRouters starts the rest of a fleet on its own sockets, from an index on: the gossip part of each, without a router
+// round it.
+func startOtherRouters(t *testing.T, addresses []string, from int, servers []uint16) {
+	var hashes []uint32
+	for _, address := range addresses {
+		hashes = append(hashes, crc32.ChecksumIEEE([]byte(address)))
 	}
 	began := time.Now()
 	now := func() float64 { return time.Since(began).Seconds() }
-	var lock sync.Mutex
-	var fleets []*gossip.Gossiper
-	var ways []*peertransport.Peers
-	for me := from; me < len(at); me++ {
-		f := gossip.New(now(), gossip.Settings{Self: me, Seed: uint32(me), Incarnation: uint32(me), BytesPerSecond: 7000, LongestObjective: 0.6}, gossip.NewView(names))
-		f.SetServers(ids)
-		p, err := peertransport.Open(at[me], "", at, me, func(_ netip.AddrPort, from int, words []byte) {
-			lock.Lock()
-			defer lock.Unlock()
-			f.OnDatagram(now(), from, words)
-		}, zerolog.Nop())
+	var mu sync.Mutex
+	var gossipers []*gossip.Gossiper
+	var transports []*peertransport.Peers
+	for index := from; index < len(addresses); index++ {
+		gossiper := gossip.New(now(), gossip.Settings{
+			Self:             index,
+			Seed:             uint32(index),
+			Incarnation:      uint32(index),
+			BytesPerSecond:   bytesPerSecond,
+			LongestObjective: 0.6,
+		}, gossip.NewView(hashes))
+		gossiper.SetServers(servers)
+		received := func(_ netip.AddrPort, from int, message []byte) {
+			mu.Lock()
+			defer mu.Unlock()
+			gossiper.OnDatagram(now(), from, message)
+		}
+		transport, err := peertransport.Open(addresses[index], "", addresses, index, received, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		fleets, ways = append(fleets, f), append(ways, p)
+		gossipers = append(gossipers, gossiper)
+		transports = append(transports, transport)
+	}
+	step := func() {
+		mu.Lock()
+		defer mu.Unlock()
+		for i, gossiper := range gossipers {
+			for _, datagram := range gossiper.Tick(now()) {
+				transports[i].Send(datagram.To, datagram.Bytes)
+			}
+		}
 	}
-	stop, stopped := make(chan bool), make(chan bool)
+	stop := make(chan bool)
+	stopped := make(chan bool)
 	go func() {
 		defer close(stopped)
 		for {
@@ -69,96 +89,96 @@
 			case <-stop:
 				return
 			case <-time.After(50 * time.Millisecond):
+				step()
 			}
-			lock.Lock()
-			for i, f := range fleets {
-				for _, d := range f.Tick(now()) {
-					ways[i].Send(d.To, d.Bytes)
-				}
-			}
-			lock.Unlock()
 		}
 	}()
-	t.Cleanup(func() { close(stop); <-stopped })
+	t.Cleanup(func() {
+		close(stop)
+		<-stopped
+	})
 }
 
-// What one router's module tells comes to hold at another, by sockets, in a fleet of a hundred.
+// What one router's balancer says comes to hold at another, by sockets, in a fleet of a hundred.
 func TestGossipOnSockets(t *testing.T) {
-	var at []string
+	var addresses []string
 	for range 100 {
-		at = append(at, freeUDPAddress(t))
+		addresses = append(addresses, freeUDPAddress(t))
 	}
-	set := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}
-	var both []*Service
-	for me := range 2 {
-		conf := peerConfig(t, me, 100, at...)
+	operators := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: bytesPerSecond}}
+	var services []*Service
+	for index := range 2 {
+		conf := peerConfig(t, index, 100, addresses...)
 		conf.Known = discovery.List{Generation: 1, Whole: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
-		}
-		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.DefaultBalancer, zerolog.Nop())
-		if err != nil {
-			t.Fatal(err)
+			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{
+				Addr:     netip.MustParseAddrPort("127.0.0.1:1"),
+				Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1},
+			})
 		}
+		s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.Nop())
 		if s.gossip == nil {
-			t.Fatal("a hundred routers tell each other one by one")
+			t.Fatal("each of a hundred routers sends to all others")
 		}
-		both = append(both, s)
+		services = append(services, s)
 	}
-	for _, s := range both {
+	for _, s := range services {
 		s.runLoop(t)
 	}
-	startOtherRouters(t, at, 2, []uint16{7, 8})
-	tell, looks := both[0].gossipSender(""), 0
-	waitUntil(t, "an entry at the other router", both[1], func() bool {
-		if looks++; looks%50 == 1 { // the first ones may come before they know each other
-			both[0].loop.Post(func() { tell([]byte{7, 0, 32, 8, 0, 64}) })
+	startOtherRouters(t, addresses, 2, []uint16{7, 8})
+	sender, receiver := services[0], services[1]
+	send := sender.gossipSender("")
+	looks := 0
+	waitUntil(t, "an entry at the other router", receiver, func() bool {
+		looks++
+		if looks%50 == 1 { // the first ones may come before they know each other
+			sender.loop.Post(func() { send([]byte{7, 0, 32, 8, 0, 64}) })
 		}
-		one, _, _, ok := both[1].gossip.fleet.Summary(both[1].loop.Now(), 7)
-		two, _, _, too := both[1].gossip.fleet.Summary(both[1].loop.Now(), 8)
-		return ok && too && one > 0 && two > 0
+		one, _, _, oneKnown := receiver.gossip.fleet.Summary(receiver.loop.Now(), 7)
+		two, _, _, twoKnown := receiver.gossip.fleet.Summary(receiver.loop.Now(), 8)
+		return oneKnown && twoKnown && one > 0 && two > 0
 	})
 }
 
-// With gossip off, at three routers, and where no list tells who is there, what the module tells goes to all, word for word.
+// With gossip off, at three routers, and where no list tells who is there, what the balancer says goes to all as it is.
 func TestGossipOff(t *testing.T) {
-	for _, c := range []struct {
-		why     string
+	for _, fleet := range []struct {
+		name    string
 		routers int
-		set     operatorconfig.Gossip
-	}{{"off", 100, operatorconfig.Gossip{BytesPerSecond: 7000}}, {"three routers", 3, operatorconfig.Gossip{On: true, BytesPerSecond: 7000}},
-		{"eighty routers", 80, operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}} {
+		gossip  operatorconfig.Gossip
+	}{
+		{"off", 100, operatorconfig.Gossip{BytesPerSecond: bytesPerSecond}},
+		{"three routers", 3, operatorconfig.Gossip{On: true, BytesPerSecond: bytesPerSecond}},
+		{"eighty routers", 80, operatorconfig.Gossip{On: true, BytesPerSecond: bytesPerSecond}},
+	} {
 		peer, err := net.ListenPacket("udp", "127.0.0.1:0")
 		if err != nil {
 			t.Fatal(err)
 		}
 		defer peer.Close()
-		s, err := assemble(Setup{Platform: peerConfig(t, 0, c.routers, freeUDPAddress(t), peer.LocalAddr().String()), Operators: operatorconfig.File{Gossip: c.set}}, requestcore.DefaultBalancer, zerolog.Nop())
-		if err != nil {
-			t.Fatal(err)
-		}
+		conf := peerConfig(t, 0, fleet.routers, freeUDPAddress(t), peer.LocalAddr().String())
+		operators := operatorconfig.File{Gossip: fleet.gossip}
+		s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.Nop())
 		s.runLoop(t)
-		words := "abcabcabc"
-		callOnLoop(s, func() bool { s.gossipSender("")([]byte(words)); return true })
-		buf := make([]byte, 300)
-		n, _, err := peer.ReadFrom(buf)
-		if err != nil || string(buf[:n]) != words || s.gossip != nil {
-			t.Errorf("%s: the first that the peer has is %q, %v", c.why, buf[:n], err)
+		message := "abcabcabc"
+		runOnLoop(s, func() { s.gossipSender("")([]byte(message)) })
+		received := make([]byte, 300)
+		n, _, err := peer.ReadFrom(received)
+		if err != nil || string(received[:n]) != message || s.gossip != nil {
+			t.Errorf("%s: the first that the peer has is %q, %v", fleet.name, received[:n], err)
 		}
 	}
 }
 
-// A list without this router in it, or a platform that lets no peer be told, leaves it off.
+// A list without this router in it, or a platform that does not allow gossip, leaves it off.
 func TestGossipNeedsAList(t *testing.T) {
 	log := &logBuffer{}
 	conf := peerConfig(t, 0, 100, freeUDPAddress(t))
 	conf.Settings.GossipAllowed = false
-	s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: 7000}}}, requestcore.DefaultBalancer, zerolog.New(log))
-	if err != nil {
-		t.Fatal(err)
-	}
+	operators := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: bytesPerSecond}}
+	s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.New(log))
 	s.runLoop(t)
 	if s.gossip != nil || !strings.Contains(log.text(), "no list of peers with this router in it") {
-		t.Errorf("it is on, or nothing was said: %s", log.text())
+		t.Errorf("it is on, or nothing was logged: %s", log.text())
 	}
 }
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -162,6 +162,17 @@
 	}
 }
 
+// waitFor waits for a state that is seen from outside, up to so many looks with 10 ms between two.
+func waitFor(t *testing.T, what string, looks int, is func() bool) {
+	t.Helper()
+	for i := 0; !is(); i++ {
+		if i > looks {
+			t.Fatalf("%s does not come", what)
+		}
+		time.Sleep(10 * time.Millisecond)
+	}
+}
+
 // waitServing waits until a service serves.
 func waitServing(t *testing.T, s *Service) {
 	t.Helper()
--- a/internal/service/longvalues_test.go
+++ b/internal/service/longvalues_test.go
@@ -10,8 +10,16 @@
 	"time"
 )
 
-// Long values come whole, in order with others, to clients that read slowly or late; there are more of them at once than may be
-// held.
+// waitNothingOpen waits until no request is open and no long value is under way.
+func waitNothingOpen(t *testing.T, s *Service) {
+	t.Helper()
+	waitUntil(t, "rest", s, func() bool {
+		return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0
+	})
+}
+
+// Long values arrive in full, in order with others, at clients that read slowly or late; more of them at once than may be held in
+// memory.
 func TestLongValues(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
@@ -34,11 +42,11 @@
 			t.Error(err)
 		}
 	}
-	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
+	waitNothingOpen(t, s)
 }
 
-// Servers that close right behind a long answer, before clients that read it late or slowly: each has the whole of it, and the door counts
-// no connection that ended with something owed.
+// Servers close right behind a long answer, before clients that read it late or slowly: each has all of it, and the metrics count no
+// connection that ended with something owed.
 func TestServersThatCloseBehindLongValues(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
@@ -61,26 +69,24 @@
 			t.Error(err)
 		}
 	}
-	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
-	s.loop.Post(func() {
-		for line := range strings.Lines(string(s.metrics())) {
-			if strings.HasPrefix(line, "gw.cut.") && !strings.HasSuffix(line, "=0\n") {
-				t.Errorf("the door shows %s", line)
-			}
+	waitNothingOpen(t, s)
+	metrics := callOnLoop(s, s.metrics)
+	for line := range strings.Lines(string(metrics)) {
+		if strings.HasPrefix(line, "gw.cut.") && !strings.HasSuffix(line, "=0\n") {
+			t.Errorf("the metrics show %s", line)
 		}
-		ends <- nil
-	})
-	<-ends
+	}
 }
 
-// One that breaks off ends its client's connection, so that it can tell; one that never begins leaves another try possible; and a
-// client that goes away ends what it asked for.
+// A long value that breaks off ends its client's connection, so that the client can tell; one that never begins leaves a retry
+// possible; and a client that disconnects ends its request.
 func TestLongValueBreaksOff(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
 	for _, key := range []string{"half", "frame"} {
 		_, in := dialAndSend(t, addr, key, key)
-		if text, err := io.ReadAll(in); len(text) < longLength/2 || bytes.HasSuffix(text, []byte("\r\n")) {
+		text, err := io.ReadAll(in)
+		if len(text) < longLength/2 || bytes.HasSuffix(text, []byte("\r\n")) {
 			t.Errorf("%s: %d bytes, %v", key, len(text), err)
 		}
 	}
@@ -90,14 +96,14 @@
 	conn, in := dialAndSend(t, addr, "left", "silent")
 	in.ReadString('\n')
 	conn.Close()
-	waitUntil(t, "rest", s, func() bool { return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0 })
+	waitNothingOpen(t, s)
 	if got := sendCommand(addr, "mg short v Oz Pc=t,d=1900"); got != "VA 2 Oz" {
 		t.Errorf("afterwards it answers %q", got)
 	}
 }
 
-// A long value that is on its way as the router is told to end comes whole, also to a client that reads only once the process is
-// gone, as a kill would have it: the kernel has taken all of it.
+// A long value that is under way as the router is told to end arrives in full, also at a client that reads only once the process is
+// gone: the kernel has taken all of it.
 func TestLongValueAtTheEnd(t *testing.T) {
 	s, addr, ended := startServing(t, startScriptedServer(t, serveLongValues))
 	_, in := dialAndSend(t, addr, "a", "fast")
@@ -105,7 +111,7 @@
 	s.loop.Post(s.beginShutdown)
 	select {
 	case <-ended:
-	case <-time.After(1900 * time.Millisecond): // the longest hard stop and its margin are later still
+	case <-time.After(1900 * time.Millisecond): // the longest deadline and its margin are later still
 		t.Error("the router waits for its client")
 	}
 	if err := readLongValue(in, "a"); err != nil {
