--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -9,12 +9,12 @@
 	"net/http/httptest"
 	"os"
 	"strings"
-	"sync"
+	"sync/atomic"
 	"testing"
 	"time"
 
 	"bendtrestle/balancer"
-	"bendtrestle/internal/config"
+	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/policy/startup"
@@ -26,113 +26,142 @@
 	"golang.org/x/sys/unix"
 )
 
-// What was kept goes to the platform's pool alone, and the list's servers count as just started; what is too old, or of another list
-// service, is not used.
+// The completion rate of the snapshot goes to the platform's pool alone, and the servers of its list count as just started; what is
+// too old, or of another list service, is not used.
 func TestSnapshotOfTheLastRun(t *testing.T) {
-	for what, c := range map[string]struct {
-		age   float64
-		from  string
-		rate  float64
-		known int
-	}{"of a minute ago": {60, "127.0.0.1:1", 12, 1}, "of yesterday": {86400, "127.0.0.1:1", 0, 0}, "of another list service": {60, "127.0.0.1:9", 12, 0},
-		"of the future": {-60, "127.0.0.1:1", 0, 0}} {
-		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
-		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
-		body, _ := cbor.Marshal(snapshotList{Generation: 4, Servers: []snapshotServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
-		s.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: now - c.age, Body: []byte("12")})
-		s.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: now - c.age, Source: c.from, Body: body})
-		s.Close(5 * time.Second)
-		conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
+	for _, last := range []struct {
+		name    string
+		age     float64 // seconds
+		from    string  // the list service
+		rate    float64 // that is used
+		servers int     // that are known
+	}{
+		{"of a minute ago", 60, "127.0.0.1:1", 12, 1},
+		{"of yesterday", 86400, "127.0.0.1:1", 0, 0},
+		{"of another list service", 60, "127.0.0.1:9", 12, 0},
+		{"of the future", -60, "127.0.0.1:1", 0, 0},
+	} {
+		dir := t.TempDir()
+		addr := freeAddress(t)
+		now := float64(time.Now().UnixNano()) / 1e9
+		writeSnapshot(dir, addr, last.from, now-last.age)
+		var rates []float64
+		newBalancer := func(now float64, settings balancer.Settings, host balancer.Host) requestcore.Balancer {
+			rates = append(rates, settings.InitialCompletionRate)
+			return balancer.New(now, settings, host)
+		}
+		operators := operatorconfig.File{
+			Recovery: operatorconfig.Recovery{On: true},
+			Pools:    []operatorconfig.Pool{{Name: "other", Discovery: "127.0.0.1:1", Connections: 0.3}},
+		}
+		conf := parseConfig(t, baseConfig, addr, "127.0.0.1:1", dir)
+		s, err := assemble(Setup{Platform: conf, Operators: operators}, newBalancer, zerolog.Nop())
 		if err != nil {
 			t.Fatal(err)
 		}
-		var flows []float64
-		maker := func(now float64, set balancer.Settings, host balancer.Host) requestcore.Balancer {
-			flows = append(flows, set.InitialCompletionRate)
-			return balancer.New(now, set, host)
+		s.runLoop(t)
+		entries := callOnLoop(s, func() []discovery.Entry { return s.conf.Known.Entries })
+		for _, entry := range entries {
+			if entry.StartedAt < now-1 {
+				t.Errorf("%s: a server of the snapshot's list counts as long started", last.name)
+			}
+		}
+		if len(rates) != 2 || rates[0] != last.rate || rates[1] != 0 || len(entries) != last.servers {
+			t.Errorf("%s: rates %v and %d servers, want %v, 0 and %d", last.name, rates, len(entries), last.rate, last.servers)
 		}
-		x, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true},
-			Pools: []operatorconfig.Pool{{Name: "other", Discovery: "127.0.0.1:1", Connections: 0.3}}}}, maker, zerolog.Nop())
-		if err != nil {
+	}
+}
+
+// writeSnapshot writes a snapshot as a process of a router at an address would: a rate of 12 and a list of one server.
+func writeSnapshot(dir, addr, listService string, at float64) {
+	store := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
+	server := balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}
+	list := snapshotList{Generation: 4, Servers: []snapshotServer{{saveMember(server), "127.0.0.1:2"}}}
+	body, _ := cbor.Marshal(list)
+	store.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: at, Body: []byte("12")})
+	store.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: at, Source: listService, Body: body})
+	store.Close(5 * time.Second)
+}
+
+// hangDisk puts a FIFO at each path, which hangs who opens it until the test ends.
+func hangDisk(t *testing.T, paths ...string) {
+	t.Helper()
+	for _, path := range paths {
+		if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
 			t.Fatal(err)
 		}
-		go x.loop.Run()
-		t.Cleanup(func() { x.loop.Post(x.end) })
-		entries := callOnLoop(x, func() int {
-			for _, e := range x.conf.Known.Entries {
-				if e.StartedAt < now-1 {
-					t.Errorf("%s: a server of the kept list counts as long started", what)
-				}
+		t.Cleanup(func() {
+			if file, err := os.OpenFile(path, os.O_RDWR, 0); err == nil {
+				file.Close()
 			}
-			return len(x.conf.Known.Entries)
 		})
-		if len(flows) != 2 || flows[0] != c.rate || flows[1] != 0 || entries != c.known {
-			t.Errorf("%s: rates %v and %d servers, want %v, 0 and %d", what, flows, entries, c.rate, c.known)
-		}
 	}
 }
 
-// All that a start finds hanging at once holds it up for seconds at most, each for its own: a process before it that was stopped, one
-// that holds the lock and the door's address, disks that do not answer, a list service that is silent, then full once. Ready
-// within 10 s is what is to be; 4 s of waits here, 2.5 s for the silent call and at most 1.5 s after the one turned away are less.
+// startSlowListService starts a list service that hangs at the first poll, rejects the second and answers from then on as another
+// one does.
+func startSlowListService(t *testing.T, other string) (at string) {
+	var polls atomic.Int64
+	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
+		switch polls.Add(1) {
+		case 1:
+			<-r.Context().Done()
+		case 2:
+			w.WriteHeader(http.StatusServiceUnavailable)
+		default:
+			answer, err := http.Get("http://" + other + "/catalog/members")
+			if err == nil {
+				io.Copy(w, answer.Body)
+				answer.Body.Close()
+			}
+		}
+	}))
+	t.Cleanup(func() {
+		list.CloseClientConnections()
+		list.Close()
+	})
+	return list.Listener.Addr().String()
+}
+
+// All that a start finds hanging at once holds it up for seconds at most, each for its own: a predecessor that was stopped, a process
+// that holds the lock and the admin server's address, disks that do not answer, a list service that is silent, then full once.
+// Ready within 10 s is the requirement; 4 s of waits here, 2.5 s for the silent poll and at most 1.5 s after the rejected one are
+// less.
 func TestAStartWaitsForNobodyLong(t *testing.T) {
-	for _, kind := range []string{"pushed", "on_request"} {
-		t.Run(kind, func(t *testing.T) {
+	for _, discoveryMode := range []string{"pushed", "on_request"} {
+		t.Run(discoveryMode, func(t *testing.T) {
 			t.Parallel()
-			dir, addr := t.TempDir(), freeAddress(t)
-			before, err := net.ListenUnix("unix", &net.UnixAddr{Name: hotrestart.Path(dir, addr, "sock"), Net: "unix"}) // it accepts nobody
+			dir := t.TempDir()
+			addr := freeAddress(t)
+			socket := &net.UnixAddr{Name: hotrestart.Path(dir, addr, "sock"), Net: "unix"}
+			predecessor, err := net.ListenUnix("unix", socket) // it accepts nobody
 			if err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { before.Close() })
-			for _, path := range []string{hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), snapshot.Path(dir, addr) + ".store-0"} {
-				if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
-					t.Fatal(err)
-				}
-				t.Cleanup(func() {
-					if f, err := os.OpenFile(path, os.O_RDWR, 0); err == nil {
-						f.Close()
-					}
-				})
-			}
+			t.Cleanup(func() { predecessor.Close() })
+			hangDisk(t, hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"),
+				snapshot.Path(dir, addr)+".store-0")
 			lock, _ := os.Create(hotrestart.Path(dir, addr, "out") + ".lock")
 			t.Cleanup(func() { lock.Close() })
-			door, err := net.Listen("tcp", "127.0.0.1:0")
+			adminServer, err := net.Listen("tcp", "127.0.0.1:0")
 			if err = errors.Join(err, unix.Flock(int(lock.Fd()), unix.LOCK_EX)); err != nil {
 				t.Fatal(err)
 			}
-			t.Cleanup(func() { door.Close() })
-			from, calls := startCacheServer(t, 0), 0
-			var mu sync.Mutex
-			list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-				mu.Lock()
-				calls++
-				n := calls
-				mu.Unlock()
-				switch n {
-				case 1:
-					<-r.Context().Done()
-				case 2:
-					w.WriteHeader(http.StatusServiceUnavailable)
-				default:
-					answer, err := http.Get("http://" + from + "/catalog/members")
-					if err == nil {
-						io.Copy(w, answer.Body)
-						answer.Body.Close()
-					}
-				}
-			}))
-			t.Cleanup(func() { list.CloseClientConnections(); list.Close() })
-			text := strings.Replace(fmt.Sprintf(baseConfig, addr, list.Listener.Addr()), `"settings":{`,
-				fmt.Sprintf(`"ops":%q,"settings":{"discovery":%q,"rules":{"askWithin":10000000000},`, door.Addr(), kind), 1)
-			conf, err := config.Parse([]byte(text), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
-			if err != nil {
-				t.Fatal(err)
+			t.Cleanup(func() { adminServer.Close() })
+			list := startSlowListService(t, startCacheServer(t, 0))
+			settings := fmt.Sprintf(`"ops":%q,"settings":{"discovery":%q,"rules":{"askWithin":10000000000},`,
+				adminServer.Addr(), discoveryMode)
+			text := strings.Replace(baseConfig, `"settings":{`, settings, 1)
+			setup := Setup{
+				Platform: parseConfig(t, text, addr, list, dir),
+				Operators: operatorconfig.File{
+					Recovery: operatorconfig.Recovery{On: true},
+					Zones:    operatorconfig.Zones{On: true},
+				},
 			}
 			ready := make(chan *Service, 1)
 			go func() {
-				s, err := assemble(Setup{Platform: conf, Operators: operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}},
-					requestcore.DefaultBalancer, zerolog.Nop())
+				s, err := assemble(setup, requestcore.DefaultBalancer, zerolog.Nop())
 				if err != nil {
 					t.Error(err)
 					return
@@ -153,27 +182,28 @@
 	}
 }
 
-// A call that fails, of which the module is told where lists are asked for, confirms nothing: neither the start's phase nor the list that
-// is kept may take the list of before for one that was told now.
+// A poll that fails, which the balancer is told where lists are polled, confirms nothing: neither the start's phase nor the snapshot
+// may take the list of the last run for one that was told now.
 func TestFailedPollConfirmsNoList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	go s.loop.Run()
-	t.Cleanup(func() { s.loop.Post(s.end) })
-	callOnLoop(s, func() bool {
+	s.runLoop(t)
+	runOnLoop(s, func() {
+		platform := s.pools.platform
 		phase := func() startup.Phase {
 			s.startup.start.Tick(s.loop.Now(), 0, 0)
-			p, _, _ := s.startup.start.Phase()
-			return p
+			phase, _, _ := s.startup.start.Phase()
+			return phase
 		}
-		if s.pools.platform.onPollFailed(s.pools.platform.nextWatch); phase() != startup.Listed {
-			t.Errorf("after a call that failed the start is %s", phase())
+		platform.onPollFailed(platform.nextWatch)
+		if phase() != startup.Listed {
+			t.Errorf("after a poll that failed the start is %s", phase())
 		}
-		if err := s.pools.platform.onList(s.pools.platform.nextWatch, endpointList(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
+		err := platform.onList(platform.nextWatch, endpointList(43, "127.0.0.1:2", "ready"))
+		if err != nil || phase() != startup.Confirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
-		return true
 	})
 }
