--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -8,11 +8,9 @@
 	"strings"
 	"syscall"
 	"testing"
-	"time"
 
 	"bendtrestle/balancer"
 	"bendtrestle/internal/admin"
-	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
@@ -20,7 +18,7 @@
 	"github.com/rs/zerolog"
 )
 
-// goldenOperators is an operators' file with all that adds figures: a contract, zones, gossip and recovery.
+// goldenOperators is an operators' file with all that adds metrics: a contract, zones, gossip and recovery.
 const goldenOperators = `
 [zones]
 on = true
@@ -31,6 +29,7 @@
 bytes_per_second = 7000
 ` + goldenTeam
 
+// goldenTeam has a place for the team's listener.
 const goldenTeam = `
 [[team]]
 name = "pharmacy"
@@ -51,14 +50,14 @@
 benefit = 1
 `
 
-// Dashboards read the figures by their names, and some by their order.
+// Dashboards read the metrics by their names, and some by their order.
 func TestGoldenMetrics(t *testing.T) {
-	for name, operators := range map[string]string{"figures-plain": "", "figures-all": fmt.Sprintf(goldenOperators, freeAddress(t))} {
-		conf := peerConfig(t, 0, 100, freeUDPAddress(t))
-		s, err := assemble(Setup{Platform: conf, Operators: parseOperators(t, operators)}, requestcore.DefaultBalancer, zerolog.Nop())
-		if err != nil {
-			t.Fatal(err)
-		}
+	for name, text := range map[string]string{
+		"figures-plain": "",
+		"figures-all":   fmt.Sprintf(goldenOperators, freeAddress(t)),
+	} {
+		setup := Setup{Platform: peerConfig(t, 0, 100, freeUDPAddress(t)), Operators: parseOperators(t, text)}
+		s := assembleSetup(t, setup, zerolog.Nop())
 		golden(t, name, s.metrics())
 		s.runLoop(t)
 	}
@@ -68,24 +67,26 @@
 func TestGoldenStatusAndZones(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), t.TempDir())
 	waitServing(t, s)
-	d := callOnLoop(s, func() *adminHandler {
+	runOnLoop(s, func() {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		s.admin.handler = &adminHandler{service: s}
-		s.publish()
 		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
-		return s.admin.handler
 	})
-	waitUntil(t, "a list of before", s, func() bool { phase, _, _ := s.startup.start.Phase(); return phase.String() == "listed" })
-	if err := d.EvacuateZone("a"); err != nil {
+	handler := addAdminHandler(s)
+	waitUntil(t, "the list of before", s, func() bool {
+		phase, _, _ := s.startup.start.Phase()
+		return phase.String() == "listed"
+	})
+	if err := handler.EvacuateZone("a"); err != nil {
 		t.Fatal(err)
 	}
-	status, err := d.Status()
+	status, err := handler.Status()
 	if err != nil {
 		t.Fatal(err)
 	}
-	status.PhaseSeconds, status.FullServiceSeconds = 0, 0
-	zones, err := d.Zones()
+	status.PhaseSeconds = 0
+	status.FullServiceSeconds = 0
+	zones, err := handler.Zones()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -102,21 +103,15 @@
 	golden(t, "status-and-zones", text)
 }
 
-// The list as this process tells it to the next one, from a process that runs.
+// The list as this process tells it to its successor, from a process that runs.
 func TestGoldenStateToldToTheNextProcess(t *testing.T) {
-	conf, err := config.Parse(fmt.Appendf(nil, baseConfig, freeAddress(t), "127.0.0.1:1"), func(string) string { return "" })
-	if err != nil {
-		t.Fatal(err)
-	}
-	s, err := assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, zerolog.Nop())
-	if err != nil {
-		t.Fatal(err)
-	}
+	conf := parseConfig(t, baseConfig, freeAddress(t), "127.0.0.1:1", "")
+	s := assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
 	s.runLoop(t)
-	callOnLoop(s, func() bool {
-		s.pools.platform.applyList(balancer.UpdateFull, discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]})
+	runOnLoop(s, func() {
+		list := discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]}
+		s.pools.platform.applyList(balancer.UpdateFull, list)
 		s.pools.platform.generation = 41
-		return true
 	})
 	golden(t, "hotrestart-state-live", successors{s}.State())
 }
@@ -131,105 +126,117 @@
 }
 
 // goldenMessages are the log lines that pages, dashboards or the experiments read.
-var goldenMessages = []string{"starting", "phase", "list", "counts", "contracts", "contract", "configured anew", "drain", "server disabled or enabled by an operator", "zone", "start",
-	"these changes need a restart; the old values stay", "the new configuration cannot be used; the old one stays",
-	"configured anew while leaving: the list service alone counts", "another process of this router serves; this one takes over once it can",
-	"the next process takes clients; this one accepts no more", "the next process has ended; this one takes clients again",
-	"these changes of the operators' file need a restart; the old values stay", "completion rate of the last run, from the snapshot", "the endpoint list of the snapshot is used until another comes",
-	"a team's listener cannot be opened", "recovery is on, but there is no folder (TMPDIR) for the snapshot"}
+var goldenMessages = []string{
+	"starting",
+	"phase",
+	"list",
+	"counts",
+	"contracts",
+	"contract",
+	"configured anew",
+	"drain",
+	"server disabled or enabled by an operator",
+	"zone",
+	"start",
+	"these changes need a restart; the old values stay",
+	"the new configuration cannot be used; the old one stays",
+	"configured anew while leaving: the list service alone counts",
+	"another process of this router serves; this one takes over once it can",
+	"the next process takes clients; this one accepts no more",
+	"the next process has ended; this one takes clients again",
+	"these changes of the operators' file need a restart; the old values stay",
+	"completion rate of the last run, from the snapshot",
+	"the endpoint list of the snapshot is used until another comes",
+	"a team's listener cannot be opened",
+	"recovery is on, but there is no folder (TMPDIR) for the snapshot",
+}
 
-// Log lines by level, message and the names of their fields, in order: dashboards find them by these. A life of a router brings them.
+// Log lines by level, message and the names of their fields, in order: dashboards find them by these. The life of a router, with a
+// successor that comes and goes, brings them.
 func TestGoldenLogLines(t *testing.T) {
 	log := &logBuffer{}
-	dir, addr, list := t.TempDir(), freeAddress(t), startCacheServer(t, 0)
-	parse := func(addr, list string) config.Config {
-		conf, err := config.Parse(fmt.Appendf(nil, baseConfig, addr, list), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
-		if err != nil {
-			t.Fatal(err)
-		}
-		return conf
+	dir := t.TempDir()
+	addr := freeAddress(t)
+	list := startCacheServer(t, 0)
+	switchedOn := operatorconfig.File{
+		Recovery: operatorconfig.Recovery{On: true},
+		Zones:    operatorconfig.Zones{On: true},
 	}
-	start := func(set Setup) (*Service, chan error) {
-		s, err := assemble(set, requestcore.DefaultBalancer, zerolog.New(log))
-		if err != nil {
-			t.Fatal(err)
-		}
-		ended := make(chan error, 1)
-		go func() { ended <- s.loop.Run() }()
-		t.Cleanup(func() { s.loop.Post(s.end) })
-		return s, ended
+	start := func(addr, dir string) (*Service, chan error) {
+		setup := Setup{Platform: parseConfig(t, baseConfig, addr, list, dir), Operators: switchedOn}
+		s := assembleSetup(t, setup, zerolog.New(log))
+		return s, s.runLoop(t)
 	}
-	says := func(text string) {
+	waitLogged := func(text string) {
 		t.Helper()
-		for range 500 {
-			if strings.Contains(log.text(), text) {
-				return
-			}
-			time.Sleep(10 * time.Millisecond)
-		}
-		t.Fatalf("no line says %s", text)
+		waitFor(t, text, 500, func() bool { return strings.Contains(log.text(), text) })
 	}
-	switchedOn := operatorconfig.File{Recovery: operatorconfig.Recovery{On: true}, Zones: operatorconfig.Zones{On: true}}
-	first, firstEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
+	first, firstEnded := start(addr, dir)
 	waitServing(t, first)
-	d := callOnLoop(first, func() *adminHandler {
-		first.admin.handler = &adminHandler{service: first}
-		first.publish()
-		return first.admin.handler
-	})
-	callOnLoop(first, func() bool {
+	runOnLoop(first, func() {
 		first.zones.fleet.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		first.startup.save("rate", "this router", []byte("12"))
-		return true
 	})
 	waitUntil(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
-	for _, err := range []error{d.Drain(), d.Undrain(), d.DisableServer("s-1"), d.EnableServer("s-1"), d.EvacuateZone("a"), d.RestoreZone("a")} {
-		if err != nil {
-			t.Fatal(err)
-		}
-	}
-	contracts := parseOperators(t, fmt.Sprintf(goldenTeam, list)) // an address that is taken
-	changed := parse("127.0.0.1:2", list)
-	callOnLoop(first, func() bool {
-		first.reconfigure(Setup{Platform: changed, Operators: contracts})
-		return true
-	})
+	callAll(t, addAdminHandler(first))
+
+	contracts := parseOperators(t, fmt.Sprintf(goldenTeam, list)) // a team at an address that is taken
+	changed := parseConfig(t, baseConfig, "127.0.0.1:2", list, dir)
+	runOnLoop(first, func() { first.reconfigure(Setup{Platform: changed, Operators: contracts}) })
 	if got := sendCommand(addr, "mg k v Oq1 Pc=t,d=1900,tenant=pharmacy"); !strings.HasPrefix(got, "VA") {
 		t.Errorf("the contract's request is answered %q", got)
 	}
-	callOnLoop(first, func() bool { first.logCounts(); return true })
+	runOnLoop(first, first.logCounts)
 	signals := make(chan os.Signal)
 	go first.handleSignals(signals, func() (Setup, error) { return Setup{}, errors.New("not read") })
 	signals <- syscall.SIGHUP
 	close(signals)
-	says("the new configuration cannot be used")
-	second, secondEnded := start(Setup{Platform: parse(addr, list), Operators: switchedOn})
+	waitLogged("the new configuration cannot be used")
+
+	second, secondEnded := start(addr, dir)
 	waitUntil(t, "the successor", first, func() bool { return first.restart.servingSuccessors == 1 })
 	shutDown(t, second, secondEnded)
-	says("has ended; this one takes clients again")
-	callOnLoop(first, func() bool {
+	waitLogged("has ended; this one takes clients again")
+	unchanged := parseConfig(t, baseConfig, addr, list, dir)
+	runOnLoop(first, func() {
 		first.beginShutdown()
-		first.reconfigure(Setup{Platform: parse(addr, list)})
-		return true
+		first.reconfigure(Setup{Platform: unchanged})
 	})
 	<-firstEnded
-	dir = ""
-	third, _ := start(Setup{Platform: parse(freeAddress(t), list), Operators: switchedOn})
+	third, _ := start(freeAddress(t), "")
 	waitServing(t, third)
-	var out strings.Builder
+
+	var lines strings.Builder
 	for _, message := range goldenMessages {
-		out.WriteString(goldenLine(t, log.text(), message))
+		lines.WriteString(goldenLine(t, log.text(), message))
 	}
-	golden(t, "log-lines", []byte(out.String()))
+	golden(t, "log-lines", []byte(lines.String()))
 }
 
-// The fields for reasons of declines, of which a line has only those that there were.
+// callAll calls all that an operator may have done and undone.
+func callAll(t *testing.T, handler *adminHandler) {
+	t.Helper()
+	for _, err := range []error{
+		handler.Drain(),
+		handler.Undrain(),
+		handler.DisableServer("s-1"),
+		handler.EnableServer("s-1"),
+		handler.EvacuateZone("a"),
+		handler.RestoreZone("a"),
+	} {
+		if err != nil {
+			t.Fatal(err)
+		}
+	}
+}
+
+// The fields for reasons of rejections, of which a line has only those that there were.
 func TestGoldenRejectReasons(t *testing.T) {
 	var log strings.Builder
 	logger := zerolog.New(&log)
 	counts := make([]uint64, len(requestcore.ReasonNames))
-	for why := range counts {
-		counts[why] = uint64(why + 1)
+	for reason := range counts {
+		counts[reason] = uint64(reason + 1)
 	}
 	withRejectReasons(logger.Info(), counts).Msg("counts")
 	golden(t, "log-reasons", []byte(strings.TrimSuffix(log.String(), "\n")))
@@ -239,37 +246,38 @@
 func goldenLine(t *testing.T, log, message string) string {
 	t.Helper()
 	for line := range strings.Lines(log) {
-		decoder := json.NewDecoder(strings.NewReader(line))
-		var names []string
-		var level, said string
-		for name := ""; decoder.More() || name == ""; {
-			token, err := decoder.Token()
-			if err != nil {
-				break
-			}
-			if _, opening := token.(json.Delim); opening {
-				continue
-			}
-			name = token.(string)
-			var value json.RawMessage
-			if decoder.Decode(&value) != nil {
-				break
-			}
-			switch name {
-			case "level":
-				level = string(value)
-			case "message":
-				json.Unmarshal(value, &said)
-			default:
-				if !strings.Contains(name, "connections cut, ") { // depends on who closes first
-					names = append(names, name)
-				}
-			}
-		}
+		level, said, fields := parseLogLine(line)
 		if said == message {
-			return fmt.Sprintf("%s %q %s\n", level, said, strings.Join(names, ", "))
+			return fmt.Sprintf("%q %q %s\n", level, said, strings.Join(fields, ", "))
 		}
 	}
 	t.Errorf("no line %q", message)
 	return ""
 }
+
+// parseLogLine gives the level, the message and the names of all other fields of a line, in their order. Fields on connections that
+// were cut are left out: whether there are any depends on who closes first.
+func parseLogLine(line string) (level, message string, fields []string) {
+	decoder := json.NewDecoder(strings.NewReader(line))
+	decoder.Token() // the opening brace
+	for decoder.More() {
+		token, err := decoder.Token()
+		if err != nil {
+			break
+		}
+		var value any
+		if decoder.Decode(&value) != nil {
+			break
+		}
+		name, _ := token.(string)
+		switch {
+		case name == "level":
+			level, _ = value.(string)
+		case name == "message":
+			message, _ = value.(string)
+		case !strings.Contains(name, "connections cut, "):
+			fields = append(fields, name)
+		}
+	}
+	return level, message, fields
+}
