--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -19,7 +19,8 @@
 	secondGet = "mg k v Oa2 Pc=t,d=1900"
 )
 
-// sendCommand sends one command on a connection of its own and gives the first line of the answer, or what went wrong.
+// sendCommand sends one command on a connection of its own and gives the first line of the answer, or what went
+// wrong.
 func sendCommand(addr, command string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -105,8 +106,8 @@
 	}
 }
 
-// startClient sends one command after another on one connection, and without a pause one ahead. It tells when the connection is
-// closed, and whether that cut an answer off.
+// startClient sends one command after another on one connection, and without a pause one ahead. It tells when the
+// connection is closed, and whether that cut an answer off.
 func startClient(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
 	ended = make(chan error, 1)
 	key := "short"
@@ -138,8 +139,8 @@
 	return ended
 }
 
-// keepConnections keeps so many connections to an address open until done is closed, each anew as it ends. On each it sends what
-// text gives, and passes on the lines that are answered.
+// keepConnections keeps so many connections to an address open until done is closed, each anew as it ends. On each
+// it sends what text gives, and passes on the lines that are answered.
 func keepConnections(addr string, text func() string, connections int, done chan bool, received func(line string)) {
 	for range connections {
 		go func() {
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -33,8 +33,8 @@
 benefit = 1
 `
 
-// A pool and a contract come, change, and go by SIGHUP while the router serves: requests end under the contract that they began
-// with, listeners open and close, and what has no contract goes to the platform's pool as before.
+// A pool and a contract come, change, and go by SIGHUP while the router serves: requests end under the contract
+// that they began with, listeners open and close, and what has no contract goes to the platform's pool as before.
 func TestContractsWhileServing(t *testing.T) {
 	platform := startCacheServer(t, 0)
 	stock := startCacheServer(t, 300*time.Millisecond)
--- a/internal/service/disabledservers_test.go
+++ b/internal/service/disabledservers_test.go
@@ -19,9 +19,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// A disabled server gets nothing once the call has returned, whatever the list says, and no connection to it is kept. One call
-// to enable it undoes two to disable it, and an id that no list has named is refused. The metrics follow, from 0 for each
-// traffic class.
+// A disabled server gets nothing once the call has returned, whatever the list says, and no connection to it is
+// kept. One call to enable it undoes two to disable it, and an id that no list has named is refused. The metrics
+// follow, from 0 for each traffic class.
 func TestDisabledServer(t *testing.T) {
 	handler, addr, _ := startWithAdmin(t, startScriptedServer(t, serveLongValues))
 	s := handler.service
@@ -89,8 +89,8 @@
 	expectMetrics("gw.cluster_size=1\ngw.cluster_unhealthy=0\n")
 }
 
-// While another process holds the lock of the file, a call to disable holds at this process and says so, and a call to enable
-// changes nothing; both succeed once the lock is free. So it is with zones.
+// While another process holds the lock of the file, a call to disable holds at this process and says so, and a call
+// to enable changes nothing; both succeed once the lock is free. So it is with zones.
 func TestOperatorCallsBesideAHeldLock(t *testing.T) {
 	dir := t.TempDir()
 	addr := freeAddress(t)
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -8,9 +8,9 @@
 	"time"
 )
 
-// A drain tells clients at once, serves what comes meanwhile, and two seconds later no connection is left, whether its client
-// pauses, never pauses or is silent, but for a long value under way, which arrives in full. Undrained at once, and told to end
-// in another drain, the router ends in time.
+// A drain tells clients at once, serves what comes meanwhile, and two seconds later no connection is left, whether
+// its client pauses, never pauses or is silent, but for a long value under way, which arrives in full. Undrained at
+// once, and told to end in another drain, the router ends in time.
 func TestDrain(t *testing.T) {
 	handler, addr, ended := startWithAdmin(t, startScriptedServer(t, serveLongValues))
 	silent, _ := dialAndSend(t, addr, "", "")
--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -16,7 +16,8 @@
 	"github.com/rs/zerolog"
 )
 
-// configWithKnownList is baseConfig with a list that is known at the start, in which s-1 drains, and lists that are polled.
+// configWithKnownList is baseConfig with a list that is known at the start, in which s-1 drains, and lists that are
+// polled.
 var configWithKnownList = strings.Replace(baseConfig, `"settings":{`, `"known":{"generation":42,"reset":true,"instances":[
 	{"instanceId":"s-1","hostPort":"127.0.0.1:2","lifecycle":"draining"},
 	{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"ready"}]},"settings":{"discovery":"on_request",`, 1)
@@ -32,8 +33,8 @@
 	return list
 }
 
-// A start with a known list polls for what changed since, but only the service that told that list. And it leaves time to one
-// that is full: all routers poll it, and polls each 0.1 s would keep it full.
+// A start with a known list polls for what changed since, but only the service that told that list. And it leaves
+// time to one that is full: all routers poll it, and polls each 0.1 s would keep it full.
 func TestKnownListAndBackoffFromAFullListService(t *testing.T) {
 	polls := make(chan string, 1000)
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -67,8 +68,8 @@
 	}
 }
 
-// SIGHUP moves the watch while a list of the old one is on its way: a drain in it must not be taken back by the new service's first
-// list, which lags behind.
+// SIGHUP moves the watch while a list of the old one is on its way: a drain in it must not be taken back by the new
+// service's first list, which lags behind.
 func TestADrainOnItsWayIsNotTakenBackByAServiceThatLags(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), "")
 	waitServing(t, s)
@@ -106,8 +107,8 @@
 	})
 }
 
-// SIGHUP names another list service before the start's own has told anything: a drain that was known must not be taken back by one
-// that lags behind the list that the process started with.
+// SIGHUP names another list service before the start's own has told anything: a drain that was known must not be
+// taken back by one that lags behind the list that the process started with.
 func TestAKnownDrainIsNotTakenBackByAServiceNamedBeforeTheFirstList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
@@ -128,8 +129,8 @@
 	})
 }
 
-// startHangingListService starts a list service whose first two polls hang until back is closed; then it rejects one and answers
-// with a list in which s-2 drains. polls tells each poll.
+// startHangingListService starts a list service whose first two polls hang until back is closed; then it rejects
+// one and answers with a list in which s-2 drains. polls tells each poll.
 func startHangingListService(t *testing.T) (at string, polls, back chan bool) {
 	polls = make(chan bool, 1000)
 	back = make(chan bool)
@@ -161,8 +162,8 @@
 	return server.Listener.Addr().String(), polls, back
 }
 
-// SIGHUP moves the router to a list service that hangs, then rejects polls: the lists of the one before count all the while, and
-// the new one is followed once it answers, both ways of polling.
+// SIGHUP moves the router to a list service that hangs, then rejects polls: the lists of the one before count all
+// the while, and the new one is followed once it answers, both ways of polling.
 func TestAMoveToAServiceThatHangs(t *testing.T) {
 	for _, settings := range []string{`"settings":{`, `"settings":{"discovery":"on_request",`} {
 		text := strings.Replace(baseConfig, `"settings":{`, settings, 1)
@@ -191,8 +192,8 @@
 	}
 }
 
-// A generation that is told again with other entries counts; one that starts again at 0 counts once the service has had time to
-// catch up.
+// A generation that is told again with other entries counts; one that starts again at 0 counts once the service has
+// had time to catch up.
 func TestGenerationsThatRepeatAndStartAgain(t *testing.T) {
 	s, _, _ := startServing(t, startCacheServer(t, 0))
 	runOnLoop(s, func() {
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -63,7 +63,8 @@
 	}
 }
 
-// What the admin server answers as JSON to GET /status and GET /zones, but for the seconds, which differ from run to run.
+// What the admin server answers as JSON to GET /status and GET /zones, but for the seconds, which differ from run
+// to run.
 func TestGoldenStatusAndZones(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), t.TempDir())
 	waitServing(t, s)
@@ -151,8 +152,8 @@
 	"recovery is on, but there is no folder (TMPDIR) for the snapshot",
 }
 
-// Log lines by level, message and the names of their fields, in order: dashboards find them by these. The life of a router, with a
-// successor that comes and goes, brings them.
+// Log lines by level, message and the names of their fields, in order: dashboards find them by these. The life of a
+// router, with a successor that comes and goes, brings them.
 func TestGoldenLogLines(t *testing.T) {
 	log := &logBuffer{}
 	dir := t.TempDir()
@@ -255,8 +256,8 @@
 	return ""
 }
 
-// parseLogLine gives the level, the message and the names of all other fields of a line, in their order. Fields on connections that
-// were cut are left out: whether there are any depends on who closes first.
+// parseLogLine gives the level, the message and the names of all other fields of a line, in their order. Fields on
+// connections that were cut are left out: whether there are any depends on who closes first.
 func parseLogLine(line string) (level, message string, fields []string) {
 	decoder := json.NewDecoder(strings.NewReader(line))
 	decoder.Token() // the opening brace
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -48,7 +48,8 @@
 	}
 }
 
-// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way round.
+// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way
+// round.
 func TestGoldenHotRestartState(t *testing.T) {
 	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
 	for _, entry := range goldenEntries() {
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -23,7 +23,8 @@
 // bytesPerSecond is the budget of gossip in these tests.
 const bytesPerSecond = 7000
 
-// peerConfig gives the platform's configuration of one of so many routers, of which the first have the addresses given.
+// peerConfig gives the platform's configuration of one of so many routers, of which the first have the addresses
+// given.
 func peerConfig(t *testing.T, index, routers int, first ...string) config.Config {
 	t.Helper()
 	conf := parseConfig(t, baseConfig, freeAddress(t), "127.0.0.1:1", t.TempDir())
@@ -38,8 +39,8 @@
 	return conf
 }
 
-// startOtherRouters starts the rest of a fleet on its own sockets, from an index on: the gossip part of each, without a router
-// round it.
+// startOtherRouters starts the rest of a fleet on its own sockets, from an index on: the gossip part of each,
+// without a router round it.
 func startOtherRouters(t *testing.T, addresses []string, from int, servers []uint16) {
 	var hashes []uint32
 	for _, address := range addresses {
@@ -140,7 +141,8 @@
 	})
 }
 
-// With gossip off, at three routers, and where no list tells who is there, what the balancer says goes to all as it is.
+// With gossip off, at three routers, and where no list tells who is there, what the balancer says goes to all as it
+// is.
 func TestGossipOff(t *testing.T) {
 	for _, fleet := range []struct {
 		name    string
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -50,8 +50,8 @@
 	return file
 }
 
-// assembleConfig gives a service that does not run yet, at an address that is free. The configuration's text has places for that
-// address and the list service's.
+// assembleConfig gives a service that does not run yet, at an address that is free. The configuration's text has
+// places for that address and the list service's.
 func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -95,8 +95,8 @@
 	return s, addr, ended
 }
 
-// startProcess starts a process of a router at an address, which knows the list of its list service from the start, if there is
-// one. shared is the folder that all processes of the router share.
+// startProcess starts a process of a router at an address, which knows the list of its list service from the start,
+// if there is one. shared is the folder that all processes of the router share.
 func startProcess(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
 	t.Helper()
 	conf := parseConfig(t, baseConfig, addr, list, shared)
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -41,8 +41,8 @@
 // phaseOf gives the phase of a process that runs.
 func phaseOf(s *Service) Phase { return callOnLoop(s, func() Phase { return s.lifecycle.phase }) }
 
-// The successor is told to end before the predecessor: the latter accepts again at once, not once the successor has completed its
-// requests.
+// The successor is told to end before the predecessor: the latter accepts again at once, not once the successor has
+// completed its requests.
 func TestSuccessorIsToldToEndFirst(t *testing.T) {
 	held := make(chan bool)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
@@ -74,8 +74,8 @@
 	}
 }
 
-// The predecessor is told to end before the successor is ready: the latter answers at once, if only that it starts, not once the
-// predecessor has completed its requests.
+// The predecessor is told to end before the successor is ready: the latter answers at once, if only that it starts,
+// not once the predecessor has completed its requests.
 func TestPredecessorIsToldToEndBeforeTheSuccessorIsReady(t *testing.T) {
 	held := make(chan bool)
 	defer close(held)
@@ -101,7 +101,8 @@
 	}
 }
 
-// The successor dies after it took the sockets and before it is ready: the predecessor never stopped, and has all capacity again.
+// The successor dies after it took the sockets and before it is ready: the predecessor never stopped, and has all
+// capacity again.
 func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
 	addr := freeAddress(t)
 	shared := t.TempDir()
@@ -120,9 +121,9 @@
 	}
 }
 
-// Under load, all in a row: a successor ends by SIGTERM before it is ready, then one that serves; two follow at once and one of
-// them ends; the last follows a process in a drain, and accepts clients. Nothing is refused, reset or left unread, and limits are
-// shared.
+// Under load, all in a row: a successor ends by SIGTERM before it is ready, then one that serves; two follow at
+// once and one of them ends; the last follows a process in a drain, and accepts clients. Nothing is refused, reset
+// or left unread, and limits are shared.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	list := startCacheServer(t, time.Millisecond)
 	shared := t.TempDir()
@@ -161,8 +162,9 @@
 	shutDown(t, two, twoEnded)
 }
 
-// A successor that cannot serve yet takes no client from its predecessor, by inherited sockets or, without a folder, a shared
-// address. It takes them as soon as it can, whether the predecessor has ended, was killed before, or goes on.
+// A successor that cannot serve yet takes no client from its predecessor, by inherited sockets or, without a
+// folder, a shared address. It takes them as soon as it can, whether the predecessor has ended, was killed before,
+// or goes on.
 func TestSuccessorAcceptsOnlyOnceItServes(t *testing.T) {
 	for _, restart := range []struct {
 		name              string
@@ -203,8 +205,8 @@
 	}
 }
 
-// What the predecessor was told last is known from the start: the list service may be silent, and a drain must be kept. A list that
-// cannot be read, is of another list service, or older, is refused as a whole.
+// What the predecessor was told last is known from the start: the list service may be silent, and a drain must be
+// kept. A list that cannot be read, is of another list service, or older, is refused as a whole.
 func TestSuccessorGetsTheEndpointList(t *testing.T) {
 	list := startCacheServer(t, 0)
 	shared := t.TempDir()
@@ -256,8 +258,8 @@
 	return program
 }
 
-// startProgram starts a router as a process of its own, and gives the address of its admin server. dir has its configuration and is
-// its folder for what outlives it.
+// startProgram starts a router as a process of its own, and gives the address of its admin server. dir has its
+// configuration and is its folder for what outlives it.
 func startProgram(t *testing.T, dir string, command ...string) (process *exec.Cmd, ops string) {
 	t.Helper()
 	process = exec.Command(command[0], command[1:]...)
@@ -271,8 +273,8 @@
 	return process, ops
 }
 
-// Two versions follow each other as real processes under load: every request is answered, each predecessor ends by itself with 0,
-// and a server that is disabled at one is disabled at the next, which enables it.
+// Two versions follow each other as real processes under load: every request is answered, each predecessor ends by
+// itself with 0, and a server that is disabled at one is disabled at the next, which enables it.
 func TestHotRestartOfRealProcesses(t *testing.T) {
 	dir := t.TempDir()
 	addr := freeAddress(t)
--- a/internal/service/lifecycle_test.go
+++ b/internal/service/lifecycle_test.go
@@ -23,8 +23,8 @@
 // withoutDeadline is baseConfig with a traffic class that has no deadline.
 var withoutDeadline = strings.Replace(baseConfig, `"hardStop":2000000000,`, "", 1)
 
-// From start to exit: it serves, goes on accepting for a while once told to end, completes the requests in flight, and ends by
-// itself.
+// From start to exit: it serves, goes on accepting for a while once told to end, completes the requests in flight,
+// and ends by itself.
 func TestFromStartToExit(t *testing.T) {
 	// An answer takes longer than new connections are accepted.
 	s, addr, ended := startServing(t, startCacheServer(t, 700*time.Millisecond))
@@ -80,8 +80,8 @@
 	s.loop.Post(s.end)
 }
 
-// Every cache server hangs, and a traffic class has no deadline: what is still open when the process must end is answered first,
-// and all of that can be read.
+// Every cache server hangs, and a traffic class has no deadline: what is still open when the process must end is
+// answered first, and all of that can be read.
 func TestAllThatIsOpenAtTheEndIsAnswered(t *testing.T) {
 	list := startScriptedServer(t, func(net.Conn, string, string) {})
 	s, addr, err := assembleConfig(withoutDeadline, list, zerolog.Nop())
@@ -134,7 +134,8 @@
 	}
 }
 
-// A client stands in the listener's backlog, with its command, as the listener is closed: it is accepted and answered.
+// A client stands in the listener's backlog, with its command, as the listener is closed: it is accepted and
+// answered.
 func TestABacklogAsTheListenerCloses(t *testing.T) {
 	s, addr, _ := startServing(t, startCacheServer(t, 0))
 	var in *bufio.Reader
--- a/internal/service/limits_test.go
+++ b/internal/service/limits_test.go
@@ -42,9 +42,10 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// With the fewest descriptors that the configuration allows, all connections of clients and of the admin server taken by callers
-// that say nothing more, and the list service down, what is reserved is there once the list service returns: its poll gets a
-// descriptor and a server is dialled, the admin server answers, and a successor takes over.
+// With the fewest descriptors that the configuration allows, all connections of clients and of the admin server
+// taken by callers that say nothing more, and the list service down, what is reserved is there once the list
+// service returns: its poll gets a descriptor and a server is dialled, the admin server answers, and a successor
+// takes over.
 func TestReservedDescriptorsAreFreeInACrowd(t *testing.T) {
 	const sockets = 64
 	dir := t.TempDir()
--- a/internal/service/longvalues_test.go
+++ b/internal/service/longvalues_test.go
@@ -18,8 +18,8 @@
 	})
 }
 
-// Long values arrive in full, in order with others, at clients that read slowly or late; more of them at once than may be held in
-// memory.
+// Long values arrive in full, in order with others, at clients that read slowly or late; more of them at once than
+// may be held in memory.
 func TestLongValues(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
@@ -45,8 +45,8 @@
 	waitNothingOpen(t, s)
 }
 
-// Servers close right behind a long answer, before clients that read it late or slowly: each has all of it, and the metrics count no
-// connection that ended with something owed.
+// Servers close right behind a long answer, before clients that read it late or slowly: each has all of it, and the
+// metrics count no connection that ended with something owed.
 func TestServersThatCloseBehindLongValues(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
@@ -78,8 +78,8 @@
 	}
 }
 
-// A long value that breaks off ends its client's connection, so that the client can tell; one that never begins leaves a retry
-// possible; and a client that disconnects ends its request.
+// A long value that breaks off ends its client's connection, so that the client can tell; one that never begins
+// leaves a retry possible; and a client that disconnects ends its request.
 func TestLongValueBreaksOff(t *testing.T) {
 	s, addr, _ := startServing(t, startScriptedServer(t, serveLongValues))
 	t.Cleanup(func() { s.loop.Post(s.end) })
@@ -102,8 +102,8 @@
 	}
 }
 
-// A long value that is under way as the router is told to end arrives in full, also at a client that reads only once the process is
-// gone: the kernel has taken all of it.
+// A long value that is under way as the router is told to end arrives in full, also at a client that reads only
+// once the process is gone: the kernel has taken all of it.
 func TestLongValueAtTheEnd(t *testing.T) {
 	s, addr, ended := startServing(t, startScriptedServer(t, serveLongValues))
 	_, in := dialAndSend(t, addr, "a", "fast")
--- a/internal/service/peers_test.go
+++ b/internal/service/peers_test.go
@@ -24,7 +24,8 @@
 	r.Balancer.SetFleetSize(now, routers)
 }
 
-// More routers are heard than the settings say: the balancer is told, once for each number; of fewer it hears nothing new.
+// More routers are heard than the settings say: the balancer is told, once for each number; of fewer it hears
+// nothing new.
 func TestFleetSizeCountsRoutersHeard(t *testing.T) {
 	at := freeUDPAddress(t)
 	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"%s",
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -13,8 +13,8 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-// SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the watch there
-// without a gap, and neither ends the router or a request.
+// SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the
+// watch there without a gap, and neither ends the router or a request.
 func TestNewConfiguration(t *testing.T) {
 	old := startCacheServer(t, 300*time.Millisecond)
 	other := startCacheServer(t, 0)
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -10,8 +10,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Whatever part of an answer a cache server withholds, a request of any effect has one final answer by its deadline, and the next
-// command its own.
+// Whatever part of an answer a cache server withholds, a request of any effect has one final answer by its
+// deadline, and the next command its own.
 func TestAnAnswerThatNeverComes(t *testing.T) {
 	text := `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3,"cancelling":true},"trafficTypes":[
 		{"name":"t","effect":"retryable","promisedTime":50000000,"hardStop":100000000,"benefit":1},
@@ -56,8 +56,8 @@
 	}
 }
 
-// A burst takes all capacity while no cache server answers: what comes beyond is rejected. Once its clients have disconnected, or its
-// deadline has passed, the next request is forwarded.
+// A burst takes all capacity while no cache server answers: what comes beyond is rejected. Once its clients have
+// disconnected, or its deadline has passed, the next request is forwarded.
 func TestCapacityComesBackAfterABurst(t *testing.T) {
 	for _, burst := range []struct {
 		name             string
--- a/internal/service/servers_test.go
+++ b/internal/service/servers_test.go
@@ -13,7 +13,8 @@
 	"time"
 )
 
-// startCacheServer starts one cache server, which answers reads after a delay, and the list service that names it s-1.
+// startCacheServer starts one cache server, which answers reads after a delay, and the list service that names it
+// s-1.
 func startCacheServer(t *testing.T, delay time.Duration) (discovery string) {
 	return startScriptedServer(t, func(conn net.Conn, id, _ string) {
 		time.Sleep(delay)
@@ -21,8 +22,8 @@
 	})
 }
 
-// startScriptedServer starts one cache server, which answers commands by their ids and keys, and the list service that names it
-// s-1.
+// startScriptedServer starts one cache server, which answers commands by their ids and keys, and the list service
+// that names it s-1.
 func startScriptedServer(t *testing.T, answer func(conn net.Conn, id, key string)) (discovery string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -68,8 +69,8 @@
 
 var longValue = bytes.Repeat([]byte("0123456789abcdef"), longLength/16)
 
-// serveLongValues answers with a long value, as the key says: "head", "half", "silent" and "frame" a part of it, "short" and
-// "later" a short one, all others the whole of it in pieces of any size.
+// serveLongValues answers with a long value, as the key says: "head", "half", "silent" and "frame" a part of it,
+// "short" and "later" a short one, all others the whole of it in pieces of any size.
 func serveLongValues(conn net.Conn, id, key string) {
 	parts := map[string]int{"head": 0, "half": longLength / 2, "silent": 100, "frame": longLength}
 	part, partly := parts[key]
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -144,8 +144,8 @@
 	}, ",") + "}}", classNames
 }
 
-// Settings of any customer, as their pages allow and beyond: a start either serves by them and gives each request one answer, or names
-// the key that is at fault.
+// Settings of any customer, as their pages allow and beyond: a start either serves by them and gives each request
+// one answer, or names the key that is at fault.
 func TestAnySettingsServeOrNameTheKey(t *testing.T) {
 	list := startCacheServer(t, 0)
 	names := rapid.StringMatching(`[A-Za-z0-9_.:/+-]{1,24}`)
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -26,8 +26,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// The completion rate of the snapshot goes to the platform's pool alone, and the servers of its list count as just started; what is
-// too old, or of another list service, is not used.
+// The completion rate of the snapshot goes to the platform's pool alone, and the servers of its list count as just
+// started; what is too old, or of another list service, is not used.
 func TestSnapshotOfTheLastRun(t *testing.T) {
 	for _, last := range []struct {
 		name    string
@@ -72,7 +72,8 @@
 	}
 }
 
-// writeSnapshot writes a snapshot as a process of a router at an address would: a rate of 12 and a list of one server.
+// writeSnapshot writes a snapshot as a process of a router at an address would: a rate of 12 and a list of one
+// server.
 func writeSnapshot(dir, addr, listService string, at float64) {
 	store := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 	server := balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}
@@ -98,8 +99,8 @@
 	}
 }
 
-// startSlowListService starts a list service that hangs at the first poll, rejects the second and answers from then on as another
-// one does.
+// startSlowListService starts a list service that hangs at the first poll, rejects the second and answers from then
+// on as another one does.
 func startSlowListService(t *testing.T, other string) (at string) {
 	var polls atomic.Int64
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -123,10 +124,10 @@
 	return list.Listener.Addr().String()
 }
 
-// All that a start finds hanging at once holds it up for seconds at most, each for its own: a predecessor that was stopped, a process
-// that holds the lock and the admin server's address, disks that do not answer, a list service that is silent, then full once.
-// Ready within 10 s is the requirement; 4 s of waits here, 2.5 s for the silent poll and at most 1.5 s after the rejected one are
-// less.
+// All that a start finds hanging at once holds it up for seconds at most, each for its own: a predecessor that was
+// stopped, a process that holds the lock and the admin server's address, disks that do not answer, a list service
+// that is silent, then full once. Ready within 10 s is the requirement; 4 s of waits here, 2.5 s for the silent
+// poll and at most 1.5 s after the rejected one are less.
 func TestAStartWaitsForNobodyLong(t *testing.T) {
 	for _, discoveryMode := range []string{"pushed", "on_request"} {
 		t.Run(discoveryMode, func(t *testing.T) {
@@ -182,8 +183,8 @@
 	}
 }
 
-// A poll that fails, which the balancer is told where lists are polled, confirms nothing: neither the start's phase nor the snapshot
-// may take the list of the last run for one that was told now.
+// A poll that fails, which the balancer is told where lists are polled, confirms nothing: neither the start's phase
+// nor the snapshot may take the list of the last run for one that was told now.
 func TestFailedPollConfirmsNoList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
--- a/internal/service/tilepool_test.go
+++ b/internal/service/tilepool_test.go
@@ -103,8 +103,8 @@
 	byPath = "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png"
 )
 
-// serveTestTiles serves tiles as the tests of all requests need them: an error in column 1 of zoom 6, a body beyond all bounds in
-// column 2, else a tile with a tag that names its path.
+// serveTestTiles serves tiles as the tests of all requests need them: an error in column 1 of zoom 6, a body beyond
+// all bounds in column 2, else a tile with a tag that names its path.
 func serveTestTiles(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.Contains(r.URL.Path, "/6/1/"):
@@ -121,8 +121,8 @@
 	}
 }
 
-// A tile is served by every scheme as the tile server made it; every address of the capabilities works; what is faulty is told as
-// the standard has it, and reaches no server.
+// A tile is served by every scheme as the tile server made it; every address of the capabilities works; what is
+// faulty is told as the standard has it, and reaches no server.
 func TestTiles(t *testing.T) {
 	forwarded := make(chan string, 10000)
 	list := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -218,7 +218,8 @@
 	}
 }
 
-// What cannot be read is told by its status and ends the connection; requests behind one another are answered in order.
+// What cannot be read is told by its status and ends the connection; requests behind one another are answered in
+// order.
 func TestTileConnections(t *testing.T) {
 	slow := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "/1/0/0.png") {
@@ -268,8 +269,8 @@
 	}
 }
 
-// A client that closes its connection has gone: its request is cancelled at the tile server, and what it sent before its end, or
-// while it waited to be accepted, is not attempted.
+// A client that closes its connection has gone: its request is cancelled at the tile server, and what it sent
+// before its end, or while it waited to be accepted, is not attempted.
 func TestATileWhoseClientHasLeft(t *testing.T) {
 	begun := make(chan string, 1000)
 	cancelled := make(chan string, 1000)
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -8,7 +8,8 @@
 	"bendtrestle/internal/policy/zonefailover"
 )
 
-// How an attempt ended says something against its zone, or not: a client in a hurry and what was never sent say nothing.
+// How an attempt ended says something against its zone, or not: a client in a hurry and what was never sent say
+// nothing.
 func TestZoneEvidence(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), "127.0.0.1:1", t.TempDir())
 	runOnLoop(s, func() {
