--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -18,7 +18,8 @@
 
 // configWithKnownList is baseConfig with a list that is known at the start, in which s-1 drains, and lists that are
 // polled.
-var configWithKnownList = strings.Replace(baseConfig, `"settings":{`, `"known":{"generation":42,"reset":true,"instances":[
+var configWithKnownList = strings.Replace(baseConfig, `"settings":{`, `"known":{
+	"generation":42,"reset":true,"instances":[
 	{"instanceId":"s-1","hostPort":"127.0.0.1:2","lifecycle":"draining"},
 	{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"ready"}]},"settings":{"discovery":"on_request",`, 1)
 
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -41,9 +41,22 @@
 
 func goldenEntries() []discovery.Entry {
 	return []discovery.Entry{
-		{Endpoint: balancer.Endpoint{ID: 1, State: balancer.Ready, Capacity: 1.5, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1700000000.25},
-			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
-		{Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
+		{
+			Endpoint: balancer.Endpoint{
+				ID:          1,
+				State:       balancer.Ready,
+				Capacity:    1.5,
+				Zone:        "a",
+				Cell:        3,
+				MachineType: "m2",
+				StartedAt:   1700000000.25,
+			},
+			Addr: netip.MustParseAddrPort("127.0.0.9:11211"),
+		},
+		{
+			Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"},
+			Addr:     netip.MustParseAddrPort("[::1]:7"),
+		},
 		{Endpoint: balancer.Endpoint{ID: 7, State: balancer.Removed}},
 	}
 }
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -265,7 +265,8 @@
 	process = exec.Command(command[0], command[1:]...)
 	ops = freeAddress(t)
 	process.Env = append(os.Environ(), "GW_CONFIG="+filepath.Join(dir, "config.json"), "TMPDIR="+dir, "GW_OPS="+ops)
-	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also where the tests end without their cleanup
+	// It ends with the tests, also where they end without their cleanup.
+	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
 	}
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -99,6 +99,16 @@
 	}
 }
 
+// waitExists waits until there is a file. Once hangDisk lets go, the snapshot's store sets the copy aside that it
+// cannot use: without this wait, it would do so while the test's folder is being removed.
+func waitExists(t *testing.T, path string) {
+	t.Helper()
+	waitFor(t, path, 500, func() bool {
+		_, err := os.Stat(path)
+		return err == nil
+	})
+}
+
 // startSlowListService starts a list service that hangs at the first poll, rejects the second and answers from then
 // on as another one does.
 func startSlowListService(t *testing.T, other string) (at string) {
@@ -140,8 +150,9 @@
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { predecessor.Close() })
-			hangDisk(t, hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"),
-				snapshot.Path(dir, addr)+".store-0")
+			storeCopy := snapshot.Path(dir, addr) + ".store-0"
+			t.Cleanup(func() { waitExists(t, storeCopy+".cannot-be-used") })
+			hangDisk(t, hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), storeCopy)
 			lock, _ := os.Create(hotrestart.Path(dir, addr, "out") + ".lock")
 			t.Cleanup(func() { lock.Close() })
 			adminServer, err := net.Listen("tcp", "127.0.0.1:0")
@@ -161,13 +172,14 @@
 				},
 			}
 			ready := make(chan *Service, 1)
+			ended := make(chan error, 1)
 			go func() {
 				s, err := assemble(setup, requestcore.DefaultBalancer, zerolog.Nop())
 				if err != nil {
 					t.Error(err)
 					return
 				}
-				go s.loop.Run()
+				go func() { ended <- s.loop.Run() }()
 				for !callOnLoop(s, s.acceptsClients) {
 					time.Sleep(10 * time.Millisecond)
 				}
@@ -176,6 +188,7 @@
 			select {
 			case s := <-ready:
 				s.loop.Post(s.end)
+				<-ended
 			case <-time.After(10 * time.Second):
 				t.Error("it is not ready")
 			}
