--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -13,7 +13,7 @@
 )
 
 const (
-	quotaGossipIntervalSeconds = 0.1  // between two looks whether the other routers are to be told of quotas
+	quotaGossipIntervalSeconds = 0.1  // between two looks whether quota gossip is to be sent
 	defaultLargestTileKB       = 1024 // ten times a large one
 	defaultHealthCheckPath     = "/"  // of a pool of tile servers
 )
--- a/internal/service/disabledservers_test.go
+++ b/internal/service/disabledservers_test.go
@@ -99,11 +99,11 @@
 	runOnLoop(s, func() {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+		s.zones.controller.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 	})
 	handler := addAdminHandler(s)
 	serverDisabled := func() bool { return s.disabled.ids["s-1"] }
-	zoneEvacuated := func() bool { return s.zones.evacuated["a"] && s.zones.fleet.Share("a") == 0 }
+	zoneEvacuated := func() bool { return s.zones.evacuated["a"] && s.zones.controller.Share("a") == 0 }
 	for _, subject := range []struct {
 		name, file       string
 		takeOut, putBack func(string) error
--- a/internal/service/doc.go
+++ b/internal/service/doc.go
@@ -6,7 +6,7 @@
 //
 //	clients -> frontend -> broker -> requestcore.Core (one a pool) -> upstream -> servers
 //
-// Beside the course of a request stand the endpoint lists (package discovery), what is told between routers
+// Beside the course of a request stand the endpoint lists (package discovery), messages between routers
 // (package peertransport), and the adapters of the policies: zone failover, gossip, startup, quotas. Each concern
 // has its file:
 //
@@ -37,12 +37,13 @@
 // One goroutine, the event loop's, owns the Service and calls all of its methods, unless a comment says otherwise.
 // Others reach it by eventloop.Loop.Post alone: the signals' goroutine and the one that reads the configuration,
 // the endpoint watches, the sockets of other routers, the admin server's handlers, the files of disabled servers
-// and evacuated zones, and the two sides of a hot restart. None of these holds a lock that the loop waits for.
+// and evacuated zones, and the two sides of a hot restart. While the process serves, the loop waits for
+// none of them.
 //
 // # What outlives the process
 //
 // Servers disabled and zones evacuated by an operator are binding and kept in files that all processes of this
 // router share. The snapshot (the endpoint list and the completion rate) is a hint with an age. At a hot restart
-// the successor receives the listening sockets and the endpoint list as last told. All else is learned anew;
+// the successor receives the listening sockets and the endpoint list as last received. All else is learned anew;
 // requests in flight end with the process.
 package service
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -14,8 +14,8 @@
 	return h.onLoop(func() error { return h.service.setDraining(false) })
 }
 
-// setDraining begins or ends sending clients away: they are told at once, connections are closed as they become
-// idle from acceptAfterSignalSeconds on, and all others drainCloseSeconds after the beginning.
+// setDraining begins or ends sending clients away: the health check says so at once, connections are closed as they
+// become idle from acceptAfterSignalSeconds on, and all others drainCloseSeconds after the beginning.
 func (s *Service) setDraining(on bool) error {
 	if s.lifecycle.phase >= Leaving {
 		return errShuttingDown
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -22,7 +22,7 @@
 	stop            context.CancelFunc
 }
 
-// follow moves the watch to a list service. The present watch goes on until the new one has told a whole list, so
+// follow moves the watch to a list service. The present watch goes on until the new one has brought a whole list, so
 // that no update is lost between them and an address where nothing answers costs nothing.
 func (p *pool) follow(address string) {
 	if p.nextWatch != nil {
@@ -91,7 +91,7 @@
 	}
 }
 
-// onList takes a list from a watch. What the watch before it told meanwhile must not be taken back by a service
+// onList takes a list from a watch. What the watch before it brought meanwhile must not be taken back by a service
 // that lags behind: this is decided here, where both come in. The error is discovery.ErrOld then, and the whole
 // list is polled again.
 func (p *pool) onList(w *endpointWatch, list discovery.List) error {
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -71,7 +71,7 @@
 	runOnLoop(s, func() {
 		s.openZones(operatorconfig.File{Zones: operatorconfig.Zones{On: true}})
 		s.zones.begin()
-		s.zones.fleet.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
+		s.zones.controller.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
 	})
 	handler := addAdminHandler(s)
 	waitUntil(t, "the list of before", s, func() bool {
@@ -175,7 +175,7 @@
 	first, firstEnded := start(addr, dir)
 	waitServing(t, first)
 	runOnLoop(first, func() {
-		first.zones.fleet.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
+		first.zones.controller.OnEndpoints(first.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 		first.startup.save("rate", "this router", []byte("12"))
 	})
 	waitUntil(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -14,16 +14,16 @@
 	// gossipStepSeconds is the time between two steps: a fiftieth of the time in which all routers are to know, some
 	// six hops.
 	gossipStepSeconds = 0.05
-	// gossipFeedSteps is how many steps lie between two times that the balancer is told what the fleet knows.
+	// gossipFeedSteps is how many steps lie between two times that the balancer gets what the fleet knows.
 	gossipFeedSteps = 2
 )
 
 // gossipAdapter brings what the platform's balancer says to the fleet, and what the fleet knows to the balancer. A
 // nil one does nothing: each router sends to all others then.
 type gossipAdapter struct {
-	service *Service
-	fleet   *gossip.Gossiper
-	steps   int
+	service  *Service
+	gossiper *gossip.Gossiper
+	steps    int
 }
 
 // openGossip makes the adapter where the operators want it, and where it costs less than sending to all.
@@ -35,7 +35,7 @@
 	routers := len(s.conf.Peers)
 	if s.peers.transport == nil || !settings.GossipAllowed || settings.RouterIndex >= routers {
 		s.log.Warn().Int("peers", routers).
-			Msg("gossip is on, but there is no list of peers with this router in it, or none may be told: it does nothing")
+			Msg("gossip is on, but there is no list of peers with this router in it, or gossip is not allowed: it does nothing")
 		return
 	}
 	if !gossip.CheaperThanBroadcast(routers, operators.Gossip.BytesPerSecond) {
@@ -44,14 +44,14 @@
 		return
 	}
 	incarnation := newIncarnation()
-	fleet := gossip.New(s.loop.Now(), gossip.Settings{
+	gossiper := gossip.New(s.loop.Now(), gossip.Settings{
 		Self:             settings.RouterIndex,
 		Seed:             settings.Seed ^ incarnation,
 		Incarnation:      incarnation,
 		BytesPerSecond:   operators.Gossip.BytesPerSecond,
 		LongestObjective: longestObjective(settings),
 	}, gossip.NewView(peerHashes(s.conf)))
-	s.gossip = &gossipAdapter{service: s, fleet: fleet}
+	s.gossip = &gossipAdapter{service: s, gossiper: gossiper}
 }
 
 // peerHashes names the peers by a hash of the address itself, however it is written.
@@ -82,7 +82,7 @@
 	if pool != "" {
 		return func([]byte) {}
 	}
-	return func(message []byte) { s.gossip.fleet.Report(s.loop.Now(), message) }
+	return func(message []byte) { s.gossip.gossiper.Report(s.loop.Now(), message) }
 }
 
 func (a *gossipAdapter) begin() {
@@ -96,7 +96,7 @@
 		return
 	}
 	now := a.service.loop.Now()
-	for _, datagram := range a.fleet.Tick(now) {
+	for _, datagram := range a.gossiper.Tick(now) {
 		a.service.peers.transport.Send(datagram.To, datagram.Bytes)
 	}
 	a.steps++
@@ -106,15 +106,15 @@
 	a.service.loop.After(gossipStepSeconds, a.step)
 }
 
-// feed tells the balancer what the fleet knows.
+// feed passes on to the balancer what the fleet knows.
 func (a *gossipAdapter) feed(now float64) {
-	message := a.fleet.SynthesizeObservations(now)
+	message := a.gossiper.SynthesizeObservations(now)
 	if len(message) > 0 {
 		a.service.pools.platform.core.OnGossip(message)
 	}
 }
 
-// onEndpoints takes the platform's endpoint list: what is told is about its servers.
+// onEndpoints takes the platform's endpoint list: gossip is about its servers.
 func (a *gossipAdapter) onEndpoints() {
 	if a == nil {
 		return
@@ -125,12 +125,12 @@
 			ids = append(ids, uint16(id))
 		}
 	}
-	a.fleet.SetServers(ids)
+	a.gossiper.SetServers(ids)
 }
 
 // onMessage takes another router's message; false if it does not go through the fleet.
 func (a *gossipAdapter) onMessage(from int, message []byte) bool {
-	return a != nil && a.fleet.OnDatagram(a.service.loop.Now(), from, message)
+	return a != nil && a.gossiper.OnDatagram(a.service.loop.Now(), from, message)
 }
 
 // writeMetrics shows what gossip costs.
@@ -138,7 +138,7 @@
 	if a == nil {
 		return
 	}
-	counts := a.fleet.Counters
+	counts := a.gossiper.Counters
 	write("gossip_datagrams", counts.DatagramsSent)
 	write("gossip_bytes", counts.BytesSent)
 	write("gossip_heard_bytes", counts.BytesReceived)
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -135,8 +135,8 @@
 		if looks%50 == 1 { // the first ones may come before they know each other
 			sender.loop.Post(func() { send([]byte{7, 0, 32, 8, 0, 64}) })
 		}
-		one, _, _, oneKnown := receiver.gossip.fleet.Summary(receiver.loop.Now(), 7)
-		two, _, _, twoKnown := receiver.gossip.fleet.Summary(receiver.loop.Now(), 8)
+		one, _, _, oneKnown := receiver.gossip.gossiper.Summary(receiver.loop.Now(), 7)
+		two, _, _, twoKnown := receiver.gossip.gossiper.Summary(receiver.loop.Now(), 8)
 		return oneKnown && twoKnown && one > 0 && two > 0
 	})
 }
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -10,7 +10,7 @@
 	Starting Phase = iota
 	// Serving: mn is answered MN.
 	Serving
-	// Leaving: told to end. Connections are still accepted, and all requests are served.
+	// Leaving: SIGTERM has come. Connections are still accepted, and all requests are served.
 	Leaving
 	// Finishing: no new connections are accepted; each one is closed once it is idle.
 	Finishing
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -15,35 +15,35 @@
 
 // peerRouters is the way to the other routers of the fleet, and how many there are.
 type peerRouters struct {
-	transport *peertransport.Peers             // nil: no other router is told anything; its methods do nothing then
-	size      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
+	transport *peertransport.Peers             // nil: nothing is sent to other routers; its methods do nothing then
+	size      *fleetsize.Count[netip.AddrPort] // counts the routers that are heard; nil: none can be
 	announced int                              // fleet size as the balancers know it; 0: that of the settings
 }
 
-// openPeers opens the socket for other routers, where there may be something to tell.
+// openPeers opens the socket for other routers, where there may be something to send.
 func (s *Service) openPeers(conf config.Config, operators operatorconfig.File) {
 	needed := conf.Settings.GossipAllowed || len(operators.Teams) > 0
 	if !needed || conf.PeerListen == "" {
 		return
 	}
 	s.peers.size = fleetsize.New[netip.AddrPort](conf.Settings.RouterCount)
-	received := func(from netip.AddrPort, place int, message []byte) {
-		s.loop.Post(func() { s.onPeerMessage(from, place, message) })
+	received := func(from netip.AddrPort, sender int, message []byte) {
+		s.loop.Post(func() { s.onPeerMessage(from, sender, message) })
 	}
 	var err error
 	s.peers.transport, err = peertransport.Open(conf.PeerListen, conf.PeersAll, conf.Peers, conf.Settings.RouterIndex,
 		received, s.log)
 	if err != nil { // gossip is a help; nothing depends on it
-		s.log.Warn().Err(err).Msg("the socket for other routers cannot be opened; nothing is told or heard")
+		s.log.Warn().Err(err).Msg("the socket for other routers cannot be opened; nothing is sent or received")
 	}
 }
 
 // onPeerMessage takes another router's message: about zones, quotas, what goes through the fleet, or the
-// balancer's. Each one shows that its sender is there. place is the sender's in the list of peers, or negative.
-func (s *Service) onPeerMessage(from netip.AddrPort, place int, message []byte) {
+// balancer's. Each one shows that its sender is there. sender is its index in the list of peers, or negative.
+func (s *Service) onPeerMessage(from netip.AddrPort, sender int, message []byte) {
 	s.peers.size.Heard(s.loop.Now(), from)
 	s.announceFleetSize()
-	handled := s.zones.onMessage(message) || s.broker.Heard(message) || s.gossip.onMessage(place, message)
+	handled := s.zones.onMessage(message) || s.broker.Heard(message) || s.gossip.onMessage(sender, message)
 	if !handled && s.conf.Settings.GossipAllowed {
 		s.pools.platform.core.OnGossip(message)
 	}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -24,16 +24,16 @@
 	servers *upstream.Fleet
 	log     zerolog.Logger
 
-	polled      bool                       // its balancer asks for the endpoint list and is told of polls that fail
+	polled      bool                       // its balancer polls the endpoint list, and hears of polls that fail
 	endpoints   map[uint64]discovery.Entry // the present endpoint list, by the server's id
 	ready       map[uint64]bool            // servers that the list has as ready
 	known       map[uint64]bool            // servers that a list has named since the start; true: the present one does
-	generation  uint64                     // of the list, as the list service last told it
+	generation  uint64                     // of the list that the list service last brought
 	lastRunList discovery.List             // the list as the router's last run had it, until the first watch begins
 
 	schedule  pollschedule.Rhythm // of polls of the list service
 	watch     *endpointWatch      // whose lists count
-	nextWatch *endpointWatch      // its successor, until it has told a whole list
+	nextWatch *endpointWatch      // its successor, until it has brought a whole list
 }
 
 // poolOptions is what a pool is made by. Times are in seconds.
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -9,7 +9,7 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and told to the
+// savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and sent to the
 // successor at a hot restart (JSON). Processes of other builds read both, so the names of its fields are fixed.
 type savedMember struct {
 	ID       uint64  `cbor:"ID" json:"ID"`
@@ -21,21 +21,21 @@
 	Started  float64 `cbor:"Started" json:"Started"`
 }
 
-// savedEntry is a server with its address, as the successor is told it.
+// savedEntry is a server with its address, as the successor receives it.
 type savedEntry struct {
 	savedMember
 	Addr netip.AddrPort `json:"Addr"`
 }
 
-// savedList is an endpoint list, as the successor is told it.
+// savedList is an endpoint list, as the successor receives it.
 type savedList struct {
 	Generation uint64       `json:"Generation"`
 	Whole      bool         `json:"Whole"`
 	Entries    []savedEntry `json:"Entries"`
 }
 
-// restartState is what the successor is told of the platform's pool, beside what the list service tells it: that
-// may be silent just now, and a drain that this process was told of must not be forgotten.
+// restartState is what the successor receives of the platform's pool, beside what the list service sends it: that
+// may be silent just now, and a drain that this process knows of must not be forgotten.
 type restartState struct {
 	Discovery string    `json:"Discovery"` // the list service's address
 	List      savedList `json:"List"`
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -29,7 +29,7 @@
 type startupAdapter struct {
 	service  *Service
 	start    *startup.Start
-	snapshot *snapshot.Store // nil: nothing is kept
+	snapshot *snapshot.Store // nil: nothing is saved
 
 	rate         float64 // requests completed a second, averaged
 	rateFinished uint64  // requests completed when the rate was last updated
@@ -160,7 +160,7 @@
 	})
 }
 
-// onEndpoints takes the platform's endpoint list, confirmed where the list service has told it in this process's
+// onEndpoints takes the platform's endpoint list, confirmed where the list service has brought it in this process's
 // life.
 func (a *startupAdapter) onEndpoints(p *pool, confirmed bool) {
 	if a == nil || p != a.service.pools.platform {
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -37,7 +37,7 @@
 	return sockets
 }
 
-// State gives the endpoint list as it was last told here, encoded.
+// State gives the endpoint list as it was last received here, encoded.
 func (h successors) State() []byte {
 	result := make(chan restartState, 1)
 	h.service.loop.Post(func() { result <- h.service.restartState() })
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -12,7 +12,7 @@
 	// zoneStepSeconds is the time between two steps: a third of the shortest latency objectives, and far above what a
 	// step takes.
 	zoneStepSeconds = 0.05
-	// maxCollisionsLogged bounds the zones that are logged as not to be told apart.
+	// maxCollisionsLogged bounds the zones that are logged for a name that collides.
 	maxCollisionsLogged = 100
 )
 
@@ -20,10 +20,10 @@
 // decision, and the zones' shares to all pools. A nil one does nothing: zone failover is off.
 type zoneAdapter struct {
 	service          *Service
-	fleet            *zonefailover.Controller
+	controller       *zonefailover.Controller
 	file             *disabledservers.Registry // zones that an operator has evacuated, for all processes of this router
 	evacuated        map[string]bool           // of these, those that are evacuated here
-	loggedCollisions map[string]bool           // zones that were logged as not to be told apart
+	loggedCollisions map[string]bool           // zones that were logged for a name that collides
 }
 
 // openZones makes the adapter where the operators want it.
@@ -36,7 +36,7 @@
 		service:          s,
 		evacuated:        map[string]bool{},
 		loggedCollisions: map[string]bool{},
-		fleet: zonefailover.New(zonefailover.Settings{
+		controller: zonefailover.New(zonefailover.Settings{
 			RouterIndex:   settings.RouterIndex,
 			RouterCount:   settings.RouterCount,
 			Incarnation:   uint16(newIncarnation()),
@@ -71,7 +71,7 @@
 // reconfigure takes the operators' file anew.
 func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
 	if a != nil {
-		a.fleet.SetRegions(operators.Groups())
+		a.controller.SetRegions(operators.Groups())
 	}
 }
 
@@ -81,9 +81,9 @@
 	if a.service.lifecycle.phase == Ended {
 		return
 	}
-	a.fleet.Tick(a.now())
+	a.controller.Tick(a.now())
 	a.applyChanges()
-	message := a.fleet.NextMessage(a.now())
+	message := a.controller.NextMessage(a.now())
 	if message != nil && a.service.conf.Settings.GossipAllowed {
 		a.service.peers.transport.Tell(message)
 	}
@@ -93,7 +93,7 @@
 // applyChanges takes the decisions to the pools.
 func (a *zoneAdapter) applyChanges() {
 	changed := map[string]bool{}
-	for _, change := range a.fleet.TakeChanges() {
+	for _, change := range a.controller.TakeChanges() {
 		a.service.log.Info().
 			Str("zone", change.Zone).
 			Stringer("from", change.From).
@@ -117,7 +117,7 @@
 // applyShare tells a pool what part of its keys a zone serves now. What waits for a connection to an evacuated zone
 // was never sent, and is attempted elsewhere as such.
 func (a *zoneAdapter) applyShare(p *pool, zone string) {
-	share := a.fleet.Share(zone)
+	share := a.controller.Share(zone)
 	if share == 0 {
 		for id, entry := range p.endpoints {
 			if entry.Zone == zone {
@@ -133,7 +133,7 @@
 	if a == nil {
 		return
 	}
-	for _, zone := range a.fleet.Statuses(a.now()) {
+	for _, zone := range a.controller.Statuses(a.now()) {
 		if zone.Share < 1 {
 			a.applyShare(p, zone.Zone)
 		}
@@ -155,7 +155,7 @@
 			}
 		}
 	}
-	for _, zone := range a.fleet.OnEndpoints(a.now(), readyServers, ids) {
+	for _, zone := range a.controller.OnEndpoints(a.now(), readyServers, ids) {
 		a.logCollision(zone)
 	}
 }
@@ -167,23 +167,23 @@
 	}
 	a.loggedCollisions[zone] = true
 	a.service.log.Warn().Str("zone", zone).
-		Msg("this zone cannot be told from another in messages, or there are too many: it is never evacuated")
+		Msg("this zone's name collides with another's in messages, or there are too many: it is never evacuated")
 }
 
 // onMessage takes another router's message; false if it is not about zones.
 func (a *zoneAdapter) onMessage(message []byte) bool {
-	return a != nil && a.fleet.OnMessage(a.now(), message)
+	return a != nil && a.controller.OnMessage(a.now(), message)
 }
 
 // AttemptStarted takes that an attempt begins at a server of a zone. within is the seconds in which an answer is
 // expected; the result is for AttemptEnded.
 func (a *zoneAdapter) AttemptStarted(zone string, within float64) uint64 {
-	return a.fleet.OnAttemptStart(a.now(), zone, within)
+	return a.controller.OnAttemptStart(a.now(), zone, within)
 }
 
 // AttemptEnded takes the outcome of an attempt that took so many seconds, of those in which an answer was expected.
 func (a *zoneAdapter) AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, within float64) {
-	a.fleet.OnAttemptEnd(a.now(), zone, mark, zoneEvidence(outcome, took, within))
+	a.controller.OnAttemptEnd(a.now(), zone, mark, zoneEvidence(outcome, took, within))
 }
 
 // zoneEvidence is what an attempt's outcome says about its zone. An error is an answer, too. A request whose client
@@ -215,7 +215,7 @@
 		if a.evacuated[zone] {
 			continue
 		}
-		if a.fleet.SetOperatorOverride(a.now(), zone, true) {
+		if a.controller.SetOperatorOverride(a.now(), zone, true) {
 			a.evacuated[zone] = true
 			continue
 		}
@@ -224,7 +224,7 @@
 	}
 	for zone := range a.evacuated {
 		if !wanted[zone] {
-			a.fleet.SetOperatorOverride(a.now(), zone, false)
+			a.controller.SetOperatorOverride(a.now(), zone, false)
 			delete(a.evacuated, zone)
 		}
 	}
@@ -236,18 +236,18 @@
 	if a == nil {
 		return
 	}
-	var left, returning, moves uint64
-	for _, zone := range a.fleet.Statuses(a.now()) {
-		moves += zone.Transitions
+	var evacuated, recovering, transitions uint64
+	for _, zone := range a.controller.Statuses(a.now()) {
+		transitions += zone.Transitions
 		switch zone.State {
 		case zonefailover.Evacuated, zonefailover.Probing:
-			left++
+			evacuated++
 		case zonefailover.Recovering:
-			returning++
+			recovering++
 		}
 	}
-	write("zones_left", left)
-	write("zones_returning", returning)
-	write("zone_moves", moves)
-	write("zone_words", a.fleet.MessagesSent)
+	write("zones_left", evacuated)
+	write("zones_returning", recovering)
+	write("zone_moves", transitions)
+	write("zone_words", a.controller.MessagesSent)
 }
--- a/internal/service/zones_test.go
+++ b/internal/service/zones_test.go
@@ -34,7 +34,7 @@
 	} {
 		votes := callOnLoop(s, func() int {
 			controller := zonefailover.New(zonefailover.Settings{RouterCount: 1})
-			s.zones.fleet = controller
+			s.zones.controller = controller
 			controller.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 1}, nil)
 			mark := s.zones.AttemptStarted("a", within)
 			s.zones.AttemptEnded("a", mark, attempt.outcome, attempt.took, within)
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -24,7 +24,7 @@
 	var all []admin.Zone
 	err := h.onLoop(func() error {
 		now := zones.now()
-		for _, zone := range zones.fleet.Statuses(now) {
+		for _, zone := range zones.controller.Statuses(now) {
 			all = append(all, admin.Zone{
 				Zone:                   zone.Zone,
 				State:                  zone.State.String(),
@@ -64,17 +64,17 @@
 			Msg("an operator's call holds here, but cannot be kept for the next process")
 		return err
 	}
-	kept := zones.file.IDs() // nothing was written, so the zone does not stay evacuated
-	h.service.loop.Post(func() { zones.applyEvacuated(kept) })
+	saved := zones.file.IDs() // nothing was written, so the zone does not stay evacuated
+	h.service.loop.Post(func() { zones.applyEvacuated(saved) })
 	return err
 }
 
 // evacuate evacuates a zone for an operator.
 func (a *zoneAdapter) evacuate(zone string) error {
-	if !a.fleet.Known(zone) {
+	if !a.controller.Known(zone) {
 		return admin.ErrUnknownZone
 	}
-	if !a.fleet.SetOperatorOverride(a.now(), zone, true) {
+	if !a.controller.SetOperatorOverride(a.now(), zone, true) {
 		return errLastZone
 	}
 	a.evacuated[zone] = true
@@ -82,7 +82,7 @@
 	return nil
 }
 
-// RestoreZone lets a zone return, whether an operator or the failover evacuated it.
+// RestoreZone lets a zone recover, whether an operator or the failover evacuated it.
 func (h *adminHandler) RestoreZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
@@ -90,15 +90,16 @@
 		return errZonesOff
 	}
 	// The file also has a zone that could not be evacuated, as the last.
-	kept := slices.Contains(zones.file.IDs(), zone)
-	if !kept {
-		return h.onLoop(func() error { return zones.startReturn(zone) })
+	saved := slices.Contains(zones.file.IDs(), zone)
+	if !saved {
+		return h.onLoop(func() error { return zones.startRecovery(zone) })
 	}
 	if err := zones.file.Update(zone, false, until); err != nil {
 		return err
 	}
 	err := h.onLoop(func() error { // behind the set without it, which the file has posted
-		zones.fleet.StartRecovery(zones.now(), zone) // the failover itself may have evacuated it; else nothing is to return
+		// The failover itself may have evacuated it; else there is nothing to recover.
+		zones.controller.StartRecovery(zones.now(), zone)
 		zones.applyChanges()
 		return nil
 	})
@@ -108,9 +109,9 @@
 	return nil
 }
 
-// startReturn begins the return of a zone.
-func (a *zoneAdapter) startReturn(zone string) error {
-	if !a.fleet.StartRecovery(a.now(), zone) {
+// startRecovery begins the recovery of a zone.
+func (a *zoneAdapter) startRecovery(zone string) error {
+	if !a.controller.StartRecovery(a.now(), zone) {
 		return admin.ErrUnknownZone
 	}
 	a.applyChanges()
