--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -15,14 +15,14 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Terms are what a team and the operators have agreed on, and how the team's traffic is known.
-type Terms struct {
-	quota.Contract
-	Pool   string // "": the platform's
-	Listen string // an address of its own; what comes in there is the team's
-	Tenant string // the tenant that its clients name
-	Prefix string // what its keys begin with
-	Types  []balancer.TrafficClass
+// TeamTerms are what a team and the operators have agreed on, and how the team's traffic is known.
+type TeamTerms struct {
+	quota.Quota
+	Pool           string // "": the platform's
+	Listen         string // an address of its own; what comes in there is the team's
+	Tenant         string // the tenant that its clients name
+	Prefix         string // what its keys begin with
+	TrafficClasses []balancer.TrafficClass
 }
 
 // Pool is a pool as the operators' file has it.
@@ -35,18 +35,18 @@
 
 // Limits bound what is open and held, over all teams.
 type Limits struct {
-	Open        int // operations
-	Held        int // bytes of values
-	Connections int // of clients
+	Requests      int // operations
+	BufferedBytes int // bytes of values
+	Connections   int // of clients
 }
 
-// Others says who takes what matches no contract.
-type Others bool
+// UnmatchedTraffic says who takes what matches no contract.
+type UnmatchedTraffic bool
 
 // Either the platform's pool does, as without contracts, or nobody.
 const (
-	ToPlatform Others = false
-	ToNobody   Others = true
+	UnmatchedToPlatform UnmatchedTraffic = false
+	UnmatchedRejected   UnmatchedTraffic = true
 )
 
 // Broker is all contracts.
@@ -57,15 +57,15 @@
 	seed      uint32
 	limits    Limits
 	plain     *plain
-	others    Others
+	others    UnmatchedTraffic
 	teams     map[string]*team
 	listeners map[string]*team
 	tenants   map[string]*team
 	prefixes  []*team // the longest first
 	pools     map[string]*pool
-	places    *bulkhead.Places // operations
-	bytes     *bulkhead.Places
-	doors     *bulkhead.Places // clients' connections
+	places    *bulkhead.Bulkhead // operations
+	bytes     *bulkhead.Bulkhead
+	doors     *bulkhead.Bulkhead // clients' connections
 	tallies   map[string]*Tally
 	revision  int
 	longest   float64
@@ -76,19 +76,19 @@
 // pool is one pool with its budgets.
 type pool struct {
 	Pool
-	budgets *quota.Pool
-	parts   *quota.Parts
-	out     *bulkhead.Places // operations, as many as there are connections to its servers
+	budgets *quota.Limiter
+	parts   *quota.Shares
+	out     *bulkhead.Bulkhead // operations, as many as there are connections to its servers
 }
 
 // team is one contract, as it is now.
 type team struct {
-	Terms
+	TeamTerms
 	b                 *Broker
 	pool              *pool
 	kinds             map[string]kind
-	place, byte, door *bulkhead.Share
-	out               *bulkhead.Share
+	place, byte, door *bulkhead.Partition
+	out               *bulkhead.Partition
 	tally             *Tally
 }
 
@@ -101,15 +101,15 @@
 
 // Tally is what became of a team's operations.
 type Tally struct {
-	Taken, Finished, Declined, Terminated, Left uint64
-	Reasons                                     [len(requestcore.ReasonNames)]uint64
-	Took                                        float64 // seconds of load
+	Received, Succeeded, Rejected, Failed, Disconnected uint64
+	Reasons                                             [len(requestcore.ReasonNames)]uint64
+	LoadUsed                                            float64 // seconds of load
 }
 
 // New makes a broker without contracts: all goes to the platform's core, within the limits.
 func New(now func() float64, set balancer.Settings, core *requestcore.Core, limits Limits) *Broker {
 	b := &Broker{now: now, me: set.RouterIndex, routers: max(1, set.RouterCount), seed: set.Seed, limits: limits, tallies: map[string]*Tally{},
-		places: bulkhead.New(limits.Open), bytes: bulkhead.New(limits.Held), doors: bulkhead.New(limits.Connections)}
+		places: bulkhead.New(limits.Requests), bytes: bulkhead.New(limits.BufferedBytes), doors: bulkhead.New(limits.Connections)}
 	b.plain = &plain{b: b, core: core, types: set.TrafficClasses, hardStops: map[string]float64{}, tenants: map[string]bool{}}
 	for _, t := range set.Tenants {
 		b.plain.tenants[t.Name] = true
@@ -136,7 +136,7 @@
 			}
 		}
 	}
-	if listener != "" || b.others == ToNobody { // a listener whose team has gone is nobody's
+	if listener != "" || b.others == UnmatchedRejected { // a listener whose team has gone is nobody's
 		return nil
 	}
 	return b.plain
@@ -148,17 +148,17 @@
 	t := b.listeners[listener]
 	switch {
 	case listener == "":
-		b.doors.Force(nil, 1)
+		b.doors.ForceAcquire(nil, 1)
 		return true
 	case t == nil:
 		return false
 	}
-	return b.doors.Take(t.door, 1)
+	return b.doors.TryAcquire(t.door, 1)
 }
 
 // Gone takes the end of a connection.
 func (b *Broker) Gone(listener string) {
-	if t := b.listeners[listener]; t != nil && t.door.Uses() > 0 {
+	if t := b.listeners[listener]; t != nil && t.door.InUse() > 0 {
 		b.doors.Release(t.door, 1)
 	} else {
 		b.doors.Release(nil, 1)
@@ -179,10 +179,10 @@
 	return most, known
 }
 
-func (p *plain) Room() bool { return p.b.places.Room(nil, 1) && p.b.bytes.Room(nil, 1) }
+func (p *plain) Room() bool { return p.b.places.CanAcquire(nil, 1) && p.b.bytes.CanAcquire(nil, 1) }
 
 func (p *plain) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
-	p.b.places.Force(nil, 1)
+	p.b.places.ForceAcquire(nil, 1)
 	op.Account = p
 	if !p.tenants[op.Tenant] {
 		op.Tenant = "" // the module keeps a record of each: clients must not make up ever new ones
@@ -190,7 +190,7 @@
 	return p.core, p.core.Submit(op, client)
 }
 
-func (p *plain) Hold(n int) { p.b.bytes.Force(nil, n) }
+func (p *plain) Hold(n int) { p.b.bytes.ForceAcquire(nil, n) }
 
 // AttemptEnded, Answered and Ended are told by the core; an operation has its place until nothing of it is out.
 func (p *plain) AttemptEnded(float64) {}
@@ -208,10 +208,10 @@
 
 // Room tells whether there is a place for another operation that is not some other team's last one.
 func (t *team) Room() bool {
-	if t.b.places.Room(t.place, 1) && t.b.bytes.Room(t.byte, 1) && t.pool.out.Room(t.out, 1) {
+	if t.b.places.CanAcquire(t.place, 1) && t.b.bytes.CanAcquire(t.byte, 1) && t.pool.out.CanAcquire(t.out, 1) {
 		return true
 	}
-	t.tally.Taken++
+	t.tally.Received++
 	t.tally.decline(requestcore.ReasonNoCapacity)
 	return false
 }
@@ -219,48 +219,48 @@
 // Take admits an operation or declines it at once.
 func (t *team) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	k := t.kinds[op.Class]
-	t.tally.Taken++
-	ticket, why, after := t.pool.budgets.Arrive(t.b.now(), t.Team, op.Class, k.guess)
+	t.tally.Received++
+	ticket, why, after := t.pool.budgets.Admit(t.b.now(), t.Team, op.Class, k.guess)
 	if !why.Admitted() {
 		t.tally.decline(requestcore.ReasonQuota)
 		client.Rejected(after)
 		return nil, 0
 	}
-	t.b.places.Force(t.place, 1)
-	t.pool.out.Force(t.out, 1)
+	t.b.places.ForceAcquire(t.place, 1)
+	t.pool.out.ForceAcquire(t.out, 1)
 	op.Account = &account{team: t, ticket: ticket}
 	op.Class, op.Tenant = k.name, t.Team
 	return t.pool.Core, t.pool.Core.Submit(op, client)
 }
 
-func (t *team) Hold(n int) { t.b.bytes.Force(t.byte, n) }
+func (t *team) Hold(n int) { t.b.bytes.ForceAcquire(t.byte, n) }
 
 func (y *Tally) decline(why requestcore.RejectReason) {
-	y.Declined++
+	y.Rejected++
 	y.Reasons[why]++
 }
 
 // account is one operation of a team. It ends under the contract it began with.
 type account struct {
 	team   *team
-	ticket *quota.Ticket
+	ticket *quota.Reservation
 	took   float64
 }
 
 func (a *account) AttemptEnded(seconds float64) {
-	a.took += a.team.pool.budgets.Weigh(a.ticket, seconds)
+	a.took += a.team.pool.budgets.ChargeableTime(a.ticket, seconds)
 }
 
 func (a *account) Answered(end requestcore.RequestEnd, why requestcore.RejectReason) {
 	switch y := a.team.tally; end {
 	case requestcore.Succeeded:
-		y.Finished++
+		y.Succeeded++
 	case requestcore.Rejected:
 		y.decline(why)
 	case requestcore.Failed:
-		y.Terminated++
+		y.Failed++
 	case requestcore.ClientGone:
-		y.Left++
+		y.Disconnected++
 	}
 }
 
@@ -269,12 +269,12 @@
 	t.pool.budgets.Settle(t.b.now(), a.ticket, a.took)
 	t.b.places.Release(t.place, 1)
 	t.pool.out.Release(t.out, 1)
-	t.tally.Took += a.took
+	t.tally.LoadUsed += a.took
 }
 
-// Change takes new contracts and pools, and gives a line for each change. Operations that are open end under the old
+// Configure takes new contracts and pools, and gives a line for each change. Operations that are open end under the old
 // ones; balances carry over, also into another pool.
-func (b *Broker) Change(pools []Pool, all []Terms, others Others) []string {
+func (b *Broker) Configure(pools []Pool, all []TeamTerms, others UnmatchedTraffic) []string {
 	now := b.now()
 	b.revision++
 	lines := b.differences(pools, all, others)
@@ -286,12 +286,12 @@
 	weights := map[string]float64{}
 	doors := map[string]float64{}
 	for _, t := range all {
-		if weights[t.Team] = cmp.Or(t.Budget, 1e-6); t.Listen != "" {
+		if weights[t.Team] = cmp.Or(t.GuaranteedRate, 1e-6); t.Listen != "" {
 			doors[t.Team] = weights[t.Team]
 		}
 	}
 	b.weights, b.weighedDoors = weights, doors
-	b.Limit(b.limits)
+	b.SetLimits(b.limits)
 	b.teams, b.listeners, b.tenants, b.prefixes, b.others = map[string]*team{}, map[string]*team{}, map[string]*team{}, nil, others
 	for _, terms := range all {
 		t := b.team(terms)
@@ -306,7 +306,7 @@
 			b.prefixes = append(b.prefixes, t)
 		}
 		if was := before[t.Team]; was != nil && was.Pool != t.Pool {
-			t.pool.budgets.Adopt(now, t.Team, balances[t.Team])
+			t.pool.budgets.AdoptBalance(now, t.Team, balances[t.Team])
 		}
 	}
 	slices.SortStableFunc(b.prefixes, func(a, c *team) int { return cmp.Compare(len(c.Prefix), len(a.Prefix)) })
@@ -318,42 +318,42 @@
 	return lines
 }
 
-// Limit sets what may be open and held from now on; what is beyond it ends as it would.
-func (b *Broker) Limit(limits Limits) {
+// SetLimits sets what may be open and held from now on; what is beyond it ends as it would.
+func (b *Broker) SetLimits(limits Limits) {
 	b.limits = limits
-	b.places.Split(limits.Open, b.weights)
-	b.bytes.Split(limits.Held, b.weights)
-	b.doors.Split(limits.Connections, b.weighedDoors)
+	b.places.Repartition(limits.Requests, b.weights)
+	b.bytes.Repartition(limits.BufferedBytes, b.weights)
+	b.doors.Repartition(limits.Connections, b.weighedDoors)
 }
 
 // changePools sets up budgets, parts, places and the modules' traffic types of all pools.
-func (b *Broker) changePools(now float64, pools []Pool, all []Terms) {
+func (b *Broker) changePools(now float64, pools []Pool, all []TeamTerms) {
 	old := b.pools
 	b.pools = map[string]*pool{}
 	for _, p := range pools {
 		mine := old[p.Name]
 		if mine == nil {
-			mine = &pool{budgets: quota.NewPool(now, p.Capacity, b.seed+uint32(len(b.pools))), out: bulkhead.New(p.Connections)}
-			mine.parts = quota.NewParts(mine.budgets, b.me, b.routers)
+			mine = &pool{budgets: quota.NewLimiter(now, p.Capacity, b.seed+uint32(len(b.pools))), out: bulkhead.New(p.Connections)}
+			mine.parts = quota.NewShares(mine.budgets, b.me, b.routers)
 		}
 		mine.Pool = p
-		var theirs []quota.Contract
+		var theirs []quota.Quota
 		var types []balancer.TrafficClass
 		weights := map[string]float64{}
 		for _, t := range all {
 			if t.Pool != p.Name {
 				continue
 			}
-			theirs = append(theirs, t.Contract)
-			weights[t.Team] = cmp.Or(t.Budget, 1e-6)
-			for _, k := range t.Types {
+			theirs = append(theirs, t.Quota)
+			weights[t.Team] = cmp.Or(t.GuaranteedRate, 1e-6)
+			for _, k := range t.TrafficClasses {
 				k.Name = t.Team + "/" + k.Name
 				types = append(types, k)
 			}
 		}
-		mine.budgets.Change(now, p.Capacity, theirs)
-		mine.parts.Begin(now)
-		mine.out.Split(p.Connections, weights)
+		mine.budgets.SetQuotas(now, p.Capacity, theirs)
+		mine.parts.Recompute(now)
+		mine.out.Repartition(p.Connections, weights)
 		if p.Name == "" {
 			types = append(types, b.plain.types...)
 		}
@@ -362,11 +362,11 @@
 	}
 }
 
-func (b *Broker) team(terms Terms) *team {
+func (b *Broker) team(terms TeamTerms) *team {
 	p := b.pools[terms.Pool]
-	t := &team{Terms: terms, b: b, pool: p, kinds: map[string]kind{}, place: b.places.Share(terms.Team),
-		byte: b.bytes.Share(terms.Team), door: b.doors.Share(terms.Team), out: p.out.Share(terms.Team)}
-	for _, k := range terms.Types {
+	t := &team{TeamTerms: terms, b: b, pool: p, kinds: map[string]kind{}, place: b.places.Partition(terms.Team),
+		byte: b.bytes.Partition(terms.Team), door: b.doors.Partition(terms.Team), out: p.out.Partition(terms.Team)}
+	for _, k := range terms.TrafficClasses {
 		// Until its operations are seen one is taken to cost a quarter of the promised time, as the module does.
 		b.longest = max(b.longest, k.Deadline)
 		t.kinds[k.Name] = kind{name: terms.Team + "/" + k.Name, stop: k.Deadline, guess: k.LatencyObjective / 4}
@@ -379,7 +379,7 @@
 }
 
 // differences tells what changes, a line each: what it was, what it is.
-func (b *Broker) differences(pools []Pool, all []Terms, others Others) (lines []string) {
+func (b *Broker) differences(pools []Pool, all []TeamTerms, others UnmatchedTraffic) (lines []string) {
 	say := func(format string, about ...any) { lines = append(lines, fmt.Sprintf(format, about...)) }
 	named := map[string]bool{}
 	for _, t := range all {
@@ -387,13 +387,13 @@
 		was := b.teams[t.Team]
 		if was == nil {
 			say("team %s comes: %s", t.Team, t.text())
-		} else if was.Terms.text() != t.text() {
-			say("team %s changes from: %s, to: %s", t.Team, was.Terms.text(), t.text())
+		} else if was.TeamTerms.text() != t.text() {
+			say("team %s changes from: %s, to: %s", t.Team, was.TeamTerms.text(), t.text())
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		if !named[name] {
-			say("team %s goes: %s", name, b.teams[name].Terms.text())
+			say("team %s goes: %s", name, b.teams[name].TeamTerms.text())
 		}
 	}
 	kept := map[string]bool{}
@@ -417,10 +417,10 @@
 }
 
 // text tells terms in a line.
-func (t Terms) text() string {
-	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q", t.Pool, t.Budget, t.Burst,
-		t.Borrow, t.Weight, t.Listen, t.Tenant, t.Prefix)
-	for _, k := range t.Types {
+func (t TeamTerms) text() string {
+	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q", t.Pool, t.GuaranteedRate, t.Burst,
+		t.BorrowRate, t.Weight, t.Listen, t.Tenant, t.Prefix)
+	for _, k := range t.TrafficClasses {
 		text += fmt.Sprintf("; %s %s %v/%v s benefit %v", k.Name, [...]string{"at-most-once", "numbered", "reissuable"}[k.Idempotency],
 			k.LatencyObjective, k.Deadline, k.PriorityWeight)
 	}
@@ -430,60 +430,60 @@
 // Revision counts the changes.
 func (b *Broker) Revision() int { return b.revision }
 
-// Words gives what is to be told to the other routers now.
-func (b *Broker) Words() (all [][]byte) {
+// QuotaMessages gives what is to be told to the other routers now.
+func (b *Broker) QuotaMessages() (all [][]byte) {
 	now := b.now()
 	for _, name := range slices.Sorted(maps.Keys(b.pools)) {
-		if words := b.pools[name].parts.Tell(now); words != nil {
+		if words := b.pools[name].parts.Message(now); words != nil {
 			all = append(all, words)
 		}
 	}
 	return all
 }
 
-// Heard takes another router's words; false if they are not about contracts.
-func (b *Broker) Heard(words []byte) (known bool) {
+// OnQuotaMessage takes another router's words; false if they are not about contracts.
+func (b *Broker) OnQuotaMessage(words []byte) (known bool) {
 	now := b.now()
 	for _, p := range b.pools {
-		known = p.parts.Heard(now, words) || known
+		known = p.parts.OnMessage(now, words) || known
 	}
 	return known
 }
 
-// Kinds names the traffic types of all contracts, as clients do.
-func (b *Broker) Kinds() (all []string) {
+// TrafficClassNames names the traffic types of all contracts, as clients do.
+func (b *Broker) TrafficClassNames() (all []string) {
 	for _, t := range b.teams {
-		for _, k := range t.Types {
+		for _, k := range t.TrafficClasses {
 			all = append(all, k.Name)
 		}
 	}
 	return all
 }
 
-// Has tells whether there is such a team.
-func (b *Broker) Has(team string) bool { return b.teams[team] != nil }
+// HasTeam tells whether there is such a team.
+func (b *Broker) HasTeam(team string) bool { return b.teams[team] != nil }
 
-// LongestStop is the longest hard stop of any contract that ever held: what is open may have begun under it.
-func (b *Broker) LongestStop() float64 { return b.longest }
+// LongestDeadline is the longest hard stop of any contract that ever held: what is open may have begun under it.
+func (b *Broker) LongestDeadline() float64 { return b.longest }
 
-// Open is how many operations have a place.
-func (b *Broker) Open() int { return b.places.Used() }
+// OpenRequests is how many operations have a place.
+func (b *Broker) OpenRequests() int { return b.places.InUse() }
 
-// State is a team as it stands.
-type State struct {
-	Team, Pool            string
-	Budget, Part, Balance float64
+// TeamState is a team as it stands.
+type TeamState struct {
+	Team, Pool                     string
+	GuaranteedRate, Share, Balance float64
 	Tally
-	Open int
+	OpenRequests int
 }
 
-// States gives all teams, by name.
-func (b *Broker) States() (all []State) {
+// TeamStates gives all teams, by name.
+func (b *Broker) TeamStates() (all []TeamState) {
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		t := b.teams[name]
-		s := State{Team: name, Pool: t.Pool, Budget: t.Budget, Tally: *t.tally, Open: t.place.Uses()}
-		if m := t.pool.budgets.Team(name); m != nil {
-			s.Part, s.Balance = m.Part(), m.Balance()
+		s := TeamState{Team: name, Pool: t.Pool, GuaranteedRate: t.GuaranteedRate, Tally: *t.tally, OpenRequests: t.place.InUse()}
+		if m := t.pool.budgets.Bucket(name); m != nil {
+			s.Share, s.Balance = m.Share(), m.Balance()
 		}
 		all = append(all, s)
 	}
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -35,7 +35,7 @@
 	check("", "", "lab:1", "d")
 	check("", "", "lab:x:1", "e") // the longest prefix
 	check("", "who", "k", "platform")
-	b.Change(pools, []Terms{c}, ToNobody)
+	b.Configure(pools, []TeamTerms{c}, UnmatchedRejected)
 	check("", "who", "k", "nobody")
 	check("127.0.0.1:1", "", "k", "nobody") // its team has gone
 	if len(b.tallies) != 1 {
@@ -62,14 +62,14 @@
 	for range 10 { // at a quarter of the promised time each, the burst of a second holds four
 		last, _ = b.ask("a", "k")
 	}
-	if s := b.state("a"); s.Reasons[requestcore.ReasonQuota] != 6 || s.Open != 4 || last.declined != 1 || last.after <= 0 {
+	if s := b.state("a"); s.Reasons[requestcore.ReasonQuota] != 6 || s.OpenRequests != 4 || last.declined != 1 || last.after <= 0 {
 		t.Fatalf("the team stands at %+v, the last was told %+v", s, last)
 	}
 	if c, room := b.ask("b", "k"); !room || c.declined > 0 {
 		t.Error("another team was declined")
 	}
 	o.finish(0.01)
-	if s := b.state("a"); s.Open != 0 || s.Finished != 4 || s.Balance < 0.9 || s.Took < 0.039 || s.Took > 0.041 {
+	if s := b.state("a"); s.OpenRequests != 0 || s.Succeeded != 4 || s.Balance < 0.9 || s.LoadUsed < 0.039 || s.LoadUsed > 0.041 {
 		t.Errorf("once all has ended the team stands at %+v", s)
 	}
 }
@@ -77,7 +77,7 @@
 // A team whose service hangs holds its own places and what is nobody's, never another's last one.
 func TestBulkheads(t *testing.T) {
 	hung, other := terms("hung", "own", 1000), terms("other", "own", 1000)
-	b, o, _ := serving(t, Limits{Open: 100, Held: 1 << 20, Connections: 100}, hung, other)
+	b, o, _ := serving(t, Limits{Requests: 100, BufferedBytes: 1 << 20, Connections: 100}, hung, other)
 	n := 0
 	for {
 		if _, room := b.ask("hung", "k"); !room {
@@ -88,7 +88,7 @@
 	if n < 5 || n > 8 { // of the ten connections to its pool's servers, two or three wait for the other team
 		t.Errorf("it holds %d places", n)
 	}
-	if s := b.state("hung"); s.Reasons[requestcore.ReasonNoCapacity] != 1 || s.Open != n {
+	if s := b.state("hung"); s.Reasons[requestcore.ReasonNoCapacity] != 1 || s.OpenRequests != n {
 		t.Errorf("the team stands at %+v", s)
 	}
 	if c, room := b.ask("other", "k"); !room || c.declined > 0 {
@@ -98,8 +98,8 @@
 		t.Error("the platform's pool has no place")
 	}
 	o.finish(0.01)
-	if b.Open() != 0 {
-		t.Errorf("%d places are held by nothing", b.Open())
+	if b.OpenRequests() != 0 {
+		t.Errorf("%d places are held by nothing", b.OpenRequests())
 	}
 }
 
@@ -107,7 +107,7 @@
 func TestBytesAndDoors(t *testing.T) {
 	a, c := terms("a", "", 1), terms("c", "", 1)
 	a.Listen, c.Listen = "127.0.0.1:1", "127.0.0.1:2"
-	b, _, _ := serving(t, Limits{Open: 100, Held: 1000, Connections: 8}, a, c)
+	b, _, _ := serving(t, Limits{Requests: 100, BufferedBytes: 1000, Connections: 8}, a, c)
 	b.Route("", "a", "k").Hold(800)
 	if b.Route("", "a", "k").Room() || !b.Route("", "c", "k").Room() {
 		t.Error("a team that holds much is let on, or another is not")
@@ -135,8 +135,8 @@
 		open = append(open, c)
 	}
 	once := terms("a", "", 1)
-	once.Types = []balancer.TrafficClass{{Name: "view", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}
-	lines := strings.Join(b.Change(pools, []Terms{once}, ToPlatform), "\n")
+	once.TrafficClasses = []balancer.TrafficClass{{Name: "view", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2, PriorityWeight: 1}}
+	lines := strings.Join(b.Configure(pools, []TeamTerms{once}, UnmatchedToPlatform), "\n")
 	for _, want := range []string{`team a changes from: pool "own", budget 2`, `to: pool "", budget 1`, "team b goes"} {
 		if !strings.Contains(lines, want) {
 			t.Errorf("%q is not told in\n%s", want, lines)
@@ -150,15 +150,15 @@
 	if stop, _ := b.Route("", "a", "k").HardStop("view"); stop != 2 {
 		t.Errorf("its hard stop is %v", stop)
 	}
-	b.Change(pools, nil, ToPlatform)
+	b.Configure(pools, nil, UnmatchedToPlatform)
 	o.finish(0.1)
 	for i, c := range open {
 		if c.finished != 1 || c.declined+c.terminated > 0 {
 			t.Errorf("operation %d ended as %+v", i, c)
 		}
 	}
-	if b.Open() != 0 || len(b.States()) != 0 {
-		t.Errorf("%d places and %d teams are left", b.Open(), len(b.States()))
+	if b.OpenRequests() != 0 || len(b.TeamStates()) != 0 {
+		t.Errorf("%d places and %d teams are left", b.OpenRequests(), len(b.TeamStates()))
 	}
 }
 
@@ -169,11 +169,11 @@
 	r := b.Route("", "a", "k")
 	core, id := r.Take(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
 	core.OnClientGone(id)
-	if s := b.state("a"); s.Left != 1 || s.Open != 1 {
+	if s := b.state("a"); s.Disconnected != 1 || s.OpenRequests != 1 {
 		t.Errorf("while its execution is out it stands at %+v", s)
 	}
 	o.finish(0.3)
-	if s := b.state("a"); s.Open != 0 || s.Took < 0.29 || c.finished > 0 {
+	if s := b.state("a"); s.OpenRequests != 0 || s.LoadUsed < 0.29 || c.finished > 0 {
 		t.Errorf("then at %+v", s)
 	}
 }
@@ -181,10 +181,10 @@
 // Words of other routers are told apart from the module's.
 func TestWords(t *testing.T) {
 	b, _, _ := serving(t, ample, terms("a", "own", 2))
-	if b.Heard([]byte{1, 2, 3, 4, 5}) || !b.Heard([]byte{0xc7, 1, 0, 0}) {
+	if b.OnQuotaMessage([]byte{1, 2, 3, 4, 5}) || !b.OnQuotaMessage([]byte{0xc7, 1, 0, 0}) {
 		t.Error("a module's words are taken for others, or the other way round")
 	}
-	if b.Words() != nil {
+	if b.QuotaMessages() != nil {
 		t.Error("a router alone has something to tell")
 	}
 }
@@ -193,16 +193,16 @@
 func BenchmarkTake(b *testing.B) {
 	for _, n := range []int{3, 1000} {
 		b.Run(string(rune('0'+n%10))+"-of", func(b *testing.B) {
-			var all []Terms
+			var all []TeamTerms
 			for i := range n {
 				x := terms("t", "own", 1000)
 				x.Team = strings.Repeat("t", 1+i%7) + string(rune('a'+i/7%26)) + string(rune('a'+i/182))
 				x.Tenant = x.Team
 				all = append(all, x)
 			}
-			br, o, _ := serving(&testing.T{}, Limits{Open: 1 << 20, Held: 1 << 30, Connections: 100}, all...)
+			br, o, _ := serving(&testing.T{}, Limits{Requests: 1 << 20, BufferedBytes: 1 << 30, Connections: 100}, all...)
 			for _, p := range br.pools {
-				p.out.Split(1<<20, nil)
+				p.out.Repartition(1<<20, nil)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
@@ -226,8 +226,8 @@
 // A router that ends waits as long as the longest contract under which something may be open, also one that has gone.
 func TestLongestStopOutlivesItsContract(t *testing.T) {
 	b, _, pools := serving(t, ample, terms("a", "own", 1))
-	b.Change(pools, nil, ToPlatform)
-	if b.LongestStop() != view.Deadline {
-		t.Errorf("it waits %v", b.LongestStop())
+	b.Configure(pools, nil, UnmatchedToPlatform)
+	if b.LongestDeadline() != view.Deadline {
+		t.Errorf("it waits %v", b.LongestDeadline())
 	}
 }
--- a/internal/broker/golden_test.go
+++ b/internal/broker/golden_test.go
@@ -33,41 +33,41 @@
 	}
 }
 
-func goldenTerms() []Terms {
+func goldenTerms() []TeamTerms {
 	a, c, d := terms("a", "own", 1), terms("c", "", 0.5), terms("d", "own", 0)
-	a.Listen, a.Borrow, a.Weight = "127.0.0.1:1", 0.5, 2
+	a.Listen, a.BorrowRate, a.Weight = "127.0.0.1:1", 0.5, 2
 	c.Prefix = "lab:"
-	c.Types = []balancer.TrafficClass{{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5}, {Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2}}
-	return []Terms{a, c, d}
+	c.TrafficClasses = []balancer.TrafficClass{{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5}, {Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2}}
+	return []TeamTerms{a, c, d}
 }
 
 // The lines that operators find in the log for each change of contracts.
 func TestGoldenChangeLines(t *testing.T) {
 	b, _, pools := serving(t, ample)
 	var lines []string
-	change := func(what string, pools []Pool, all []Terms, others Others) {
+	change := func(what string, pools []Pool, all []TeamTerms, others UnmatchedTraffic) {
 		lines = append(lines, "# "+what)
-		lines = append(lines, b.Change(pools, all, others)...)
+		lines = append(lines, b.Configure(pools, all, others)...)
 	}
 	all := goldenTerms()
-	change("three teams", pools, all, ToPlatform)
-	change("nothing", pools, all, ToPlatform)
+	change("three teams", pools, all, UnmatchedToPlatform)
+	change("nothing", pools, all, UnmatchedToPlatform)
 	other := slices.Clone(all)
-	other[0].Budget, other[1].Tenant = 2.5, "x"
-	other[2].Types = nil
-	change("each is another", pools, other, ToNobody)
+	other[0].GuaranteedRate, other[1].Tenant = 2.5, "x"
+	other[2].TrafficClasses = nil
+	change("each is another", pools, other, UnmatchedRejected)
 	pools[1].Capacity = 3.25
 	pools[0].Capacity = 2
-	change("capacities", pools, other, ToNobody)
+	change("capacities", pools, other, UnmatchedRejected)
 	more := append(slices.Clone(pools), Pool{Name: "third", Core: pools[1].Core, Capacity: 1.5, Connections: 3})
-	change("a pool comes, teams go", more, other[1:2], ToPlatform)
-	change("a pool goes", pools[:1], []Terms{terms("z", "", 0.1)}, ToPlatform)
+	change("a pool comes, teams go", more, other[1:2], UnmatchedToPlatform)
+	change("a pool goes", pools[:1], []TeamTerms{terms("z", "", 0.1)}, UnmatchedToPlatform)
 	golden(t, "change-lines", lines)
 }
 
 // What becomes of each operation of a day in small, and what the operators' page shows of the teams.
 func TestGoldenDecisions(t *testing.T) {
-	b, o, pools := serving(t, Limits{Open: 40, Held: 1000, Connections: 8}, goldenTerms()...)
+	b, o, pools := serving(t, Limits{Requests: 40, BufferedBytes: 1000, Connections: 8}, goldenTerms()...)
 	var lines []string
 	ask := func(listener, tenant, key, kind string) {
 		r := b.Route(listener, tenant, key)
@@ -89,15 +89,15 @@
 		lines = append(lines, fmt.Sprintf("%s, %d %d %d after %v", line, c.finished, c.declined, c.terminated, c.after))
 	}
 	show := func() {
-		lines = append(lines, fmt.Sprintf("open %d, longest %v, revision %d", b.Open(), b.LongestStop(), b.Revision()))
-		for _, s := range b.States() {
-			lines = append(lines, fmt.Sprintf("%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v", s.Team, s.Pool, s.Budget, s.Part, s.Balance,
-				s.Open, s.Taken, s.Finished, s.Declined, s.Terminated, s.Left, s.Reasons, s.Took))
+		lines = append(lines, fmt.Sprintf("open %d, longest %v, revision %d", b.OpenRequests(), b.LongestDeadline(), b.Revision()))
+		for _, s := range b.TeamStates() {
+			lines = append(lines, fmt.Sprintf("%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v", s.Team, s.Pool, s.GuaranteedRate, s.Share, s.Balance,
+				s.OpenRequests, s.Received, s.Succeeded, s.Rejected, s.Failed, s.Disconnected, s.Reasons, s.LoadUsed))
 		}
-		kinds := b.Kinds()
+		kinds := b.TrafficClassNames()
 		slices.Sort(kinds)
-		lines = append(lines, fmt.Sprint(kinds, b.Has("a"), b.Has("who")))
-		for _, words := range b.Words() {
+		lines = append(lines, fmt.Sprint(kinds, b.HasTeam("a"), b.HasTeam("who")))
+		for _, words := range b.QuotaMessages() {
 			lines = append(lines, hex.EncodeToString(words))
 		}
 	}
@@ -118,8 +118,8 @@
 	b.Gone("127.0.0.1:1")
 	b.Gone("")
 	lines = append(lines, fmt.Sprintf("one went: %t", b.Door("127.0.0.1:1")))
-	b.Change(pools, []Terms{terms("a", "", 1), {Contract: quota.Contract{Team: "c", Budget: 3, Burst: 3, Flat: 0.1}, Pool: "own", Prefix: "lab:",
-		Types: goldenTerms()[1].Types}}, ToNobody)
+	b.Configure(pools, []TeamTerms{terms("a", "", 1), {Quota: quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1}, Pool: "own", Prefix: "lab:",
+		TrafficClasses: goldenTerms()[1].TrafficClasses}}, UnmatchedRejected)
 	show()
 	for i := range 24 {
 		ask("", "a", fmt.Sprint("k", i), "view")
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -63,19 +63,19 @@
 var view = balancer.TrafficClass{Name: "view", Idempotency: balancer.Idempotent, LatencyObjective: 1, Deadline: 4, PriorityWeight: 1}
 
 // serving is a broker with the platform's pool, of one server, and another of one, called "own".
-func serving(t *testing.T, limits Limits, all ...Terms) (*Broker, *outside, []Pool) {
+func serving(t *testing.T, limits Limits, all ...TeamTerms) (*Broker, *outside, []Pool) {
 	t.Helper()
 	o := &outside{now: 1000}
 	platform := o.core(1, view)
 	b := New(o.Now, balancer.Settings{RouterCount: 1, TrafficClasses: []balancer.TrafficClass{view}}, platform, limits)
 	pools := []Pool{{Core: platform, Connections: 100}, {Name: "own", Core: o.core(1), Connections: 10}}
-	b.Change(pools, all, ToPlatform)
+	b.Configure(pools, all, UnmatchedToPlatform)
 	return b, o, pools
 }
 
-func terms(team, pool string, budget float64) Terms {
-	return Terms{Contract: quota.Contract{Team: team, Budget: budget, Burst: budget}, Pool: pool, Tenant: team,
-		Types: []balancer.TrafficClass{view}}
+func terms(team, pool string, budget float64) TeamTerms {
+	return TeamTerms{Quota: quota.Quota{Team: team, GuaranteedRate: budget, Burst: budget}, Pool: pool, Tenant: team,
+		TrafficClasses: []balancer.TrafficClass{view}}
 }
 
 // ask takes an operation of a tenant, if there is a place for it.
@@ -89,16 +89,16 @@
 	return c, true
 }
 
-func (b *Broker) state(team string) State {
-	for _, s := range b.States() {
+func (b *Broker) state(team string) TeamState {
+	for _, s := range b.TeamStates() {
 		if s.Team == team {
 			return s
 		}
 	}
-	return State{}
+	return TeamState{}
 }
 
-var ample = Limits{Open: 1000, Held: 1 << 20, Connections: 100}
+var ample = Limits{Requests: 1000, BufferedBytes: 1 << 20, Connections: 100}
 
 // goldenTake hands an operation over and gives its client.
 func goldenTake(r requestcore.Route, kind, tenant, key string) *client {
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -24,7 +24,7 @@
 type gossips struct {
 	p     Place
 	heard func(words []byte)
-	peers *peertransport.Peers
+	peers *peertransport.Transport
 	fleet *gossip.Gossiper
 	steps int
 
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -75,7 +75,7 @@
 
 // all is the router's own way: a datagram to each of the others for each word.
 type all struct {
-	peers  *peertransport.Peers
+	peers  *peertransport.Transport
 	others uint64
 
 	told, heard, bytesOut, bytesIn atomic.Uint64
@@ -95,7 +95,7 @@
 func (w *all) Tell(words []byte) {
 	w.told.Add(1)
 	w.bytesOut.Add(w.others * uint64(len(words)+headers))
-	w.peers.Tell(words)
+	w.peers.Broadcast(words)
 }
 
 func (w *all) Traffic() Traffic {
--- a/internal/operatorconfig/contracts.go
+++ b/internal/operatorconfig/contracts.go
@@ -248,16 +248,16 @@
 }
 
 // Terms gives the contracts as the broker takes them.
-func (f *File) Terms() (all []broker.Terms) {
+func (f *File) Terms() (all []broker.TeamTerms) {
 	for _, t := range f.Teams {
 		burst := t.Budget // what it may do in a second
 		if t.Burst != nil {
 			burst = *t.Burst
 		}
-		terms := broker.Terms{Pool: t.Pool, Listen: t.Listen, Tenant: t.Tenant, Prefix: t.Prefix,
-			Contract: quota.Contract{Team: t.Name, Budget: t.Budget, Burst: burst, Borrow: t.Borrow, Weight: t.Weight}}
+		terms := broker.TeamTerms{Pool: t.Pool, Listen: t.Listen, Tenant: t.Tenant, Prefix: t.Prefix,
+			Quota: quota.Quota{Team: t.Name, GuaranteedRate: t.Budget, Burst: burst, BorrowRate: t.Borrow, Weight: t.Weight}}
 		for _, k := range t.Types {
-			terms.Types = append(terms.Types, balancer.TrafficClass{Name: k.Name, Idempotency: effects[k.Effect], DeduplicationScope: groups[k.Group],
+			terms.TrafficClasses = append(terms.TrafficClasses, balancer.TrafficClass{Name: k.Name, Idempotency: effects[k.Effect], DeduplicationScope: groups[k.Group],
 				DeduplicationWindow: k.Window, LatencyObjective: k.PromisedMS / 1e3, Deadline: k.HardStopMS / 1e3, PriorityWeight: k.Benefit,
 				LateValue: k.OverdueBenefit, AllowedZones: k.RunsIn, AllowedMachineTypes: k.AllowedOn})
 		}
@@ -267,7 +267,9 @@
 }
 
 // Others says who takes what no contract holds for.
-func (f *File) Others() broker.Others { return broker.Others(f.Broker.Others == "nobody") }
+func (f *File) Others() broker.UnmatchedTraffic {
+	return broker.UnmatchedTraffic(f.Broker.Others == "nobody")
+}
 
 // Settings gives the module's settings for a pool: the platform's, but for what the pool says.
 func (p Pool) Settings(set balancer.Settings) balancer.Settings {
@@ -338,7 +340,7 @@
 			}
 		}
 		for j, k := range f.Teams[i].Types {
-			row := []string{t.Team, cmp.Or(t.Pool, "platform's"), strings.Join(by, ", "), fmt.Sprint(t.Budget), fmt.Sprint(t.Burst), fmt.Sprint(t.Borrow)}
+			row := []string{t.Team, cmp.Or(t.Pool, "platform's"), strings.Join(by, ", "), fmt.Sprint(t.GuaranteedRate), fmt.Sprint(t.Burst), fmt.Sprint(t.BorrowRate)}
 			if j > 0 {
 				row = []string{"", "", "", "", "", ""}
 			}
@@ -346,7 +348,7 @@
 			if k.Effect == "numbered" {
 				effect += fmt.Sprintf(" in %s, %v s", cmp.Or(k.Group, "all"), k.Window)
 			}
-			rows = append(rows, append(row, k.Name, effect, fmt.Sprint(k.PromisedMS), fmt.Sprint(k.HardStopMS), fmt.Sprint(k.Benefit), t.Types[j].PlacementRules()))
+			rows = append(rows, append(row, k.Name, effect, fmt.Sprint(k.PromisedMS), fmt.Sprint(k.HardStopMS), fmt.Sprint(k.Benefit), t.TrafficClasses[j].PlacementRules()))
 		}
 	}
 	return rows
--- a/internal/operatorconfig/operators_test.go
+++ b/internal/operatorconfig/operators_test.go
@@ -125,8 +125,8 @@
 		t.Fatal(err)
 	}
 	terms := f.Terms()
-	if len(terms) != 1 || terms[0].Burst != 2 || terms[0].Borrow != 0.5 || terms[0].Types[0].Deadline != 0.5 ||
-		terms[0].Types[0].PlacementRules() != "on m2" || terms[0].Pool != "p" {
+	if len(terms) != 1 || terms[0].Burst != 2 || terms[0].BorrowRate != 0.5 || terms[0].TrafficClasses[0].Deadline != 0.5 ||
+		terms[0].TrafficClasses[0].PlacementRules() != "on m2" || terms[0].Pool != "p" {
 		t.Errorf("the terms are %+v", terms)
 	}
 	set := f.Pools[0].Settings(balancer.Settings{MaxAttempts: 5, WarmupDuration: 9, OverloadFactor: 4, GossipAllowed: true,
--- a/internal/peertransport/peers.go
+++ b/internal/peertransport/peers.go
@@ -14,8 +14,8 @@
 
 const bound = 256 // bytes of a message, by the protocol
 
-// Peers is the way to the other routers.
-type Peers struct {
+// Transport is the way to the other routers.
+type Transport struct {
 	conn   *net.UDPConn
 	to     []netip.AddrPort
 	at     []netip.AddrPort       // of all routers, in the order of their list
@@ -26,8 +26,8 @@
 // Open listens at an address. Messages go to all, one address for every router, or if there is none to each of
 // the others; heard is called, on a goroutine of its own, with those of known routers, the sender's address and its place in the list,
 // -1 where there is no list and all are heard.
-func Open(listen, all string, peers []string, me int, heard func(from netip.AddrPort, place int, words []byte), log zerolog.Logger) (*Peers, error) {
-	p := &Peers{log: log, places: map[netip.AddrPort]int{}}
+func Open(listen, all string, peers []string, me int, heard func(from netip.AddrPort, place int, words []byte), log zerolog.Logger) (*Transport, error) {
+	p := &Transport{log: log, places: map[netip.AddrPort]int{}}
 	for i, text := range peers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
@@ -64,7 +64,7 @@
 	return p, nil
 }
 
-func (p *Peers) hear(heard func(from netip.AddrPort, place int, words []byte)) {
+func (p *Transport) hear(heard func(from netip.AddrPort, place int, words []byte)) {
 	buf := make([]byte, bound+1)
 	for {
 		n, from, err := p.conn.ReadFromUDPAddrPort(buf)
@@ -83,8 +83,8 @@
 	}
 }
 
-// Tell sends a message; one that cannot be sent now is lost, as it may be on its way.
-func (p *Peers) Tell(words []byte) {
+// Broadcast sends a message; one that cannot be sent now is lost, as it may be on its way.
+func (p *Transport) Broadcast(words []byte) {
 	if p == nil || len(words) > bound {
 		return
 	}
@@ -94,7 +94,7 @@
 }
 
 // Send sends a message to one router by its place in the list; one that cannot be sent now is lost.
-func (p *Peers) Send(to int, words []byte) {
+func (p *Transport) Send(to int, words []byte) {
 	if p == nil || len(words) > bound || to < 0 || to >= len(p.at) {
 		return
 	}
--- a/internal/peertransport/peers_test.go
+++ b/internal/peertransport/peers_test.go
@@ -29,7 +29,7 @@
 func TestTell(t *testing.T) {
 	at := free(t, 3)
 	heard := make(chan string, 10)
-	var open []*Peers
+	var open []*Transport
 	for i, listen := range at[:2] {
 		p, err := Open(listen, "", at[:2], i, func(from netip.AddrPort, place int, words []byte) {
 			heard <- fmt.Sprint(from, " at ", place, " to ", listen, " ", string(words))
@@ -43,9 +43,9 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	stranger.Tell([]byte("psst"))
-	open[0].Tell([]byte(strings.Repeat("x", bound+1)))
-	open[0].Tell([]byte("news"))
+	stranger.Broadcast([]byte("psst"))
+	open[0].Broadcast([]byte(strings.Repeat("x", bound+1)))
+	open[0].Broadcast([]byte("news"))
 	select {
 	case got := <-heard:
 		if want := at[0] + " at 0 to " + at[1] + " news"; got != want {
@@ -63,7 +63,7 @@
 func TestSend(t *testing.T) {
 	at := free(t, 3)
 	heard := make(chan string, 10)
-	var open []*Peers
+	var open []*Transport
 	for i, listen := range at {
 		p, err := Open(listen, "", at, i, func(_ netip.AddrPort, from int, words []byte) { heard <- fmt.Sprint(i, " ", from, " ", string(words)) }, zerolog.Nop())
 		if err != nil {
@@ -97,7 +97,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	one.Tell([]byte("news"))
+	one.Broadcast([]byte("news"))
 	if from := <-heard; from != -1 {
 		t.Errorf("heard from %d", from)
 	}
@@ -105,8 +105,8 @@
 
 // Without peers nothing is told and nothing breaks.
 func TestNoPeers(t *testing.T) {
-	var none *Peers
-	none.Tell([]byte("news"))
+	var none *Transport
+	none.Broadcast([]byte("news"))
 	none.Send(0, []byte("news"))
 	if _, err := Open("nowhere", "", nil, 0, nil, zerolog.Nop()); err == nil {
 		t.Error("an address that is none was taken")
--- a/internal/policy/bulkhead/bulkhead.go
+++ b/internal/policy/bulkhead/bulkhead.go
@@ -4,119 +4,121 @@
 
 import "math"
 
-// Kept is the part of all places that is split up for good: the other half serves whoever needs more, so that a team
+// ReservedFraction is the part of all places that is split up for good: the other half serves whoever needs more, so that a team
 // alone may still use most of what there is.
-const Kept = 0.5
-
-// Places are all places of one kind.
-type Places struct {
-	total    int
-	used     int
-	reserved int // for teams that use less than their own
-	shares   map[string]*Share
+const ReservedFraction = 0.5
+
+// Bulkhead are all places of one kind.
+type Bulkhead struct {
+	capacity      int
+	inUse         int
+	unusedReserve int // for teams that use less than their own
+	partitions    map[string]*Partition
 }
 
-// Share is one team's.
-type Share struct {
-	of    *Places
-	own   int
-	used  int
-	ended bool
+// Partition is one team's.
+type Partition struct {
+	bulkhead *Bulkhead
+	reserved int
+	inUse    int
+	ended    bool
 }
 
 // New makes so many places for nobody yet.
-func New(total int) *Places { return &Places{total: max(0, total), shares: map[string]*Share{}} }
+func New(total int) *Bulkhead {
+	return &Bulkhead{capacity: max(0, total), partitions: map[string]*Partition{}}
+}
 
-// Split gives each of these teams its own places, by weight. Those that are no longer named keep what they use until
+// Repartition gives each of these teams its own places, by weight. Those that are no longer named keep what they use until
 // they let go of it. A team with a weight has one place of its own at the least, as long as there are enough.
-func (p *Places) Split(total int, weights map[string]float64) {
-	p.total = max(0, total)
+func (p *Bulkhead) Repartition(total int, weights map[string]float64) {
+	p.capacity = max(0, total)
 	sum := 0.0
 	for _, w := range weights {
 		sum += max(0, w)
 	}
-	for name, s := range p.shares {
+	for name, s := range p.partitions {
 		if _, there := weights[name]; !there {
-			s.own, s.ended = 0, true
-			delete(p.shares, name)
+			s.reserved, s.ended = 0, true
+			delete(p.partitions, name)
 		}
 	}
-	kept := Kept * float64(p.total)
+	kept := ReservedFraction * float64(p.capacity)
 	for name, w := range weights {
-		s := p.shares[name]
+		s := p.partitions[name]
 		if s == nil {
-			s = &Share{of: p}
-			p.shares[name] = s
+			s = &Partition{bulkhead: p}
+			p.partitions[name] = s
 		}
-		if s.own = 0; sum > 0 && w > 0 {
-			s.own = int(math.Floor(kept * w / sum))
+		if s.reserved = 0; sum > 0 && w > 0 {
+			s.reserved = int(math.Floor(kept * w / sum))
 		}
-		if s.own == 0 && w > 0 && len(weights) <= int(kept) {
-			s.own = 1
+		if s.reserved == 0 && w > 0 && len(weights) <= int(kept) {
+			s.reserved = 1
 		}
 	}
-	p.reserved = 0
-	for _, s := range p.shares {
-		p.reserved += max(0, s.own-s.used)
+	p.unusedReserve = 0
+	for _, s := range p.partitions {
+		p.unusedReserve += max(0, s.reserved-s.inUse)
 	}
 }
 
-// Share gives a team's; nil if it has none.
-func (p *Places) Share(name string) *Share { return p.shares[name] }
+// Partition gives a team's; nil if it has none.
+func (p *Bulkhead) Partition(name string) *Partition { return p.partitions[name] }
 
-// Used is how many places are taken.
-func (p *Places) Used() int { return p.used }
+// InUse is how many places are taken.
+func (p *Bulkhead) InUse() int { return p.inUse }
 
-// Total is how many there are.
-func (p *Places) Total() int { return p.total }
+// Capacity is how many there are.
+func (p *Bulkhead) Capacity() int { return p.capacity }
 
-// Room tells whether a team could take n places without touching what is others' own. Without a team they come from
+// CanAcquire tells whether a team could take n places without touching what is others' own. Without a team they come from
 // what is nobody's.
-func (p *Places) Room(s *Share, n int) bool {
+func (p *Bulkhead) CanAcquire(s *Partition, n int) bool {
 	own := 0
 	if s != nil {
-		own = min(n, max(0, s.own-s.used))
+		own = min(n, max(0, s.reserved-s.inUse))
 	}
-	return n == own || n-own <= p.total-p.used-p.reserved // its own are its own, also where others were forced in
+	return n == own || n-own <= p.capacity-p.inUse-p.unusedReserve // its own are its own, also where others were forced in
 }
 
-// Take takes n places where there is room for them; false takes none.
-func (p *Places) Take(s *Share, n int) bool {
-	if !p.Room(s, n) {
+// TryAcquire takes n places where there is room for them; false takes none.
+func (p *Bulkhead) TryAcquire(s *Partition, n int) bool {
+	if !p.CanAcquire(s, n) {
 		return false
 	}
-	p.take(s, n)
+	p.acquire(s, n)
 	return true
 }
 
-// Force takes n places whether there are any or not: for what cannot be refused any more.
-func (p *Places) Force(s *Share, n int) { p.take(s, n) }
+// ForceAcquire takes n places whether there are any or not: for what cannot be refused any more.
+func (p *Bulkhead) ForceAcquire(s *Partition, n int) { p.acquire(s, n) }
 
-func (p *Places) take(s *Share, n int) {
-	p.used += n
+func (p *Bulkhead) acquire(s *Partition, n int) {
+	p.inUse += n
 	if s != nil {
-		p.hold(s, n)
+		p.adjust(s, n)
 	}
 }
 
 // Release gives n places back.
-func (p *Places) Release(s *Share, n int) {
-	p.used -= n
+func (p *Bulkhead) Release(s *Partition, n int) {
+	p.inUse -= n
 	if s != nil {
-		p.hold(s, -n)
+		p.adjust(s, -n)
 	}
 }
 
-func (p *Places) hold(s *Share, n int) {
-	before := max(0, s.own-s.used)
-	s.used += n
+func (p *Bulkhead) adjust(s *Partition, n int) {
+	before := max(0, s.reserved-s.inUse)
+	s.inUse += n
 	if !s.ended {
-		p.reserved += max(0, s.own-s.used) - before
+		p.unusedReserve += max(0, s.reserved-s.inUse) - before
 	}
 }
 
-// Own is how many wait for a team, and Uses how many it has.
-func (s *Share) Own() int { return s.own }
+// Reserved is how many wait for a team, and Uses how many it has.
+func (s *Partition) Reserved() int { return s.reserved }
 
-// Uses is how many places a team has taken.
-func (s *Share) Uses() int { return s.used }
+// InUse is how many places a team has taken.
+func (s *Partition) InUse() int { return s.inUse }
--- a/internal/policy/bulkhead/bulkhead_test.go
+++ b/internal/policy/bulkhead/bulkhead_test.go
@@ -9,25 +9,25 @@
 
 func TestNobodyTakesAnothersLastPlace(t *testing.T) {
 	p := New(100)
-	p.Split(100, map[string]float64{"a": 1, "b": 1, "c": 3})
-	a, b, c := p.Share("a"), p.Share("b"), p.Share("c")
+	p.Repartition(100, map[string]float64{"a": 1, "b": 1, "c": 3})
+	a, b, c := p.Partition("a"), p.Partition("b"), p.Partition("c")
 	n := 0
-	for p.Take(a, 1) {
+	for p.TryAcquire(a, 1) {
 		n++
 	}
-	if a.Own() != 10 || n != 60 {
-		t.Errorf("a, with %d of its own, took %d", a.Own(), n)
+	if a.Reserved() != 10 || n != 60 {
+		t.Errorf("a, with %d of its own, took %d", a.Reserved(), n)
 	}
 	for i := range 10 {
-		if !p.Take(b, 1) {
+		if !p.TryAcquire(b, 1) {
 			t.Fatalf("b got only %d of its own", i)
 		}
 	}
-	if p.Take(b, 1) || p.Take(nil, 1) || !p.Take(c, 30) || p.Take(c, 1) {
+	if p.TryAcquire(b, 1) || p.TryAcquire(nil, 1) || !p.TryAcquire(c, 30) || p.TryAcquire(c, 1) {
 		t.Error("more was given than there is, or less than c's own")
 	}
 	p.Release(a, 5)
-	if !p.Take(nil, 5) || p.Take(b, 1) {
+	if !p.TryAcquire(nil, 5) || p.TryAcquire(b, 1) {
 		t.Error("what came back is not for whoever comes")
 	}
 }
@@ -35,19 +35,19 @@
 // A new split keeps what is used; a team that is no longer named gives its places back as it lets go of them.
 func TestSplitAnew(t *testing.T) {
 	p := New(10)
-	p.Split(10, map[string]float64{"a": 1, "b": 1})
-	a := p.Share("a")
-	p.Take(a, 4)
-	p.Split(10, map[string]float64{"b": 1})
-	if p.Share("a") != nil || p.Share("b").Own() != 5 || p.Take(nil, 2) || !p.Take(nil, 1) {
+	p.Repartition(10, map[string]float64{"a": 1, "b": 1})
+	a := p.Partition("a")
+	p.TryAcquire(a, 4)
+	p.Repartition(10, map[string]float64{"b": 1})
+	if p.Partition("a") != nil || p.Partition("b").Reserved() != 5 || p.TryAcquire(nil, 2) || !p.TryAcquire(nil, 1) {
 		t.Error("the split does not keep what is used")
 	}
 	p.Release(a, 4)
-	if !p.Take(nil, 4) || p.Used() != 5 {
-		t.Errorf("%d are used", p.Used())
+	if !p.TryAcquire(nil, 4) || p.InUse() != 5 {
+		t.Errorf("%d are used", p.InUse())
 	}
-	p.Split(10, map[string]float64{"b": 1, "tiny": 1e-9})
-	if p.Share("tiny").Own() != 1 {
+	p.Repartition(10, map[string]float64{"b": 1, "tiny": 1e-9})
+	if p.Partition("tiny").Reserved() != 1 {
 		t.Error("a small team has no place of its own")
 	}
 }
@@ -59,7 +59,7 @@
 		total := rapid.IntRange(0, 60).Draw(t, "total")
 		p := New(total)
 		names := []string{"a", "b", "c", "d"}
-		used := map[*Share]int{}
+		used := map[*Partition]int{}
 		cut := 0
 		split := func() {
 			w := map[string]float64{}
@@ -68,12 +68,12 @@
 					w[n] = rapid.Float64Range(0, 5).Draw(t, "weight")
 				}
 			}
-			p.Split(total, w)
-			cut = max(0, p.used+p.reserved-total)
+			p.Repartition(total, w)
+			cut = max(0, p.inUse+p.unusedReserve-total)
 		}
 		split()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			s := p.Share(rapid.SampledFrom(names).Draw(t, "who"))
+			s := p.Partition(rapid.SampledFrom(names).Draw(t, "who"))
 			switch n := rapid.IntRange(1, 4).Draw(t, "n"); rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
 				split()
@@ -83,27 +83,27 @@
 					used[s] -= n
 				}
 			default:
-				room := s != nil && s.own-s.used >= n && cut == 0
-				if got := p.Take(s, n); got && s != nil {
+				room := s != nil && s.reserved-s.inUse >= n && cut == 0
+				if got := p.TryAcquire(s, n); got && s != nil {
 					used[s] += n
 				} else if got {
 					p.Release(nil, n)
 				} else if room {
-					t.Fatalf("a team with %d of %d was refused %d", s.used, s.own, n)
+					t.Fatalf("a team with %d of %d was refused %d", s.inUse, s.reserved, n)
 				}
 			}
 			reserved := 0
-			for _, s := range p.shares {
-				if s.used != used[s] || s.used < 0 {
-					t.Fatalf("a share counts %d, it uses %d", s.used, used[s])
+			for _, s := range p.partitions {
+				if s.inUse != used[s] || s.inUse < 0 {
+					t.Fatalf("a share counts %d, it uses %d", s.inUse, used[s])
 				}
-				reserved += max(0, s.own-s.used)
+				reserved += max(0, s.reserved-s.inUse)
 			}
-			if reserved != p.reserved {
-				t.Fatalf("%d are reserved, counted %d", reserved, p.reserved)
+			if reserved != p.unusedReserve {
+				t.Fatalf("%d are reserved, counted %d", reserved, p.unusedReserve)
 			}
-			if p.used+p.reserved > total+cut {
-				t.Fatalf("%d used and %d reserved of %d", p.used, p.reserved, total)
+			if p.inUse+p.unusedReserve > total+cut {
+				t.Fatalf("%d used and %d reserved of %d", p.inUse, p.unusedReserve, total)
 			}
 		}
 	})
@@ -114,11 +114,11 @@
 	for i := range 1000 {
 		w[fmt.Sprint(i)] = 1
 	}
-	p.Split(100000, w)
-	s := p.Share("7")
+	p.Repartition(100000, w)
+	s := p.Partition("7")
 	b.ReportAllocs()
 	for range b.N {
-		if p.Take(s, 1) {
+		if p.TryAcquire(s, 1) {
 			p.Release(s, 1)
 		}
 	}
--- a/internal/policy/bulkhead/golden_test.go
+++ b/internal/policy/bulkhead/golden_test.go
@@ -18,24 +18,24 @@
 	chance := rand.New(rand.NewPCG(5, 51))
 	p := New(50)
 	names := []string{"a", "b", "c", "d"}
-	held := map[*Share]int{}
+	held := map[*Partition]int{}
 	sum := []byte(nil)
 	var lines []string
 	for step := range 4000 {
-		s := p.Share(names[chance.IntN(4)])
+		s := p.Partition(names[chance.IntN(4)])
 		n := 1 + chance.IntN(3)
 		what := ""
 		switch chance.IntN(8) {
 		case 0, 1, 2:
-			what = fmt.Sprint("take ", p.Room(s, n))
-			took := p.Take(s, n)
+			what = fmt.Sprint("take ", p.CanAcquire(s, n))
+			took := p.TryAcquire(s, n)
 			if took {
 				held[s] += n
 			}
 			what += fmt.Sprint(" ", took)
 		case 3:
 			if chance.IntN(4) == 0 {
-				p.Force(s, n)
+				p.ForceAcquire(s, n)
 				held[s] += n
 			}
 		case 4, 5, 6:
@@ -51,19 +51,19 @@
 						weights[name] = float64(chance.IntN(5)) * chance.Float64()
 					}
 				}
-				p.Split(30+chance.IntN(40), weights)
+				p.Repartition(30+chance.IntN(40), weights)
 			}
 		}
 		h := sha256.New()
-		fmt.Fprintf(h, "%x %s %d %d\n", sum, what, p.Used(), p.Total())
+		fmt.Fprintf(h, "%x %s %d %d\n", sum, what, p.InUse(), p.Capacity())
 		for _, name := range names {
-			if s := p.Share(name); s != nil {
-				fmt.Fprintf(h, "%s %d %d\n", name, s.Own(), s.Uses())
+			if s := p.Partition(name); s != nil {
+				fmt.Fprintf(h, "%s %d %d\n", name, s.Reserved(), s.InUse())
 			}
 		}
 		sum = h.Sum(nil)
 		if step%100 == 99 {
-			lines = append(lines, fmt.Sprintf("%d: %d of %d, %x", step, p.Used(), p.Total(), sum[:8]))
+			lines = append(lines, fmt.Sprintf("%d: %d of %d, %x", step, p.InUse(), p.Capacity(), sum[:8]))
 		}
 	}
 	got := strings.Join(lines, "\n") + "\n"
--- a/internal/policy/quota/contracts.go
+++ b/internal/policy/quota/contracts.go
@@ -13,14 +13,14 @@
 	"slices"
 )
 
-// Contract is what a team and the operators have agreed on.
-type Contract struct {
-	Team   string
-	Budget float64 // seconds of load a second, over all routers
-	Burst  float64 // seconds of load that may come at once, over all routers
-	Borrow float64 // seconds of load a second, beyond the budget, of what others leave unused; 0: none
-	Weight float64 // its part of what is left unused, against others'; 0: as its budget
-	Flat   float64 // what every operation counts, whatever it takes: a plain rate, to compare with; 0: what it takes
+// Quota is what a team and the operators have agreed on.
+type Quota struct {
+	Team           string
+	GuaranteedRate float64 // seconds of load a second, over all routers
+	Burst          float64 // seconds of load that may come at once, over all routers
+	BorrowRate     float64 // seconds of load a second, beyond the budget, of what others leave unused; 0: none
+	Weight         float64 // its part of what is left unused, against others'; 0: as its budget
+	FlatCost       float64 // what every operation counts, whatever it takes: a plain rate, to compare with; 0: what it takes
 }
 
 // Reason tells how an operation was decided on.
@@ -28,14 +28,14 @@
 
 // The reasons.
 const (
-	Own      Reason = iota // admitted within the budget
-	Borrowed               // admitted from what others leave unused
-	Budget                 // declined: beyond the budget, and nothing is left unused for this team
-	Unknown                // declined: there is no such team, or its contract was ended
+	WithinQuota Reason = iota // admitted within the budget
+	Borrowed                  // admitted from what others leave unused
+	OverQuota                 // declined: beyond the budget, and nothing is left unused for this team
+	UnknownTeam               // declined: there is no such team, or its contract was ended
 )
 
 // Admitted tells whether the operation goes on.
-func (r Reason) Admitted() bool { return r == Own || r == Borrowed }
+func (r Reason) Admitted() bool { return r == WithinQuota || r == Borrowed }
 
 func (r Reason) String() string {
 	return [...]string{"own budget", "borrowed", "budget", "no contract"}[r]
@@ -49,14 +49,14 @@
 	learning    = 16.0 // operations over which an estimate is the mean
 )
 
-// Pool is the balances of one pool at one router.
-type Pool struct {
+// Limiter is the balances of one pool at one router.
+type Limiter struct {
 	capacity float64 // of the pool, over all routers; 0: not stated
 	part     float64 // of the capacity that this router may lend out
 	clock    float64 // seconds that have passed; steps of the caller's clock are bounded
 	last     float64 // the caller's time then
 	begun    bool
-	teams    map[string]*Team
+	teams    map[string]*Bucket
 	budgets  float64 // of all teams, over all routers
 	unused   float64 // what full balances cannot take, a second
 	rate     float64 // of all that is left unused, a second
@@ -67,16 +67,16 @@
 	left     float64 // for any asker: what nobody asked for lately
 	seed     uint32
 	draws    uint64
-	Totals   Totals
+	Totals   UnusedTotals
 }
 
-// Totals tell where what was left unused went. Balance: left over all = Filled - Dropped - Charged + Forgiven.
-type Totals struct{ Filled, Dropped, Charged, Forgiven float64 }
+// UnusedTotals tell where what was left unused went. Balance: left over all = Filled - Dropped - Charged + Forgiven.
+type UnusedTotals struct{ Filled, Dropped, Charged, Forgiven float64 }
 
-// Team is one team's balance at one router.
-type Team struct {
-	Contract
-	in      *Pool
+// Bucket is one team's balance at one router.
+type Bucket struct {
+	Quota
+	in      *Limiter
 	ended   bool
 	part    float64 // of the budget that this router has
 	balance float64
@@ -90,72 +90,72 @@
 	mayAt   float64
 	asks    bool
 	asked   float64
-	before  *Team // among the askers
-	after   *Team
+	before  *Bucket // among the askers
+	after   *Bucket
 	back    float64 // when the last of those that were told to come back will
-	costs   map[string]*Cost
+	costs   map[string]*ClassCost
 	Demand  Demand
-	Totals  TeamTotals
+	Totals  BucketTotals
 }
 
-// TeamTotals tell what a team was given. Balance: balance = Start + Filled - Spilled - Charged + Forgiven.
-type TeamTotals struct {
+// BucketTotals tell what a team was given. Balance: balance = Start + Filled - Spilled - Charged + Forgiven.
+type BucketTotals struct {
 	Start, Filled, Spilled, Charged, Forgiven float64
-	Own, Borrowed, Declined                   uint64  // operations
-	Took                                      float64 // seconds of load, of operations that have ended
-	Open                                      int
+	WithinQuota, Borrowed, Rejected           uint64  // operations
+	LoadUsed                                  float64 // seconds of load, of operations that have ended
+	InFlight                                  int
 }
 
-// Cost is what operations of one traffic type cost a team.
-type Cost struct {
+// ClassCost is what operations of one traffic type cost a team.
+type ClassCost struct {
 	mean  float64
 	quiet float64 // the time that a quarter of its executions stay below: what they take where they do not wait
 }
 
-// Ticket is an operation that was admitted. It belongs to the contract it began with, whatever becomes of that.
-type Ticket struct {
-	team   *Team
-	cost   *Cost
+// Reservation is an operation that was admitted. It belongs to the contract it began with, whatever becomes of that.
+type Reservation struct {
+	team   *Bucket
+	cost   *ClassCost
 	held   float64
 	reason Reason
 	ended  bool
 }
 
-// NewPool makes one without teams. The capacity is stated by the operators, or 0.
-func NewPool(now, capacity float64, seed uint32) *Pool {
-	p := &Pool{capacity: max(0, capacity), part: 1, teams: map[string]*Team{}, seed: seed}
+// NewLimiter makes one without teams. The capacity is stated by the operators, or 0.
+func NewLimiter(now, capacity float64, seed uint32) *Limiter {
+	p := &Limiter{capacity: max(0, capacity), part: 1, teams: map[string]*Bucket{}, seed: seed}
 	p.advance(now)
 	p.rerate()
 	return p
 }
 
-// Team gives a team's record, nil if there is none.
-func (p *Pool) Team(name string) *Team { return p.teams[name] }
+// Bucket gives a team's record, nil if there is none.
+func (p *Limiter) Bucket(name string) *Bucket { return p.teams[name] }
 
-// Teams gives all, by name.
-func (p *Pool) Teams() []*Team {
-	var all []*Team
+// Buckets gives all, by name.
+func (p *Limiter) Buckets() []*Bucket {
+	var all []*Bucket
 	for _, t := range p.teams {
 		all = append(all, t)
 	}
-	slices.SortFunc(all, func(a, b *Team) int { return cmp.Compare(a.Team, b.Team) })
+	slices.SortFunc(all, func(a, b *Bucket) int { return cmp.Compare(a.Team, b.Team) })
 	return all
 }
 
 // Balance is what a team may spend of its own now, below 0 where it owes.
-func (t *Team) Balance() float64 { return t.balance }
+func (t *Bucket) Balance() float64 { return t.balance }
 
-// Part is the part of its budget that this router has.
-func (t *Team) Part() float64 { return t.part }
+// Share is the part of its budget that this router has.
+func (t *Bucket) Share() float64 { return t.part }
 
-// Left is what is left unused now, for any asker.
-func (p *Pool) Left() float64 { return p.left }
+// Unused is what is left unused now, for any asker.
+func (p *Limiter) Unused() float64 { return p.left }
 
-func (t *Team) fills() float64 { return t.Budget * t.part }
-func (t *Team) holds() float64 { return t.Burst * t.part }
+func (t *Bucket) fills() float64 { return t.GuaranteedRate * t.part }
+func (t *Bucket) holds() float64 { return t.Burst * t.part }
 
 // advance lets time pass. What fills up on the way is left unused from then on.
-func (p *Pool) advance(now float64) {
+func (p *Limiter) advance(now float64) {
 	step := 0.0
 	if p.begun {
 		step = min(max(now-p.last, 0), longestStep)
@@ -174,14 +174,14 @@
 }
 
 // accrue adds what is left unused up to a time of the pool's clock.
-func (p *Pool) accrue(to float64) {
+func (p *Limiter) accrue(to float64) {
 	more := p.rate * max(0, to-p.clock)
 	p.clock = max(p.clock, to)
 	p.spill(more)
 }
 
 // spill takes load that is left unused: for those who ask, by weight, else for who comes first.
-func (p *Pool) spill(more float64) {
+func (p *Limiter) spill(more float64) {
 	if more <= 0 {
 		return
 	}
@@ -194,14 +194,14 @@
 }
 
 // keep adds to what any asker may take, up to its bound.
-func (p *Pool) keep(more float64) {
+func (p *Limiter) keep(more float64) {
 	room := max(0, p.rate*leftFor-p.left)
 	p.left += min(room, more)
 	p.Totals.Dropped += max(0, more-room)
 }
 
 // settle reckons a team's balance up to now, and notes whether it is full.
-func (p *Pool) settle(t *Team) {
+func (p *Limiter) settle(t *Bucket) {
 	gain := t.fills() * (p.clock - t.at)
 	t.at = p.clock
 	if t.full || gain < 0 {
@@ -214,7 +214,7 @@
 }
 
 // top lets go of what a balance cannot take.
-func (p *Pool) top(t *Team) {
+func (p *Limiter) top(t *Bucket) {
 	if over := t.balance - t.holds(); over > 0 {
 		t.balance -= over
 		t.Totals.Spilled += over
@@ -225,7 +225,7 @@
 const nearly = 1e-9 // seconds of load: less is a matter of rounding
 
 // await notes whether a balance is full, and if not, when it will be.
-func (p *Pool) await(t *Team) {
+func (p *Limiter) await(t *Bucket) {
 	full := t.balance >= t.holds()-nearly && !t.ended
 	if full != t.full {
 		if t.full = full; full {
@@ -243,52 +243,52 @@
 }
 
 // rerate reckons what is left unused a second: the capacity beyond all budgets, and what full balances cannot take.
-func (p *Pool) rerate() { p.rate = max(0, p.capacity-p.budgets)*p.part + max(0, p.unused) }
+func (p *Limiter) rerate() { p.rate = max(0, p.capacity-p.budgets)*p.part + max(0, p.unused) }
 
 // recount reckons the sums anew, free of what rounding left.
-func (p *Pool) recount() {
+func (p *Limiter) recount() {
 	p.budgets, p.unused = 0, 0
-	for _, t := range p.Teams() {
-		if p.budgets += t.Budget; t.full {
+	for _, t := range p.Buckets() {
+		if p.budgets += t.GuaranteedRate; t.full {
 			p.unused += t.fills()
 		}
 	}
 	p.rerate()
 }
 
-// Arrive decides on an operation of a team. Where it is declined, after is how long its client is to stay away.
-func (p *Pool) Arrive(now float64, team, kind string, guess float64) (ticket *Ticket, why Reason, after float64) {
+// Admit decides on an operation of a team. Where it is declined, after is how long its client is to stay away.
+func (p *Limiter) Admit(now float64, team, kind string, guess float64) (ticket *Reservation, why Reason, after float64) {
 	p.advance(now)
 	t := p.teams[team]
 	if t == nil {
-		return nil, Unknown, 0
+		return nil, UnknownTeam, 0
 	}
 	c := t.cost(kind, guess)
-	if t.Flat > 0 {
-		c.mean = t.Flat
+	if t.FlatCost > 0 {
+		c.mean = t.FlatCost
 	}
 	t.Demand.comes(p.clock, c.mean)
 	p.settle(t)
 	switch {
 	case t.balance > 0:
 		t.charge(c.mean)
-		t.Totals.Own++
-		why = Own
+		t.Totals.WithinQuota++
+		why = WithinQuota
 	case p.borrow(t, c.mean):
 		t.Totals.Borrowed++
 		why = Borrowed
 	default:
-		t.Totals.Declined++
-		return nil, Budget, p.comeBack(t, c.mean)
+		t.Totals.Rejected++
+		return nil, OverQuota, p.comeBack(t, c.mean)
 	}
-	t.Totals.Open++
-	return &Ticket{team: t, cost: c, held: c.mean, reason: why}, why, 0
+	t.Totals.InFlight++
+	return &Reservation{team: t, cost: c, held: c.mean, reason: why}, why, 0
 }
 
-func (t *Team) cost(kind string, guess float64) *Cost {
+func (t *Bucket) cost(kind string, guess float64) *ClassCost {
 	c := t.costs[kind]
 	if c == nil {
-		c = &Cost{mean: max(guess, 1e-6)}
+		c = &ClassCost{mean: max(guess, 1e-6)}
 		t.costs[kind] = c
 	}
 	return c
@@ -296,7 +296,7 @@
 
 // charge takes load from a team's own balance, or gives some back. It owes no more than its burst: what a service that
 // hung for a moment cost beyond that is forgiven, or the team would be shut out for long after.
-func (t *Team) charge(load float64) {
+func (t *Bucket) charge(load float64) {
 	t.balance -= load
 	t.Totals.Charged += load
 	if owed := -t.balance - max(t.holds(), load); owed > 0 {
@@ -310,12 +310,12 @@
 // Borrowing.
 
 // borrow takes load from what is left unused, if the contract allows it and it is this team's turn.
-func (p *Pool) borrow(t *Team, load float64) bool {
-	if t.Borrow <= 0 {
+func (p *Limiter) borrow(t *Bucket, load float64) bool {
+	if t.BorrowRate <= 0 {
 		return false
 	}
 	p.ask(t)
-	t.may = min(t.may+t.Borrow*t.part*(p.clock-t.mayAt), t.Borrow*t.part) // a second's worth at once
+	t.may = min(t.may+t.BorrowRate*t.part*(p.clock-t.mayAt), t.BorrowRate*t.part) // a second's worth at once
 	t.mayAt = p.clock
 	if t.may <= 0 {
 		return false
@@ -335,7 +335,7 @@
 }
 
 // forgive bounds what is owed to others' unused load.
-func (p *Pool) forgive(t *Team) {
+func (p *Limiter) forgive(t *Bucket) {
 	bound := max(p.rate, p.capacity*p.part)*leftFor + nearly
 	for _, x := range []*float64{&t.own, &p.left} {
 		if owed := -*x - bound; owed > 0 {
@@ -346,7 +346,7 @@
 }
 
 // ask counts a team among those that share what is left, and reckons its part so far.
-func (p *Pool) ask(t *Team) {
+func (p *Limiter) ask(t *Bucket) {
 	if !t.asks {
 		t.asks, t.seen = true, p.each
 		p.weights += t.weight()
@@ -359,7 +359,7 @@
 }
 
 // share gives an asker its part; what it cannot keep is for any other.
-func (p *Pool) share(t *Team) {
+func (p *Limiter) share(t *Bucket) {
 	t.own += (p.each - t.seen) * t.weight()
 	t.seen = p.each
 	if bound := p.rate * leftFor * t.weight() / p.weights; t.own > bound {
@@ -369,7 +369,7 @@
 }
 
 // drop takes a team from the askers.
-func (p *Pool) drop(t *Team) {
+func (p *Limiter) drop(t *Bucket) {
 	if !t.asks {
 		return
 	}
@@ -388,7 +388,7 @@
 }
 
 // weight is never so small that what is left for a weight of 1 outgrows what a number can tell apart.
-func (t *Team) weight() float64 { return max(cmp.Or(t.Weight, t.Budget, 1), 1e-3) }
+func (t *Bucket) weight() float64 { return max(cmp.Or(t.Weight, t.GuaranteedRate, 1), 1e-3) }
 
 const (
 	waited   = 6.0      // times the quiet time, which leaves room for misses: beyond it an execution waits for others' work
@@ -396,9 +396,9 @@
 	quietest = 0.25     // the part of the executions that are below it
 )
 
-// Weigh gives what an execution that took so long counts: all of it, but for waiting beyond what its traffic type's own
+// ChargeableTime gives what an execution that took so long counts: all of it, but for waiting beyond what its traffic type's own
 // executions usually need. Else a team would pay for the queues that another's dear operations make at shared servers.
-func (p *Pool) Weigh(k *Ticket, seconds float64) float64 {
+func (p *Limiter) ChargeableTime(k *Reservation, seconds float64) float64 {
 	c := k.cost
 	switch {
 	case c.quiet == 0:
@@ -413,17 +413,17 @@
 }
 
 // Settle takes an operation's end: what all its executions really took takes the place of the estimate.
-func (p *Pool) Settle(now float64, k *Ticket, took float64) {
+func (p *Limiter) Settle(now float64, k *Reservation, took float64) {
 	if k == nil || k.ended {
 		return
 	}
 	k.ended = true
 	p.advance(now)
 	t := k.team
-	t.Totals.Open--
-	t.Totals.Took += took
-	if t.Flat > 0 {
-		took = t.Flat
+	t.Totals.InFlight--
+	t.Totals.LoadUsed += took
+	if t.FlatCost > 0 {
+		took = t.FlatCost
 	}
 	k.cost.mean += (took - k.cost.mean) / learning
 	k.cost.mean = max(k.cost.mean, 1e-6)
@@ -431,14 +431,14 @@
 		return
 	}
 	p.settle(t)
-	if k.reason == Own {
+	if k.reason == WithinQuota {
 		t.charge(took - k.held)
 		return
 	}
 	p.Totals.Charged += took - k.held
 	if more := k.held - took; more > 0 {
 		p.keep(more)
-		t.may = min(t.may+more, t.Borrow*t.part)
+		t.may = min(t.may+more, t.BorrowRate*t.part)
 	} else {
 		p.left += more
 		t.may += more
@@ -447,7 +447,7 @@
 }
 
 // comeBack tells how long a client is to stay away: until the budget has room for it behind those told before.
-func (p *Pool) comeBack(t *Team, load float64) float64 {
+func (p *Limiter) comeBack(t *Bucket, load float64) float64 {
 	if t.fills() <= 0 {
 		return 0 // nothing will come
 	}
@@ -462,14 +462,14 @@
 const longestWait = 5.0 // seconds: clients that are told more have left
 
 // chance draws a number from 0 up to 1.
-func (p *Pool) chance() float64 {
+func (p *Limiter) chance() float64 {
 	p.draws++
 	return float64(mix(p.seed, p.draws)) / (1 << 32)
 }
 
-// Change takes new contracts, all of the pool's. Balances carry over; the contract of a team that is no longer named
+// SetQuotas takes new contracts, all of the pool's. Balances carry over; the contract of a team that is no longer named
 // ends, and its open operations end under it.
-func (p *Pool) Change(now, capacity float64, all []Contract) {
+func (p *Limiter) SetQuotas(now, capacity float64, all []Quota) {
 	p.advance(now)
 	p.capacity = max(0, capacity)
 	named := map[string]bool{}
@@ -479,12 +479,12 @@
 			p.settle(t)
 			asked := t.asks
 			p.drop(t) // its weight may change
-			t.Contract = c
-			if asked && c.Borrow > 0 {
+			t.Quota = c
+			if asked && c.BorrowRate > 0 {
 				p.ask(t)
 			}
 		} else {
-			t = &Team{Contract: c, in: p, part: p.part, at: p.clock, mayAt: p.clock, slot: -1, costs: map[string]*Cost{}}
+			t = &Bucket{Quota: c, in: p, part: p.part, at: p.clock, mayAt: p.clock, slot: -1, costs: map[string]*ClassCost{}}
 			t.balance = t.holds()
 			t.Totals.Start = t.balance
 			p.teams[c.Team] = t
@@ -499,7 +499,7 @@
 			delete(p.teams, name)
 		}
 	}
-	for _, t := range p.Teams() {
+	for _, t := range p.Buckets() {
 		p.top(t)
 		p.await(t)
 	}
@@ -507,7 +507,7 @@
 }
 
 // Balance is what a team may spend of its own at a time, 0 if there is none such.
-func (p *Pool) Balance(now float64, team string) float64 {
+func (p *Limiter) Balance(now float64, team string) float64 {
 	p.advance(now)
 	t := p.teams[team]
 	if t == nil {
@@ -517,8 +517,8 @@
 	return t.balance
 }
 
-// Adopt gives a team the balance that it had in another pool, as far as its burst here allows.
-func (p *Pool) Adopt(now float64, team string, balance float64) {
+// AdoptBalance gives a team the balance that it had in another pool, as far as its burst here allows.
+func (p *Limiter) AdoptBalance(now float64, team string, balance float64) {
 	p.advance(now)
 	if t := p.teams[team]; t != nil {
 		p.settle(t)
@@ -529,8 +529,8 @@
 	}
 }
 
-// SetPart sets the part of a team's budget that this router has.
-func (p *Pool) SetPart(now float64, t *Team, part float64) {
+// SetShare sets the part of a team's budget that this router has.
+func (p *Limiter) SetShare(now float64, t *Bucket, part float64) {
 	p.advance(now)
 	if t.ended || part == t.part {
 		return
@@ -548,17 +548,17 @@
 	p.await(t)
 }
 
-// SetSpare sets the part of the capacity beyond all budgets that this router may lend out.
-func (p *Pool) SetSpare(now, part float64) {
+// SetUnreservedShare sets the part of the capacity beyond all budgets that this router may lend out.
+func (p *Limiter) SetUnreservedShare(now, part float64) {
 	p.advance(now)
 	p.part = max(0, part)
 	p.rerate()
 }
 
 // askers is a list of teams, the one that asked longest ago first.
-type askers struct{ first, last *Team }
+type askers struct{ first, last *Bucket }
 
-func (l *askers) add(t *Team) {
+func (l *askers) add(t *Bucket) {
 	t.before, t.after = l.last, nil
 	if l.last == nil {
 		l.first = t
@@ -568,7 +568,7 @@
 	l.last = t
 }
 
-func (l *askers) remove(t *Team) {
+func (l *askers) remove(t *Bucket) {
 	if t.before == nil {
 		l.first = t.after
 	} else {
@@ -583,15 +583,15 @@
 }
 
 // filling is a heap of teams, by when their balance will be full.
-type filling []*Team
+type filling []*Bucket
 
-func (h *filling) add(t *Team) {
+func (h *filling) add(t *Bucket) {
 	t.slot = len(*h)
 	*h = append(*h, t)
 	h.up(t.slot)
 }
 
-func (h *filling) remove(t *Team) {
+func (h *filling) remove(t *Bucket) {
 	i, last := t.slot, len(*h)-1
 	if i < 0 {
 		return
--- a/internal/policy/quota/golden_test.go
+++ b/internal/policy/quota/golden_test.go
@@ -60,12 +60,12 @@
 		for i := range 4 {
 			now := 101 + float64(i)*0.7
 			for j := range n {
-				tr.pools[1].Arrive(now, fmt.Sprintf("team-%d", j), "t", 0.01*float64(j%7))
+				tr.pools[1].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.01*float64(j%7))
 				if i == 2 {
-					tr.pools[0].Arrive(now, fmt.Sprintf("team-%d", j), "t", 0.02)
+					tr.pools[0].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.02)
 				}
 			}
-			lines = append(lines, hex.EncodeToString(tr.parts[1].Tell(now)))
+			lines = append(lines, hex.EncodeToString(tr.parts[1].Message(now)))
 		}
 		name := fmt.Sprintf("messages-%d-teams", n)
 		var want []string
@@ -83,12 +83,12 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			lines = append(lines, fmt.Sprintf("read: %t", tr.parts[0].Heard(102.8+float64(i)*0.1, words)))
+			lines = append(lines, fmt.Sprintf("read: %t", tr.parts[0].OnMessage(102.8+float64(i)*0.1, words)))
 		}
-		tr.parts[0].Begin(103.3)
-		lines = append(lines, fmt.Sprintf("known: %v", tr.parts[0].Known(103.3)))
-		for _, m := range tr.pools[0].Teams() {
-			lines = append(lines, fmt.Sprintf("%s: part %v", m.Team, m.Part()))
+		tr.parts[0].Recompute(103.3)
+		lines = append(lines, fmt.Sprintf("known: %v", tr.parts[0].LivePeers(103.3)))
+		for _, m := range tr.pools[0].Buckets() {
+			lines = append(lines, fmt.Sprintf("%s: part %v", m.Team, m.Share()))
 		}
 		golden(t, name, lines)
 	}
@@ -98,12 +98,12 @@
 // and teams that are not known.
 func TestGoldenDecisions(t *testing.T) {
 	chance := rand.New(rand.NewPCG(5, 50))
-	all := []Contract{{Team: "a", Budget: 1, Burst: 0.5}, {Team: "b", Budget: 0.7, Burst: 2, Borrow: 1, Weight: 3}, {Team: "c", Budget: 0.3, Burst: 0.1, Borrow: 5},
-		{Team: "d", Budget: 0, Burst: 0.2}, {Team: "e", Budget: 0.2, Burst: 1, Borrow: 2, Flat: 0.02}, {Team: "g", Borrow: 3, Weight: 0.5}}
-	p := NewPool(100, 4, 7)
-	p.Change(100, 4, all)
-	other := NewPool(100, 1, 8)
-	other.Change(100, 1, all[1:3])
+	all := []Quota{{Team: "a", GuaranteedRate: 1, Burst: 0.5}, {Team: "b", GuaranteedRate: 0.7, Burst: 2, BorrowRate: 1, Weight: 3}, {Team: "c", GuaranteedRate: 0.3, Burst: 0.1, BorrowRate: 5},
+		{Team: "d", GuaranteedRate: 0, Burst: 0.2}, {Team: "e", GuaranteedRate: 0.2, Burst: 1, BorrowRate: 2, FlatCost: 0.02}, {Team: "g", BorrowRate: 3, Weight: 0.5}}
+	p := NewLimiter(100, 4, 7)
+	p.SetQuotas(100, 4, all)
+	other := NewLimiter(100, 1, 8)
+	other.SetQuotas(100, 1, all[1:3])
 	sum := []byte(nil)
 	add := func(format string, about ...any) {
 		h := sha256.New()
@@ -111,7 +111,7 @@
 		fmt.Fprintf(h, format, about...)
 		sum = h.Sum(nil)
 	}
-	var out []*Ticket
+	var out []*Reservation
 	var lines []string
 	counts := map[Reason]int{}
 	now := 100.0
@@ -119,7 +119,7 @@
 		now += 0.01
 		for range chance.IntN(5) {
 			team := string(rune('a' + chance.IntN(7)))
-			k, why, after := p.Arrive(now, team, []string{"t", "u"}[chance.IntN(2)], 0.001+0.05*chance.Float64())
+			k, why, after := p.Admit(now, team, []string{"t", "u"}[chance.IntN(2)], 0.001+0.05*chance.Float64())
 			counts[why]++
 			add("%s %d %s %t %v\n", team, int(why), why, why.Admitted(), after)
 			if k != nil {
@@ -128,7 +128,7 @@
 		}
 		for len(out) > 0 && chance.IntN(3) > 0 {
 			i := chance.IntN(len(out))
-			took := p.Weigh(out[i], 0.001+0.1*chance.Float64()*chance.Float64())
+			took := p.ChargeableTime(out[i], 0.001+0.1*chance.Float64()*chance.Float64())
 			if step > 5000 && chance.IntN(50) == 0 {
 				took = 7 // a service that hung
 			}
@@ -138,34 +138,34 @@
 		}
 		switch step {
 		case 1000:
-			p.SetSpare(now, 0.5)
-			for i, m := range p.Teams() {
-				p.SetPart(now, m, 0.2*float64(i))
+			p.SetUnreservedShare(now, 0.5)
+			for i, m := range p.Buckets() {
+				p.SetShare(now, m, 0.2*float64(i))
 			}
 		case 2000:
-			p.Change(now, 5, []Contract{all[0], {Team: "b", Budget: 2, Burst: 1}, {Team: "c", Budget: 0.1, Burst: 3, Borrow: 1, Weight: 2}, all[4], {Team: "h", Budget: 1, Burst: 1}})
+			p.SetQuotas(now, 5, []Quota{all[0], {Team: "b", GuaranteedRate: 2, Burst: 1}, {Team: "c", GuaranteedRate: 0.1, Burst: 3, BorrowRate: 1, Weight: 2}, all[4], {Team: "h", GuaranteedRate: 1, Burst: 1}})
 		case 2500:
 			now -= 30
 		case 3000:
 			now += 1000
 		case 3500:
-			p.Change(now, 3, all)
-			p.Adopt(now, "b", other.Balance(now, "b"))
-			p.Adopt(now, "nobody", 1)
-			p.SetSpare(now, 1)
+			p.SetQuotas(now, 3, all)
+			p.AdoptBalance(now, "b", other.Balance(now, "b"))
+			p.AdoptBalance(now, "nobody", 1)
+			p.SetUnreservedShare(now, 1)
 		case 4000:
-			for _, m := range p.Teams() {
-				p.SetPart(now, m, 1)
+			for _, m := range p.Buckets() {
+				p.SetShare(now, m, 1)
 			}
 		}
 		if step%100 == 99 {
-			line := fmt.Sprintf("%.2f: %d %d %d %d, %x", now, counts[Own], counts[Borrowed], counts[Budget], counts[Unknown], sum[:8])
+			line := fmt.Sprintf("%.2f: %d %d %d %d, %x", now, counts[WithinQuota], counts[Borrowed], counts[OverQuota], counts[UnknownTeam], sum[:8])
 			x := p.Totals
-			line += fmt.Sprintf(" left %v of %v %v %v %v", p.Left(), x.Filled, x.Dropped, x.Charged, x.Forgiven)
-			for _, m := range p.Teams() {
+			line += fmt.Sprintf(" left %v of %v %v %v %v", p.Unused(), x.Filled, x.Dropped, x.Charged, x.Forgiven)
+			for _, m := range p.Buckets() {
 				y := m.Totals
-				line += fmt.Sprintf("; %s %v %v %v, %v %v %v %v %v, %d %d %d, %v %d", m.Team, m.Balance(), m.Part(), m.Demand.Rate(now),
-					y.Start, y.Filled, y.Spilled, y.Charged, y.Forgiven, y.Own, y.Borrowed, y.Declined, y.Took, y.Open)
+				line += fmt.Sprintf("; %s %v %v %v, %v %v %v %v %v, %d %d %d, %v %d", m.Team, m.Balance(), m.Share(), m.Demand.Rate(now),
+					y.Start, y.Filled, y.Spilled, y.Charged, y.Forgiven, y.WithinQuota, y.Borrowed, y.Rejected, y.LoadUsed, y.InFlight)
 			}
 			add("%s\n", line)
 			if step%500 == 499 {
@@ -179,15 +179,15 @@
 // The parts of the budgets that routers have come to, to the last bit, while they talk, fall silent, and say what cannot be used.
 // Of three routers: the demands of more others are added up in the order of a map, and the last bit of their sum is not always the same.
 func TestGoldenParts(t *testing.T) {
-	tr := routers(3, true, 8, Contract{Team: "a", Budget: 4, Burst: 1}, Contract{Team: "b", Budget: 1, Burst: 1, Borrow: 2})
+	tr := routers(3, true, 8, Quota{Team: "a", GuaranteedRate: 4, Burst: 1}, Quota{Team: "b", GuaranteedRate: 1, Burst: 1, BorrowRate: 2})
 	var lines []string
 	now := 100.0
 	line := func(what string) {
 		text := what
 		for i, p := range tr.pools {
-			text += fmt.Sprintf("; %v", tr.parts[i].Known(now))
-			for _, m := range p.Teams() {
-				text += fmt.Sprintf(" %v %v", m.Part(), m.Balance())
+			text += fmt.Sprintf("; %v", tr.parts[i].LivePeers(now))
+			for _, m := range p.Buckets() {
+				text += fmt.Sprintf(" %v %v", m.Share(), m.Balance())
 			}
 		}
 		lines = append(lines, text)
@@ -208,7 +208,7 @@
 	run("they talk again", "b", 100, []float64{0.5, 0.5, 0})
 	for i, words := range [][]byte{nil, {0xc7}, {0xc7, 1, 0, 0}, {0xc7, 1, 0, 1, 1, 2, 3, 4}, {0xc7, 1, 0, 1, 1, 2, 3, 4, 0xff, 0xff}, {0xc7, 1, 0, 1, 1, 2, 3, 4, 5, 6, 0},
 		{0xc7, 9, 0, 0}, {0xc7, 0, 0, 0}, {0xc8, 1, 0, 0}, {0xc7, 1, 0, 0, 0, 0}} {
-		line(fmt.Sprintf("message %d is read: %t", i, tr.parts[0].Heard(now, words)))
+		line(fmt.Sprintf("message %d is read: %t", i, tr.parts[0].OnMessage(now, words)))
 	}
 	run("on they go", "a", 400, []float64{0.5, 0, 0.5})
 	golden(t, "parts", lines)
@@ -217,7 +217,7 @@
 // What the operators' page calls each reason.
 func TestGoldenReasons(t *testing.T) {
 	var lines []string
-	for _, why := range []Reason{Own, Borrowed, Budget, Unknown} {
+	for _, why := range []Reason{WithinQuota, Borrowed, OverQuota, UnknownTeam} {
 		lines = append(lines, fmt.Sprintf("%d %s %t", int(why), why, why.Admitted()))
 	}
 	golden(t, "reasons", lines)
--- a/internal/policy/quota/helpers_test.go
+++ b/internal/policy/quota/helpers_test.go
@@ -6,9 +6,9 @@
 	"testing"
 )
 
-func pool(capacity float64, all ...Contract) *Pool {
-	p := NewPool(100, capacity, 7)
-	p.Change(100, capacity, all)
+func pool(capacity float64, all ...Quota) *Limiter {
+	p := NewLimiter(100, capacity, 7)
+	p.SetQuotas(100, capacity, all)
 	return p
 }
 
@@ -20,14 +20,14 @@
 }
 
 type open struct {
-	k    *Ticket
+	k    *Reservation
 	ends float64
 	took float64
 }
 
 // run plays flows from one time to another in steps of a millisecond; every operation ends after what it takes. It gives
 // the load of admitted operations by team.
-func run(p *Pool, from, to float64, flows ...flow) map[string]float64 {
+func run(p *Limiter, from, to float64, flows ...flow) map[string]float64 {
 	got, due := map[string]float64{}, make([]float64, len(flows))
 	var out []open
 	for i, now := 0, from; now < to; i, now = i+1, from+float64(i+1)*0.001 {
@@ -37,7 +37,7 @@
 		}
 		for j, f := range flows {
 			for due[j] += f.rate * 0.001; due[j] >= 1; due[j]-- {
-				if k, why, _ := p.Arrive(now, f.team, "t", f.load); why.Admitted() {
+				if k, why, _ := p.Admit(now, f.team, "t", f.load); why.Admitted() {
 					got[f.team] += f.load
 					out = append(out, open{k, now + 0.02, f.load})
 				}
@@ -54,11 +54,11 @@
 func balanced(t interface {
 	Helper()
 	Errorf(string, ...any)
-}, p *Pool) {
+}, p *Limiter) {
 	t.Helper()
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*(1+math.Abs(a)+math.Abs(b)) }
 	left := p.left
-	for _, m := range p.Teams() {
+	for _, m := range p.Buckets() {
 		if want := m.Totals.Start + m.Totals.Filled - m.Totals.Spilled - m.Totals.Charged + m.Totals.Forgiven; !near(m.balance, want) {
 			t.Errorf("%s has %v, its totals say %v", m.Team, m.balance, want)
 		}
@@ -85,9 +85,9 @@
 	}
 }
 
-func many(n int) (all []Contract) {
+func many(n int) (all []Quota) {
 	for i := range n {
-		all = append(all, Contract{Team: fmt.Sprintf("team-%d", i), Budget: 1, Burst: 1, Borrow: 1})
+		all = append(all, Quota{Team: fmt.Sprintf("team-%d", i), GuaranteedRate: 1, Burst: 1, BorrowRate: 1})
 	}
 	return all
 }
--- a/internal/policy/quota/parts.go
+++ b/internal/policy/quota/parts.go
@@ -8,11 +8,11 @@
 	"slices"
 )
 
-// Parts says which part of each budget one of many routers has, so that the sum over all stays within it. Routers that
+// Shares says which part of each budget one of many routers has, so that the sum over all stays within it. Routers that
 // may talk tell one another what load is asked of them; each then has the part that its own demand has in all. Those
 // that may not have equal parts.
-type Parts struct {
-	pool    *Pool
+type Shares struct {
+	pool    *Limiter
 	me      int
 	routers int
 	told    float64 // the caller's time when words were last sent
@@ -38,23 +38,23 @@
 	mostBytes = 256  // of a message, by the protocol
 )
 
-// NewParts makes them for one of so many routers; each has an equal part until it has heard the others.
-func NewParts(p *Pool, me, routers int) *Parts {
-	return &Parts{pool: p, me: me, routers: max(1, routers), heard: map[uint32]map[int]saying{}, last: map[int]float64{}}
+// NewShares makes them for one of so many routers; each has an equal part until it has heard the others.
+func NewShares(p *Limiter, me, routers int) *Shares {
+	return &Shares{pool: p, me: me, routers: max(1, routers), heard: map[uint32]map[int]saying{}, last: map[int]float64{}}
 }
 
 func nameOf(team string) uint32 { return crc32.ChecksumIEEE([]byte(team)) }
 
-// Begin gives all teams of the pool the equal parts; after a change of contracts it keeps what is known.
-func (s *Parts) Begin(now float64) {
-	for _, t := range s.pool.Teams() {
-		s.pool.SetPart(now, t, s.part(now, t))
+// Recompute gives all teams of the pool the equal parts; after a change of contracts it keeps what is known.
+func (s *Shares) Recompute(now float64) {
+	for _, t := range s.pool.Buckets() {
+		s.pool.SetShare(now, t, s.part(now, t))
 	}
-	s.pool.SetSpare(now, 1/float64(s.routers))
+	s.pool.SetUnreservedShare(now, 1/float64(s.routers))
 }
 
 // part is the part of a team's budget that is this router's.
-func (s *Parts) part(now float64, t *Team) float64 {
+func (s *Shares) part(now float64, t *Bucket) float64 {
 	even := 1 / float64(s.routers)
 	all, own, heard := 0.0, t.Demand.Rate(s.pool.clock), false
 	for _, said := range s.heard[nameOf(t.Team)] {
@@ -69,7 +69,7 @@
 }
 
 // alone is the part where nobody has spoken of a team: all that others are known not to ask for, else an equal one.
-func (s *Parts) alone(now, even float64) float64 {
+func (s *Shares) alone(now, even float64) float64 {
 	live := 0
 	for _, at := range s.last {
 		if now-at < stale {
@@ -82,16 +82,16 @@
 	return floor*even + (1 - floor) // all others spoke lately, and none of this team
 }
 
-// Tell gives the words that are to be sent to all peers now, if it is time; it moves the parts as well.
-func (s *Parts) Tell(now float64) []byte {
+// Message gives the words that are to be sent to all peers now, if it is time; it moves the parts as well.
+func (s *Shares) Message(now float64) []byte {
 	if s.routers == 1 || now-s.told < telling && now >= s.told {
 		return nil
 	}
 	s.told = now
 	s.forget(now)
-	s.Begin(now)
-	var active []*Team
-	for _, t := range s.pool.Teams() {
+	s.Recompute(now)
+	var active []*Bucket
+	for _, t := range s.pool.Buckets() {
 		if t.Demand.Rate(s.pool.clock) > 1e-6 {
 			active = append(active, t)
 		}
@@ -113,8 +113,8 @@
 	return words
 }
 
-// Heard takes a peer's words; false if they are no such words.
-func (s *Parts) Heard(now float64, words []byte) bool {
+// OnMessage takes a peer's words; false if they are no such words.
+func (s *Shares) OnMessage(now float64, words []byte) bool {
 	if len(words) < head || words[0] != tag || len(words)%others == 0 {
 		return false
 	}
@@ -139,7 +139,7 @@
 }
 
 // forget drops what is stale.
-func (s *Parts) forget(now float64) {
+func (s *Shares) forget(now float64) {
 	for team, said := range s.heard {
 		for from, x := range said {
 			if now-x.at >= stale {
@@ -172,8 +172,8 @@
 	return math.Exp(float64(x)/1000 - 14)
 }
 
-// Known gives the routers that spoke lately, for who wants to see why a part is what it is.
-func (s *Parts) Known(now float64) (all []int) {
+// LivePeers gives the routers that spoke lately, for who wants to see why a part is what it is.
+func (s *Shares) LivePeers(now float64) (all []int) {
 	for from, at := range s.last {
 		if now-at < stale {
 			all = append(all, from)
--- a/internal/policy/quota/parts_test.go
+++ b/internal/policy/quota/parts_test.go
@@ -7,18 +7,18 @@
 
 // tier is routers that share contracts, and the words between them.
 type tier struct {
-	pools []*Pool
-	parts []*Parts
+	pools []*Limiter
+	parts []*Shares
 	talk  bool
 }
 
-func routers(n int, talk bool, capacity float64, all ...Contract) *tier {
+func routers(n int, talk bool, capacity float64, all ...Quota) *tier {
 	tr := &tier{talk: talk}
 	for i := range n {
-		p := NewPool(100, capacity, uint32(i))
-		p.Change(100, capacity, all)
-		s := NewParts(p, i, n)
-		s.Begin(100)
+		p := NewLimiter(100, capacity, uint32(i))
+		p.SetQuotas(100, capacity, all)
+		s := NewShares(p, i, n)
+		s.Recompute(100)
 		tr.pools, tr.parts = append(tr.pools, p), append(tr.parts, s)
 	}
 	return tr
@@ -31,14 +31,14 @@
 		now := from + float64(i)*0.001
 		for r, part := range split {
 			for due[r] += rate * part * 0.001; due[r] >= 1; due[r]-- {
-				if k, why, _ := tr.pools[r].Arrive(now, team, "t", 0.01); why.Admitted() {
+				if k, why, _ := tr.pools[r].Admit(now, team, "t", 0.01); why.Admitted() {
 					got += 0.01
 					tr.pools[r].Settle(now, k, 0.01)
 				}
 			}
-			if words := tr.parts[r].Tell(now); words != nil && tr.talk {
+			if words := tr.parts[r].Message(now); words != nil && tr.talk {
 				for o := range tr.parts {
-					if o != r && !tr.parts[o].Heard(now+0.01, words) {
+					if o != r && !tr.parts[o].OnMessage(now+0.01, words) {
 						panic("a message was not known")
 					}
 				}
@@ -71,12 +71,12 @@
 // gets it within a tenth, with messages and without. One that asks for just its budget gets it where routers may talk;
 // without messages a router has no more than an equal part, which is what is lost.
 func TestSumOverRouters(t *testing.T) {
-	team := Contract{Team: "a", Budget: 4, Burst: 1}
+	team := Quota{Team: "a", GuaranteedRate: 4, Burst: 1}
 	for _, n := range []int{1, 4, 16} {
 		for name, split := range map[string][]float64{"evenly": even(n), "skewed": skewed(n)} {
 			for _, talk := range []bool{true, false} {
 				for _, times := range []float64{10, 1} {
-					tr := routers(n, talk, 8, team, Contract{Team: "idle", Budget: 1, Burst: 1})
+					tr := routers(n, talk, 8, team, Quota{Team: "idle", GuaranteedRate: 1, Burst: 1})
 					tr.run(100, 104, "a", 400*times, split) // its burst, and the first messages
 					got := tr.run(104, 124, "a", 400*times, split) / 4
 					t.Logf("%2d routers, %s, messages %v, %2.0f times its budget: %.3f of it", n, name, talk, times, got)
@@ -94,37 +94,37 @@
 
 // A router that falls silent is forgotten: the others go back to equal parts, for it may serve on unheard.
 func TestSilentPeers(t *testing.T) {
-	tr := routers(4, true, 8, Contract{Team: "a", Budget: 4, Burst: 1})
+	tr := routers(4, true, 8, Quota{Team: "a", GuaranteedRate: 4, Burst: 1})
 	tr.run(100, 104, "a", 400, []float64{1, 0, 0, 0})
-	if part := tr.pools[0].Team("a").Part(); part < 0.9 {
+	if part := tr.pools[0].Bucket("a").Share(); part < 0.9 {
 		t.Errorf("where all come to one router, it has %.3f of the budget", part)
 	}
 	tr.talk = false
 	tr.run(104, 108, "a", 400, []float64{1, 0, 0, 0})
-	if part := tr.pools[0].Team("a").Part(); part != 0.25 {
+	if part := tr.pools[0].Bucket("a").Share(); part != 0.25 {
 		t.Errorf("when all are silent, it has %.3f", part)
 	}
-	if len(tr.parts[0].heard) != 0 || len(tr.parts[0].Known(108)) != 0 {
+	if len(tr.parts[0].heard) != 0 || len(tr.parts[0].LivePeers(108)) != 0 {
 		t.Error("what the silent ones said is kept")
 	}
 }
 
 // What others may send is read without harm, and nothing of it grows without bound.
 func TestStrangeWords(t *testing.T) {
-	tr := routers(2, true, 8, Contract{Team: "a", Budget: 4, Burst: 1})
+	tr := routers(2, true, 8, Quota{Team: "a", GuaranteedRate: 4, Burst: 1})
 	s := tr.parts[0]
 	for _, words := range [][]byte{nil, {1, 2, 3, 4, 5}, {tag, 1, 0, 1, 2, 3}, append([]byte{tag}, make([]byte, 14)...)} {
-		if s.Heard(101, words) {
+		if s.OnMessage(101, words) {
 			t.Errorf("%v was taken for its own kind", words)
 		}
 	}
 	for _, words := range [][]byte{{tag, 9, 0, 0}, {tag, 1, 0, 200, 1, 2, 3}, {tag, 0, 0, 0}} {
-		if !s.Heard(101, words) || len(s.heard) > 0 {
+		if !s.OnMessage(101, words) || len(s.heard) > 0 {
 			t.Errorf("%v was not passed over", words)
 		}
 	}
 	for i := range 10000 {
-		s.Heard(101, []byte{tag, 1, 0, 1, byte(i), byte(i >> 8), 7, 7, 1, 1, 0})
+		s.OnMessage(101, []byte{tag, 1, 0, 1, byte(i), byte(i >> 8), 7, 7, 1, 1, 0})
 	}
 	if len(s.heard) > 100 {
 		t.Errorf("%d teams that nobody knows are kept", len(s.heard))
@@ -138,15 +138,15 @@
 	for i := range 3 {
 		now := 101 + float64(i)
 		for n := range 100 {
-			tr.pools[0].Arrive(now, fmt.Sprintf("team-%d", n), "t", 0.5)
+			tr.pools[0].Admit(now, fmt.Sprintf("team-%d", n), "t", 0.5)
 		}
-		words := tr.parts[0].Tell(now)
-		if len(words) > mostBytes || len(words)%others == 0 || tr.parts[0].Tell(now+0.1) != nil {
+		words := tr.parts[0].Message(now)
+		if len(words) > mostBytes || len(words)%others == 0 || tr.parts[0].Message(now+0.1) != nil {
 			t.Fatalf("a message of %d bytes", len(words))
 		}
-		tr.parts[1].Heard(now, words)
+		tr.parts[1].OnMessage(now, words)
 	}
-	for _, m := range tr.pools[1].Teams() {
+	for _, m := range tr.pools[1].Buckets() {
 		if len(tr.parts[1].heard[nameOf(m.Team)]) > 0 {
 			seen[m.Team] = true
 		}
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -21,7 +21,7 @@
 	f, terms := set.Operators, set.Operators.Terms()
 	s.operators = f
 	for i := range terms {
-		terms[i].Flat = set.Flat
+		terms[i].FlatCost = set.Flat
 	}
 	if s.broker.Revision() == 0 && len(f.Teams) == 0 && len(f.Pools) == 0 {
 		return // as the platform has it
@@ -60,7 +60,7 @@
 		p.follow(f.Discovery)
 		all = append(all, broker.Pool{Name: f.Name, Core: p.router, Capacity: f.Capacity, Connections: connections})
 	}
-	lines := s.broker.Change(all, terms, f.Others())
+	lines := s.broker.Configure(all, terms, f.Others())
 	for _, line := range lines {
 		s.log.Info().Int("revision", s.broker.Revision()).Str("change", line).Msg("contracts")
 	}
@@ -71,7 +71,7 @@
 			s.loop.After(1, s.letGo)
 		}
 	}
-	maps.DeleteFunc(s.seen, func(team string, _ uint64) bool { return !s.broker.Has(team) })
+	maps.DeleteFunc(s.seen, func(team string, _ uint64) bool { return !s.broker.HasTeam(team) })
 	s.listen(f)
 }
 
@@ -181,8 +181,8 @@
 	if s.phase == Ended {
 		return
 	}
-	for _, words := range s.broker.Words() {
-		s.peers.Tell(words)
+	for _, words := range s.broker.QuotaMessages() {
+		s.peers.Broadcast(words)
 	}
 	s.loop.After(talking, s.talk)
 }
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -150,7 +150,7 @@
 		t.Errorf("the platform's pool answers %q", got)
 	}
 	tally := make(chan uint64)
-	s.loop.Post(func() { tally <- s.broker.States()[0].Reasons[requestcore.ReasonNoEndpoint] })
+	s.loop.Post(func() { tally <- s.broker.TeamStates()[0].Reasons[requestcore.ReasonNoEndpoint] })
 	if got := <-tally; got != 1 {
 		t.Errorf("%d declines are for want of a server", got)
 	}
--- a/internal/service/desk.go
+++ b/internal/service/desk.go
@@ -154,7 +154,7 @@
 	for _, t := range s.conf.Settings.TrafficClasses {
 		all = append(all, t.Name)
 	}
-	all = append(all, s.broker.Kinds()...)
+	all = append(all, s.broker.TrafficClassNames()...)
 	slices.Sort(all)
 	return slices.Compact(all)
 }
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -56,7 +56,7 @@
 func (s *Service) telling(pool string) func(words []byte) {
 	switch {
 	case s.gossip == nil:
-		return s.peers.Tell
+		return s.peers.Broadcast
 	case pool == "":
 		return func(words []byte) { s.gossip.fleet.Report(s.loop.Now(), words) }
 	}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -52,7 +52,7 @@
 	now := func() float64 { return time.Since(began).Seconds() }
 	var lock sync.Mutex
 	var fleets []*gossip.Gossiper
-	var ways []*peertransport.Peers
+	var ways []*peertransport.Transport
 	for me := from; me < len(at); me++ {
 		f := gossip.New(now(), gossip.Settings{Self: me, Seed: uint32(me), Incarnation: uint32(me), BytesPerSecond: 7000, LongestObjective: 0.6}, gossip.NewView(names))
 		f.SetServers(ids)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -74,7 +74,7 @@
 	pools     map[string]*pool // the others, by name
 	leaving   []*pool          // that are no longer named and have operations open
 	module    requestcore.NewBalancer
-	peers     *peertransport.Peers
+	peers     *peertransport.Transport
 	tier      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
 	routers   int                              // as the modules were told last; 0: by the settings
 	desk      *desk                            // what the operators' door calls; nil: there is none
@@ -228,7 +228,7 @@
 	c.Settings.RetryBudgetPerTenant = len(set.Operators.Teams) > 0
 	c.Settings.SlowStartSharedUpTo = float64(set.Operators.Cold.Routers)
 	s.platform = s.newPool("", c.Settings, c.Caches, c.ConnectTimeout, stall(c.ConnectTimeout), c.ConnIdle, c.PerConnection, upstream.Memcache)
-	s.broker = broker.New(s.loop.Now, c.Settings, s.platform.router, broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
+	s.broker = broker.New(s.loop.Now, c.Settings, s.platform.router, broker.Limits{Requests: c.Open, BufferedBytes: c.Held, Connections: c.Clients})
 	s.front = frontend.New(s.loop, s.broker, frontend.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
 	s.succeed()
 	if err = s.open(); err != nil {
@@ -259,7 +259,7 @@
 func (s *Service) heard(from netip.AddrPort, place int, words []byte) {
 	s.tier.Heard(s.loop.Now(), from)
 	s.counted()
-	if !s.zones.heard(words) && !s.broker.Heard(words) && !s.gossip.heard(place, words) && s.conf.Settings.GossipAllowed {
+	if !s.zones.heard(words) && !s.broker.OnQuotaMessage(words) && !s.gossip.heard(place, words) && s.conf.Settings.GossipAllowed {
 		s.platform.router.OnGossip(words)
 	}
 }
@@ -302,7 +302,7 @@
 
 // longest is how long a client waits at most.
 func (s *Service) longest() float64 {
-	longest := s.broker.LongestStop()
+	longest := s.broker.LongestDeadline()
 	for _, t := range s.conf.Settings.TrafficClasses {
 		longest = max(longest, cmp.Or(t.Deadline, unstated))
 	}
@@ -391,15 +391,15 @@
 		p.count(s.log.With().Str("pool", name).Logger(), s.front.Clients())
 	}
 	shown := 0
-	for _, t := range s.broker.States() {
-		if t.Taken == s.seen[t.Team] || shown >= mostShown {
+	for _, t := range s.broker.TeamStates() {
+		if t.Received == s.seen[t.Team] || shown >= mostShown {
 			continue
 		}
 		shown++
-		s.seen[t.Team] = t.Taken
-		e := s.log.Info().Str("team", t.Team).Str("pool", t.Pool).Uint64("taken", t.Taken).Uint64("finished", t.Finished).
-			Uint64("declined", t.Declined).Uint64("terminated", t.Terminated).Uint64("left", t.Left).Int("open", t.Open).
-			Float64("load", t.Took).Float64("budget", t.Budget).Float64("part", t.Part).Float64("balance", t.Balance)
+		s.seen[t.Team] = t.Received
+		e := s.log.Info().Str("team", t.Team).Str("pool", t.Pool).Uint64("taken", t.Received).Uint64("finished", t.Succeeded).
+			Uint64("declined", t.Rejected).Uint64("terminated", t.Failed).Uint64("left", t.Disconnected).Int("open", t.OpenRequests).
+			Float64("load", t.LoadUsed).Float64("budget", t.GuaranteedRate).Float64("part", t.Share).Float64("balance", t.Balance)
 		reasonsOf(e, t.Reasons[:]).Msg("contract")
 	}
 }
--- a/internal/service/service_test.go
+++ b/internal/service/service_test.go
@@ -353,13 +353,13 @@
 			return true
 		})
 		if c.leave {
-			until(t, "a full router", s, func() bool { return s.broker.Open() == 20 })
+			until(t, "a full router", s, func() bool { return s.broker.OpenRequests() == 20 })
 			if got := ask(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
 				t.Errorf("%s: full, it answers %q", name, got)
 			}
 			conn.Close()
 		}
-		until(t, "an end of all that was out", s, func() bool { return s.broker.Open() == 0 })
+		until(t, "an end of all that was out", s, func() bool { return s.broker.OpenRequests() == 0 })
 		if got := ask(addr, "mg k v Oc2 Pc=t"); got != "VA 2 Oc2" {
 			t.Errorf("%s: after the burst it answers %q", name, got)
 		}
--- a/internal/service/succession.go
+++ b/internal/service/succession.go
@@ -165,7 +165,7 @@
 	c := s.bounds()
 	confine(c)
 	s.front.Limit(frontend.Limits{Connections: c.Clients, Spare: c.Spare, Arriving: c.Held})
-	s.broker.Limit(broker.Limits{Open: c.Open, Held: c.Held, Connections: c.Clients})
+	s.broker.SetLimits(broker.Limits{Requests: c.Open, BufferedBytes: c.Held, Connections: c.Clients})
 	parts := 0.0
 	for _, p := range s.operators.Pools {
 		parts += p.Connections
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -78,7 +78,7 @@
 	w.fleet.Tick(w.now())
 	w.act()
 	if words := w.fleet.Say(w.now()); words != nil && w.s.conf.Settings.GossipAllowed { // else the platform allows none
-		w.s.peers.Tell(words)
+		w.s.peers.Broadcast(words)
 	}
 	w.s.loop.After(looking, w.tick)
 }
