--- a/internal/service/bans.go
+++ b/internal/service/bans.go
@@ -5,6 +5,7 @@
 	"time"
 
 	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/hotrestart"
 )
@@ -12,7 +13,7 @@
 // openBans takes what operators have called before this process began, and what they call at another process of this router.
 func (s *Service) openBans() {
 	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "out")
-	bans, ids := hotrestart.OpenBans(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
+	bans, ids := disabledservers.Open(path, func(ids []string) { s.loop.Post(func() { s.bar(ids) }) }, s.log)
 	s.bans = bans
 	s.bar(ids)
 }
@@ -57,11 +58,11 @@
 	return known
 }
 
-// Disable leaves a cache server out until Enable.
-func (d *desk) Disable(id string) error { return d.hand(id, true) }
+// DisableServer leaves a cache server out until Enable.
+func (d *desk) DisableServer(id string) error { return d.hand(id, true) }
 
-// Enable lets a cache server serve again.
-func (d *desk) Enable(id string) error { return d.hand(id, false) }
+// EnableServer lets a cache server serve again.
+func (d *desk) EnableServer(id string) error { return d.hand(id, false) }
 
 // patience is how long after its beginning a call waits for the other process to let go of the file: 0.2 s more may go by for the disk
 // and 0.4 s for the loop, and an answer is owed in a second. The loop waits for neither.
@@ -73,15 +74,15 @@
 	until := time.Now().Add(patience)
 	err := d.do(func() error {
 		if !d.s.known(id) {
-			return admin.ErrUnknown
+			return admin.ErrUnknownServer
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	err = d.s.bans.Set(id, out, until)
-	if err != nil && !errors.Is(err, hotrestart.ErrHere) {
+	err = d.s.bans.Update(id, out, until)
+	if err != nil && !errors.Is(err, disabledservers.ErrLocalOnly) {
 		return err
 	}
 	if err != nil {
