--- a/internal/policy/gossip/cases_test.go
+++ b/internal/policy/gossip/cases_test.go
@@ -9,21 +9,21 @@
 const inTime = 2.9 // seconds within which the last router is to know
 
 // homes gives a server's homes in the block of a router.
-func (w *network) homes(router, server int) [ownersPerGroup]int16 {
-	return w.view.ownersOf(w.view.groupOf(router), uint16(server*150+7))
+func (net *network) ownersOf(router, server int) owners {
+	return net.view.ownersOf(net.view.groupOf(router), uint16(server*150+7))
 }
 
-// newQuietNetwork is a fleet that is through with its calls, and in which nobody tells of server 5.
-func newQuietNetwork(t *testing.T, routers int) *network {
-	w := newNetwork(t, routers, 40)
-	w.quiet[5] = true
-	w.run(12)
-	return w
+// newSettledNetwork is a fleet that is through with its calls, and in which nobody tells of server 5.
+func newSettledNetwork(t *testing.T, routers int) *network {
+	net := newNetwork(t, routers, 40)
+	net.unobserved[5] = true
+	net.run(12)
+	return net
 }
 
 // teller gives a router that is none of the first homes of a server.
-func (w *network) teller(server int) int {
-	homes := w.homes(0, server)
+func (net *network) nonOwner(server int) int {
+	homes := net.ownersOf(0, server)
 	n := 1
 	for n == int(homes[0]) || n == int(homes[1]) {
 		n++
@@ -31,66 +31,66 @@
 	return n
 }
 
-// The first home dies with what it alone was told, after the teller has died, too: the second home was told as well, and speaks, be it of a server
-// that nobody ever told of or of one that the first home spoke of just before.
-func TestOnlyOneToKnowDies(t *testing.T) {
+// The first home dies with what it alone was told, after the teller has died, too: the second home was told as well,
+// and speaks, be it of a server that nobody ever told of or of one that the first home spoke of just before.
+func TestFirstOwnerDiesWithUnpublishedRefusal(t *testing.T) {
 	for _, spoken := range []bool{false, true} {
-		w := newNetwork(t, 100, 40)
-		w.quiet[5] = !spoken
-		w.run(12)
-		w.quiet[5] = true
-		w.run(1)
-		first, teller := int(w.homes(0, 5)[0]), w.teller(5)
-		w.cut = func(from, to int) bool { return from == first } // nothing that it says from now on leaves it
-		w.say(teller, 5, refusalByte)
-		w.run(0.06)
-		w.down[teller], w.down[first] = true, true
-		if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
+		net := newNetwork(t, 100, 40)
+		net.unobserved[5] = !spoken
+		net.run(12)
+		net.unobserved[5] = true
+		net.run(1)
+		first, teller := int(net.ownersOf(0, 5)[0]), net.nonOwner(5)
+		net.partitioned = func(from, to int) bool { return from == first } // nothing that it says from now on leaves it
+		net.observe(teller, 5, refusalByte)
+		net.run(0.06)
+		net.down[teller], net.down[first] = true, true
+		if _, _, last := net.measureSpread(6, believesRefusing(5)); last > inTime {
 			t.Errorf("spoken of before: %t: the last knew after %v s", spoken, last)
 		}
 	}
 }
 
 // Both homes of a server are gone, and never come back: the next two are told.
-func TestBothHomesGone(t *testing.T) {
-	w := newQuietNetwork(t, 100)
-	homes := w.homes(0, 3)
-	w.down[int(homes[0])], w.down[int(homes[1])] = true, true
-	w.run(3 * summaryLifetime)
-	for _, n := range w.up() {
-		if s := w.fleets[n].serverByID[3*150+7]; w.at(n)-s.held.originatedAt > summaryLifetime || s.held.rank < 2 {
-			t.Fatalf("router %d has an entry of rank %d, %.1f s old", n, s.held.rank, w.at(n)-s.held.originatedAt)
+func TestBothOwnersGone(t *testing.T) {
+	net := newSettledNetwork(t, 100)
+	homes := net.ownersOf(0, 3)
+	net.down[int(homes[0])], net.down[int(homes[1])] = true, true
+	net.run(3 * summaryLifetime)
+	for _, n := range net.running() {
+		if s := net.gossipers[n].serverByID[3*150+7]; net.clock(n)-s.held.originatedAt > summaryLifetime || s.held.rank < 2 {
+			t.Fatalf("router %d has an entry of rank %d, %.1f s old", n, s.held.rank, net.clock(n)-s.held.originatedAt)
 		}
 	}
-	w.start(int(homes[0])) // the first is told again once it is back
-	w.run(2 * summaryLifetime)
-	for _, n := range w.up() {
-		if s := w.fleets[n].serverByID[3*150+7]; s.held.rank != 0 || s.baseRank != 0 {
+	net.start(int(homes[0])) // the first is told again once it is back
+	net.run(2 * summaryLifetime)
+	for _, n := range net.running() {
+		if s := net.gossipers[n].serverByID[3*150+7]; s.held.rank != 0 || s.baseRank != 0 {
 			t.Fatalf("router %d goes by rank %d, base %d", n, s.held.rank, s.baseRank)
 		}
 	}
 }
 
 // A fleet of one says nothing; of two, three, and one more than a block holds, all learn.
-func TestFewRouters(t *testing.T) {
-	w := newNetwork(t, 1, 40)
-	w.run(5)
-	if w.out[0] > 0 {
-		t.Errorf("one router sends %d bytes", w.out[0])
+func TestSmallFleets(t *testing.T) {
+	net := newNetwork(t, 1, 40)
+	net.run(5)
+	if net.bytesOut[0] > 0 {
+		t.Errorf("one router sends %d bytes", net.bytesOut[0])
 	}
 	for _, n := range []int{2, 3, maxGroupRouters + 1} {
-		w := newNetwork(t, n, 40)
-		w.quiet[5] = true
-		w.run(12)
-		w.say(n-1, 5, refusalByte)
-		if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
+		net := newNetwork(t, n, 40)
+		net.unobserved[5] = true
+		net.run(12)
+		net.observe(n-1, 5, refusalByte)
+		if _, _, last := net.measureSpread(6, believesRefusing(5)); last > inTime {
 			t.Errorf("%d routers: the last knew after %v s", n, last)
 		}
 	}
 }
 
 // A list whose last block would be one router is split evenly: nobody is alone in a block.
-func TestBlocks(t *testing.T) {
+func TestGroupsAreEven(t *testing.T) {
 	for n := 1; n < 4000; n++ {
 		v := &View{hashes: make([]uint32, n), groups: max(1, (n+maxGroupRouters-1)/maxGroupRouters)}
 		next := 0
@@ -107,36 +107,37 @@
 	}
 }
 
-// All routers of a site restart at once, with both homes of a server among them: what is told half a second later still arrives.
+// All routers of a site restart at once, with both homes of a server among them: what is told half a second later
+// still arrives.
 func TestSiteRestarts(t *testing.T) {
-	w := newQuietNetwork(t, 150)
-	homes := w.homes(0, 5)
+	net := newSettledNetwork(t, 150)
+	homes := net.ownersOf(0, 5)
 	for n := 40; n < 65; n++ {
-		w.start(n)
+		net.start(n)
 	}
-	w.start(int(homes[0]))
-	w.start(int(homes[1]))
-	w.run(0.5)
-	w.say(w.teller(5), 5, refusalByte)
-	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
+	net.start(int(homes[0]))
+	net.start(int(homes[1]))
+	net.run(0.5)
+	net.observe(net.nonOwner(5), 5, refusalByte)
+	if _, _, last := net.measureSpread(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
 }
 
 // Routers that start hold what the others do within seconds.
-func TestStartLearns(t *testing.T) {
-	w := newNetwork(t, 100, 380)
-	w.run(30)
+func TestStartedRouterCatchesUp(t *testing.T) {
+	net := newNetwork(t, 100, 380)
+	net.run(30)
 	var all []int
 	for n := 17; n < 87; n += 7 {
-		w.start(n)
+		net.start(n)
 		all = append(all, n)
 	}
-	w.run(4.5)
+	net.run(4.5)
 	missing := 0
 	for _, n := range all {
-		for _, s := range w.fleets[n].servers {
-			if w.at(n)-s.held.originatedAt > summaryLifetime {
+		for _, s := range net.gossipers[n].servers {
+			if net.clock(n)-s.held.originatedAt > summaryLifetime {
 				missing++
 			}
 		}
@@ -146,182 +147,184 @@
 	}
 }
 
-// A router goes by a list from which three are missing, so that its places are others': it learns, what it tells counts, and it misleads nobody.
-func TestOldView(t *testing.T) {
-	w := newQuietNetwork(t, 100)
-	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
+// A router goes by a list from which three are missing, so that its places are others': it learns, what it tells
+// counts, and it misleads nobody.
+func TestRouterWithOldView(t *testing.T) {
+	net := newSettledNetwork(t, 100)
+	v, all := &foreignView{from: map[int]int{}}, []uint32(nil)
 	for n, name := range names(100) {
 		if n != 20 && n != 30 && n != 95 {
 			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
 		}
 	}
-	w.views[50] = v
-	w.startWith(50, NewView(all))
-	w.fleets[50].settings.Self = v.from[50]
-	w.fleets[50].SetView(NewView(all))
-	w.run(12)
-	w.say(50, 5, refusalByte)
-	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
+	net.views[50] = v
+	net.startWith(50, NewView(all))
+	net.gossipers[50].settings.Self = v.from[50]
+	net.gossipers[50].SetView(NewView(all))
+	net.run(12)
+	net.observe(50, 5, refusalByte)
+	if _, _, last := net.measureSpread(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
-	w.run(5)
-	if middle, _, _ := w.errors(); middle > 0.3 {
+	net.run(5)
+	if middle, _, _ := net.loadErrors(); middle > 0.3 {
 		t.Errorf("loads are off by %v", middle)
 	}
 }
 
-// A router stands still for 30 s. Before, a server refused, which all knew; meanwhile it is well again. What the router says when it goes on, and
-// what has waited for it, changes nobody's mind, not even its own.
-func TestStopped(t *testing.T) {
+// A router stands still for 30 s. Before, a server refused, which all knew; meanwhile it is well again. What the
+// router says when it goes on, and what has waited for it, changes nobody's mind, not even its own.
+func TestStalledProcess(t *testing.T) {
 	for _, who := range []string{"a home", "another"} {
-		w := newQuietNetwork(t, 100)
-		n := w.teller(5)
+		net := newSettledNetwork(t, 100)
+		n := net.nonOwner(5)
 		teller := n
 		if who == "a home" {
-			n = int(w.homes(0, 5)[0])
+			n = int(net.ownersOf(0, 5)[0])
 		}
-		w.say(teller, 5, refusalByte)
-		w.say(n, 5, refusalByte)
-		w.stopped[n] = true
-		w.run(20)
-		w.quiet[5] = false
-		w.run(10)
-		w.resume(n)
+		net.observe(teller, 5, refusalByte)
+		net.observe(n, 5, refusalByte)
+		net.stalled[n] = true
+		net.run(20)
+		net.unobserved[5] = false
+		net.run(10)
+		net.resume(n)
 		for range 100 {
-			w.run(0.05)
-			for _, r := range w.up() {
-				if believesRefusing(5)(w.fleets[r], w.at(r)) {
+			net.run(0.05)
+			for _, r := range net.running() {
+				if believesRefusing(5)(net.gossipers[r], net.clock(r)) {
 					t.Fatalf("%s stood still: router %d believes what is over", who, r)
 				}
 			}
 		}
-		for id, s := range w.fleets[n].servers {
-			if w.at(n)-s.held.originatedAt > summaryLifetime {
+		for id, s := range net.gossipers[n].servers {
+			if net.clock(n)-s.held.originatedAt > summaryLifetime {
 				t.Errorf("%s stood still: it has no entry of server %d after 5 s", who, id)
 			}
 		}
 	}
 }
 
-// Half of the fleet is the build before: it is sent nothing that it could take for words, and the others learn as ever. One that is put back to
-// that build is sent nothing more once it speaks as that does.
+// Half of the fleet is the build before: it is sent nothing that it could take for words, and the others learn as
+// ever. One that is put back to that build is sent nothing more once it speaks as that does.
 func TestOldBuilds(t *testing.T) {
-	w := newNetwork(t, 100, 40)
-	w.quiet[5] = true
+	net := newNetwork(t, 100, 40)
+	net.unobserved[5] = true
 	for n := 1; n < 100; n += 2 {
-		w.old[n] = true
+		net.oldBuild[n] = true
 	}
-	w.run(20)
-	w.say(0, 5, refusalByte)
-	if _, _, last := w.reach(6, believesRefusing(5)); last > inTime {
+	net.run(20)
+	net.observe(0, 5, refusalByte)
+	if _, _, last := net.measureSpread(6, believesRefusing(5)); last > inTime {
 		t.Errorf("the last knew after %v s", last)
 	}
-	if len(w.plain) > 0 {
-		t.Fatalf("%d datagrams went to builds that take them for words", len(w.plain))
+	if len(net.misdirected) > 0 {
+		t.Fatalf("%d datagrams went to builds that take them for words", len(net.misdirected))
 	}
-	w.old[10] = true
-	for _, n := range w.up() {
-		if w.fleets[n].OnDatagram(w.at(n), 10, []byte{1, 2, 3}) {
+	net.oldBuild[10] = true
+	for _, n := range net.running() {
+		if net.gossipers[n].OnDatagram(net.clock(n), 10, []byte{1, 2, 3}) {
 			t.Fatal("words of the build before were not left to the module")
 		}
 	}
-	w.run(0.5) // what is on its way
-	w.plain = nil
-	w.run(20)
-	if len(w.plain) > 0 {
-		t.Errorf("%d datagrams went to one that was put back", len(w.plain))
-	}
-	delete(w.old, 11)
-	w.start(11)
-	w.run(10)
-	for id, s := range w.fleets[11].servers {
-		if !w.quiet[id] && w.at(11)-s.held.originatedAt > summaryLifetime {
+	net.run(0.5) // what is on its way
+	net.misdirected = nil
+	net.run(20)
+	if len(net.misdirected) > 0 {
+		t.Errorf("%d datagrams went to one that was put back", len(net.misdirected))
+	}
+	delete(net.oldBuild, 11)
+	net.start(11)
+	net.run(10)
+	for id, s := range net.gossipers[11].servers {
+		if !net.unobserved[id] && net.clock(11)-s.held.originatedAt > summaryLifetime {
 			t.Errorf("one that was brought forward has no entry of server %d", id)
 		}
 	}
 }
 
 // Datagrams of this package are told apart from all that routers say already, by length and first byte.
-func TestToldApart(t *testing.T) {
-	w := newQuietNetwork(t, 30)
+func TestDatagramsAreDistinguishable(t *testing.T) {
+	net := newSettledNetwork(t, 30)
 	seen := map[int]int{}
-	w.spy = func(l packet) {
+	net.onSend = func(l packet) {
 		if seen[len(l.b)]++; len(l.b) >= 3 && len(l.b)%3 == 0 || len(l.b) > 2 && l.b[0] == 0xc7 {
 			t.Fatalf("%d bytes that begin with %#x", len(l.b), l.b[0])
 		}
 	}
-	w.run(10)
+	net.run(10)
 	if len(seen) < 5 {
 		t.Errorf("few kinds were seen: %v", seen)
 	}
-	f := w.fleets[0]
+	f := net.gossipers[0]
 	contract := append([]byte{0xc7, 1, 0, 1}, 1, 2, 3, 4, 5, 6)
 	for _, b := range [][]byte{{1, 2, 3}, contract, make([]byte, 15), make([]byte, 66)} {
-		if f.OnDatagram(w.at(0), 3, b) {
+		if f.OnDatagram(net.clock(0), 3, b) {
 			t.Errorf("%d bytes that others say were taken", len(b))
 		}
 	}
 }
 
 // What comes from an address that is nobody's changes nothing, as does what is damaged.
-func TestStrangers(t *testing.T) {
-	w := newQuietNetwork(t, 30)
-	f := w.fleets[0]
-	forged := summary{originatedAt: w.at(0), version: 100, load: 900, mean: 1, urgent: true}
+func TestUnknownSendersAndDamagedDatagrams(t *testing.T) {
+	net := newSettledNetwork(t, 30)
+	f := net.gossipers[0]
+	forged := summary{originatedAt: net.clock(0), version: 100, load: 900, mean: 1, urgent: true}
 	for _, from := range []int{-1, 30, 4000, 0} {
-		f.OnDatagram(w.at(0), from, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, w.at(0))))
-		f.OnDatagram(w.at(0), from, appendChecksum([]byte{messageTag, kindObservations, 7, 0, 254}))
-		f.OnDatagram(w.at(0), from, []byte{probeByte})
+		f.OnDatagram(net.clock(0), from, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, net.clock(0))))
+		f.OnDatagram(net.clock(0), from, appendChecksum([]byte{messageTag, kindObservations, 7, 0, 254}))
+		f.OnDatagram(net.clock(0), from, []byte{probeByte})
 	}
-	damaged := appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, w.at(0)))
+	damaged := appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, forged, net.clock(0)))
 	damaged[9] ^= 4
-	f.OnDatagram(w.at(0), 3, damaged)
-	if s := f.serverByID[7]; s.held.load > 100 || s.own.load > 50 || f.peerByRouter[-1] != nil || f.peerByRouter[4000] != nil {
-		t.Errorf("held %v, own sum %v, %d peers", s.held.load, s.own.load, len(f.peerByRouter))
+	f.OnDatagram(net.clock(0), 3, damaged)
+	if s := f.serverByID[7]; s.held.load > 100 || s.owner.sum.load > 50 || f.peerByRouter[-1] != nil || f.peerByRouter[4000] != nil {
+		t.Errorf("held %v, own sum %v, %d peers", s.held.load, s.owner.sum.load, len(f.peerByRouter))
 	}
 }
 
-// One router floods: with words, sums that are not its own to tell, and totals. A home's sum moves by what one router may tell; other homes' sums stay;
-// the memory stays; and a forged total is taken back by the home that never said it, while the flood lasts.
+// One router floods: with words, sums that are not its own to tell, and totals. A home's sum moves by what one router
+// may tell; other homes' sums stay; the memory stays; and a forged total is taken back by the home that never said
+// it, while the flood lasts.
 func TestFlood(t *testing.T) {
-	w := newQuietNetwork(t, 100)
-	homes := w.homes(0, 4)
+	net := newSettledNetwork(t, 100)
+	homes := net.ownersOf(0, 4)
 	home := int(homes[0])
 	liar := 1
 	for liar == home || liar == int(homes[1]) {
 		liar++
 	}
 	id := uint16(4*150 + 7)
-	f := w.fleets[home]
-	before := f.serverByID[id].own.load
+	f := net.gossipers[home]
+	before := f.serverByID[id].owner.sum.load
 	for i := range 5000 {
-		f.OnDatagram(w.at(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
-		f.OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: w.at(home)}, w.at(home))))
+		f.OnDatagram(net.clock(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
+		f.OnDatagram(net.clock(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: net.clock(home)}, net.clock(home))))
 	}
-	if moved := f.serverByID[id].own.load - before; moved > observationBurst*8 {
+	if moved := f.serverByID[id].owner.sum.load - before; moved > observationBurst*8 {
 		t.Errorf("one router moved a sum by %v", moved)
 	}
-	if f.Counters.DatagramsDropped == 0 || len(f.serverByID) != 40 || len(f.serverByID[id].groupSums) > 0 || !math.IsInf(f.serverByID[id].ownerHeardAt[0], -1) && f.serverByID[id].ownerHeardAt[0] == w.at(home) {
-		t.Errorf("%d dropped, %d servers, rows %v", f.Counters.DatagramsDropped, len(f.serverByID), f.serverByID[id].groupSums)
+	if f.Counters.DatagramsDropped == 0 || len(f.serverByID) != 40 || len(f.serverByID[id].owner.groupSums) > 0 || !math.IsInf(f.serverByID[id].owner.heardAt[0], -1) && f.serverByID[id].owner.heardAt[0] == net.clock(home) {
+		t.Errorf("%d dropped, %d servers, rows %v", f.Counters.DatagramsDropped, len(f.serverByID), f.serverByID[id].owner.groupSums)
 	}
 	if f.Counters.ObservationsLimited > 2*2*datagramsPerSecond { // two words a datagram
 		t.Errorf("%d words of a flood were read", f.Counters.ObservationsLimited)
 	}
-	w.run(10)
-	forged := w.fleets[liar].serverByID[id].held
+	net.run(10)
+	forged := net.gossipers[liar].serverByID[id].held
 	forged.version, forged.load, forged.mean, forged.urgent = forged.version+100, 4000, 7, true
 	lie := func() {
 		for to := range 100 {
 			if to != liar {
-				w.deliver(packet{liar, to, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, w.now()+forged.originatedAt-w.at(liar)))})
+				net.deliver(packet{liar, to, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, net.now()+forged.originatedAt-net.clock(liar)))})
 			}
 		}
 	}
 	lie()
-	w.run(2)
+	net.run(2)
 	wrong := 0
-	for _, n := range w.up() {
-		if w.fleets[n].serverByID[id].held.load > 1000 {
+	for _, n := range net.running() {
+		if net.gossipers[n].serverByID[id].held.load > 1000 {
 			wrong++
 		}
 	}
@@ -331,17 +334,17 @@
 }
 
 // Sums and totals merge alike in whatever order and however often they come.
-func TestOrder(t *testing.T) {
-	w := newQuietNetwork(t, 30)
+func TestMergeIsOrderIndependent(t *testing.T) {
+	net := newSettledNetwork(t, 30)
 	var all [][]byte
 	for i := range 20 {
-		all = append(all, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, summary{version: byte(100 + i), incarnation: 9, load: float64(i), mean: 1, originatedAt: w.at(0) - 2 + float64(i)/10}, w.at(0))))
+		all = append(all, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, 7, summary{version: byte(100 + i), incarnation: 9, load: float64(i), mean: 1, originatedAt: net.clock(0) - 2 + float64(i)/10}, net.clock(0))))
 	}
 	for round := range 50 {
-		f := New(w.at(0), Settings{Self: 0, BytesPerSecond: 7000}, w.view)
+		f := New(net.clock(0), Settings{Self: 0, BytesPerSecond: 7000}, net.view)
 		f.SetServers([]uint16{7})
-		for _, i := range w.chance.Perm(40) {
-			f.OnDatagram(w.at(0), 1+i%20, all[i%20])
+		for _, i := range net.random.Perm(40) {
+			f.OnDatagram(net.clock(0), 1+i%20, all[i%20])
 		}
 		if held := f.serverByID[7].held; held.version != 119 || held.load != 19 {
 			t.Fatalf("round %d: number %d, load %v", round, held.version, held.load)
@@ -349,16 +352,17 @@
 	}
 }
 
-// While an eighth is cut off each part goes on, by what its own routers tell; and after the cut all have the sums of all again within 5 s.
-func TestCutAndHealed(t *testing.T) {
-	w := newNetwork(t, 520, 60) // two blocks
-	w.run(15)
-	from, to := w.view.groupBounds(0)
+// While an eighth is cut off each part goes on, by what its own routers tell; and after the cut all have the sums of
+// all again within 5 s.
+func TestPartitionAndMerge(t *testing.T) {
+	net := newNetwork(t, 520, 60) // two blocks
+	net.run(15)
+	from, to := net.view.groupBounds(0)
 	part := func(n int) bool { return n >= from && n < to }
-	w.cut = func(a, b int) bool { return part(a) != part(b) }
-	w.run(15)
+	net.partitioned = func(a, b int) bool { return part(a) != part(b) }
+	net.run(15)
 	loads := func() (inside, outside float64) {
-		for n, f := range w.fleets {
+		for n, f := range net.gossipers {
 			sum := 0.0
 			for _, s := range f.servers {
 				sum += s.held.load
@@ -374,14 +378,14 @@
 	if in, out := loads(); in/(in+out) < 0.44 || in/(in+out) > 0.56 { // as many in each
 		t.Errorf("in the part that is cut off loads are %v, in the rest %v", in, out)
 	}
-	w.cut = func(int, int) bool { return false }
-	w.forget()
-	w.run(5)
+	net.partitioned = func(int, int) bool { return false }
+	net.resetCounters()
+	net.run(5)
 	in, out := loads()
 	if math.Abs(in/out-1) > 0.12 {
 		t.Errorf("5 s after the cut loads are %v and %v", in, out)
 	}
-	if _, most, _, _ := w.traffic(5); most > 7000 {
+	if _, most, _, _ := net.traffic(5); most > 7000 {
 		t.Errorf("after the cut one spends %v bytes a second", most)
 	}
 }
@@ -416,8 +420,8 @@
 	runtime.KeepAlive(f)
 }
 
-// At three routers, and wherever telling all costs less, all is as it was.
-func TestPays(t *testing.T) {
+// At three routers, and wherever observationsPerSecond all costs less, all is as it was.
+func TestCheaperThanBroadcast(t *testing.T) {
 	for n, want := range map[int]bool{1: false, 3: false, 24: false, 80: false, 100: true, 3700: true} {
 		if got := CheaperThanBroadcast(n, 7000); got != want {
 			t.Errorf("%d routers: %t", n, got)
@@ -426,7 +430,7 @@
 }
 
 // Hardly a router is the first home of more than its part of the servers; and one server more or less moves few.
-func TestEvenParts(t *testing.T) {
+func TestOwnersAreBalanced(t *testing.T) {
 	v := NewView(names(3700))
 	var ids []uint16
 	for id := range 380 {
@@ -471,13 +475,13 @@
 }
 
 // Of two homes' totals that of the lower rank counts while it is told; a refusal counts of either.
-func TestRanks(t *testing.T) {
-	w := newQuietNetwork(t, 30)
-	f := New(w.at(0), Settings{Self: 0, BytesPerSecond: 7000}, w.view)
+func TestOwnerRanks(t *testing.T) {
+	net := newSettledNetwork(t, 30)
+	f := New(net.clock(0), Settings{Self: 0, BytesPerSecond: 7000}, net.view)
 	f.SetServers([]uint16{7})
-	now := w.at(0)
+	now := net.clock(0)
 	hear := func(rank uint8, after, load float64, bad bool) float64 {
-		f.hear(f.serverByID[7], summary{rank: rank, incarnation: rank, version: byte(after * 10), originatedAt: now + after, load: load, mean: 1, refusing: bad, urgent: bad})
+		f.accept(f.serverByID[7], summary{rank: rank, incarnation: rank, version: byte(after * 10), originatedAt: now + after, load: load, mean: 1, refusing: bad, urgent: bad})
 		return f.serverByID[7].held.load
 	}
 	f.now = now + 20
@@ -498,37 +502,38 @@
 	}
 }
 
-// The same for one that stands where two blocks meet, and by its list is of the other one: its words count at once, and it learns by pulling.
-func TestOldViewAtTheEdge(t *testing.T) {
-	w := newNetwork(t, 600, 40)
-	w.quiet[5] = true
-	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
+// The same for one that stands where two blocks meet, and by its list is of the other one: its words count at once,
+// and it learns by pulling.
+func TestOldViewAtGroupEdge(t *testing.T) {
+	net := newNetwork(t, 600, 40)
+	net.unobserved[5] = true
+	v, all := &foreignView{from: map[int]int{}}, []uint32(nil)
 	for n, name := range names(600) {
 		if n != 20 && n != 30 && n != 40 {
 			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
 		}
 	}
-	w.run(12)
+	net.run(12)
 	me := 300 // the first of the second block
-	w.views[me] = v
-	w.startWith(me, NewView(all))
-	w.fleets[me].settings.Self = v.from[me]
-	w.fleets[me].SetView(NewView(all))
-	if w.view.groupOf(me) != 1 || w.fleets[me].group != 0 {
-		t.Fatalf("it is in block %d, and by its list in %d", w.view.groupOf(me), w.fleets[me].group)
-	}
-	w.run(15)
+	net.views[me] = v
+	net.startWith(me, NewView(all))
+	net.gossipers[me].settings.Self = v.from[me]
+	net.gossipers[me].SetView(NewView(all))
+	if net.view.groupOf(me) != 1 || net.gossipers[me].group != 0 {
+		t.Fatalf("it is in block %d, and by its list in %d", net.view.groupOf(me), net.gossipers[me].group)
+	}
+	net.run(15)
 	missing := 0
-	for id, s := range w.fleets[me].servers {
-		if !w.quiet[id] && w.at(me)-s.held.originatedAt > summaryLifetime {
+	for id, s := range net.gossipers[me].servers {
+		if !net.unobserved[id] && net.clock(me)-s.held.originatedAt > summaryLifetime {
 			missing++
 		}
 	}
 	if missing > 4 {
 		t.Errorf("it lacks %d of 39 entries", missing)
 	}
-	w.say(me, 5, refusalByte)
-	if _, _, last := w.reach(8, func(f *Gossiper, now float64) bool { return f == w.fleets[me] || believesRefusing(5)(f, now) }); last > inTime {
+	net.observe(me, 5, refusalByte)
+	if _, _, last := net.measureSpread(8, func(f *Gossiper, now float64) bool { return f == net.gossipers[me] || believesRefusing(5)(f, now) }); last > inTime {
 		t.Errorf("the last of the others knew after %v s", last)
 	}
 }
--- a/internal/policy/gossip/feed_test.go
+++ b/internal/policy/gossip/feed_test.go
@@ -16,28 +16,29 @@
 	m.at = now
 }
 
-// A module that is fed comes to the loads and means of one that hears all, over some time: the loads' sum, those of each server, and which are slow.
-func TestModuleComesToTheSame(t *testing.T) {
-	w := newNetwork(t, 100, 40)
-	w.slow[9], w.slow[10] = 4, 0.1
+// A module that is fed comes to the loads and means of one that hears all, over some time: the loads' sum, those of
+// each server, and which are slow.
+func TestSynthesizedLoadsMatchBroadcast(t *testing.T) {
+	net := newNetwork(t, 100, 40)
+	net.relativeTimes[9], net.relativeTimes[10] = 4, 0.1
 	all, fed := make([]reckoned, 40), make([]reckoned, 40)
 	for id := range 40 {
 		all[id].joint, fed[id].joint = 1, 1
 	}
-	w.told = func(server int, took byte) { all[server].weigh(w.now(), float64(took)/32) }
-	w.fed = func(n int, b []byte) {
+	net.onObserved = func(server int, took byte) { all[server].weigh(net.now(), float64(took)/32) }
+	net.onSynthesized = func(n int, b []byte) {
 		for ; n == 3 && len(b) >= 3; b = b[3:] {
-			fed[(int(b[0])|int(b[1])<<8)/150].weigh(w.now(), float64(b[2])/32)
+			fed[(int(b[0])|int(b[1])<<8)/150].weigh(net.now(), float64(b[2])/32)
 		}
 	}
-	w.run(30)
+	net.run(30)
 	const looks = 40
 	var load, was, joint, right [40]float64
 	for range looks {
-		w.run(0.5)
+		net.run(0.5)
 		for id := range 40 {
-			load[id] += fed[id].load * math.Exp((fed[id].at-w.now())/loadDecay) / looks
-			was[id] += all[id].load * math.Exp((all[id].at-w.now())/loadDecay) / looks
+			load[id] += fed[id].load * math.Exp((fed[id].at-net.now())/loadDecay) / looks
+			was[id] += all[id].load * math.Exp((all[id].at-net.now())/loadDecay) / looks
 			joint[id] += fed[id].joint / looks
 			right[id] += all[id].joint / looks
 		}
@@ -72,30 +73,31 @@
 func (nobody) SetTimer(float64, string)                      {}
 func (nobody) WatchEndpoints(bool)                           {}
 
-// A server that refuses everywhere is benched by the module of a router that never asked it; one that refuses one router while others finish there is not.
-func TestModuleBenches(t *testing.T) {
+// A server that refuses everywhere is benched by the module of a router that never asked it; one that refuses one
+// router while others finish there is not.
+func TestBalancerAvoidsRefusingServer(t *testing.T) {
 	for crashed, want := range map[bool]bool{true: true, false: false} {
-		w := newNetwork(t, 100, 40)
-		m := balancer.New(w.now(), balancer.Settings{RouterCount: 100, GossipAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
+		net := newNetwork(t, 100, 40)
+		m := balancer.New(net.now(), balancer.Settings{RouterCount: 100, GossipAllowed: true, TrafficClasses: []balancer.TrafficClass{{Name: "t", LatencyObjective: 0.6}}}, nobody{})
 		var members []balancer.Endpoint
 		for id := range 40 {
 			members = append(members, balancer.Endpoint{ID: uint64(id*150 + 7), State: balancer.Ready, Capacity: 1})
 		}
-		m.OnEndpoints(w.now(), balancer.UpdateFull, members)
-		w.fed = func(n int, b []byte) {
+		m.OnEndpoints(net.now(), balancer.UpdateFull, members)
+		net.onSynthesized = func(n int, b []byte) {
 			if n == 3 {
-				m.OnGossip(w.now(), b)
+				m.OnGossip(net.now(), b)
 			}
 		}
-		w.run(20)
+		net.run(20)
 		if m.Avoids(5*150 + 7) {
 			t.Fatal("it is benched before anything happens")
 		}
-		w.crashed[5] = crashed
+		net.refusing[5] = crashed
 		benched := 0.0
 		for range 58 { // 2.9 s
-			w.say(60, 5, refusalByte)
-			w.run(0.05)
+			net.observe(60, 5, refusalByte)
+			net.run(0.05)
 			if m.Avoids(5*150 + 7) {
 				benched += 0.05
 			}
--- a/internal/policy/gossip/golden_test.go
+++ b/internal/policy/gossip/golden_test.go
@@ -40,8 +40,8 @@
 	return want
 }
 
-// goldenEntries are sums and totals with each flag, and values at and beyond the bounds of the form.
-func goldenEntries() []summary {
+// goldenSummaries are sums and totals with each flag, and values at and beyond the bounds of the form.
+func goldenSummaries() []summary {
 	return []summary{
 		{originatedAt: 1000},
 		{rank: 1, incarnation: 7, version: 1, load: 1, mean: 1, originatedAt: 999.95},
@@ -54,19 +54,19 @@
 	}
 }
 
-func goldenEntry(id uint16, e summary) string {
+func goldenSummary(id uint16, e summary) string {
 	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v", id, e.rank, e.refusing, e.answering, e.urgent, e.incarnation,
 		e.version, e.originatedAt, e.load, e.mean)
 }
 
 // What a sum or a total looks like in a datagram, and what is read from it by a router whose clock is another.
-func TestGoldenEntries(t *testing.T) {
+func TestGoldenSummaries(t *testing.T) {
 	var lines []string
-	for i, e := range goldenEntries() {
+	for i, e := range goldenSummaries() {
 		id := uint16(i*8191 + 7)
 		b := appendSummary(nil, id, e, 1000)
 		readID, readEntry := parseSummary(b, 50)
-		lines = append(lines, hex.EncodeToString(b), goldenEntry(readID, readEntry))
+		lines = append(lines, hex.EncodeToString(b), goldenSummary(readID, readEntry))
 	}
 	want := golden(t, "entries", lines)
 	for i := 0; i < len(want); i += 2 {
@@ -75,7 +75,7 @@
 			t.Fatal(err)
 		}
 		id, e := parseSummary(b, 50)
-		if got := goldenEntry(id, e); got != want[i+1] {
+		if got := goldenSummary(id, e); got != want[i+1] {
 			t.Errorf("%s is read as %s, want %s", want[i], got, want[i+1])
 		}
 	}
@@ -106,8 +106,8 @@
 	return lines
 }
 
-// Each kind of datagram, byte for byte, as one router makes it: calls, answers, words, totals, a pull and what answers it. What is read
-// shows in what is sent next.
+// Each kind of datagram, byte for byte, as one router makes it: calls, answers, words, totals, a pull and what
+// answers it. What is read shows in what is sent next.
 func TestGoldenDatagrams(t *testing.T) {
 	f := goldenRouter()
 	var lines []string
@@ -134,7 +134,7 @@
 	lines = append(lines, goldenTicks(f, 1006.1, 1006.2)...)
 	say("totals of others")
 	b := []byte{messageTag, kindSummaries}
-	for i, e := range goldenEntries() {
+	for i, e := range goldenSummaries() {
 		e.originatedAt += 6.2
 		b = appendSummary(b, uint16(i*150+7), e, 1006.2)
 	}
@@ -145,20 +145,20 @@
 	golden(t, "datagrams", lines)
 }
 
-// goldenStream writes a line of each half second of all that a simulated fleet sends, hears and feeds, as a hash. Any change of one byte, of one
-// receiver or of one draw of chance shows from there on.
+// goldenStream writes a line of each half second of all that a simulated fleet sends, hears and feeds, as a hash. Any
+// change of one byte, of one receiver or of one draw of chance shows from there on.
 type goldenStream struct {
-	w     *network
+	net   *network
 	lines []string
 	sum   []byte
 }
 
 func newGoldenStream(t *testing.T, routers, servers int) *goldenStream {
-	s := &goldenStream{w: newNetwork(t, routers, servers)}
-	s.w.spy = func(l packet) {
+	s := &goldenStream{net: newNetwork(t, routers, servers)}
+	s.net.onSend = func(l packet) {
 		s.add("%d %d %x\n", l.from, l.to, l.b)
 	}
-	s.w.fed = func(n int, b []byte) {
+	s.net.onSynthesized = func(n int, b []byte) {
 		s.add("%d feeds %x\n", n, b)
 	}
 	return s
@@ -173,14 +173,14 @@
 
 func (s *goldenStream) run(what string, seconds float64) {
 	for ; seconds > 0; seconds -= 0.5 {
-		s.w.run(0.5)
+		s.net.run(0.5)
 		s.line(what)
 	}
 }
 
 func (s *goldenStream) line(what string) {
 	var all Counters
-	for n, f := range s.w.fleets {
+	for n, f := range s.net.gossipers {
 		all.DatagramsSent += f.Counters.DatagramsSent
 		all.BytesSent += f.Counters.BytesSent
 		all.BytesReceived += f.Counters.BytesReceived
@@ -188,52 +188,53 @@
 		all.ObservationsLimited += f.Counters.ObservationsLimited
 		all.ObservationsUnsent += f.Counters.ObservationsUnsent
 		for _, v := range f.servers {
-			load, mean, age, ok := f.Summary(s.w.at(n), v.id)
+			load, mean, age, ok := f.Summary(s.net.clock(n), v.id)
 			s.add("%v %v %v %t\n", load, mean, age, ok)
 		}
 	}
-	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.w.now(), all.DatagramsSent, all.BytesSent, all.BytesReceived, all.DatagramsDropped, all.ObservationsLimited,
+	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.net.now(), all.DatagramsSent, all.BytesSent, all.BytesReceived, all.DatagramsDropped, all.ObservationsLimited,
 		all.ObservationsUnsent, s.sum[:8]))
 }
 
-// All that a block of a hundred routers sends to the byte, while servers refuse, datagrams are lost and doubled, homes die and come back, a process
-// stands still, one floods, one has an older build, another an older list, and servers come and go.
-func TestGoldenFleetOfOneBlock(t *testing.T) {
+// All that a block of a hundred routers sends to the byte, while servers refuse, datagrams are lost and doubled,
+// homes die and come back, a process stands still, one floods, one has an older build, another an older list, and
+// servers come and go.
+func TestGoldenFleetOfOneGroup(t *testing.T) {
 	s := newGoldenStream(t, 100, 40)
-	w := s.w
-	w.slow[9] = 4
+	net := s.net
+	net.relativeTimes[9] = 4
 	s.run("starts", 6)
-	w.crashed[5] = true
+	net.refusing[5] = true
 	s.run("a server refuses", 4)
-	w.crashed[5] = false
-	w.say(3, 6, refusalByte)
-	w.loss, w.twice = 0.1, 0.05
+	net.refusing[5] = false
+	net.observe(3, 6, refusalByte)
+	net.lossRate, net.duplicateRate = 0.1, 0.05
 	s.run("a tenth is lost", 6)
-	w.loss, w.twice = 0, 0
-	first, second := int(w.homes(0, 3)[0]), int(w.homes(0, 3)[1])
-	w.down[first], w.down[second] = true, true
+	net.lossRate, net.duplicateRate = 0, 0
+	first, second := int(net.ownersOf(0, 3)[0]), int(net.ownersOf(0, 3)[1])
+	net.down[first], net.down[second] = true, true
 	s.run("two homes are gone", 24)
-	w.start(first)
-	w.start(second)
-	w.stopped[20] = true
-	w.old[21] = true
+	net.start(first)
+	net.start(second)
+	net.stalled[20] = true
+	net.oldBuild[21] = true
 	s.run("they are back, one stands still", 8)
-	w.resume(20)
-	delete(w.old, 21)
-	w.start(21)
-	w.rate = 40
+	net.resume(20)
+	delete(net.oldBuild, 21)
+	net.start(21)
+	net.observationRate = 40
 	s.run("all tell more than counts", 4)
-	w.rate = 5
-	home := int(w.homes(0, 4)[0])
+	net.observationRate = 5
+	home := int(net.ownersOf(0, 4)[0])
 	liar := (home + 1) % 100
-	forged := w.fleets[liar].servers[4].held
+	forged := net.gossipers[liar].servers[4].held
 	forged.version, forged.load, forged.urgent = forged.version+100, 4000, true
 	id := uint16(4*150 + 7)
 	for i := range 300 {
-		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
-		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: w.at(home)}, w.at(home))))
-		w.fleets[home].OnDatagram(w.at(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, w.at(home))))
-		w.fleets[home].OnDatagram(w.at(home), liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
+		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
+		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: net.clock(home)}, net.clock(home))))
+		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, net.clock(home))))
+		net.gossipers[home].OnDatagram(net.clock(home), liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
 	}
 	s.run("one floods", 6)
 	var ids []uint16
@@ -242,7 +243,7 @@
 			ids = append(ids, uint16(i*150+7))
 		}
 	}
-	for n, f := range w.fleets {
+	for n, f := range net.gossipers {
 		f.SetServers(append(ids, 9999))
 		if n%3 == 0 {
 			f.SetView(NewView(names(100)))
@@ -252,31 +253,32 @@
 	golden(t, "fleet-one-block", s.lines)
 }
 
-// The same with two blocks, of which one is cut off for a while, with a router at the edge that takes itself to be of the other block.
-func TestGoldenFleetOfTwoBlocks(t *testing.T) {
+// The same with two blocks, of which one is cut off for a while, with a router at the edge that takes itself to be of
+// the other block.
+func TestGoldenFleetOfTwoGroups(t *testing.T) {
 	s := newGoldenStream(t, 520, 12)
-	w := s.w
+	net := s.net
 	s.run("starts", 8)
-	v, all := &foreign{from: map[int]int{}}, []uint32(nil)
+	v, all := &foreignView{from: map[int]int{}}, []uint32(nil)
 	for n, name := range names(520) {
 		if n != 20 && n != 30 && n != 40 {
 			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
 		}
 	}
-	from, to := w.view.groupBounds(1)
-	w.views[from] = v
-	w.startWith(from, NewView(all))
-	w.fleets[from].settings.Self = v.from[from]
-	w.fleets[from].SetView(NewView(all))
-	w.crashed[2] = true
+	from, to := net.view.groupBounds(1)
+	net.views[from] = v
+	net.startWith(from, NewView(all))
+	net.gossipers[from].settings.Self = v.from[from]
+	net.gossipers[from].SetView(NewView(all))
+	net.refusing[2] = true
 	s.run("one has an old list, a server refuses", 5)
 	part := func(n int) bool { return n >= from && n < to }
-	w.cut = func(a, b int) bool { return part(a) != part(b) }
-	w.crashed[2] = false
+	net.partitioned = func(a, b int) bool { return part(a) != part(b) }
+	net.refusing[2] = false
 	s.run("cut", 12)
-	w.cut = func(int, int) bool { return false }
-	w.down[int(w.homes(0, 1)[0])] = true
-	w.down[int(w.homes(from, 4)[0])] = true
+	net.partitioned = func(int, int) bool { return false }
+	net.down[int(net.ownersOf(0, 1)[0])] = true
+	net.down[int(net.ownersOf(from, 4)[0])] = true
 	s.run("healed, homes are gone", 14)
 	golden(t, "fleet-two-blocks", s.lines)
 }
--- /dev/null
+++ b/internal/policy/gossip/merge.go
@@ -0,0 +1,70 @@
+package gossip
+
+import "math"
+
+// mergeGroupSums adds the newest sums of the other groups to this group's own. Each decays as if its observations had
+// been sent here. Sums older than summaryLifetime do not count, so during a partition each side goes by its own
+// groups, and after it the others count again with their first sum.
+func (g *Gossiper) mergeGroupSums(s *serverState, own summary) summary {
+	total := own
+	attempts := own.attempts()
+	for group := range g.view.groups { // in a fixed order, on which the sum of floats depends
+		sum, known := s.owner.groupSums[group]
+		age := g.now - sum.originatedAt
+		if !known || age >= summaryLifetime {
+			continue
+		}
+		sum.load *= math.Exp(-max(0, age-groupSumInterval) / loadDecay)
+		total.load += sum.load
+		attempts += sum.attempts()
+		total.refusing = total.refusing || sum.refusing && age < refusalLifetime
+		total.answering = total.answering || sum.answering && age < g.settings.LongestObjective+secondaryRefusalDelay
+	}
+	if attempts > 0 && total.load > 0 {
+		total.mean = total.load / attempts
+	}
+	return total
+}
+
+// onGroupSum takes a group sum from an owner of that server in its group, as large as the observations that its
+// routers may send.
+func (g *Gossiper) onGroupSum(from int, id uint16, sum summary) {
+	s := g.serverByID[id]
+	group := g.view.groupOf(from)
+	if s == nil || int(g.view.ownersOf(group, id)[sum.rank]) != from || g.now-sum.originatedAt > summaryLifetime {
+		g.Counters.DatagramsDropped++
+		return
+	}
+	first, end := g.view.groupBounds(group)
+	maxLoad := float64(end-first) * observationsPerSecond * loadDecay * maxRelativeTime
+	sum.load = min(sum.load, maxLoad)
+	if group == g.group {
+		g.onOwnGroupSum(s, sum)
+		return
+	}
+	if s.owner.groupSums == nil {
+		s.owner.groupSums = map[int]summary{}
+	}
+	held, known := s.owner.groupSums[group]
+	if known && sum.rank > held.rank && g.now-held.originatedAt < ownerTimeout {
+		return // the owner before it acts
+	}
+	s.owner.groupSums[group] = sum
+}
+
+// onOwnGroupSum takes the sum of an owner before this one in its own group, which keeps it in case that one dies:
+// observations other than refusals are sent to that one alone.
+func (g *Gossiper) onOwnGroupSum(s *serverState, received summary) {
+	s.owner.heardAt[received.rank] = g.now
+	if g.ownRank(s) <= int(received.rank) {
+		return
+	}
+	sum := &s.owner.sum
+	sum.load = received.load
+	sum.count = received.attempts() / loadDecay
+	sum.timeSum = received.mean * sum.count
+	sum.updatedAt = g.now
+	if received.answering {
+		sum.answeredAt = max(sum.answeredAt, received.originatedAt)
+	}
+}
