--- a/internal/policy/gossip/golden_test.go
+++ b/internal/policy/gossip/golden_test.go
@@ -40,7 +40,7 @@
 	return want
 }
 
-// goldenSummaries are sums and totals with each flag, and values at and beyond the bounds of the form.
+// goldenSummaries are summaries with each flag, and values at and beyond the bounds of the form.
 func goldenSummaries() []summary {
 	return []summary{
 		{originatedAt: 1000},
@@ -49,104 +49,109 @@
 		{rank: 15, refusing: true, load: 0.03, mean: 0.0156, originatedAt: 999.999},
 		{rank: 3, answering: true, load: 0.04, mean: 0.0157, originatedAt: 987.25},
 		{rank: 4, urgent: true, load: 5000, mean: 100, originatedAt: 900},
-		{rank: 5, refusing: true, answering: true, urgent: true, incarnation: 128, version: 200, load: 123.456, mean: 2.5, originatedAt: 1003},
+		{rank: 5, refusing: true, answering: true, urgent: true, incarnation: 128, version: 200, load: 123.456, mean: 2.5,
+			originatedAt: 1003},
 		{rank: 0, load: -4, mean: 0.5, originatedAt: 999.4999},
 	}
 }
 
-func goldenSummary(id uint16, e summary) string {
-	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v", id, e.rank, e.refusing, e.answering, e.urgent, e.incarnation,
-		e.version, e.originatedAt, e.load, e.mean)
+// goldenSummary tells what was read.
+func goldenSummary(id uint16, s summary) string {
+	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v",
+		id, s.rank, s.refusing, s.answering, s.urgent, s.incarnation, s.version, s.originatedAt, s.load, s.mean)
 }
 
-// What a sum or a total looks like in a datagram, and what is read from it by a router whose clock is another.
+// What a summary or group sum looks like in a datagram, and what is read from it by a router whose clock is another.
 func TestGoldenSummaries(t *testing.T) {
 	var lines []string
-	for i, e := range goldenSummaries() {
+	for i, written := range goldenSummaries() {
 		id := uint16(i*8191 + 7)
-		b := appendSummary(nil, id, e, 1000)
-		readID, readEntry := parseSummary(b, 50)
-		lines = append(lines, hex.EncodeToString(b), goldenSummary(readID, readEntry))
+		b := appendSummary(nil, id, written, 1000)
+		readID, read := parseSummary(b, 50)
+		lines = append(lines, hex.EncodeToString(b), goldenSummary(readID, read))
 	}
-	want := golden(t, "entries", lines)
+	want := golden(t, "summaries", lines)
 	for i := 0; i < len(want); i += 2 {
 		b, err := hex.DecodeString(want[i])
 		if err != nil {
 			t.Fatal(err)
 		}
-		id, e := parseSummary(b, 50)
-		if got := goldenSummary(id, e); got != want[i+1] {
+		id, read := parseSummary(b, 50)
+		if got := goldenSummary(id, read); got != want[i+1] {
 			t.Errorf("%s is read as %s, want %s", want[i], got, want[i+1])
 		}
 	}
 }
 
-// goldenRouter is the router 0 of a quiet block of four, which knows that all others speak this.
+// goldenRouter is router 0 of a quiet group of four, which knows that all others understand the protocol.
 func goldenRouter() *Gossiper {
-	f := New(1000, Settings{Self: 0, Seed: 9, Incarnation: 77, BytesPerSecond: 7000, LongestObjective: 0.6}, NewView(names(4)))
-	f.SetServers([]uint16{7, 157, 307, 457, 607})
-	f.Tick(1000)
+	settings := Settings{Self: 0, Seed: 9, Incarnation: 77, BytesPerSecond: 7000, LongestObjective: 0.6}
+	router := New(1000, settings, NewView(names(4)))
+	router.SetServers(serverIDs(5))
+	router.Tick(1000)
 	for from := 1; from < 4; from++ {
-		f.OnDatagram(1000, from, []byte{probeAckByte})
+		router.OnDatagram(1000, from, []byte{probeAckByte})
 	}
-	return f
+	return router
 }
 
-// goldenTicks steps a router for some time and gives what it sends, a line each, and what it feeds.
-func goldenTicks(f *Gossiper, from, to float64) (lines []string) {
+// goldenTicks steps a router for some time and gives what it sends and tells its balancer, a line each.
+func goldenTicks(router *Gossiper, from, to float64) (lines []string) {
 	for i := 0; from+float64(i)*0.05 < to; i++ {
 		now := from + float64(i)*0.05
-		for _, d := range f.Tick(now) {
+		for _, d := range router.Tick(now) {
 			lines = append(lines, fmt.Sprintf("%.2f to %d: %s", now-1000, d.To, hex.EncodeToString(d.Bytes)))
 		}
-		if b := f.SynthesizeObservations(now); len(b) > 0 {
+		if b := router.SynthesizeObservations(now); len(b) > 0 {
 			lines = append(lines, fmt.Sprintf("%.2f feeds %s", now-1000, hex.EncodeToString(b)))
 		}
 	}
 	return lines
 }
 
-// Each kind of datagram, byte for byte, as one router makes it: calls, answers, words, totals, a pull and what
-// answers it. What is read shows in what is sent next.
+// Each kind of datagram, byte for byte, as one router makes it: probes and their acknowledgements, observations,
+// group sums, summaries, a pull and what answers it. What is read shows in what is sent next.
 func TestGoldenDatagrams(t *testing.T) {
-	f := goldenRouter()
+	router := goldenRouter()
 	var lines []string
 	say := func(what string) { lines = append(lines, "# "+what) }
 	say("words of this router")
-	f.Report(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
-	lines = append(lines, goldenTicks(f, 1000.05, 1003)...)
+	router.Report(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
+	lines = append(lines, goldenTicks(router, 1000.05, 1003)...)
 	say("words of another")
 	for from := 1; from < 4; from++ {
 		b, err := hex.DecodeString([]string{"6701070020", "67019d00fe", "67013301ff"}[from-1])
 		if err != nil {
 			t.Fatal(err)
 		}
-		if !f.OnDatagram(1003, from, appendChecksum(b)) {
+		if !router.OnDatagram(1003, from, appendChecksum(b)) {
 			t.Errorf("%x was not taken", b)
 		}
 	}
-	lines = append(lines, goldenTicks(f, 1003, 1006)...)
+	lines = append(lines, goldenTicks(router, 1003, 1006)...)
 	say("a pull")
-	f.OnDatagram(1006, 2, appendChecksum([]byte{messageTag, kindPull, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
-	lines = append(lines, goldenTicks(f, 1006, 1006.1)...)
+	router.OnDatagram(1006, 2, appendChecksum([]byte{messageTag, kindPull, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
+	lines = append(lines, goldenTicks(router, 1006, 1006.1)...)
 	say("a call")
-	f.OnDatagram(1006.1, 3, []byte{probeByte})
-	lines = append(lines, goldenTicks(f, 1006.1, 1006.2)...)
+	router.OnDatagram(1006.1, 3, []byte{probeByte})
+	lines = append(lines, goldenTicks(router, 1006.1, 1006.2)...)
 	say("totals of others")
 	b := []byte{messageTag, kindSummaries}
 	for i, e := range goldenSummaries() {
 		e.originatedAt += 6.2
 		b = appendSummary(b, uint16(i*150+7), e, 1006.2)
 	}
-	f.OnDatagram(1006.2, 1, appendChecksum(b))
-	lines = append(lines, goldenTicks(f, 1006.2, 1020)...)
-	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d", f.Counters.DatagramsSent, f.Counters.BytesSent, f.Counters.BytesReceived,
-		f.Counters.DatagramsDropped, f.Counters.ObservationsLimited, f.Counters.ObservationsUnsent))
+	router.OnDatagram(1006.2, 1, appendChecksum(b))
+	lines = append(lines, goldenTicks(router, 1006.2, 1020)...)
+	counters := router.Counters
+	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d",
+		counters.DatagramsSent, counters.BytesSent, counters.BytesReceived,
+		counters.DatagramsDropped, counters.ObservationsLimited, counters.ObservationsUnsent))
 	golden(t, "datagrams", lines)
 }
 
-// goldenStream writes a line of each half second of all that a simulated fleet sends, hears and feeds, as a hash. Any
-// change of one byte, of one receiver or of one draw of chance shows from there on.
+// goldenStream hashes all that a simulated fleet sends and tells its balancers, with a line each half second. A
+// change of one byte, of one receiver or of one random choice shows from there on.
 type goldenStream struct {
 	net   *network
 	lines []string
@@ -155,8 +160,8 @@
 
 func newGoldenStream(t *testing.T, routers, servers int) *goldenStream {
 	s := &goldenStream{net: newNetwork(t, routers, servers)}
-	s.net.onSend = func(l packet) {
-		s.add("%d %d %x\n", l.from, l.to, l.b)
+	s.net.onSend = func(p packet) {
+		s.add("%d %d %x\n", p.from, p.to, p.bytes)
 	}
 	s.net.onSynthesized = func(n int, b []byte) {
 		s.add("%d feeds %x\n", n, b)
@@ -192,13 +197,14 @@
 			s.add("%v %v %v %t\n", load, mean, age, ok)
 		}
 	}
-	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.net.now(), all.DatagramsSent, all.BytesSent, all.BytesReceived, all.DatagramsDropped, all.ObservationsLimited,
-		all.ObservationsUnsent, s.sum[:8]))
+	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.net.now(),
+		all.DatagramsSent, all.BytesSent, all.BytesReceived,
+		all.DatagramsDropped, all.ObservationsLimited, all.ObservationsUnsent, s.sum[:8]))
 }
 
-// All that a block of a hundred routers sends to the byte, while servers refuse, datagrams are lost and doubled,
-// homes die and come back, a process stands still, one floods, one has an older build, another an older list, and
-// servers come and go.
+// All that a group of a hundred routers sends, to the byte, while servers refuse, datagrams are lost and duplicated,
+// owners die and come back, a process stands still, one floods, one has an older build, another an older list, and
+// servers come and go. The lines keep the words of the build that wrote the file.
 func TestGoldenFleetOfOneGroup(t *testing.T) {
 	s := newGoldenStream(t, 100, 40)
 	net := s.net
@@ -208,9 +214,11 @@
 	s.run("a server refuses", 4)
 	net.refusing[5] = false
 	net.observe(3, 6, refusalByte)
-	net.lossRate, net.duplicateRate = 0.1, 0.05
+	net.lossRate = 0.1
+	net.duplicateRate = 0.05
 	s.run("a tenth is lost", 6)
-	net.lossRate, net.duplicateRate = 0, 0
+	net.lossRate = 0
+	net.duplicateRate = 0
 	first, second := int(net.ownersOf(0, 3)[0]), int(net.ownersOf(0, 3)[1])
 	net.down[first], net.down[second] = true, true
 	s.run("two homes are gone", 24)
@@ -225,16 +233,24 @@
 	net.observationRate = 40
 	s.run("all tell more than counts", 4)
 	net.observationRate = 5
-	home := int(net.ownersOf(0, 4)[0])
-	liar := (home + 1) % 100
-	forged := net.gossipers[liar].servers[4].held
-	forged.version, forged.load, forged.urgent = forged.version+100, 4000, true
-	id := uint16(4*150 + 7)
+	owner := int(net.ownersOf(0, 4)[0])
+	liar := (owner + 1) % 100
+	id := serverID(4)
+	forged := net.gossipers[liar].serverByID[id].held
+	forged.version += 100
+	forged.load = 4000
+	forged.urgent = true
 	for i := range 300 {
-		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum([]byte{messageTag, kindObservations, byte(id), byte(id >> 8), 254, byte(i), byte(i >> 8), 254}))
-		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindGroupSums}, id, summary{load: 4000, mean: 1, originatedAt: net.clock(home)}, net.clock(home))))
-		net.gossipers[home].OnDatagram(net.clock(home), liar, appendChecksum(appendSummary([]byte{messageTag, kindSummaries}, id, forged, net.clock(home))))
-		net.gossipers[home].OnDatagram(net.clock(home), liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
+		now := net.clock(owner)
+		forgedSum := summary{load: 4000, mean: 1, originatedAt: now}
+		for _, message := range [][]byte{
+			append(newMessage(kindObservations), byte(id), byte(id>>8), 254, byte(i), byte(i>>8), 254),
+			appendSummary(newMessage(kindGroupSums), id, forgedSum, now),
+			appendSummary(newMessage(kindSummaries), id, forged, now),
+		} {
+			net.gossipers[owner].OnDatagram(now, liar, appendChecksum(message))
+		}
+		net.gossipers[owner].OnDatagram(now, liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
 	}
 	s.run("one floods", 6)
 	var ids []uint16
@@ -253,23 +269,18 @@
 	golden(t, "fleet-one-block", s.lines)
 }
 
-// The same with two blocks, of which one is cut off for a while, with a router at the edge that takes itself to be of
-// the other block.
+// The same with two groups, of which one is cut off for a while, with a router at the edge that takes itself to be of
+// the other group.
 func TestGoldenFleetOfTwoGroups(t *testing.T) {
 	s := newGoldenStream(t, 520, 12)
 	net := s.net
 	s.run("starts", 8)
-	v, all := &foreignView{from: map[int]int{}}, []uint32(nil)
-	for n, name := range names(520) {
-		if n != 20 && n != 30 && n != 40 {
-			v.from[n], v.to, all = len(v.to), append(v.to, n), append(all, name)
-		}
-	}
+	foreign, view := newForeignView(520, 20, 30, 40)
 	from, to := net.view.groupBounds(1)
-	net.views[from] = v
-	net.startWith(from, NewView(all))
-	net.gossipers[from].settings.Self = v.from[from]
-	net.gossipers[from].SetView(NewView(all))
+	net.views[from] = foreign
+	net.startWith(from, view)
+	net.gossipers[from].settings.Self = foreign.from[from]
+	net.gossipers[from].SetView(view)
 	net.refusing[2] = true
 	s.run("one has an old list, a server refuses", 5)
 	part := func(n int) bool { return n >= from && n < to }
