--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -34,7 +34,7 @@
 	s.loop.Limit(s.conf.Connections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
-	changes := s.broker.Change(pools, contractTerms(setup), operators.Others())
+	changes := s.broker.Configure(pools, contractTerms(setup), operators.Others())
 	for _, change := range changes {
 		s.log.Info().Int("revision", s.broker.Revision()).Str("change", change).Msg("contracts")
 	}
@@ -43,15 +43,15 @@
 		stay[named.Name] = true
 	}
 	s.retireUnnamed(stay)
-	maps.DeleteFunc(s.counts.takenByTeam, func(team string, _ uint64) bool { return !s.broker.Has(team) })
+	maps.DeleteFunc(s.counts.takenByTeam, func(team string, _ uint64) bool { return !s.broker.HasTeam(team) })
 	s.openTeamListeners(operators)
 }
 
 // contractTerms gives the terms of all teams.
-func contractTerms(setup Setup) []broker.Terms {
+func contractTerms(setup Setup) []broker.TeamTerms {
 	terms := setup.Operators.Terms()
 	for i := range terms {
-		terms[i].Flat = setup.FlatCost
+		terms[i].FlatCost = setup.FlatCost
 	}
 	return terms
 }
@@ -127,8 +127,8 @@
 	if s.lifecycle.phase == Ended {
 		return
 	}
-	for _, message := range s.broker.Words() {
-		s.peers.transport.Tell(message)
+	for _, message := range s.broker.QuotaMessages() {
+		s.peers.transport.Broadcast(message)
 	}
 	s.loop.After(quotaGossipIntervalSeconds, s.sendQuotaGossip)
 }
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -109,7 +109,7 @@
 	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
 		t.Errorf("the platform's pool answers %q", got)
 	}
-	rejections := callOnLoop(s, func() uint64 { return s.broker.States()[0].Reasons[requestcore.ReasonNoEndpoint] })
+	rejections := callOnLoop(s, func() uint64 { return s.broker.TeamStates()[0].Reasons[requestcore.ReasonNoEndpoint] })
 	if rejections != 1 {
 		t.Errorf("%d rejections are for want of a server", rejections)
 	}
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -33,24 +33,24 @@
 		p.logCounts(s.log.With().Str("pool", p.name).Logger(), clients)
 	}
 	logged := 0
-	for _, team := range s.broker.States() {
-		if team.Taken == s.counts.takenByTeam[team.Team] || logged >= maxTeamsLogged {
+	for _, team := range s.broker.TeamStates() {
+		if team.Received == s.counts.takenByTeam[team.Team] || logged >= maxTeamsLogged {
 			continue
 		}
 		logged++
-		s.counts.takenByTeam[team.Team] = team.Taken
+		s.counts.takenByTeam[team.Team] = team.Received
 		event := s.log.Info().
 			Str("team", team.Team).
 			Str("pool", team.Pool).
-			Uint64("taken", team.Taken).
-			Uint64("finished", team.Finished).
-			Uint64("declined", team.Declined).
-			Uint64("terminated", team.Terminated).
-			Uint64("left", team.Left).
-			Int("open", team.Open).
-			Float64("load", team.Took).
-			Float64("budget", team.Budget).
-			Float64("part", team.Part).
+			Uint64("taken", team.Received).
+			Uint64("finished", team.Succeeded).
+			Uint64("declined", team.Rejected).
+			Uint64("terminated", team.Failed).
+			Uint64("left", team.Disconnected).
+			Int("open", team.OpenRequests).
+			Float64("load", team.LoadUsed).
+			Float64("budget", team.GuaranteedRate).
+			Float64("part", team.Share).
 			Float64("balance", team.Balance)
 		withRejectReasons(event, team.Reasons[:]).Msg("contract")
 	}
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -77,7 +77,7 @@
 // alone: no other pool hears any.
 func (s *Service) gossipSender(pool string) func(message []byte) {
 	if s.gossip == nil {
-		return s.peers.transport.Tell
+		return s.peers.transport.Broadcast
 	}
 	if pool != "" {
 		return func([]byte) {}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -50,7 +50,7 @@
 	now := func() float64 { return time.Since(began).Seconds() }
 	var mu sync.Mutex
 	var gossipers []*gossip.Gossiper
-	var transports []*peertransport.Peers
+	var transports []*peertransport.Transport
 	for index := from; index < len(addresses); index++ {
 		gossiper := gossip.New(now(), gossip.Settings{
 			Self:             index,
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -86,7 +86,7 @@
 
 // longestWait is how many seconds a client waits at most.
 func (s *Service) longestWait() float64 {
-	longest := s.broker.LongestStop()
+	longest := s.broker.LongestDeadline()
 	for _, class := range s.conf.Settings.TrafficClasses {
 		longest = max(longest, cmp.Or(class.Deadline, defaultClientWaitSeconds))
 	}
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -47,7 +47,7 @@
 	limits := s.processLimits()
 	limitMemory(limits)
 	s.clients.frontend.Limit(frontendLimits(limits))
-	s.broker.Limit(brokerLimits(limits))
+	s.broker.SetLimits(brokerLimits(limits))
 	namedParts := 0.0
 	for _, named := range s.operators.Pools {
 		namedParts += named.Connections
@@ -63,7 +63,7 @@
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
-	return broker.Limits{Open: conf.Open, Held: conf.Held, Connections: conf.Clients}
+	return broker.Limits{Requests: conf.Open, BufferedBytes: conf.Held, Connections: conf.Clients}
 }
 
 // connectionShare is a part (0 to 1) of the connections to servers, one at the least.
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -72,7 +72,7 @@
 	for _, class := range s.conf.Settings.TrafficClasses {
 		names = append(names, class.Name)
 	}
-	names = append(names, s.broker.Kinds()...)
+	names = append(names, s.broker.TrafficClassNames()...)
 	slices.Sort(names)
 	return slices.Compact(names)
 }
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -15,7 +15,7 @@
 
 // peerRouters is the way to the other routers of the fleet, and how many there are.
 type peerRouters struct {
-	transport *peertransport.Peers             // nil: nothing is sent to other routers; its methods do nothing then
+	transport *peertransport.Transport         // nil: nothing is sent to other routers; its methods do nothing then
 	size      *fleetsize.Count[netip.AddrPort] // counts the routers that are heard; nil: none can be
 	announced int                              // fleet size as the balancers know it; 0: that of the settings
 }
@@ -43,7 +43,7 @@
 func (s *Service) onPeerMessage(from netip.AddrPort, sender int, message []byte) {
 	s.peers.size.Heard(s.loop.Now(), from)
 	s.announceFleetSize()
-	handled := s.zones.onMessage(message) || s.broker.Heard(message) || s.gossip.onMessage(sender, message)
+	handled := s.zones.onMessage(message) || s.broker.OnQuotaMessage(message) || s.gossip.onMessage(sender, message)
 	if !handled && s.conf.Settings.GossipAllowed {
 		s.pools.platform.core.OnGossip(message)
 	}
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -89,13 +89,13 @@
 			}
 		})
 		if burst.disconnect {
-			waitUntil(t, "a full router", s, func() bool { return s.broker.Open() == 20 })
+			waitUntil(t, "a full router", s, func() bool { return s.broker.OpenRequests() == 20 })
 			if got := sendCommand(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
 				t.Errorf("%s: full, it answers %q", burst.name, got)
 			}
 			conn.Close()
 		}
-		waitUntil(t, "an end of all requests", s, func() bool { return s.broker.Open() == 0 })
+		waitUntil(t, "an end of all requests", s, func() bool { return s.broker.OpenRequests() == 0 })
 		if got := sendCommand(addr, "mg k v Oc2 Pc=t"); got != "VA 2 Oc2" {
 			t.Errorf("%s: after the burst it answers %q", burst.name, got)
 		}
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -85,7 +85,7 @@
 	a.applyChanges()
 	message := a.controller.NextMessage(a.now())
 	if message != nil && a.service.conf.Settings.GossipAllowed {
-		a.service.peers.transport.Tell(message)
+		a.service.peers.transport.Broadcast(message)
 	}
 	a.service.loop.After(zoneStepSeconds, a.step)
 }
