--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -132,12 +132,12 @@
 		w.Flush()
 		fmt.Fprintln(out)
 		fmt.Fprintln(w, "KEPT FOR THE NEXT PROCESS\tRULE\tUSED FOR\tUNTIL SOMETHING NEWER")
-		for _, k := range startup.Kinds {
+		for _, k := range startup.RecordKinds {
 			age := "any time"
-			if k.Oldest > 0 {
-				age = fmt.Sprintf("%v s", k.Oldest)
+			if k.MaxAgeSeconds > 0 {
+				age = fmt.Sprintf("%v s", k.MaxAgeSeconds)
 			}
-			fmt.Fprintf(w, "%s: %s\t%s\t%s\t%s\n", k.Name, k.What, k.Rule, age, k.Until)
+			fmt.Fprintf(w, "%s: %s\t%s\t%s\t%s\n", k.Name, k.Content, k.Rule, age, k.Fallback)
 		}
 	}
 	if rows := theirs.Table(); rows != nil {
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -25,7 +25,7 @@
 	Ops                     string // the operators' door; empty: none
 	Shared                  string // a folder that the next process of this router sees, too; empty: none
 	Peers                   []string
-	Known                   discovery.List
+	Known                   discovery.EndpointList
 	Settings                balancer.Settings
 	Reports                 Reports // of load; the platform's protocol carries none with answers
 	ConnectTimeout          float64
@@ -118,7 +118,7 @@
 		limits.Fault("sockets", "below 64")
 	}
 	if !o.Absent("known") {
-		c.Known = discovery.Read(o.Sub("known"))
+		c.Known = discovery.FromObject(o.Sub("known"))
 	}
 	set := o.Sub("settings")
 	c.Settings = set.Settings()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -29,7 +29,7 @@
 		t.Errorf("read %+v", c)
 	}
 	if c.ConnIdle != 30 || c.ConnectTimeout != 0.075 || c.PerConnection != 100 || c.Settings.RouterIndex != 2 ||
-		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.Known.Entries) != 1 || c.Known.Generation != 41 {
+		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.Known.Instances) != 1 || c.Known.Generation != 41 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.Open != 33 {
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -44,7 +44,7 @@
 	say("peer_listen", "/peer_listen", "none", "%s", orNone(c.PeerListen))
 	say("peers", "/peers", "none", "%d", len(c.Peers))
 	say("peers_all", "/peers_all", "none", "%s", orNone(c.PeersAll))
-	say("known", "/known", "none", "%d servers, generation %d", len(c.Known.Entries), c.Known.Generation)
+	say("known", "/known", "none", "%d servers, generation %d", len(c.Known.Instances), c.Known.Generation)
 	say("seed", "/seed", "the process's number", "%08x", c.Settings.Seed)
 	s, limits, rules := c.Settings, "/settings/limits/", "/settings/rules/"
 	say("settings.fleetSize", "/settings/fleetSize", "default", "%d", s.RouterCount)
--- a/internal/discovery/discovery_test.go
+++ b/internal/discovery/discovery_test.go
@@ -25,17 +25,17 @@
 		{"instanceId":"s-3","hostPort":"","lifecycle":"gone"},
 		{"instanceId":"s-4","hostPort":"nowhere","lifecycle":"ready"},
 		{"instanceId":"s-5","hostPort":"10.1.0.20:11211","lifecycle":"asleep"}]}`))
-	if err != nil || l.Generation != 43 || !l.Whole || len(l.Entries) != 5 {
+	if err != nil || l.Generation != 43 || !l.Complete || len(l.Instances) != 5 {
 		t.Fatalf("got %+v, %v", l, err)
 	}
-	first := Entry{Addr: netip.MustParseAddrPort("10.1.0.18:11211"), Endpoint: balancer.Endpoint{ID: ID("s-1"),
+	first := Instance{Addr: netip.MustParseAddrPort("10.1.0.18:11211"), Endpoint: balancer.Endpoint{ID: ID("s-1"),
 		State: balancer.Ready, Capacity: 0.6, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1.5}}
-	if l.Entries[0] != first {
-		t.Errorf("got %+v, want %+v", l.Entries[0], first)
+	if l.Instances[0] != first {
+		t.Errorf("got %+v, want %+v", l.Instances[0], first)
 	}
 	// One that cannot be reached, or is in no known state, gets nothing new.
 	for i, want := range []balancer.EndpointState{balancer.Ready, balancer.Draining, balancer.Removed, balancer.Draining, balancer.Removed} {
-		if got := l.Entries[i].State; got != want {
+		if got := l.Instances[i].State; got != want {
 			t.Errorf("entry %d is %d, want %d", i, got, want)
 		}
 	}
@@ -58,7 +58,7 @@
 	}
 }
 
-var quick = pollschedule.Rhythm{Hold: 2, Late: 0.5, Gap: 10, Lag: 0.1, Most: 1, Pace: pollschedule.Pace{First: 0.1, Most: 0.1}}
+var quick = pollschedule.Schedule{LongPollWait: 2, AnswerTolerance: 0.5, MaxInterval: 10, OutdatedRetry: 0.1, MaxInFlight: 1, Backoff: pollschedule.Backoff{Initial: 0.1, Max: 0.1}}
 
 // The first call asks for the whole list, the next for what is newer, and a failure leaves the list and is
 // tried again from where it was, by a call that does not wait for news.
@@ -80,8 +80,8 @@
 			<-r.Context().Done()
 		}
 	}))
-	news, failures := make(chan List, 10), make(chan error, 10)
-	go Watch(ctx, server.Listener.Addr().String(), Start{Rhythm: quick}, func(l List) error { news <- l; return nil }, func(err error) { failures <- err },
+	news, failures := make(chan EndpointList, 10), make(chan error, 10)
+	go Watch(ctx, server.Listener.Addr().String(), WatchStart{Schedule: quick}, func(l EndpointList) error { news <- l; return nil }, func(err error) { failures <- err },
 		zerolog.Nop())
 	for i, want := range []string{"", "from=41&hold_ms=2000", "from=41&hold_ms=0", "from=43&hold_ms=2000"} {
 		select {
@@ -93,10 +93,10 @@
 			t.Fatalf("no call %d", i)
 		}
 	}
-	if l := <-news; !l.Whole || l.Generation != 41 {
+	if l := <-news; !l.Complete || l.Generation != 41 {
 		t.Errorf("got %+v", l)
 	}
-	if l := <-news; l.Whole || len(l.Entries) != 1 {
+	if l := <-news; l.Complete || len(l.Instances) != 1 {
 		t.Errorf("got %+v", l)
 	}
 	if err := <-failures; err == nil || errors.Is(err, context.Canceled) {
@@ -118,10 +118,10 @@
 		}
 		fmt.Fprintf(w, `{"generation":%d,"reset":true,"instances":[]}`, 40+n)
 	}))
-	news := make(chan List, 10)
-	go Watch(ctx, server.Listener.Addr().String(), Start{Known: 43, Rhythm: quick}, func(l List) error {
+	news := make(chan EndpointList, 10)
+	go Watch(ctx, server.Listener.Addr().String(), WatchStart{Generation: 43, Schedule: quick}, func(l EndpointList) error {
 		if l.Generation < 43 {
-			return ErrOld
+			return ErrOutdated
 		}
 		news <- l
 		return nil
@@ -144,7 +144,7 @@
 		fmt.Fprint(w, `{"generation":3,"reset":true,"instances":[]}`)
 	}))
 	defer server.Close()
-	go Watch(ctx, server.Listener.Addr().String(), Start{Known: 41, Same: true, Rhythm: quick}, func(List) error { return nil }, func(error) {}, zerolog.Nop())
+	go Watch(ctx, server.Listener.Addr().String(), WatchStart{Generation: 41, SameService: true, Schedule: quick}, func(EndpointList) error { return nil }, func(error) {}, zerolog.Nop())
 	if first, second := <-calls, <-calls; first != "from=41&hold_ms=2000" || second != "" {
 		t.Errorf("it asks for %q, then for %q", first, second)
 	}
@@ -158,11 +158,11 @@
 		{"instanceId":"s-2","hostPort":"10.1.0.19:1","lifecycle":"draining"},
 		{"instanceId":"s-3","hostPort":"10.1.0.20:1","lifecycle":"gone","weight":"-"},
 		{"instanceId":"s-4","hostPort":"10.1.0.21:1","lifecycle":"ready"}]}`))
-	if err != nil || l.Faulty == "" {
-		t.Fatalf("got %v, told %q", err, l.Faulty)
+	if err != nil || l.FirstFault == "" {
+		t.Fatalf("got %v, told %q", err, l.FirstFault)
 	}
 	got := map[uint64]balancer.EndpointState{}
-	for _, e := range l.Entries {
+	for _, e := range l.Instances {
 		got[e.ID] = e.State
 	}
 	if want := map[uint64]balancer.EndpointState{ID("s-9"): balancer.Draining, ID("s-1"): balancer.Draining, ID("s-2"): balancer.Draining,
@@ -174,7 +174,7 @@
 // An agent is silent while discovery is down, and what it gets at the return counts as told at once: the calls that hang from
 // before must not hide it. So others are made beside them, and the first that is answered tells.
 func TestACallThatHangsHidesNothing(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.5, 1)})
+	a := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: pollschedule.ForLocalAgent(0.5, 1)})
 	first, second, third := next(t, "call", a.calls), next(t, "call beside the one that hangs", a.calls), next(t, "third call", a.calls)
 	a.out(first)
 	a.out(second)
@@ -198,7 +198,7 @@
 
 // An agent that is only slow is heard, though others were called beside that call; what those tell later is not taken for news.
 func TestASlowAnswerCountsAndAnOlderOneDoesNot(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.5, 1)})
+	a := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: pollschedule.ForLocalAgent(0.5, 1)})
 	first, second := next(t, "call", a.calls), next(t, "call beside it", a.calls)
 	first.answer <- list(44)
 	if l := next(t, "list", a.news); l.Generation != 44 {
@@ -220,8 +220,8 @@
 // A service that answers all routers has one call of each at a time. One that falls silent is called anew at once, one that is
 // silent again or turns the call away only after a wait.
 func TestASilentServiceIsCalledAnewAtOnceAndOneThatIsFullLater(t *testing.T) {
-	never := pollschedule.Pace{First: 1e6, Most: 1e6}
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Rhythm{Hold: 0.05, Late: 0.05, Gap: 1e7, Most: 1, Pace: never}})
+	never := pollschedule.Backoff{Initial: 1e6, Max: 1e6}
+	a := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: pollschedule.Schedule{LongPollWait: 0.05, AnswerTolerance: 0.05, MaxInterval: 1e7, MaxInFlight: 1, Backoff: never}})
 	first := next(t, "call", a.calls)
 	<-first.given
 	second := next(t, "call after the silent one", a.calls)
@@ -231,7 +231,7 @@
 		t.Error("a service that is silent again is called at once")
 	case <-time.After(300 * time.Millisecond):
 	}
-	b := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Most: 1, Pace: never}})
+	b := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: pollschedule.Schedule{LongPollWait: 1, AnswerTolerance: 1, MaxInterval: 1e7, MaxInFlight: 1, Backoff: never}})
 	next(t, "call", b.calls).answer <- ""
 	select {
 	case <-b.calls:
@@ -250,8 +250,8 @@
 	defer server.Close()
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	rhythm := pollschedule.Rhythm{Hold: 1, Late: 1, Gap: 1e7, Lag: 0.1, Most: 1, Pace: pollschedule.Pace{First: 1e6, Most: 1e6}}
-	go Watch(ctx, server.Listener.Addr().String(), Start{Rhythm: rhythm}, func(List) error { return ErrOld }, func(error) {}, zerolog.Nop())
+	rhythm := pollschedule.Schedule{LongPollWait: 1, AnswerTolerance: 1, MaxInterval: 1e7, OutdatedRetry: 0.1, MaxInFlight: 1, Backoff: pollschedule.Backoff{Initial: 1e6, Max: 1e6}}
+	go Watch(ctx, server.Listener.Addr().String(), WatchStart{Schedule: rhythm}, func(EndpointList) error { return ErrOutdated }, func(error) {}, zerolog.Nop())
 	for range 2 {
 		if query := next(t, "call", calls); query != "" {
 			t.Errorf("it asks for %q", query)
@@ -262,11 +262,11 @@
 // An agent that is only slow is heard, though more calls were begun beside the first than may be out: on a busy machine one that takes
 // longer than a short grace allows for all of them would never be.
 func TestASlowAgentIsHeardThoughMoreAreCalledThanMayBeOut(t *testing.T) {
-	rhythm := pollschedule.Pushed(0.1, 1)
-	rhythm.Slow = 1e6
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: rhythm})
+	rhythm := pollschedule.ForLocalAgent(0.1, 1)
+	rhythm.MinLifetime = 1e6
+	a := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: rhythm})
 	first := next(t, "call", a.calls)
-	for range 2 * rhythm.Most {
+	for range 2 * rhythm.MaxInFlight {
 		next(t, "call beside it", a.calls)
 	}
 	a.out(first)
@@ -282,9 +282,9 @@
 	s := speak(t)
 	ctx, stop := context.WithCancel(context.Background())
 	defer stop()
-	news, rhythm := make(chan List, 10), quick
-	rhythm.Late = 1e3 // no answer of this test is late, however busy the machine
-	go Watch(ctx, s.addr, Start{Known: 41, Same: true, Rhythm: rhythm}, func(l List) error { news <- l; return nil }, func(error) {}, zerolog.Nop())
+	news, rhythm := make(chan EndpointList, 10), quick
+	rhythm.AnswerTolerance = 1e3 // no answer of this test is late, however busy the machine
+	go Watch(ctx, s.addr, WatchStart{Generation: 41, SameService: true, Schedule: rhythm}, func(l EndpointList) error { news <- l; return nil }, func(error) {}, zerolog.Nop())
 	whole := `{"generation":43,"reset":false,"instances":[]}`
 	for i, answer := range []func(spoken){
 		func(c spoken) { c.say("503 Service Unavailable", "", 0) },
@@ -315,12 +315,12 @@
 // What hangs is given up wherever it stands: before the first byte, in the middle of a body, or with a connection that never comes up; what
 // had come of it tells nothing. A watch that falls silent, on a connection that stays open, is no other.
 func TestWhereverACallHangsTheNextIsMade(t *testing.T) {
-	for _, rhythm := range []pollschedule.Rhythm{pollschedule.Pushed(0.5, 1), pollschedule.OnRequest(8, 1)} {
+	for _, rhythm := range []pollschedule.Schedule{pollschedule.ForLocalAgent(0.5, 1), pollschedule.ForSharedService(8, 1)} {
 		s := speak(t)
 		ctx, stop := context.WithCancel(context.Background())
 		defer stop()
-		news := make(chan List, 10)
-		go Watch(ctx, s.addr, Start{Known: 41, Same: true, Rhythm: rhythm}, func(l List) error { news <- l; return nil }, func(error) {}, zerolog.Nop())
+		news := make(chan EndpointList, 10)
+		go Watch(ctx, s.addr, WatchStart{Generation: 41, SameService: true, Schedule: rhythm}, func(l EndpointList) error { news <- l; return nil }, func(error) {}, zerolog.Nop())
 		next(t, "call", s.asked).say("200 OK", list(42), len(list(42)))
 		next(t, "list", news)
 		watch := next(t, "watch", s.asked)               // silent
@@ -328,7 +328,7 @@
 			watch = next(t, "watch", s.asked)
 		}
 		half := next(t, "call after the silent watch", s.asked)
-		if hold := fmt.Sprintf("from=42&hold_ms=%d", int(1000*rhythm.Hold)); watch.query != hold || half.query != "from=42&hold_ms=0" || half.conn == watch.conn {
+		if hold := fmt.Sprintf("from=42&hold_ms=%d", int(1000*rhythm.LongPollWait)); watch.query != hold || half.query != "from=42&hold_ms=0" || half.conn == watch.conn {
 			t.Errorf("it asks for %q, then for %q", watch.query, half.query)
 		}
 		half.say("200 OK", list(43)[:30], len(list(43)))
@@ -345,7 +345,7 @@
 
 // A call that hangs while all others are turned away at once ends by itself.
 func TestACallThatHangsEndsWhileOthersAreTurnedAway(t *testing.T) {
-	a := asking(t, Start{Known: 41, Same: true, Rhythm: pollschedule.Pushed(0.1, 1)})
+	a := asking(t, WatchStart{Generation: 41, SameService: true, Schedule: pollschedule.ForLocalAgent(0.1, 1)})
 	first := next(t, "call", a.calls)
 	for late := time.After(10 * time.Second); ; {
 		select {
@@ -365,7 +365,7 @@
 	f.Add([]byte(`{"generation":1,"instances":[7,{"instanceId":"s","cell":"x","lifecycle":"ready"},{"instanceId":"t","lifecycle":"draining"}]}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		l, err := Parse(text)
-		for _, e := range l.Entries {
+		for _, e := range l.Instances {
 			if err == nil && e.State == balancer.Ready && (e.faulty || !e.Addr.IsValid()) {
 				t.Errorf("%q: %+v may be used", text, e)
 			}
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -67,14 +67,14 @@
 	}()
 	var log bytes.Buffer
 	rhythm := quick
-	rhythm.Late = 1e3 // no answer of this test is late, however busy the machine
+	rhythm.AnswerTolerance = 1e3 // no answer of this test is late, however busy the machine
 	done := make(chan bool)
 	failures := ""
 	go func() {
 		defer close(done)
-		Watch(ctx, ln.Addr().String(), Start{Rhythm: rhythm}, func(l List) error {
+		Watch(ctx, ln.Addr().String(), WatchStart{Schedule: rhythm}, func(l EndpointList) error {
 			if l.Generation == 39 {
-				return fmt.Errorf("%w: 39, 41", ErrOld)
+				return fmt.Errorf("%w: 39, 41", ErrOutdated)
 			}
 			if l.Generation == 42 {
 				stop()
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -104,7 +104,7 @@
 type agent struct {
 	t     *testing.T
 	calls chan *asked
-	news  chan List
+	news  chan EndpointList
 }
 
 type asked struct {
@@ -113,8 +113,8 @@
 	given  <-chan struct{} // closed once the caller gives up
 }
 
-func asking(t *testing.T, start Start) agent {
-	a := agent{t: t, calls: make(chan *asked, 100), news: make(chan List, 100)}
+func asking(t *testing.T, start WatchStart) agent {
+	a := agent{t: t, calls: make(chan *asked, 100), news: make(chan EndpointList, 100)}
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		c := &asked{r.URL.RawQuery, make(chan string, 1), r.Context().Done()}
 		select {
@@ -132,7 +132,7 @@
 		}
 	}))
 	ctx, stop := context.WithCancel(context.Background())
-	go Watch(ctx, server.Listener.Addr().String(), start, func(l List) error { a.news <- l; return nil }, func(error) {}, zerolog.Nop())
+	go Watch(ctx, server.Listener.Addr().String(), start, func(l EndpointList) error { a.news <- l; return nil }, func(error) {}, zerolog.Nop())
 	t.Cleanup(func() { stop(); server.CloseClientConnections(); server.Close() })
 	return a
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -11,19 +11,19 @@
 	"bendtrestle/internal/settings"
 )
 
-// Entry is one cache server of a list. Its id is made from the instance's name, the same at every router.
-type Entry struct {
+// Instance is one cache server of a list. Its id is made from the instance's name, the same at every router.
+type Instance struct {
 	balancer.Endpoint
 	Addr   netip.AddrPort
 	faulty bool // a field cannot be read
 }
 
-// List is a whole list, or what has changed since an earlier one.
-type List struct {
+// EndpointList is a whole list, or what has changed since an earlier one.
+type EndpointList struct {
 	Generation uint64
-	Whole      bool
-	Entries    []Entry
-	Faulty     string `json:"-"` // what is wrong with the first entry that cannot be used; empty: with none
+	Complete   bool
+	Instances  []Instance
+	FirstFault string `json:"-"` // what is wrong with the first entry that cannot be used; empty: with none
 }
 
 var modes = map[string]balancer.EndpointState{"ready": balancer.Ready, "draining": balancer.Draining}
@@ -33,32 +33,32 @@
 
 // Parse reads a list from a list service. What is wrong with an entry costs that server alone: it gets nothing new, and the
 // rest of the list, with the drains that it tells, still counts. A list without any that can be used is an error.
-func Parse(text []byte) (List, error) {
+func Parse(text []byte) (EndpointList, error) {
 	o, err := settings.Parse(text, "malformed list")
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
-	l, faults, bad := Read(o), o.Faults(), 0
-	if l.Whole && o.Absent("instances") {
+	l, faults, bad := FromObject(o), o.Faults(), 0
+	if l.Complete && o.Absent("instances") {
 		o.Fault("instances", "missing")
 	}
 	elsewhere := slices.ContainsFunc(faults, func(f settings.Fault) bool { return !strings.HasPrefix(f.Path, "/instances") })
-	for i := range l.Entries {
-		if l.Entries[i].faulty {
-			l.Entries[i].State = min(l.Entries[i].State, balancer.Draining)
+	for i := range l.Instances {
+		if l.Instances[i].faulty {
+			l.Instances[i].State = min(l.Instances[i].State, balancer.Draining)
 			bad++
 		}
 	}
-	if len(faults) > 0 && bad < len(l.Entries) && !elsewhere {
-		l.Faulty = faults[0].Text
+	if len(faults) > 0 && bad < len(l.Instances) && !elsewhere {
+		l.FirstFault = faults[0].Text
 		return l, nil
 	}
 	return l, o.Err()
 }
 
-// Read reads a list from an object, which keeps the faults.
-func Read(o *settings.Object) List {
-	l := List{Generation: o.ID("generation"), Whole: o.Flag("reset")}
+// FromObject reads a list from an object, which keeps the faults.
+func FromObject(o *settings.Object) EndpointList {
+	l := EndpointList{Generation: o.ID("generation"), Complete: o.Flag("reset")}
 	for _, e := range o.List("instances") {
 		before := o.Met()
 		name, at := e.Text("instanceId"), e.Text("hostPort")
@@ -67,11 +67,11 @@
 		if err != nil && mode == balancer.Ready {
 			mode = balancer.Draining // nowhere to send to; the rest of the list still counts
 		}
-		entry := Entry{Addr: addr, Endpoint: balancer.Endpoint{ID: ID(name), State: mode,
+		entry := Instance{Addr: addr, Endpoint: balancer.Endpoint{ID: ID(name), State: mode,
 			Capacity: e.Number("weight"), Zone: e.Name0("zone"), Cell: e.Count("cell"), MachineType: e.Name0("machineType"),
 			StartedAt: e.Number("startedAtMs") / 1e3}}
 		if entry.faulty = o.Met() > before; name != "" {
-			l.Entries = append(l.Entries, entry)
+			l.Instances = append(l.Instances, entry)
 		}
 	}
 	return l
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -24,8 +24,8 @@
 				}
 			})
 			ctx, stop := context.WithCancel(context.Background())
-			news, failures := make(chan List), make(chan error, 10)
-			go Watch(ctx, addr, Start{Rhythm: quick}, func(l List) error {
+			news, failures := make(chan EndpointList), make(chan error, 10)
+			go Watch(ctx, addr, WatchStart{Schedule: quick}, func(l EndpointList) error {
 				select {
 				case news <- l:
 				case <-ctx.Done():
@@ -35,7 +35,7 @@
 			for call := range all {
 				select {
 				case l := <-news:
-					if l.Generation != uint64(1000+call) || len(l.Entries) != 1 || l.Faulty != "" {
+					if l.Generation != uint64(1000+call) || len(l.Instances) != 1 || l.FirstFault != "" {
 						t.Fatalf("%s, %s, call %d: got %+v", form, layout, call, l)
 					}
 					continue
@@ -59,8 +59,8 @@
 			return []string{text[:max(0, len(text)-1-call%4*30)]}, true
 		})
 		ctx, stop := context.WithCancel(context.Background())
-		news, failures := make(chan List, 10), make(chan error, 10)
-		go Watch(ctx, addr, Start{Rhythm: quick}, func(l List) error { news <- l; return nil }, func(err error) { failures <- err }, zerolog.Nop())
+		news, failures := make(chan EndpointList, 10), make(chan error, 10)
+		go Watch(ctx, addr, WatchStart{Schedule: quick}, func(l EndpointList) error { news <- l; return nil }, func(err error) { failures <- err }, zerolog.Nop())
 		select {
 		case l := <-news:
 			t.Errorf("%s: it is taken, %+v", form, l)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -19,15 +19,15 @@
 	bodyBound = 8 << 20                // tens of thousands of entries
 )
 
-// Start is what a watch begins with.
-type Start struct {
-	Known  uint64 // the generation of the last list
-	Same   bool   // the list service is the one that told it: changes since then will do
-	Rhythm pollschedule.Rhythm
+// WatchStart is what a watch begins with.
+type WatchStart struct {
+	Generation  uint64 // the generation of the last list
+	SameService bool   // the list service is the one that told it: changes since then will do
+	Schedule    pollschedule.Schedule
 }
 
-// ErrOld tells that a list is older than what is known: it is not taken, and the whole list is asked for again.
-var ErrOld = errors.New("the list is older than the one that is known")
+// ErrOutdated tells that a list is older than what is known: it is not taken, and the whole list is asked for again.
+var ErrOutdated = errors.New("the list is older than the one that is known")
 
 var errLate = errors.New("no answer in time")
 
@@ -36,7 +36,7 @@
 	number int
 	whole  bool   // it asks for the whole list
 	from   uint64 // else for what is newer
-	list   List
+	list   EndpointList
 	err    error
 }
 
@@ -53,7 +53,7 @@
 	ended  chan *call
 	next   *time.Timer
 	last   string
-	news   func(List) error
+	news   func(EndpointList) error
 	failed func(error)
 	log    zerolog.Logger
 }
@@ -62,14 +62,14 @@
 // failure to failed; both are called on Watch's own goroutine. A service that lags behind the one before it must not take back
 // what that one told of drains. A service that turns calls away has to do with all routers together: each waits longer and
 // longer, for as long as all call it again at once it stays full and no router ever has the list.
-func Watch(ctx context.Context, addr string, start Start, news func(List) error, failed func(error), log zerolog.Logger) {
+func Watch(ctx context.Context, addr string, start WatchStart, news func(EndpointList) error, failed func(error), log zerolog.Logger) {
 	// The standard library's connections, for netpoll's tell a reset as an end, and no end as net/http knows it: an answer without a
 	// length was never whole. Calls have ends of their own, so none is kept alive.
 	dialer := &net.Dialer{Timeout: connected, KeepAlive: -1}
 	client := &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
 	defer client.CloseIdleConnections()
-	w := &watch{ctx: ctx, client: client, addr: addr, calls: pollschedule.Calls{Rhythm: start.Rhythm}, began: time.Now(), stop: map[int]context.CancelFunc{},
-		whole: !start.Same, from: start.Known, ended: make(chan *call), next: time.NewTimer(0), news: news, failed: failed, log: log}
+	w := &watch{ctx: ctx, client: client, addr: addr, calls: pollschedule.Calls{Schedule: start.Schedule}, began: time.Now(), stop: map[int]context.CancelFunc{},
+		whole: !start.SameService, from: start.Generation, ended: make(chan *call), next: time.NewTimer(0), news: news, failed: failed, log: log}
 	for {
 		select {
 		case <-ctx.Done():
@@ -148,7 +148,7 @@
 	}
 	if err := w.take(c); err != nil {
 		w.tell(err)
-		w.next.Reset(seconds(w.calls.Failed(w.now(), errors.Is(err, ErrOld))))
+		w.next.Reset(seconds(w.calls.Failed(w.now(), errors.Is(err, ErrOutdated))))
 		return
 	}
 	if w.last != "" {
@@ -173,8 +173,8 @@
 		w.whole = true
 		return fmt.Errorf("generation %d is older than what was asked for, %d", c.list.Generation, c.from)
 	}
-	if c.list.Faulty != "" {
-		w.log.Warn().Str("fault", c.list.Faulty).Msg("entries of the list cannot be used; these servers get nothing new")
+	if c.list.FirstFault != "" {
+		w.log.Warn().Str("fault", c.list.FirstFault).Msg("entries of the list cannot be used; these servers get nothing new")
 	}
 	if err := w.news(c.list); err != nil {
 		w.whole = true
@@ -184,22 +184,22 @@
 	return nil
 }
 
-func get(ctx context.Context, client *http.Client, url string) (List, error) {
+func get(ctx context.Context, client *http.Client, url string) (EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	answer, err := client.Do(request)
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	defer answer.Body.Close()
 	body, err := io.ReadAll(io.LimitReader(answer.Body, bodyBound))
 	if err != nil {
-		return List{}, err
+		return EndpointList{}, err
 	}
 	if answer.StatusCode != http.StatusOK {
-		return List{}, fmt.Errorf("the list service answers %s", answer.Status)
+		return EndpointList{}, fmt.Errorf("the list service answers %s", answer.Status)
 	}
 	return Parse(body)
 }
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -51,7 +51,7 @@
 const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
 
 // begin makes one that has a list. It hears from now on.
-func begin(loop *eventloop.Loop, open Open, p Place, known discovery.List) (*router, error) {
+func begin(loop *eventloop.Loop, open Open, p Place, known discovery.EndpointList) (*router, error) {
 	r := &router{me: p.Me, loop: loop}
 	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
 	r.take(balancer.UpdateFull, known)
@@ -73,9 +73,9 @@
 }
 
 // take takes a list.
-func (r *router) take(kind balancer.EndpointUpdate, l discovery.List) {
+func (r *router) take(kind balancer.EndpointUpdate, l discovery.EndpointList) {
 	var members []balancer.Endpoint
-	for _, e := range l.Entries {
+	for _, e := range l.Instances {
 		members = append(members, e.Endpoint)
 		if kind == balancer.UpdateFull {
 			r.ids = append(r.ids, e.ID)
@@ -88,15 +88,15 @@
 // follow watches a list service as a real router does, until ctx ends.
 func (r *router) follow(ctx context.Context, addr string, seed uint32, log zerolog.Logger) {
 	const grace = 0.5 // seconds of a drain, as in the real routers' configuration
-	start := discovery.Start{Known: r.generation, Same: true, Rhythm: pollschedule.Pushed(grace, seed)}
-	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
+	start := discovery.WatchStart{Generation: r.generation, SameService: true, Schedule: pollschedule.ForLocalAgent(grace, seed)}
+	go discovery.Watch(ctx, addr, start, func(l discovery.EndpointList) error {
 		taken := make(chan struct{})
 		r.loop.Post(func() {
 			kind := balancer.UpdateDelta
-			if l.Whole {
+			if l.Complete {
 				kind, r.ids = balancer.UpdateFull, nil
 			}
-			if l.Whole || len(l.Entries) > 0 {
+			if l.Complete || len(l.Instances) > 0 {
 				r.take(kind, l)
 			}
 			close(taken)
--- a/internal/experiment/scale/simrouter/serve.go
+++ b/internal/experiment/scale/simrouter/serve.go
@@ -100,7 +100,7 @@
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if len(known.Entries) == 0 {
+	if len(known.Instances) == 0 {
 		return nil, errors.New("known: it names no server, and words are of servers")
 	}
 	p := &process{spec: s}
--- a/internal/policy/fleetsize/tier.go
+++ b/internal/policy/fleetsize/tier.go
@@ -1,8 +1,8 @@
 // Package fleetsize counts the routers of a tier by those that are heard. It is stepped: what is heard goes in with its time.
 package fleetsize
 
-// Count is one router's view of how many there are.
-type Count[From comparable] struct {
+// Estimator is one router's view of how many there are.
+type Estimator[From comparable] struct {
 	stated int
 	heard  map[From]float64 // when each of the others spoke last
 	looked float64
@@ -15,20 +15,20 @@
 )
 
 // New makes it for a tier of which the settings say that so many are in it.
-func New[From comparable](stated int) *Count[From] {
-	return &Count[From]{stated: max(1, stated), heard: map[From]float64{}}
+func New[From comparable](stated int) *Estimator[From] {
+	return &Estimator[From]{stated: max(1, stated), heard: map[From]float64{}}
 }
 
-// Heard takes that another router spoke.
-func (c *Count[From]) Heard(now float64, from From) {
+// OnMessage takes that another router spoke.
+func (c *Estimator[From]) OnMessage(now float64, from From) {
 	if _, known := c.heard[from]; known || len(c.heard) < most {
 		c.heard[from] = now
 	}
 }
 
-// Routers is how many there are, this one included: those that are heard, but never fewer than stated. One that is silent may be cut
+// Size is how many there are, this one included: those that are heard, but never fewer than stated. One that is silent may be cut
 // off, and sends as much as any other.
-func (c *Count[From]) Routers(now float64) int {
+func (c *Estimator[From]) Size(now float64) int {
 	if now-c.looked >= look || now < c.looked {
 		c.looked = now
 		for from, at := range c.heard {
--- a/internal/policy/fleetsize/tier_test.go
+++ b/internal/policy/fleetsize/tier_test.go
@@ -14,9 +14,9 @@
 	} {
 		c := New[int](x.stated)
 		for from := range x.heard {
-			c.Heard(5, from)
+			c.OnMessage(5, from)
 		}
-		if got := c.Routers(5 + x.later); got != x.want {
+		if got := c.Size(5 + x.later); got != x.want {
 			t.Errorf("%+v: %d routers", x, got)
 		}
 	}
@@ -26,15 +26,15 @@
 func TestWhoSpeaksOn(t *testing.T) {
 	c := New[string](1)
 	for now := 0.0; now < 100; now += 3 {
-		c.Heard(now, "a")
+		c.OnMessage(now, "a")
 		if now < 50 {
-			c.Heard(now, "b")
+			c.OnMessage(now, "b")
 		}
 		want := 3
 		if now >= 60 {
 			want = 2
 		}
-		if got := c.Routers(now); got != want {
+		if got := c.Size(now); got != want {
 			t.Errorf("at %v there are %d routers, want %d", now, got, want)
 		}
 	}
--- a/internal/policy/pollschedule/golden_test.go
+++ b/internal/policy/pollschedule/golden_test.go
@@ -17,7 +17,7 @@
 		{0xffffffff, [8]float64{0.1232902710326016, 0.22626556982286275, 0.1268419104628265, 0.305056175775826,
 			0.11287407944910227, 0, 1.0350545644760132, 0.09626974847633392}},
 	} {
-		p := Pace{First: 0.1, Most: 1, Seed: c.seed}
+		p := Backoff{Initial: 0.1, Max: 1, Seed: c.seed}
 		got := [8]float64{p.Failed(10), p.Failed(10), p.Silent(10), p.Failed(10), p.Failed(0.3), p.Failed(-1), p.Failed(10)}
 		p.Answered()
 		got[7] = p.Silent(10)
--- a/internal/policy/pollschedule/helpers_test.go
+++ b/internal/policy/pollschedule/helpers_test.go
@@ -29,8 +29,8 @@
 // play has a rhythm call a list service. The news was there, and the service to be reached, from right after the last of the fated
 // calls began: no other moment is as long before the next. It gives how long after that the first of the others began, how long until
 // the news was told, and how many calls that took.
-func play(r Rhythm, l list) (begun, told float64, calls int) {
-	c, out, timer, there := Calls{Rhythm: r}, []end(nil), 0.0, math.Inf(1)
+func play(r Schedule, l list) (begun, told float64, calls int) {
+	c, out, timer, there := Calls{Schedule: r}, []end(nil), 0.0, math.Inf(1)
 	begun = math.Inf(1)
 	drop := func(numbers ...int) {
 		for _, n := range numbers {
@@ -144,7 +144,7 @@
 		}
 	}
 	for i := range all {
-		all[i] = router{c: Calls{Rhythm: OnRequest(10, chance.Uint32())}}
+		all[i] = router{c: Calls{Schedule: ForSharedService(10, chance.Uint32())}}
 		call(&all[i], back*chance.Float64())
 	}
 	for left > 0 {
--- a/internal/policy/pollschedule/pace_test.go
+++ b/internal/policy/pollschedule/pace_test.go
@@ -9,7 +9,7 @@
 
 // Callers that failed together must not come back together, nor for ever at the same rate.
 func TestWaitsDoubleToABoundSpreadAndStartAnew(t *testing.T) {
-	p, q := Pace{First: 0.1, Most: 1, Seed: 1}, Pace{First: 0.1, Most: 1, Seed: 2}
+	p, q := Backoff{Initial: 0.1, Max: 1, Seed: 1}, Backoff{Initial: 0.1, Max: 1, Seed: 2}
 	for i, mean := range []float64{0.1, 0.2, 0.4, 0.8, 1, 1} {
 		if a, b := p.Failed(10), q.Failed(10); a < mean/2 || a > mean*1.5 || a == b {
 			t.Errorf("waits %d are %v and %v, not about %v and apart", i, a, b, mean)
@@ -30,13 +30,13 @@
 func TestRhythmsKeepWhatIsStated(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Float64Range(0.1, 1).Draw(t, "grace")
-		r := Pushed(grace, 1)
-		if r.Hold+r.Late >= grace || r.Again >= grace || 1.5*max(r.Pace.Most, r.Pace.First) >= grace || r.Gap >= grace || r.Lag >= grace {
+		r := ForLocalAgent(grace, 1)
+		if r.LongPollWait+r.AnswerTolerance >= grace || r.RetryInterval >= grace || 1.5*max(r.Backoff.Max, r.Backoff.Initial) >= grace || r.MaxInterval >= grace || r.OutdatedRetry >= grace {
 			t.Errorf("with a grace of %v it is %+v", grace, r)
 		}
 		within := rapid.Float64Range(0, 1000).Draw(t, "within")
-		r = OnRequest(within, 1)
-		if silent := r.Hold + r.Late; silent+1.5*r.Pace.First > 6 || 1.5*r.Pace.Most > 4 || r.Gap+silent > 6 {
+		r = ForSharedService(within, 1)
+		if silent := r.LongPollWait + r.AnswerTolerance; silent+1.5*r.Backoff.Initial > 6 || 1.5*r.Backoff.Max > 4 || r.MaxInterval+silent > 6 {
 			t.Errorf("within %v it is %+v", within, r)
 		}
 	})
@@ -46,12 +46,12 @@
 // always a next, within the longest wait and within the gap that is allowed since the last began.
 func TestCallsStayBoundedAndGoOn(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		r := rapid.SampledFrom([]Rhythm{Pushed(0.5, 1), OnRequest(8, 1)}).Draw(t, "rhythm")
-		longest := max(r.Hold+r.Late, r.Again, 1.5*r.Pace.Most, r.Lag)
-		c, out, due, now, began := Calls{Rhythm: r}, []int(nil), 0.0, 0.0, 0.0
+		r := rapid.SampledFrom([]Schedule{ForLocalAgent(0.5, 1), ForSharedService(8, 1)}).Draw(t, "rhythm")
+		longest := max(r.LongPollWait+r.AnswerTolerance, r.RetryInterval, 1.5*r.Backoff.Max, r.OutdatedRetry)
+		c, out, due, now, began := Calls{Schedule: r}, []int(nil), 0.0, 0.0, 0.0
 		begin := func() {
 			number, hold, late, life := c.Begin(now)
-			if out = append(out, number); len(out) > r.Most || hold > late || late > longest || life <= late || life < r.Slow {
+			if out = append(out, number); len(out) > r.MaxInFlight || hold > late || late > longest || life <= late || life < r.MinLifetime {
 				t.Fatalf("%d calls are out, the last holds %v of %v and ends after %v", len(out), hold, late, life)
 			}
 			due, began = now+late, now
@@ -99,12 +99,12 @@
 				} else if counts {
 					drop(number)
 					wait := c.Failed(now, rapid.Bool().Draw(t, "old"))
-					if due = now + wait; wait < 0 || wait == 0 && now < began+r.Gap {
+					if due = now + wait; wait < 0 || wait == 0 && now < began+r.MaxInterval {
 						t.Fatalf("at %v, a call of %v has failed, it waits %v", now, began, wait)
 					}
 				}
 			}
-			if due < now || due-now > longest+1e-9 || due > max(now, began+r.Gap)+1e-9 {
+			if due < now || due-now > longest+1e-9 || due > max(now, began+r.MaxInterval)+1e-9 {
 				t.Fatalf("at %v the next comes at %v, the last began at %v", now, due, began)
 			}
 		}
@@ -123,14 +123,14 @@
 // then on is answered, however slowly up to half of that (on request: up to where a call is given up). An agent's is known within
 // the grace of a drain. Every sequence of three, and longer ones drawn, at every rhythm that settings allow.
 func TestNothingBeforeHidesAChange(t *testing.T) {
-	check := func(t interface{ Errorf(string, ...any) }, name string, r Rhythm, fates []fate, answer, most float64) {
+	check := func(t interface{ Errorf(string, ...any) }, name string, r Schedule, fates []fate, answer, most float64) {
 		begun, told, _ := play(r, list{fates: fates, answer: answer})
-		if begun > r.Gap+1e-9 || told > most {
+		if begun > r.MaxInterval+1e-9 || told > most {
 			t.Errorf("%s: after %v the next call begins %v s after the change, which is told after %v s", name, fates, begun, told)
 		}
 	}
 	pushed := func(t interface{ Errorf(string, ...any) }, grace float64, seed uint32, fates []fate) {
-		r := Pushed(grace, seed)
+		r := ForLocalAgent(grace, seed)
 		for _, answer := range []float64{0.3, 1, 2, 2.999} {
 			check(t, "pushed", r, fates, answer, 6)
 		}
@@ -138,12 +138,12 @@
 	}
 	asked := func(t interface{ Errorf(string, ...any) }, within float64, seed uint32, fates []fate) {
 		for _, answer := range []float64{0.001, 0.5, 2, 2.499} {
-			check(t, "on request", OnRequest(within, seed), fates, answer, 6)
+			check(t, "on request", ForSharedService(within, seed), fates, answer, 6)
 		}
 	}
 	for seed := uint32(1); seed < 4; seed++ {
 		for _, grace := range []float64{0, 0.1, 0.25, 0.5, 1, 30} {
-			sequences(fates(Pushed(grace, 1).Gap), 3, func(f []fate) { pushed(t, grace, seed, f) })
+			sequences(fates(ForLocalAgent(grace, 1).MaxInterval), 3, func(f []fate) { pushed(t, grace, seed, f) })
 		}
 		for _, within := range []float64{0, 0.5, 1, 4, 10, 1000} {
 			sequences(fates(2.5), 3, func(f []fate) { asked(t, within, seed, f) })
@@ -154,7 +154,7 @@
 		of := func(late float64) []fate {
 			return rapid.SliceOfN(rapid.SampledFrom(fates(late)), 1, 20).Draw(t, "fates")
 		}
-		pushed(t, grace, seed, of(Pushed(grace, seed).Gap))
+		pushed(t, grace, seed, of(ForLocalAgent(grace, seed).MaxInterval))
 		asked(t, within, seed, of(2.5))
 	})
 }
@@ -165,7 +165,7 @@
 	for _, within := range []float64{0, 1, 4, 10, 1000} {
 		for seed := uint32(1); seed < 100; seed++ {
 			sequences([]fate{{"hangs", 0}, {"told", 0.003}}, 5, func(f []fate) {
-				if _, told, _ := play(OnRequest(within, seed), list{fates: f, answer: 0.5, turned: 1}); told > 6 {
+				if _, told, _ := play(ForSharedService(within, seed), list{fates: f, answer: 0.5, turned: 1}); told > 6 {
 					t.Errorf("within %v: after %v and a call that is turned away it is told after %v s", within, f, told)
 				}
 			})
@@ -178,15 +178,15 @@
 func TestAServiceThatLagsHidesAChangeNoLonger(t *testing.T) {
 	for seed := uint32(1); seed < 4; seed++ {
 		for _, grace := range []float64{0.1, 0.5, 1} {
-			sequences(fates(Pushed(grace, 1).Gap), 2, func(f []fate) {
-				if _, told, _ := play(Pushed(grace, seed), list{fates: f, answer: 0.001, lags: 2}); told > 4 {
+			sequences(fates(ForLocalAgent(grace, 1).MaxInterval), 2, func(f []fate) {
+				if _, told, _ := play(ForLocalAgent(grace, seed), list{fates: f, answer: 0.001, lags: 2}); told > 4 {
 					t.Errorf("grace %v: after %v it is told after %v s", grace, f, told)
 				}
 			})
 		}
 		for _, within := range []float64{0, 1, 4, 10} {
 			sequences(fates(2.5), 2, func(f []fate) {
-				if _, told, _ := play(OnRequest(within, seed), list{fates: f, answer: 2, lags: 2}); told > 6 {
+				if _, told, _ := play(ForSharedService(within, seed), list{fates: f, answer: 2, lags: 2}); told > 6 {
 					t.Errorf("within %v: after %v it is told after %v s", within, f, told)
 				}
 			})
--- a/internal/policy/startup/golden_test.go
+++ b/internal/policy/startup/golden_test.go
@@ -29,15 +29,15 @@
 // Logs, the admin server and `check` show these texts, and the store's records are found by their kind's name.
 func TestGoldenTexts(t *testing.T) {
 	got := ""
-	for p := Listening; p <= Full; p++ {
-		got += fmt.Sprintf("%v: %s\n", p, p.Waits())
+	for p := Listening; p <= FullService; p++ {
+		got += fmt.Sprintf("%v: %s\n", p, p.WaitsFor())
 	}
-	for _, k := range Kinds {
-		got += fmt.Sprintf("%s: %s\t%s\t%v\t%s\n", k.Name, k.What, k.Rule, k.Oldest, k.Until)
+	for _, k := range RecordKinds {
+		got += fmt.Sprintf("%s: %s\t%s\t%v\t%s\n", k.Name, k.Content, k.Rule, k.MaxAgeSeconds, k.Fallback)
 	}
 	for _, enough := range []bool{true, false} {
-		s := Begin(0)
-		s.Known(1, true)
+		s := NewTracker(0)
+		s.OnEndpoints(1, true)
 		for now := 0.5; now < 7; now += 0.5 {
 			for _, c := range s.Tick(now, uint64(now*8), uint64(now*4)) {
 				got += fmt.Sprintln(now, c)
@@ -55,8 +55,8 @@
 			}
 		}
 	}
-	s := Begin(0)
-	s.Known(1, true)
+	s := NewTracker(0)
+	s.OnEndpoints(1, true)
 	for now := 1.0; now < 7; now++ {
 		for _, c := range s.Tick(now, 0, 0) {
 			got += fmt.Sprintln(now, c)
--- a/internal/service/crossings_test.go
+++ b/internal/service/crossings_test.go
@@ -27,7 +27,7 @@
 )
 
 // members gives a list that names s-1 and s-2 at an address, the first in a state.
-func members(generation uint64, at, state string) discovery.List {
+func members(generation uint64, at, state string) discovery.EndpointList {
 	l, err := discovery.Parse(fmt.Appendf(nil, `{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"%s","lifecycle":"%s"},{"instanceId":"s-2","hostPort":"%[2]s","lifecycle":"ready"}]}`, generation, at, state))
 	if err != nil {
@@ -57,7 +57,7 @@
 			t.Errorf("it is taken back: %v", err)
 		}
 		lags := members(41, "127.0.0.1:2", "ready")
-		lags.Entries[1].State = balancer.Draining
+		lags.Instances[1].State = balancer.Draining
 		if err := p.news(moved, lags); err == nil || !avoided() || !p.router.Avoids(discovery.ID("s-2")) {
 			t.Errorf("a drain that it tells is not heeded: %v", err)
 		}
--- a/internal/service/desk_test.go
+++ b/internal/service/desk_test.go
@@ -174,10 +174,10 @@
 		t.Error("connections to it are kept")
 	}
 	on(d.s, func() bool { // it leaves the list and comes back under another start
-		e := discovery.Entry{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
-		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
+		e := discovery.Instance{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
+		d.s.platform.hear(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{e}})
 		e.State, e.StartedAt, e.Addr = balancer.Ready, 7, netip.MustParseAddrPort("127.0.0.1:1")
-		d.s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{e}})
+		d.s.platform.hear(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{e}})
 		return true
 	})
 	if got := ask(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -114,7 +114,7 @@
 	}
 	s.runs(t)
 	on(s, func() bool {
-		s.platform.hear(balancer.UpdateFull, discovery.List{Generation: 41, Whole: true, Entries: goldenEntries()[:1]})
+		s.platform.hear(balancer.UpdateFull, discovery.EndpointList{Generation: 41, Complete: true, Instances: goldenEntries()[:1]})
 		s.platform.told = 41
 		return true
 	})
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -39,8 +39,8 @@
 	return []byte(want)
 }
 
-func goldenEntries() []discovery.Entry {
-	return []discovery.Entry{
+func goldenEntries() []discovery.Instance {
+	return []discovery.Instance{
 		{Endpoint: balancer.Endpoint{ID: 1, State: balancer.Ready, Capacity: 1.5, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1700000000.25},
 			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
 		{Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
@@ -64,7 +64,7 @@
 		t.Errorf("read as %+v, %v", read, err)
 	}
 	list := read.List.list()
-	if list.Generation != 41 || !list.Whole || !reflect.DeepEqual(list.Entries, goldenEntries()) {
+	if list.Generation != 41 || !list.Complete || !reflect.DeepEqual(list.Instances, goldenEntries()) {
 		t.Errorf("taken as %+v", list)
 	}
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -97,9 +97,9 @@
 	var both []*Service
 	for me := range 2 {
 		conf := fleetOf(t, me, 100, at...)
-		conf.Known = discovery.List{Generation: 1, Whole: true}
+		conf.Known = discovery.EndpointList{Generation: 1, Complete: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
+			conf.Known.Instances = append(conf.Known.Instances, discovery.Instance{Addr: netip.MustParseAddrPort("127.0.0.1:1"), Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1}})
 		}
 		s, err := assemble(Setup{Platform: conf, Operators: set}, requestcore.DefaultBalancer, zerolog.Nop())
 		if err != nil {
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -23,15 +23,15 @@
 	name     string
 	router   *requestcore.Core
 	fleet    *upstream.Fleet
-	onDemand bool                       // its module asks for the list
-	listed   map[uint64]bool            // the servers that the list holds
-	known    map[uint64]bool            // servers that a list has named since the start, true: the present one does
-	entries  map[uint64]discovery.Entry // the present list
-	told     uint64                     // the list's generation as the list service last told it
-	last     discovery.List             // the list as the router's last run had it
-	rhythm   pollschedule.Rhythm        // of calls to the list service
-	watch    *watch                     // whose news count
-	next     *watch                     // that watch's successor, until it has told a whole list
+	onDemand bool                          // its module asks for the list
+	listed   map[uint64]bool               // the servers that the list holds
+	known    map[uint64]bool               // servers that a list has named since the start, true: the present one does
+	entries  map[uint64]discovery.Instance // the present list
+	told     uint64                        // the list's generation as the list service last told it
+	last     discovery.EndpointList        // the list as the router's last run had it
+	rhythm   pollschedule.Schedule         // of calls to the list service
+	watch    *watch                        // whose news count
+	next     *watch                        // that watch's successor, until it has told a whole list
 	log      zerolog.Logger
 }
 
@@ -45,10 +45,10 @@
 
 // newPool makes one without servers.
 func (s *Service) newPool(name string, set balancer.Settings, connections int, connect, stall, idle float64, streams int, wire func(upstream.Link) upstream.Wire) *pool {
-	p := &pool{s: s, name: name, onDemand: set.PollEndpoints, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Entry{}, log: s.log}
-	p.rhythm = pollschedule.Pushed(s.conf.DrainGrace, set.Seed)
+	p := &pool{s: s, name: name, onDemand: set.PollEndpoints, listed: map[uint64]bool{}, known: map[uint64]bool{}, entries: map[uint64]discovery.Instance{}, log: s.log}
+	p.rhythm = pollschedule.ForLocalAgent(s.conf.DrainGrace, set.Seed)
 	if set.PollEndpoints {
-		p.rhythm = pollschedule.OnRequest(set.PollInterval, set.Seed)
+		p.rhythm = pollschedule.ForSharedService(set.PollInterval, set.Seed)
 	}
 	if name != "" {
 		p.log = s.log.With().Str("pool", name).Logger()
@@ -95,14 +95,14 @@
 	ctx, stop := context.WithCancel(context.Background())
 	w := &watch{addr: addr, since: p.s.loop.Now(), stop: stop}
 	p.next = w
-	start := discovery.Start{Known: p.told, Rhythm: p.rhythm}
-	if len(p.last.Entries) > 0 { // of the address that the start names: one named later may count its own way
-		start.Known, start.Same = p.last.Generation, true
-		p.told, p.last = p.last.Generation, discovery.List{} // nor may one named later take back the drains in it
-	}
-	w.known = start.Known
-	p.rhythm.Pace.Seed++ // another's chance for the next
-	go discovery.Watch(ctx, addr, start, func(l discovery.List) error {
+	start := discovery.WatchStart{Generation: p.told, Schedule: p.rhythm}
+	if len(p.last.Instances) > 0 { // of the address that the start names: one named later may count its own way
+		start.Generation, start.SameService = p.last.Generation, true
+		p.told, p.last = p.last.Generation, discovery.EndpointList{} // nor may one named later take back the drains in it
+	}
+	w.known = start.Generation
+	p.rhythm.Backoff.Seed++ // another's chance for the next
+	go discovery.Watch(ctx, addr, start, func(l discovery.EndpointList) error {
 		taken := make(chan error, 1)
 		p.s.loop.Post(func() { taken <- p.news(w, l) })
 		select {
@@ -133,15 +133,15 @@
 
 // news takes a list. What the watch before this one told meanwhile must not be taken back by a service that lags behind it, so
 // that is looked at here, where both come in.
-func (p *pool) news(w *watch, l discovery.List) error {
+func (p *pool) news(w *watch, l discovery.EndpointList) error {
 	if w != p.watch && w != p.next {
 		return nil // moved from since
 	}
-	if known := max(p.told, w.known); l.Whole && l.Generation < known && p.s.loop.Now()-w.since < catchUp {
+	if known := max(p.told, w.known); l.Complete && l.Generation < known && p.s.loop.Now()-w.since < catchUp {
 		// It may count anew: what it says of drains is heeded at once, which costs little if it is old.
-		l.Entries = slices.DeleteFunc(l.Entries, func(e discovery.Entry) bool { return e.State != balancer.Draining })
+		l.Instances = slices.DeleteFunc(l.Instances, func(e discovery.Instance) bool { return e.State != balancer.Draining })
 		p.hear(balancer.UpdateDelta, l)
-		return fmt.Errorf("%w: %d, %d", discovery.ErrOld, l.Generation, known)
+		return fmt.Errorf("%w: %d, %d", discovery.ErrOutdated, l.Generation, known)
 	}
 	if w == p.next {
 		if p.watch != nil {
@@ -149,7 +149,7 @@
 		}
 		p.watch, p.next = w, nil
 	}
-	if p.told = l.Generation; l.Whole {
+	if p.told = l.Generation; l.Complete {
 		p.hear(balancer.UpdateFull, l)
 	} else {
 		p.hear(balancer.UpdateDelta, l)
@@ -159,12 +159,12 @@
 
 func (p *pool) failed(w *watch) {
 	if w == p.watch || p.watch == nil && w == p.next {
-		p.hear(balancer.UpdateFailed, discovery.List{})
+		p.hear(balancer.UpdateFailed, discovery.EndpointList{})
 	}
 }
 
 // hear takes news of the list. The addresses are known before the module acts on it.
-func (p *pool) hear(kind balancer.EndpointUpdate, l discovery.List) {
+func (p *pool) hear(kind balancer.EndpointUpdate, l discovery.EndpointList) {
 	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		for id := range p.listed {
 			p.listed[id] = false
@@ -175,7 +175,7 @@
 		clear(p.entries)
 	}
 	var members []balancer.Endpoint
-	for _, e := range l.Entries {
+	for _, e := range l.Instances {
 		p.listed[e.ID] = e.State == balancer.Ready
 		p.named(e.ID, e.State != balancer.Removed)
 		if p.entries[e.ID] = e; e.State == balancer.Removed {
@@ -198,8 +198,8 @@
 	if p.s.phase == Starting && ready > 0 {
 		p.s.serve()
 	}
-	if len(l.Entries) > 0 {
-		p.log.Info().Uint64("generation", l.Generation).Int("changes", len(l.Entries)).Int("ready", ready).Msg("list")
+	if len(l.Instances) > 0 {
+		p.log.Info().Uint64("generation", l.Generation).Int("changes", len(l.Instances)).Int("ready", ready).Msg("list")
 	}
 }
 
--- a/internal/service/recovery.go
+++ b/internal/service/recovery.go
@@ -26,7 +26,7 @@
 // recoveryWatch follows a start to full service, and keeps what helps the next. A nil one does nothing.
 type recoveryWatch struct {
 	s      *Service
-	start  *startup.Start
+	start  *startup.Tracker
 	store  *snapshot.Store // nil: nothing is kept
 	rate   float64
 	done   uint64  // operations finished when the rate was last reckoned
@@ -37,7 +37,7 @@
 
 // openRecovery begins to follow this start. What was kept from before is read here, and used where it may still be believed.
 func (s *Service) openRecovery(f operatorconfig.File) {
-	w := &recoveryWatch{s: s, start: startup.Begin(s.loop.Now()), at: s.loop.Now()}
+	w := &recoveryWatch{s: s, start: startup.NewTracker(s.loop.Now()), at: s.loop.Now()}
 	s.recovery = w
 	base := snapshot.Path(s.conf.Shared, s.conf.Listen)
 	if !f.Recovery.On {
@@ -49,19 +49,19 @@
 	}
 	w.store = snapshot.Open(base, s.conf.Listen, s.log)
 	now := s.loop.Now()
-	if e, there := w.store.Get(startup.Rate); there {
+	if e, there := w.store.Get(startup.CompletionRate); there {
 		w.number = e.Generation
 		x, err := strconv.ParseFloat(string(e.Body), 64)
-		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Believe(startup.Rate, e.StoredAt, now); ok {
+		if ok := err == nil && x > 0 && !math.IsInf(x, 0) && startup.Usable(startup.CompletionRate, e.StoredAt, now); ok {
 			s.conf.Settings.InitialCompletionRate, w.rate = x, x
 		}
 		s.log.Info().Float64("rate", x).Float64("age", now-e.StoredAt).Bool("used", s.conf.Settings.InitialCompletionRate > 0).Msg("kept from before")
 	}
-	if e, there := w.store.Get(startup.List); there {
+	if e, there := w.store.Get(startup.EndpointList); there {
 		w.number = max(w.number, e.Generation)
-		if len(s.conf.Known.Entries) == 0 && e.Source == s.conf.Discovery && startup.Believe(startup.List, e.StoredAt, now) {
+		if len(s.conf.Known.Instances) == 0 && e.Source == s.conf.Discovery && startup.Usable(startup.EndpointList, e.StoredAt, now) {
 			s.conf.Known = keptList(e, now)
-			s.log.Info().Uint64("generation", s.conf.Known.Generation).Int("servers", len(s.conf.Known.Entries)).Float64("age", now-e.StoredAt).
+			s.log.Info().Uint64("generation", s.conf.Known.Generation).Int("servers", len(s.conf.Known.Instances)).Float64("age", now-e.StoredAt).
 				Msg("the list of before is used until another comes")
 		}
 	}
@@ -79,16 +79,16 @@
 }
 
 // keptList reads it. Which of its servers have started anew since nobody knows, so each counts as one that has just done so.
-func keptList(e snapshot.Entry, now float64) (l discovery.List) {
+func keptList(e snapshot.Entry, now float64) (l discovery.EndpointList) {
 	var k kept
 	if cbor.Unmarshal(e.Body, &k) != nil { // written by another build, then; its checksum is right
 		return l
 	}
-	l.Generation, l.Whole = k.Generation, true
+	l.Generation, l.Complete = k.Generation, true
 	for _, x := range k.Servers {
 		if addr, err := netip.ParseAddrPort(x.Addr); err == nil {
 			x.Member.Started = now
-			l.Entries = append(l.Entries, discovery.Entry{Endpoint: x.Member.member(), Addr: addr})
+			l.Instances = append(l.Instances, discovery.Instance{Endpoint: x.Member.member(), Addr: addr})
 		}
 	}
 	return l
@@ -102,17 +102,17 @@
 	}
 	now, c := w.s.loop.Now(), w.s.platform.router.Counts
 	for _, x := range w.start.Tick(now, c.Taken, c.Succeeded) {
-		w.s.log.Info().Stringer("from", x.From).Stringer("to", x.To).Float64("after", now-w.s.began).Str("why", x.Why).Msg("start")
+		w.s.log.Info().Stringer("from", x.From).Stringer("to", x.To).Float64("after", now-w.s.began).Str("why", x.Reason).Msg("start")
 	}
 	if passed := now - w.at; passed > 0 {
 		w.rate += (float64(c.Succeeded-w.done)/passed - w.rate) * (1 - math.Exp(-passed/rateOver))
 		w.done, w.at = c.Succeeded, now
 	}
-	if p, _, _ := w.start.Phase(); w.store != nil && p == startup.Full && now-w.put > putting {
+	if p, _, _ := w.start.Phase(); w.store != nil && p == startup.FullService && now-w.put > putting {
 		w.put = now
-		w.keep(startup.Rate, "this router", []byte(fmt.Sprintf("%.6g", w.usual(now))))
+		w.keep(startup.CompletionRate, "this router", []byte(fmt.Sprintf("%.6g", w.usual(now))))
 	}
-	if p, _, _ := w.start.Phase(); w.store != nil || p < startup.Full { // else there is nothing left to do
+	if p, _, _ := w.start.Phase(); w.store != nil || p < startup.FullService { // else there is nothing left to do
 		w.s.loop.After(stepping, w.tick)
 	}
 }
@@ -142,9 +142,9 @@
 		}
 		k.Servers = append(k.Servers, keptServer{saveMember(e.Endpoint), e.Addr.String()})
 	}
-	if w.start.Known(ready, confirmed); confirmed && w.store != nil {
+	if w.start.OnEndpoints(ready, confirmed); confirmed && w.store != nil {
 		if body, err := cbor.Marshal(k); err == nil {
-			w.keep(startup.List, w.s.conf.Discovery, body)
+			w.keep(startup.EndpointList, w.s.conf.Discovery, body)
 		}
 	}
 }
@@ -172,7 +172,7 @@
 func (d *desk) Status() (st admin.Status, err error) {
 	err = d.do(func() error {
 		p, since, full := d.s.recovery.start.Phase()
-		st = admin.Status{Phase: p.String(), PhaseSeconds: d.s.loop.Now() - since, FullServiceSeconds: full, WaitsFor: p.Waits(), AcceptsClients: d.s.taking()}
+		st = admin.Status{Phase: p.String(), PhaseSeconds: d.s.loop.Now() - since, FullServiceSeconds: full, WaitsFor: p.WaitsFor(), AcceptsClients: d.s.taking()}
 		return nil
 	})
 	return st, err
--- a/internal/service/recovery_test.go
+++ b/internal/service/recovery_test.go
@@ -39,8 +39,8 @@
 		dir, addr, now := t.TempDir(), freeAddress(t), float64(time.Now().UnixNano())/1e9
 		s := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 		body, _ := cbor.Marshal(kept{Generation: 4, Servers: []keptServer{{saveMember(balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}), "127.0.0.1:2"}}})
-		s.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: now - c.age, Body: []byte("12")})
-		s.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: now - c.age, Source: c.from, Body: body})
+		s.Put(startup.CompletionRate, snapshot.Entry{Generation: 1, StoredAt: now - c.age, Body: []byte("12")})
+		s.Put(startup.EndpointList, snapshot.Entry{Generation: 2, StoredAt: now - c.age, Source: c.from, Body: body})
 		s.Close(5 * time.Second)
 		conf, err := config.Parse(fmt.Appendf(nil, usual, addr, "127.0.0.1:1"), func(name string) string { return map[string]string{"TMPDIR": dir}[name] })
 		if err != nil {
@@ -59,12 +59,12 @@
 		go x.loop.Run()
 		t.Cleanup(func() { x.loop.Post(x.end) })
 		entries := on(x, func() int {
-			for _, e := range x.conf.Known.Entries {
+			for _, e := range x.conf.Known.Instances {
 				if e.StartedAt < now-1 {
 					t.Errorf("%s: a server of the kept list counts as long started", what)
 				}
 			}
-			return len(x.conf.Known.Entries)
+			return len(x.conf.Known.Instances)
 		})
 		if len(flows) != 2 || flows[0] != c.rate || flows[1] != 0 || entries != c.known {
 			t.Errorf("%s: rates %v and %d servers, want %v, 0 and %d", what, flows, entries, c.rate, c.known)
@@ -168,10 +168,10 @@
 			p, _, _ := s.recovery.start.Phase()
 			return p
 		}
-		if s.platform.failed(s.platform.next); phase() != startup.Listed {
+		if s.platform.failed(s.platform.next); phase() != startup.EndpointsCached {
 			t.Errorf("after a call that failed the start is %s", phase())
 		}
-		if err := s.platform.news(s.platform.next, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.Confirmed {
+		if err := s.platform.news(s.platform.next, members(43, "127.0.0.1:2", "ready")); err != nil || phase() != startup.EndpointsConfirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
 		return true
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -56,14 +56,14 @@
 	}
 }
 
-func saveEntry(entry discovery.Entry) savedEntry {
+func saveEntry(entry discovery.Instance) savedEntry {
 	return savedEntry{saveMember(entry.Endpoint), entry.Addr}
 }
 
-func (saved savedList) list() discovery.List {
-	list := discovery.List{Generation: saved.Generation, Whole: saved.Whole}
+func (saved savedList) list() discovery.EndpointList {
+	list := discovery.EndpointList{Generation: saved.Generation, Complete: saved.Whole}
 	for _, entry := range saved.Entries {
-		list.Entries = append(list.Entries, discovery.Entry{Endpoint: entry.member(), Addr: entry.Addr})
+		list.Instances = append(list.Instances, discovery.Instance{Endpoint: entry.member(), Addr: entry.Addr})
 	}
 	return list
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -76,9 +76,9 @@
 	leaving   []*pool          // that are no longer named and have operations open
 	module    requestcore.NewBalancer
 	peers     *peertransport.Peers
-	tier      *fleetsize.Count[netip.AddrPort] // of the routers that are heard; nil: none can be
-	routers   int                              // as the modules were told last; 0: by the settings
-	desk      *desk                            // what the operators' door calls; nil: there is none
+	tier      *fleetsize.Estimator[netip.AddrPort] // of the routers that are heard; nil: none can be
+	routers   int                                  // as the modules were told last; 0: by the settings
+	desk      *desk                                // what the operators' door calls; nil: there is none
 	door      *admin.Server
 	loaded    uint64                     // configurations that were taken, the first one too
 	invalid   uint64                     // that were not
@@ -258,7 +258,7 @@
 
 // heard takes a peer's words: about zones, contracts, what goes through the fleet, or the module's. Each tells that its sender is there.
 func (s *Service) heard(from netip.AddrPort, place int, words []byte) {
-	s.tier.Heard(s.loop.Now(), from)
+	s.tier.OnMessage(s.loop.Now(), from)
 	s.counted()
 	if !s.zones.heard(words) && !s.broker.Heard(words) && !s.gossip.heard(place, words) && s.conf.Settings.GossipAllowed {
 		s.platform.router.OnGossip(words)
@@ -270,7 +270,7 @@
 	if s.tier == nil {
 		return
 	}
-	if n := s.tier.Routers(s.loop.Now()); n != s.routers {
+	if n := s.tier.Size(s.loop.Now()); n != s.routers {
 		s.routers = n
 		s.platform.router.SetFleetSize(n)
 		for _, name := range slices.Sorted(maps.Keys(s.pools)) {
--- a/internal/service/succession_test.go
+++ b/internal/service/succession_test.go
@@ -110,7 +110,7 @@
 		drains := s.platform.entries[id]
 		other := drains
 		drains.State, other.ID, other.Zone = balancer.Draining, 7, "b"
-		s.platform.hear(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{drains, other}})
+		s.platform.hear(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{drains, other}})
 		s.platform.told = 5
 		return true
 	})
