--- a/internal/policy/startup/golden_test.go
+++ b/internal/policy/startup/golden_test.go
@@ -26,39 +26,40 @@
 5 {confirmed full hardly anything came for five seconds}
 `
 
-// Logs, the admin server and `check` show these texts, and the store's records are found by their kind's name.
+// Logs, the admin server and `check` show these texts, and records are found by their kind's name: all are those of the
+// build of 15122f5.
 func TestGoldenTexts(t *testing.T) {
 	got := ""
-	for p := Listening; p <= FullService; p++ {
-		got += fmt.Sprintf("%v: %s\n", p, p.WaitsFor())
+	for phase := Listening; phase <= FullService; phase++ {
+		got += fmt.Sprintf("%v: %s\n", phase, phase.WaitsFor())
 	}
 	for _, k := range RecordKinds {
 		got += fmt.Sprintf("%s: %s\t%s\t%v\t%s\n", k.Name, k.Content, k.Rule, k.MaxAgeSeconds, k.Fallback)
 	}
 	for _, enough := range []bool{true, false} {
-		s := NewTracker(0)
-		s.OnEndpoints(1, true)
+		tracker := NewTracker(0)
+		tracker.OnEndpoints(1, true)
 		for now := 0.5; now < 7; now += 0.5 {
-			for _, c := range s.Tick(now, uint64(now*8), uint64(now*4)) {
+			for _, c := range tracker.Tick(now, uint64(now*8), uint64(now*4)) {
 				got += fmt.Sprintln(now, c)
 			}
 			if enough && now > 3 {
-				for _, c := range s.Tick(now+1.25, 200, 400) {
+				for _, c := range tracker.Tick(now+1.25, 200, 400) {
 					got += fmt.Sprintln(now, c)
 				}
 				break
 			}
 		}
 		if !enough {
-			for _, c := range s.Tick(61, 400, 24) {
+			for _, c := range tracker.Tick(61, 400, 24) {
 				got += fmt.Sprintln(61, c)
 			}
 		}
 	}
-	s := NewTracker(0)
-	s.OnEndpoints(1, true)
+	tracker := NewTracker(0)
+	tracker.OnEndpoints(1, true)
 	for now := 1.0; now < 7; now++ {
-		for _, c := range s.Tick(now, 0, 0) {
+		for _, c := range tracker.Tick(now, 0, 0) {
 			got += fmt.Sprintln(now, c)
 		}
 	}
