--- a/internal/policy/fleetsize/estimator.go
+++ b/internal/policy/fleetsize/estimator.go
@@ -1,41 +1,52 @@
-// Package fleetsize counts the routers of a tier by those that are heard. It is stepped: what is heard goes in with its time.
 package fleetsize
 
-// Estimator is one router's view of how many there are.
-type Estimator[From comparable] struct {
-	stated int
-	heard  map[From]float64 // when each of the others spoke last
-	looked float64
-}
-
 const (
-	stale = 10.0 // seconds after which one that is silent counts no more: routers that have something to say say it each second or two
-	most  = 4096 // senders that are kept: several times the largest tier, for whoever says more than that lies
-	look  = 1.0  // seconds between two looks at who is silent
+	// silenceTimeout is the time in seconds after which a silent router counts no more. Routers that have something
+	// to say say it each second or two: longer counts routers that have gone, shorter drops those whose messages are
+	// lost.
+	silenceTimeout = 10.0
+	// maxRouters bounds the other routers that are kept, several times the largest fleet: whoever claims to be more
+	// lies.
+	maxRouters = 4096
+	// expiryInterval is the time in seconds between two looks at who is silent.
+	expiryInterval = 1.0
 )
 
-// New makes it for a tier of which the settings say that so many are in it.
-func New[From comparable](stated int) *Estimator[From] {
-	return &Estimator[From]{stated: max(1, stated), heard: map[From]float64{}}
+// Estimator is one router's view of how many there are. Address tells the others apart.
+type Estimator[Address comparable] struct {
+	configured int
+	lastHeard  map[Address]float64 // of each of the others
+	lastExpiry float64
+}
+
+// New makes an Estimator for a fleet that has so many routers by its settings; values below 1 count as 1.
+func New[Address comparable](configured int) *Estimator[Address] {
+	return &Estimator[Address]{configured: max(1, configured), lastHeard: map[Address]float64{}}
+}
+
+// OnMessage takes that another router was heard.
+func (e *Estimator[Address]) OnMessage(now float64, from Address) {
+	_, known := e.lastHeard[from]
+	if known || len(e.lastHeard) < maxRouters {
+		e.lastHeard[from] = now
+	}
 }
 
-// OnMessage takes that another router spoke.
-func (c *Estimator[From]) OnMessage(now float64, from From) {
-	if _, known := c.heard[from]; known || len(c.heard) < most {
-		c.heard[from] = now
+// Size is how many routers there are, this one included: those that are heard, but never fewer than configured, as
+// one that is silent may be cut off, and sends as much as any other.
+func (e *Estimator[Address]) Size(now float64) int {
+	if now-e.lastExpiry >= expiryInterval || now < e.lastExpiry {
+		e.expire(now)
 	}
+	return max(e.configured, len(e.lastHeard)+1)
 }
 
-// Size is how many there are, this one included: those that are heard, but never fewer than stated. One that is silent may be cut
-// off, and sends as much as any other.
-func (c *Estimator[From]) Size(now float64) int {
-	if now-c.looked >= look || now < c.looked {
-		c.looked = now
-		for from, at := range c.heard {
-			if now-at >= stale {
-				delete(c.heard, from)
-			}
+// expire forgets the routers that are silent.
+func (e *Estimator[Address]) expire(now float64) {
+	e.lastExpiry = now
+	for from, at := range e.lastHeard {
+		if now-at >= silenceTimeout {
+			delete(e.lastHeard, from)
 		}
 	}
-	return max(c.stated, len(c.heard)+1)
 }
--- a/internal/policy/fleetsize/estimator_test.go
+++ b/internal/policy/fleetsize/estimator_test.go
@@ -2,39 +2,52 @@
 
 import "testing"
 
-// Fewer than stated are silent ones; more count from when they are heard until they have been silent for long; no end of senders is kept.
-func TestRouters(t *testing.T) {
-	for _, x := range []struct {
-		stated, heard int
-		later         float64
-		want          int
+// Fewer than configured are silent ones; more count from when they are heard until they have been silent for long; the
+// number of senders that are kept is bounded.
+func TestSize(t *testing.T) {
+	for _, c := range []struct {
+		name              string
+		configured, heard int
+		later             float64
+		want              int
 	}{
-		{0, 0, 0, 1}, {30, 0, 0, 30}, {30, 10, 0, 30}, {30, 29, 0, 30}, {30, 30, 0, 31}, {30, 299, 0, 300}, {30, 299, 9.9, 300},
-		{30, 299, 10, 30}, {1, 3, 2, 4}, {30, 100000, 0, 4097}, {30, 100000, 10, 30},
+		{"nothing configured", 0, 0, 0, 1},
+		{"nobody heard", 30, 0, 0, 30},
+		{"some heard", 30, 10, 0, 30},
+		{"all heard", 30, 29, 0, 30},
+		{"one more heard", 30, 30, 0, 31},
+		{"many more heard", 30, 299, 0, 300},
+		{"just not silent for long", 30, 299, 9.9, 300},
+		{"silent for long", 30, 299, 10, 30},
+		{"one configured", 1, 3, 2, 4},
+		{"more than are kept", 30, 100000, 0, 4097},
+		{"more than are kept, silent for long", 30, 100000, 10, 30},
 	} {
-		c := New[int](x.stated)
-		for from := range x.heard {
-			c.OnMessage(5, from)
-		}
-		if got := c.Size(5 + x.later); got != x.want {
-			t.Errorf("%+v: %d routers", x, got)
-		}
+		t.Run(c.name, func(t *testing.T) {
+			estimator := New[int](c.configured)
+			for from := range c.heard {
+				estimator.OnMessage(5, from)
+			}
+			if got := estimator.Size(5 + c.later); got != c.want {
+				t.Errorf("%d routers, want %d", got, c.want)
+			}
+		})
 	}
 }
 
-// Who speaks on counts on, once.
-func TestWhoSpeaksOn(t *testing.T) {
-	c := New[string](1)
+// A router that goes on speaking goes on counting, once.
+func TestSizeCountsASpeakerOnce(t *testing.T) {
+	estimator := New[string](1)
 	for now := 0.0; now < 100; now += 3 {
-		c.OnMessage(now, "a")
+		estimator.OnMessage(now, "a")
 		if now < 50 {
-			c.OnMessage(now, "b")
+			estimator.OnMessage(now, "b")
 		}
 		want := 3
 		if now >= 60 {
 			want = 2
 		}
-		if got := c.Size(now); got != want {
+		if got := estimator.Size(now); got != want {
 			t.Errorf("at %v there are %d routers, want %d", now, got, want)
 		}
 	}
