--- a/internal/policy/pollschedule/golden_test.go
+++ b/internal/policy/pollschedule/golden_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Callers of two builds have to spread alike, so the draws are those of the build of 15122f5, to the last bit.
+// Routers of two builds have to spread alike, so the draws are those of the build of 15122f5, to the last bit.
 func TestGoldenWaits(t *testing.T) {
 	for _, c := range []struct {
 		seed uint32
@@ -17,10 +17,18 @@
 		{0xffffffff, [8]float64{0.1232902710326016, 0.22626556982286275, 0.1268419104628265, 0.305056175775826,
 			0.11287407944910227, 0, 1.0350545644760132, 0.09626974847633392}},
 	} {
-		p := Backoff{Initial: 0.1, Max: 1, Seed: c.seed}
-		got := [8]float64{p.Failed(10), p.Failed(10), p.Silent(10), p.Failed(10), p.Failed(0.3), p.Failed(-1), p.Failed(10)}
-		p.Answered()
-		got[7] = p.Silent(10)
+		backoff := Backoff{Initial: 0.1, Max: 1, Seed: c.seed}
+		got := [8]float64{
+			backoff.AfterFailure(10),
+			backoff.AfterFailure(10),
+			backoff.AfterTimeout(10),
+			backoff.AfterFailure(10),
+			backoff.AfterFailure(0.3),
+			backoff.AfterFailure(-1),
+			backoff.AfterFailure(10),
+		}
+		backoff.Reset()
+		got[7] = backoff.AfterTimeout(10)
 		if got != c.want {
 			t.Errorf("seed %d: %#v, want %#v", c.seed, got, c.want)
 		}
--- a/internal/policy/pollschedule/helpers_test.go
+++ b/internal/policy/pollschedule/helpers_test.go
@@ -3,109 +3,155 @@
 import (
 	"math"
 	"math/rand/v2"
+	"slices"
 )
 
-// fate is what becomes of a call: "told" a list without the news, "failed", "old" for a list that is behind, or "hangs" for ever.
+// fateKind is what becomes of a poll.
+type fateKind string
+
+const (
+	hasNews  fateKind = "news"     // a list with the change
+	noNews   fateKind = "no news"  // a list without it
+	fails    fateKind = "failed"   // rejected, cut or malformed
+	outdated fateKind = "outdated" // a list that is behind what is known
+	hangs    fateKind = "hangs"    // for ever
+)
+
+// fate is what becomes of a poll, so many seconds from its start.
 type fate struct {
-	what  string
-	after float64 // seconds from its beginning
+	kind  fateKind
+	after float64
 }
 
-// end is a call that is out.
-type end struct {
+// openPoll is one that has not ended.
+type openPoll struct {
 	number int
 	fate
-	at float64
+	endsAt float64
 }
 
-// list is a list service: the first calls are fated, those that begin later are answered with the news, so long after they began.
-// What it answers in the first seconds is behind what is known, and the first calls that could be answered may be turned away.
-type list struct {
+// simulatedService is a list service: the first polls are fated, those that start later are answered with the news,
+// so many seconds after they started. What it answers in its first seconds is behind what is known, and the first
+// polls that could be answered may be rejected.
+type simulatedService struct {
 	fates        []fate
-	answer, lags float64
-	turned       int
-}
-
-// play has a rhythm call a list service. The news was there, and the service to be reached, from right after the last of the fated
-// calls began: no other moment is as long before the next. It gives how long after that the first of the others began, how long until
-// the news was told, and how many calls that took.
-func play(r Schedule, l list) (begun, told float64, calls int) {
-	c, out, timer, there := Calls{Schedule: r}, []end(nil), 0.0, math.Inf(1)
-	begun = math.Inf(1)
-	drop := func(numbers ...int) {
-		for _, n := range numbers {
-			for i := len(out) - 1; i >= 0; i-- {
-				if out[i].number == n {
-					out = append(out[:i], out[i+1:]...)
-				}
-			}
-		}
-	}
-	begin := func(now float64) {
-		number, _, late, life := c.Begin(now)
-		f := fate{"news", l.answer}
-		if calls < len(l.fates) {
-			f = l.fates[calls]
-		} else {
-			begun = min(begun, now-there)
-			if calls < len(l.fates)+l.turned {
-				f = fate{"failed", 0.003}
-			}
-		}
-		if calls++; calls == len(l.fates) {
-			there = now
-		}
-		if f.what == "hangs" || f.after > life {
-			f = fate{"failed", life}
-		}
-		out, timer = append(out, end{number, f, now + f.after}), now+late
-	}
+	answersAfter float64
+	lagsUntil    float64
+	rejects      int
+}
+
+// simulation is a poller and a simulated service.
+type simulation struct {
+	poller    *Poller
+	service   simulatedService
+	open      []openPoll
+	timer     float64 // when the last poll's answer is late, or a wait is over
+	polls     int
+	changedAt float64 // right after the last fated poll's start: no other moment is as long before the next poll
+	firstPoll float64 // how long after that the first of the others started
+}
+
+// simulate polls a service by a schedule until the news is known. It gives how long after the news was there the
+// first poll that is not fated started, how long until the news was known, and how many polls that took.
+func simulate(schedule Schedule, service simulatedService) (firstPoll, known float64, polls int) {
+	sim := &simulation{poller: NewPoller(schedule), service: service, changedAt: math.Inf(1), firstPoll: math.Inf(1)}
 	for range 1000 {
-		first := -1
-		for i, e := range out {
-			if e.at <= timer && (first < 0 || e.at < out[first].at) {
-				first = i
-			}
-		}
-		if first < 0 {
-			now := timer
-			dropped, wait, _ := c.Overdue(now)
-			if drop(dropped); wait > 0 {
-				timer = now + wait
-				continue
-			}
-			begin(now)
-			continue
-		}
-		e := out[first]
-		drop(e.number)
-		if !c.Ended(e.number) {
+		i := sim.nextToEnd()
+		if i < 0 {
+			sim.timeOut()
 			continue
 		}
-		if e.what == "news" && e.at < l.lags {
-			e.what = "old"
+		ended := sim.open[i]
+		if sim.end(ended) {
+			return sim.firstPoll, ended.endsAt - sim.changedAt, sim.polls
 		}
-		switch e.what {
-		case "news":
-			return begun, e.at - there, calls
-		case "told":
-			drop(c.Told()...)
-			begin(e.at)
-		default:
-			timer = e.at + c.Failed(e.at, e.what == "old")
+	}
+	return sim.firstPoll, math.Inf(1), sim.polls
+}
+
+func (sim *simulation) start(now float64) {
+	poll := sim.poller.Start(now)
+	fate := sim.nextFate(now)
+	sim.polls++
+	if sim.polls == len(sim.service.fates) {
+		sim.changedAt = now
+	}
+	if fate.kind == hangs || fate.after > poll.Lifetime {
+		fate.kind = fails
+		fate.after = poll.Lifetime
+	}
+	sim.open = append(sim.open, openPoll{poll.Number, fate, now + fate.after})
+	sim.timer = now + poll.Timeout
+}
+
+func (sim *simulation) nextFate(now float64) fate {
+	fated := len(sim.service.fates)
+	if sim.polls < fated {
+		return sim.service.fates[sim.polls]
+	}
+	sim.firstPoll = min(sim.firstPoll, now-sim.changedAt)
+	if sim.polls < fated+sim.service.rejects {
+		return fate{fails, 0.003}
+	}
+	return fate{hasNews, sim.service.answersAfter}
+}
+
+// nextToEnd gives the open poll that ends first, if that is before the timer; -1: there is none.
+func (sim *simulation) nextToEnd() int {
+	first := -1
+	for i, poll := range sim.open {
+		if poll.endsAt <= sim.timer && (first < 0 || poll.endsAt < sim.open[first].endsAt) {
+			first = i
 		}
 	}
-	return begun, math.Inf(1), calls
+	return first
 }
 
-// sequences calls f with each sequence of so many fates at the most, from the shortest on.
-func sequences(fates []fate, most int, f func([]fate)) {
+func (sim *simulation) timeOut() {
+	now := sim.timer
+	verdict := sim.poller.OnTimeout(now)
+	sim.close(verdict.Abandon)
+	if verdict.Wait > 0 {
+		sim.timer = now + verdict.Wait
+		return
+	}
+	sim.start(now)
+}
+
+// end ends a poll, and tells whether it brought the news.
+func (sim *simulation) end(poll openPoll) bool {
+	sim.close(poll.number)
+	if !sim.poller.OnEnd(poll.number) {
+		return false
+	}
+	kind := poll.kind
+	if kind == hasNews && poll.endsAt < sim.service.lagsUntil {
+		kind = outdated
+	}
+	switch kind {
+	case hasNews:
+		return true
+	case noNews:
+		sim.close(sim.poller.OnList()...)
+		sim.start(poll.endsAt)
+	default:
+		sim.timer = poll.endsAt + sim.poller.OnFailure(poll.endsAt, kind == outdated)
+	}
+	return false
+}
+
+func (sim *simulation) close(numbers ...int) {
+	sim.open = slices.DeleteFunc(sim.open, func(poll openPoll) bool { return slices.Contains(numbers, poll.number) })
+}
+
+// sequences calls f with each sequence of up to longest fates, from the shortest on.
+func sequences(fates []fate, longest int, f func([]fate)) {
 	var grow func(to []fate)
 	grow = func(to []fate) {
 		if len(to) > 0 {
 			f(to)
 		}
-		if len(to) < most {
+		if len(to) < longest {
 			for _, next := range fates {
 				grow(append(to[:len(to):len(to)], next))
 			}
@@ -114,64 +160,107 @@
 	grow(nil)
 }
 
-// crowd has so many routers follow a service on request that is down for 8 s, refusing or silent, and then takes so many calls a second:
-// it queues them for 2 s, turns away what would wait longer at a quarter of the price, and goes on with who was answered for nothing.
-// It gives when the last has had an answer, counted from the return, and how many calls were turned away.
-func crowd(routers int, takes float64, hangs bool) (last float64, turned int) {
-	const back, queue, most = 8, 2, 60
-	type router struct {
-		c         Calls
-		number    int
-		timer, at float64 // when its call is overdue or its pause over, and when its call ends
-		told      bool    // how it ends
-	}
-	all, busy, left, never := make([]router, routers), 0.0, routers, math.Inf(1)
+const (
+	crowdDownUntil  = 8    // seconds for which the service of a crowd is down
+	crowdQueue      = 2    // seconds for which it queues polls
+	crowdRejectCost = 0.25 // of a poll that is answered
+	crowdGiveUp     = 60   // seconds after its return
+)
+
+// crowd is many routers that poll one shared service. It is down at first, refusing or silent, and then takes so many
+// polls a second: it queues them, rejects at a lower cost what would wait longer, and goes on answering who was given
+// up.
+type crowd struct {
+	routers  []crowdRouter
+	rate     float64
+	silent   bool
+	busy     float64 // until when the service has work
+	rejected int
+}
+
+type crowdRouter struct {
+	poller *Poller
+	poll   int
+	timer  float64 // when its poll is late or its wait over
+	endsAt float64 // of its poll
+	listed bool    // whether that brings a list
+}
+
+// newCrowd starts the routers' polls at some time while the service is down.
+func newCrowd(routers int, rate float64, silent bool) *crowd {
+	c := &crowd{routers: make([]crowdRouter, routers), rate: rate, silent: silent}
 	chance := rand.New(rand.NewPCG(1, 2))
-	call := func(r *router, now float64) {
-		number, _, late, _ := r.c.Begin(now)
-		r.number, r.timer, r.at, r.told = number, now+late, now+0.001, false
-		busy = max(busy, now)
-		switch {
-		case now < back && hangs:
-			r.at = never
-		case now < back:
-		case busy+1/takes-now <= queue:
-			busy += 1 / takes
-			r.at, r.told = busy, true
-		default:
-			busy += 0.25 / takes
-			turned++
-		}
+	for i := range c.routers {
+		c.routers[i] = crowdRouter{poller: NewPoller(ForSharedService(10, chance.Uint32()))}
+		c.start(&c.routers[i], crowdDownUntil*chance.Float64())
 	}
-	for i := range all {
-		all[i] = router{c: Calls{Schedule: ForSharedService(10, chance.Uint32())}}
-		call(&all[i], back*chance.Float64())
+	return c
+}
+
+func (c *crowd) start(router *crowdRouter, now float64) {
+	poll := router.poller.Start(now)
+	router.poll = poll.Number
+	router.timer = now + poll.Timeout
+	router.endsAt = now + 0.001
+	router.listed = false
+	c.busy = max(c.busy, now)
+	switch {
+	case now < crowdDownUntil && c.silent:
+		router.endsAt = math.Inf(1)
+	case now < crowdDownUntil:
+	case c.busy+1/c.rate-now <= crowdQueue:
+		c.busy += 1 / c.rate
+		router.endsAt = c.busy
+		router.listed = true
+	default:
+		c.busy += crowdRejectCost / c.rate
+		c.rejected++
 	}
-	for left > 0 {
-		r := &all[0]
-		for i := range all {
-			if o := &all[i]; min(o.timer, o.at) < min(r.timer, r.at) {
-				r = o
-			}
+}
+
+// next gives the router at which something happens first.
+func (c *crowd) next() *crowdRouter {
+	next := &c.routers[0]
+	for i := range c.routers {
+		other := &c.routers[i]
+		if min(other.timer, other.endsAt) < min(next.timer, next.endsAt) {
+			next = other
 		}
-		now := min(r.timer, r.at)
-		if now > back+most {
-			return never, turned
+	}
+	return next
+}
+
+// run runs until each router has a list. It gives when the last got it, in seconds from the service's return, and how
+// many polls were rejected.
+func (c *crowd) run() (last float64, rejected int) {
+	for waiting := len(c.routers); waiting > 0; {
+		router := c.next()
+		now := min(router.timer, router.endsAt)
+		if now > crowdDownUntil+crowdGiveUp {
+			return math.Inf(1), c.rejected
 		}
-		if r.at <= now && r.c.Ended(r.number) {
-			if r.at = never; !r.told {
-				r.timer = now + r.c.Failed(now, false)
-				continue
-			}
-			r.c.Told()
-			r.timer, last = never, now-back // its watch goes on
-			left--
+		if router.endsAt > now || !router.poller.OnEnd(router.poll) {
+			c.timeOut(router, now)
 			continue
 		}
-		_, wait, _ := r.c.Overdue(now)
-		if r.at, r.timer = never, now+wait; wait == 0 {
-			call(r, now)
+		router.endsAt = math.Inf(1)
+		if !router.listed {
+			router.timer = now + router.poller.OnFailure(now, false)
+			continue
 		}
+		router.poller.OnList()
+		router.timer = math.Inf(1) // its long poll goes on
+		last = now - crowdDownUntil
+		waiting--
+	}
+	return last, c.rejected
+}
+
+func (c *crowd) timeOut(router *crowdRouter, now float64) {
+	verdict := router.poller.OnTimeout(now)
+	router.endsAt = math.Inf(1)
+	router.timer = now + verdict.Wait
+	if verdict.Wait == 0 {
+		c.start(router, now)
 	}
-	return last, turned
 }
--- /dev/null
+++ b/internal/policy/pollschedule/poller.go
@@ -0,0 +1,124 @@
+package pollschedule
+
+import "slices"
+
+// Poller decides when to poll a list service, and which polls still count.
+type Poller struct {
+	schedule    Schedule
+	inFlight    []int // the numbers of the polls that count, the oldest first
+	started     int
+	lastStarted float64 // when the last one was
+	silent      bool    // the last poll had no answer in time
+	silentTwice bool    // nor had the one before it
+	failed      bool    // a poll failed since the last list
+}
+
+// Poll is one that is to be sent. Times are in seconds from its start.
+type Poll struct {
+	Number       int     // from 1 on
+	LongPollWait float64 // how long the service is asked to hold it until there is news
+	Timeout      float64 // then OnTimeout is to be called, unless another call set another time meanwhile
+	Lifetime     float64 // then it ends at the latest: where all others are rejected at once nothing else would end it
+}
+
+// TimeoutVerdict is what is to be done at a timeout.
+type TimeoutVerdict struct {
+	Abandon int     // the poll that is to be given up; 0: none
+	Wait    float64 // seconds until the next poll is to start; 0: at once
+	Late    bool    // an answer is late; else a wait is over
+}
+
+// NewPoller makes a Poller without a poll in flight.
+func NewPoller(schedule Schedule) *Poller { return &Poller{schedule: schedule} }
+
+// Start starts a poll.
+func (p *Poller) Start(now float64) Poll {
+	p.started++
+	p.lastStarted = now
+	p.inFlight = append(p.inFlight, p.started)
+	timeout := p.schedule.LongPollWait + p.schedule.AnswerTolerance
+	poll := Poll{
+		Number:       p.started,
+		LongPollWait: p.schedule.LongPollWait,
+		Timeout:      timeout,
+		Lifetime:     max(p.schedule.MinLifetime, 2*timeout),
+	}
+	if p.single() {
+		// The poll may stand in a full service's queue: were it held as well, it would be taken for silent.
+		if p.silent || p.failed {
+			poll.LongPollWait = 0
+		}
+		return poll
+	}
+	if p.silent {
+		poll.LongPollWait = 0
+		poll.Timeout = p.schedule.RetryInterval
+	}
+	return poll
+}
+
+// single tells whether there is one poll at a time.
+func (p *Poller) single() bool { return p.schedule.MaxInFlight == 1 }
+
+// OnTimeout takes that the time for the last poll's answer, or for a wait, is over.
+func (p *Poller) OnTimeout(now float64) TimeoutVerdict {
+	if len(p.inFlight) == 0 {
+		return TimeoutVerdict{}
+	}
+	p.silentTwice = p.silent
+	p.silent = true
+	verdict := TimeoutVerdict{Late: true}
+	if len(p.inFlight) < p.schedule.MaxInFlight {
+		return verdict
+	}
+	verdict.Abandon = p.abandon()
+	if p.single() && p.silentTwice {
+		verdict.Wait = p.schedule.Backoff.AfterTimeout(p.untilDue(now))
+	}
+	return verdict
+}
+
+// abandon takes a poll out that counts no more, and gives its number: the second oldest, for the oldest may only be
+// slow, and the others cannot all be kept as long.
+func (p *Poller) abandon() int {
+	i := min(1, len(p.inFlight)-1)
+	number := p.inFlight[i]
+	p.inFlight = slices.Delete(p.inFlight, i, i+1)
+	return number
+}
+
+// untilDue is how long the next poll may be waited with, in seconds; below 0: it is overdue.
+func (p *Poller) untilDue(now float64) float64 { return p.lastStarted + p.schedule.MaxInterval - now }
+
+// OnEnd takes that a poll ended. It gives false if the poll was given up before, or one beside it has brought a list:
+// then it tells nothing new, and neither OnFailure nor OnList is to be called.
+func (p *Poller) OnEnd(number int) bool {
+	i := slices.Index(p.inFlight, number)
+	if i < 0 {
+		return false
+	}
+	p.inFlight = slices.Delete(p.inFlight, i, i+1)
+	return true
+}
+
+// OnFailure takes that the poll that ended failed, or brought a list older than what is known. It gives the seconds
+// until the next poll is to start.
+func (p *Poller) OnFailure(now float64, outdated bool) (wait float64) {
+	p.failed = true
+	if outdated {
+		return max(0, min(p.schedule.OutdatedRetry, p.untilDue(now)))
+	}
+	return p.schedule.Backoff.AfterFailure(p.untilDue(now))
+}
+
+// OnList takes that the poll that ended brought a list, and gives the polls that are of no use any more. The next is
+// to start at once.
+func (p *Poller) OnList() (abandon []int) {
+	abandon = p.inFlight
+	p.inFlight = nil
+	p.silent = false
+	p.silentTwice = false
+	p.failed = false
+	p.schedule.Backoff.Reset()
+	return abandon
+}
