--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -66,17 +66,15 @@
 		}
 	}()
 	var log bytes.Buffer
-	rhythm := quick
-	rhythm.AnswerTolerance = 1e3 // no answer of this test is late, however busy the machine
 	done := make(chan bool)
 	failures := ""
 	go func() {
 		defer close(done)
-		Watch(ctx, ln.Addr().String(), WatchStart{Schedule: rhythm}, func(l EndpointList) error {
-			if l.Generation == 39 {
+		Watch(ctx, ln.Addr().String(), WatchStart{Schedule: patient(onePoll)}, func(list EndpointList) error {
+			if list.Generation == 39 {
 				return fmt.Errorf("%w: 39, 41", ErrOutdated)
 			}
-			if l.Generation == 42 {
+			if list.Generation == 42 {
 				stop()
 			}
 			return nil
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -12,195 +12,272 @@
 	"testing"
 	"time"
 
-	"github.com/rs/zerolog"
-)
+	"bendtrestle/internal/policy/pollschedule"
 
-// speaks is a list service whose answers are written as they are, in pieces, by the number of the call; an answer that does not say
-// where it ends is ended with its connection, and so is one that is cut, by a reset.
-func speaks(t *testing.T, answer func(call int) (pieces []string, reset bool)) (addr string) {
-	ln, err := net.Listen("tcp", "127.0.0.1:0")
-	if err != nil {
-		t.Fatal(err)
-	}
-	t.Cleanup(func() { ln.Close() })
-	calls := make(chan int)
-	done := make(chan bool)
-	t.Cleanup(func() { close(done) })
-	go func() {
-		for n := 0; ; n++ {
-			select {
-			case calls <- n:
-			case <-done:
-				return
-			}
-		}
-	}()
-	go func() {
-		for conn, err := ln.Accept(); err == nil; conn, err = ln.Accept() {
-			go func() {
-				defer conn.Close()
-				for in := bufio.NewReader(conn); ; {
-					if _, err := http.ReadRequest(in); err != nil {
-						return
-					}
-					n, open := 0, false
-					select {
-					case n, open = <-calls:
-					case <-done:
-					}
-					if !open {
-						return
-					}
-					pieces, reset := answer(n)
-					for i, p := range pieces {
-						if i > 0 {
-							time.Sleep(100 * time.Microsecond) // so that most pieces come apart; it is read alike if they do not
-						}
-						conn.Write([]byte(p))
-					}
-					if all := strings.Join(pieces, ""); reset {
-						time.Sleep(10 * time.Millisecond) // so that what is before the reset is read
-						conn.(*net.TCPConn).SetLinger(0)
-						return
-					} else if !strings.Contains(all, "Length") && !strings.Contains(all, "chunked") {
-						return
-					}
-				}
-			}()
-		}
-	}()
-	return ln.Addr().String()
-}
-
-// layouts word a list as JSON may, forms an answer as HTTP may.
-var (
-	layouts = map[string]func(text string) string{
-		"in a line": func(text string) string { return text },
-		"indented": func(text string) string {
-			var all any
-			json.Unmarshal([]byte(text), &all)
-			in, _ := json.MarshalIndent(all, "", "    ")
-			return "\r\n" + string(in) + "\r\n"
-		},
-	}
-	forms = map[string]func(body string) string{
-		"with a length": func(body string) string {
-			return fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s", len(body), body)
-		},
-		"in chunks": func(body string) string {
-			half := len(body) / 2
-			return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x;x=y\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
-		},
-		"without a length": func(body string) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body },
-		"by HTTP/1.0":      func(body string) string { return "HTTP/1.0 200 OK\r\n\r\n" + body },
-	}
+	"github.com/rs/zerolog"
 )
 
-func whole(generation int) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"draining","weight":1}]}`, generation)
+// onePoll is a schedule with one poll at a time and short waits.
+var onePoll = pollschedule.Schedule{
+	LongPollWait:    2,
+	AnswerTolerance: 0.5,
+	MaxInterval:     10,
+	OutdatedRetry:   0.1,
+	MaxInFlight:     1,
+	Backoff:         pollschedule.Backoff{Initial: 0.1, Max: 0.1},
 }
 
-// agent is a list service whose calls are answered only as a test says.
-type agent struct {
-	t     *testing.T
-	calls chan *asked
-	news  chan EndpointList
+// patient gives a schedule by which no answer of a test is late, however busy the machine.
+func patient(schedule pollschedule.Schedule) pollschedule.Schedule {
+	schedule.AnswerTolerance = 1e3
+	return schedule
 }
 
-type asked struct {
-	query  string
-	answer chan string
-	given  <-chan struct{} // closed once the caller gives up
+// watchUntil watches in the background until the test or stop ends it.
+func watchUntil(t *testing.T, addr string, start WatchStart, onList func(EndpointList) error,
+	onFailure func(error)) (stop func()) {
+	ctx, stop := context.WithCancel(context.Background())
+	t.Cleanup(stop)
+	go Watch(ctx, addr, start, onList, onFailure, zerolog.Nop())
+	return stop
 }
 
-func asking(t *testing.T, start WatchStart) agent {
-	a := agent{t: t, calls: make(chan *asked, 100), news: make(chan EndpointList, 100)}
-	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		c := &asked{r.URL.RawQuery, make(chan string, 1), r.Context().Done()}
-		select {
-		case a.calls <- c:
-		case <-r.Context().Done():
-			return
-		}
-		select {
-		case text := <-c.answer:
-			if text == "" {
-				w.WriteHeader(http.StatusServiceUnavailable)
-			}
-			fmt.Fprint(w, text)
-		case <-r.Context().Done():
-		}
-	}))
-	ctx, stop := context.WithCancel(context.Background())
-	go Watch(ctx, server.Listener.Addr().String(), start, func(l EndpointList) error { a.news <- l; return nil }, func(error) {}, zerolog.Nop())
-	t.Cleanup(func() { stop(); server.CloseClientConnections(); server.Close() })
-	return a
+// takeInto is an onList that takes all lists.
+func takeInto(lists chan EndpointList) func(EndpointList) error {
+	return func(list EndpointList) error {
+		lists <- list
+		return nil
+	}
 }
 
-func next[T any](t *testing.T, what string, from chan T) (x T) {
+func ignoreFailure(error) {}
+
+func next[T any](t *testing.T, what string, from chan T) (value T) {
 	t.Helper()
 	select {
-	case x = <-from:
+	case value = <-from:
 	case <-time.After(10 * time.Second):
 		t.Fatalf("no %s", what)
 	}
-	return x
+	return value
+}
+
+// newServer makes a list service of a handler. It and its connections are closed after the test's watches have ended.
+func newServer(t *testing.T, handler http.HandlerFunc) (addr string) {
+	server := httptest.NewServer(handler)
+	t.Cleanup(func() {
+		server.CloseClientConnections()
+		server.Close()
+	})
+	return server.Listener.Addr().String()
+}
+
+// change is the text of a list without instances that says what has changed.
+func change(generation int) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, generation)
+}
+
+// complete is the text of a complete list without instances.
+func complete(generation int) string {
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, generation)
+}
+
+// oneInstance is the text of a complete list of one instance.
+func oneInstance(generation int) string {
+	const instance = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"draining","weight":1}`
+	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, instance)
 }
 
-func (a agent) out(c *asked) {
-	a.t.Helper()
+// heldService is a list service whose polls are answered only as a test says.
+type heldService struct {
+	t     *testing.T
+	polls chan *heldPoll
+	lists chan EndpointList // that the watch has taken
+}
+
+type heldPoll struct {
+	query     string
+	answer    chan string     // "": the poll is rejected
+	abandoned <-chan struct{} // closed once the watch gives the poll up
+}
+
+// watchHeldService watches a service whose polls are held.
+func watchHeldService(t *testing.T, start WatchStart) heldService {
+	service := heldService{t: t, polls: make(chan *heldPoll, 100), lists: make(chan EndpointList, 100)}
+	addr := newServer(t, service.serve)
+	watchUntil(t, addr, start, takeInto(service.lists), ignoreFailure)
+	return service
+}
+
+func (service heldService) serve(w http.ResponseWriter, r *http.Request) {
+	poll := &heldPoll{r.URL.RawQuery, make(chan string, 1), r.Context().Done()}
 	select {
-	case <-c.given:
-		a.t.Error("a call was given up that may still be answered")
-	default:
+	case service.polls <- poll:
+	case <-r.Context().Done():
+		return
+	}
+	select {
+	case text := <-poll.answer:
+		if text == "" {
+			w.WriteHeader(http.StatusServiceUnavailable)
+		}
+		fmt.Fprint(w, text)
+	case <-r.Context().Done():
 	}
 }
 
-func list(generation int) string {
-	return fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, generation)
+// mustCount fails if a poll was given up.
+func (service heldService) mustCount(poll *heldPoll) {
+	service.t.Helper()
+	select {
+	case <-poll.abandoned:
+		service.t.Error("a poll was given up that may still be answered")
+	default:
+	}
 }
 
-// speaking is a list service of whose connections a test has the bytes. Each request is told with its connection's number.
-type speaking struct {
+// rawService is a list service of whose connections a test writes the bytes.
+type rawService struct {
 	addr  string
-	asked chan spoken
+	polls chan rawPoll
 }
 
-type spoken struct {
+// rawPoll is a poll with its connection, by the connection's number from 1 on.
+type rawPoll struct {
 	conn  int
 	query string
 	net.Conn
 }
 
-func speak(t *testing.T) speaking {
+func newRawService(t *testing.T) rawService {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	s := speaking{listener.Addr().String(), make(chan spoken, 100)}
+	service := rawService{listener.Addr().String(), make(chan rawPoll, 100)}
 	t.Cleanup(func() { listener.Close() })
 	go func() {
-		for n := 1; ; n++ {
+		for number := 1; ; number++ {
 			conn, err := listener.Accept()
 			if err != nil {
 				return
 			}
 			t.Cleanup(func() { conn.Close() })
-			go func() {
-				in := bufio.NewReader(conn)
-				for {
-					r, err := http.ReadRequest(in)
-					if err != nil {
-						return
-					}
-					s.asked <- spoken{n, r.URL.RawQuery, conn}
-				}
-			}()
+			go service.read(number, conn)
+		}
+	}()
+	return service
+}
+
+func (service rawService) read(number int, conn net.Conn) {
+	in := bufio.NewReader(conn)
+	for {
+		request, err := http.ReadRequest(in)
+		if err != nil {
+			return
+		}
+		service.polls <- rawPoll{number, request.URL.RawQuery, conn}
+	}
+}
+
+// answer writes a response that states a length.
+func (poll rawPoll) answer(status, body string, length int) {
+	fmt.Fprintf(poll, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, length, body)
+}
+
+// pieceService is a list service whose answers are written as they are, in pieces, by the number of the poll. An
+// answer that does not say where it ends is ended with its connection, and so is one that is cut, by a reset.
+type pieceService struct {
+	numbers chan int // of the polls, from 0 on
+	done    chan bool
+	answer  func(poll int) (pieces []string, reset bool)
+}
+
+func newPieceService(t *testing.T, answer func(poll int) (pieces []string, reset bool)) (addr string) {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
+	}
+	t.Cleanup(func() { listener.Close() })
+	service := &pieceService{make(chan int), make(chan bool), answer}
+	t.Cleanup(func() { close(service.done) })
+	go service.count()
+	go func() {
+		for conn, err := listener.Accept(); err == nil; conn, err = listener.Accept() {
+			go service.serve(conn)
 		}
 	}()
-	return s
+	return listener.Addr().String()
+}
+
+func (service *pieceService) count() {
+	for number := 0; ; number++ {
+		select {
+		case service.numbers <- number:
+		case <-service.done:
+			return
+		}
+	}
+}
+
+func (service *pieceService) serve(conn net.Conn) {
+	defer conn.Close()
+	in := bufio.NewReader(conn)
+	for {
+		if _, err := http.ReadRequest(in); err != nil {
+			return
+		}
+		select {
+		case number := <-service.numbers:
+			pieces, reset := service.answer(number)
+			if !writePieces(conn, pieces, reset) {
+				return
+			}
+		case <-service.done:
+			return
+		}
+	}
+}
+
+// writePieces writes an answer, and tells whether its connection goes on.
+func writePieces(conn net.Conn, pieces []string, reset bool) bool {
+	for i, piece := range pieces {
+		if i > 0 {
+			time.Sleep(100 * time.Microsecond) // so that most pieces come apart; it is read alike if they do not
+		}
+		conn.Write([]byte(piece))
+	}
+	if reset {
+		time.Sleep(10 * time.Millisecond) // so that what is before the reset is read
+		conn.(*net.TCPConn).SetLinger(0)
+		return false
+	}
+	all := strings.Join(pieces, "")
+	return strings.Contains(all, "Length") || strings.Contains(all, "chunked")
+}
+
+// layouts word a list as JSON may.
+var layouts = map[string]func(text string) string{
+	"in a line": func(text string) string { return text },
+	"indented": func(text string) string {
+		var all any
+		json.Unmarshal([]byte(text), &all)
+		in, _ := json.MarshalIndent(all, "", "    ")
+		return "\r\n" + string(in) + "\r\n"
+	},
 }
 
-func (s spoken) say(status, body string, length int) {
-	fmt.Fprintf(s, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, length, body)
+// forms word an answer as HTTP may.
+var forms = map[string]func(body string) string{
+	"with a length": func(body string) string {
+		const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
+		return fmt.Sprintf(head, len(body), body)
+	},
+	"in chunks": func(body string) string {
+		const head = "HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n"
+		half := len(body) / 2
+		return head + fmt.Sprintf("%x\r\n%s\r\n%x;x=y\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
+	},
+	"without a length": func(body string) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body },
+	"by HTTP/1.0":      func(body string) string { return "HTTP/1.0 200 OK\r\n\r\n" + body },
 }
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -1,51 +1,48 @@
 package discovery
 
 import (
-	"context"
 	"strings"
 	"testing"
 	"time"
-
-	"github.com/rs/zerolog"
 )
 
 // An answer is taken whatever the form and the pieces in which it comes: each byte by itself, and cut in two anywhere.
 func TestAListInAnyFormAndPieces(t *testing.T) {
-	for form, worded := range forms {
-		for layout, laid := range layouts {
-			text := func(call int) string { return worded(laid(whole(1000 + call))) }
-			all := len(text(0))
-			addr := speaks(t, func(call int) ([]string, bool) {
-				if s := text(call); call > 0 {
-					at := min(call, len(s))
-					return []string{s[:at], s[at:]}, false
-				} else {
-					return strings.Split(s, ""), false
+	for form, inForm := range forms {
+		for layout, laidOut := range layouts {
+			text := func(poll int) string { return inForm(laidOut(oneInstance(1000 + poll))) }
+			polls := len(text(0))
+			addr := newPieceService(t, func(poll int) ([]string, bool) {
+				text := text(poll)
+				if poll == 0 {
+					return strings.Split(text, ""), false
 				}
+				cut := min(poll, len(text))
+				return []string{text[:cut], text[cut:]}, false
 			})
-			ctx, stop := context.WithCancel(context.Background())
-			news, failures := make(chan EndpointList), make(chan error, 10)
-			go Watch(ctx, addr, WatchStart{Schedule: quick}, func(l EndpointList) error {
+			lists, failures, done := make(chan EndpointList), make(chan error, 10), make(chan bool)
+			stop := watchUntil(t, addr, WatchStart{Schedule: onePoll}, func(list EndpointList) error {
 				select {
-				case news <- l:
-				case <-ctx.Done():
+				case lists <- list:
+				case <-done:
 				}
 				return nil
-			}, func(err error) { failures <- err }, zerolog.Nop())
-			for call := range all {
+			}, func(err error) { failures <- err })
+			for poll := range polls {
 				select {
-				case l := <-news:
-					if l.Generation != uint64(1000+call) || len(l.Instances) != 1 || l.FirstFault != "" {
-						t.Fatalf("%s, %s, call %d: got %+v", form, layout, call, l)
+				case list := <-lists:
+					if list.Generation != uint64(1000+poll) || len(list.Instances) != 1 || list.FirstFault != "" {
+						t.Fatalf("%s, %s, poll %d: got %+v", form, layout, poll, list)
 					}
 					continue
 				case err := <-failures:
-					t.Errorf("%s, %s, call %d of %d: %v", form, layout, call, all, err)
+					t.Errorf("%s, %s, poll %d of %d: %v", form, layout, poll, polls, err)
 				case <-time.After(10 * time.Second):
-					t.Errorf("%s, %s, call %d of %d: no list", form, layout, call, all)
+					t.Errorf("%s, %s, poll %d of %d: no list", form, layout, poll, polls)
 				}
 				break
 			}
+			close(done)
 			stop()
 		}
 	}
@@ -53,17 +50,16 @@
 
 // An answer that is cut by a reset is none, wherever that is and also where it says no length: a reset is no end.
 func TestAListCutByAResetIsNone(t *testing.T) {
-	for form, worded := range forms {
-		text := worded(whole(1000) + "  ") // of which JSON alone would not miss the end
-		addr := speaks(t, func(call int) ([]string, bool) {
-			return []string{text[:max(0, len(text)-1-call%4*30)]}, true
+	for form, inForm := range forms {
+		text := inForm(oneInstance(1000) + "  ") // of which JSON alone would not miss the end
+		addr := newPieceService(t, func(poll int) ([]string, bool) {
+			return []string{text[:max(0, len(text)-1-poll%4*30)]}, true
 		})
-		ctx, stop := context.WithCancel(context.Background())
-		news, failures := make(chan EndpointList, 10), make(chan error, 10)
-		go Watch(ctx, addr, WatchStart{Schedule: quick}, func(l EndpointList) error { news <- l; return nil }, func(err error) { failures <- err }, zerolog.Nop())
+		lists, failures := make(chan EndpointList, 10), make(chan error, 10)
+		stop := watchUntil(t, addr, WatchStart{Schedule: onePoll}, takeInto(lists), func(err error) { failures <- err })
 		select {
-		case l := <-news:
-			t.Errorf("%s: it is taken, %+v", form, l)
+		case list := <-lists:
+			t.Errorf("%s: it is taken, %+v", form, list)
 		case <-failures:
 		case <-time.After(10 * time.Second):
 			t.Errorf("%s: no end", form)
