--- /dev/null
+++ b/internal/policy/zonefailover/evacuation_test.go
@@ -0,0 +1,229 @@
+package zonefailover
+
+import "testing"
+
+// A zone that answers nobody is evacuated by all routers together, with few requests lost there, and recovers once it
+// answers.
+func TestEvacuatedTogetherAndRecovered(t *testing.T) {
+	sim := newSimulation(t, 24, "a", "b", "c", "d")
+	sim.run(3)
+	sim.mustServe("b")
+	sim.answered["b"] = 0
+	first, last := sim.until("evacuated", 0.6, evacuated("b"))
+	t.Logf("evacuated after %.2f to %.2f s, %d attempts unanswered", first, last, sim.unanswered["b"])
+	if last-first > 0.3 {
+		t.Errorf("%.2f s from first to last", last-first)
+	}
+	sim.run(4)
+	unanswered := sim.unanswered["b"]
+	sim.answered["b"] = 1
+	_, began := sim.until("its recovery begins", 0.3, recovering("b"))
+	first, last = sim.until("serving", 3, serving("b"))
+	t.Logf("its recovery began everywhere within %.2f s", began)
+	t.Logf("%d unanswered in all, serving after %.2f to %.2f s; %d messages in %.0f s",
+		unanswered, first, last, sim.messagesSent, sim.now-simulationStart)
+	sim.run(5)
+	sim.mustServe("b")
+}
+
+// What is no failure of a zone, or cannot be told from a failure of the router itself, evacuates nothing.
+func TestNothingIsEvacuated(t *testing.T) {
+	for name, fault := range map[string]func(sim *simulation){
+		"a third of its servers are down": func(sim *simulation) { sim.answered["b"] = 0.67 },
+		"it is slow":                      func(sim *simulation) { sim.slow["b"] = true },
+		"one router does not reach it": func(sim *simulation) {
+			sim.reaches = func(router int, zone string) bool { return router != 3 || zone != "b" }
+		},
+		"a router is isolated": func(sim *simulation) {
+			sim.reaches = func(n int, _ string) bool { return n != 3 }
+			sim.hears = func(from, to int) bool { return from != 3 && to != 3 }
+		},
+		"a router reaches no zone, and is heard": func(sim *simulation) {
+			sim.reaches = func(router int, _ string) bool { return router != 3 }
+		},
+		"no zone answers": func(sim *simulation) { clear(sim.answered) },
+		"it is the only zone": func(sim *simulation) {
+			sim.names = []string{"b"}
+			sim.answered["b"] = 0
+			sim.restartAll()
+		},
+		"nobody hears any other": func(sim *simulation) {
+			sim.hears = func(int, int) bool { return false }
+			sim.answered["b"] = 0
+		},
+		"halves hear only halves": func(sim *simulation) { sim.hears = func(from, to int) bool { return from%2 == to%2 } },
+	} {
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, 12, "a", "b", "c", "d")
+			sim.run(3)
+			fault(sim)
+			sim.run(8)
+			for _, zone := range sim.names {
+				sim.mustServe(zone)
+			}
+		})
+	}
+}
+
+// Faults beside the loss of a zone do not keep the fleet from evacuating it, nor from its recovery.
+func TestEvacuatedDespiteOtherFaults(t *testing.T) {
+	for name, c := range map[string]struct {
+		begin, end func(sim *simulation)
+		bound      float64
+	}{
+		"half of the messages are lost": {func(sim *simulation) { sim.loss = 0.5 }, nil, 2.5},
+		"messages are late":             {func(sim *simulation) { sim.delay = 0.2 }, nil, 2.5},
+		"seven in ten routers are killed": {func(sim *simulation) {
+			for n := range 17 {
+				sim.down[n] = true
+			}
+		}, func(sim *simulation) {
+			for n := range 17 {
+				sim.start(n, 2, nil)
+			}
+		}, 2.5},
+		"its own routers reach it": {func(sim *simulation) {
+			sim.answered["b"] = 1
+			inside := func(n int) bool { return n < 6 }
+			sim.reaches = func(n int, z string) bool { return inside(n) == (z == "b") }
+			sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
+		}, func(sim *simulation) {
+			sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+		}, 1.5},
+		"clocks are off by minutes": {func(sim *simulation) {
+			for n := range sim.routers {
+				sim.skew = 60
+				sim.start(n, 2, nil)
+			}
+			sim.answered["b"] = 1
+			sim.run(3)
+			sim.answered["b"] = 0
+		}, nil, 1.5},
+		"each zone has one server": {func(sim *simulation) {
+			sim.servers = 1
+			for n := range sim.routers {
+				sim.start(n, 2, nil)
+			}
+			sim.answered["b"] = 1
+			sim.run(3)
+			sim.answered["b"] = 0
+		}, nil, 1.5},
+		"half of the builds do not know zones": {func(sim *simulation) {
+			sim.hears = func(from, _ int) bool { return from%2 == 0 }
+		}, nil, 2.5},
+	} {
+		t.Run(name, func(t *testing.T) {
+			sim := newSimulation(t, 24, "a", "b", "c", "d")
+			sim.run(3)
+			sim.answered["b"] = 0
+			c.begin(sim)
+			_, last := sim.until("evacuated", c.bound, func(router *Controller) bool {
+				insider := name == "its own routers reach it" && router.settings.RouterIndex < 6
+				return insider || evacuated("b")(router)
+			})
+			for _, other := range []string{"a", "c", "d"} {
+				sim.mustServe(other)
+			}
+			sim.run(3)
+			for _, other := range []string{"a", "c", "d"} { // also by those that are inside
+				sim.mustServe(other)
+			}
+			if c.end != nil {
+				c.end(sim)
+			}
+			sim.run(1)
+			sim.answered["b"] = 1
+			_, back := sim.until("serving", 9, serving("b"))
+			t.Logf("evacuated after %.2f s, serving after %.2f s", last, back)
+		})
+	}
+}
+
+// A router that starts while a zone is evacuated, or that was stopped, follows the others and does not undo what they
+// did.
+func TestFollowsPeers(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1.5, evacuated("b"))
+	sim.start(5, 2, nil)
+	sim.run(1.2)
+	if !evacuated("b")(sim.routers[5]) {
+		sim.showLog()
+		t.Fatal("the new process uses a zone that all others have evacuated")
+	}
+	sim.down[7], sim.stopped[7] = true, true // it knows what it knew, and messages wait for it
+	sim.run(3)
+	sim.answered["b"] = 1
+	sim.run(8)
+	sim.down[7], sim.stopped[7] = false, false
+	sim.until("serving", 3, serving("b"))
+	for range 60 { // and what it believed changes nothing
+		sim.run(0.05)
+		sim.mustServe("b")
+	}
+}
+
+// A zone that fails and answers by turns is evacuated a bounded number of times, less and less often.
+func TestFlapping(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c")
+	sim.run(3)
+	for i := range 40 { // two minutes
+		sim.answered["b"] = float64(i % 2)
+		sim.run(3)
+	}
+	for _, s := range sim.routers[0].Statuses(sim.now) {
+		// The n-th time is no sooner than the hold times before it, 1, 2, 4, ... s, have passed: six in 63 s, then
+		// one in each 64 s.
+		if s.Zone == "b" && s.Transitions > 2*8 {
+			sim.showLog()
+			t.Errorf("%d transitions in two minutes", s.Transitions)
+		} else if s.Zone == "b" {
+			t.Logf("%d transitions in two minutes", s.Transitions)
+		}
+	}
+}
+
+// Routers inside a zone that is cut off evacuate no other, also none that failed lately and would be evacuated by two
+// votes.
+func TestRoutersInsideACutOffZoneEvacuateNone(t *testing.T) {
+	sim := newSimulation(t, 24, "a", "b", "c", "d")
+	sim.run(3)
+	sim.answered["b"] = 0
+	sim.until("evacuated", 1, evacuated("b"))
+	sim.answered["b"] = 1
+	sim.until("serving", 9, serving("b"))
+	sim.run(1)
+	inside := func(n int) bool { return n < 6 }
+	sim.reaches = func(n int, z string) bool { return inside(n) == (z == "a") }
+	sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
+	for range 60 {
+		sim.run(0.05)
+		sim.mustServe("b")
+	}
+}
+
+// Two parts of a fleet were partitioned and meet again: routers with answers in a zone go on using it, and the
+// others, though they are more, come back to it.
+func TestPartitionHeals(t *testing.T) {
+	sim := newSimulation(t, 12, "a", "b", "c", "d")
+	sim.run(3)
+	few := func(n int) bool { return n < 4 }
+	sim.reaches = func(n int, z string) bool { return few(n) || z != "b" }
+	sim.hears = func(from, to int) bool { return few(from) == few(to) }
+	sim.run(3)
+	if !evacuated("b")(sim.routers[8]) {
+		t.Fatal("a router that does not reach the zone still uses it")
+	}
+	sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+	for range 80 {
+		sim.run(0.05)
+		for n := range 4 {
+			if !serving("b")(sim.routers[n]) {
+				sim.showLog()
+				t.Fatalf("router %d, which has answers there, gives it %v", n, sim.routers[n].Share("b"))
+			}
+		}
+	}
+	sim.until("serving", 3, serving("b"))
+}
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -250,3 +250,33 @@
 		})
 	}
 }
+
+// Routers of two builds have to choose the same probing routers: the hashes are those of the build of 15122f5.
+func TestGoldenProberHashes(t *testing.T) {
+	for _, c := range []struct {
+		zone   string
+		round  uint32
+		router int
+		want   uint32
+	}{
+		{"a", 0, 0, 0x4c775418},
+		{"a", 0, 1, 0x9ad1799a},
+		{"a", 1, 1, 0xf162d77a},
+		{"zone-b", 1, 1, 0xa5ef54c2},
+		{"zone-b", 65537, 65535, 0x829762d8},
+		{"zone-b", 4294967295, 300, 0x36cdd579},
+	} {
+		if got := proberHash(newZone(c.zone), c.round, c.router); got != c.want {
+			t.Errorf("%+v: got %#x", c, got)
+		}
+	}
+	zone, sum := newZone("a"), uint32(0)
+	for round := range uint32(2000) {
+		for router := range 300 {
+			sum = sum*31 + proberHash(zone, round, router)
+		}
+	}
+	if sum != 0x207a9701 {
+		t.Errorf("rounds up to 2000 of 300 routers give %#x", sum)
+	}
+}
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -4,12 +4,8 @@
 	"fmt"
 	"hash/crc32"
 	"math"
-)
 
-// Multipliers of the finalizer of MurmurHash3 (32 bits).
-const (
-	firstMultiplier  = 0x85ebca6b
-	secondMultiplier = 0xc2b2ae35
+	"bendtrestle/internal/seedhash"
 )
 
 // advance leads an evacuated zone back to all of its keys.
@@ -96,15 +92,14 @@
 }
 
 // proberHash orders the routers for a round of probes. CRC-32 alone is affine: the same routers would be the first in
-// every round. Its finalizer is that of seedhash.Avalanche without the last shift; routers of all builds have to draw
-// alike, so it stays.
+// every round. The finalizer behind it is seedhash.Avalanche without its last step, hash ^ hash>>16, which is undone by
+// doing it again; routers of all builds have to draw alike, so it stays without.
 func proberHash(z *zone, round uint32, router int) uint32 {
 	input := [...]byte{
 		byte(z.hash), byte(z.hash >> 8), byte(z.hash >> 16),
 		byte(round), byte(round >> 8),
 		byte(router), byte(router >> 8),
 	}
-	hash := crc32.ChecksumIEEE(input[:])
-	hash = (hash ^ hash>>16) * firstMultiplier
-	return (hash ^ hash>>13) * secondMultiplier
+	hash := seedhash.Avalanche(crc32.ChecksumIEEE(input[:]))
+	return hash ^ hash>>16
 }
