--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -139,7 +139,7 @@
 	var all []Status
 	for _, name := range c.names {
 		z := c.find(name)
-		votes := c.count(now, z)
+		votes := c.countVotes(now, z)
 		all = append(all, Status{
 			Zone:             name,
 			State:            z.state,
--- a/internal/policy/zonefailover/evacuation.go
+++ b/internal/policy/zonefailover/evacuation.go
@@ -13,7 +13,7 @@
 			}
 			continue
 		}
-		votes := c.count(now, z)
+		votes := c.countVotes(now, z)
 		if now-z.evidence.sufficientSince >= objectionWindow {
 			reason := fmt.Sprintf("%d of %d routers have had no answer there, %d have",
 				votes.against, votes.routers, votes.inFavour)
@@ -31,7 +31,7 @@
 		if z.operatorOverride || z.state.evacuated() {
 			continue
 		}
-		votes := c.count(now, z)
+		votes := c.countVotes(now, z)
 		if isolated || !c.votedOut(now, z, votes) {
 			z.evidence.sufficientSince = 0
 			c.updateSuspicion(now, z, votes)
@@ -52,7 +52,7 @@
 
 // votedOut tells whether the votes against a zone suffice: a quorum, or two routers if it failed lately, that no
 // votes for it outweigh.
-func (c *Controller) votedOut(now float64, z *zone, votes votes) bool {
+func (c *Controller) votedOut(now float64, z *zone, votes tally) bool {
 	needed := c.quorum(votes.routers)
 	if z.failedLately(now) {
 		needed = c.minVotes()
@@ -61,7 +61,7 @@
 }
 
 // updateSuspicion moves a zone that is not voted out between Serving and Suspected.
-func (c *Controller) updateSuspicion(now float64, z *zone, votes votes) {
+func (c *Controller) updateSuspicion(now float64, z *zone, votes tally) {
 	switch z.state {
 	case Suspected:
 		if votes.against == 0 || votes.inFavour > 0 {
@@ -91,7 +91,7 @@
 		if z.operatorOverride {
 			continue
 		}
-		votes := c.count(now, z)
+		votes := c.countVotes(now, z)
 		switch z.state {
 		case Serving, Suspected:
 			c.followOutOf(now, z, votes)
@@ -103,7 +103,7 @@
 
 // followOutOf has a zone that serves all of its keys evacuated or recovering, as it is at most peers. A recent answer
 // of this router's own keeps it from that.
-func (c *Controller) followOutOf(now float64, z *zone, votes votes) {
+func (c *Controller) followOutOf(now float64, z *zone, votes tally) {
 	if now-z.evidence.lastAnswer <= ownAnswerWindow {
 		return
 	}
@@ -120,7 +120,7 @@
 }
 
 // followInto begins the recovery of an evacuated zone that already recovers at a quorum of routers.
-func (c *Controller) followInto(now float64, z *zone, votes votes) {
+func (c *Controller) followInto(now float64, z *zone, votes tally) {
 	quorum := c.quorum(votes.routers)
 	mostRecovering := votes.recovering >= quorum && votes.recovering+votes.serving >= votes.evacuated
 	heldLongEnough := now > z.history.evacuatedAt+z.holdTime()/2
@@ -129,7 +129,7 @@
 	}
 }
 
-func recoveringElsewhere(votes votes) string {
+func recoveringElsewhere(votes tally) string {
 	return fmt.Sprintf("%d of %d routers let it return", votes.recovering, votes.routers)
 }
 
--- a/internal/policy/zonefailover/evidence.go
+++ b/internal/policy/zonefailover/evidence.go
@@ -11,8 +11,8 @@
 	failureCounts bool // the router is not isolated
 }
 
-// votes is what all routers heard of lately, this one among them, say of one zone.
-type votes struct {
+// tally is what all routers heard of lately, this one among them, say of one zone.
+type tally struct {
 	routers  int // heard of lately
 	against  int // without an answer since failingSince
 	inFavour int // with a later answer
@@ -25,13 +25,13 @@
 	share float64
 }
 
-// count counts the votes on a zone. Its sums are counts, a median and a place in a sorted row: the same votes give
+// countVotes counts the votes on a zone. Its sums are counts, a median and a place in a sorted row: the same votes give
 // the same result in any order.
-func (c *Controller) count(now float64, z *zone) votes {
-	ballot := ballot{recoveryBegan: z.history.recoveryBegan}
-	ballot.votes.routers = 1
+func (c *Controller) countVotes(now float64, z *zone) tally {
+	counter := newVoteCounter(z, 1+len(c.peers))
+	counter.tally.routers = 1
 	if !z.operatorOverride {
-		ballot.add(vote{
+		counter.add(vote{
 			lastAnswer:    z.evidence.lastAnswer,
 			failingSince:  z.evidence.failingSince,
 			state:         z.state,
@@ -43,80 +43,89 @@
 		if !c.heardLately(now, p) {
 			continue
 		}
-		ballot.votes.routers++
-		report, reported := p.reports[z.hash]
+		counter.tally.routers++
+		said, reported := p.reports[z.hash]
 		if !reported {
-			ballot.addSilent()
+			counter.addSilent()
 			continue
 		}
-		if report.operatorOverride {
+		if said.operatorOverride {
 			continue
 		}
-		ballot.add(vote{
-			lastAnswer:    report.lastAnswer,
-			failingSince:  report.failingSince,
-			state:         report.state,
-			share:         report.share,
+		counter.add(vote{
+			lastAnswer:    said.lastAnswer,
+			failingSince:  said.failingSince,
+			state:         said.state,
+			share:         said.share,
 			failureCounts: !p.isolated,
 		})
 	}
-	return ballot.result(c.quorum(ballot.votes.routers))
+	return counter.result(c.quorum(counter.tally.routers))
 }
 
-// ballot collects votes.
-type ballot struct {
+// voteCounter collects votes.
+type voteCounter struct {
 	recoveryBegan float64 // failures from before it are over
-	votes         votes
+	tally         tally
 	failures      []float64 // when those against the zone began to have no answer
 	answers       []float64 // when each router had its last answer
 	shares        []float64 // of those that do not evacuate the zone
 }
 
-func (b *ballot) add(v vote) {
-	if v.failureCounts && v.failingSince > b.recoveryBegan && v.failingSince > 0 {
-		b.failures = append(b.failures, v.failingSince)
+// newVoteCounter makes a counter for a zone for at most so many votes.
+func newVoteCounter(z *zone, maxVotes int) voteCounter {
+	return voteCounter{
+		recoveryBegan: z.history.recoveryBegan,
+		answers:       make([]float64, 0, maxVotes),
+		shares:        make([]float64, 0, maxVotes),
 	}
-	b.answers = append(b.answers, v.lastAnswer)
-	switch v.state {
+}
+
+func (v *voteCounter) add(said vote) {
+	if said.failureCounts && said.failingSince > v.recoveryBegan && said.failingSince > 0 {
+		v.failures = append(v.failures, said.failingSince)
+	}
+	v.answers = append(v.answers, said.lastAnswer)
+	switch said.state {
 	case Evacuated, Probing:
-		b.votes.evacuated++
+		v.tally.evacuated++
 	case Recovering:
-		b.votes.recovering++
-		b.shares = append(b.shares, v.share)
+		v.tally.recovering++
+		v.shares = append(v.shares, said.share)
 	default:
-		b.votes.serving++
-		b.shares = append(b.shares, 1)
+		v.tally.serving++
+		v.shares = append(v.shares, 1)
 	}
 }
 
 // addSilent counts a router that is heard and has not said anything of the zone.
-func (b *ballot) addSilent() {
-	b.votes.serving++
-	b.shares = append(b.shares, 1)
+func (v *voteCounter) addSilent() {
+	v.tally.serving++
+	v.shares = append(v.shares, 1)
 }
 
 // result gives the votes with their median and the share at the quorum's place.
-func (b *ballot) result(quorum int) votes {
-	votes := b.votes
-	votes.share = 1
-	slices.Sort(b.failures)
-	slices.Sort(b.shares)
-	votes.against = len(b.failures)
-	if votes.against > 0 {
-		votes.failingSince = b.failures[len(b.failures)/2]
-		votes.inFavour = b.answeredAfter(votes.failingSince)
+func (v *voteCounter) result(quorum int) tally {
+	result := v.tally
+	result.share = 1
+	slices.Sort(v.failures)
+	slices.Sort(v.shares)
+	result.against = len(v.failures)
+	if result.against > 0 {
+		result.failingSince = v.failures[len(v.failures)/2]
+		result.inFavour = v.answeredAfter(result.failingSince)
 	}
-	if len(b.shares) > 0 {
-		votes.share = b.shares[min(quorum, len(b.shares))-1]
+	if len(v.shares) > 0 {
+		result.share = v.shares[min(quorum, len(v.shares))-1]
 	}
-	return votes
+	return result
 }
 
 // answeredAfter counts the routers with an answer after a time. Messages carry ages in steps, so it has to be two of
 // these later.
-func (b *ballot) answeredAfter(at float64) int {
+func (v *voteCounter) answeredAfter(at float64) int {
 	count := 0
-	for _, lastAnswer := range b.answers {
+	for _, lastAnswer := range v.answers {
 		if lastAnswer > at+2*ageStep {
 			count++
 		}
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -169,20 +169,20 @@
 		return false
 	}
 	c.noticeStandstill(now)
-	header := parseHeader(data)
-	if header.router == c.settings.RouterIndex || header.router >= c.settings.RouterCount || now < c.gossip.ignoreUntil {
+	head := parseHeader(data)
+	if head.router == c.settings.RouterIndex || head.router >= c.settings.RouterCount || now < c.gossip.ignoreUntil {
 		return true
 	}
-	p := c.sender(now, header)
+	p := c.sender(now, head)
 	if p == nil {
 		return true
 	}
 	if !c.heardLately(now, p) {
 		c.greet(now, p)
 	}
-	p.sequence = header.sequence
+	p.sequence = head.sequence
 	p.lastHeard = now
-	p.isolated = header.isolated
+	p.isolated = head.isolated
 	for rest := data[headerBytes:]; len(rest) >= reportBytes; rest = rest[reportBytes:] {
 		c.takeReport(p, parseReport(rest, now))
 	}
@@ -190,24 +190,24 @@
 }
 
 // sender gives the peer that sent a message, a new one if need be; nil: the message is late or doubled.
-func (c *Controller) sender(now float64, header header) *peer {
-	p := c.peers[header.router]
+func (c *Controller) sender(now float64, head header) *peer {
+	p := c.peers[head.router]
 	if p == nil {
-		p = &peer{incarnation: header.incarnation, reports: map[uint32]report{}}
-		c.peers[header.router] = p
+		p = &peer{incarnation: head.incarnation, reports: map[uint32]report{}}
+		c.peers[head.router] = p
 		c.greet(now, p)
 		return p
 	}
-	if slices.Contains(p.previousIncarnations, header.incarnation) {
+	if slices.Contains(p.previousIncarnations, head.incarnation) {
 		return nil
 	}
-	if p.incarnation == header.incarnation {
-		if int32(header.sequence-p.sequence) <= 0 {
+	if p.incarnation == head.incarnation {
+		if int32(head.sequence-p.sequence) <= 0 {
 			return nil
 		}
 		return p
 	}
-	p.restart(header.incarnation)
+	p.restart(head.incarnation)
 	c.greet(now, p)
 	return p
 }
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -58,11 +58,11 @@
 		count++
 	}
 	for _, p := range c.peers {
-		report, reported := p.reports[z.hash]
+		said, reported := p.reports[z.hash]
 		if !reported || !c.heardLately(now, p) {
 			continue
 		}
-		if answeredSince(since, report.lastAnswer, report.failingSince) {
+		if answeredSince(since, said.lastAnswer, said.failingSince) {
 			count++
 		}
 	}
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -115,15 +115,15 @@
 	c := *router
 	c.zones, c.peers, c.changes = map[uint32]*zone{}, map[int]*peer{}, nil
 	for hash, z := range router.zones {
-		zone := *z
-		zone.attempts.open = maps.Clone(z.attempts.open)
-		c.zones[hash] = &zone
+		zoneCopy := *z
+		zoneCopy.attempts.open = maps.Clone(z.attempts.open)
+		c.zones[hash] = &zoneCopy
 	}
 	for index, p := range router.peers {
-		peer := *p
-		peer.reports = maps.Clone(p.reports)
-		peer.previousIncarnations = slices.Clone(p.previousIncarnations)
-		c.peers[index] = &peer
+		peerCopy := *p
+		peerCopy.reports = maps.Clone(p.reports)
+		peerCopy.previousIncarnations = slices.Clone(p.previousIncarnations)
+		c.peers[index] = &peerCopy
 	}
 	return &c
 }
--- a/internal/policy/zonefailover/recovery.go
+++ b/internal/policy/zonefailover/recovery.go
@@ -19,28 +19,28 @@
 	return min(max(c.settings.WarmupSeconds/stepsPerWarmup, minStepTime), maxStepTime)
 }
 
-// strain is how the present step of a recovery goes at all routers.
-type strain struct {
+// stepStrain is how the present step of a recovery goes at all routers.
+type stepStrain struct {
 	counts   stepCounts
 	routers  int // with a strained attempt
 	strained bool
 }
 
-// strain sums up this router's step and the last ones that peers have told of: each router alone sees little.
-func (c *Controller) strain(now float64, z *zone) strain {
+// measureStrain sums up this router's step and the last ones that peers have told of: each router alone sees little.
+func (c *Controller) measureStrain(now float64, z *zone) stepStrain {
 	own := z.step.counts
-	sum := strain{counts: own}
+	sum := stepStrain{counts: own}
 	if own.strained > 0 {
 		sum.routers++
 	}
 	for _, p := range c.peers {
-		report, reported := p.reports[z.hash]
-		if !reported || report.state != Recovering || p.isolated || !c.heardLately(now, p) {
+		said, reported := p.reports[z.hash]
+		if !reported || said.state != Recovering || p.isolated || !c.heardLately(now, p) {
 			continue
 		}
-		sum.counts.answered += report.lastStep.answered
-		sum.counts.strained += report.lastStep.strained
-		if report.lastStep.strained > 0 {
+		sum.counts.answered += said.lastStep.answered
+		sum.counts.strained += said.lastStep.strained
+		if said.lastStep.strained > 0 {
 			sum.routers++
 		}
 	}
@@ -51,7 +51,7 @@
 
 // advanceRecovery moves the share of a recovering zone at the end of each step.
 func (c *Controller) advanceRecovery(now float64, z *zone) {
-	strain := c.strain(now, z)
+	strain := c.measureStrain(now, z)
 	stepTime := c.stepTime()
 	if strain.strained {
 		stepTime /= 2
@@ -59,7 +59,7 @@
 	if now-z.step.began < stepTime {
 		return
 	}
-	share, reason := c.nextShare(z, c.count(now, z).share, strain)
+	share, reason := c.nextShare(z, c.countVotes(now, z).share, strain)
 	switch {
 	case share == 1 && z.share == 1:
 		c.transition(now, z, Serving, 1, reasonRecovered)
@@ -72,7 +72,7 @@
 
 // nextShare is the share of a recovering zone's next step: doubled as long as its attempts are answered in time,
 // halved under strain, and never far from the share that the fleet gives it.
-func (c *Controller) nextShare(z *zone, fleetShare float64, strain strain) (share float64, reason string) {
+func (c *Controller) nextShare(z *zone, fleetShare float64, strain stepStrain) (share float64, reason string) {
 	doubled := min(2*z.share, max(2*fleetShare, z.share))
 	switch {
 	case strain.strained:
