--- a/internal/policy/pollschedule/schedule.go
+++ b/internal/policy/pollschedule/schedule.go
@@ -50,8 +50,8 @@
 	maxSharedInitialWait   = 1   // seconds
 	minSharedMaxWait       = 1   // seconds
 	maxSharedMaxWait       = 2   // seconds
-	sharedInitialPart      = 4   // the first wait is this part of the poll interval
-	sharedMaxPart          = 2   // the longest likewise
+	sharedInitialDivisor   = 4   // the first wait is this part of the poll interval
+	sharedMaxDivisor       = 2   // the longest likewise
 	maxSharedPollsInFlight = 1   // a poll that is rejected costs the service, too
 )
 
@@ -87,8 +87,8 @@
 		OutdatedRetry:   sharedOutdatedRetry,
 		MaxInFlight:     maxSharedPollsInFlight,
 		Backoff: Backoff{
-			Initial: min(max(minSharedInitialWait, interval/sharedInitialPart), maxSharedInitialWait),
-			Max:     min(max(interval/sharedMaxPart, minSharedMaxWait), maxSharedMaxWait),
+			Initial: min(max(minSharedInitialWait, interval/sharedInitialDivisor), maxSharedInitialWait),
+			Max:     min(max(interval/sharedMaxDivisor, minSharedMaxWait), maxSharedMaxWait),
 			Seed:    seed,
 		},
 	}
--- a/internal/policy/zonefailover/config.go
+++ b/internal/policy/zonefailover/config.go
@@ -34,12 +34,13 @@
 	// objectionWindow is the time between enough evidence and the evacuation: whoever has had an answer says so
 	// within it. Longer loses requests, shorter evacuates zones that others reach.
 	objectionWindow = 0.1
-	// votesForWeight is how many votes against a zone one vote for it outweighs, so that a zone with some servers
-	// down stays.
+	// votesForWeight is how many votes against a zone it takes to outweigh one vote for it, so that a zone with some
+	// servers down stays. Less evacuates such zones, more keeps one that few routers reach.
 	votesForWeight = 8
 	// minFailureVotes is how many routers have to fail in a zone that failed lately, and the least of every quorum.
 	minFailureVotes = 2
-	// quorumDivisor is the part of the routers heard of that makes a quorum: a quarter.
+	// quorumDivisor is the part of the routers heard of that makes a quorum: a quarter. A larger quorum is slower, a
+	// smaller one has faults of a few routers decide.
 	quorumDivisor = 4
 	// ownAnswerWindow is how long an answer of its own keeps a router from following others out of a zone.
 	ownAnswerWindow = 1.0
