--- a/internal/service/disabledservers_test.go
+++ b/internal/service/disabledservers_test.go
@@ -71,12 +71,12 @@
 		t.Error("connections to it are kept")
 	}
 	runOnLoop(s, func() { // it leaves the list and comes back under another start
-		entry := discovery.Entry{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
-		platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{entry}})
+		entry := discovery.Instance{Endpoint: balancer.Endpoint{ID: discovery.ID("s-1"), State: balancer.Removed}}
+		platform.applyList(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{entry}})
 		entry.State = balancer.Ready
 		entry.StartedAt = 7
 		entry.Addr = netip.MustParseAddrPort("127.0.0.1:1")
-		platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{entry}})
+		platform.applyList(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{entry}})
 	})
 	if got := sendCommand(addr, "mg short v Ob Pc=t,d=1900"); !strings.HasPrefix(got, "SERVER_ERROR busy") {
 		t.Errorf("with the only server disabled it answers %q", got)
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -8,12 +8,12 @@
 )
 
 // applyList takes an endpoint list, or a change of it, to the connections, the balancer and the adapters.
-func (p *pool) applyList(update balancer.EndpointUpdate, list discovery.List) {
+func (p *pool) applyList(update balancer.EndpointUpdate, list discovery.EndpointList) {
 	if update == balancer.UpdateFull || update == balancer.UpdateSaved {
 		p.forgetList()
 	}
 	var endpoints []balancer.Endpoint
-	for _, entry := range list.Entries {
+	for _, entry := range list.Instances {
 		p.applyEntry(entry)
 		endpoints = append(endpoints, entry.Endpoint)
 	}
@@ -28,8 +28,8 @@
 	if p.service.lifecycle.phase == Starting && len(p.ready) > 0 {
 		p.service.startServing()
 	}
-	if len(list.Entries) > 0 {
-		p.log.Info().Uint64("generation", list.Generation).Int("changes", len(list.Entries)).Int("ready", len(p.ready)).
+	if len(list.Instances) > 0 {
+		p.log.Info().Uint64("generation", list.Generation).Int("changes", len(list.Instances)).Int("ready", len(p.ready)).
 			Msg("list")
 	}
 }
@@ -45,7 +45,7 @@
 	clear(p.endpoints)
 }
 
-func (p *pool) applyEntry(entry discovery.Entry) {
+func (p *pool) applyEntry(entry discovery.Instance) {
 	removed := entry.State == balancer.Removed
 	p.ready[entry.ID] = entry.State == balancer.Ready
 	p.remember(entry.ID, !removed)
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -37,31 +37,31 @@
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	start := p.watchStart()
-	w := &endpointWatch{address: address, startedAt: p.service.loop.Now(), knownGeneration: start.Known, stop: stop}
+	w := &endpointWatch{address: address, startedAt: p.service.loop.Now(), knownGeneration: start.Generation, stop: stop}
 	p.nextWatch = w
 	go discovery.Watch(ctx, address, start, p.listPoster(ctx, w), p.failurePoster(w),
 		p.log.With().Str("discovery", address).Logger())
 }
 
 // watchStart is what a new watch begins with.
-func (p *pool) watchStart() discovery.Start {
-	start := discovery.Start{Known: p.generation, Rhythm: p.schedule}
-	if len(p.lastRunList.Entries) > 0 {
+func (p *pool) watchStart() discovery.WatchStart {
+	start := discovery.WatchStart{Generation: p.generation, Schedule: p.schedule}
+	if len(p.lastRunList.Instances) > 0 {
 		// The list of the last run is of the address that the start names. One named later may have generations of its
 		// own, nor may it take back the drains in that list.
-		start.Known = p.lastRunList.Generation
-		start.Same = true
+		start.Generation = p.lastRunList.Generation
+		start.SameService = true
 		p.generation = p.lastRunList.Generation
-		p.lastRunList = discovery.List{}
+		p.lastRunList = discovery.EndpointList{}
 	}
-	p.schedule.Pace.Seed++ // the next watch has random numbers of its own
+	p.schedule.Backoff.Seed++ // the next watch has random numbers of its own
 	return start
 }
 
 // listPoster gives what the watch calls with each list, from its goroutine: it waits until the loop has taken the
 // list.
-func (p *pool) listPoster(ctx context.Context, w *endpointWatch) func(discovery.List) error {
-	return func(list discovery.List) error {
+func (p *pool) listPoster(ctx context.Context, w *endpointWatch) func(discovery.EndpointList) error {
+	return func(list discovery.EndpointList) error {
 		taken := make(chan error, 1)
 		p.service.loop.Post(func() { taken <- p.onList(w, list) })
 		select {
@@ -92,16 +92,16 @@
 }
 
 // onList takes a list from a watch. What the watch before it brought meanwhile must not be taken back by a service
-// that lags behind: this is decided here, where both come in. The error is discovery.ErrOld then, and the whole
+// that lags behind: this is decided here, where both come in. The error is discovery.ErrOutdated then, and the whole
 // list is polled again.
-func (p *pool) onList(w *endpointWatch, list discovery.List) error {
+func (p *pool) onList(w *endpointWatch, list discovery.EndpointList) error {
 	if w != p.watch && w != p.nextWatch {
 		return nil // its list service has been left
 	}
 	known := max(p.generation, w.knownGeneration)
-	if list.Whole && list.Generation < known && p.service.loop.Now()-w.startedAt < catchUpSeconds {
+	if list.Complete && list.Generation < known && p.service.loop.Now()-w.startedAt < catchUpSeconds {
 		p.applyDrains(list)
-		return fmt.Errorf("%w: %d, %d", discovery.ErrOld, list.Generation, known)
+		return fmt.Errorf("%w: %d, %d", discovery.ErrOutdated, list.Generation, known)
 	}
 	if w == p.nextWatch {
 		if p.watch != nil {
@@ -112,7 +112,7 @@
 	}
 	p.generation = list.Generation
 	update := balancer.UpdateDelta
-	if list.Whole {
+	if list.Complete {
 		update = balancer.UpdateFull
 	}
 	p.applyList(update, list)
@@ -121,8 +121,8 @@
 
 // applyDrains takes the drains alone of a list that seems old. Its service may count anew: then the drains count at
 // once, and if the list is old, they cost little.
-func (p *pool) applyDrains(list discovery.List) {
-	list.Entries = slices.DeleteFunc(list.Entries, func(entry discovery.Entry) bool {
+func (p *pool) applyDrains(list discovery.EndpointList) {
+	list.Instances = slices.DeleteFunc(list.Instances, func(entry discovery.Instance) bool {
 		return entry.State != balancer.Draining
 	})
 	p.applyList(balancer.UpdateDelta, list)
@@ -132,6 +132,6 @@
 func (p *pool) onPollFailed(w *endpointWatch) {
 	counts := w == p.watch || p.watch == nil && w == p.nextWatch
 	if counts {
-		p.applyList(balancer.UpdateFailed, discovery.List{})
+		p.applyList(balancer.UpdateFailed, discovery.EndpointList{})
 	}
 }
--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -24,7 +24,7 @@
 	{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"ready"}]},"settings":{"discovery":"on_request",`, 1)
 
 // endpointList gives a list that names s-1 and s-2 at an address where nothing listens, the first in a state.
-func endpointList(generation uint64, at, state string) discovery.List {
+func endpointList(generation uint64, at, state string) discovery.EndpointList {
 	list, err := discovery.Parse(fmt.Appendf(nil, `{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"%s","lifecycle":"%s"},
 		{"instanceId":"s-2","hostPort":"%[2]s","lifecycle":"ready"}]}`, generation, at, state))
@@ -91,7 +91,7 @@
 			t.Errorf("it is taken back: %v", err)
 		}
 		lags := endpointList(41, "127.0.0.1:2", "ready")
-		lags.Entries[1].State = balancer.Draining
+		lags.Instances[1].State = balancer.Draining
 		if err := p.onList(moved, lags); err == nil || !avoided() || !p.core.Avoids(discovery.ID("s-2")) {
 			t.Errorf("a drain in a list that lags is not applied: %v", err)
 		}
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -110,9 +110,9 @@
 	var services []*Service
 	for index := range 2 {
 		conf := peerConfig(t, index, 100, addresses...)
-		conf.Known = discovery.List{Generation: 1, Whole: true}
+		conf.Known = discovery.EndpointList{Generation: 1, Complete: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Entries = append(conf.Known.Entries, discovery.Entry{
+			conf.Known.Instances = append(conf.Known.Instances, discovery.Instance{
 				Addr:     netip.MustParseAddrPort("127.0.0.1:1"),
 				Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1},
 			})
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -221,7 +221,7 @@
 		other := platform.endpoints[id]
 		other.ID = 7
 		other.Zone = "b"
-		platform.applyList(balancer.UpdateDelta, discovery.List{Entries: []discovery.Entry{draining, other}})
+		platform.applyList(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{draining, other}})
 		platform.generation = 5
 	})
 	successor, _ := startProcess(t, addr, list, shared) // whose own start says that s-1 is ready, generation 1
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -15,9 +15,9 @@
 
 // peerRouters is the way to the other routers of the fleet, and how many there are.
 type peerRouters struct {
-	transport *peertransport.Transport         // nil: nothing is sent to other routers; its methods do nothing then
-	size      *fleetsize.Count[netip.AddrPort] // counts the routers that are heard; nil: none can be
-	announced int                              // fleet size as the balancers know it; 0: that of the settings
+	transport *peertransport.Transport             // nil: nothing is sent to other routers; its methods do nothing then
+	fleetSize *fleetsize.Estimator[netip.AddrPort] // of the fleet, by the routers that are heard; nil: none can be
+	announced int                                  // fleet size as the balancers know it; 0: that of the settings
 }
 
 // openPeers opens the socket for other routers, where there may be something to send.
@@ -26,7 +26,7 @@
 	if !needed || conf.PeerListen == "" {
 		return
 	}
-	s.peers.size = fleetsize.New[netip.AddrPort](conf.Settings.RouterCount)
+	s.peers.fleetSize = fleetsize.New[netip.AddrPort](conf.Settings.RouterCount)
 	received := func(from netip.AddrPort, sender int, message []byte) {
 		s.loop.Post(func() { s.onPeerMessage(from, sender, message) })
 	}
@@ -41,7 +41,7 @@
 // onPeerMessage takes another router's message: about zones, quotas, what goes through the fleet, or the
 // balancer's. Each one shows that its sender is there. sender is its index in the list of peers, or negative.
 func (s *Service) onPeerMessage(from netip.AddrPort, sender int, message []byte) {
-	s.peers.size.Heard(s.loop.Now(), from)
+	s.peers.fleetSize.OnMessage(s.loop.Now(), from)
 	s.announceFleetSize()
 	handled := s.zones.onMessage(message) || s.broker.OnQuotaMessage(message) || s.gossip.onMessage(sender, message)
 	if !handled && s.conf.Settings.GossipAllowed {
@@ -51,10 +51,10 @@
 
 // announceFleetSize lets the balancers know how many routers there are, where that has changed.
 func (s *Service) announceFleetSize() {
-	if s.peers.size == nil {
+	if s.peers.fleetSize == nil {
 		return
 	}
-	routers := s.peers.size.Routers(s.loop.Now())
+	routers := s.peers.fleetSize.Size(s.loop.Now())
 	if routers == s.peers.announced {
 		return
 	}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -24,16 +24,16 @@
 	servers *upstream.Fleet
 	log     zerolog.Logger
 
-	polled      bool                       // its balancer polls the endpoint list, and hears of polls that fail
-	endpoints   map[uint64]discovery.Entry // the present endpoint list, by the server's id
-	ready       map[uint64]bool            // servers that the list has as ready
-	known       map[uint64]bool            // servers that a list has named since the start; true: the present one does
-	generation  uint64                     // of the list that the list service last brought
-	lastRunList discovery.List             // the list as the router's last run had it, until the first watch begins
+	polled      bool                          // its balancer polls the endpoint list, and hears of polls that fail
+	endpoints   map[uint64]discovery.Instance // the present endpoint list, by the server's id
+	ready       map[uint64]bool               // servers that the list has as ready
+	known       map[uint64]bool               // servers that a list has named since the start; true: the present one does
+	generation  uint64                        // of the list that the list service last brought
+	lastRunList discovery.EndpointList        // the list as the router's last run had it, until the first watch begins
 
-	schedule  pollschedule.Rhythm // of polls of the list service
-	watch     *endpointWatch      // whose lists count
-	nextWatch *endpointWatch      // its successor, until it has brought a whole list
+	schedule  pollschedule.Schedule // of polls of the list service
+	watch     *endpointWatch        // whose lists count
+	nextWatch *endpointWatch        // its successor, until it has brought a whole list
 }
 
 // poolOptions is what a pool is made by. Times are in seconds.
@@ -56,13 +56,13 @@
 		name:      options.name,
 		log:       s.log,
 		polled:    settings.PollEndpoints,
-		endpoints: map[uint64]discovery.Entry{},
+		endpoints: map[uint64]discovery.Instance{},
 		ready:     map[uint64]bool{},
 		known:     map[uint64]bool{},
-		schedule:  pollschedule.Pushed(s.conf.DrainGrace, settings.Seed),
+		schedule:  pollschedule.ForLocalAgent(s.conf.DrainGrace, settings.Seed),
 	}
 	if p.polled {
-		p.schedule = pollschedule.OnRequest(settings.PollInterval, settings.Seed)
+		p.schedule = pollschedule.ForSharedService(settings.PollInterval, settings.Seed)
 	}
 	if p.name != "" {
 		p.log = s.log.With().Str("pool", p.name).Logger()
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -56,19 +56,19 @@
 // parseSnapshotList reads a list of the snapshot; an empty one if another build wrote it in another form, for the
 // snapshot has checked its checksum. Which of its servers have restarted since is unknown, so each counts as one
 // that did so now, in seconds.
-func parseSnapshotList(body []byte, now float64) discovery.List {
+func parseSnapshotList(body []byte, now float64) discovery.EndpointList {
 	var saved snapshotList
 	if cbor.Unmarshal(body, &saved) != nil {
-		return discovery.List{}
+		return discovery.EndpointList{}
 	}
-	list := discovery.List{Generation: saved.Generation, Whole: true}
+	list := discovery.EndpointList{Generation: saved.Generation, Complete: true}
 	for _, server := range saved.Servers {
 		address, err := netip.ParseAddrPort(server.Addr)
 		if err != nil {
 			continue
 		}
 		server.Member.Started = now
-		list.Entries = append(list.Entries, discovery.Entry{Endpoint: server.Member.member(), Addr: address})
+		list.Instances = append(list.Instances, discovery.Instance{Endpoint: server.Member.member(), Addr: address})
 	}
 	return list
 }
@@ -97,14 +97,14 @@
 	}
 }
 
-func saveEntry(entry discovery.Entry) savedEntry {
+func saveEntry(entry discovery.Instance) savedEntry {
 	return savedEntry{saveMember(entry.Endpoint), entry.Addr}
 }
 
-func (saved savedList) list() discovery.List {
-	list := discovery.List{Generation: saved.Generation, Whole: saved.Whole}
+func (saved savedList) list() discovery.EndpointList {
+	list := discovery.EndpointList{Generation: saved.Generation, Complete: saved.Whole}
 	for _, entry := range saved.Entries {
-		list.Entries = append(list.Entries, discovery.Entry{Endpoint: entry.member(), Addr: entry.Addr})
+		list.Instances = append(list.Instances, discovery.Instance{Endpoint: entry.member(), Addr: entry.Addr})
 	}
 	return list
 }
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -28,7 +28,7 @@
 // nil one takes no endpoint list yet.
 type startupAdapter struct {
 	service  *Service
-	start    *startup.Start
+	start    *startup.Tracker
 	snapshot *snapshot.Store // nil: nothing is saved
 
 	rate         float64 // requests completed a second, averaged
@@ -45,7 +45,7 @@
 // believed.
 func (s *Service) openStartup(operators operatorconfig.File) {
 	now := s.loop.Now()
-	a := &startupAdapter{service: s, start: startup.Begin(now), rateAt: now}
+	a := &startupAdapter{service: s, start: startup.NewTracker(now), rateAt: now}
 	s.startup = a
 	if !operators.Recovery.On {
 		return
@@ -63,7 +63,7 @@
 
 // loadRate takes the completion rate of the last run as the one to begin with.
 func (a *startupAdapter) loadRate(now float64) {
-	entry, found := a.snapshot.Get(startup.Rate)
+	entry, found := a.snapshot.Get(startup.CompletionRate)
 	if !found {
 		return
 	}
@@ -71,7 +71,7 @@
 	settings := &a.service.conf.Settings
 	rate, err := strconv.ParseFloat(string(entry.Body), 64)
 	valid := err == nil && rate > 0 && !math.IsInf(rate, 0)
-	if valid && startup.Believe(startup.Rate, entry.StoredAt, now) {
+	if valid && startup.Usable(startup.CompletionRate, entry.StoredAt, now) {
 		settings.InitialCompletionRate = rate
 		a.rate = rate
 	}
@@ -84,20 +84,20 @@
 
 // loadList takes the endpoint list of the last run, where the platform gives none and the list service is the same.
 func (a *startupAdapter) loadList(now float64) {
-	entry, found := a.snapshot.Get(startup.List)
+	entry, found := a.snapshot.Get(startup.EndpointList)
 	if !found {
 		return
 	}
 	a.generation = max(a.generation, entry.Generation)
 	conf := &a.service.conf
-	usable := len(conf.Known.Entries) == 0 && entry.Source == conf.Discovery
-	if !usable || !startup.Believe(startup.List, entry.StoredAt, now) {
+	usable := len(conf.Known.Instances) == 0 && entry.Source == conf.Discovery
+	if !usable || !startup.Usable(startup.EndpointList, entry.StoredAt, now) {
 		return
 	}
 	conf.Known = parseSnapshotList(entry.Body, now)
 	a.service.log.Info().
 		Uint64("generation", conf.Known.Generation).
-		Int("servers", len(conf.Known.Entries)).
+		Int("servers", len(conf.Known.Instances)).
 		Float64("age", now-entry.StoredAt).
 		Msg("the endpoint list of the snapshot is used until another comes")
 }
@@ -116,16 +116,16 @@
 			Stringer("from", change.From).
 			Stringer("to", change.To).
 			Float64("after", now-s.lifecycle.startedAt).
-			Str("why", change.Why).
+			Str("why", change.Reason).
 			Msg("start")
 	}
 	a.updateRate(now, counts.Succeeded)
 	phase, _, _ := a.start.Phase()
-	if a.snapshot != nil && phase == startup.Full && now-a.rateSavedAt > rateSaveIntervalSeconds {
+	if a.snapshot != nil && phase == startup.FullService && now-a.rateSavedAt > rateSaveIntervalSeconds {
 		a.rateSavedAt = now
-		a.save(startup.Rate, "this router", fmt.Appendf(nil, "%.6g", a.steadyRate(now)))
+		a.save(startup.CompletionRate, "this router", fmt.Appendf(nil, "%.6g", a.steadyRate(now)))
 	}
-	if a.snapshot != nil || phase < startup.Full { // else there is nothing left to do
+	if a.snapshot != nil || phase < startup.FullService { // else there is nothing left to do
 		s.loop.After(startupStepSeconds, a.step)
 	}
 }
@@ -174,13 +174,13 @@
 		}
 		list.Servers = append(list.Servers, snapshotServer{saveMember(entry.Endpoint), entry.Addr.String()})
 	}
-	a.start.Known(ready, confirmed)
+	a.start.OnEndpoints(ready, confirmed)
 	if !confirmed || a.snapshot == nil {
 		return
 	}
 	body, err := cbor.Marshal(list)
 	if err == nil {
-		a.save(startup.List, a.service.conf.Discovery, body)
+		a.save(startup.EndpointList, a.service.conf.Discovery, body)
 	}
 }
 
@@ -212,7 +212,7 @@
 			Phase:              phase.String(),
 			PhaseSeconds:       h.service.loop.Now() - since,
 			FullServiceSeconds: fullServiceSeconds,
-			WaitsFor:           phase.Waits(),
+			WaitsFor:           phase.WaitsFor(),
 			AcceptsClients:     h.service.acceptsClients(),
 		}
 		return nil
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		s.runLoop(t)
-		entries := callOnLoop(s, func() []discovery.Entry { return s.conf.Known.Entries })
+		entries := callOnLoop(s, func() []discovery.Instance { return s.conf.Known.Instances })
 		for _, entry := range entries {
 			if entry.StartedAt < now-1 {
 				t.Errorf("%s: a server of the snapshot's list counts as long started", last.name)
@@ -79,8 +79,8 @@
 	server := balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}
 	list := snapshotList{Generation: 4, Servers: []snapshotServer{{saveMember(server), "127.0.0.1:2"}}}
 	body, _ := cbor.Marshal(list)
-	store.Put(startup.Rate, snapshot.Entry{Generation: 1, StoredAt: at, Body: []byte("12")})
-	store.Put(startup.List, snapshot.Entry{Generation: 2, StoredAt: at, Source: listService, Body: body})
+	store.Put(startup.CompletionRate, snapshot.Entry{Generation: 1, StoredAt: at, Body: []byte("12")})
+	store.Put(startup.EndpointList, snapshot.Entry{Generation: 2, StoredAt: at, Source: listService, Body: body})
 	store.Close(5 * time.Second)
 }
 
@@ -212,11 +212,11 @@
 			return phase
 		}
 		platform.onPollFailed(platform.nextWatch)
-		if phase() != startup.Listed {
+		if phase() != startup.EndpointsCached {
 			t.Errorf("after a poll that failed the start is %s", phase())
 		}
 		err := platform.onList(platform.nextWatch, endpointList(43, "127.0.0.1:2", "ready"))
-		if err != nil || phase() != startup.Confirmed {
+		if err != nil || phase() != startup.EndpointsConfirmed {
 			t.Errorf("after a list it is %s, %v", phase(), err)
 		}
 	})
