--- a/cmd/bendtrestle/golden_test.go
+++ b/cmd/bendtrestle/golden_test.go
@@ -49,7 +49,7 @@
 			t.Fatal(err)
 		}
 		for i, setting := range ours {
-			if setting.Key == "seed" && setting.From == "the process's number" {
+			if setting.Key == "seed" && setting.Source == "the process's number" {
 				ours[i].Value = "PID"
 			}
 		}
--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -43,13 +43,16 @@
 
 func (h goldenHandler) Zones() ([]Zone, error) {
 	return []Zone{
-		{Zone: "a", State: "left", Share: 0.25, StateSeconds: 12.5, ByOperator: true, Servers: 3, RoutersWithoutAnswer: 4, RoutersWithLaterAnswer: 5, RoutersHeard: 6, RecentEvacuations: 7, Reason: "by hand"},
+		{Zone: "a", State: "left", Share: 0.25, StateSeconds: 12.5, ByOperator: true, Servers: 3, RoutersWithoutAnswer: 4,
+			RoutersWithLaterAnswer: 5, RoutersHeard: 6, RecentEvacuations: 7, Reason: "by hand"},
 		{Zone: "zone-b", State: "serving", Share: 1, StateSeconds: 0.04, Servers: 12, Reason: "<answers> & all"},
 	}, h.err
 }
 
 func (h goldenHandler) Status() (Status, error) {
-	return Status{Phase: "full", PhaseSeconds: 1.25, FullServiceSeconds: 2.5, WaitsFor: "nothing <yet>", AcceptsClients: true}, h.err
+	status := Status{Phase: "full", PhaseSeconds: 1.25, FullServiceSeconds: 2.5, WaitsFor: "nothing <yet>",
+		AcceptsClients: true}
+	return status, h.err
 }
 
 // answered makes a call and gives the whole answer, with its headers in order and without its date.
@@ -85,8 +88,8 @@
 
 // Dashboards, scripts and people read these answers: path, status, headers and body stay as they were.
 func TestGoldenAnswers(t *testing.T) {
-	paths := []string{"/ready", "/metrics", "/cache-servers/disable", "/cache-servers/enable", "/zones", "/status", "/zones/leave", "/zones/return",
-		"/drain", "/undrain", "/", "/other", "/zones/", "/ready/"}
+	paths := []string{"/ready", "/metrics", "/cache-servers/disable", "/cache-servers/enable", "/zones", "/status",
+		"/zones/leave", "/zones/return", "/drain", "/undrain", "/", "/other", "/zones/", "/ready/"}
 	methods := []string{"GET", "HEAD", "POST", "PUT", "DELETE"}
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// Handler is what the server calls. The methods are called from any goroutine, several at once, and must return within a
-// second. A nil error is answered with "done" or with the value; ErrUnknownServer and ErrUnknownZone with 404; any other
-// error, ErrBusy among them, with 503. The texts of errors are answered as they are.
+// Handler is what the server calls. The methods are called from any goroutine, several at once, and must return within
+// a second. A nil error is answered with "done" or with the value; ErrUnknownServer and ErrUnknownZone with 404; any
+// other error, ErrBusy among them, with 503. The texts of errors are answered as they are.
 type Handler interface {
-	// Ready tells whether the router accepts clients.
+	// Ready reports whether the router accepts clients.
 	Ready() bool
 	// Metrics returns the figures, a line each.
 	Metrics() []byte
@@ -16,7 +16,7 @@
 	// Drain sends clients away until Undrain.
 	Drain() error
 	Undrain() error
-	// Status tells how far the start is.
+	// Status returns how far the start is.
 	Status() (Status, error)
 	// Zones returns all zones, in the order in which they are shown.
 	Zones() ([]Zone, error)
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,8 +8,9 @@
 	"sync/atomic"
 )
 
-// boundedListener bounds the connections. One that is beyond the bound takes the place of one whose response was written,
-// or else of the one that has gone without a whole request for longest, so that callers that say nothing keep nobody out.
+// boundedListener bounds the connections. One that is beyond the bound takes the place of one whose response was
+// written, or else of the one that has gone without a whole request for longest, so that callers that say nothing keep
+// nobody out.
 type boundedListener struct {
 	net.Listener
 	maxConnections int
@@ -51,8 +52,8 @@
 	}
 }
 
-// admit takes a connection in, if there is room for it. Beyond the bound there is room where another gives way, or while
-// fewer than twice as many are open: those whose request was read are answered within a second.
+// admit takes a connection in, if there is room for it. Beyond the bound there is room where another gives way, or
+// while fewer than twice as many are open: those whose request was read are answered within a second.
 func (l *boundedListener) admit(c *connection) bool {
 	l.mu.Lock()
 	var evicted *connection
@@ -70,8 +71,8 @@
 	return admitted
 }
 
-// evictable returns the oldest connection that was answered (the HTTP server holds it open for half a second, lest a reset
-// cut the response), else the oldest without a whole request; nil: there is neither. The caller holds mu.
+// evictable returns the oldest connection that was answered (the HTTP server holds it open for half a second, lest a
+// reset cut the response), else the oldest without a whole request; nil: there is neither. The caller holds mu.
 func (l *boundedListener) evictable() *connection {
 	var waiting *connection
 	for _, c := range l.connections {
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -112,7 +112,7 @@
 	}
 }
 
-// validName tells whether a text can be a name of the list: one word of UTF-8 without control characters.
+// validName reports whether a text can be a name of the list: one word of UTF-8 without control characters.
 func validName(name string) bool {
 	invalid := func(c rune) bool { return c <= ' ' || c == 0x7f || c == utf8.RuneError }
 	return name != "" && !strings.ContainsFunc(name, invalid)
--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -142,9 +142,9 @@
 	return b.plain
 }
 
-// Door tells whether another connection may come in, and takes a place for it. Those at the platform's listener are
+// AdmitConnection tells whether another connection may come in, and takes a place for it. Those at the platform's listener are
 // bounded by the front, all together.
-func (b *Broker) Door(listener string) bool {
+func (b *Broker) AdmitConnection(listener string) bool {
 	t := b.listeners[listener]
 	switch {
 	case listener == "":
@@ -156,8 +156,8 @@
 	return b.doors.TryAcquire(t.door, 1)
 }
 
-// Gone takes the end of a connection.
-func (b *Broker) Gone(listener string) {
+// ReleaseConnection takes the end of a connection.
+func (b *Broker) ReleaseConnection(listener string) {
 	if t := b.listeners[listener]; t != nil && t.door.InUse() > 0 {
 		b.doors.Release(t.door, 1)
 	} else {
@@ -174,23 +174,25 @@
 	tenants   map[string]bool // that the platform knows
 }
 
-func (p *plain) HardStop(kind string) (float64, bool) {
+func (p *plain) MaxDeadline(kind string) (float64, bool) {
 	most, known := p.hardStops[kind]
 	return most, known
 }
 
-func (p *plain) Room() bool { return p.b.places.CanAcquire(nil, 1) && p.b.bytes.CanAcquire(nil, 1) }
+func (p *plain) HasCapacity() bool {
+	return p.b.places.CanAcquire(nil, 1) && p.b.bytes.CanAcquire(nil, 1)
+}
 
-func (p *plain) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+func (p *plain) Submit(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	p.b.places.ForceAcquire(nil, 1)
-	op.Account = p
+	op.Usage = p
 	if !p.tenants[op.Tenant] {
 		op.Tenant = "" // the module keeps a record of each: clients must not make up ever new ones
 	}
 	return p.core, p.core.Submit(op, client)
 }
 
-func (p *plain) Hold(n int) { p.b.bytes.ForceAcquire(nil, n) }
+func (p *plain) AddHeldBytes(n int) { p.b.bytes.ForceAcquire(nil, n) }
 
 // AttemptEnded, Answered and Ended are told by the core; an operation has its place until nothing of it is out.
 func (p *plain) AttemptEnded(float64) {}
@@ -201,13 +203,13 @@
 // RequestDone gives the place back.
 func (p *plain) RequestDone() { p.b.places.Release(nil, 1) }
 
-func (t *team) HardStop(kind string) (float64, bool) {
+func (t *team) MaxDeadline(kind string) (float64, bool) {
 	k, known := t.kinds[kind]
 	return k.stop, known
 }
 
-// Room tells whether there is a place for another operation that is not some other team's last one.
-func (t *team) Room() bool {
+// HasCapacity tells whether there is a place for another operation that is not some other team's last one.
+func (t *team) HasCapacity() bool {
 	if t.b.places.CanAcquire(t.place, 1) && t.b.bytes.CanAcquire(t.byte, 1) && t.pool.out.CanAcquire(t.out, 1) {
 		return true
 	}
@@ -216,8 +218,8 @@
 	return false
 }
 
-// Take admits an operation or declines it at once.
-func (t *team) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+// Submit admits an operation or declines it at once.
+func (t *team) Submit(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	k := t.kinds[op.Class]
 	t.tally.Received++
 	ticket, why, after := t.pool.budgets.Admit(t.b.now(), t.Team, op.Class, k.guess)
@@ -228,12 +230,12 @@
 	}
 	t.b.places.ForceAcquire(t.place, 1)
 	t.pool.out.ForceAcquire(t.out, 1)
-	op.Account = &account{team: t, ticket: ticket}
+	op.Usage = &account{team: t, ticket: ticket}
 	op.Class, op.Tenant = k.name, t.Team
 	return t.pool.Core, t.pool.Core.Submit(op, client)
 }
 
-func (t *team) Hold(n int) { t.b.bytes.ForceAcquire(t.byte, n) }
+func (t *team) AddHeldBytes(n int) { t.b.bytes.ForceAcquire(t.byte, n) }
 
 func (y *Tally) decline(why requestcore.RejectReason) {
 	y.Rejected++
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -50,7 +50,7 @@
 	if len(o.ops) != 1 || o.ops[0].Class != "a/view" || o.ops[0].Tenant != "a" {
 		t.Fatalf("it went out as %+v", o.ops)
 	}
-	if _, known := b.Route("", "a", "k").HardStop("other"); known {
+	if _, known := b.Route("", "a", "k").MaxDeadline("other"); known {
 		t.Error("a traffic type that no contract names is known")
 	}
 }
@@ -108,20 +108,20 @@
 	a, c := terms("a", "", 1), terms("c", "", 1)
 	a.Listen, c.Listen = "127.0.0.1:1", "127.0.0.1:2"
 	b, _, _ := serving(t, Limits{Requests: 100, BufferedBytes: 1000, Connections: 8}, a, c)
-	b.Route("", "a", "k").Hold(800)
-	if b.Route("", "a", "k").Room() || !b.Route("", "c", "k").Room() {
+	b.Route("", "a", "k").AddHeldBytes(800)
+	if b.Route("", "a", "k").HasCapacity() || !b.Route("", "c", "k").HasCapacity() {
 		t.Error("a team that holds much is let on, or another is not")
 	}
-	b.Route("", "a", "k").Hold(-800)
+	b.Route("", "a", "k").AddHeldBytes(-800)
 	n := 0
-	for b.Door("127.0.0.1:1") {
+	for b.AdmitConnection("127.0.0.1:1") {
 		n++
 	}
-	if n != 6 || !b.Door("127.0.0.1:2") || !b.Door("127.0.0.1:2") || b.Door("127.0.0.1:2") || b.Door("127.0.0.1:9") {
+	if n != 6 || !b.AdmitConnection("127.0.0.1:2") || !b.AdmitConnection("127.0.0.1:2") || b.AdmitConnection("127.0.0.1:2") || b.AdmitConnection("127.0.0.1:9") {
 		t.Errorf("one team's clients have %d of 8 connections", n)
 	}
-	b.Gone("127.0.0.1:1")
-	if !b.Door("127.0.0.1:2") {
+	b.ReleaseConnection("127.0.0.1:1")
+	if !b.AdmitConnection("127.0.0.1:2") {
 		t.Error("a connection that has gone left no place")
 	}
 }
@@ -147,7 +147,7 @@
 	}
 	c, _ := b.ask("a", "k")
 	open = append(open, c)
-	if stop, _ := b.Route("", "a", "k").HardStop("view"); stop != 2 {
+	if stop, _ := b.Route("", "a", "k").MaxDeadline("view"); stop != 2 {
 		t.Errorf("its hard stop is %v", stop)
 	}
 	b.Configure(pools, nil, UnmatchedToPlatform)
@@ -167,7 +167,7 @@
 	b, o, _ := serving(t, ample, terms("a", "own", 2))
 	c := &client{}
 	r := b.Route("", "a", "k")
-	core, id := r.Take(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
+	core, id := r.Submit(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
 	core.OnClientGone(id)
 	if s := b.state("a"); s.Disconnected != 1 || s.OpenRequests != 1 {
 		t.Errorf("while its execution is out it stands at %+v", s)
--- a/internal/broker/golden_test.go
+++ b/internal/broker/golden_test.go
@@ -75,13 +75,13 @@
 			lines = append(lines, fmt.Sprintf("%q %q %q: nobody's", listener, tenant, key))
 			return
 		}
-		stop, known := r.HardStop(kind)
+		stop, known := r.MaxDeadline(kind)
 		line := fmt.Sprintf("%q %q %q %s: hard stop %v %t", listener, tenant, key, kind, stop, known)
 		if !known {
 			lines = append(lines, line)
 			return
 		}
-		if !r.Room() {
+		if !r.HasCapacity() {
 			lines = append(lines, line+", no room")
 			return
 		}
@@ -113,11 +113,11 @@
 		}
 	}
 	for _, listener := range []string{"127.0.0.1:1", "127.0.0.1:1", "", "127.0.0.1:9", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"} {
-		lines = append(lines, fmt.Sprintf("connection at %q: %t", listener, b.Door(listener)))
+		lines = append(lines, fmt.Sprintf("connection at %q: %t", listener, b.AdmitConnection(listener)))
 	}
-	b.Gone("127.0.0.1:1")
-	b.Gone("")
-	lines = append(lines, fmt.Sprintf("one went: %t", b.Door("127.0.0.1:1")))
+	b.ReleaseConnection("127.0.0.1:1")
+	b.ReleaseConnection("")
+	lines = append(lines, fmt.Sprintf("one went: %t", b.AdmitConnection("127.0.0.1:1")))
 	b.Configure(pools, []TeamTerms{terms("a", "", 1), {Quota: quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1}, Pool: "own", Prefix: "lab:",
 		TrafficClasses: goldenTerms()[1].TrafficClasses}}, UnmatchedRejected)
 	show()
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -82,10 +82,10 @@
 func (b *Broker) ask(tenant, key string) (*client, bool) {
 	c := &client{}
 	r := b.Route("", tenant, key)
-	if r == nil || !r.Room() {
+	if r == nil || !r.HasCapacity() {
 		return c, false
 	}
-	r.Take(&requestcore.Request{Class: "view", Tenant: tenant, Key: key, TimeLeft: 3}, c)
+	r.Submit(&requestcore.Request{Class: "view", Tenant: tenant, Key: key, TimeLeft: 3}, c)
 	return c, true
 }
 
@@ -103,6 +103,6 @@
 // goldenTake hands an operation over and gives its client.
 func goldenTake(r requestcore.Route, kind, tenant, key string) *client {
 	c := &client{}
-	r.Take(&requestcore.Request{Class: kind, Tenant: tenant, Key: key, TimeLeft: 3}, c)
+	r.Submit(&requestcore.Request{Class: kind, Tenant: tenant, Key: key, TimeLeft: 3}, c)
 	return c
 }
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -1,4 +1,3 @@
-// Package config is the one place where a router's configuration is read, checked and given defaults.
 package config
 
 import (
@@ -6,41 +5,67 @@
 	"fmt"
 	"net/netip"
 	"os"
-	"reflect"
-	"slices"
 	"strconv"
 	"strings"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/configerror"
 	"bendtrestle/internal/discovery"
 	"bendtrestle/internal/settings"
 )
 
-// Config is all that a router is told.
+const (
+	defaultCores       = 1
+	defaultMemoryMB    = 192
+	defaultDescriptors = 1024
+	minMemoryMB        = 32
+	minDescriptors     = 64
+
+	nanoseconds                  = 1e9 // of a second; the file's unit of time
+	defaultConnectTimeout        = 1.0 // seconds
+	defaultIdleTimeout           = 60.0
+	defaultDrainGrace            = 0.5
+	defaultAttemptsPerConnection = 1
+)
+
+// Config is all that a router is configured with. Times are in seconds.
 type Config struct {
-	Name, Listen, Discovery string
-	Cores                   float64
-	Memory, Sockets         int // bytes, descriptors
-	PeerListen, PeersAll    string
-	Ops                     string // the operators' door; empty: none
-	Shared                  string // a folder that the next process of this router sees, too; empty: none
-	Peers                   []string
-	Known                   discovery.EndpointList
-	Settings                balancer.Settings
-	Reports                 Reports // of load; the platform's protocol carries none with answers
-	ConnectTimeout          float64
-	ConnIdle                float64
-	PerConnection           int
-	DrainGrace              float64 // seconds after a drain is told in which servers may still be sent to
-	OpenCap                 int     // operations that the settings allow, 0: any number
+	Name         string
+	Listen       string // where clients connect
+	Discovery    string // the list service
+	AdminListen  string // of the admin server; empty: there is none
+	SharedFolder string // that the next process of this router sees, too; empty: there is none
+	PeerListen   string // where other routers' gossip comes in; empty: nowhere
+	PeersAll     string // an address that reaches all other routers; empty: there is none
+	Peers        []string
+
+	Cores       float64
+	MemoryBytes int
+	Descriptors int
+
+	Known                 discovery.EndpointList // the endpoint list to begin with
+	Settings              balancer.Settings
+	LoadReports           LoadReports // the platform's protocol carries none with answers
+	ConnectTimeout        float64     // for a connection to a cache server to come up
+	IdleTimeout           float64     // after which cache servers close an idle connection
+	AttemptsPerConnection int         // to a cache server, at once
+	DrainGrace            float64     // after a server's drain was announced, in which it may still be sent requests
+	OpenRequestsCap       int         // that the settings allow; 0: any number
 
 	// What follows from the limits.
-	Clients, Spare, Caches, Connections, Open, Held int
-	OpsPlaces                                       int // callers at the operators' door at once
-	apart                                           int // descriptors for what the operators' file names
+	ClientConnections   int
+	RejectConnections   int // of clients beyond those, to tell them so
+	UpstreamConnections int
+	MaxConnections      int // all, with those that are closed and not released yet
+	OpenRequests        int
+	HeldBytes           int // of clients' values in memory
+	AdminConnections    int // to the admin server, at once
+
+	reservedDescriptors int // for what the operators' file names
 }
 
-// Read reads the file that GW_CONFIG names. What the file lacks may come from the variables beside it.
+// Read reads the file that GW_CONFIG names. What the file lacks may come from the variables beside it. The error tells
+// all faults, a configerror.FieldError and a line each.
 func Read(env func(string) string) (Config, error) {
 	path := env("GW_CONFIG")
 	if path == "" {
@@ -51,195 +76,153 @@
 		return Config{}, fmt.Errorf("GW_CONFIG: %w", err)
 	}
 	c, faults := parse(text, env)
-	return c, located(path, text, faults)
+	return c, locate(faults, path, text)
 }
 
-// located tells all faults, a line each, with the file and the line where each key stands, or the line of what should
-// hold it.
-func located(path string, text []byte, faults []settings.Fault) error {
+// locate returns the faults as one error, with the file, and the line where each key stands or where what should hold
+// it does.
+func locate(faults []settings.Fault, path string, text []byte) error {
 	if len(faults) == 0 {
 		return nil
 	}
-	lines, all := settings.Lines(text), []error(nil)
-	for _, f := range faults {
-		at := f.Path
+	lines := settings.Lines(text)
+	var all []error
+	for _, fault := range faults {
+		at := fault.Path
 		for at != "" && lines[at] == 0 {
 			at = at[:strings.LastIndexByte(at, '/')]
 		}
-		if line := lines[at]; line > 0 {
-			all = append(all, fmt.Errorf("%s:%d: %s", path, line, f.Text))
-		} else {
-			all = append(all, fmt.Errorf("%s: %s", path, f.Text))
-		}
+		located := fault.FieldError
+		located.File = path
+		located.Line = lines[at]
+		all = append(all, &located)
 	}
 	return errors.Join(all...)
 }
 
-// Parse reads a configuration; the error tells all faults, a line each.
+// Parse reads a configuration. The error has all faults, a configerror.FieldError and a line each, without their
+// lines in the text.
 func Parse(text []byte, env func(string) string) (Config, error) {
 	c, faults := parse(text, env)
 	var all []error
-	for _, f := range faults {
-		all = append(all, errors.New(f.Text))
+	for i := range faults {
+		all = append(all, &faults[i].FieldError)
 	}
 	return c, errors.Join(all...)
 }
 
+// parse reads a configuration. Fields are read in the order in which their faults are reported.
 func parse(text []byte, env func(string) string) (Config, []settings.Fault) {
-	o, err := settings.Parse(text, "configuration")
+	object, err := settings.Parse(text, "configuration")
 	if err != nil {
-		return Config{}, []settings.Fault{{Text: err.Error()}}
-	}
-	told := func(key, variable string) string {
-		if text := o.Text(key); text != "" {
-			return text
-		}
-		return env(variable)
-	}
-	c := Config{Name: told("name", "GW_NAME"), Listen: told("listen", "GW_LISTEN"),
-		Discovery: told("discovery", "GW_DISCOVERY"), PeerListen: o.Text("peer_listen"), PeersAll: o.Text("peers_all"),
-		Peers: o.Texts("peers"), Ops: told("ops", "GW_OPS"), Shared: env("TMPDIR")}
-	address(o, "listen", c.Listen, true)
-	address(o, "discovery", c.Discovery, true)
-	address(o, "peer_listen", c.PeerListen, false)
-	address(o, "peers_all", c.PeersAll, false)
-	address(o, "ops", c.Ops, false)
-	for _, peer := range c.Peers {
-		address(o, "peers", peer, true)
-	}
-	limits := o.Part("limits")
-	c.Cores = positive(limits, "cores", 1)
-	c.Memory = int(positive(limits, "memory_mb", 192)) << 20 // the limits of the scored days
-	c.Sockets = int(positive(limits, "sockets", 1024))
-	if c.Memory < 32<<20 {
-		limits.Fault("memory_mb", "below 32")
+		return Config{}, []settings.Fault{{FieldError: configerror.FieldError{Problem: err.Error()}}}
 	}
-	if c.Sockets < 64 {
-		limits.Fault("sockets", "below 64")
+	var c Config
+	c.readAddresses(object, env)
+	c.readLimits(object.Part("limits"))
+	if !object.Absent("known") {
+		c.Known = discovery.FromObject(object.Sub("known"))
 	}
-	if !o.Absent("known") {
-		c.Known = discovery.FromObject(o.Sub("known"))
-	}
-	set := o.Sub("settings")
+	set := object.Sub("settings")
 	c.Settings = set.Settings()
 	if len(c.Settings.TrafficClasses) == 0 {
 		set.Fault("trafficTypes", "none")
 	}
-	c.Settings.Seed = seed(o)
-	shape(o, set, &c)
-	bounds := set.Part("limits")
-	c.ConnectTimeout = positive(bounds, "connectTimeout", 1e9) / 1e9
-	if c.DrainGrace = 0.5; !set.Part("rules").Absent("drainGrace") { // 0 is a grace, too: none
-		c.DrainGrace = set.Part("rules").Seconds("drainGrace")
-	}
-	c.ConnIdle = positive(bounds, "connIdle", 60e9) / 1e9
-	c.PerConnection = max(1, int(positive(bounds, "streamsPerConn", 1)))
-	c.OpenCap = int(bounds.Count("openCap"))
-	c.derive()
-	return c, o.Faults()
+	c.Settings.Seed = readSeed(object)
+	c.readDeployment(object, set)
+	c.readConnections(set)
+	c.deriveLimits()
+	return c, object.Faults()
 }
 
-// Restart names the keys in which a configuration differs from the present one, but for those that are taken while
-// the router serves (discovery) and those that only a start uses (known, seed).
-func (c Config) Restart(next Config) (keys []string) {
-	now, then := c.Settings, next.Settings
-	then.Seed = now.Seed
-	for key, same := range map[string]bool{
-		"name": c.Name == next.Name, "listen": c.Listen == next.Listen,
-		"limits": c.Cores == next.Cores && c.Memory == next.Memory && c.Sockets == next.Sockets,
-		"ops":    c.Ops == next.Ops, "peer_listen": c.PeerListen == next.PeerListen, "peers_all": c.PeersAll == next.PeersAll,
-		"peers": slices.Equal(c.Peers, next.Peers),
-		"settings": reflect.DeepEqual(now, then) && c.ConnectTimeout == next.ConnectTimeout &&
-			reflect.DeepEqual(c.Reports, next.Reports) && c.ConnIdle == next.ConnIdle && c.DrainGrace == next.DrainGrace && c.PerConnection == next.PerConnection && c.OpenCap == next.OpenCap,
-	} {
-		if !same {
-			keys = append(keys, key)
+// readAddresses reads names and addresses; the environment has some of them where the file has not.
+func (c *Config) readAddresses(object *settings.Object, env func(string) string) {
+	textOrVariable := func(key, variable string) string {
+		text := object.Text(key)
+		if text == "" {
+			return env(variable)
 		}
+		return text
+	}
+	c.Name = textOrVariable("name", "GW_NAME")
+	c.Listen = textOrVariable("listen", "GW_LISTEN")
+	c.Discovery = textOrVariable("discovery", "GW_DISCOVERY")
+	c.PeerListen = object.Text("peer_listen")
+	c.PeersAll = object.Text("peers_all")
+	c.Peers = object.Texts("peers")
+	c.AdminListen = textOrVariable("ops", "GW_OPS")
+	c.SharedFolder = env("TMPDIR")
+	checkAddress(object, "listen", c.Listen)
+	checkAddress(object, "discovery", c.Discovery)
+	checkOptionalAddress(object, "peer_listen", c.PeerListen)
+	checkOptionalAddress(object, "peers_all", c.PeersAll)
+	checkOptionalAddress(object, "ops", c.AdminListen)
+	for _, peer := range c.Peers {
+		checkAddress(object, "peers", peer)
 	}
-	slices.Sort(keys)
-	return keys
 }
 
-// Descriptors that are nobody's but their own users', as many as there may be at most.
-const (
-	standing  = 11 // standard files 3; epoll and eventfd of the runtime, of netpoll's own poll and of the loop 6; the loop's other eventfd and timerfd
-	listening = 2  // clients, peers
-	following = 9  // a successor's socket, three that ask and one that is turned away, a copy of the clients' socket for each; the predecessor
-	PerWatch  = 14 // six calls to a list service and one that is being given up, and as many where it is moved to another
-	files     = 12 // out by hand and zones, 4 each; the store, a configuration
-	fixed     = standing + listening + following + PerWatch + files
-
-	PerListener = 4  // a team's: itself, and a copy for each successor that asks
-	mostOps     = 24 // callers at the operators' door at once: several times the dashboards and people that look at one router
-)
-
-// derive splits the limits. What is fixed, an operators' door (its socket, its places, as many more that are being answered, one that is
-// declined) and what the operators' file names have their descriptors to themselves. Of what is left, and of all but 32 and a
-// door's places, half go to clients, a sixteenth of that to clients that are declined, three eighths to caches: 29 parts of 32. The
-// rest, at most, is what is closed and not let go of yet. Values are bounded apart, by an eighth of the memory for clients and by the
-// connections to caches; an open operation without them holds some 4 KiB, and all may fill a sixteenth of the memory.
-func (c *Config) derive() {
-	sockets, left := c.Sockets-32, c.Sockets-fixed-c.apart
-	if c.OpsPlaces = 0; c.Ops != "" {
-		c.OpsPlaces = min(mostOps, max(1, (c.Sockets-fixed)/8)) // the door stays as it was opened, whatever is named later
-		sockets -= mostOps + 2
-		left -= 2*c.OpsPlaces + 2
-	}
-	sockets = max(min(sockets, left*32/29), 4)
-	c.Clients = sockets / 2
-	c.Spare = max(1, c.Clients/16)
-	c.Caches = sockets * 3 / 8
-	c.Connections = max(left, c.Clients+c.Spare+c.Caches)
-	c.Open = c.Memory / 16 / (4 << 10)
-	if c.OpenCap > 0 {
-		c.Open = min(c.Open, c.OpenCap)
-	}
-	c.Held = c.Memory / 8
+func (c *Config) readLimits(limits *settings.Object) {
+	c.Cores = positive(limits, "cores", defaultCores)
+	c.MemoryBytes = int(positive(limits, "memory_mb", defaultMemoryMB)) << 20
+	c.Descriptors = int(positive(limits, "sockets", defaultDescriptors))
+	if c.MemoryBytes < minMemoryMB<<20 {
+		limits.Fault("memory_mb", fmt.Sprint("below ", minMemoryMB))
+	}
+	if c.Descriptors < minDescriptors {
+		limits.Fault("sockets", fmt.Sprint("below ", minDescriptors))
+	}
 }
 
-// Apart is the configuration with so many descriptors set apart for what the operators' file names, half of all at most; false: that
-// is not enough.
-func (c Config) Apart(descriptors int) (Config, bool) {
-	c.apart = min(descriptors, c.Sockets/2)
-	c.derive()
-	return c, c.apart == descriptors
+// readConnections reads what the settings say beside the balancer's.
+func (c *Config) readConnections(set *settings.Object) {
+	limits := set.Part("limits")
+	c.ConnectTimeout = positive(limits, "connectTimeout", defaultConnectTimeout*nanoseconds) / nanoseconds
+	c.DrainGrace = defaultDrainGrace
+	rules := set.Part("rules")
+	if !rules.Absent("drainGrace") { // 0 is a value, too: no grace
+		c.DrainGrace = rules.Seconds("drainGrace")
+	}
+	c.IdleTimeout = positive(limits, "connIdle", defaultIdleTimeout*nanoseconds) / nanoseconds
+	c.AttemptsPerConnection = max(1, int(positive(limits, "streamsPerConn", defaultAttemptsPerConnection)))
+	c.OpenRequestsCap = int(limits.Count("openCap"))
 }
 
-// Half is the configuration of one of two processes of a router that run side by side: limits are for both.
-func (c Config) Half() Config {
-	c.Sockets /= 2
-	c.Memory /= 2
-	c.derive()
-	return c
+func checkAddress(object *settings.Object, key, text string) {
+	_, err := netip.ParseAddrPort(text)
+	if err != nil {
+		object.Want(key, "an address and a port")
+	}
 }
 
-func address(o *settings.Object, key, text string, needed bool) {
-	if _, err := netip.ParseAddrPort(text); err != nil && (needed || text != "") {
-		o.Fault(key, "not an address and a port")
+func checkOptionalAddress(object *settings.Object, key, text string) {
+	if text != "" {
+		checkAddress(object, key, text)
 	}
 }
 
-func positive(o *settings.Object, key string, usual float64) float64 {
-	if o.Absent(key) {
+// positive reads a number above 0; absent it is the usual one.
+func positive(object *settings.Object, key string, usual float64) float64 {
+	if object.Absent(key) {
 		return usual
 	}
-	x := o.Number(key)
-	if !(x > 0) {
-		o.Fault(key, "not above 0")
+	number := object.Number(key)
+	if !(number > 0) { // also for NaN
+		object.Want(key, "above 0")
 		return usual
 	}
-	return x
+	return number
 }
 
-// seed reads the random numbers' seed, in hexadecimal digits.
-func seed(o *settings.Object) uint32 {
-	text := o.Text("seed")
+// readSeed reads the seed of random numbers, in hexadecimal digits; absent it is the process's number.
+func readSeed(object *settings.Object) uint32 {
+	text := object.Text("seed")
 	if text == "" {
 		return uint32(os.Getpid())
 	}
-	x, err := strconv.ParseUint(text, 16, 64)
+	seed, err := strconv.ParseUint(text, 16, 64)
 	if err != nil {
-		o.Fault("seed", "not up to 16 hexadecimal digits")
+		object.Want("seed", "up to 16 hexadecimal digits")
 	}
-	return uint32(x>>32) ^ uint32(x)
+	return uint32(seed>>32) ^ uint32(seed)
 }
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -1,11 +1,14 @@
 package config
 
 import (
+	"errors"
 	"os"
+	"path/filepath"
 	"strings"
 	"testing"
 
 	"bendtrestle/balancer"
+	"bendtrestle/internal/configerror"
 )
 
 const whole = `{"name":"n3","listen":"127.0.0.4:11211","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
@@ -25,46 +28,68 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n3" || c.Cores != 2.5 || c.Memory != 64<<20 || c.Sockets != 512 || c.Discovery != "127.2.0.1:8500" {
+	if c.Name != "n3" || c.Cores != 2.5 || c.MemoryBytes != 64<<20 || c.Descriptors != 512 ||
+		c.Discovery != "127.2.0.1:8500" {
 		t.Errorf("read %+v", c)
 	}
-	if c.ConnIdle != 30 || c.ConnectTimeout != 0.075 || c.PerConnection != 100 || c.Settings.RouterIndex != 2 ||
+	if c.IdleTimeout != 30 || c.ConnectTimeout != 0.075 || c.AttemptsPerConnection != 100 || c.Settings.RouterIndex != 2 ||
 		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.Known.Instances) != 1 || c.Known.Generation != 41 {
 		t.Errorf("read %+v", c)
 	}
-	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.Open != 33 {
+	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.OpenRequests != 33 {
 		t.Errorf("derived %+v", c)
 	}
 }
 
-// Few descriptors must do as well, for all that may be open at once, whatever the operators' file names: so they must for each of two
-// processes.
+// The parts stay within the descriptors, however few there are, whatever the operators' file names, with and without
+// an admin server, and in each of two processes of a router.
 func TestDescriptorsAreEnough(t *testing.T) {
-	for _, ops := range []string{"", "127.0.0.1:9180"} {
-		for _, apart := range []int{0, PerWatch, 5*PerListener + PerWatch, 10000} {
-			for c := (Config{Sockets: 64, Memory: 64 << 20, Ops: ops}); c.Sockets < 5000; c.Sockets++ {
-				c, enough := c.Apart(apart)
-				half, _ := Config{Sockets: 2 * c.Sockets, Memory: 2 * c.Memory, Ops: ops}.Apart(apart)
-				half = half.Half()
-				door := 0
-				if ops != "" {
-					door = 2 + 2*c.OpsPlaces
-				}
-				all := fixed + min(apart, c.Sockets/2) + door + c.Connections
-				if c.Clients < 1 || c.Caches < 1 || ops != "" && c.OpsPlaces < 1 || c.Clients+c.Spare+c.Caches > c.Connections ||
-					all > c.Sockets && (apart == 0 || c.Sockets >= 256) || half.Held != c.Held || apart == 0 && half.Clients != c.Clients || enough != (apart <= c.Sockets/2) {
-					t.Errorf("of %d: %d in all, %d for clients, %d to decline, %d for caches, %d at the door", c.Sockets, all, c.Clients, c.Spare, c.Caches, c.OpsPlaces)
-				}
+	for _, adminListen := range []string{"", "127.0.0.1:9180"} {
+		for _, reserved := range []int{0, DescriptorsPerWatch, 5*DescriptorsPerListener + DescriptorsPerWatch, 10000} {
+			for descriptors := 64; descriptors < 5000; descriptors++ {
+				checkDescriptors(t, adminListen, reserved, descriptors)
 			}
 		}
 	}
 }
 
-// The least memory must do for the operations that a second of four times the usual load has open.
+func checkDescriptors(t *testing.T, adminListen string, reserved, descriptors int) {
+	t.Helper()
+	const memory = 64 << 20
+	c, enough := Config{Descriptors: descriptors, MemoryBytes: memory, AdminListen: adminListen}.WithReserved(reserved)
+	both := Config{Descriptors: 2 * descriptors, MemoryBytes: 2 * memory, AdminListen: adminListen}
+	both, _ = both.WithReserved(reserved)
+	half := both.Half()
+	admin := 0
+	if adminListen != "" {
+		admin = 2 + 2*c.AdminConnections
+	}
+	all := fixedDescriptors + min(reserved, descriptors/2) + admin + c.MaxConnections
+	parts := c.ClientConnections + c.RejectConnections + c.UpstreamConnections
+	for name, wrong := range map[string]bool{
+		"a part is empty":            c.ClientConnections < 1 || c.UpstreamConnections < 1,
+		"no admin connection":        adminListen != "" && c.AdminConnections < 1,
+		"the parts exceed all":       parts > c.MaxConnections,
+		"all exceed the descriptors": all > descriptors && (reserved == 0 || descriptors >= 256),
+		"half holds another number":  half.HeldBytes != c.HeldBytes,
+		"half has another part":      reserved == 0 && half.ClientConnections != c.ClientConnections,
+		"enough is told wrongly":     enough != (reserved <= descriptors/2),
+	} {
+		if wrong {
+			t.Errorf("%s: of %d, %d reserved: %d in all, %d for clients, %d to reject, %d for cache servers, "+
+				"%d for the admin server", name, descriptors, reserved, all, c.ClientConnections, c.RejectConnections,
+				c.UpstreamConnections, c.AdminConnections)
+		}
+	}
+}
+
+// The least memory must do for the requests that a second of four times the usual load has open.
 func TestLeastMemoryHoldsTheLoad(t *testing.T) {
-	c := Config{Sockets: 256, Memory: 32 << 20}
-	if c.derive(); c.Open < 320 || c.Open*4<<10+c.Held+c.Caches*64<<10 > c.Memory/2 {
-		t.Errorf("%d operations may be open, %d bytes held, %d connections to caches", c.Open, c.Held, c.Caches)
+	c := Config{Descriptors: 256, MemoryBytes: 32 << 20}
+	c.deriveLimits()
+	if c.OpenRequests < 320 || c.OpenRequests*4<<10+c.HeldBytes+c.UpstreamConnections*64<<10 > c.MemoryBytes/2 {
+		t.Errorf("%d requests may be open, %d bytes held, %d connections to cache servers",
+			c.OpenRequests, c.HeldBytes, c.UpstreamConnections)
 	}
 }
 
@@ -73,15 +98,19 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if c.Name != "n9" || c.Discovery != "127.2.0.9:8500" || c.Cores != 1 || c.Memory != 192<<20 || c.Sockets != 1024 ||
-		c.ConnIdle != 60 || c.ConnectTimeout != 1 || c.PerConnection != 1 || c.Open < 1 {
+	if c.Name != "n9" || c.Discovery != "127.2.0.9:8500" || c.Cores != 1 || c.MemoryBytes != 192<<20 ||
+		c.Descriptors != 1024 || c.IdleTimeout != 60 || c.ConnectTimeout != 1 || c.AttemptsPerConnection != 1 ||
+		c.OpenRequests < 1 {
 		t.Errorf("read %+v", c)
 	}
 }
 
 // Both shapes of a deployment are whole configurations.
 func TestExamples(t *testing.T) {
-	for file, want := range map[string]balancer.WeightMode{"config.json": balancer.WeightsStatic, "config-live.json": balancer.WeightsLive} {
+	for file, want := range map[string]balancer.WeightMode{
+		"config.json":      balancer.WeightsStatic,
+		"config-live.json": balancer.WeightsLive,
+	} {
 		text, err := os.ReadFile("../../examples/" + file)
 		if err != nil {
 			t.Fatal(err)
@@ -92,6 +121,24 @@
 	}
 }
 
+// Each fault is a FieldError with the key's line, also one of a key that is not there.
+func TestFaultsAreFieldErrors(t *testing.T) {
+	path := filepath.Join(t.TempDir(), "config.json")
+	text := strings.Replace(whole, `"cores":2.5`, `"cores":0`, 1)
+	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
+		t.Fatal(err)
+	}
+	_, err := Read(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] })
+	var fault *configerror.FieldError
+	if !errors.As(err, &fault) {
+		t.Fatalf("got %v", err)
+	}
+	want := configerror.FieldError{File: path, Line: 2, Key: "limits: cores", Want: "above 0"}
+	if *fault != want {
+		t.Errorf("got %+v, want %+v", *fault, want)
+	}
+}
+
 // A message names the faulty key.
 func TestFaults(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
@@ -108,17 +155,25 @@
 		{`"settings"`, `"setting"`, "settings: not an object"},
 		{`"hardStop":750000000`, `"hardStop":"soon"`, "settings: trafficTypes: hardStop: not a number"},
 		{`"hardStop":750000000`, `"hardStop":750000000,"runsIn":[]`, "settings: trafficTypes: runsIn: names nothing"},
-		{`"hardStop":750000000`, `"hardStop":750000000,"allowedOn":[7]`, "settings: trafficTypes: allowedOn: holds what is not a text"},
+		{`"hardStop":750000000`, `"hardStop":750000000,"allowedOn":[7]`,
+			"settings: trafficTypes: allowedOn: holds what is not a text"},
 		{`"trafficTypes":[{"name":"t","hardStop":750000000}]`, `"trafficTypes":[]`, "settings: trafficTypes: none"},
-		{`"settings":{`, `"settings":{"familyInfo":{"mode":"aside"},`, `settings: familyInfo: mode: "aside" is none of through`},
+		{`"settings":{`, `"settings":{"familyInfo":{"mode":"aside"},`,
+			`settings: familyInfo: mode: "aside" is none of through`},
 		{`"settings":{`, `"settings":{"weights":"heavy",`, `settings: weights: "heavy" is none of off, nominal, rough, live`},
 		{`"settings":{`, `"settings":{"discovery":"asked",`, `settings: discovery: "asked" is none of pushed, on_request`},
-		{`"settings":{`, `"settings":{"loadInfo":{"how":"often"},`, `settings: loadInfo: how: "often" is none of off, inline, on_probe`},
-		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline"},`, `settings: loadInfo: names: 0 of them, but how is "inline"`},
-		{`"settings":{`, `"settings":{"loadInfo":{"names":["depth"]},`, `settings: loadInfo: names: ["depth"], but how is "off"`},
-		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline","names":["qqs"]},`, `settings: loadInfo: names: "qqs" is none of concurrent`},
-		{`"settings":{`, `"settings":{"loadInfo":{"how":"on_probe","names":["depth"]},`, `settings: loadInfo: how: "on_probe", but settings.limits.probes is false`},
-		{`"limits":{"connIdle"`, `"weights":"live","limits":{"peers":true,"connIdle"`, `settings: limits: peers: true, but settings.weights is "live"`},
+		{`"settings":{`, `"settings":{"loadInfo":{"how":"often"},`,
+			`settings: loadInfo: how: "often" is none of off, inline, on_probe`},
+		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline"},`,
+			`settings: loadInfo: names: 0 of them, but how is "inline"`},
+		{`"settings":{`, `"settings":{"loadInfo":{"names":["depth"]},`,
+			`settings: loadInfo: names: ["depth"], but how is "off"`},
+		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline","names":["qqs"]},`,
+			`settings: loadInfo: names: "qqs" is none of concurrent`},
+		{`"settings":{`, `"settings":{"loadInfo":{"how":"on_probe","names":["depth"]},`,
+			`settings: loadInfo: how: "on_probe", but settings.limits.probes is false`},
+		{`"limits":{"connIdle"`, `"weights":"live","limits":{"peers":true,"connIdle"`,
+			`settings: limits: peers: true, but settings.weights is "live"`},
 		{`"limits":{"connIdle"`, `"limits":{"peers":false,"connIdle"`, `peers`},
 		{`"connectTimeout":75000000`, `"connectTimeout":-1`, "settings: limits: connectTimeout: not above 0"},
 	} {
@@ -146,7 +201,7 @@
 		{`127.0.0.4`, `127.0.0.5`, "listen peer_listen"},
 	} {
 		next, err := Parse([]byte(strings.ReplaceAll(whole, c.old, c.new)), env)
-		if got := strings.Join(now.Restart(next), " "); err != nil || got != c.want {
+		if got := strings.Join(now.RestartKeys(next), " "); err != nil || got != c.want {
 			t.Errorf("%s: a restart is needed for %q, want %q, %v", c.new, got, c.want, err)
 		}
 	}
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -5,15 +5,34 @@
 	"fmt"
 	"os"
 	"strconv"
+	"strings"
 
+	"bendtrestle/balancer"
 	"bendtrestle/internal/settings"
 )
 
-// Setting is one value in effect, and where it comes from.
-type Setting struct{ Key, Value, From string }
+// Setting is one value in effect, as `bendtrestle check` prints it.
+type Setting struct {
+	Key    string
+	Value  string
+	Source string // file and line, a variable, or that it is a default or follows from others
+}
+
+// Words that operators know the balancer's constants by.
+var (
+	weightModeWords  = [...]string{"say nothing", "sizes", "sizes less what is held"}
+	idempotencyWords = [...]string{"at-most-once", "numbered", "reissuable"}
+)
 
-// Describe reads the file that GW_CONFIG names as Read does, and gives all that is in effect: what the file says, what
-// a variable says in its place, the defaults, and the bounds that follow.
+const (
+	byDefault         = "default"
+	none              = "none"
+	noBound           = "no bound"
+	followsFromLimits = "follows from limits"
+)
+
+// Describe reads the file that GW_CONFIG names as Read does, and returns all that is in effect: what the file says,
+// what a variable says in its place, the defaults, and the bounds that follow.
 func Describe(env func(string) string) ([]Setting, error) {
 	c, err := Read(env)
 	if err != nil {
@@ -24,67 +43,99 @@
 	if err != nil {
 		return nil, fmt.Errorf("GW_CONFIG: %w", err)
 	}
-	lines := settings.Lines(text)
-	var all []Setting
-	say := func(key, at, otherwise, format string, value ...any) {
-		from := otherwise
-		if line := lines[at]; at != "" && line > 0 {
-			from = path + ":" + strconv.Itoa(line)
-		}
-		all = append(all, Setting{key, fmt.Sprintf(format, value...), from})
+	d := &description{path: path, lines: settings.Lines(text)}
+	d.addAddresses(c)
+	d.addBalancer(c.Settings, c.LoadReports)
+	d.addConnections(c)
+	d.addRules(c)
+	d.addClasses(c.Settings)
+	d.addDerived(c)
+	return d.all, nil
+}
+
+// description collects what is in effect.
+type description struct {
+	path  string
+	lines map[string]int // of the file's keys
+	all   []Setting
+}
+
+// add describes a value. Its source is the line of the key at this path of the file, if there is one.
+func (d *description) add(key, keyPath, otherwise, format string, values ...any) {
+	source := otherwise
+	line := d.lines[keyPath]
+	if keyPath != "" && line > 0 {
+		source = d.path + ":" + strconv.Itoa(line)
 	}
-	say("name", "/name", "GW_NAME", "%s", c.Name)
-	say("listen", "/listen", "GW_LISTEN", "%s", c.Listen)
-	say("discovery", "/discovery", "GW_DISCOVERY", "%s", c.Discovery)
-	say("ops", "/ops", "GW_OPS", "%s", orNone(c.Ops))
-	say("shared folder", "", "TMPDIR", "%s", orNone(c.Shared))
-	say("limits.cores", "/limits/cores", "default", "%v", c.Cores)
-	say("limits.memory_mb", "/limits/memory_mb", "default", "%d", c.Memory>>20)
-	say("limits.sockets", "/limits/sockets", "default", "%d", c.Sockets)
-	say("peer_listen", "/peer_listen", "none", "%s", orNone(c.PeerListen))
-	say("peers", "/peers", "none", "%d", len(c.Peers))
-	say("peers_all", "/peers_all", "none", "%s", orNone(c.PeersAll))
-	say("known", "/known", "none", "%d servers, generation %d", len(c.Known.Instances), c.Known.Generation)
-	say("seed", "/seed", "the process's number", "%08x", c.Settings.Seed)
-	s, limits, rules := c.Settings, "/settings/limits/", "/settings/rules/"
-	say("settings.fleetSize", "/settings/fleetSize", "default", "%d", s.RouterCount)
-	say("settings.weights", "/settings/weights", "default", "%s", [...]string{"say nothing", "sizes", "sizes less what is held"}[s.WeightMode])
-	say("settings.loadInfo", "/settings/loadInfo", "default", "%v", c.Reports)
-	say("settings.familyInfo.ordered", "/settings/familyInfo/ordered", "default", "%v", s.OrderedConnections)
-	say("settings.limits.connectTimeout", limits+"connectTimeout", "default", "%v s", c.ConnectTimeout)
-	say("settings.limits.connIdle", limits+"connIdle", "default", "%v s", c.ConnIdle)
-	say("settings.limits.streamsPerConn", limits+"streamsPerConn", "default", "%d", c.PerConnection)
-	say("settings.limits.mostExecutions", limits+"mostExecutions", "any number", "%d", s.MaxAttempts)
-	say("settings.limits.secondCopies", limits+"secondCopies", "default", "%v", s.HedgingAllowed)
-	say("settings.limits.cancelling", limits+"cancelling", "default", "%v", s.CancellationAllowed)
-	say("settings.limits.probes", limits+"probes", "default", "%v", s.ProbesAllowed)
-	say("settings.limits.peers", limits+"peers", "default", "%v", s.GossipAllowed)
-	say("settings.limits.maxRetryAfter", limits+"maxRetryAfter", "not told", "%v s", s.MaxRetryAfter)
-	say("settings.rules.drainGrace", rules+"drainGrace", "default", "%v s", c.DrainGrace)
-	say("settings.rules.fall", rules+"fall", "no bound", "%v s", s.OverloadWindow)
-	say("settings.rules.tipMultiple", rules+"tipMultiple", "no bound", "%v", s.OverloadFactor)
-	say("settings.rules.startCapacity", rules+"startCapacity", "default", "%v", s.WarmupStartCapacity)
-	say("settings.rules.warmWithin", rules+"warmWithin", "default", "%v s", s.WarmupDuration)
-	effects := [...]string{"at-most-once", "numbered", "reissuable"}
-	for i, t := range s.TrafficClasses {
-		say("traffic type "+t.Name, fmt.Sprintf("/settings/trafficTypes/%d", i), "",
-			"%s, promised time %v s, hard stop %v s, benefit %v, %s", effects[t.Idempotency], t.LatencyObjective, t.Deadline, t.PriorityWeight,
-			cmp.Or(t.PlacementRules(), "anywhere"))
+	d.all = append(d.all, Setting{Key: key, Value: fmt.Sprintf(format, values...), Source: source})
+}
+
+// addSetting describes a value of the platform's settings, by its key among them.
+func (d *description) addSetting(key, otherwise, format string, values ...any) {
+	path := "/settings/" + strings.ReplaceAll(key, ".", "/")
+	d.add("settings."+key, path, otherwise, format, values...)
+}
+
+func (d *description) addAddresses(c Config) {
+	d.add("name", "/name", "GW_NAME", "%s", c.Name)
+	d.add("listen", "/listen", "GW_LISTEN", "%s", c.Listen)
+	d.add("discovery", "/discovery", "GW_DISCOVERY", "%s", c.Discovery)
+	d.add("ops", "/ops", "GW_OPS", "%s", cmp.Or(c.AdminListen, none))
+	d.add("shared folder", "", "TMPDIR", "%s", cmp.Or(c.SharedFolder, none))
+	d.add("limits.cores", "/limits/cores", byDefault, "%v", c.Cores)
+	d.add("limits.memory_mb", "/limits/memory_mb", byDefault, "%d", c.MemoryBytes>>20)
+	d.add("limits.sockets", "/limits/sockets", byDefault, "%d", c.Descriptors)
+	d.add("peer_listen", "/peer_listen", none, "%s", cmp.Or(c.PeerListen, none))
+	d.add("peers", "/peers", none, "%d", len(c.Peers))
+	d.add("peers_all", "/peers_all", none, "%s", cmp.Or(c.PeersAll, none))
+	d.add("known", "/known", none, "%d servers, generation %d", len(c.Known.Instances), c.Known.Generation)
+	d.add("seed", "/seed", "the process's number", "%08x", c.Settings.Seed)
+}
+
+func (d *description) addBalancer(s balancer.Settings, reports LoadReports) {
+	d.addSetting("fleetSize", byDefault, "%d", s.RouterCount)
+	d.addSetting("weights", byDefault, "%s", weightModeWords[s.WeightMode])
+	d.addSetting("loadInfo", byDefault, "%v", reports)
+	d.addSetting("familyInfo.ordered", byDefault, "%v", s.OrderedConnections)
+}
+
+func (d *description) addConnections(c Config) {
+	s := c.Settings
+	d.addSetting("limits.connectTimeout", byDefault, "%v s", c.ConnectTimeout)
+	d.addSetting("limits.connIdle", byDefault, "%v s", c.IdleTimeout)
+	d.addSetting("limits.streamsPerConn", byDefault, "%d", c.AttemptsPerConnection)
+	d.addSetting("limits.mostExecutions", "any number", "%d", s.MaxAttempts)
+	d.addSetting("limits.secondCopies", byDefault, "%v", s.HedgingAllowed)
+	d.addSetting("limits.cancelling", byDefault, "%v", s.CancellationAllowed)
+	d.addSetting("limits.probes", byDefault, "%v", s.ProbesAllowed)
+	d.addSetting("limits.peers", byDefault, "%v", s.GossipAllowed)
+	d.addSetting("limits.maxRetryAfter", "not told", "%v s", s.MaxRetryAfter)
+}
+
+func (d *description) addRules(c Config) {
+	s := c.Settings
+	d.addSetting("rules.drainGrace", byDefault, "%v s", c.DrainGrace)
+	d.addSetting("rules.fall", noBound, "%v s", s.OverloadWindow)
+	d.addSetting("rules.tipMultiple", noBound, "%v", s.OverloadFactor)
+	d.addSetting("rules.startCapacity", byDefault, "%v", s.WarmupStartCapacity)
+	d.addSetting("rules.warmWithin", byDefault, "%v s", s.WarmupDuration)
+}
+
+func (d *description) addClasses(s balancer.Settings) {
+	for i, class := range s.TrafficClasses {
+		d.add("traffic type "+class.Name, fmt.Sprintf("/settings/trafficTypes/%d", i), "",
+			"%s, promised time %v s, hard stop %v s, benefit %v, %s", idempotencyWords[class.Idempotency],
+			class.LatencyObjective, class.Deadline, class.PriorityWeight, cmp.Or(class.PlacementRules(), "anywhere"))
 	}
-	for i, t := range s.Tenants {
-		say("tenant "+t.Name, fmt.Sprintf("/settings/tenants/%d", i), "", "%v operations a second over all routers", t.Quota)
+	for i, tenant := range s.Tenants {
+		d.add("tenant "+tenant.Name, fmt.Sprintf("/settings/tenants/%d", i), "",
+			"%v operations a second over all routers", tenant.Quota)
 	}
-	follows := "follows from limits"
-	say("clients' connections", "", follows, "%d, and %d to decline", c.Clients, c.Spare)
-	say("connections to caches", "", follows, "%d", c.Caches)
-	say("open operations", "", follows, "%d", c.Open)
-	say("values held", "", follows, "%d bytes", c.Held)
-	return all, nil
 }
 
-func orNone(text string) string {
-	if text == "" {
-		return "none"
-	}
-	return text
+func (d *description) addDerived(c Config) {
+	d.add("clients' connections", "", followsFromLimits, "%d, and %d to decline", c.ClientConnections, c.RejectConnections)
+	d.add("connections to caches", "", followsFromLimits, "%d", c.UpstreamConnections)
+	d.add("open operations", "", followsFromLimits, "%d", c.OpenRequests)
+	d.add("values held", "", followsFromLimits, "%d bytes", c.HeldBytes)
 }
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -111,7 +111,7 @@
 	}
 	for _, path := range []string{"", filepath.Join(directory, "none.json")} {
 		_, err := Read(func(name string) string { return map[string]string{"GW_CONFIG": path}[name] })
-		all += "=== " + strings.ReplaceAll(path, directory, "DIR") + "\n" + strings.ReplaceAll(err.Error(), directory, "DIR") + "\n"
+		all += strings.ReplaceAll("=== "+path+"\n"+err.Error()+"\n", directory, "DIR")
 	}
 	golden := filepath.Join("testdata", "faults.golden")
 	if *writeGolden {
--- /dev/null
+++ b/internal/config/restart.go
@@ -0,0 +1,41 @@
+package config
+
+import (
+	"reflect"
+	"slices"
+)
+
+// RestartKeys returns the keys, sorted, whose values differ in the next configuration and take effect at a restart
+// only. The list service's address takes effect while the router serves; the known list and the seed are used by a
+// start only.
+func (c Config) RestartKeys(next Config) (keys []string) {
+	for key, same := range map[string]bool{
+		"name":        c.Name == next.Name,
+		"listen":      c.Listen == next.Listen,
+		"ops":         c.AdminListen == next.AdminListen,
+		"peer_listen": c.PeerListen == next.PeerListen,
+		"peers_all":   c.PeersAll == next.PeersAll,
+		"peers":       slices.Equal(c.Peers, next.Peers),
+		"limits":      c.Cores == next.Cores && c.MemoryBytes == next.MemoryBytes && c.Descriptors == next.Descriptors,
+		"settings":    c.sameSettings(next),
+	} {
+		if !same {
+			keys = append(keys, key)
+		}
+	}
+	slices.Sort(keys)
+	return keys
+}
+
+// sameSettings compares all that the key "settings" says.
+func (c Config) sameSettings(next Config) bool {
+	settings := next.Settings
+	settings.Seed = c.Settings.Seed // of another key
+	return reflect.DeepEqual(c.Settings, settings) &&
+		reflect.DeepEqual(c.LoadReports, next.LoadReports) &&
+		c.ConnectTimeout == next.ConnectTimeout &&
+		c.IdleTimeout == next.IdleTimeout &&
+		c.DrainGrace == next.DrainGrace &&
+		c.AttemptsPerConnection == next.AttemptsPerConnection &&
+		c.OpenRequestsCap == next.OpenRequestsCap
+}
--- a/internal/disabledservers/file.go
+++ b/internal/disabledservers/file.go
@@ -46,14 +46,15 @@
 	return io.ReadAll(io.LimitReader(file, maxFileSize+1))
 }
 
-// ownedByThisUser guards against files that others put into a folder that they may write to: they must not disable servers.
+// ownedByThisUser guards against files that others put into a folder that they may write to: they must not disable
+// servers.
 func ownedByThisUser(info os.FileInfo) bool {
 	stat, known := info.Sys().(*syscall.Stat_t)
 	return known && int(stat.Uid) == os.Getuid()
 }
 
-// writeFile replaces the file as a whole. The text is on the disk before it gets the name, so that a machine that stops does
-// not leave an empty file.
+// writeFile replaces the file as a whole. The text is on the disk before it gets the name, so that a machine that
+// stops does not leave an empty file.
 func (r *Registry) writeFile(text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(r.path), filepath.Base(r.path)+".*")
 	if err != nil {
@@ -76,8 +77,8 @@
 	return nil
 }
 
-// syncDirectory puts the file's name on the disk. Both processes see the file whether or not this succeeds, so a failure is
-// only logged.
+// syncDirectory puts the file's name on the disk. Both processes see the file whether or not this succeeds, so a
+// failure is only logged.
 func (r *Registry) syncDirectory() {
 	directory, err := os.Open(filepath.Dir(r.path))
 	if err != nil {
--- a/internal/disabledservers/lock.go
+++ b/internal/disabledservers/lock.go
@@ -15,8 +15,9 @@
 	lockFileEnding  = ".lock"
 )
 
-// lockFiles keeps other processes from writing the file at path until unlock is called. It takes the queue's file first, and
-// holds it while it waits for the lock: a process that writes again and again cannot get the lock before one that waits.
+// lockFiles keeps other processes from writing the file at path until unlock is called. It takes the queue's file
+// first, and holds it while it waits for the lock: a process that writes again and again cannot get the lock before
+// one that waits.
 func lockFiles(path string, deadline time.Time) (unlock func(), err error) {
 	queue, err := lockFile(path+queueFileEnding, deadline)
 	if err != nil {
--- a/internal/disabledservers/registry.go
+++ b/internal/disabledservers/registry.go
@@ -15,8 +15,8 @@
 	maxDisabled  = 1024                   // entries of the set; far more than operators disable at once
 )
 
-// Registry is the set of entries that operators have disabled: ids of cache servers, or names of zones. Its methods may be
-// called from any goroutine.
+// Registry is the set of entries that operators have disabled: ids of cache servers, or names of zones. Its methods
+// may be called from any goroutine.
 type Registry struct {
 	path     string // empty: the set is kept in memory only
 	onChange func(ids []string)
@@ -32,12 +32,12 @@
 	opened    bool       // changes are reported from now on
 }
 
-// Open reads the file at path, if there is one, and polls it from then on; an empty path keeps the set in memory only. It
-// returns the registry and the present set.
+// Open reads the file at path, if there is one, and polls it from then on; an empty path keeps the set in memory only.
+// It returns the registry and the present set.
 //
-// OnChange is called with the whole set whenever it may have changed, from the goroutine of the poll or of an Update, and
-// never for two changes at once; it must not call back and must not block. A disk that does not answer within openTimeout
-// is not waited for: the set then comes by onChange.
+// OnChange is called with the whole set whenever it may have changed, from the goroutine of the poll or of an Update,
+// and never for two changes at once; it must not call back and must not block. A disk that does not answer within
+// openTimeout is not waited for: the set then comes by onChange.
 func Open(path string, onChange func(ids []string), log zerolog.Logger) (*Registry, []string) {
 	r := &Registry{
 		path:     path,
@@ -88,9 +88,9 @@
 	}
 }
 
-// poll reads the file and takes it in if it is new. The whole text is compared, because a file that replaces another can
-// have its inode number and its times. If the file is gone or cannot be read, the known set stays; so it does if this
-// process has written meanwhile, since the text read may be older than that.
+// poll reads the file and takes it in if it is new. The whole text is compared, because a file that replaces another
+// can have its inode number and its times. If the file is gone or cannot be read, the known set stays; so it does if
+// this process has written meanwhile, since the text read may be older than that.
 func (r *Registry) poll() {
 	r.mu.Lock()
 	writesBefore := r.writes
@@ -115,7 +115,8 @@
 	r.text = text
 	r.persisted = parse(text)
 	if len(r.persisted) > maxDisabled { // edited by hand
-		r.log.Warn().Int("most", maxDisabled).Msg("more is disabled by operators than is allowed; the rest of the file is ignored")
+		r.log.Warn().Int("most", maxDisabled).
+			Msg("more is disabled by operators than is allowed; the rest of the file is ignored")
 		r.persisted = r.persisted[:maxDisabled]
 	}
 }
--- a/internal/disabledservers/registry_test.go
+++ b/internal/disabledservers/registry_test.go
@@ -40,7 +40,8 @@
 // soon is a deadline far beyond what a busy machine needs.
 func soon() time.Time { return time.Now().Add(time.Minute) }
 
-// An update of one process reaches the other, whichever writes, and one that starts later; of concurrent updates none is lost.
+// An update of one process reaches the other, whichever writes, and one that starts later; of concurrent updates none
+// is lost.
 func TestRegistryOfTwoProcesses(t *testing.T) {
 	path := registryPath(t)
 	first, reportedByFirst := opened(t, path)
@@ -81,8 +82,8 @@
 	}
 }
 
-// Without a folder, in one that is gone, with a file that is no list or another user's: updates hold in this process, up to the
-// bound, and nothing fails.
+// Without a folder, in one that is gone, with a file that is no list or another user's: updates hold in this process,
+// up to the bound, and nothing fails.
 func TestRegistryWithoutAFile(t *testing.T) {
 	folder := t.TempDir()
 	large := filepath.Join(folder, "large")
@@ -135,9 +136,9 @@
 	return strings.Join(strings.Fields(string(text)), " ")
 }
 
-// While another process writes, or waits to and is next, or a lock cannot be had, what it has written stays: a server that is to
-// be disabled is so in this process only and the caller is told so, one that is to be enabled stays disabled. Repeated later, all
-// is persisted.
+// While another process writes, or waits to and is next, or a lock cannot be had, what it has written stays: a server
+// that is to be disabled is so in this process only and the caller is told so, one that is to be enabled stays
+// disabled. Repeated later, all is persisted.
 func TestUpdateWithoutTheLockUndoesNothing(t *testing.T) {
 	for _, c := range []struct {
 		name   string
@@ -197,7 +198,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	for len(done) == 0 && unix.Flock(int(queue.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil { // until the update holds the queue
+	// Until the update holds the queue.
+	for len(done) == 0 && unix.Flock(int(queue.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
 		unix.Flock(int(queue.Fd()), unix.LOCK_UN)
 		time.Sleep(time.Millisecond)
 	}
@@ -208,10 +210,11 @@
 	}
 }
 
-// What the disk does not take, or returns as no list, changes nothing that was persisted. What is disabled in this process only
-// stays so whatever the other process writes, until it is updated again, and can be enabled again.
+// What the disk does not take, or returns as no list, changes nothing that was persisted. What is disabled in this
+// process only stays so whatever the other process writes, until it is updated again, and can be enabled again.
 func TestUpdateThatCannotBePersisted(t *testing.T) {
-	long := filepath.Join(t.TempDir(), strings.Repeat("x", 250)) // its lock file has a name, its next version's would be too long
+	// Its lock file has a name, that of its next version would be too long.
+	long := filepath.Join(t.TempDir(), strings.Repeat("x", 250))
 	os.WriteFile(long, []byte("s-1\n"), 0o600)
 	registry, reported := opened(t, long)
 	next(reported)
@@ -296,8 +299,8 @@
 	}
 }
 
-// A file that has the inode number and the time of the one before, as file systems give them to files that follow one another at
-// once, is read.
+// A file that has the inode number and the time of the one before, as file systems give them to files that follow one
+// another at once, is read.
 func TestFileWithTheInodeAndTimeOfTheOneBefore(t *testing.T) {
 	path := registryPath(t)
 	modified := time.Unix(1e9, 0)
--- a/internal/disabledservers/update.go
+++ b/internal/disabledservers/update.go
@@ -19,10 +19,10 @@
 	done     bool      // persisted; guarded by Registry.mu
 }
 
-// Update disables an entry, or enables it again, in this process and in the file. It waits until the deadline for other
-// calls and for the other process, and writeTimeout beyond it for the disk. On ErrTooMany and ErrUnchanged nothing was
-// changed, on ErrLocalOnly the entry is disabled in this process only, and on ErrPending the change may still take effect.
-// After any of them the call may be repeated.
+// Update disables an entry, or enables it again, in this process and in the file. It waits until the deadline for
+// other calls and for the other process, and writeTimeout beyond it for the disk. On ErrTooMany and ErrUnchanged
+// nothing was changed, on ErrLocalOnly the entry is disabled in this process only, and on ErrPending the change may
+// still take effect. After any of them the call may be repeated.
 func (r *Registry) Update(id string, disabled bool, deadline time.Time) error {
 	if r.path == "" {
 		return r.updateInMemory(id, disabled)
@@ -71,9 +71,9 @@
 	return ids, nil
 }
 
-// applyUnpersisted handles an update that could not be persisted, and returns what its caller is told. An entry that is to
-// be disabled is so in this process at least. One that is to be enabled stays disabled, unless it was disabled in this
-// process only: the other process, and one that starts later, would keep it disabled.
+// applyUnpersisted handles an update that could not be persisted, and returns what its caller gets. An entry that
+// is to be disabled is so in this process at least. One that is to be enabled stays disabled, unless it was disabled
+// in this process only: the other process, and one that starts later, would keep it disabled.
 func (r *Registry) applyUnpersisted(u *update, reason error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -50,7 +50,7 @@
 	}
 	faulty := list.drainFaulty()
 	if len(faults) > 0 && faulty < len(list.Instances) && allInInstances(faults) {
-		list.FirstFault = faults[0].Text
+		list.FirstFault = faults[0].Message()
 		return list, nil
 	}
 	return list, object.Err()
@@ -77,7 +77,7 @@
 
 // instanceFromObject reads a member of a list. All faults of the list are counted together, at the list.
 func instanceFromObject(list, member *settings.Object) (instance Instance, name string) {
-	before := list.Met()
+	before := list.FaultCount()
 	name = member.Text(fieldName)
 	address := member.Text(fieldAddress)
 	state := states[member.Text(fieldState)]
@@ -91,12 +91,12 @@
 			ID:          ID(name),
 			State:       state,
 			Capacity:    member.Number(fieldCapacity),
-			Zone:        member.Name0(fieldZone),
+			Zone:        member.NameOrZero(fieldZone),
 			Cell:        member.Count(fieldCell),
-			MachineType: member.Name0(fieldMachineType),
+			MachineType: member.NameOrZero(fieldMachineType),
 			StartedAt:   member.Number(fieldStarted) / millisecondsPerSecond,
 		},
 	}
-	instance.faulty = list.Met() > before
+	instance.faulty = list.FaultCount() > before
 	return instance, name
 }
--- a/internal/frontend/front.go
+++ b/internal/frontend/front.go
@@ -64,7 +64,7 @@
 // Front is all clients.
 type Front struct {
 	loop     *eventloop.Loop
-	desk     requestcore.Desk
+	desk     requestcore.Dispatcher
 	limits   Limits
 	clients  map[*Client]bool
 	tallies  map[string]*Tally // by the traffic type that clients name
@@ -110,7 +110,7 @@
 }
 
 // New makes a front without clients.
-func New(loop *eventloop.Loop, desk requestcore.Desk, limits Limits) *Front {
+func New(loop *eventloop.Loop, desk requestcore.Dispatcher, limits Limits) *Front {
 	f := &Front{loop: loop, desk: desk, limits: limits, clients: map[*Client]bool{}, tallies: map[string]*Tally{}, salt: maphash.MakeSeed()}
 	f.sweep()
 	return f
@@ -273,7 +273,7 @@
 	if n := len(f.clients); n >= f.limits.Connections/2 && !f.evict() && n >= f.limits.Connections {
 		c.surplus = true
 	}
-	if c.placed = f.desk.Door(listener); !c.placed {
+	if c.placed = f.desk.AdmitConnection(listener); !c.placed {
 		c.surplus = true
 	}
 	f.clients[c] = true
@@ -335,7 +335,7 @@
 // hold counts bytes for a route; what is said from here is nobody's.
 func hold(r requestcore.Route, n int) {
 	if r != nil {
-		r.Hold(n)
+		r.AddHeldBytes(n)
 	}
 }
 
@@ -465,7 +465,7 @@
 		late = late || op.TimeLeft <= 0
 	}
 	full := c.surplus
-	if !full && !route.Room() {
+	if !full && !route.HasCapacity() {
 		full, f.short = true, true
 	}
 	if !full && op.ID != "" && f.repeated(op.ID, op.TimeLeft) {
@@ -482,7 +482,7 @@
 	}
 	a.held = len(op.Value) // it may be answered before Take returns
 	hold(route, a.held)
-	a.core, a.operation = route.Take(op, a)
+	a.core, a.operation = route.Submit(op, a)
 	return true
 }
 
@@ -676,7 +676,7 @@
 	}
 	c.Arrived()
 	if c.placed {
-		f.desk.Gone(c.listener)
+		f.desk.ReleaseConnection(c.listener)
 	}
 	for _, p := range c.rest {
 		if p.long != nil {
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -54,17 +54,17 @@
 	}
 	return d
 }
-func (d *desk) Door(listener string) bool {
+func (d *desk) AdmitConnection(listener string) bool {
 	if d.door != nil {
 		d.door()
 	}
 	return listener != "full"
 }
-func (d *desk) Gone(string)                          {}
-func (d *desk) HardStop(kind string) (float64, bool) { return 5000, kind == "t" }
-func (d *desk) Room() bool                           { return d.core.OpenRequests() < d.open && d.held < d.bytes }
-func (d *desk) Hold(n int)                           { d.held += n }
-func (d *desk) Take(op *requestcore.Request, c requestcore.Client) (*requestcore.Core, uint64) {
+func (d *desk) ReleaseConnection(string)                {}
+func (d *desk) MaxDeadline(kind string) (float64, bool) { return 5000, kind == "t" }
+func (d *desk) HasCapacity() bool                       { return d.core.OpenRequests() < d.open && d.held < d.bytes }
+func (d *desk) AddHeldBytes(n int)                      { d.held += n }
+func (d *desk) Submit(op *requestcore.Request, c requestcore.Client) (*requestcore.Core, uint64) {
 	return d.core, d.core.Submit(op, c)
 }
 
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -64,7 +64,7 @@
 	op.Tenant, _ = meta.Figure(op.Figures, "tenant")
 	route, most, known := m.c.Route(op.Tenant, op.Key), 0.0, false
 	if route != nil {
-		most, known = route.HardStop(op.Class)
+		most, known = route.MaxDeadline(op.Class)
 	}
 	left, fault := stated(op.Figures)
 	switch {
--- a/internal/frontend/tileserver/tilefront.go
+++ b/internal/frontend/tileserver/tilefront.go
@@ -115,7 +115,7 @@
 		k.fault(&tiles.Fault{Status: 404, Code: tiles.NotApplied, Text: "no contract holds for this traffic"}, keep)
 		return
 	}
-	most, known := route.HardStop(op.Class)
+	most, known := route.MaxDeadline(op.Class)
 	if !known {
 		k.fault(&tiles.Fault{Status: 404, Code: tiles.NotApplied, Text: "no contract holds for this traffic type"}, keep)
 		return
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -46,8 +46,8 @@
 	golden(t, "paths", strings.Join(names, "\n"))
 }
 
-// What a process that serves says to one of another build: the line with the sockets' addresses, which has the sockets with it, and
-// the state behind its length.
+// What a process that serves says to one of another build: the line with the sockets' addresses, which has the sockets
+// with it, and the state behind its length.
 func TestGoldenServingProcess(t *testing.T) {
 	process := running{[]byte(`{"some":"state"}`), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -45,8 +45,8 @@
 func (r running) Serving()          { r.calls <- "serving" }
 func (r running) Ended(served bool) { r.calls <- fmt.Sprint("ended ", served) }
 
-// Sockets and a state larger than any buffer go over, and what becomes of the successor is told, whenever it ends. What is no
-// process of a router is not answered and holds nobody up; a path that was left over is no predecessor.
+// Sockets and a state larger than any buffer go over, and what becomes of the successor is told, whenever it ends.
+// What is no process of a router is not answered and holds nobody up; a path that was left over is no predecessor.
 func TestTakeover(t *testing.T) {
 	process := running{bytes.Repeat([]byte("state"), 200000), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
@@ -97,8 +97,9 @@
 	}
 }
 
-// A file system may give the inode number of a file that is gone to the next one. A listener that is closed a second time must
-// then not take the file that another process has put at the path for its own. Here the other's has the number that its own had.
+// A file system may give the inode number of a file that is gone to the next one. A listener that is closed a second
+// time must then not take the file that another process has put at the path for its own. Here the other's has the
+// number that its own had.
 func TestSecondCloseRemovesNobodysPath(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sock")
 	first, err := Listen(path, nil, zerolog.Nop())
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -22,19 +22,21 @@
 	maxHelloLine         = 64 // bytes
 )
 
-// SuccessorHandler gives successors what they need and is told what becomes of them. The methods are called from a
-// goroutine for each successor, in the order Sockets, State, Started, Serving where it comes to that, Ended. They may wait.
+// SuccessorHandler gives successors what they need and is notified of what becomes of them. The methods are called
+// from a goroutine for each successor, in the order Sockets, State, Started, Serving where it comes to that, Ended.
+// They may wait.
 type SuccessorHandler interface {
-	// Sockets returns the descriptors of the listening sockets, by address. The listener owns them, and closes them once the
-	// successor has ended. With none of them the successor is not answered.
+	// Sockets returns the descriptors of the listening sockets, by address. The listener owns them, and closes them once
+	// the successor has ended. With none of them the successor is not answered.
 	Sockets() map[string]int
-	// State returns what this process knows, in a form of the service's; it is left out where it is longer than maxStateSize.
+	// State returns what this process knows, in a form of the service's; it is left out where it is longer than
+	// maxStateSize.
 	State() []byte
 	// Started: the successor has the sockets, and runs beside this process.
 	Started()
 	// Serving: the successor accepts clients from now on.
 	Serving()
-	// Ended: the successor has ended, and no other process has followed it. Served tells whether Serving was called.
+	// Ended: the successor has ended, and no other process has followed it. Served reports whether Serving was called.
 	Ended(served bool)
 }
 
@@ -161,13 +163,14 @@
 	l.handler.Ended(served)
 }
 
-// readLine reads a line, and tells whether it is the one that is wanted.
+// readLine reads a line, and reports whether it is the one that is wanted.
 func readLine(in *bufio.Reader, want string) bool {
 	line, err := in.ReadSlice('\n')
 	return err == nil && strings.TrimSpace(string(line)) == want
 }
 
-// sendSockets sends the addresses and the sockets; false: there are none or too many, or the successor does not take them.
+// sendSockets sends the addresses and the sockets; false: there are none or too many, or the successor does not take
+// them.
 func sendSockets(conn *net.UnixConn, sockets map[string]int) bool {
 	line := socketsWord
 	var descriptors []int
@@ -202,7 +205,7 @@
 	}
 }
 
-// followed tells whether another process listens at the path.
+// followed reports whether another process listens at the path.
 func (l *Listener) followed() bool {
 	present, err := os.Stat(l.path)
 	if err != nil || os.SameFile(present, l.file) {
--- a/internal/hotrestart/path.go
+++ b/internal/hotrestart/path.go
@@ -7,8 +7,8 @@
 	"path/filepath"
 )
 
-// Path names a file that the processes of a router share, in a folder that all of them can reach: by the address that the
-// router's clients connect to, and an ending for the file's use. It is empty where there is no such folder.
+// Path names a file that the processes of a router share, in a folder that all of them can reach: by the address that
+// the router's clients connect to, and an ending for the file's use. It is empty where there is no such folder.
 func Path(folder, listen, ending string) string {
 	info, err := os.Stat(folder)
 	if folder == "" || err != nil || !info.IsDir() {
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -15,13 +15,13 @@
 
 // Predecessor is the process that serves so far, as its successor sees it.
 type Predecessor struct {
-	State []byte // what it knows, in the service's form; empty: it told nothing
+	State []byte // what it knows, in the service's form; empty: it sent none
 	conn  *net.UnixConn
 }
 
 // Takeover asks the process that serves, if there is one, for its listening sockets, and returns their descriptors by
-// address. The caller owns the descriptors and closes the Predecessor. An error means that there is none to take over from:
-// no process listens at the path, or one of another user (ErrOtherUser) or another protocol (ErrProtocol).
+// address. The caller owns the descriptors and closes the Predecessor. An error means that there is none to take over
+// from: no process listens at the path, or one of another user (ErrOtherUser) or another protocol (ErrProtocol).
 func Takeover(path string) (*Predecessor, map[string]int, error) {
 	if path == "" {
 		return nil, nil, ErrNoFolder
@@ -64,7 +64,8 @@
 	return sockets, readState(bufio.NewReader(io.MultiReader(bytes.NewReader(rest), conn))), nil
 }
 
-// receiveSockets pairs the addresses of the line with the descriptors that came with it. On an error it closes them all.
+// receiveSockets pairs the addresses of the line with the descriptors that came with it. On an error it closes them
+// all.
 func receiveSockets(line string, rights []byte) (map[string]int, error) {
 	descriptors, err := receiveDescriptors(rights)
 	words := strings.Fields(line)
--- a/internal/hotrestart/protocol.go
+++ b/internal/hotrestart/protocol.go
@@ -34,7 +34,7 @@
 	ErrProtocol = errors.New("the process before speaks otherwise")
 )
 
-// ownedByThisUser tells whether the process at the other side is this user's.
+// ownedByThisUser reports whether the process at the other side is this user's.
 func ownedByThisUser(conn *net.UnixConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -126,7 +126,8 @@
 	}
 	_, err = Read(filepath.Join(directory, "none.toml"))
 	all += "=== none\n" + strings.ReplaceAll(err.Error(), directory, "DIR") + "\n"
-	// A value of a wrong type is told in the TOML library's words, which name the Go type. Its package was called operators.
+	// A value of a wrong type is told in the TOML library's words, which name the Go type. Its package was called
+	// operators.
 	all = strings.ReplaceAll(all, "struct field operatorconfig.", "struct field operators.")
 	golden := filepath.Join("testdata", "faults.golden")
 	if *writeGolden {
@@ -156,7 +157,8 @@
 		t.Fatal(err)
 	}
 	usual, _ := Read("")
-	if keys := usual.Restart(whole); !slices.Equal(keys, []string{"zones.on", "recovery.on", "gossip", "cold.routers"}) {
+	keys := usual.RestartKeys(whole)
+	if !slices.Equal(keys, []string{"zones.on", "recovery.on", "gossip", "cold.routers"}) {
 		t.Errorf("a restart is needed for %q", keys)
 	}
 }
--- /dev/null
+++ b/internal/operatorconfig/tilescheck.go
@@ -0,0 +1,141 @@
+package operatorconfig
+
+import (
+	"slices"
+	"strings"
+
+	"bendtrestle/internal/tiles"
+)
+
+const (
+	googleZoomLevels = 25      // of the tile matrix set that is always there
+	maxMatrixTiles   = 1 << 30 // a side
+
+	// Bounds of maps, in degrees.
+	maxLongitude = 180
+	maxLatitude  = 85.06 // beyond it Web Mercator has no tiles
+)
+
+// reservedLayerNames are paths of the tile front end.
+var reservedLayerNames = []string{"wmts", "health"}
+
+func (f *File) checkTiles(teamKey func(string) string, team Team) {
+	if team.Tiles == nil {
+		return
+	}
+	key := keyIn("%s", teamKey("tiles"))
+	if team.Listen == "" {
+		f.toml.Fault(teamKey("listen"), "missing: tiles need an address of their own")
+	}
+	if team.Tenant != "" || team.Prefix != "" { // what comes by these has another protocol, and no tile's key
+		f.toml.Fault(teamKey("tenant"), "tiles are known by their listener alone: tenant and prefix must be left out")
+	}
+	isItsType := func(t Type) bool { return t.Name == team.Tiles.Type }
+	if team.Tiles.Type != "" && !slices.ContainsFunc(team.Types, isItsType) {
+		f.toml.Want(key("type"), team.Tiles.Type, "a traffic type of the team")
+	}
+	if strings.ContainsAny(team.Tiles.WaitHeader, " :\r\n") {
+		f.toml.Want(key("wait_header"), team.Tiles.WaitHeader, "a header's name")
+	}
+	zoomLevels := f.checkSets(key, team.Tiles.Sets)
+	if len(team.Tiles.Layers) == 0 {
+		f.toml.Fault(key("layer"), "none: tiles need at least one [[team.tiles.layer]]")
+	}
+	names := map[string]bool{}
+	for i, layer := range team.Tiles.Layers {
+		layerKey := keyIn("%s.%d", key("layer"), i)
+		f.checkTileWord(layerKey("name"), layer.Name)
+		if names[layer.Name] || slices.Contains(reservedLayerNames, layer.Name) {
+			f.toml.Fault(layerKey("name"), "%q is there twice, or is the name of something else", layer.Name)
+		}
+		names[layer.Name] = true
+		f.checkLayer(layerKey, layer, zoomLevels)
+	}
+}
+
+// checkSets checks the tile matrix sets, and returns how many zoom levels each has.
+func (f *File) checkSets(tilesKey func(string) string, sets []Set) map[string]int {
+	zoomLevels := map[string]int{tiles.Google: googleZoomLevels}
+	for i, set := range sets {
+		key := keyIn("%s.%d", tilesKey("set"), i)
+		f.checkTileWord(key("name"), set.Name)
+		_, twice := zoomLevels[set.Name]
+		if twice || set.Name == tiles.GoogleTwice {
+			f.toml.Fault(key("name"), "%q is there twice", set.Name)
+		}
+		zoomLevels[set.Name] = len(set.Matrices)
+		if set.CRS == "" || len(set.Matrices) == 0 {
+			f.toml.Fault(key("crs"), "a set needs crs and at least one [[team.tiles.set.matrix]]")
+		}
+		for j, matrix := range set.Matrices {
+			f.checkMatrix(keyIn("%s.%d", key("matrix"), j), matrix)
+		}
+	}
+	return zoomLevels
+}
+
+func (f *File) checkMatrix(key func(string) string, m Matrix) {
+	f.checkTileWord(key("name"), m.Name)
+	isEmpty := !(m.Scale > 0) || m.Width < 1 || m.Height < 1 || m.Side < 1
+	if isEmpty || m.Width > maxMatrixTiles || m.Height > maxMatrixTiles {
+		f.toml.Fault(key("name"), "scale, width, height and side must be above 0")
+	}
+}
+
+func (f *File) checkLayer(key func(string) string, layer Layer, zoomLevels map[string]int) {
+	for _, format := range layer.Formats {
+		if _, known := tiles.Types[format]; !known {
+			f.toml.Want(key("formats"), format, "one of png, jpg, webp, pbf")
+		}
+	}
+	for _, style := range layer.Styles {
+		f.checkTileWord(key("styles"), style)
+	}
+	f.checkZoom(key, layer, zoomLevels)
+	if len(layer.Bounds) > 0 && !validBounds(layer.Bounds) {
+		f.toml.Want(key("bounds"), layer.Bounds, "west, south, east, north in degrees")
+	}
+	for i, dimension := range layer.Dimensions {
+		name := keyIn("%s.%d", key("dimension"), i)("name")
+		f.checkTileWord(name, dimension.Name)
+		if len(dimension.Values) == 0 {
+			f.toml.Fault(name, "a dimension needs at least one value")
+		}
+		for _, value := range dimension.Values {
+			f.checkTileWord(name, value)
+		}
+	}
+}
+
+// checkZoom checks that each set of a layer has its zoom levels.
+func (f *File) checkZoom(key func(string) string, layer Layer, zoomLevels map[string]int) {
+	levels := googleZoomLevels
+	for _, set := range layer.Sets {
+		ofSet, known := zoomLevels[set]
+		if !known {
+			f.toml.Fault(key("sets"), "%q is not a set; %s is always there", set, tiles.Google)
+		}
+		levels = min(levels, ofSet)
+	}
+	deepest := layer.maxZoom()
+	if layer.MinZoom < 0 || deepest < layer.MinZoom || deepest >= levels {
+		f.toml.Fault(key("max_zoom"), "the zoom levels %d to %d are not between 0 and %d, as its sets have them",
+			layer.MinZoom, deepest, levels-1)
+	}
+}
+
+func validBounds(bounds []float64) bool {
+	if len(bounds) != 4 {
+		return false
+	}
+	west, south, east, north := bounds[0], bounds[1], bounds[2], bounds[3]
+	outside := west < -maxLongitude || east > maxLongitude || south < -maxLatitude || north > maxLatitude
+	return !(west >= east || south >= north || outside)
+}
+
+// checkTileWord checks a name that stands in tiles' paths.
+func (f *File) checkTileWord(key, text string) {
+	if !tiles.Word(text) {
+		f.toml.Want(key, text, "up to 40 letters, digits, dots, colons, dashes and underscores")
+	}
+}
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -1,51 +1,49 @@
 package operatorconfig
 
-import (
-	"fmt"
-	"slices"
-)
+import "slices"
 
-// Zones says whether zones are left and returned to as one, by evidence and by hand.
+// Zones says whether zones are evacuated and restored as a whole, by evidence and by operators.
 type Zones struct {
 	On bool `toml:"on"`
 }
 
-// Region is zones that share what they depend on: they return one after another, in this order.
+// Region is zones that share what they depend on: they are restored one after another, in this order.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
 }
 
-// checkRegions tells every fault of regions.
 func (f *File) checkRegions() {
-	names, in := []string{}, map[string]string{}
-	for i, r := range f.Regions {
-		key := func(k string) string { return fmt.Sprintf("region.%d.%s", i, k) }
-		f.word(key("name"), r.Name)
-		if slices.Contains(names, r.Name) {
-			f.from.Fault(key("name"), "%q is there twice", r.Name)
+	var names []string
+	regionOf := map[string]string{} // of a zone
+	for i, region := range f.Regions {
+		key := keyIn("region.%d", i)
+		f.checkWord(key("name"), region.Name)
+		if slices.Contains(names, region.Name) {
+			f.toml.Fault(key("name"), "%q is there twice", region.Name)
 		}
-		names = append(names, r.Name)
-		if len(r.Zones) == 0 {
-			f.from.Fault(key("zones"), "names none; a region is one zone or more, as the list of servers names them")
+		names = append(names, region.Name)
+		if len(region.Zones) == 0 {
+			f.toml.Fault(key("zones"), "names none; a region is one zone or more, as the list of servers names them")
 		}
-		for _, z := range r.Zones {
-			f.word(key("zones"), z)
-			if other, twice := in[z]; twice {
-				f.from.Fault(key("zones"), "%q is in region %q already; a zone is in one region", z, other)
+		for _, zone := range region.Zones {
+			f.checkWord(key("zones"), zone)
+			other, twice := regionOf[zone]
+			if twice {
+				f.toml.Fault(key("zones"), "%q is in region %q already; a zone is in one region", zone, other)
 			}
-			in[z] = r.Name
+			regionOf[zone] = region.Name
 		}
 	}
 	if len(f.Regions) > 0 && !f.Zones.On {
-		f.from.Fault("region", "regions do nothing while zones.on is false")
+		f.toml.Fault("region", "regions do nothing while zones.on is false")
 	}
 }
 
-// Groups gives the zones of each region, in the order of their return.
-func (f *File) Groups() (all [][]string) {
-	for _, r := range f.Regions {
-		all = append(all, r.Zones)
+// RegionZones returns the zones of each region, in the order in which they are restored.
+func (f *File) RegionZones() (all [][]string) {
+	for _, region := range f.Regions {
+		all = append(all, region.Zones)
 	}
 	return all
 }
--- /dev/null
+++ b/internal/requestcore/core_test.go
@@ -0,0 +1,171 @@
+package requestcore
+
+import (
+	"testing"
+
+	"bendtrestle/balancer"
+
+	"github.com/rs/zerolog"
+)
+
+// fakeUpstream stands for clock and upstream: it notes what is started and ends it when told.
+type fakeUpstream struct {
+	now             float64
+	timers          []func()
+	attempts        []AttemptObserver
+	requests        []*Request // of the attempts
+	sendWithin      []float64  // of the attempts
+	cancelled       int
+	unsentCancelled int
+	probes          int
+}
+
+func (u *fakeUpstream) Now() float64                         { return u.now }
+func (u *fakeUpstream) After(_ float64, call func())         { u.timers = append(u.timers, call) }
+func (u *fakeUpstream) Probe(uint64, func(balancer.Outcome)) { u.probes++ }
+func (u *fakeUpstream) Cancel()                              { u.cancelled++ }
+func (u *fakeUpstream) CancelIfUnsent()                      { u.unsentCancelled++ }
+
+func (u *fakeUpstream) StartAttempt(
+	_ uint64, request *Request, _, sendWithin float64, observer AttemptObserver,
+) PendingAttempt {
+	u.attempts = append(u.attempts, observer)
+	u.requests = append(u.requests, request)
+	u.sendWithin = append(u.sendWithin, sendWithin)
+	return u
+}
+
+// endLast ends the attempt that was started last.
+func (u *fakeUpstream) endLast(outcome balancer.Outcome) {
+	u.attempts[len(u.attempts)-1].OnAttemptEnd(outcome, Result{})
+}
+
+// answers counts what a client was told.
+type answers struct{ succeeded, rejected, failed int }
+
+func (a *answers) Succeeded(Result)   { a.succeeded++ }
+func (a *answers) Rejected(float64)   { a.rejected++ }
+func (a *answers) Failed()            { a.failed++ }
+func (a *answers) Disconnected() bool { return false }
+
+func newCore(idempotency balancer.Idempotency) (*Core, *fakeUpstream) {
+	upstream := &fakeUpstream{now: 1000}
+	settings := balancer.Settings{CancellationAllowed: true, MaxAttempts: 3, TrafficClasses: []balancer.TrafficClass{
+		{Name: "t", Idempotency: idempotency, DeduplicationScope: balancer.ScopeAll, DeduplicationWindow: 0.3,
+			LatencyObjective: 0.1, Deadline: 0.5, PriorityWeight: 1}}}
+	deps := Dependencies{Clock: upstream, Upstream: upstream, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {},
+		Log: zerolog.Nop()}
+	core := New(settings, deps, DefaultBalancer)
+	core.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{
+		{ID: 1, State: balancer.Ready, Capacity: 1},
+		{ID: 2, State: balancer.Ready, Capacity: 1},
+	})
+	return core, upstream
+}
+
+func submit(core *Core, client Client) uint64 {
+	return core.Submit(&Request{Class: "t", Key: "k", TimeLeft: 0.5}, client)
+}
+
+func check(t *testing.T, core *Core, got, want answers, open int) {
+	t.Helper()
+	if got != want || core.OpenRequests() != open {
+		t.Errorf("the client was told %+v, want %+v; %d are open, want %d", got, want, core.OpenRequests(), open)
+	}
+}
+
+// Each request has one answer and is forgotten; an at-most-once one is retried only if it was never executed.
+func TestOneAnswer(t *testing.T) {
+	for name, c := range map[string]struct {
+		idempotency balancer.Idempotency
+		outcomes    []balancer.Outcome // of its attempts, one after another
+		want        answers
+	}{
+		"succeeded": {balancer.Idempotent, []balancer.Outcome{balancer.Succeeded}, answers{succeeded: 1}},
+		"no connection, then succeeded": {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectFailed, balancer.Succeeded},
+			answers{succeeded: 1}},
+		"overloaded everywhere": {balancer.AtMostOnce, []balancer.Outcome{balancer.Overloaded, balancer.Overloaded},
+			answers{rejected: 1}},
+		"perhaps executed": {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectionLost}, answers{failed: 1}},
+		"perhaps executed, idempotent": {balancer.Idempotent, []balancer.Outcome{balancer.ServerError, balancer.Succeeded},
+			answers{succeeded: 1}},
+	} {
+		core, upstream := newCore(c.idempotency)
+		for range 20 { // requests, which earn retry tokens
+			submit(core, &answers{})
+			upstream.endLast(balancer.Succeeded)
+		}
+		var got answers
+		submit(core, &got)
+		for _, outcome := range c.outcomes {
+			upstream.endLast(outcome)
+		}
+		if got != c.want || core.OpenRequests() != 0 {
+			t.Errorf("%s: the client was told %+v, want %+v; %d are open", name, got, c.want, core.OpenRequests())
+		}
+	}
+}
+
+// A client that has disconnected is told nothing; its attempt is cancelled, and its request forgotten once that has
+// ended.
+func TestClientGone(t *testing.T) {
+	core, upstream := newCore(balancer.Idempotent)
+	var got answers
+	id := submit(core, &got)
+	core.OnClientGone(id)
+	check(t, core, got, answers{}, 1)
+	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
+	check(t, core, got, answers{}, 0)
+	if upstream.cancelled != 1 || upstream.unsentCancelled != 1 {
+		t.Errorf("%d attempts were cancelled, %d if unsent, want 1 of each", upstream.cancelled, upstream.unsentCancelled)
+	}
+}
+
+func TestWithoutEndpointsRejected(t *testing.T) {
+	core, _ := newCore(balancer.Idempotent)
+	core.OnEndpoints(balancer.UpdateFull, nil)
+	var got answers
+	submit(core, &got)
+	check(t, core, got, answers{rejected: 1}, 0)
+}
+
+// A panic of the balancer fails the request at hand, does not end the router, and nothing more is sent for the request.
+func TestPanicOfTheBalancer(t *testing.T) {
+	core, upstream := newCore(balancer.Idempotent)
+	var got answers
+	id := submit(core, &got)
+	core.guard(core.requests[id], func() { panic("an index") })
+	check(t, core, got, answers{failed: 1}, 1)
+	core.StartAttempt(id, 1, 0.1, 0.1)
+	if len(upstream.attempts) != 1 {
+		t.Errorf("an attempt was started after the final answer")
+	}
+	upstream.timers[len(upstream.timers)-1]()
+	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
+	check(t, core, got, answers{failed: 1}, 0)
+	if core.Counts.Faults != 1 {
+		t.Errorf("%d faults are counted, want 1", core.Counts.Faults)
+	}
+}
+
+// The upstream is told whether a request may simply be repeated, and by when a retry is to be written.
+func TestUpstreamIsToldOfRetries(t *testing.T) {
+	for idempotency, notIdempotent := range map[balancer.Idempotency]bool{
+		balancer.Idempotent: false, balancer.IdempotencyKeyed: true, balancer.AtMostOnce: true,
+	} {
+		core, upstream := newCore(idempotency)
+		submit(core, &answers{})
+		if upstream.requests[0].NotIdempotent != notIdempotent {
+			t.Errorf("idempotency %d: NotIdempotent is %v", idempotency, !notIdempotent)
+		}
+		upstream.now += 0.1
+		if idempotency != balancer.IdempotencyKeyed {
+			continue
+		}
+		upstream.attempts[0].OnAttemptEnd(balancer.Cancelled, Result{})
+		within := upstream.sendWithin
+		if len(within) != 2 || within[1] < 0.19 || within[1] > 0.21 { // of a window of 0.3 s
+			t.Errorf("attempts are to be written within %v", within)
+		}
+	}
+}
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -29,9 +29,9 @@
 		s.loop.After(quotaGossipIntervalSeconds, s.sendQuotaGossip)
 	}
 	var enough bool
-	s.conf, enough = s.conf.Apart(reservedDescriptors(operators))
+	s.conf, enough = s.conf.WithReserved(reservedDescriptors(operators))
 	s.warnIfScarce(enough)
-	s.loop.Limit(s.conf.Connections)
+	s.loop.Limit(s.conf.MaxConnections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
 	changes := s.broker.Configure(pools, contractTerms(setup), operators.Others())
@@ -64,11 +64,11 @@
 	for _, named := range operators.Pools {
 		namedParts += named.Connections
 	}
-	platformConnections := connectionShare(limits.Caches, 1-namedParts)
+	platformConnections := connectionShare(limits.UpstreamConnections, 1-namedParts)
 	s.pools.platform.servers.Limit(platformConnections)
 	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
 	for _, named := range operators.Pools {
-		connections := connectionShare(limits.Caches, named.Connections)
+		connections := connectionShare(limits.UpstreamConnections, named.Connections)
 		p := s.pools.named[named.Name]
 		if p == nil {
 			p = s.addPool(named, connections)
@@ -94,9 +94,9 @@
 		settings:              named.Settings(limits.Settings),
 		connections:           connections,
 		connectTimeout:        connectTimeout,
-		stallTimeout:          named.Stall(stallTimeout(connectTimeout)),
-		idleTimeout:           named.ConnIdle(limits.ConnIdle),
-		requestsPerConnection: named.Streams(limits.PerConnection),
+		stallTimeout:          named.StallTimeout(stallTimeout(connectTimeout)),
+		idleTimeout:           named.IdleTimeout(limits.IdleTimeout),
+		requestsPerConnection: named.AttemptsPerConnection(limits.AttemptsPerConnection),
 		wire:                  s.wireOf(named),
 	})
 	s.pools.named[named.Name] = p
@@ -117,7 +117,7 @@
 		Host:    cmp.Or(named.Host, named.Name),
 		Probe:   cmp.Or(named.Probe, defaultHealthCheckPath),
 		Largest: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		Most:    s.conf.Held,
+		Most:    s.conf.HeldBytes,
 	}
 	return servers.Wire
 }
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -19,7 +19,7 @@
 // openDisabledServers takes what operators have called before this process began, and what they call at another
 // process of this router.
 func (s *Service) openDisabledServers() {
-	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "out")
+	path := hotrestart.Path(s.conf.SharedFolder, s.conf.Listen, "out")
 	changed := func(ids []string) { s.loop.Post(func() { s.applyDisabled(ids) }) }
 	file, ids := disabledservers.Open(path, changed, s.log)
 	s.disabled.file = file
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -27,7 +27,7 @@
 
 // hotRestartSocket is the path at which a process waits for its successor; "" where there is no folder for it.
 func (s *Service) hotRestartSocket() string {
-	return hotrestart.Path(s.conf.Shared, s.conf.Listen, "sock")
+	return hotrestart.Path(s.conf.SharedFolder, s.conf.Listen, "sock")
 }
 
 // findPredecessor looks for a process of this router that runs already, and takes its listening sockets, to accept
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -128,8 +128,8 @@
 	list := startCacheServer(t, time.Millisecond)
 	shared := t.TempDir()
 	addr := freeAddress(t)
-	hasHalfOfTheLimits := func(s *Service) bool { return s.processLimits().Clients < s.conf.Clients }
-	hasAllLimits := func(s *Service) bool { return s.processLimits().Clients == s.conf.Clients }
+	hasHalfOfTheLimits := func(s *Service) bool { return s.processLimits().ClientConnections < s.conf.ClientConnections }
+	hasAllLimits := func(s *Service) bool { return s.processLimits().ClientConnections == s.conf.ClientConnections }
 	s, ended := startProcess(t, addr, list, shared)
 	waitServing(t, s)
 	stop := startLoad(t, addr)
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -137,7 +137,7 @@
 		s.end()
 		return
 	}
-	s.clients.frontend.Deepen(s.conf.Memory / 2)
+	s.clients.frontend.Deepen(s.conf.MemoryBytes / 2)
 	s.clients.frontend.Leave() // a connection may have become idle since the last look
 	s.loop.After(idlePollSeconds, s.endOnceIdle)
 }
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -10,10 +10,10 @@
 // reservedDescriptors is how many descriptors are set apart for what the operators' file names: teams' listeners,
 // and watches of pools' endpoint lists.
 func reservedDescriptors(operators operatorconfig.File) int {
-	reserved := len(operators.Pools) * config.PerWatch
+	reserved := len(operators.Pools) * config.DescriptorsPerWatch
 	for _, team := range operators.Teams {
 		if team.Listen != "" {
-			reserved += config.PerListener
+			reserved += config.DescriptorsPerListener
 		}
 	}
 	return reserved
@@ -23,7 +23,7 @@
 // fail.
 func (s *Service) warnIfScarce(enough bool) {
 	if !enough {
-		s.log.Warn().Int("sockets", s.conf.Sockets).
+		s.log.Warn().Int("sockets", s.conf.Descriptors).
 			Msg("limits.sockets is too low for the listeners and pools of the operators' file")
 	}
 }
@@ -52,18 +52,18 @@
 	for _, named := range s.operators.Pools {
 		namedParts += named.Connections
 		if p := s.pools.named[named.Name]; p != nil {
-			p.servers.Limit(connectionShare(limits.Caches, named.Connections))
+			p.servers.Limit(connectionShare(limits.UpstreamConnections, named.Connections))
 		}
 	}
-	s.pools.platform.servers.Limit(connectionShare(limits.Caches, 1-namedParts))
+	s.pools.platform.servers.Limit(connectionShare(limits.UpstreamConnections, 1-namedParts))
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
-	return frontend.Limits{Connections: conf.Clients, Spare: conf.Spare, Arriving: conf.Held}
+	return frontend.Limits{Connections: conf.ClientConnections, Spare: conf.RejectConnections, Arriving: conf.HeldBytes}
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
-	return broker.Limits{Requests: conf.Open, BufferedBytes: conf.Held, Connections: conf.Clients}
+	return broker.Limits{Requests: conf.OpenRequests, BufferedBytes: conf.HeldBytes, Connections: conf.ClientConnections}
 }
 
 // connectionShare is a part (0 to 1) of the connections to servers, one at the least.
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -69,14 +69,14 @@
 		return
 	}
 	conf := setup.Platform
-	if keys := s.conf.Restart(conf); len(keys) > 0 {
+	if keys := s.conf.RestartKeys(conf); len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).Msg("these changes need a restart; the old values stay")
 	}
 	s.conf.Discovery = conf.Discovery
 	s.reloads.accepted++
 	s.log.Info().Str("discovery", conf.Discovery).Msg("configured anew")
 	s.pools.platform.follow(conf.Discovery)
-	if keys := s.operators.Restart(setup.Operators); len(keys) > 0 {
+	if keys := s.operators.RestartKeys(setup.Operators); len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).
 			Msg("these changes of the operators' file need a restart; the old values stay")
 		setup.Operators.Zones = s.operators.Zones
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -80,7 +80,7 @@
 
 // limitMemory bounds the runtime's memory to half of what the process may use: the kernel's buffers of a thousand
 // sockets may count as well, at some 64 KiB each.
-func limitMemory(conf config.Config) { debug.SetMemoryLimit(int64(conf.Memory) / 2) }
+func limitMemory(conf config.Config) { debug.SetMemoryLimit(int64(conf.MemoryBytes) / 2) }
 
 // assemble puts the parts together, from the servers to the clients. The loop does not run yet.
 func assemble(setup Setup, newBalancer requestcore.NewBalancer, log zerolog.Logger) (*Service, error) {
@@ -88,8 +88,8 @@
 	if err != nil {
 		return nil, err
 	}
-	conf, enough := setup.Platform.Apart(reservedDescriptors(setup.Operators))
-	loop.Limit(conf.Connections)
+	conf, enough := setup.Platform.WithReserved(reservedDescriptors(setup.Operators))
+	loop.Limit(conf.MaxConnections)
 	s := newService(conf, setup.Operators, newBalancer, loop, log)
 	s.warnIfScarce(enough)
 	s.logStart(conf)
@@ -136,12 +136,12 @@
 	s.log.Info().
 		Str("name", conf.Name).
 		Str("listen", conf.Listen).
-		Int("clients", conf.Clients).
-		Int("caches", conf.Caches).
-		Int("open", conf.Open).
+		Int("clients", conf.ClientConnections).
+		Int("caches", conf.UpstreamConnections).
+		Int("open", conf.OpenRequests).
 		Msg("starting")
-	if conf.Reports.How != "off" {
-		s.log.Info().Stringer("loadInfo", conf.Reports).
+	if conf.LoadReports.How != "off" {
+		s.log.Info().Stringer("loadInfo", conf.LoadReports).
 			Msg("load reports are not available on this protocol: own counts and the list's weights decide")
 	}
 }
@@ -157,11 +157,11 @@
 	settings.SlowStartSharedUpTo = float64(operators.Cold.Routers)
 	s.pools.platform = s.newPool(poolOptions{
 		settings:              settings,
-		connections:           conf.Caches,
+		connections:           conf.UpstreamConnections,
 		connectTimeout:        conf.ConnectTimeout,
 		stallTimeout:          stallTimeout(conf.ConnectTimeout),
-		idleTimeout:           conf.ConnIdle,
-		requestsPerConnection: conf.PerConnection,
+		idleTimeout:           conf.IdleTimeout,
+		requestsPerConnection: conf.AttemptsPerConnection,
 		wire:                  upstream.Memcache,
 	})
 	s.broker = broker.New(s.loop.Now, settings, s.pools.platform.core, brokerLimits(conf))
@@ -174,10 +174,10 @@
 
 // openAdmin opens the admin server, where the configuration names an address for it.
 func (s *Service) openAdmin(conf config.Config) {
-	if conf.Ops == "" {
+	if conf.AdminListen == "" {
 		return
 	}
 	s.admin.handler = &adminHandler{service: s}
 	s.publish()
-	s.admin.server = admin.Start(conf.Ops, conf.OpsPlaces, s.admin.handler, s.log)
+	s.admin.server = admin.Start(conf.AdminListen, conf.AdminConnections, s.admin.handler, s.log)
 }
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -50,7 +50,7 @@
 	if !operators.Recovery.On {
 		return
 	}
-	path := snapshot.Path(s.conf.Shared, s.conf.Listen)
+	path := snapshot.Path(s.conf.SharedFolder, s.conf.Listen)
 	if path == "" {
 		s.log.Warn().Msg("recovery is on, but there is no folder (TMPDIR) for the snapshot")
 		return
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -41,7 +41,7 @@
 			RouterCount:   settings.RouterCount,
 			Incarnation:   uint16(newIncarnation()),
 			WarmupSeconds: settings.WarmupDuration,
-			Regions:       operators.Groups(),
+			Regions:       operators.RegionZones(),
 		}),
 	}
 	if settings.RouterCount > 1 && (s.peers.transport == nil || !settings.GossipAllowed) {
@@ -54,7 +54,7 @@
 		return
 	}
 	s := a.service
-	path := hotrestart.Path(s.conf.Shared, s.conf.Listen, "zones")
+	path := hotrestart.Path(s.conf.SharedFolder, s.conf.Listen, "zones")
 	changed := func(zones []string) { s.loop.Post(func() { a.applyEvacuated(zones) }) }
 	file, zones := disabledservers.Open(path, changed, s.log)
 	a.file = file
@@ -71,7 +71,7 @@
 // reconfigure takes the operators' file anew.
 func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
 	if a != nil {
-		a.controller.SetRegions(operators.Groups())
+		a.controller.SetRegions(operators.RegionZones())
 	}
 }
 
--- a/internal/settings/lines.go
+++ b/internal/settings/lines.go
@@ -6,46 +6,63 @@
 	"strconv"
 )
 
-// Lines gives the line of each key of a JSON text, by its path: "settings/trafficTypes/0/name".
+// Lines returns the line of each key of a JSON text, by its path: "/settings/trafficTypes/0/name". A text that is
+// malformed has the keys before that.
 func Lines(text []byte) map[string]int {
-	l := &lines{d: json.NewDecoder(bytes.NewReader(text)), text: text, at: map[string]int{}}
-	l.value("")
-	return l.at
+	scanner := &lineScanner{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, lines: map[string]int{}}
+	scanner.scanValue("")
+	return scanner.lines
 }
 
-type lines struct {
-	d    *json.Decoder
-	text []byte
-	at   map[string]int
+type lineScanner struct {
+	decoder *json.Decoder
+	text    []byte
+	lines   map[string]int
 }
 
-func (l *lines) line() int { return 1 + bytes.Count(l.text[:l.d.InputOffset()], []byte("\n")) }
+// line is that of the token read last.
+func (s *lineScanner) line() int {
+	return 1 + bytes.Count(s.text[:s.decoder.InputOffset()], []byte("\n"))
+}
 
-// value takes one value; false where the text ends or is malformed.
-func (l *lines) value(path string) bool {
-	token, err := l.d.Token()
+// scanValue reads one value; false where the text ends or is malformed.
+func (s *lineScanner) scanValue(path string) bool {
+	token, err := s.decoder.Token()
 	if err != nil {
 		return false
 	}
-	l.at[path] = l.line()
+	s.lines[path] = s.line()
 	switch token {
 	case json.Delim('{'):
-		for l.d.More() {
-			key, err := l.d.Token()
-			name, isText := key.(string)
-			if err != nil || !isText || !l.value(path+"/"+name) {
-				return false
-			}
-		}
+		return s.scanObject(path)
 	case json.Delim('['):
-		for n := 0; l.d.More(); n++ {
-			if !l.value(path + "/" + strconv.Itoa(n)) {
-				return false
-			}
+		return s.scanArray(path)
+	}
+	return true
+}
+
+func (s *lineScanner) scanObject(path string) bool {
+	for s.decoder.More() {
+		key, err := s.decoder.Token()
+		name, isText := key.(string)
+		if err != nil || !isText || !s.scanValue(path+"/"+name) {
+			return false
 		}
-	default:
-		return true
 	}
-	_, err = l.d.Token()
+	return s.scanEnd()
+}
+
+func (s *lineScanner) scanArray(path string) bool {
+	for i := 0; s.decoder.More(); i++ {
+		if !s.scanValue(path + "/" + strconv.Itoa(i)) {
+			return false
+		}
+	}
+	return s.scanEnd()
+}
+
+// scanEnd reads the bracket that ends an object or an array.
+func (s *lineScanner) scanEnd() bool {
+	_, err := s.decoder.Token()
 	return err == nil
 }
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -1,5 +1,3 @@
-// Package settings reads what an instance is told: JSON objects field by field, and the settings among them,
-// for the simulator's wire and for the real router's configuration alike.
 package settings
 
 import (
@@ -7,89 +5,110 @@
 	"fmt"
 	"strconv"
 
+	"bendtrestle/internal/configerror"
+
 	"github.com/valyala/fastjson"
 )
 
 // Object reads the fields of one JSON object. The faults met in it, or in any object within it, are kept at the
 // outermost.
 type Object struct {
-	v      *fastjson.Value
-	name   string
-	path   string // within the text, as Lines has it
-	up     *Object
-	faults []Fault
-	met    int // all faults, also those that are not kept
+	value      *fastjson.Value
+	name       string // before the fields' names in faults; empty: of the outermost
+	path       string // within the text, as Lines has it
+	parent     *Object
+	faults     []Fault // of the outermost
+	faultCount int     // all faults, also those beyond maxFaults
 }
 
-// Fault is what is wrong with a field.
-type Fault struct{ Path, Text string }
+// Fault is what is wrong with a field. The File and Line of its error are not known here.
+type Fault struct {
+	Path string // within the text, as Lines has it
+	configerror.FieldError
+}
 
-const mostFaults = 100 // that are kept: a person mends no more at once
+// maxFaults bounds the faults that are kept: a person mends no more at once.
+const maxFaults = 100
 
-// Parse reads a text that must hold an object; what names it in a fault of the text itself.
+// Parse reads a text that must hold an object; what names it in an error, which is about the text itself.
 func Parse(text []byte, what string) (*Object, error) {
-	v, err := fastjson.ParseBytes(text)
-	if err == nil && v.Type() != fastjson.TypeObject {
+	value, err := fastjson.ParseBytes(text)
+	if err == nil && value.Type() != fastjson.TypeObject {
 		err = errors.New("not an object")
 	}
 	if err != nil {
 		return nil, fmt.Errorf("%s: %w", what, err)
 	}
-	return New(v, ""), nil
+	return New(value, ""), nil
 }
 
-// New makes a reader of v, called name in its faults.
-func New(v *fastjson.Value, name string) *Object { return &Object{v: v, name: name} }
+// New makes a reader of a value, called name in its faults.
+func New(value *fastjson.Value, name string) *Object { return &Object{value: value, name: name} }
 
-// Err is the first fault.
+// Err returns the first fault, a FieldError; nil: there is none.
 func (o *Object) Err() error {
 	if len(o.faults) == 0 {
 		return nil
 	}
-	return errors.New(o.faults[0].Text)
+	first := o.faults[0].FieldError
+	return &first
 }
 
-// Faults are all faults, in the order in which they were met.
+// Faults returns the faults in the order in which they were met.
 func (o *Object) Faults() []Fault { return o.faults }
 
-// Met counts all faults, also those that are not kept.
-func (o *Object) Met() int { return o.met }
+// FaultCount counts all faults, also those that are not kept.
+func (o *Object) FaultCount() int { return o.faultCount }
 
-// Fault notes that a field cannot be used.
-func (o *Object) Fault(field, what string) {
-	text := field + ": " + what
-	if o.name != "" {
-		text = o.name + ": " + text
-	}
-	root := o
-	for root.up != nil {
-		root = root.up
+// Fault notes what is wrong with a field, in words.
+func (o *Object) Fault(field, problem string) {
+	o.report(field, configerror.FieldError{Problem: problem})
+}
+
+// Want notes that a field is not what it should be: "not WANT".
+func (o *Object) Want(field, want string) {
+	o.report(field, configerror.FieldError{Want: want})
+}
+
+// report keeps a fault at the outermost object.
+func (o *Object) report(field string, fault configerror.FieldError) {
+	outermost := o
+	for outermost.parent != nil {
+		outermost = outermost.parent
 	}
-	if root.met++; len(root.faults) < mostFaults {
-		root.faults = append(root.faults, Fault{o.path + "/" + field, text})
+	outermost.faultCount++
+	if len(outermost.faults) >= maxFaults {
+		return
 	}
+	fault.Key = o.qualified(field)
+	outermost.faults = append(outermost.faults, Fault{Path: o.path + "/" + field, FieldError: fault})
 }
 
-func (o *Object) within(v *fastjson.Value, field string) *Object {
-	path := o.path + "/" + field
-	if o.name != "" {
-		field = o.name + ": " + field
+// qualified returns a field's name with those of the objects that hold it.
+func (o *Object) qualified(field string) string {
+	if o.name == "" {
+		return field
 	}
-	return &Object{v: v, name: field, path: path, up: o}
+	return o.name + ": " + field
+}
+
+// within makes a reader of a value that a field holds.
+func (o *Object) within(value *fastjson.Value, field string) *Object {
+	return &Object{value: value, name: o.qualified(field), path: o.path + "/" + field, parent: o}
 }
 
 // ID reads a number that must be there.
 func (o *Object) ID(field string) uint64 {
-	v := o.v.Get(field)
-	if v == nil {
+	value := o.value.Get(field)
+	if value == nil {
 		o.Fault(field, "missing")
 		return 0
 	}
-	x, err := v.Uint64()
+	number, err := value.Uint64()
 	if err != nil {
-		o.Fault(field, "not a whole number")
+		o.Want(field, "a whole number")
 	}
-	return x
+	return number
 }
 
 // Count reads a whole number that may be absent.
@@ -100,10 +119,10 @@
 	return o.ID(field)
 }
 
-// Absent tells whether a field is missing or null.
+// Absent reports whether a field is missing or null.
 func (o *Object) Absent(field string) bool {
-	v := o.v.Get(field)
-	return v == nil || v.Type() == fastjson.TypeNull
+	value := o.value.Get(field)
+	return value == nil || value.Type() == fastjson.TypeNull
 }
 
 // Number reads a number that may be absent.
@@ -111,26 +130,26 @@
 	if o.Absent(field) {
 		return 0
 	}
-	x, err := o.v.Get(field).Float64()
+	number, err := o.value.Get(field).Float64()
 	if err != nil {
-		o.Fault(field, "not a number")
+		o.Want(field, "a number")
 	}
-	return x
+	return number
 }
 
 // Seconds reads a time in nanoseconds that may be absent.
 func (o *Object) Seconds(field string) float64 { return o.Number(field) / 1e9 }
 
-// Flag reads a mark that is false where absent.
+// Flag reads true or false; false where it is absent.
 func (o *Object) Flag(field string) bool {
 	if o.Absent(field) {
 		return false
 	}
-	x, err := o.v.Get(field).Bool()
+	flag, err := o.value.Get(field).Bool()
 	if err != nil {
-		o.Fault(field, "not true or false")
+		o.Want(field, "true or false")
 	}
-	return x
+	return flag
 }
 
 // Text reads a text that may be absent.
@@ -138,16 +157,17 @@
 	if o.Absent(field) {
 		return ""
 	}
-	x, err := o.v.Get(field).StringBytes()
+	text, err := o.value.Get(field).StringBytes()
 	if err != nil {
-		o.Fault(field, "not a text")
+		o.Want(field, "a text")
 	}
-	return string(x)
+	return string(text)
 }
 
-// Name0 reads a name that is 0 where there is none.
-func (o *Object) Name0(field string) string {
-	if v := o.v.Get(field); v != nil && v.Type() == fastjson.TypeNumber {
+// NameOrZero reads a name, for which a number stands where there is none.
+func (o *Object) NameOrZero(field string) string {
+	value := o.value.Get(field)
+	if value != nil && value.Type() == fastjson.TypeNumber {
 		return ""
 	}
 	return o.Text(field)
@@ -155,12 +175,12 @@
 
 // Sub reads an object; one that is missing or malformed is a fault and reads as empty.
 func (o *Object) Sub(field string) *Object {
-	v := o.v.Get(field)
-	if v == nil || v.Type() != fastjson.TypeObject {
-		o.Fault(field, "not an object")
-		v = fastjson.MustParse("{}")
+	value := o.value.Get(field)
+	if value == nil || value.Type() != fastjson.TypeObject {
+		o.Want(field, "an object")
+		value = fastjson.MustParse("{}")
 	}
-	return o.within(v, field)
+	return o.within(value, field)
 }
 
 // Part reads an object that may be absent and then reads as empty.
@@ -174,14 +194,14 @@
 // List reads an array of objects; what else it holds is a fault, and left out.
 func (o *Object) List(field string) []*Object {
 	var all []*Object
-	for i, v := range o.values(field) {
-		if v.Type() != fastjson.TypeObject {
+	for i, value := range o.values(field) {
+		if value.Type() != fastjson.TypeObject {
 			o.Fault(field, "holds what is not an object")
 			continue
 		}
-		e := o.within(v, field)
-		e.path += "/" + strconv.Itoa(i)
-		all = append(all, e)
+		element := o.within(value, field)
+		element.path += "/" + strconv.Itoa(i)
+		all = append(all, element)
 	}
 	return all
 }
@@ -189,8 +209,8 @@
 // Texts reads an array of texts.
 func (o *Object) Texts(field string) []string {
 	var all []string
-	for _, v := range o.values(field) {
-		text, err := v.StringBytes()
+	for _, value := range o.values(field) {
+		text, err := value.StringBytes()
 		if err != nil {
 			o.Fault(field, "holds what is not a text")
 			return nil
@@ -200,13 +220,14 @@
 	return all
 }
 
+// values reads an array that may be absent.
 func (o *Object) values(field string) []*fastjson.Value {
 	if o.Absent(field) {
 		return nil
 	}
-	values, err := o.v.Get(field).Array()
+	values, err := o.value.Get(field).Array()
 	if err != nil {
-		o.Fault(field, "not a list")
+		o.Want(field, "a list")
 	}
 	return values
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,22 +2,36 @@
 
 import "bendtrestle/balancer"
 
-var effects = map[string]balancer.Idempotency{"retryable": balancer.Idempotent, "dedup": balancer.IdempotencyKeyed}
-
-var groups = map[string]balancer.DeduplicationScope{"all": balancer.ScopeAll, "zone": balancer.ScopeZone}
-
-var weights = map[string]balancer.WeightMode{"nominal": balancer.WeightsStatic, "rough": balancer.WeightsStatic, "live": balancer.WeightsLive}
+// Words of the settings. One that is not here stands for the zero value; internal/config refuses it.
+var (
+	idempotencies = map[string]balancer.Idempotency{
+		"retryable": balancer.Idempotent,
+		"dedup":     balancer.IdempotencyKeyed,
+	}
+	deduplicationScopes = map[string]balancer.DeduplicationScope{
+		"all":  balancer.ScopeAll,
+		"zone": balancer.ScopeZone,
+	}
+	weightModes = map[string]balancer.WeightMode{
+		"nominal": balancer.WeightsStatic,
+		"rough":   balancer.WeightsStatic,
+		"live":    balancer.WeightsLive,
+	}
+)
 
-// Settings reads the settings of an instance.
+// Settings reads the settings of a balancer. Fields are read in the order in which their faults are reported.
 func (o *Object) Settings() balancer.Settings {
-	family, limits, rules, prices := o.Part("familyInfo"), o.Part("limits"), o.Part("rules"), o.Part("penalties")
-	set := balancer.Settings{
+	family := o.Part("familyInfo")
+	limits := o.Part("limits")
+	rules := o.Part("rules")
+	prices := o.Part("penalties")
+	settings := balancer.Settings{
 		RouterIndex:         int(o.Count("me")),
 		RouterCount:         int(o.Count("fleetSize")),
 		EventInterval:       o.Seconds("step"),
 		OrderedConnections:  family.Flag("ordered"),
 		PollEndpoints:       o.Text("discovery") == "on_request",
-		WeightMode:          weights[o.Text("weights")],
+		WeightMode:          weightModes[o.Text("weights")],
 		MaxAttempts:         int(limits.Number("mostExecutions")),
 		HedgingAllowed:      limits.Flag("secondCopies"),
 		CancellationAllowed: limits.Flag("cancelling"),
@@ -33,29 +47,56 @@
 		WarmupDuration:      rules.Seconds("warmWithin"),
 		StartTimeError:      rules.Seconds("bootStampError"),
 	}
-	at, names := int(family.Number("originKind")), o.Texts("kinds")
-	if set.CacheAside = family.Text("mode") == "aside"; set.CacheAside && at >= 0 && at < len(names) {
-		set.OriginMachineType = names[at]
+	originMachineType := o.originMachineType(family)
+	settings.CacheAside = family.Text("mode") == "aside"
+	if settings.CacheAside {
+		settings.OriginMachineType = originMachineType
 	}
 	if !limits.Flag("retryAfter") {
-		set.MaxRetryAfter = 0 // none is passed on
+		settings.MaxRetryAfter = 0 // no Retry-After is passed on
+	}
+	for _, class := range o.List("trafficTypes") {
+		settings.TrafficClasses = append(settings.TrafficClasses, class.trafficClass())
 	}
-	for _, t := range o.List("trafficTypes") {
-		set.TrafficClasses = append(set.TrafficClasses, balancer.TrafficClass{Name: t.Text("name"),
-			Idempotency: effects[t.Text("effect")], DeduplicationScope: groups[t.Text("keyScope")], DeduplicationWindow: t.Seconds("dedupWindow"),
-			LatencyObjective: t.Seconds("promisedTime"), Deadline: t.Seconds("hardStop"),
-			PriorityWeight: t.Number("benefit"), LateValue: t.Number("overdueBenefit"), Stream: t.Flag("stream"),
-			AllowedZones: t.places("runsIn"), AllowedMachineTypes: t.places("allowedOn")})
+	for _, tenant := range o.List("tenants") {
+		settings.Tenants = append(settings.Tenants, balancer.Tenant{
+			Name:  tenant.Text("name"),
+			Quota: tenant.Number("quotaRps"),
+		})
 	}
-	for _, t := range o.List("tenants") {
-		set.Tenants = append(set.Tenants, balancer.Tenant{Name: t.Text("name"), Quota: t.Number("quotaRps")})
+	return settings
+}
+
+// originMachineType returns the name of the origin's kind of machine, which is given by its index among all kinds;
+// empty where the index is none.
+func (o *Object) originMachineType(family *Object) string {
+	index := int(family.Number("originKind"))
+	kinds := o.Texts("kinds")
+	if index < 0 || index >= len(kinds) {
+		return ""
+	}
+	return kinds[index]
+}
+
+func (o *Object) trafficClass() balancer.TrafficClass {
+	return balancer.TrafficClass{
+		Name:                o.Text("name"),
+		Idempotency:         idempotencies[o.Text("effect")],
+		DeduplicationScope:  deduplicationScopes[o.Text("keyScope")],
+		DeduplicationWindow: o.Seconds("dedupWindow"),
+		LatencyObjective:    o.Seconds("promisedTime"),
+		Deadline:            o.Seconds("hardStop"),
+		PriorityWeight:      o.Number("benefit"),
+		LateValue:           o.Number("overdueBenefit"),
+		Stream:              o.Flag("stream"),
+		AllowedZones:        o.placementNames("runsIn"),
+		AllowedMachineTypes: o.placementNames("allowedOn"),
 	}
-	return set
 }
 
-// places reads the names to which alone a traffic type may be sent, nil where it is not bound. A list without any would
-// leave it nowhere to run, which nobody means.
-func (o *Object) places(field string) []string {
+// placementNames reads the zones or kinds of machine to which alone a traffic class may be sent; nil: any will do. A
+// list without any would leave it nowhere to run, which nobody means.
+func (o *Object) placementNames(field string) []string {
 	if o.Absent(field) {
 		return nil
 	}
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -65,7 +65,7 @@
 	id := fields.ID("txn")
 	class := fields.Text("band")
 	timeLeft := fields.Seconds("remaining")
-	tenant := fields.Name0("realm")
+	tenant := fields.NameOrZero("realm")
 	key := fields.Text("key")
 	if fields.Err() == nil {
 		r.balancer.OnRequest(r.now(), id, class, tenant, key, timeLeft)
--- a/internal/simadapter/session.go
+++ b/internal/simadapter/session.go
@@ -152,9 +152,9 @@
 			ID:          entry.ID("server"),
 			State:       endpointStates[entry.Text("mode")],
 			Capacity:    entry.Number("capacityHint"),
-			Zone:        entry.Name0("rackZone"),
+			Zone:        entry.NameOrZero("rackZone"),
 			Cell:        entry.Count("pack"),
-			MachineType: entry.Name0("model"),
+			MachineType: entry.NameOrZero("model"),
 			StartedAt:   entry.Seconds("lastStart"),
 		})
 	}
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -11,7 +11,7 @@
 	ErrOtherUser = errors.New("it is another user's, or no file")
 )
 
-// VersionError tells that a copy was written by a newer build, in a form that this one does not know.
+// VersionError reports that a copy was written by a newer build, in a form that this one does not know.
 type VersionError struct {
 	Version uint16 // of the copy's form
 	Newest  uint16 // that this build reads
@@ -21,7 +21,7 @@
 	return fmt.Sprintf("it was written by a newer build, version %d; this build knows up to %d", e.Version, e.Newest)
 }
 
-// DamagedError tells that a copy is cut, changed or longer than any copy is.
+// DamagedError reports that a copy is cut, changed or longer than any copy is.
 type DamagedError struct {
 	Reason error // nil: its length or its checksum is wrong
 }
@@ -35,7 +35,7 @@
 
 func (e *DamagedError) Unwrap() error { return e.Reason }
 
-// OwnerError tells that a copy belongs to another router.
+// OwnerError reports that a copy belongs to another router.
 type OwnerError struct {
 	Owner string // of the copy
 	Want  string // this store's
@@ -45,7 +45,7 @@
 	return fmt.Sprintf("it is another router's: of %q, this is %q", e.Owner, e.Want)
 }
 
-// CapacityError tells that an entry was not taken, because the store would be too large with it.
+// CapacityError reports that an entry was not taken, because the store would be too large with it.
 type CapacityError struct {
 	Kind  string // of the entry
 	Size  int    // bytes of the store with it
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -46,7 +46,8 @@
 	}
 }
 
-// The next process may be of another build: both copies are written as they were, byte by byte, and are read as they were.
+// The next process may be of another build: both copies are written as they were, byte by byte, and are read as they
+// were.
 func TestGoldenCopies(t *testing.T) {
 	base := filepath.Join(t.TempDir(), "r")
 	var copies []string
--- a/internal/snapshot/reader.go
+++ b/internal/snapshot/reader.go
@@ -34,7 +34,8 @@
 	s.stats.SetAside++
 	s.mu.Unlock()
 	renamed := os.Rename(path, path+unusableEnding)
-	s.log.Warn().Err(errors.Join(reason, renamed)).Str("file", path).Msg("a copy of the snapshot cannot be used and is set aside")
+	s.log.Warn().Err(errors.Join(reason, renamed)).Str("file", path).
+		Msg("a copy of the snapshot cannot be used and is put aside")
 }
 
 // readCopy reads a copy, of which no more than maxCopySize is held in memory.
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -31,7 +31,7 @@
 	stats   Stats
 }
 
-// Stats tell how the store fares.
+// Stats are figures of the store.
 type Stats struct {
 	Written      uint64  // copies
 	Failed       uint64  // copies that could not be written
@@ -40,7 +40,8 @@
 	SetAside     int     // copies that could not be used at the start
 }
 
-// Path names a router's store in a folder, by the address that its clients connect to; empty where there is no such folder.
+// Path names a router's store in a folder, by the address that its clients connect to; empty where there is no such
+// folder.
 func Path(folder, listen string) string {
 	info, err := os.Stat(folder)
 	if folder == "" || err != nil || !info.IsDir() {
@@ -49,8 +50,8 @@
 	return filepath.Join(folder, fmt.Sprintf("bendtrestle-%08x", crc64.Checksum([]byte(listen), checksumTable)>>32))
 }
 
-// Open reads the store of a router at a path, as Path gives it; with an empty path nothing is kept. It never fails: a copy
-// that cannot be used is set aside, and a disk that does not answer within openTimeout is not used.
+// Open reads the store of a router at a path, as Path gives it; with an empty path nothing is kept. It never fails: a
+// copy that cannot be used is set aside, and a disk that does not answer within openTimeout is not used.
 func Open(base, owner string, log zerolog.Logger) *Store {
 	s := &Store{
 		base:    base,
@@ -90,9 +91,9 @@
 	return entry, found
 }
 
-// Put keeps an entry, which is on disk within about a second. One of a lower generation than the present one's does not
-// replace it, and with a store that keeps nothing Put does nothing; neither is an error. The error is a CapacityError: the
-// store would be too large with the entry, and is as before. Put never waits for the disk.
+// Put keeps an entry, which is on disk within about a second. One of a lower generation than the present one's does
+// not replace it, and with a store that keeps nothing Put does nothing; neither is an error. The error is a
+// CapacityError: the store would be too large with the entry, and is as before. Put never waits for the disk.
 func (s *Store) Put(kind string, entry Entry) error {
 	if s.disabled {
 		return nil
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -32,8 +32,8 @@
 	}
 }
 
-// A copy that is cut or changed at any byte, foreign, newer, or another router's: the other copy counts, this one is set aside, and
-// the start goes on.
+// A copy that is cut or changed at any byte, foreign, newer, or another router's: the other copy counts, this one is
+// set aside, and the start goes on.
 func TestCopyDamagedAtAnyByte(t *testing.T) {
 	base := basePath(t)
 	store := open(base)
@@ -151,7 +151,8 @@
 	}
 }
 
-// A process killed at any moment of a write leaves the state before it or after it, never a mixture, and no start fails.
+// A process killed at any moment of a write leaves the state before it or after it, never a mixture, and no start
+// fails.
 func TestKilledWhileWriting(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
@@ -191,7 +192,8 @@
 	f.Fuzz(func(t *testing.T, text []byte) { decode(text, "r") })
 }
 
-// A disk that does not answer, here a pipe that nobody writes, holds no start up; what is no file of this user is not read.
+// A disk that does not answer, here a pipe that nobody writes, holds no start up; what is no file of this user is not
+// read.
 func TestDiskThatHangs(t *testing.T) {
 	base := basePath(t)
 	if err := syscall.Mkfifo(base+".store-0", 0o600); err != nil {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,5 +1,8 @@
-// Package tomlfile reads the files that people write, and tells each fault with file, line and key: what does not parse,
-// keys that nobody knows, and what a reader finds wrong with a value.
+// Package tomlfile reads the TOML files that people write, and reports each fault with file, line and key, as a
+// configerror.FieldError: what does not parse, keys that nobody knows, and what a reader finds wrong with a value.
+//
+// A File is made by Read or Parse, which fill a struct by its toml tags. The reader then checks the struct and reports
+// what is wrong by Fault or Want; Err returns all that was reported, a line each. A File is used by one goroutine.
 package tomlfile
 
 import (
@@ -7,124 +10,103 @@
 	"errors"
 	"fmt"
 	"os"
-	"strconv"
 	"strings"
 
+	"bendtrestle/internal/configerror"
+
 	"github.com/pelletier/go-toml/v2"
-	"github.com/pelletier/go-toml/v2/unstable"
 )
 
 // File is one file that has been read.
 type File struct {
 	name   string
-	lines  map[string]int // of each key, with the number of its table where there are many: "fault.2.kind"
+	lines  map[string]int // of each key; tables of an array are numbered from 0: "fault.2.kind"
 	faults []error
 }
 
-// Read reads the file at a path into v.
-func Read(path string, v any) (*File, error) {
+// Read reads the file at a path into value, a pointer to a struct.
+func Read(path string, value any) (*File, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	return Parse(path, text, v)
+	return Parse(path, text, value)
 }
 
-// Parse reads a text into v; unknown keys are faults, all of them told.
-func Parse(name string, text []byte, v any) (*File, error) {
-	f := &File{name: name, lines: map[string]int{}}
-	d := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
-	err := d.Decode(v)
-	var unknown *toml.StrictMissingError
-	var bad *toml.DecodeError
-	switch {
-	case errors.As(err, &unknown):
-		var all []error
-		for _, e := range unknown.Errors {
-			row, _ := e.Position()
-			all = append(all, fmt.Errorf("%s:%d: %s: unknown key", name, row, strings.Join(e.Key(), ".")))
-		}
-		return nil, errors.Join(all...)
-	case errors.As(err, &bad):
-		row, _ := bad.Position()
-		what := strings.TrimPrefix(bad.Error(), "toml: ")
-		if key := strings.Join(bad.Key(), "."); key != "" {
-			what = key + ": " + what
-		}
-		return nil, fmt.Errorf("%s:%d: %s", name, row, what)
-	case err != nil:
-		return nil, fmt.Errorf("%s: %w", name, err)
+// Parse reads a text into value. The error has all unknown keys, or else the first value that cannot be read.
+func Parse(name string, text []byte, value any) (*File, error) {
+	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
+	err := decoder.Decode(value)
+	if err != nil {
+		return nil, decodingError(name, err)
 	}
-	f.find(text)
-	return f, nil
+	return &File{name: name, lines: linesOfKeys(text)}, nil
 }
 
-// find notes on which line each key stands.
-func (f *File) find(text []byte) {
-	p, table, numbers := unstable.Parser{}, "", map[string]int{}
-	p.Reset(text)
-	for p.NextExpression() {
-		e := p.Expression()
-		path, line := "", 0
-		for keys := e.Key(); keys.Next(); {
-			if line == 0 {
-				line = p.Shape(keys.Node().Raw).Start.Line
-			}
-			if n := numbers[path]; n > 0 { // the last of the tables that this one stands in: team.type is team.1.type
-				path = join(path, strconv.Itoa(n-1))
-			}
-			path = join(path, string(keys.Node().Data))
-		}
-		switch e.Kind {
-		case unstable.Table:
-			table = path
-		case unstable.ArrayTable:
-			table = join(path, strconv.Itoa(numbers[path]))
-			numbers[path]++
-		default:
-			path = join(table, path)
-		}
-		if e.Kind != unstable.KeyValue {
-			path = table
-		}
-		if f.lines[path] == 0 {
-			f.lines[path] = line
+// decodingError returns the library's errors as FieldErrors.
+func decodingError(name string, err error) error {
+	var unknown *toml.StrictMissingError
+	if errors.As(err, &unknown) {
+		var all []error
+		for _, key := range unknown.Errors {
+			line, _ := key.Position()
+			all = append(all, &configerror.FieldError{File: name, Line: line, Key: joinKey(key.Key()), Problem: "unknown key"})
 		}
+		return errors.Join(all...)
 	}
-}
-
-func join(table, key string) string {
-	if table == "" {
-		return key
+	var malformed *toml.DecodeError
+	if errors.As(err, &malformed) {
+		line, _ := malformed.Position()
+		problem := strings.TrimPrefix(malformed.Error(), "toml: ")
+		return &configerror.FieldError{File: name, Line: line, Key: joinKey(malformed.Key()), Problem: problem}
 	}
-	return table + "." + key
+	return fmt.Errorf("%s: %w", name, err)
 }
 
-// Line is where a key stands; where it does not stand, the line of the table that would hold it, or 0.
+func joinKey(parts []string) string { return strings.Join(parts, ".") }
+
+// Line returns the line of a key; where it does not stand in the file, that of the table that would hold it, or 0.
 func (f *File) Line(key string) int {
 	for {
-		if line := f.lines[key]; line > 0 {
+		line := f.lines[key]
+		if line > 0 {
 			return line
 		}
-		i := strings.LastIndexByte(key, '.')
-		if i < 0 {
+		dot := strings.LastIndexByte(key, '.')
+		if dot < 0 {
 			return 0
 		}
-		key = key[:i]
+		key = key[:dot]
 	}
 }
 
-// Has tells whether a key stands in the file.
+// Has reports whether a key stands in the file.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Fault notes what is wrong with a key.
-func (f *File) Fault(key, format string, about ...any) {
-	at := f.name
-	if line := f.Line(key); line > 0 {
-		at += ":" + strconv.Itoa(line)
+// Fault reports what is wrong with a key, in words.
+func (f *File) Fault(key, format string, args ...any) {
+	f.report(&configerror.FieldError{Key: key, Problem: fmt.Sprintf(format, args...)})
+}
+
+// Want reports that the value of a key is not what it should be: "VALUE is not WANT".
+func (f *File) Want(key string, value any, want string) {
+	f.report(&configerror.FieldError{Key: key, Value: shown(value), Want: want})
+}
+
+func (f *File) report(fault *configerror.FieldError) {
+	fault.File = f.name
+	fault.Line = f.Line(fault.Key)
+	f.faults = append(f.faults, fault)
+}
+
+// shown returns a value as messages show it: texts in quotes.
+func shown(value any) string {
+	text, isText := value.(string)
+	if isText {
+		return fmt.Sprintf("%q", text)
 	}
-	f.faults = append(f.faults, fmt.Errorf("%s: %s: %s", at, key, fmt.Sprintf(format, about...)))
+	return fmt.Sprint(value)
 }
 
-// Err is all faults, a line each.
+// Err returns all faults, a line each; nil: none was reported.
 func (f *File) Err() error { return errors.Join(f.faults...) }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -1,6 +1,11 @@
 package tomlfile
 
-import "testing"
+import (
+	"errors"
+	"testing"
+
+	"bendtrestle/internal/configerror"
+)
 
 type sample struct {
 	Name string
@@ -10,7 +15,8 @@
 
 func TestFaultsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
-		"name = 3":                           "f:1: name: cannot decode TOML integer into struct field tomlfile.sample.Name of type string",
+		"name = 3": "f:1: name: cannot decode TOML integer into " +
+			"struct field tomlfile.sample.Name of type string",
 		"\nname = \"a\nb\"":                  "f:2: ",
 		"[part]\nsize = 1\nweight = 2":       "f:3: part.weight: unknown key",
 		"nome = 1\n[[item]]\nsort = \"x\"\n": "f:1: nome: unknown key\nf:3: item.sort: unknown key",
@@ -41,3 +47,25 @@
 		t.Error("what stands in the file is not known")
 	}
 }
+
+// Whoever reads a file can tell its faults apart by their fields.
+func TestFaultsAreFieldErrors(t *testing.T) {
+	var s sample
+	f, err := Parse("f", []byte("[part]\nsize = -1\n"), &s)
+	if err != nil {
+		t.Fatal(err)
+	}
+	f.Want("part.size", s.Part.Size, "above 0")
+	var fault *configerror.FieldError
+	if !errors.As(f.Err(), &fault) {
+		t.Fatalf("got %v", f.Err())
+	}
+	want := configerror.FieldError{File: "f", Line: 2, Key: "part.size", Value: "-1", Want: "above 0"}
+	if *fault != want {
+		t.Errorf("got %+v, want %+v", *fault, want)
+	}
+	_, err = Parse("f", []byte("nome = 1\n"), &s)
+	if !errors.As(err, &fault) || fault.Key != "nome" || fault.Line != 1 || fault.Problem != "unknown key" {
+		t.Errorf("an unknown key gets %+v", err)
+	}
+}
