--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -38,21 +38,21 @@
 //	why was it answered as failed?            rules.go: mayReject; admission.go: reject
 //	why was it attempted under overload?      admission.go: mustAttemptAgain
 //	why did it go to this server?             placement.go: pick, nearestServer; ring.go: nearestNodes
-//	  and not to the nearest one?             placement.go: answersForKey; loadreport.go: overloaded
+//	  and not to the nearest one?             placement.go: answersForKey; overload.go: overloaded
 //	  one of several for a hot key?           hotkeys.go: replicasFor; placement.go: pickReplica
 //	  the origin?                             retries.go: pickForRetry; origin.go: pickOrigin
 //	why was it not retried?                   rules.go: mayContinue; retries.go: admitRetry
 //	where is a retry bounded?                 retries.go: retryIsFree, admitRetry; retrybudget.go
 //	                                          rules.go: mayContinue
 //	why did the attempt time out so early?    attempts.go: attemptTimeout, writeTimeout
-//	why is this server ejected?               outlier.go: ejected, failServer, ejectByReport
+//	why is this server ejected?               outlier.go: ejected, countFailure, ejectByReport
 //	why is it not ejected for its errors?     outlier.go: errorFollowsRequest
 //	why does the warming server get nothing?  slowstart.go: hasSlowStartBudget; placement.go: answersForKey
-//	why does a slow server get fewer keys?    outcomes.go: observeLatency; loadreport.go: rebalanceKeyShares
+//	why does a slow server get fewer keys?    latency.go: observeSlowness; loadreport.go: rebalanceKeyShares
 //	what happens when a zone is evacuated?    zoneshare.go: SetZoneShare, serves
 //	what does a disabled server still get?    endpoints.go: SetDisabled; rules.go: mayAttempt
 //	what does a tenant beyond its quota get?  tenants.go: chargeTenant; admission.go: shedsForLatency
-//	what do peers tell, and what counts?      loadreport.go: reportAttempt, OnGossip, fewSamples
+//	what do peers tell, and what counts?      gossip.go: reportAttempt, OnGossip; loadreport.go: fewSamples
 //	why is the list polled again?             endpointpolling.go: retryPolling, OnTimer
 //
 // # The mechanism
--- a/balancer/trafficclass.go
+++ b/balancer/trafficclass.go
@@ -6,8 +6,6 @@
 )
 
 const (
-	// unobservedLatencyPart: until it is observed, an attempt is taken to last the latency objective over this.
-	unobservedLatencyPart = 4
 	// minObjective is the least latency objective of a class that states none, in seconds.
 	minObjective = 1e-3
 	// lateTryTries: a client's later try has at most its deadline, less the time of one whole first try and
