--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,22 +2,18 @@
 
 import "slices"
 
-// retryAfterJitterStart: the time after which a rejected client is to come back is drawn from this part of the
-// latency objective on.
-const retryAfterJitterStart = 0.5
-
 // request is a client's request, from its arrival until its final answer is out and no attempt is in flight.
 type request struct {
 	id            uint64
 	class         *classState
 	keyHash       uint32
 	replicas      float64      // how many of the nearest servers share its key
-	valueFraction float64      // part of its priority weight that an answer may still bring
+	valueFraction float64      // part of its priority weight that an answer is still worth
 	chargedTenant *tenantState // whose token it took; nil for none
 	retryBudget   *float64     // what its retries come from
 	streaming     bool         // the stream of its answer has begun
 	answered      bool         // its final answer is out, or its client has gone
-	objectiveAt   float64      // seconds, when an answer ceases to be in time
+	objectiveAt   float64      // seconds, until when an answer is in time
 	deadline      float64      // seconds, when its client gives up
 	attempts      []*attempt
 }
@@ -25,9 +21,9 @@
 // slot is the slot of the request's key on the ring.
 func (r *request) slot() uint32 { return r.keyHash % ringSlots }
 
-// anyAttempt tells whether an attempt is like that.
-func (r *request) anyAttempt(like func(*attempt) bool) bool {
-	return slices.ContainsFunc(r.attempts, like)
+// anyAttempt tells whether one of the attempts matches.
+func (r *request) anyAttempt(matches func(*attempt) bool) bool {
+	return slices.ContainsFunc(r.attempts, matches)
 }
 
 // attemptedOn tells whether a server was already sent the request.
@@ -53,7 +49,7 @@
 
 func (a *attempt) isInFlight() bool { return a.inFlight }
 
-// startAttempt sends a request to a server. Whoever calls it has asked mayAttempt.
+// startAttempt sends a request to a server. It panics if the rules forbid the attempt: callers have asked mayAttempt.
 func (b *Balancer) startAttempt(req *request, server *serverState) {
 	if !b.mayAttempt(req, server) {
 		panic("an attempt that the rules forbid")
@@ -69,9 +65,9 @@
 	b.host.StartAttempt(req.id, server.ID, timeout, b.writeTimeout(req, started, timeout))
 }
 
-// attemptTimeout is how long an attempt may take, in seconds: until the client's deadline. On a server that
-// just failed it ends while a retry still fits into the latency objective. Elsewhere a timeout may stop no
-// work, and a retry fares no better.
+// attemptTimeout is how long an attempt may take, in seconds. It may take until the client's deadline, except on a
+// server that just failed: there it ends while a retry elsewhere still fits into the latency objective. On a server
+// that works, an early end may not stop the work, and a retry would do no better.
 func (b *Balancer) attemptTimeout(req *request, server *serverState) float64 {
 	untilDeadline := req.deadline - b.now
 	untilRetry := req.objectiveAt - req.class.meanLatency - b.now
@@ -82,9 +78,9 @@
 	return untilDeadline
 }
 
-// writeTimeout is within how many seconds an attempt is to be written to its server, or not at all. A repeat of
-// a request with an idempotency key must not wait for a connection beyond the deduplication window of the first
-// attempt that may have been executed: it would take effect twice.
+// writeTimeout is the time in seconds within which an attempt is to be written to its server, or else not at all. A
+// repeat of a request with an idempotency key that waited for a connection beyond the deduplication window would take
+// effect twice: the window of the first attempt that may have been executed bounds it.
 func (b *Balancer) writeTimeout(req *request, started *attempt, timeout float64) float64 {
 	if req.class.Idempotency != IdempotencyKeyed {
 		return timeout
@@ -97,8 +93,8 @@
 	return timeout
 }
 
-// OnStreamStart takes the start of an answer's stream from the number-th attempt: the deadline does not end it
-// from here on, and there is no other attempt.
+// OnStreamStart takes the start of a streamed answer, from the attempt with a number. From here on the deadline does
+// not end the request, there is no retry, and its other attempts are cancelled.
 func (b *Balancer) OnStreamStart(now float64, id uint64, number int) {
 	b.now = now
 	req := b.requests[id]
@@ -109,8 +105,9 @@
 	b.cancelAttempts(req, func(a *attempt) bool { return a.number != number })
 }
 
-// OnAttemptEnd takes the end of the number-th attempt of a request, after latency seconds. final says that the
-// client has its answer by it.
+// OnAttemptEnd takes the end of the attempt with a number, after latency seconds. final says that the client has got
+// its answer from it; otherwise the request is retried or gets its final answer now. Ends of unknown attempts are
+// ignored.
 func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, how Outcome, latency float64, final bool) {
 	b.now = now
 	req := b.requests[id]
@@ -130,7 +127,7 @@
 	b.retry(req, ended, how)
 }
 
-// provesNotExecuted tells that the server surely did not execute the attempt.
+// provesNotExecuted tells whether the server surely did not execute the attempt.
 func (o Outcome) provesNotExecuted() bool {
 	switch o {
 	case Overloaded, ConnectFailed, NotAttempted, CacheMiss:
@@ -139,7 +136,7 @@
 	return false
 }
 
-// OnClientGone takes the client's departure: the request needs no answer any more.
+// OnClientGone takes that a request's client has gone: it needs no answer any more.
 func (b *Balancer) OnClientGone(now float64, id uint64) {
 	b.now = now
 	req := b.requests[id]
@@ -148,7 +145,7 @@
 	}
 }
 
-// finish cancels what is in flight of a request that needs no other answer, and forgets it once nothing is.
+// finish marks a request as answered, cancels its attempts in flight, and forgets it once none is in flight.
 func (b *Balancer) finish(req *request) {
 	if !req.answered {
 		req.answered = true
@@ -159,7 +156,7 @@
 	}
 }
 
-// cancelAttempts cancels those of a request's attempts in flight that are chosen, where the settings allow it.
+// cancelAttempts cancels those attempts in flight of a request that are chosen, if the settings allow cancellation.
 func (b *Balancer) cancelAttempts(req *request, chosen func(*attempt) bool) {
 	if !b.settings.CancellationAllowed {
 		return
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -30,7 +30,7 @@
 	allCold  bool                    // no ready cache was warm when the ring was last rebuilt
 }
 
-// newServer is a server of which nothing is known.
+// newServer is a server of which nothing is known: one like the others.
 func newServer() *serverState {
 	return &serverState{
 		keyShare: 1,
@@ -52,20 +52,13 @@
 	named := map[*serverState]bool{}
 	changed := false
 	for _, entry := range entries {
-		server := b.servers.byID[entry.ID]
-		if server == nil {
-			server = &serverState{originLimit: originLimit{attempts: initialOriginLimit}}
-			b.servers.byID[entry.ID] = server
-		}
-		if b.updateServer(server, entry) {
-			changed = true
-		}
+		server := b.listedServer(entry.ID)
+		serverChanged := b.updateServer(server, entry)
+		changed = changed || serverChanged
 		named[server] = true
 	}
-	if b.removeServers(update, named) {
-		changed = true
-	}
-	if changed {
+	removed := b.removeServers(update, named)
+	if changed || removed {
 		b.rebuildRing()
 	}
 	if b.settings.WeightMode == WeightsLive {
@@ -73,7 +66,18 @@
 	}
 }
 
-// updateServer takes what the list says of a server, and tells whether the ring has to be rebuilt for it.
+// listedServer gives the record of a server that the list names, a new one if need be; resetServer fills it once the
+// server is ready.
+func (b *Balancer) listedServer(id uint64) *serverState {
+	server := b.servers.byID[id]
+	if server == nil {
+		server = &serverState{originLimit: originLimit{attempts: initialOriginLimit}}
+		b.servers.byID[id] = server
+	}
+	return server
+}
+
+// updateServer takes what the list says of a server, and tells whether the ring has to be rebuilt.
 func (b *Balancer) updateServer(server *serverState, entry Endpoint) (changed bool) {
 	changed = server.State != entry.State || server.StartedAt != entry.StartedAt
 	restarted := entry.StartedAt > server.StartedAt || server.State != Ready
@@ -82,7 +86,7 @@
 	}
 	size := entry.Capacity
 	if b.settings.WeightMode == WeightsLive {
-		size = max(size, server.size) // its weight when it held nothing: the weights of its work move no virtual nodes
+		size = max(size, server.size) // its weight when it held nothing; smaller ones tell its load
 	}
 	if size != server.size {
 		changed = true
@@ -110,10 +114,10 @@
 	*server = *fresh
 }
 
-// removeServers removes the servers that the list removes or, if it is a full one, does not name, and tells
-// whether the ring has to be rebuilt for it. Attempts in flight there still know their server; disabled servers
-// are remembered.
-func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (changed bool) {
+// removeServers removes the servers that an update removes or, if it is not a delta, does not name. It tells whether
+// there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so that
+// a list that names them again does not enable them.
+func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (removed bool) {
 	for id, server := range b.servers.byID {
 		if server.State != Removed && (update == UpdateDelta || named[server]) {
 			continue
@@ -122,14 +126,14 @@
 		if server.disabled {
 			continue
 		}
-		changed = true
+		removed = true
 		delete(b.servers.byID, id)
 	}
-	return changed
+	return removed
 }
 
-// SetDisabled takes that an operator disables a server, whatever lists say, or enables it again. It may have
-// restarted meanwhile, before a list tells of that, and so counts as cold then.
+// SetDisabled takes that an operator disables a server, whatever the list says, or enables it again. An enabled
+// server counts as cold: it may have restarted meanwhile, before the list tells of that.
 func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
 	b.now = now
 	server := b.servers.byID[id]
@@ -146,7 +150,7 @@
 	b.rebuildRing()
 }
 
-// rebuildRing sorts out the servers that may be sent requests, and places their virtual nodes.
+// rebuildRing lists the servers that may be sent requests, and places their virtual nodes on the ring.
 func (b *Balancer) rebuildRing() {
 	set := &b.servers
 	set.ready = nil
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -3,16 +3,15 @@
 import "math"
 
 const (
-	// initialOriginLimit is how many attempts a server of the origin holds of this router at first.
+	// initialOriginLimit is how many attempts in flight a server of the origin may hold of this router at first.
 	initialOriginLimit = 4
-	// originObjectivePart: the origin keeps up while it answers within the latency objective over this.
-	originObjectivePart = 2
-	minOriginLimit      = 1
+	minOriginLimit     = 1
+	// originLatencyPart: the origin keeps up as long as it answers within the latency objective over this.
+	originLatencyPart = 2
 )
 
-// originLimit bounds this router's attempts in flight at one server of the origin (additive increase,
-// multiplicative decrease). The origin is slow and shared by all routers: beyond what it bears it answers
-// nothing at all.
+// originLimit bounds this router's attempts in flight at one server of the origin, by additive increase and
+// multiplicative decrease. All routers share the origin, and beyond what it can do it answers nothing at all.
 type originLimit struct {
 	attempts  float64
 	loweredAt float64 // seconds
@@ -41,11 +40,11 @@
 	return best
 }
 
-// adjustOriginLimit raises the limit by one for each round of attempts that end in time, and lowers it by a
-// third, once a round, when one does not. latency is in seconds.
+// adjustOriginLimit raises the limit by one for a full round of attempts that end in time, and lowers it by a third,
+// once a round, for one that does not. latency is in seconds.
 func (b *Balancer) adjustOriginLimit(server *serverState, how Outcome, latency float64, class *classState) {
 	limit := &server.originLimit
-	inTime := how == Succeeded && latency < class.LatencyObjective/originObjectivePart
+	inTime := how == Succeeded && latency < class.LatencyObjective/originLatencyPart
 	if inTime {
 		limitReached := float64(len(server.inFlight))+1 >= limit.attempts/2
 		if limitReached {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -48,10 +48,13 @@
 	server := ended.server
 	class := ended.request.class
 	ended.serverError = how == ServerError
-	if ended.serverError && b.errorFollowsRequest(ended) {
-		// The server does its work: other requests must not be shed for such errors.
-		b.recent.succeeded++
-		return
+	if ended.serverError {
+		followsRequest := b.errorFollowsRequest(ended)
+		if followsRequest {
+			// The server does its work: other requests must not be shed for such errors.
+			b.recent.succeeded++
+			return
+		}
 	}
 	switch how {
 	case Succeeded, CacheMiss:
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -6,12 +6,16 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// pick gives the server of a request's next attempt, nil for none. Of the servers that share a hot key it is
-// one whose turn it is by chance, as long as one of them has capacity; else the nearest to the key that is
-// neither ejected nor overloaded, else the nearest that is not ejected, else the nearest that the rules allow.
+// pick gives the server of a request's next attempt, nil if there is none. It asks, in this order, for
+//   - one of the replicas of a hot key that has capacity, drawn by chance,
+//   - the nearest server to the key that is neither ejected nor overloaded,
+//   - the nearest that is not ejected,
+//   - the nearest that the rules allow.
+//
+// A key that is not hot has one replica, its nearest server.
 func (b *Balancer) pick(req *request) *serverState {
 	if !b.mayContinue(req) {
-		return nil // else a lookup in which no server is accepted would rank them all
+		return nil // a lookup in which no server is accepted would rank all virtual nodes
 	}
 	allowed := func(server *serverState) bool {
 		if req.attemptedOn(server) || !b.mayAttempt(req, server) {
@@ -35,8 +39,8 @@
 	return nil
 }
 
-// pickReplica gives one of the servers that share a request's key, from a random one on the first with
-// capacity; nil where none has.
+// pickReplica gives one of the servers that share a request's key: the first with capacity, beginning with a random
+// one; nil if there is none.
 func (b *Balancer) pickReplica(req *request, healthy func(*serverState) bool) *serverState {
 	replicas := b.replicasOf(req, healthy)
 	first := b.firstReplica(req, replicas)
@@ -55,13 +59,13 @@
 		if !slices.Contains(replicas, server) && healthy(server) {
 			replicas = append(replicas, server)
 		}
-		return len(replicas) >= wanted // ends the lookup, which else would walk the whole circle
+		return len(replicas) >= wanted // ends the lookup, which would walk the whole circle
 	})
 	return replicas
 }
 
-// firstReplica draws the index of the replica whose turn it is. A router with few samples takes the less loaded
-// of two draws: all routers together would overload the least loaded one.
+// firstReplica draws the index of the replica to begin with. A router with few samples takes the less loaded of two
+// draws; if each router took the least loaded of all, they would overload it together.
 func (b *Balancer) firstReplica(req *request, replicas []*serverState) int {
 	first := int(b.random.Float64() * float64(len(replicas)))
 	if req.replicas <= 1 || !b.fewSamples(req.class) {
@@ -74,8 +78,8 @@
 	return first
 }
 
-// hasCapacity tells whether a replica takes a request. A hot key is not shed while one of its replicas has
-// capacity: a replica that would shed it is passed over.
+// hasCapacity tells whether a replica takes a request. A request for a hot key is not shed while one of its replicas
+// has capacity, so a replica that would shed it is passed over.
 func (b *Balancer) hasCapacity(req *request, server *serverState) bool {
 	passesOn := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
 	if passesOn {
@@ -87,8 +91,8 @@
 	return !b.overloaded(req, server)
 }
 
-// nearestServer gives the server that is most similar to a key, by Hamming distance, of those that answer for
-// the key now and are accepted; ties go by a hash of key and server. It is nil where there is none.
+// nearestServer gives the server that is most similar to a key, by Hamming distance, among those that answer for the
+// key now and are accepted; nil if there is none. Ties go by a hash of key and server.
 func (b *Balancer) nearestServer(keyHash uint32, accept func(*serverState) bool) (nearest *serverState) {
 	var nodes []virtualNode
 	var nearestTie uint32
@@ -104,7 +108,10 @@
 		}
 		server := node.server
 		tie := seedhash.Mix(keyHash, server.ID)
-		if !b.answersForKey(node, keyHash, float64(tie)/two32, warmingShare) || !accept(server) {
+		if !b.answersForKey(node, keyHash, float64(tie)/two32, warmingShare) {
+			continue
+		}
+		if !accept(server) {
 			continue
 		}
 		if nearest == nil || tie < nearestTie {
@@ -116,12 +123,13 @@
 	return nearest
 }
 
-// answersForKey tells whether a virtual node answers for a key now: a server that is warming up answers for a
-// slice of its keys, one that is slower than others for a part of its virtual nodes, and one in a zone with a
-// share for that share. part places the key between 0 and 1 for this server (keyPart).
+// answersForKey tells whether a virtual node answers for a key now. A server that is warming up answers for a slice
+// of its keys, a slow one for a part of its virtual nodes, and one in a zone with a share for that share of its keys.
+// part places the key between 0 and 1 for this server, as keyPart does.
 func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, part, warmingShare float64) bool {
 	server := node.server
-	// By part of the keys of all its nodes: one node's part would follow the gap to its neighbour.
+	// A part of the keys of all its nodes: the keys of some of its nodes would depend on the gaps to their
+	// neighbours.
 	warm := b.warmFraction(server)
 	if warm < 1 && part >= warm*warmingShare {
 		return false
@@ -132,9 +140,8 @@
 	return b.zones.serves(server.Zone, keyHash)
 }
 
-// warmingShare is by what the slice of keys of servers that are warming up is multiplied. They take no part of
-// what warm servers shed, so it is the acceptance rate; where reports tell how loaded they are, or no server is
-// warm, it is 1.
+// warmingShare multiplies the slice of keys of servers that are warming up. It is the acceptance rate: they must not
+// take over what warm servers shed. Where no server is warm, or reports tell how loaded each is, it is 1.
 func (b *Balancer) warmingShare() float64 {
 	if b.servers.allCold || b.loadReportsAreCurrent() {
 		return 1
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,10 +1,10 @@
 package balancer
 
-// freeRetryFactor: where this many times the acceptance rate is 1 or more, a retry after a rejection is free.
+// freeRetryFactor: a retry after a rejection is free with a probability of the acceptance rate times this.
 const freeRetryFactor = 2
 
-// retry goes on after an attempt that ended without an answer: with another attempt, or with the request's
-// final answer. Hedged requests, of which an attempt is still in flight, wait for that one.
+// retry decides what follows an attempt that ended without an answer: another attempt, or the final answer. While
+// another attempt of the request is in flight (a hedged request) nothing does.
 func (b *Balancer) retry(req *request, ended *attempt, how Outcome) {
 	if req.anyAttempt((*attempt).isInFlight) {
 		return
@@ -22,10 +22,10 @@
 	b.startAttempt(req, server)
 }
 
-// pickForRetry gives the server of a retry, nil for none: the origin after a cache miss, or where the origin had no
-// capacity, else the next one by placement.
+// pickForRetry gives the server of a retry, nil if there is none: the origin after a cache miss, or after an attempt
+// that the origin did not execute; otherwise the next server by placement.
 func (b *Balancer) pickForRetry(req *request, ended *attempt, how Outcome) *serverState {
-	next := b.pick(req) // asked in any case: it draws by chance
+	next := b.pick(req) // in any case, since it draws random numbers
 	fromOrigin := how == CacheMiss || ended.notExecuted && b.isOrigin(ended.server)
 	if b.settings.CacheAside && fromOrigin {
 		return b.pickOrigin(req)
@@ -33,8 +33,8 @@
 	return next
 }
 
-// retryIsFree tells whether a retry needs no token of the retry budget, since it doubles no work. Where nearly
-// all servers are full each retry crowds them more: most of the retries after a rejection need a token, then.
+// retryIsFree tells whether a retry takes no token from the retry budget, because it doubles no work. Where nearly
+// all servers are full, each retry crowds them more: most retries after a rejection are not free then.
 func (b *Balancer) retryIsFree(ended *attempt, how Outcome) bool {
 	if how == CacheMiss || how == Cancelled {
 		return true
@@ -48,8 +48,8 @@
 	return b.random.Float64() < freeRetryFactor*b.recent.acceptanceRate
 }
 
-// admitRetry decides on a retry at a server, nil for none: the time left must suffice, and the retry budget,
-// unless the retry is free.
+// admitRetry decides on a retry at a server, nil if there is none. The time left must be enough for an attempt and,
+// unless the retry is free, the retry budget must hold a token.
 func (b *Balancer) admitRetry(req *request, server *serverState, free bool) verdict {
 	if server == nil {
 		return rejectFor(ReasonNoEndpoint)
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -1,14 +1,14 @@
 package balancer
 
 const (
-	// retryTokensPerSuccess is what a finished attempt adds to the retry budget: retries may be a tenth of what
-	// finishes. What arrives adds nothing: else retries would grow while nothing finishes.
+	// retryTokensPerSuccess is what an answered attempt adds to the retry budget: retries may add a tenth to what is
+	// answered. Arriving requests add nothing, else retries would go on while nothing is answered.
 	retryTokensPerSuccess = 0.1
 	// maxRetryTokens bounds the retries that may be made at once after a quiet time.
 	maxRetryTokens = 10
 )
 
-// retryBudgets holds the retry tokens; a retry that may double work takes one.
+// retryBudgets holds the retry tokens. A retry takes one, unless it is free (retryIsFree).
 type retryBudgets struct {
 	shared   float64             // for all requests
 	byTenant map[string]*float64 // where each tenant has its own (Settings.RetryBudgetPerTenant)
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -1,6 +1,6 @@
 package balancer
 
-// minTenantBurst is the least number of requests that a tenant's token bucket holds.
+// minTenantBurst is the least capacity of a tenant's token bucket, in requests.
 const minTenantBurst = 8
 
 // tenantState is the token bucket of one tenant at this router.
@@ -29,15 +29,15 @@
 	return quotas
 }
 
-// chargeTenant takes a token for a request of a tenant with a quota. A request beyond the quota is not rejected
-// here: it is worth less, and so shed first.
+// chargeTenant takes a token for a request of a tenant that has a quota. A request beyond the quota is not rejected
+// for that: it is worth less, and so is shed earlier under load.
 func (b *Balancer) chargeTenant(req *request, name string) {
 	tenant := b.tenants.byName[name]
 	if tenant == nil {
 		return
 	}
-	// Other routers may be down or carry unlike traffic: this router's part of the quota is its part of what caches
-	// complete, if that is more than an equal part.
+	// Other routers may be down or carry other traffic. So this router's part of the quota is an equal part, or its
+	// part of what the quotas of all tenants allow if it is seen to complete more.
 	part := max(1/float64(b.settings.RouterCount), b.completionRate()/max(1, b.tenants.totalQuota))
 	rate := tenant.quota * part
 	tenant.tokens = min(tenant.tokens+rate*(b.now-tenant.refilledAt), max(minTenantBurst, rate))
--- a/balancer/trafficclass.go
+++ b/balancer/trafficclass.go
@@ -6,12 +6,12 @@
 )
 
 const (
-	// minObjective is the least latency objective of a class that states none, in seconds.
+	// minObjective is the least latency objective, in seconds, of a class that states neither objective nor deadline.
 	minObjective = 1e-3
-	// lateTryTries: a client's later try has at most its deadline, less the time of one whole first try and
-	// half of one for pauses, left.
-	lateTryTries = 1.5
-	// firstTryTolerance is by how many event intervals the time left of two first tries may differ.
+	// triesBeforeLaterTry is how much of a client's deadline is spent, in whole first tries, when its second try
+	// comes: one try, and half of one for the pause between.
+	triesBeforeLaterTry = 1.5
+	// firstTryTolerance is by how many event intervals the times left of two first tries may differ.
 	firstTryTolerance = 2
 )
 
@@ -23,10 +23,11 @@
 	latencyAt   float64 // seconds, when that was last observed
 }
 
-// firstTryTime is the time that clients leave for the first try of a request, found by majority vote.
+// firstTryTime is the time left with which most requests of a class arrive, found by majority vote (Boyer-Moore):
+// that of clients' first tries.
 type firstTryTime struct {
 	timeLeft float64 // seconds
-	votes    int     // for timeLeft, less those against
+	votes    int     // for timeLeft, minus those against it
 }
 
 // trafficClasses holds the classes that requests may have now.
@@ -70,15 +71,15 @@
 	}
 }
 
-// recognizeTry tells a first try of a client from a later one, by the time left in seconds: a client gives all
-// its tries one deadline together, and most requests are first tries with the same time left. The objective of
-// a later try began with the first, and one that can no longer meet it is worth less: it must not crowd out
-// those that can.
+// recognizeTry tells a client's first try from a later one by the time left, in seconds. A client gives all its tries
+// one deadline together, so a later try arrives with less time than the first ones of its class. Its latency
+// objective began with the first try; if that has passed, the request is worth less, so that it does not crowd out
+// those that can be in time.
 func (b *Balancer) recognizeTry(req *request, timeLeft float64) {
 	class := req.class
 	first := &class.firstTry
-	// No later try of a client has less time left than this: one that has is the first try of a client in a hurry.
-	leastOfLaterTry := min(class.LatencyObjective, class.Deadline-lateTryTries*first.timeLeft)
+	// A later try has at least this time left. A request with less is the first try of a client in a hurry.
+	leastOfLaterTry := min(class.LatencyObjective, class.Deadline-triesBeforeLaterTry*first.timeLeft)
 	switch {
 	case math.Abs(timeLeft-first.timeLeft) <= firstTryTolerance*b.settings.EventInterval:
 		first.votes++
--- a/balancer/zoneshare.go
+++ b/balancer/zoneshare.go
@@ -8,12 +8,13 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// zoneShares holds the part of its keys that a zone's servers do not answer for now, from 0 up to 1; no entry is 0.
+// zoneShares holds the part of its keys, from 0 to 1, that each zone does not answer for now. Zones without an entry
+// answer for all.
 type zoneShares struct {
 	withheld map[string]float64
 }
 
-// serves tells whether a zone answers for a key now. It is the same keys at every router.
+// serves tells whether a zone answers for a key now. Every router gives the same result.
 func (z *zoneShares) serves(zone string, keyHash uint32) bool {
 	withheld := z.withheld[zone]
 	if withheld <= 0 {
