--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -72,8 +72,8 @@
 	return admit
 }
 
-// mustAttemptAgain tells whether so many requests were rejected in a row that the next one is attempted whatever the
-// load.
+// mustAttemptAgain reports whether so many requests were rejected in a row that the next one is attempted whatever
+// the load.
 func (b *Balancer) mustAttemptAgain() bool {
 	if b.shedding.rejectedInARow < rejectionsBeforeAttempt {
 		return false
@@ -82,7 +82,7 @@
 	return b.now-b.shedding.lastAttemptedAt >= pause
 }
 
-// shedsForLatency tells whether a request is shed because its server would take too long; requests that are worth
+// shedsForLatency reports whether a request is shed because its server would take too long; requests that are worth
 // little for their time are shed first. A call is not free of effects: the request counts in the mean value, and a
 // random number is drawn if the server is known to be at work or to fail.
 func (b *Balancer) shedsForLatency(req *request, server *serverState) bool {
@@ -106,7 +106,7 @@
 	return expected > limit*math.Pow(value/b.shedding.meanValue, (1-calm)/2)
 }
 
-// shedsForFailures tells, by chance, whether a request is shed because it would find no answer anyway: when the
+// shedsForFailures decides, by chance, whether a request is shed because it would find no answer anyway: when the
 // origin fails, caches answer with errors and store nothing, and all that is sent keeps the origin failing. A call is
 // not free of effects: it draws a random number and fades the counts of recent outcomes.
 func (b *Balancer) shedsForFailures() bool {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -21,12 +21,12 @@
 // slot is the slot of the request's key on the ring.
 func (r *request) slot() uint32 { return r.keyHash % ringSlots }
 
-// anyAttempt tells whether one of the attempts matches.
+// anyAttempt reports whether one of the attempts matches.
 func (r *request) anyAttempt(matches func(*attempt) bool) bool {
 	return slices.ContainsFunc(r.attempts, matches)
 }
 
-// attemptedOn tells whether a server was already sent the request.
+// attemptedOn reports whether a server was already sent the request.
 func (r *request) attemptedOn(server *serverState) bool {
 	for _, earlier := range r.attempts {
 		if earlier.server == server {
@@ -93,8 +93,8 @@
 	return timeout
 }
 
-// OnStreamStart takes the start of a streamed answer, from the attempt with a number. From here on the deadline does
-// not end the request, there is no retry, and its other attempts are cancelled.
+// OnStreamStart is called when a client begins to get a streamed answer, from the number-th attempt of its request.
+// From here on the deadline does not end the request, there is no retry, and its other attempts are cancelled.
 func (b *Balancer) OnStreamStart(now float64, id uint64, number int) {
 	b.now = now
 	req := b.requests[id]
@@ -105,9 +105,9 @@
 	b.cancelAttempts(req, func(a *attempt) bool { return a.number != number })
 }
 
-// OnAttemptEnd takes the end of the attempt with a number, after latency seconds. final says that the client has got
-// its answer from it; otherwise the request is retried or gets its final answer now. Ends of unknown attempts are
-// ignored.
+// OnAttemptEnd is called when the number-th attempt of a request ends, after latency seconds. If it is final, the
+// client has got its answer by it; otherwise the request is retried or gets its final answer now. Unknown attempts
+// are ignored.
 func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, how Outcome, latency float64, final bool) {
 	b.now = now
 	req := b.requests[id]
@@ -127,7 +127,7 @@
 	b.retry(req, ended, how)
 }
 
-// provesNotExecuted tells whether the server surely did not execute the attempt.
+// provesNotExecuted reports whether the server surely did not execute the attempt.
 func (o Outcome) provesNotExecuted() bool {
 	switch o {
 	case Overloaded, ConnectFailed, NotAttempted, CacheMiss:
@@ -136,7 +136,7 @@
 	return false
 }
 
-// OnClientGone takes that a request's client has gone: it needs no answer any more.
+// OnClientGone is called when a request's client has gone: the request needs no answer any more.
 func (b *Balancer) OnClientGone(now float64, id uint64) {
 	b.now = now
 	req := b.requests[id]
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -68,8 +68,9 @@
 	return b
 }
 
-// OnRequest takes a request from a client, which gives up after timeLeft seconds. It is attempted at once or
-// rejected at once. An empty key belongs to no server: the request is spread over all by its id.
+// OnRequest is called when a request arrives, from a client that gives up after timeLeft seconds. The request is
+// attempted or rejected at once. One with an empty key belongs to no server: such requests are spread over all by
+// their ids.
 func (b *Balancer) OnRequest(now float64, id uint64, class, tenant, key string, timeLeft float64) {
 	b.now = now
 	req := b.newRequest(id, class, key, timeLeft)
@@ -106,11 +107,12 @@
 	}
 }
 
-// SetFleetSize takes how many routers are heard. The settings' number holds where fewer are: some cannot be heard.
+// SetFleetSize sets how many routers there are, by those that are heard. Where fewer are heard than the settings say,
+// the settings hold: some cannot be heard.
 func (b *Balancer) SetFleetSize(now float64, routers int) {
 	b.now = now
 	b.fleetSize = float64(max(b.settings.RouterCount, routers))
 }
 
-// OnProbeResult takes the end of a health check. No decision depends on it.
+// OnProbeResult is called when a health check ends. No decision depends on it.
 func (b *Balancer) OnProbeResult(now float64, _ uint64, _ Outcome) { b.now = now }
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -97,7 +97,7 @@
 	Idempotent                          // a repeat is harmless
 )
 
-// DeduplicationScope tells which servers drop the repeats of a request with an idempotency key.
+// DeduplicationScope is the group of servers that drop the repeats of a request with an idempotency key.
 type DeduplicationScope int
 
 // The scopes. What is not known counts as the cell, the narrowest.
@@ -124,7 +124,7 @@
 	PriorityWeight float64
 	// LateValue is the part of the weight, from 0 to 1, that an answer after the latency objective is worth.
 	LateValue float64
-	// Stream says that the answer is a stream. The balancer does not read it: OnStreamStart tells.
+	// Stream says that the answer is a stream. The balancer does not read it: it learns of a stream by OnStreamStart.
 	Stream bool
 	// AllowedZones are the zones to which alone it may be sent; nil: all.
 	AllowedZones []string
@@ -132,7 +132,7 @@
 	AllowedMachineTypes []string
 }
 
-// PlacementRules words, for people, where alone a class may be sent; empty if that is anywhere.
+// PlacementRules describes, for people, where alone a class may be sent; empty if that is anywhere.
 func (t TrafficClass) PlacementRules() string {
 	var all []string
 	if t.AllowedZones != nil {
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -7,7 +7,7 @@
 // same text. One goroutine makes all calls of a Balancer, the event loop of its pool. Every method takes the
 // current time; times and durations are seconds, as float64, everywhere in this package.
 //
-//	b := balancer.New(now, settings, host)        // host is told what to do
+//	b := balancer.New(now, settings, host)        // calls the host from now on
 //	b.OnEndpoints(now, balancer.UpdateFull, list) // the servers
 //	b.OnRequest(now, 1, "view", "tenant", "key", 2.0)
 //	// ... host.StartAttempt(1, server, timeout, writeTimeout) was called, or host.Reject(1, retryAfter, reason)
@@ -59,5 +59,5 @@
 //
 // A key and a server's virtual nodes are each a slot in a table of circular hypervectors (hypervector.go), and
 // a key goes to the virtual node with the least Hamming distance (ring.go), the same one at every router. It is
-// Hyperdimensional Hashing, with the departures that docs/design.md tells and gives reasons for.
+// Hyperdimensional Hashing; docs/design.md lists the departures from it, and their reasons.
 package balancer
--- a/balancer/endpointpolling.go
+++ b/balancer/endpointpolling.go
@@ -44,7 +44,7 @@
 	b.host.SetTimer(b.polling.retryDelay*jitter, retryPollTimer)
 }
 
-// OnTimer takes the end of a timer that was set by Host.SetTimer. Unknown names are ignored.
+// OnTimer is called when a timer of Host.SetTimer ends. Unknown names are ignored.
 func (b *Balancer) OnTimer(now float64, name string) {
 	b.now = now
 	switch name {
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// serverState is all that is known of one cache server, or of one server of the origin. It lives as long as a
-// list names the server, or an operator has disabled it.
+// serverState is all that is known of one server, a cache or one of the origin's. It is kept as long as the list
+// names the server or an operator has disabled it.
 type serverState struct {
 	Endpoint
 	size         float64    // the largest weight it had since it started
@@ -39,7 +39,8 @@
 	}
 }
 
-// OnEndpoints takes an update of the endpoint list.
+// OnEndpoints is called with each update of the endpoint list. For UpdateFailed there are no entries, and the list is
+// polled for again after a backoff.
 func (b *Balancer) OnEndpoints(now float64, update EndpointUpdate, entries []Endpoint) {
 	b.now = now
 	if update == UpdateFailed {
@@ -77,7 +78,7 @@
 	return server
 }
 
-// updateServer takes what the list says of a server, and tells whether the ring has to be rebuilt.
+// updateServer adopts what the list says of a server, and reports whether the ring has to be rebuilt.
 func (b *Balancer) updateServer(server *serverState, entry Endpoint) (changed bool) {
 	changed = server.State != entry.State || server.StartedAt != entry.StartedAt
 	restarted := entry.StartedAt > server.StartedAt || server.State != Ready
@@ -102,16 +103,16 @@
 
 // resetServer forgets what was known of a server that started, or is back. startedAt is by the list, in seconds.
 func (b *Balancer) resetServer(server *serverState, startedAt float64) {
-	fresh := newServer()
-	fresh.inFlight = server.inFlight
-	fresh.disabled = server.disabled
-	fresh.originLimit.attempts = server.originLimit.attempts
-	fresh.slowStart = slowStart{
+	reset := newServer()
+	reset.inFlight = server.inFlight
+	reset.disabled = server.disabled
+	reset.originLimit.attempts = server.originLimit.attempts
+	reset.slowStart = slowStart{
 		startedAt:  b.latestStart(startedAt),
 		refilledAt: b.now,
 		budget:     b.random.Float64(),
 	}
-	*server = *fresh
+	*server = *reset
 }
 
 // removeServers removes the servers that an update removes or, if it is not a delta, does not name. It tells whether
@@ -132,8 +133,8 @@
 	return removed
 }
 
-// SetDisabled takes that an operator disables a server, whatever the list says, or enables it again. An enabled
-// server counts as cold: it may have restarted meanwhile, before the list tells of that.
+// SetDisabled disables a server for an operator, whatever the list says, or enables it again. An enabled server
+// counts as cold: it may have restarted meanwhile, before the list says so.
 func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
 	b.now = now
 	server := b.servers.byID[id]
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -61,3 +61,20 @@
 	b.SetDisabled(61, 2, false)
 	expectEqual(t, "cold since", server.slowStart.startedAt, 60.0)
 }
+
+// Servers were replaced all day under new ids, and classes made up by clients: each left a
+// record for ever.
+func TestWhatIsGoneIsForgotten(t *testing.T) {
+	b, _ := newTestBalancer(2, nil)
+	old := b.servers.byID[1]
+	classes := len(b.classes.byName)
+	req := requestWithAttempt(b, "view", old, true, false)
+	b.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 1, State: Draining}, {ID: 3, State: Ready, Capacity: 1}})
+	expectEqual(t, "servers while one drains", len(b.servers.byID), 3)
+	b.OnEndpoints(2, UpdateDelta, []Endpoint{{ID: 1, State: Removed}})
+	expectEqual(t, "servers", len(b.servers.byID), 2)
+	expectEqual(t, "may be attempted there", b.mayAttempt(req, old), false)
+	b.OnAttemptEnd(3, 7, 0, Succeeded, 0.1, true)
+	b.OnRequest(4, 8, "made up", "", "k", 1)
+	expectEqual(t, "classes", len(b.classes.byName), classes)
+}
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -72,7 +72,8 @@
 	q.tokens = min(q.tokens+earned, maxGossipTokens)
 }
 
-// OnGossip takes a message that a peer's balancer gave to Host.Gossip. An incomplete record at its end is ignored.
+// OnGossip is called with a message that a peer's balancer gave to Host.Gossip. An incomplete record at its end is
+// ignored.
 func (b *Balancer) OnGossip(now float64, message []byte) {
 	b.now = now
 	for len(message) >= gossipRecordSize {
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -7,7 +7,7 @@
 	// StartAttempt sends a request to a server. The attempt ends with OnAttemptEnd: after timeout at the
 	// latest, or without having been sent where it could not be written within writeTimeout.
 	StartAttempt(request, server uint64, timeout, writeTimeout float64)
-	// CancelAttempt stops waiting for the number-th attempt of a request, from 0. OnAttemptEnd still tells its end.
+	// CancelAttempt stops waiting for the number-th attempt of a request, from 0. OnAttemptEnd is still called.
 	CancelAttempt(request uint64, number int)
 	// Reject is a final answer: trying again is harmless. The client is to wait for retryAfter; 0 says nothing
 	// of that.
@@ -17,7 +17,7 @@
 	// Gossip sends a message to every peer, whose hosts hand it to OnGossip. The bytes are valid until Gossip
 	// returns.
 	Gossip(message []byte)
-	// Probe checks the health of a server. It ends with OnProbeResult.
+	// Probe checks the health of a server. It ends with OnProbeResult. The balancer does not use it now.
 	Probe(server uint64)
 	// SetTimer has OnTimer called with a name after a delay. A timer replaces no other.
 	SetTimer(delay float64, name string)
@@ -25,7 +25,7 @@
 	WatchEndpoints(on bool)
 }
 
-// RejectReason tells why a request was rejected.
+// RejectReason is why a request was rejected.
 type RejectReason int
 
 // The reasons.
@@ -39,7 +39,7 @@
 	ReasonNoTime
 )
 
-// Outcome tells how an attempt or a health check ended.
+// Outcome is how an attempt or a health check ended.
 type Outcome int
 
 // The outcomes. OutcomeUnknown stands for any other: the server may have executed the request.
@@ -66,7 +66,7 @@
 	Ready
 )
 
-// EndpointUpdate tells what a list update holds.
+// EndpointUpdate is the kind of an update of the endpoint list.
 type EndpointUpdate int
 
 // The kinds of update.
@@ -77,7 +77,7 @@
 	UpdateFailed                       // nothing: the list could not be had
 )
 
-// WeightMode tells what the list's weights mean.
+// WeightMode is the meaning of the weights in the endpoint list.
 type WeightMode int
 
 // The meanings. What is not known counts as WeightsIgnored.
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -53,7 +53,7 @@
 	answeredAt   float64 // seconds, when gossip last told of an attempt that the server answered
 }
 
-// fewSamples tells whether this router sees so little that reported load is used beside its own: it completes
+// fewSamples reports whether this router sees so little that reported load is used beside its own: it completes
 // less than one attempt a server within the time for which it remembers latencies. With many routers, none has
 // two attempts in flight at one server, and what each learns alone comes too late.
 func (b *Balancer) fewSamples(class *classState) bool {
@@ -67,7 +67,7 @@
 // reportedLoad is the load of a server now, by reports.
 func (b *Balancer) reportedLoad(server *serverState) float64 { return server.reported.at(b.now) }
 
-// loadReportsAreCurrent tells whether the load of any server was reported in the last moments.
+// loadReportsAreCurrent reports whether the load of any server was reported in the last moments.
 func (b *Balancer) loadReportsAreCurrent() bool {
 	return b.totalLoad.loadAt > 0 && b.now-b.totalLoad.loadAt < loadReportLifetime
 }
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -17,7 +17,7 @@
 	loweredAt float64 // seconds
 }
 
-// isOrigin tells whether a server is one of the origin's, which hold all keys, and not a cache.
+// isOrigin reports whether a server is one of the origin's, which hold all keys, and not a cache.
 func (b *Balancer) isOrigin(server *serverState) bool {
 	if !b.settings.CacheAside || server.MachineType == "" {
 		return false
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -17,7 +17,7 @@
 	refusesConnections  bool    // it refused one since it last answered
 }
 
-// ejected tells whether a server is passed over for its failures. After the ejection time one attempt at a time
+// ejected reports whether a server is passed over for its failures. After the ejection time one attempt at a time
 // is sent to it, until one is answered.
 func (b *Balancer) ejected(server *serverState) bool {
 	if server.health.consecutiveFailures < ejectionFailures {
@@ -26,7 +26,7 @@
 	return b.now < server.health.ejectedUntil || len(server.inFlight) > 0
 }
 
-// Avoids tells whether a server gets no new requests now, or at most one at a time: it is not ready, disabled
+// Avoids reports whether a server gets no new requests now, or at most one at a time: it is not ready, disabled
 // by an operator, or has failed too often. It is for status pages, and changes nothing.
 func (b *Balancer) Avoids(id uint64) bool {
 	server := b.servers.byID[id]
@@ -71,7 +71,7 @@
 	state.ejectedUntil = max(state.ejectedUntil, b.now+b.classes.longestObjective)
 }
 
-// errorFollowsRequest tells whether an error is due to the request and not to the server: another server
+// errorFollowsRequest reports whether an error is due to the request and not to the server: another server
 // answered the same request with an error, too, or requests for keys of its slot were so answered and none has
 // succeeded since. Such errors count against no server; the failure of the server that answered first is taken
 // back.
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -27,7 +27,7 @@
 	minKeptKeys = 1.0 / 32
 )
 
-// overloaded tells whether a server is passed over for a request's key: by this router's own attempts in flight
+// overloaded reports whether a server is passed over for a request's key: by this router's own attempts in flight
 // and, where it has few samples, by reported load.
 func (b *Balancer) overloaded(req *request, server *serverState) bool {
 	if b.overloadedByInFlight(server) {
@@ -36,14 +36,14 @@
 	return b.fewSamples(req.class) && b.overloadedByReports(req.keyHash, server)
 }
 
-// overloadedByInFlight tells whether a server holds more than twice the mean of this router's attempts in
+// overloadedByInFlight reports whether a server holds more than twice the mean of this router's attempts in
 // flight per server, and at least two.
 func (b *Balancer) overloadedByInFlight(server *serverState) bool {
 	inFlight := len(server.inFlight)
 	return inFlight >= overloadedInFlight && inFlight*len(b.servers.ready) > overloadedInFlightMean*b.inFlight
 }
 
-// overloadedByReports tells whether a server is overloaded for a key by reported load. All routers get the same
+// overloadedByReports reports whether a server is overloaded for a key by reported load. All routers get the same
 // reports at once. If all left an overloaded server with all of its keys, they would overload the next one, and
 // come back together: so it keeps a part of its keys, the same part at every router.
 func (b *Balancer) overloadedByReports(keyHash uint32, server *serverState) bool {
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -78,8 +78,8 @@
 	return first
 }
 
-// hasCapacity tells whether a replica takes a request. A request for a hot key is not shed while one of its replicas
-// has capacity, so a replica that would shed it is passed over.
+// hasCapacity reports whether a replica takes a request. A request for a hot key is not shed while one of its
+// replicas has capacity, so a replica that would shed it is passed over.
 func (b *Balancer) hasCapacity(req *request, server *serverState) bool {
 	passesOn := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
 	if passesOn {
@@ -123,7 +123,7 @@
 	return nearest
 }
 
-// answersForKey tells whether a virtual node answers for a key now. A server that is warming up answers for a slice
+// answersForKey reports whether a virtual node answers for a key now. A server that is warming up answers for a slice
 // of its keys, a slow one for a part of its virtual nodes, and one in a zone with a share for that share of its keys.
 // part places the key between 0 and 1 for this server, as keyPart does.
 func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, part, warmingShare float64) bool {
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -33,7 +33,7 @@
 	return next
 }
 
-// retryIsFree tells whether a retry takes no token from the retry budget, because it doubles no work. Where nearly
+// retryIsFree reports whether a retry takes no token from the retry budget, because it doubles no work. Where nearly
 // all servers are full, each retry crowds them more: most retries after a rejection are not free then.
 func (b *Balancer) retryIsFree(ended *attempt, how Outcome) bool {
 	if how == CacheMiss || how == Cancelled {
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -5,7 +5,7 @@
 // The rules that no decision may break stand here alone: whether any server may attempt a request, whether one
 // server may, and whether the client may be told that trying again is harmless.
 
-// mayContinue tells whether a request may be attempted, or attempted again, at any server.
+// mayContinue reports whether a request may be attempted, or attempted again, at any server.
 func (b *Balancer) mayContinue(req *request) bool {
 	if req.answered || req.streaming || b.now >= req.deadline {
 		return false
@@ -24,7 +24,7 @@
 	return true
 }
 
-// mayRepeat tells whether a request may be attempted again after an attempt that may have been executed.
+// mayRepeat reports whether a request may be attempted again after an attempt that may have been executed.
 func (b *Balancer) mayRepeat(class *classState, earlier *attempt) bool {
 	switch class.Idempotency {
 	case AtMostOnce:
@@ -35,7 +35,7 @@
 	return true
 }
 
-// mayAttempt tells whether one server may attempt a request now.
+// mayAttempt reports whether one server may attempt a request now.
 func (b *Balancer) mayAttempt(req *request, server *serverState) bool {
 	if server.State != Ready || server.disabled {
 		return false
@@ -57,7 +57,7 @@
 	return true
 }
 
-// deduplicates tells whether a server drops repeats of a request that another server may have executed.
+// deduplicates reports whether a server drops repeats of a request that another server may have executed.
 func (c *classState) deduplicates(executedOn, server *serverState) bool {
 	switch c.DeduplicationScope {
 	case ScopeZone:
@@ -68,18 +68,18 @@
 	return true
 }
 
-// allowsServer tells whether a class may be sent to a server at all, by what the list says of it now. Where
+// allowsServer reports whether a class may be sent to a server at all, by what the list says of it now. Where
 // none of these can take a request it is rejected, however idle the others are.
 func (c *classState) allowsServer(server *serverState) bool {
 	return allows(c.AllowedZones, server.Zone) && allows(c.AllowedMachineTypes, server.MachineType)
 }
 
-// allows tells whether a name is among those allowed; nil allows all.
+// allows reports whether a name is among those allowed; nil allows all.
 func allows(allowed []string, name string) bool {
 	return allowed == nil || slices.Contains(allowed, name)
 }
 
-// mayReject tells whether the client may be told that trying again is harmless.
+// mayReject reports whether the client may be told that trying again is harmless.
 func (b *Balancer) mayReject(req *request) bool {
 	class := req.class
 	if class.Idempotency == Idempotent {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -55,7 +55,7 @@
 	return 1 - (1-start)*(1-max(0, age)/duration)
 }
 
-// hasSlowStartBudget refills the slow-start budget of a server up to now, and tells whether it holds an attempt. It
+// hasSlowStartBudget refills the slow-start budget of a server up to now, and reports whether it holds an attempt. It
 // guards the rule on servers that are warming up: within any OverloadWindow, all routers together send such a server
 // no more than OverloadFactor times what it can do. Warm servers have no such bound, and the origin's have their own
 // (origin.go).
--- a/balancer/slowstart_simulation_test.go
+++ b/balancer/slowstart_simulation_test.go
@@ -230,7 +230,7 @@
 	}
 }
 
-// judgeStart tells whether a window of one server's start held more than is put down to chance. Only windows of
+// judgeStart reports whether a window of one server's start held more than is put down to chance. Only windows of
 // which two thirds came from routers that had been told of the start count.
 func (s *simulation) judgeStart(sends []coldSend) (above bool) {
 	first, noticed := 0, 0 // of the window
--- a/balancer/zoneshare.go
+++ b/balancer/zoneshare.go
@@ -14,7 +14,7 @@
 	withheld map[string]float64
 }
 
-// serves tells whether a zone answers for a key now. Every router gives the same result.
+// serves reports whether a zone answers for a key now. Every router gives the same result.
 func (z *zoneShares) serves(zone string, keyHash uint32) bool {
 	withheld := z.withheld[zone]
 	if withheld <= 0 {
