--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -5,8 +5,8 @@
 	"slices"
 )
 
-// serverState is all that is known of one cache server, or of one server of the origin. It lives as long as a
-// list names the server, or an operator has disabled it.
+// serverState is all that is known of one server, a cache or one of the origin's. It is kept as long as the list
+// names the server or an operator has disabled it.
 type serverState struct {
 	Endpoint
 	size         float64    // the largest weight it had since it started
@@ -30,7 +30,7 @@
 	allCold  bool                    // no ready cache was warm when the ring was last rebuilt
 }
 
-// newServer is a server of which nothing is known.
+// newServer is a server of which nothing is known: one like the others.
 func newServer() *serverState {
 	return &serverState{
 		keyShare: 1,
@@ -39,7 +39,8 @@
 	}
 }
 
-// OnEndpoints takes an update of the endpoint list.
+// OnEndpoints is called with each update of the endpoint list. For UpdateFailed there are no entries, and the list is
+// polled for again after a backoff.
 func (b *Balancer) OnEndpoints(now float64, update EndpointUpdate, entries []Endpoint) {
 	b.now = now
 	if update == UpdateFailed {
@@ -52,20 +53,13 @@
 	named := map[*serverState]bool{}
 	changed := false
 	for _, entry := range entries {
-		server := b.servers.byID[entry.ID]
-		if server == nil {
-			server = &serverState{originLimit: originLimit{attempts: initialOriginLimit}}
-			b.servers.byID[entry.ID] = server
-		}
-		if b.updateServer(server, entry) {
-			changed = true
-		}
+		server := b.listedServer(entry.ID)
+		serverChanged := b.updateServer(server, entry)
+		changed = changed || serverChanged
 		named[server] = true
 	}
-	if b.removeServers(update, named) {
-		changed = true
-	}
-	if changed {
+	removed := b.removeServers(update, named)
+	if changed || removed {
 		b.rebuildRing()
 	}
 	if b.settings.WeightMode == WeightsLive {
@@ -73,7 +67,18 @@
 	}
 }
 
-// updateServer takes what the list says of a server, and tells whether the ring has to be rebuilt for it.
+// listedServer gives the record of a server that the list names, a new one if need be; resetServer fills it once the
+// server is ready.
+func (b *Balancer) listedServer(id uint64) *serverState {
+	server := b.servers.byID[id]
+	if server == nil {
+		server = &serverState{originLimit: originLimit{attempts: initialOriginLimit}}
+		b.servers.byID[id] = server
+	}
+	return server
+}
+
+// updateServer adopts what the list says of a server, and reports whether the ring has to be rebuilt.
 func (b *Balancer) updateServer(server *serverState, entry Endpoint) (changed bool) {
 	changed = server.State != entry.State || server.StartedAt != entry.StartedAt
 	restarted := entry.StartedAt > server.StartedAt || server.State != Ready
@@ -82,7 +87,7 @@
 	}
 	size := entry.Capacity
 	if b.settings.WeightMode == WeightsLive {
-		size = max(size, server.size) // its weight when it held nothing: the weights of its work move no virtual nodes
+		size = max(size, server.size) // its weight when it held nothing; smaller ones tell its load
 	}
 	if size != server.size {
 		changed = true
@@ -98,22 +103,22 @@
 
 // resetServer forgets what was known of a server that started, or is back. startedAt is by the list, in seconds.
 func (b *Balancer) resetServer(server *serverState, startedAt float64) {
-	fresh := newServer()
-	fresh.inFlight = server.inFlight
-	fresh.disabled = server.disabled
-	fresh.originLimit.attempts = server.originLimit.attempts
-	fresh.slowStart = slowStart{
+	reset := newServer()
+	reset.inFlight = server.inFlight
+	reset.disabled = server.disabled
+	reset.originLimit.attempts = server.originLimit.attempts
+	reset.slowStart = slowStart{
 		startedAt:  b.latestStart(startedAt),
 		refilledAt: b.now,
 		budget:     b.random.Float64(),
 	}
-	*server = *fresh
+	*server = *reset
 }
 
-// removeServers removes the servers that the list removes or, if it is a full one, does not name, and tells
-// whether the ring has to be rebuilt for it. Attempts in flight there still know their server; disabled servers
-// are remembered.
-func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (changed bool) {
+// removeServers removes the servers that an update removes or, if it is not a delta, does not name. It tells whether
+// there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so that
+// a list that names them again does not enable them.
+func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (removed bool) {
 	for id, server := range b.servers.byID {
 		if server.State != Removed && (update == UpdateDelta || named[server]) {
 			continue
@@ -122,14 +127,14 @@
 		if server.disabled {
 			continue
 		}
-		changed = true
+		removed = true
 		delete(b.servers.byID, id)
 	}
-	return changed
+	return removed
 }
 
-// SetDisabled takes that an operator disables a server, whatever lists say, or enables it again. It may have
-// restarted meanwhile, before a list tells of that, and so counts as cold then.
+// SetDisabled disables a server for an operator, whatever the list says, or enables it again. An enabled server
+// counts as cold: it may have restarted meanwhile, before the list says so.
 func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
 	b.now = now
 	server := b.servers.byID[id]
@@ -146,7 +151,7 @@
 	b.rebuildRing()
 }
 
-// rebuildRing sorts out the servers that may be sent requests, and places their virtual nodes.
+// rebuildRing lists the servers that may be sent requests, and places their virtual nodes on the ring.
 func (b *Balancer) rebuildRing() {
 	set := &b.servers
 	set.ready = nil
