--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -7,7 +7,7 @@
 // same text. One goroutine makes all calls of a Balancer, the event loop of its pool. Every method takes the
 // current time; times and durations are seconds, as float64, everywhere in this package.
 //
-//	b := balancer.New(now, settings, host)        // host is told what to do
+//	b := balancer.New(now, settings, host)        // calls the host from now on
 //	b.OnEndpoints(now, balancer.UpdateFull, list) // the servers
 //	b.OnRequest(now, 1, "view", "tenant", "key", 2.0)
 //	// ... host.StartAttempt(1, server, timeout, writeTimeout) was called, or host.Reject(1, retryAfter, reason)
@@ -38,26 +38,26 @@
 //	why was it answered as failed?            rules.go: mayReject; admission.go: reject
 //	why was it attempted under overload?      admission.go: mustAttemptAgain
 //	why did it go to this server?             placement.go: pick, nearestServer; ring.go: nearestNodes
-//	  and not to the nearest one?             placement.go: answersForKey; loadreport.go: overloaded
+//	  and not to the nearest one?             placement.go: answersForKey; overload.go: overloaded
 //	  one of several for a hot key?           hotkeys.go: replicasFor; placement.go: pickReplica
 //	  the origin?                             retries.go: pickForRetry; origin.go: pickOrigin
 //	why was it not retried?                   rules.go: mayContinue; retries.go: admitRetry
 //	where is a retry bounded?                 retries.go: retryIsFree, admitRetry; retrybudget.go
 //	                                          rules.go: mayContinue
 //	why did the attempt time out so early?    attempts.go: attemptTimeout, writeTimeout
-//	why is this server ejected?               outlier.go: ejected, failServer, ejectByReport
+//	why is this server ejected?               outlier.go: ejected, countFailure, ejectByReport
 //	why is it not ejected for its errors?     outlier.go: errorFollowsRequest
 //	why does the warming server get nothing?  slowstart.go: hasSlowStartBudget; placement.go: answersForKey
-//	why does a slow server get fewer keys?    outcomes.go: observeLatency; loadreport.go: rebalanceKeyShares
+//	why does a slow server get fewer keys?    latency.go: observeSlowness; loadreport.go: rebalanceKeyShares
 //	what happens when a zone is evacuated?    zoneshare.go: SetZoneShare, serves
 //	what does a disabled server still get?    endpoints.go: SetDisabled; rules.go: mayAttempt
 //	what does a tenant beyond its quota get?  tenants.go: chargeTenant; admission.go: shedsForLatency
-//	what do peers tell, and what counts?      loadreport.go: reportAttempt, OnGossip, fewSamples
+//	what do peers tell, and what counts?      gossip.go: reportAttempt, OnGossip; loadreport.go: fewSamples
 //	why is the list polled again?             endpointpolling.go: retryPolling, OnTimer
 //
 // # The mechanism
 //
 // A key and a server's virtual nodes are each a slot in a table of circular hypervectors (hypervector.go), and
 // a key goes to the virtual node with the least Hamming distance (ring.go), the same one at every router. It is
-// Hyperdimensional Hashing, with the departures that docs/design.md tells and gives reasons for.
+// Hyperdimensional Hashing; docs/design.md lists the departures from it, and their reasons.
 package balancer
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -39,18 +39,32 @@
 	return []byte(want)
 }
 
-func goldenEntries() []discovery.Entry {
-	return []discovery.Entry{
-		{Endpoint: balancer.Endpoint{ID: 1, State: balancer.Ready, Capacity: 1.5, Zone: "a", Cell: 3, MachineType: "m2", StartedAt: 1700000000.25},
-			Addr: netip.MustParseAddrPort("127.0.0.9:11211")},
-		{Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"}, Addr: netip.MustParseAddrPort("[::1]:7")},
+func goldenEntries() []discovery.Instance {
+	return []discovery.Instance{
+		{
+			Endpoint: balancer.Endpoint{
+				ID:          1,
+				State:       balancer.Ready,
+				Capacity:    1.5,
+				Zone:        "a",
+				Cell:        3,
+				MachineType: "m2",
+				StartedAt:   1700000000.25,
+			},
+			Addr: netip.MustParseAddrPort("127.0.0.9:11211"),
+		},
+		{
+			Endpoint: balancer.Endpoint{ID: 4294967295, State: balancer.Draining, Zone: "b"},
+			Addr:     netip.MustParseAddrPort("[::1]:7"),
+		},
 		{Endpoint: balancer.Endpoint{ID: 7, State: balancer.Removed}},
 	}
 }
 
-// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way round.
+// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way
+// round.
 func TestGoldenHotRestartState(t *testing.T) {
-	sent := knowledge{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
+	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
 	for _, entry := range goldenEntries() {
 		sent.List.Entries = append(sent.List.Entries, saveEntry(entry))
 	}
@@ -59,21 +73,21 @@
 		t.Fatal(err)
 	}
 	want := golden(t, "hotrestart-state", text)
-	var read knowledge
+	var read restartState
 	if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, sent) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
 	list := read.List.list()
-	if list.Generation != 41 || !list.Whole || !reflect.DeepEqual(list.Entries, goldenEntries()) {
+	if list.Generation != 41 || !list.Complete || !reflect.DeepEqual(list.Instances, goldenEntries()) {
 		t.Errorf("taken as %+v", list)
 	}
 }
 
 // The list on disk was perhaps written by another build.
 func TestGoldenSavedList(t *testing.T) {
-	sent := kept{Generation: 41}
+	sent := snapshotList{Generation: 41}
 	for _, e := range goldenEntries() {
-		sent.Servers = append(sent.Servers, keptServer{saveMember(e.Endpoint), e.Addr.String()})
+		sent.Servers = append(sent.Servers, snapshotServer{saveMember(e.Endpoint), e.Addr.String()})
 	}
 	body, err := cbor.Marshal(sent)
 	if err != nil {
@@ -84,7 +98,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	var read kept
+	var read snapshotList
 	if err := cbor.Unmarshal(bytes, &read); err != nil || !reflect.DeepEqual(read, sent) {
 		t.Errorf("read as %+v, %v", read, err)
 	}
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -1,73 +1,160 @@
 package service
 
 import (
-	"bufio"
 	"fmt"
 	"io"
 	"net"
 	"net/http"
-	"strings"
+	"os"
+	"path/filepath"
 	"sync"
-	"sync/atomic"
 	"testing"
 	"time"
 
 	"bendtrestle/internal/config"
 	"bendtrestle/internal/discovery"
+	"bendtrestle/internal/operatorconfig"
 	"bendtrestle/internal/requestcore"
 
 	"github.com/rs/zerolog"
-	"golang.org/x/sys/unix"
 )
 
-// ends ends a client's sending and waits until the other side's kernel knows.
-func ends(t *testing.T, conn net.Conn) {
+// baseConfig has places for the router's own address and the list service's.
+const baseConfig = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
+	"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
+
+// environment is that of a process with a folder for files that outlive it; "": without one.
+func environment(folder string) func(name string) string {
+	return func(name string) string { return map[string]string{"TMPDIR": folder}[name] }
+}
+
+// parseConfig reads a configuration with places for the router's own address and the list service's.
+func parseConfig(t *testing.T, text, addr, discovery, folder string) config.Config {
 	t.Helper()
-	conn.(*net.TCPConn).CloseWrite()
-	raw, _ := conn.(*net.TCPConn).SyscallConn()
-	const finWait2, closed = 5, 7 // of the kernel's states; closed: it was even answered by a reset
-	for state := uint8(0); state != finWait2 && state != closed; time.Sleep(time.Millisecond) {
-		raw.Control(func(fd uintptr) {
-			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
-				state = info.State
-			}
-		})
+	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), environment(folder))
+	if err != nil {
+		t.Fatal(err)
 	}
+	return conf
 }
 
-// next starts a process of a router at an address, which knows its list service's list from the start, if there is one; shared
-// is the processes' folder.
-func next(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
+// parseOperators reads an operators' file.
+func parseOperators(t *testing.T, text string) operatorconfig.File {
 	t.Helper()
-	conf, err := config.Parse(fmt.Appendf(nil, usual, addr, list), func(name string) string { return map[string]string{"TMPDIR": shared}[name] })
-	if answer, other := http.Get("http://" + list + "/catalog/members"); other == nil {
-		text, _ := io.ReadAll(answer.Body)
-		answer.Body.Close()
-		conf.Known, _ = discovery.Parse(text)
+	path := filepath.Join(t.TempDir(), "operators.toml")
+	os.WriteFile(path, []byte(text), 0o600)
+	file, err := operatorconfig.Read(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	return file
+}
+
+// assembleConfig gives a service that does not run yet, at an address that is free. The configuration's text has
+// places for that address and the list service's.
+func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
+	free, err := net.Listen("tcp", "127.0.0.1:0")
+	if err != nil {
+		return nil, "", err
 	}
+	addr = free.Addr().String()
+	free.Close()
+	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), environment(""))
 	if err == nil {
-		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, zerolog.Nop())
+		s, err = assemble(Setup{Platform: conf}, requestcore.DefaultBalancer, log)
 	}
+	return s, addr, err
+}
+
+// assembleSetup gives a service that does not run yet.
+func assembleSetup(t *testing.T, setup Setup, log zerolog.Logger) *Service {
+	t.Helper()
+	s, err := assemble(setup, requestcore.DefaultBalancer, log)
 	if err != nil {
 		t.Fatal(err)
 	}
+	return s
+}
+
+// runLoop runs a service until it ends by itself, or the test does.
+func (s *Service) runLoop(t *testing.T) (ended chan error) {
 	ended = make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
 	t.Cleanup(func() { s.loop.Post(s.end) })
-	return s, ended
+	return ended
 }
 
-// on calls on a service's loop and waits for it.
-func on[T any](s *Service, call func() T) T {
-	got := make(chan T, 1)
-	s.loop.Post(func() { got <- call() })
-	return <-got
+// startServing gives a service that serves, its address, and where its end is told.
+func startServing(t *testing.T, discovery string) (s *Service, addr string, ended chan error) {
+	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended = s.runLoop(t) // its end comes before the list service's, which waits for polls in flight
+	waitAnswer(t, addr, "mn", "MN")
+	return s, addr, ended
 }
 
-// until waits for a state of a service.
-func until(t *testing.T, what string, s *Service, is func() bool) {
+// startProcess starts a process of a router at an address, which knows the list of its list service from the start,
+// if there is one. shared is the folder that all processes of the router share.
+func startProcess(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
 	t.Helper()
-	for i := 0; !on(s, is); i++ {
+	conf := parseConfig(t, baseConfig, addr, list, shared)
+	if answer, err := http.Get("http://" + list + "/catalog/members"); err == nil {
+		text, _ := io.ReadAll(answer.Body)
+		answer.Body.Close()
+		conf.Known, _ = discovery.Parse(text)
+	}
+	s = assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
+	return s, s.runLoop(t)
+}
+
+// startWithAdmin starts a process with an admin handler, but no admin server.
+func startWithAdmin(t *testing.T, list string) (handler *adminHandler, addr string, ended chan error) {
+	addr = freeAddress(t)
+	s, ended := startProcess(t, addr, list, "")
+	return addAdminHandler(s), addr, ended
+}
+
+// addAdminHandler gives a running service an admin handler.
+func addAdminHandler(s *Service) *adminHandler {
+	return callOnLoop(s, func() *adminHandler {
+		s.admin.handler = &adminHandler{service: s}
+		s.publish()
+		return s.admin.handler
+	})
+}
+
+// shutDown ends a service as SIGTERM does, and waits for its end.
+func shutDown(t *testing.T, s *Service, ended chan error) {
+	t.Helper()
+	s.loop.Post(s.beginShutdown)
+	select {
+	case <-ended:
+	case <-time.After(4 * time.Second):
+		t.Fatal("it does not end")
+	}
+}
+
+// callOnLoop calls a function on a service's loop and waits for its result.
+func callOnLoop[T any](s *Service, call func() T) T {
+	result := make(chan T, 1)
+	s.loop.Post(func() { result <- call() })
+	return <-result
+}
+
+// runOnLoop runs a function on a service's loop and waits for its end.
+func runOnLoop(s *Service, run func()) {
+	callOnLoop(s, func() bool {
+		run()
+		return true
+	})
+}
+
+// waitUntil waits for a state of a service, up to some five seconds.
+func waitUntil(t *testing.T, what string, s *Service, is func() bool) {
+	t.Helper()
+	for i := 0; !callOnLoop(s, is); i++ {
 		if i > 500 {
 			t.Fatalf("%s does not come", what)
 		}
@@ -75,98 +162,58 @@
 	}
 }
 
-// serving waits until it is.
-func serving(t *testing.T, s *Service) {
+// waitFor waits for a state that is seen from outside, up to so many looks with 10 ms between two.
+func waitFor(t *testing.T, what string, looks int, is func() bool) {
 	t.Helper()
-	until(t, "serving", s, func() bool { return s.phase == Serving })
-}
-
-// operated gives what the door calls of a service.
-func operated(t *testing.T, list string) (d *desk, addr string, ended chan error) {
-	addr = freeAddress(t)
-	s, ended := next(t, addr, list, "")
-	return on(s, func() *desk { s.desk = &desk{s: s}; s.publish(); return s.desk }), addr, ended
-}
-
-// load asks on ever new connections until it is stopped; then all must have been answered, and many.
-func load(t *testing.T, addr string) (stop func()) {
-	var done, asked atomic.Int64
-	var all sync.WaitGroup
-	for range 4 {
-		all.Add(1)
-		go func() {
-			defer all.Done()
-			for done.Load() == 0 {
-				if got := ask(addr, fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", asked.Add(1))); !strings.HasPrefix(got, "VA") {
-					t.Errorf("under load it answers %q", got)
-				}
-				time.Sleep(2 * time.Millisecond)
-			}
-		}()
-	}
-	end := func() { done.Store(1); all.Wait() }
-	t.Cleanup(end) // also where the test fails before: what it would tell afterwards would end the whole program
-	return func() {
-		if end(); asked.Load() < 100 {
-			t.Errorf("only %d were asked", asked.Load())
+	for i := 0; !is(); i++ {
+		if i > looks {
+			t.Fatalf("%s does not come", what)
 		}
+		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// asker asks on one connection, one command after another, and without a pause one ahead; it tells when the connection is closed, and
-// if that cut an answer.
-func asker(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
-	ended = make(chan error, 1)
-	key := "short"
-	if pause == 0 {
-		key = "later"
-	}
-	conn, in := asking(t, addr, name, key)
-	go func() {
-		if pause == 0 { // answers and commands cross
-			time.Sleep(10 * time.Millisecond)
-			fmt.Fprintf(conn, "mg later v O%s- Pc=t,d=1900\r\n", name)
-		}
-		for i := 0; ; i++ {
-			line, err := in.ReadString('\n')
-			if err == nil && strings.HasPrefix(line, "VA") {
-				_, err = in.ReadString('\n')
-			}
-			if err != nil && line != "" {
-				ended <- fmt.Errorf("cut in %q", line)
-			}
-			if err != nil {
-				ended <- nil
-				return
-			}
-			time.Sleep(pause)
-			fmt.Fprintf(conn, "mg %s v O%s%d Pc=t,d=1900\r\n", key, name, i)
-		}
-	}()
-	return ended
+// waitServing waits until a service serves.
+func waitServing(t *testing.T, s *Service) {
+	t.Helper()
+	waitUntil(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
-// asking gives a connection on which a key was asked for; without one, nothing was.
-func asking(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
-	conn, err := net.Dial("tcp", addr)
+// freeAddress gives a TCP address that nothing listens at.
+func freeAddress(t *testing.T) string {
+	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
-	t.Cleanup(func() { conn.Close() })
-	conn.SetDeadline(time.Now().Add(15 * time.Second))
-	if key != "" {
-		fmt.Fprintf(conn, "mg %s v O%s Pc=t,d=1900\r\n", key, id)
+	defer listener.Close()
+	return listener.Addr().String()
+}
+
+// freeUDPAddress gives a UDP address that nothing listens at.
+func freeUDPAddress(t *testing.T) string {
+	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
+	if err != nil {
+		t.Fatal(err)
 	}
-	return conn, bufio.NewReader(conn)
+	defer conn.Close()
+	return conn.LocalAddr().String()
+}
+
+// logBuffer is a log that may be read while others write.
+type logBuffer struct {
+	mu  sync.Mutex
+	all []byte
 }
 
-// counter is a module that keeps how many routers it was told of.
-type counter struct {
-	requestcore.Balancer
-	routers []int
+func (b *logBuffer) Write(line []byte) (int, error) {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	b.all = append(b.all, line...)
+	return len(line), nil
 }
 
-func (c *counter) SetFleetSize(now float64, n int) {
-	c.routers = append(c.routers, n)
-	c.Balancer.SetFleetSize(now, n)
+func (b *logBuffer) text() string {
+	b.mu.Lock()
+	defer b.mu.Unlock()
+	return string(b.all)
 }
--- /dev/null
+++ b/internal/service/zonesadmin.go
@@ -0,0 +1,119 @@
+package service
+
+import (
+	"errors"
+	"slices"
+	"time"
+
+	"bendtrestle/internal/admin"
+	"bendtrestle/internal/disabledservers"
+)
+
+// Why an operator's call about zones is refused; the admin server answers with these texts.
+var (
+	errZonesOff = errors.New("zones are off: the operators' file is to say on = true under [zones]")
+	errLastZone = errors.New("no zone would remain; the last one is not left")
+)
+
+// Zones gives the state of all zones.
+func (h *adminHandler) Zones() ([]admin.Zone, error) {
+	zones := h.service.zones
+	if zones == nil {
+		return nil, errZonesOff
+	}
+	var all []admin.Zone
+	err := h.onLoop(func() error {
+		now := zones.now()
+		for _, zone := range zones.controller.Statuses(now) {
+			all = append(all, admin.Zone{
+				Zone:                   zone.Zone,
+				State:                  zone.State.String(),
+				Share:                  zone.Share,
+				StateSeconds:           now - max(zone.Since, h.service.lifecycle.startedAt),
+				ByOperator:             zone.OperatorOverride,
+				Servers:                zone.Servers,
+				RoutersWithoutAnswer:   zone.VotesAgainst,
+				RoutersWithLaterAnswer: zone.VotesFor,
+				RoutersHeard:           zone.RoutersHeard,
+				RecentEvacuations:      zone.Evacuations,
+				Reason:                 zone.Reason,
+			})
+		}
+		return nil
+	})
+	return all, err
+}
+
+// EvacuateZone evacuates a zone until RestoreZone. It is refused for the last one.
+func (h *adminHandler) EvacuateZone(zone string) error {
+	zones := h.service.zones
+	until := time.Now().Add(lockWaitTimeout)
+	if zones == nil {
+		return errZonesOff
+	}
+	err := h.onLoop(func() error { return zones.evacuate(zone) })
+	if err != nil {
+		return err
+	}
+	err = zones.file.Update(zone, true, until)
+	if err == nil {
+		return nil
+	}
+	if errors.Is(err, disabledservers.ErrLocalOnly) {
+		h.service.log.Error().Err(err).Str("zone", zone).
+			Msg("an operator's call holds here, but cannot be kept for the next process")
+		return err
+	}
+	saved := zones.file.IDs() // nothing was written, so the zone does not stay evacuated
+	h.service.loop.Post(func() { zones.applyEvacuated(saved) })
+	return err
+}
+
+// evacuate evacuates a zone for an operator.
+func (a *zoneAdapter) evacuate(zone string) error {
+	if !a.controller.Known(zone) {
+		return admin.ErrUnknownZone
+	}
+	if !a.controller.SetOperatorOverride(a.now(), zone, true) {
+		return errLastZone
+	}
+	a.evacuated[zone] = true
+	a.applyChanges()
+	return nil
+}
+
+// RestoreZone lets a zone recover, whether an operator or the failover evacuated it.
+func (h *adminHandler) RestoreZone(zone string) error {
+	zones := h.service.zones
+	until := time.Now().Add(lockWaitTimeout)
+	if zones == nil {
+		return errZonesOff
+	}
+	// The file also has a zone that could not be evacuated, as the last.
+	saved := slices.Contains(zones.file.IDs(), zone)
+	if !saved {
+		return h.onLoop(func() error { return zones.startRecovery(zone) })
+	}
+	if err := zones.file.Update(zone, false, until); err != nil {
+		return err
+	}
+	err := h.onLoop(func() error { // behind the set without it, which the file has posted
+		// The failover itself may have evacuated it; else there is nothing to recover.
+		zones.controller.StartRecovery(zones.now(), zone)
+		zones.applyChanges()
+		return nil
+	})
+	if err != nil {
+		return errSavedNotApplied
+	}
+	return nil
+}
+
+// startRecovery begins the recovery of a zone.
+func (a *zoneAdapter) startRecovery(zone string) error {
+	if !a.controller.StartRecovery(a.now(), zone) {
+		return admin.ErrUnknownZone
+	}
+	a.applyChanges()
+	return nil
+}
