--- a/balancer/host.go
+++ b/balancer/host.go
@@ -33,9 +33,13 @@
 	// ReasonOverloaded: load was shed. Its server would take too long for what the request is worth, or the
 	// origin fails.
 	ReasonOverloaded RejectReason = iota
-	// ReasonNoEndpoint: the rules allow no server an attempt, or another one.
+	// ReasonNoEndpoint: there is no server for an attempt, or for another one. Either none is ready, allowed by the
+	// traffic class and untried, or those that are have no slow-start budget or, at the origin, no capacity; or the
+	// request may not be attempted (again) anywhere: its deadline is over, it has had Settings.MaxAttempts, or a
+	// repeat might take effect twice.
 	ReasonNoEndpoint
-	// ReasonNoTime: less time is left than an attempt should take, or the retry budget is spent.
+	// ReasonNoTime: there is a server for a retry, but either less time is left than an attempt there should take, or
+	// the retry budget is spent. New requests are not rejected for it.
 	ReasonNoTime
 )
 
--- a/internal/requestcore/request.go
+++ b/internal/requestcore/request.go
@@ -41,15 +41,22 @@
 // The reasons, all that there are on the way of a request.
 const (
 	NoReason         RejectReason = iota
-	ReasonOverloaded              // the balancer: the endpoint for it takes too long
-	ReasonNoEndpoint              // the balancer: no endpoint may execute it
-	ReasonNoTime                  // the balancer: too little of its time is left
+	ReasonOverloaded              // the balancer: load is shed, see balancer.ReasonOverloaded
+	ReasonNoEndpoint              // the balancer: no endpoint may execute it, or once more; see balancer.ReasonNoEndpoint
+	ReasonNoTime                  // the balancer: too little time or no retry budget is left for a retry
 	ReasonQuota                   // its team is beyond its quota
-	ReasonNoCapacity              // as many requests are open as may be
+	ReasonNoCapacity              // its bulkhead is full: as many requests are open as may be
 )
 
-// ReasonNames names the reasons, by their numbers, as operators read them.
-var ReasonNames = [...]string{"none", "strain", "no server", "no time", "budget", "place"}
+// ReasonNames are the reasons' names in logs, which operators and dashboards read. They stay as they have always been.
+var ReasonNames = [...]string{
+	NoReason:         "none",
+	ReasonOverloaded: "strain",    // overloaded
+	ReasonNoEndpoint: "no server", // no endpoint, or none for a repeat
+	ReasonNoTime:     "no time",   // also: no retry budget
+	ReasonQuota:      "budget",    // the team's quota, not the retry budget
+	ReasonNoCapacity: "place",     // no capacity of a bulkhead
+}
 
 // rejectReasons gives the balancer's reasons their place among all.
 var rejectReasons = map[balancer.RejectReason]RejectReason{
