--- a/balancer/config.go
+++ b/balancer/config.go
@@ -37,7 +37,8 @@
 
 	// MaxAttempts bounds the attempts of one request; 0 is no bound.
 	MaxAttempts int
-	// HedgingAllowed allows two attempts of a request in flight at once.
+	// HedgingAllowed allows two attempts of a request in flight at once (a hedged request). The balancer never starts a
+	// second attempt before the first has ended, so the setting changes none of its decisions now.
 	HedgingAllowed bool
 	// CancellationAllowed allows Host.CancelAttempt.
 	CancellationAllowed bool
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -5,16 +5,19 @@
 const (
 	// ejectionFailures is the number of consecutive failures from which on a server is ejected.
 	ejectionFailures = 3
-	// restartFailures is the number of consecutive failures, among them refused connections, from which on a
-	// server is taken to have restarted once it answers again. Fewer may be an accident of the network.
+	// restartFailures is the value of health.consecutiveFailures from which on a server that refused a connection is
+	// taken to have restarted once it answers again. A refusal raises that value to ejectionFailures at once, so a
+	// first refusal and two failures after it are enough. Fewer may be an accident of the network.
 	restartFailures = 5
 )
 
 // health counts the failures of a server and holds its ejection.
 type health struct {
+	// consecutiveFailures is the number of failures since the server last answered, and at least ejectionFailures
+	// after a refused connection. An error that turns out to follow its request is taken back.
 	consecutiveFailures int
-	ejectedUntil        float64 // seconds; it counts from ejectionFailures on
-	refusesConnections  bool    // it refused one since it last answered
+	ejectedUntil        float64 // seconds; read only while consecutiveFailures >= ejectionFailures
+	refusesConnections  bool    // this router or a peer was refused a connection since the server last answered here
 }
 
 // ejected reports whether a server is passed over for its failures. After the ejection time one attempt at a time
@@ -27,7 +30,10 @@
 }
 
 // Avoids reports whether a server gets no new requests now, or at most one at a time: it is not ready, disabled
-// by an operator, or has failed too often. It is for status pages, and changes nothing.
+// by an operator, or was ejected and has not answered since. It is for status pages, and changes nothing.
+//
+// What depends on a request is not included: overload, a slow-start budget that is spent, an evacuated zone, the
+// zones and machine types that a class allows, and the capacity of the origin's servers.
 func (b *Balancer) Avoids(id uint64) bool {
 	server := b.servers.byID[id]
 	if server == nil || server.State != Ready || server.disabled {
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -4,7 +4,8 @@
 const freeRetryFactor = 2
 
 // retry decides what follows an attempt that ended without an answer: another attempt, or the final answer. While
-// another attempt of the request is in flight (a hedged request) nothing does.
+// another attempt of the request is in flight nothing does. That does not happen now, since no other attempt is
+// started before this one has ended: only OnRequest and retry start any.
 func (b *Balancer) retry(req *request, ended *attempt, how Outcome) {
 	if req.anyAttempt((*attempt).isInFlight) {
 		return
