--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -64,17 +64,35 @@
 	if warm >= 1 || b.settings.OverloadWindow <= 0 || b.isOrigin(server) {
 		return true
 	}
-	budget := &server.slowStart
-	allowance := b.slowStartAllowance(server, warm)
+	b.refillSlowStart(server, b.slowStartAllowance(server, warm))
+	return server.slowStart.budget >= 1
+}
+
+// refillSlowStart adds to a server's slow-start budget what has accrued since it was last refilled, and bounds it:
+// what accrued unused is lost at the wrap (slowStartWrap), and no more than a part of a window's allowance is kept.
+func (b *Balancer) refillSlowStart(server *serverState, allowance float64) {
+	state := &server.slowStart
 	perWindow := max(allowance, b.settings.OverloadFactor/b.fleetSize) // unseen capacity: one attempt in the window
-	refilled := budget.budget + perWindow*(b.now-budget.refilledAt)/b.settings.OverloadWindow
-	// Each router keeps to its own part, and all together must not keep too much for a burst. So of many routers only
-	// some keep a whole attempt unused: a budget that reaches the modulus is lost. Where each router may keep one,
-	// the modulus is infinite.
-	kept := math.Mod(refilled, 1/max(0, 1-b.slowStartKeptPart(allowance)))
-	budget.budget = min(kept, max(1, perWindow/slowStartBurstPart))
-	budget.refilledAt = b.now
-	return budget.budget >= 1
+	refilled := state.budget + perWindow*(b.now-state.refilledAt)/b.settings.OverloadWindow
+	kept := math.Mod(refilled, b.slowStartWrap(allowance))
+	state.budget = min(kept, max(1, perWindow/slowStartBurstPart))
+	state.refilledAt = b.now
+}
+
+// slowStartWrap is the budget, in attempts, at which an unused budget starts at 0 again; +Inf: it never does.
+//
+// Each router keeps to its own allowance, but in a burst all of them spend what they have kept at once. So of many
+// routers only a part p (slowStartKeptPart) is to hold a whole attempt unused. A budget that grows evenly and wraps at
+// 1/(1-p) is 1 or more for a part p of the time, and the first budgets are random, so that the routers are not in step.
+//
+// Example: 10 routers, each with an allowance of half an attempt in the window. Then p is 0.5/4 + sqrt(0.5/10) + 1/10
+// = 0.449, and the budget wraps at 1/0.551 = 1.81 attempts: 4 or 5 of the routers hold one. With an allowance of two
+// attempts, p is above 1 and the budget never wraps: each router may hold one.
+//
+// The budget wraps only by what accrues between two refills: one that was refilled while it held an attempt is cut to
+// the bound in refillSlowStart, mostly 1, and accrues from there.
+func (b *Balancer) slowStartWrap(allowance float64) float64 {
+	return 1 / max(0, 1-b.slowStartKeptPart(allowance))
 }
 
 // slowStartAllowance is how many attempts this router may send a server within the overload window. It is a safe part
@@ -90,9 +108,9 @@
 	return allowance
 }
 
-// slowStartKeptPart is the part of the routers that may keep an attempt unused, 1 and more being all of them: a
-// quarter of what they all may send, its deviation by chance (the root), and one router. In a fleet above
-// SlowStartSharedUpTo each may.
+// slowStartKeptPart is the part of the routers that may keep an attempt unused, 1 and more being all of them. In
+// routers it is a quarter of the attempts that all may send in a window, the standard deviation of that number (its
+// root), and one more. In a fleet above SlowStartSharedUpTo each may. allowance is that of one router.
 func (b *Balancer) slowStartKeptPart(allowance float64) float64 {
 	sharedUpTo := cmp.Or(b.settings.SlowStartSharedUpTo, defaultSlowStartSharedUpTo)
 	beyond := max(0, b.fleetSize-sharedUpTo)
