--- a/balancer/admission.go
+++ b/balancer/admission.go
@@ -15,15 +15,15 @@
 )
 
 // A request is shed when its expected latency exceeds a part of the time that is left to its objective. The part is
-// drawn between rampStart and rampStart+rampWidth, so that load is shed gradually as the expected latency grows.
+// drawn between limitPartStart and limitPartStart+limitPartWidth, so that load is shed gradually as the expected
+// latency grows.
 const (
-	rampStart = 0.3
-	rampWidth = 0.3
-	// calmOnTimeRate is the on-time rate above which there is calm, from 0 there up to 1 where all attempts end in
-	// time.
+	limitPartStart = 0.3
+	limitPartWidth = 0.3
+	// calmOnTimeRate is the on-time rate above which there is calm (Balancer.calm).
 	calmOnTimeRate = 0.75
 	calmScale      = 4 // 1 / (1 - calmOnTimeRate)
-	// calmWidening is by how much the part is greater in full calm.
+	// calmWidening is by how much the part is greater in full calm, as a part of itself.
 	calmWidening = 1.25
 	// meanValueWeight: one request moves the mean value by one part in so many of the difference.
 	meanValueWeight = 64
@@ -87,23 +87,48 @@
 // random number is drawn if the server is known to be at work or to fail.
 func (b *Balancer) shedsForLatency(req *request, server *serverState) bool {
 	expected := b.expectedLatency(req, server)
-	// The time that is left to the objective. For a request that is late already, the whole objective: a single
-	// attempt of each router must not be enough to keep a server overloaded.
-	limit := cmp.Or(max(0, req.objectiveAt-b.now), req.class.LatencyObjective)
-	calm := calmScale * max(0, b.recent.onTimeRate-calmOnTimeRate)
-	if len(server.inFlight) > 0 || server.health.consecutiveFailures > 0 {
-		ramp := rampStart + rampWidth*b.random.Float64()
-		limit *= ramp * (1 + calmWidening*calm)
-	}
+	calm := b.calm()
+	limit := b.latencyLimit(req, server, calm)
 	if len(server.inFlight) > 0 {
 		// The server may stand still: its silence is a lower bound of its latency.
 		silentSince := max(server.latency.observedAt, server.inFlight[0].sentAt)
 		expected = max(expected, b.now-silentSince)
 	}
+	return expected > limit*b.valueFactor(req, calm)
+}
+
+// calm says how far recent attempts ended in time, from 0, where a part of calmOnTimeRate or less did, to 1, where all
+// did. Example: an on-time rate of 0.9 is a calm of 0.6.
+func (b *Balancer) calm() float64 {
+	return calmScale * max(0, b.recent.onTimeRate-calmOnTimeRate)
+}
+
+// latencyLimit is the expected latency, in seconds, above which a request of mean value is shed. At an idle server
+// that does not fail it is the time left to the latency objective; at others a random part of that, larger in calm.
+// It draws a random number in the second case.
+//
+// Example: 100 ms are left, the server has attempts in flight and 0.5 is drawn. The part is 0.3 + 0.3*0.5 = 0.45 and
+// the limit 45 ms; in full calm it is 2.25 times that, 101 ms.
+func (b *Balancer) latencyLimit(req *request, server *serverState, calm float64) float64 {
+	// For a request that is late already, the whole objective: a single attempt of each router must not be enough to
+	// keep a server overloaded.
+	limit := cmp.Or(max(0, req.objectiveAt-b.now), req.class.LatencyObjective)
+	if len(server.inFlight) > 0 || server.health.consecutiveFailures > 0 {
+		part := limitPartStart + limitPartWidth*b.random.Float64()
+		limit *= part * (1 + calmWidening*calm)
+	}
+	return limit
+}
+
+// valueFactor multiplies the latency limit of a request by its value, which is its priority weight per second of
+// expected work, against the mean value of recent requests: those of little value are shed earlier, though not in
+// full calm. The request counts in that mean.
+//
+// Example: a request of a quarter of the mean value has a factor of sqrt(1/4) = 0.5 without calm, and 1 in full calm.
+func (b *Balancer) valueFactor(req *request, calm float64) float64 {
 	value := req.valueFraction * req.class.PriorityWeight / req.class.meanLatency
 	b.shedding.meanValue += (value - b.shedding.meanValue) / meanValueWeight
-	// Requests of little value yield earlier, though not in calm.
-	return expected > limit*math.Pow(value/b.shedding.meanValue, (1-calm)/2)
+	return math.Pow(value/b.shedding.meanValue, (1-calm)/2)
 }
 
 // shedsForFailures decides, by chance, whether a request is shed because it would find no answer anyway: when the
@@ -121,8 +146,8 @@
 	return true
 }
 
-// reject gives a request its final answer: that trying again is harmless, where the rules allow it, else that it
-// failed. A request that was never attempted gives its token back to its tenant.
+// reject ends a request that gets no further attempt. Where a retry by the client is harmless it is rejected, else it
+// failed, and the reason is not told. A request that was never attempted gives its token back to its tenant.
 func (b *Balancer) reject(req *request, reason RejectReason) {
 	if len(req.attempts) == 0 {
 		b.recent.notAccepted()
@@ -133,7 +158,7 @@
 	}
 	jitter := retryAfterJitterStart + b.random.Float64()
 	retryAfter := min(req.class.LatencyObjective*jitter, b.settings.MaxRetryAfter)
-	if b.mayReject(req) {
+	if b.clientRetryIsHarmless(req) {
 		b.host.Reject(req.id, retryAfter, reason)
 	} else {
 		b.host.Fail(req.id)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -35,7 +35,7 @@
 //	  by load (ReasonOverloaded)              admission.go: shedsForLatency, shedsForFailures
 //	  no server (ReasonNoEndpoint)            placement.go: pick, and what it asks in rules.go: mayAttempt
 //	  no time, no budget (ReasonNoTime)       retries.go: admitRetry
-//	why was it answered as failed?            rules.go: mayReject; admission.go: reject
+//	why was it answered as failed?            rules.go: clientRetryIsHarmless; admission.go: reject
 //	why was it attempted under overload?      admission.go: mustAttemptAgain
 //	why did it go to this server?             placement.go: pick, nearestServer; ring.go: nearestNodes
 //	  and not to the nearest one?             placement.go: answersForKey; overload.go: overloaded
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -79,8 +79,10 @@
 	return allowed == nil || slices.Contains(allowed, name)
 }
 
-// mayReject reports whether the client may be told that trying again is harmless.
-func (b *Balancer) mayReject(req *request) bool {
+// clientRetryIsHarmless reports whether a retry by the client, as a new request, has no second effect: repeats are
+// harmless in its class or dropped by all servers, or no attempt may have been executed. One in flight may have been.
+// The deduplication window is not looked at.
+func (b *Balancer) clientRetryIsHarmless(req *request) bool {
 	class := req.class
 	if class.Idempotency == Idempotent {
 		return true
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -60,7 +60,7 @@
 		b, _ := newTestBalancer(1, nil)
 		req := requestWithAttempt(b, c.class, b.servers.byID[1], false, c.notExecuted)
 		req.class.DeduplicationScope = c.scope
-		expectEqual(t, c.name, b.mayReject(req), c.want)
+		expectEqual(t, c.name, b.clientRetryIsHarmless(req), c.want)
 	}
 }
 
--- a/balancer/zoneshare.go
+++ b/balancer/zoneshare.go
@@ -25,8 +25,8 @@
 }
 
 // SetZoneShare sets the part of its keys, from 0 to 1, that a zone's servers answer for from now on. With share
-// 0 the zone is evacuated: attempts in flight there whose requests may be attempted again are cancelled, so
-// that they go elsewhere instead of waiting until their deadline. Servers of the origin are not concerned.
+// 0 the zone is evacuated: attempts in flight there are cancelled if a repeat of their request is harmless in its
+// class, so that it goes elsewhere instead of waiting until its deadline. Servers of the origin are not concerned.
 func (b *Balancer) SetZoneShare(now float64, zone string, share float64) {
 	b.now = now
 	b.zones.withheld[zone] = 1 - share
@@ -36,7 +36,7 @@
 	inZone := func(a *attempt) bool { return a.server.Zone == zone && !b.isOrigin(a.server) }
 	for _, id := range slices.Sorted(maps.Keys(b.requests)) {
 		req := b.requests[id]
-		if b.mayReject(req) {
+		if b.clientRetryIsHarmless(req) {
 			b.cancelAttempts(req, inZone)
 		}
 	}
