--- a/internal/policy/zonefailover/attempts.go
+++ b/internal/policy/zonefailover/attempts.go
@@ -5,7 +5,10 @@
 // attempts are those of this router in one zone.
 type attempts struct {
 	open map[uint64]openAttempt // by token
-	rate float64                // attempts a second, averaged over rateWindow
+	// rate is the attempts a second, averaged over rateWindow. It decays only while the zone serves all of its keys
+	// (Serving, Suspected): after the evacuation it holds what the zone had before, from which probeShare follows.
+	// Attempts are added in every state, those of probes and of a recovery, too.
+	rate float64
 }
 
 // openAttempt is an attempt without an outcome yet.
@@ -14,8 +17,9 @@
 	objective float64 // seconds within which an answer is promised
 }
 
-// OnAttemptStart takes that an attempt begins in a zone that promises an answer within objective seconds. The token
-// names the attempt in OnAttemptEnd; 0: it is not watched, as the zone is not known or too many attempts are open.
+// OnAttemptStart handles the start of an attempt in a zone that promises an answer within objective seconds. The
+// token names the attempt in OnAttemptEnd; 0: it is not watched, as the zone is not known or too many attempts are
+// open.
 func (c *Controller) OnAttemptStart(now float64, name string, objective float64) (token uint64) {
 	z := c.find(name)
 	if z == nil || c.watchedAttempts >= maxWatchedAttempts {
@@ -28,7 +32,7 @@
 	return c.lastToken
 }
 
-// OnAttemptEnd takes the outcome of an attempt. Tokens that are not open, 0 among them, are ignored.
+// OnAttemptEnd handles the outcome of an attempt. Tokens that are not open, 0 among them, are ignored.
 func (c *Controller) OnAttemptEnd(now float64, name string, token uint64, outcome Outcome) {
 	z := c.find(name)
 	if z == nil || token == 0 {
@@ -47,24 +51,25 @@
 		z.step.counts.add(outcome)
 	}
 	if outcome == NoAnswer {
-		z.strike(attempt.began)
+		z.noteFailure(attempt.began)
 		return
 	}
 	z.evidence.lastAnswer = now
 	z.evidence.failingSince = 0
 }
 
-// add counts an attempt. Late and rejected ones are answers and strain at once.
+// add counts an attempt. Late and rejected ones count as answered and as degraded.
 func (s *stepCounts) add(outcome Outcome) {
 	if outcome != Answered {
-		s.strained++
+		s.degraded++
 	}
 	if outcome != NoAnswer {
 		s.answered++
 	}
 }
 
-// ageAttempts lets the zones' rates decay, and counts attempts beyond their latency objective as unanswered.
+// ageAttempts lets the rates of zones decay that serve all of their keys, and counts attempts beyond their latency
+// objective as unanswered.
 func (c *Controller) ageAttempts(now, sinceLastTick float64) {
 	for _, name := range c.names {
 		z := c.find(name)
@@ -72,7 +77,7 @@
 			z.attempts.rate *= math.Exp(-sinceLastTick / rateWindow)
 		}
 		if began := z.oldestOverdue(now); began < now {
-			z.strike(began)
+			z.noteFailure(began)
 		}
 	}
 }
--- a/internal/policy/zonefailover/config.go
+++ b/internal/policy/zonefailover/config.go
@@ -34,13 +34,15 @@
 	// objectionWindow is the time between enough evidence and the evacuation: whoever has had an answer says so
 	// within it. Longer loses requests, shorter evacuates zones that others reach.
 	objectionWindow = 0.1
-	// votesForWeight is how many votes against a zone it takes to outweigh one vote for it, so that a zone with some
-	// servers down stays. Less evacuates such zones, more keeps one that few routers reach.
-	votesForWeight = 8
-	// minFailureVotes is how many routers have to fail in a zone that failed lately, and the least of every quorum.
+	// votesAgainstPerVoteFor is how many votes against a zone it takes to outweigh one vote for it, so that a zone
+	// with some servers down stays. Less evacuates such zones, more keeps one that few routers reach. For example, 16
+	// votes against a zone outweigh 2 votes for it, but not 3.
+	votesAgainstPerVoteFor = 8
+	// minFailureVotes is how many routers have to fail in a zone that failed lately, and the least of every quorum; one
+	// where there is only one router (Controller.minVotes).
 	minFailureVotes = 2
-	// quorumDivisor is the part of the routers heard of that makes a quorum: a quarter. A larger quorum is slower, a
-	// smaller one has faults of a few routers decide.
+	// quorumDivisor divides the routers heard of: a quorum is a quarter of them, rounded up (Controller.quorum). A
+	// larger quorum is slower, a smaller one has faults of a few routers decide.
 	quorumDivisor = 4
 	// ownAnswerWindow is how long an answer of its own keeps a router from following others out of a zone.
 	ownAnswerWindow = 1.0
@@ -70,22 +72,22 @@
 	proberDivisor = 8
 	// maxProbeShare bounds the share that a probing router sends.
 	maxProbeShare = 0.25
-	// firstRecoveryShare is the share that a recovering zone begins with. Larger recovers sooner, and strains servers
-	// that are cold.
+	// firstRecoveryShare is the share that a recovering zone begins with. Larger recovers sooner, and may overload
+	// servers that are cold.
 	firstRecoveryShare = 1.0 / 16
 	// maxFollowedShare bounds the share that a router takes over from its peers when it begins a recovery after them.
 	maxFollowedShare = 0.5
-	// minShare is the least share of a probing or a strained zone.
+	// minShare is the least share of a probing zone, and of a recovering one whose steps are degraded.
 	minShare = 1.0 / 64
 	// stepsPerWarmup, minStepTime and maxStepTime set how long a recovering zone stays at one share: four doublings,
 	// with what the endpoint list and the messages take, stay within half of a cold server's warm-up.
 	stepsPerWarmup = 12
 	minStepTime    = 0.25
 	maxStepTime    = 2
-	// minStrainedAttempts and strainDivisor say when a step was strained: so many attempts, and more than a quarter
-	// of those that were answered.
-	minStrainedAttempts = 2
-	strainDivisor       = 4
+	// minDegradedAttempts and degradedDivisor say when a step was degraded: so many attempts were late, rejected or
+	// without an answer, and these are more than a quarter of those that were answered.
+	minDegradedAttempts = 2
+	degradedDivisor     = 4
 )
 
 // Gossip, times in seconds.
--- a/internal/policy/zonefailover/doc.go
+++ b/internal/policy/zonefailover/doc.go
@@ -15,8 +15,8 @@
 //   - Evacuation (evacuation.go): a zone with enough votes against it is evacuated, unless no other zone would serve
 //     all keys. A router that knows less than its peers follows them.
 //   - Probing (probing.go): after a hold time a few routers at a time send a small share there.
-//   - Recovery (recovery.go): once probes are answered the share doubles step by step, is halved under strain, and
-//     waits for the other zones of its region.
+//   - Recovery (recovery.go): once probes are answered the share doubles step by step, is halved while
+//     attempts are late, rejected or unanswered, and waits for the other zones of its region.
 //   - Operators (operator.go): an override evacuates a zone at this router, whatever the evidence says.
 //
 // # Use
--- a/internal/policy/zonefailover/evacuation.go
+++ b/internal/policy/zonefailover/evacuation.go
@@ -50,14 +50,14 @@
 	return failing, remaining
 }
 
-// votedOut tells whether the votes against a zone suffice: a quorum, or two routers if it failed lately, that no
-// votes for it outweigh.
+// votedOut reports whether the votes against a zone suffice. They have to be a quorum, or minVotes if the zone failed
+// lately, and at least votesAgainstPerVoteFor times the votes for it.
 func (c *Controller) votedOut(now float64, z *zone, votes tally) bool {
 	needed := c.quorum(votes.routers)
 	if z.failedLately(now) {
 		needed = c.minVotes()
 	}
-	return votes.against >= needed && votesForWeight*votes.inFavour <= votes.against
+	return votes.against >= needed && votesAgainstPerVoteFor*votes.inFavour <= votes.against
 }
 
 // updateSuspicion moves a zone that is not voted out between Serving and Suspected.
--- a/internal/policy/zonefailover/evidence.go
+++ b/internal/policy/zonefailover/evidence.go
@@ -21,7 +21,7 @@
 	// The routers that say they have evacuated the zone, that let it recover, that serve all of its keys.
 	evacuated, recovering, serving int
 	// share is a low one of the shares that routers give the zone: at the place of the quorum in their sorted row, so
-	// that one router that alone sees strain holds no other back.
+	// that one router whose attempts alone are degraded holds no other back.
 	share float64
 }
 
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -132,7 +132,7 @@
 		for _, name := range zones {
 			if s, said := p.reports[NameHash(name)]; said {
 				read += fmt.Sprintf("; %s %v %v %v %v %v %v %v", name, s.state, s.share, s.lastAnswer, s.failingSince,
-					s.operatorOverride, s.lastStep.answered, s.lastStep.strained)
+					s.operatorOverride, s.lastStep.answered, s.lastStep.degraded)
 			}
 		}
 		read += "\n"
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -70,7 +70,7 @@
 	zones := slices.SortedFunc(maps.Values(c.zones), byNeed)
 	zones = zones[:min(len(zones), maxZonesPerMessage)]
 	for _, z := range zones {
-		z.announcement = announcement{owed: max(0, z.announcement.owed-1), lastSent: now}
+		z.announcement = announcement{pendingMessages: max(0, z.announcement.pendingMessages-1), lastSent: now}
 	}
 	c.MessagesSent++
 	return c.message(now, zones)
@@ -80,11 +80,11 @@
 // there or probes it, and this router has had an answer that it has not told of.
 func (c *Controller) noteObjections(now float64) {
 	for _, z := range c.zones {
-		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.owed > 0 {
+		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.pendingMessages > 0 {
 			continue
 		}
 		if z.state.evacuated() || c.contradictsPeer(now, z) {
-			z.announcement.owed = 1
+			z.announcement.pendingMessages = 1
 		}
 	}
 }
@@ -106,7 +106,7 @@
 // hasNews tells whether others have to know something now.
 func (c *Controller) hasNews() bool {
 	for _, z := range c.zones {
-		if z.announcement.owed > 0 || z.announcement.newFailure && z.state != Evacuated {
+		if z.announcement.pendingMessages > 0 || z.announcement.newFailure && z.state != Evacuated {
 			return true
 		}
 	}
@@ -123,7 +123,7 @@
 
 // need is how much others need to hear of a zone; 0 is the most.
 func (z *zone) need() int {
-	if z.announcement.owed > 0 || z.announcement.newFailure {
+	if z.announcement.pendingMessages > 0 || z.announcement.newFailure {
 		return 0
 	}
 	if z.state != Serving || z.evidence.failingSince > 0 {
--- a/internal/policy/zonefailover/message.go
+++ b/internal/policy/zonefailover/message.go
@@ -91,7 +91,7 @@
 	if r.operatorOverride {
 		state |= overrideFlag
 	}
-	step := byte(min(maxStepCount, r.lastStep.answered) | min(maxStepCount, r.lastStep.strained)<<stepBits)
+	step := byte(min(maxStepCount, r.lastStep.answered) | min(maxStepCount, r.lastStep.degraded)<<stepBits)
 	return append(data,
 		byte(r.hash), byte(r.hash>>8), byte(r.hash>>16),
 		state,
@@ -110,7 +110,7 @@
 		share:            min(float64(data[4])/shareSteps, 1),
 		lastAnswer:       decodeAge(now, data[5]),
 		failingSince:     decodeAge(now, data[6]),
-		lastStep:         stepCounts{answered: int(data[7] & maxStepCount), strained: int(data[7] >> stepBits)},
+		lastStep:         stepCounts{answered: int(data[7] & maxStepCount), degraded: int(data[7] >> stepBits)},
 	}
 }
 
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -137,8 +137,8 @@
 			z := router.find(name)
 			text += fmt.Sprint(z.state, z.share,
 				age(z.evidence.lastAnswer), age(z.evidence.failingSince), age(z.evidence.sufficientSince),
-				age(z.history.evacuatedAt), age(z.step.began), z.step.counts.answered, z.step.counts.strained,
-				z.announcement.newFailure, z.announcement.owed, age(z.announcement.lastSent), ";")
+				age(z.history.evacuatedAt), age(z.step.began), z.step.counts.answered, z.step.counts.degraded,
+				z.announcement.newFailure, z.announcement.pendingMessages, age(z.announcement.lastSent), ";")
 			for _, index := range slices.Sorted(maps.Keys(router.peers)) {
 				p := router.peers[index]
 				r := p.reports[z.hash]
--- a/internal/policy/zonefailover/quorum.go
+++ b/internal/policy/zonefailover/quorum.go
@@ -1,7 +1,11 @@
 package zonefailover
 
-// quorum is how many of the routers heard of have to say something for it to count: a quarter, and more than one
-// where there are more. What one router sees alone changes nothing.
+// quorum is how many of the routers heard of, this one among them, have to say something for it to count:
+//
+//	quorum = max(minVotes, a quarter of routersHeard, rounded up)
+//
+// Example: 2 of 3 routers, 2 of 8, 3 of 9, 25 of 100. What one router of several sees alone changes
+// nothing.
 func (c *Controller) quorum(routersHeard int) int {
 	return max(c.minVotes(), (routersHeard+quorumDivisor-1)/quorumDivisor)
 }
@@ -9,7 +13,7 @@
 // minVotes is the least number of routers that a verdict needs: two, or one where there is only one.
 func (c *Controller) minVotes() int { return min(minFailureVotes, c.settings.RouterCount) }
 
-// isolated tells that what fails is rather this router's connection than the zones: it hears no other router, or most
+// isolated reports whether this router's connection fails rather than the zones: it hears no other router, or most
 // zones fail and less than half of the routers were heard since that began.
 func (c *Controller) isolated(now float64) bool {
 	if c.settings.RouterCount == 1 {
--- a/internal/policy/zonefailover/recovery.go
+++ b/internal/policy/zonefailover/recovery.go
@@ -19,18 +19,18 @@
 	return min(max(c.settings.WarmupSeconds/stepsPerWarmup, minStepTime), maxStepTime)
 }
 
-// stepStrain is how the present step of a recovery goes at all routers.
-type stepStrain struct {
+// stepResult is how the present step of a recovery goes at all routers.
+type stepResult struct {
 	counts   stepCounts
-	routers  int // with a strained attempt
-	strained bool
+	routers  int // with a degraded attempt
+	degraded bool
 }
 
-// measureStrain sums up this router's step and the last ones that peers have told of: each router alone sees little.
-func (c *Controller) measureStrain(now float64, z *zone) stepStrain {
+// fleetStep sums up this router's step and the last ones that peers have told of: each router alone sees little.
+func (c *Controller) fleetStep(now float64, z *zone) stepResult {
 	own := z.step.counts
-	sum := stepStrain{counts: own}
-	if own.strained > 0 {
+	sum := stepResult{counts: own}
+	if own.degraded > 0 {
 		sum.routers++
 	}
 	for _, p := range c.peers {
@@ -39,27 +39,27 @@
 			continue
 		}
 		sum.counts.answered += said.lastStep.answered
-		sum.counts.strained += said.lastStep.strained
-		if said.lastStep.strained > 0 {
+		sum.counts.degraded += said.lastStep.degraded
+		if said.lastStep.degraded > 0 {
 			sum.routers++
 		}
 	}
-	seenByEnough := sum.routers >= c.minVotes() || own.isStrained()
-	sum.strained = sum.counts.isStrained() && seenByEnough
+	seenByEnough := sum.routers >= c.minVotes() || own.isDegraded()
+	sum.degraded = sum.counts.isDegraded() && seenByEnough
 	return sum
 }
 
 // advanceRecovery moves the share of a recovering zone at the end of each step.
 func (c *Controller) advanceRecovery(now float64, z *zone) {
-	strain := c.measureStrain(now, z)
+	step := c.fleetStep(now, z)
 	stepTime := c.stepTime()
-	if strain.strained {
+	if step.degraded {
 		stepTime /= 2
 	}
 	if now-z.step.began < stepTime {
 		return
 	}
-	share, reason := c.nextShare(z, c.countVotes(now, z).share, strain)
+	share, reason := c.nextShare(z, c.countVotes(now, z).share, step)
 	switch {
 	case share == 1 && z.share == 1:
 		c.transition(now, z, Serving, 1, reasonRecovered)
@@ -71,14 +71,14 @@
 }
 
 // nextShare is the share of a recovering zone's next step: doubled as long as its attempts are answered in time,
-// halved under strain, and never far from the share that the fleet gives it.
-func (c *Controller) nextShare(z *zone, fleetShare float64, strain stepStrain) (share float64, reason string) {
+// halved after a degraded step, and never far from the share that the fleet gives it.
+func (c *Controller) nextShare(z *zone, fleetShare float64, step stepResult) (share float64, reason string) {
 	doubled := min(2*z.share, max(2*fleetShare, z.share))
 	switch {
-	case strain.strained:
+	case step.degraded:
 		share = max(z.share/2, minShare)
 		reason = fmt.Sprintf("%d executions there were late, turned away or without an answer, and %d were answered",
-			strain.counts.strained, strain.counts.answered)
+			step.counts.degraded, step.counts.answered)
 	case fleetShare < z.share/2:
 		share, reason = z.share, reasonHeldBack
 	case fleetShare > z.share && c.settings.RouterCount > 1:
--- a/internal/policy/zonefailover/state.go
+++ b/internal/policy/zonefailover/state.go
@@ -12,7 +12,18 @@
 	Recovering              // serves a growing share of its keys
 )
 
-// stateTexts are the states' names in logs and in the admin server's answers, where they stay as they have always been.
+// stateTexts are the states' names in logs and in the admin server's answers, which operators and dashboards read. They
+// stay as they have always been:
+//
+//	text       state
+//	well       Serving
+//	suspected  Suspected
+//	left       Evacuated
+//	tried      Probing
+//	returning  Recovering
+//
+// In the texts of reasons "left" and "let it return" stand for evacuated and recovering likewise, "by hand" for an
+// operator's call, "tried" for probed, "executions" for attempts and "turned away" for rejected.
 var stateTexts = [...]string{
 	Serving:    "well",
 	Suspected:  "suspected",
@@ -65,8 +76,8 @@
 
 // Reasons of changes that carry no numbers. Logs and the admin server show them.
 const (
-	reasonInitial     = "as usual"
-	reasonOperator    = "by hand"
+	reasonInitial     = "as usual" // of a new zone
+	reasonOperator    = "by hand"  // an operator's override, its end, or StartRecovery
 	reasonAnswers     = "answers came"
 	reasonLastZone    = "no zone would remain"
 	reasonNoOtherZone = "no other zone serves all of its keys"
--- a/internal/policy/zonefailover/transition.go
+++ b/internal/policy/zonefailover/transition.go
@@ -17,7 +17,7 @@
 	case to == Recovering && from != Recovering:
 		z.enterRecovery(now)
 	case to == Recovering:
-		z.announcement.owed = max(z.announcement.owed, 1)
+		z.announcement.pendingMessages = max(z.announcement.pendingMessages, 1)
 	case to == Serving && from == Recovering:
 		z.history.recoveredAt = now
 	}
@@ -31,14 +31,14 @@
 	z.history.evacuatedAt = now
 	z.evidence.sufficientSince = 0
 	z.transitions++
-	z.announcement.owed = transitionAnnouncements
+	z.announcement.pendingMessages = transitionAnnouncements
 }
 
-// enterRecovery also forgets what failed before: it is no strain of the recovery.
+// enterRecovery also forgets what failed before: it does not count in the recovery.
 func (z *zone) enterRecovery(now float64) {
 	z.evidence.failingSince = 0
 	z.history.recoveryBegan = now
 	z.transitions++
 	z.step.counts = stepCounts{}
-	z.announcement.owed = transitionAnnouncements
+	z.announcement.pendingMessages = transitionAnnouncements
 }
--- a/internal/policy/zonefailover/zone.go
+++ b/internal/policy/zonefailover/zone.go
@@ -40,12 +40,13 @@
 // stepCounts are the attempts of one step of a recovery.
 type stepCounts struct {
 	answered int
-	strained int // late, rejected or without an answer
+	degraded int // late, rejected or without an answer
 }
 
-// isStrained tells whether so many attempts were strained that the zone cannot bear its share.
-func (s stepCounts) isStrained() bool {
-	return s.strained >= minStrainedAttempts && strainDivisor*s.strained > s.answered
+// isDegraded reports whether so many attempts were degraded that the zone is taken not to bear its share: at least
+// minDegradedAttempts, and more than a quarter of those that were answered.
+func (s stepCounts) isDegraded() bool {
+	return s.degraded >= minDegradedAttempts && degradedDivisor*s.degraded > s.answered
 }
 
 // step is the present step of a recovery.
@@ -57,9 +58,9 @@
 
 // announcement is what other routers still have to be told of a zone.
 type announcement struct {
-	owed       int     // messages that are to carry the zone
-	newFailure bool    // it has begun to fail since a message last carried it
-	lastSent   float64 // when a message last carried it
+	pendingMessages int     // messages that are to carry the zone
+	newFailure      bool    // it has begun to fail since a message last carried it
+	lastSent        float64 // when a message last carried it
 }
 
 // newZone makes a zone that serves all of its keys.
@@ -74,8 +75,8 @@
 	}
 }
 
-// strike notes that an attempt had no answer. One that began before the last answer tells nothing.
-func (z *zone) strike(attemptBegan float64) {
+// noteFailure notes that an attempt had no answer. One that began before the last answer is no evidence.
+func (z *zone) noteFailure(attemptBegan float64) {
 	if attemptBegan <= z.evidence.lastAnswer || z.evidence.failingSince != 0 {
 		return
 	}
