--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -56,7 +56,23 @@
 	}
 }
 
-// logCounts logs the counts of one pool. The names of the fields are read by dashboards.
+// logCounts logs the counts of one pool. Dashboards read the names of the fields, which stay as they have always been;
+// those of a team's line (Service.logCounts) are alike:
+//
+//	field               counter
+//	taken               requests received from clients
+//	finished            requests that succeeded
+//	declined            requests that were rejected: a retry is safe
+//	terminated          requests that failed: whether they took effect is unknown
+//	left                requests whose clients disconnected before an answer
+//	executions          attempts
+//	faults              panics of the balancer
+//	open                requests without an answer, or with an attempt in flight
+//	idle                servers' connections without a request
+//	declined for REASON rejected requests by requestcore.ReasonNames
+//
+// Of a team alone: load is the load that it has used, budget its guaranteed rate (its quota), part this router's share
+// of that, and balance what is left in its bucket.
 func (p *pool) logCounts(log zerolog.Logger, clients int) {
 	counts := p.core.Counts
 	event := log.Info().
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -231,7 +231,13 @@
 	a.applyChanges()
 }
 
-// writeMetrics shows how zones stand.
+// writeMetrics writes the figures of zones. Dashboards read their names, which stay as they have always been:
+//
+//	figure           what it counts
+//	zones_left       zones that are evacuated, or probed
+//	zones_returning  zones that are recovering
+//	zone_moves       evacuations and recoveries begun since the start
+//	zone_words       gossip messages on zones that were sent since the start
 func (a *zoneAdapter) writeMetrics(write func(name string, value uint64)) {
 	if a == nil {
 		return
