--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -25,13 +25,14 @@
 	RestoreZone(zone string) error
 }
 
-// Status is how far a start is.
+// Status is how far a start is. Its phase is that of package startup, from no known server up to full service, and not
+// service.Phase, which is where the process stands between its start and its exit.
 type Status struct {
-	Phase              string  `json:"phase"`
+	Phase              string  `json:"phase"`                // startup.Phase
 	PhaseSeconds       float64 `json:"for_s"`                // since the phase began
 	FullServiceSeconds float64 `json:"full_service_seconds"` // from the start to full service; 0: not reached yet
-	WaitsFor           string  `json:"waits_for"`
-	AcceptsClients     bool    `json:"taking_clients"`
+	WaitsFor           string  `json:"waits_for"`            // for what the phase waits, in words
+	AcceptsClients     bool    `json:"taking_clients"`       // service.Phase is Serving, with no drain or successor
 }
 
 // Zone is what operators see of one zone.
--- a/internal/disabledservers/registry.go
+++ b/internal/disabledservers/registry.go
@@ -67,7 +67,7 @@
 	return r, r.all()
 }
 
-// IDs returns the present set, also what is disabled in this process only.
+// IDs returns the present set of servers' ids or zones' names, also what is disabled in this process only.
 func (r *Registry) IDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
--- a/internal/policy/startup/phase.go
+++ b/internal/policy/startup/phase.go
@@ -2,7 +2,8 @@
 
 import "fmt"
 
-// Phase is a named part of a router's way to full service.
+// Phase is a named part of a router's way to full service, as admin.Status and the log show it. It is not
+// service.Phase, which is where the process stands between its start and its exit.
 type Phase uint8
 
 // The phases, in their order. A router may skip some, and does not go back: what fails later is a fault, not a start.
--- a/internal/policy/startup/records.go
+++ b/internal/policy/startup/records.go
@@ -13,14 +13,15 @@
 
 // RecordKind is something that outlives a process, and what may be made of it. `check` prints it.
 type RecordKind struct {
-	Name          string // of the records in the snapshot
+	Name          string // of hints also in the snapshot
 	Content       string
 	Rule          Rule
 	MaxAgeSeconds float64 // after which it is not used; 0: it has no age
 	Fallback      string  // what is done until something newer proves or overrules it
 }
 
-// Names of the kinds.
+// Names of the kinds, as `check` prints them; those of hints are also the names of the records in the snapshot. They
+// stay as they have always been: "out" are the servers and zones that operators have disabled or evacuated.
 const (
 	CompletionRate  = "rate"
 	EndpointList    = "list"
@@ -28,7 +29,9 @@
 )
 
 // RecordKinds is all that is kept. What two processes could both believe to be theirs, as requests and connections,
-// never is.
+// never is. `check` prints the texts, which stay as they are. In these "executions" are attempts, "out by hand" is
+// disabled or evacuated by an operator, and "rule 4" is the bound on the load of servers that are warming up
+// (balancer.Settings.OverloadFactor).
 var RecordKinds = []RecordKind{
 	{
 		Name:          CompletionRate,
@@ -45,6 +48,7 @@
 		Fallback:      "its servers are used as if they had just started: which have, it cannot tell (rule 4)",
 	},
 	{
+		// Kept by package disabledservers in files of its own, not in the snapshot.
 		Name:     DisabledServers,
 		Content:  "servers and zones out by hand",
 		Rule:     Binding,
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -2,13 +2,16 @@
 
 import "cmp"
 
-// Phase is a named part of a router process's life. A process never goes back to an earlier one.
+// Phase is a named part of a router process's life, from its start to its exit. A process never goes back to an
+// earlier one. It is not the phase of package startup, which says how far the router is on its way to full service and
+// is what admin.Status shows; this one is shown in log lines alone.
 type Phase int
 
 const (
-	// Starting: no endpoint list is known. Commands are taken; the health check mn is not answered MN.
+	// Starting: no endpoint list is known. Commands are taken; the health check fails: mn, memcache's no-op, which
+	// clients use as a health check, is not answered by MN.
 	Starting Phase = iota
-	// Serving: mn is answered MN.
+	// Serving: requests are served, and the health check succeeds.
 	Serving
 	// Leaving: SIGTERM has come. Connections are still accepted, and all requests are served.
 	Leaving
--- a/internal/snapshot/doc.go
+++ b/internal/snapshot/doc.go
@@ -8,7 +8,8 @@
 //
 // Nothing that happens to a file or a disk keeps a router from starting or holds it up: Open waits for the disk for
 // openTimeout at most, Get and Put never do. Copies are written on a goroutine of the store's own, one in
-// writeInterval at most. What was put within the last second before a kill is lost.
+// writeInterval at most, and less often on a slow disk. What was put since the last copy is lost in a kill: that of
+// the last write interval, which is a second at least, and longer on a slow disk (restFactor times what a copy takes).
 //
 // Files:
 //
