--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -69,7 +69,7 @@
 	outcome  func(now float64) Outcome
 }
 
-// run offers the load, and gives the longest time in seconds in which 15 or more requests were rejected with no
+// run offers the load, and returns the longest time in seconds in which 15 or more requests were rejected with no
 // attempt started, and how many were attempted.
 func (l offeredLoad) run(b *Balancer) (longestPause float64, attempted int) {
 	since := l.from
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -88,7 +88,7 @@
 	b.startAttempt(req, server)
 }
 
-// newRequest counts the use of a key and gives the record of a request for it.
+// newRequest counts the use of a key and returns the record of a request for it.
 func (b *Balancer) newRequest(id uint64, className, key string, timeLeft float64) *request {
 	class := b.classOf(className, timeLeft)
 	keyHash := seedhash.Avalanche(crc32.ChecksumIEEE([]byte(key)))
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -67,7 +67,7 @@
 	}
 }
 
-// listedServer gives the record of a server that the list names, a new one if need be; resetServer fills it once the
+// listedServer returns the record of a server that the list names, a new one if need be; resetServer fills it once the
 // server is ready.
 func (b *Balancer) listedServer(id uint64) *serverState {
 	server := b.servers.byID[id]
@@ -115,7 +115,7 @@
 	*server = *reset
 }
 
-// removeServers removes the servers that an update removes or, if it is not a delta, does not name. It tells whether
+// removeServers removes the servers that an update removes or, if it is not a delta, does not name. It reports whether
 // there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so that
 // a list that names them again does not enable them.
 func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (removed bool) {
--- a/balancer/hotkeys.go
+++ b/balancer/hotkeys.go
@@ -22,7 +22,7 @@
 	allRecentUses float64            // recent uses of all keys
 }
 
-// record counts a use of a slot's keys among a number of servers. It gives how many replicas the keys were worth
+// record counts a use of a slot's keys among a number of servers. It returns how many replicas the keys were worth
 // before, which may be less than one.
 func (h *hotKeys) record(slot uint32, servers float64) (replicas float64) {
 	keep := 1 - 1/(recentUses*servers)
@@ -35,7 +35,7 @@
 	return replicas
 }
 
-// replicasFor counts a use of a slot's keys and gives how many of the nearest servers share them, 1 or more.
+// replicasFor counts a use of a slot's keys and returns how many of the nearest servers share them, 1 or more.
 func (b *Balancer) replicasFor(slot uint32, class *classState) float64 {
 	servers := float64(max(1, len(b.servers.ready)))
 	replicas := b.hotKeys.record(slot, servers)
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -32,7 +32,7 @@
 	loadAt float64 // seconds
 }
 
-// at gives the load at a time, in seconds.
+// at returns the load at a time, in seconds.
 func (l *decayingLoad) at(now float64) float64 {
 	return l.load * math.Exp((l.loadAt-now)/loadDecayTime)
 }
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -25,7 +25,7 @@
 	return server.MachineType == b.settings.OriginMachineType
 }
 
-// pickOrigin gives the origin's server with the fewest attempts of this router in flight that has capacity for
+// pickOrigin returns the origin's server with the fewest attempts of this router in flight that has capacity for
 // one more and that the rules allow; nil if there is none.
 func (b *Balancer) pickOrigin(req *request) (best *serverState) {
 	for _, server := range b.servers.origins {
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -6,7 +6,7 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// pick gives the server of a request's next attempt, nil if there is none. It asks, in this order, for
+// pick returns the server of a request's next attempt, nil if there is none. It asks, in this order, for
 //   - one of the replicas of a hot key that has capacity, drawn by chance,
 //   - the nearest server to the key that is neither ejected nor overloaded,
 //   - the nearest that is not ejected,
@@ -39,7 +39,7 @@
 	return nil
 }
 
-// pickReplica gives one of the servers that share a request's key: the first with capacity, beginning with a random
+// pickReplica returns one of the servers that share a request's key: the first with capacity, beginning with a random
 // one; nil if there is none.
 func (b *Balancer) pickReplica(req *request, healthy func(*serverState) bool) *serverState {
 	replicas := b.replicasOf(req, healthy)
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// replicasOf gives the healthy servers that share a request's key, the nearest first.
+// replicasOf returns the healthy servers that share a request's key, the nearest first.
 func (b *Balancer) replicasOf(req *request, healthy func(*serverState) bool) (replicas []*serverState) {
 	wanted := min(int(req.replicas), len(b.servers.ready))
 	b.nearestServer(req.keyHash, func(server *serverState) bool {
@@ -91,7 +91,7 @@
 	return !b.overloaded(req, server)
 }
 
-// nearestServer gives the server that is most similar to a key, by Hamming distance, among those that answer for the
+// nearestServer returns the server that is most similar to a key, by Hamming distance, among those that answer for the
 // key now and are accepted; nil if there is none. Ties go by a hash of key and server.
 func (b *Balancer) nearestServer(keyHash uint32, accept func(*serverState) bool) (nearest *serverState) {
 	var nodes []virtualNode
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -23,7 +23,7 @@
 	b.startAttempt(req, server)
 }
 
-// pickForRetry gives the server of a retry, nil if there is none: the origin after a cache miss, or after an attempt
+// pickForRetry returns the server of a retry, nil if there is none: the origin after a cache miss, or after an attempt
 // that the origin did not execute; otherwise the next server by placement.
 func (b *Balancer) pickForRetry(req *request, ended *attempt, how Outcome) *serverState {
 	next := b.pick(req) // in any case, since it draws random numbers
--- a/balancer/retrybudget.go
+++ b/balancer/retrybudget.go
@@ -14,7 +14,7 @@
 	byTenant map[string]*float64 // where each tenant has its own (Settings.RetryBudgetPerTenant)
 }
 
-// retryBudget gives the budget from which a tenant's retries come.
+// retryBudget returns the budget from which a tenant's retries come.
 func (b *Balancer) retryBudget(tenant string) *float64 {
 	if !b.settings.RetryBudgetPerTenant {
 		return &b.retryBudgets.shared
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -63,7 +63,7 @@
 	clear(r.nearestBySlot[:])
 }
 
-// virtualNodesOf gives how many virtual nodes a server has: in proportion to its size where weights are used.
+// virtualNodesOf returns how many virtual nodes a server has: in proportion to its size where weights are used.
 func virtualNodesOf(size, largestSize float64, weights WeightMode) int {
 	if weights == WeightsIgnored || largestSize <= 0 {
 		return maxVirtualNodes
@@ -71,7 +71,7 @@
 	return max(1, int(math.Round(maxVirtualNodes*size/largestSize)))
 }
 
-// nearestNodes gives at least count virtual nodes, or all, that are most similar to a slot, by Hamming
+// nearestNodes returns at least count virtual nodes, or all, that are most similar to a slot, by Hamming
 // distance. It walks the circle in both directions from the slot, then orders what it met. The result belongs
 // to the ring.
 func (r *ring) nearestNodes(slot uint32, count int) []virtualNode {
--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -142,7 +142,7 @@
 	}
 }
 
-// burstsOf gives bursts of all loads, skews and delays.
+// burstsOf returns bursts of all loads, skews and delays.
 func burstsOf(routers int, warmRate float64) (bursts []fleetBurst) {
 	for seed := range seedCount(2) {
 		for _, load := range []float64{0.5, 0.8} {
--- a/balancer/slowstart_simulation_test.go
+++ b/balancer/slowstart_simulation_test.go
@@ -199,7 +199,7 @@
 	}, router)
 }
 
-// tellList tells a router the list, as it is before the cold servers' start or after it.
+// tellList sends a router the list, as it is before the cold servers' start or after it.
 func (s *simulation) tellList(router *simulatedRouter, afterStart bool) {
 	var list []Endpoint
 	for i := range s.servers {
@@ -260,7 +260,7 @@
 	return above
 }
 
-// findKeysOfCold gives keys that are the first cold server's while it has just started.
+// findKeysOfCold returns keys that are the first cold server's while it has just started.
 func (s *simulation) findKeysOfCold() (keys []string) {
 	router := &simulatedRouter{}
 	s.startRouter(router, 0)
@@ -345,7 +345,7 @@
 	}
 }
 
-// notifyRouters tells routers of the start whose time it is.
+// notifyRouters notifies routers of the start whose time it is.
 func (s *simulation) notifyRouters() {
 	for _, router := range s.fleet {
 		if s.started && router.noticedAt <= s.now && router.noticedAt > s.now-simulationStep {
--- a/balancer/trafficclass.go
+++ b/balancer/trafficclass.go
@@ -57,7 +57,7 @@
 	clear(b.retryBudgets.byTenant) // of tenants that may be gone
 }
 
-// classOf gives the state of a class. A request of a class that the settings lack may take the time that it
+// classOf returns the state of a class. A request of a class that the settings lack may take the time that it
 // brought, in seconds, and is attempted at most once.
 func (b *Balancer) classOf(name string, timeLeft float64) *classState {
 	class := b.classes.byName[name]
@@ -71,8 +71,8 @@
 	}
 }
 
-// recognizeTry tells a client's first try from a later one by the time left, in seconds. A client gives all its tries
-// one deadline together, so a later try arrives with less time than the first ones of its class. Its latency
+// recognizeTry distinguishes a client's first try from a later one by the time left, in seconds. A client gives all
+// its tries one deadline together, so a later try arrives with less time than the first ones of its class. Its latency
 // objective began with the first try; if that has passed, the request is worth less, so that it does not crowd out
 // those that can be in time.
 func (b *Balancer) recognizeTry(req *request, timeLeft float64) {
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -96,7 +96,7 @@
 	return conn.CloseWrite()
 }
 
-// Close gives the connection's place back. It may be called more than once.
+// Close releases the connection's place. It may be called more than once.
 func (c *connection) Close() error {
 	l := c.listener
 	l.mu.Lock()
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -126,7 +126,7 @@
 	}
 }
 
-// writeResult tells how an action went.
+// writeResult answers with how an action went.
 func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -27,7 +27,7 @@
 	Backoff:         pollschedule.Backoff{Initial: 0.1, Max: 0.1},
 }
 
-// patient gives a schedule by which no answer of a test is late, however busy the machine.
+// patient returns a schedule by which no answer of a test is late, however busy the machine.
 func patient(schedule pollschedule.Schedule) pollschedule.Schedule {
 	schedule.AnswerTolerance = 1e3
 	return schedule
@@ -239,7 +239,7 @@
 	}
 }
 
-// writePieces writes an answer, and tells whether its connection goes on.
+// writePieces writes an answer, and reports whether its connection goes on.
 func writePieces(conn net.Conn, pieces []string, reset bool) bool {
 	for i, piece := range pieces {
 		if i > 0 {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -56,7 +56,7 @@
 	return list, object.Err()
 }
 
-// allInInstances tells whether nothing is wrong with the list itself.
+// allInInstances reports whether nothing is wrong with the list itself.
 func allInInstances(faults []settings.Fault) bool {
 	return !slices.ContainsFunc(faults, func(fault settings.Fault) bool {
 		return !strings.HasPrefix(fault.Path, instancesPath)
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -44,7 +44,7 @@
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, p.since, longPollWait.Milliseconds())
 }
 
-// check tells why the answer cannot be used; nil: it can.
+// check returns why the answer cannot be used; nil: it can.
 func (p *poll) check() error {
 	if errors.Is(p.err, context.DeadlineExceeded) { // its lifetime is over
 		return ErrNoAnswer
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -101,7 +101,7 @@
 	w.timer.Reset(seconds(next.Timeout))
 }
 
-// onTimeout takes that the time for the last poll's answer is over, or that of a wait.
+// onTimeout handles the end of the time for the last poll's answer, or of a wait.
 func (w *watcher) onTimeout() {
 	verdict := w.poller.OnTimeout(w.now())
 	if verdict.Late {
@@ -125,7 +125,7 @@
 	delete(w.cancels, number)
 }
 
-// fail tells of a failure, once as long as it stays the same. The next poll goes on a connection of its own: one that
+// fail reports a failure, once as long as it stays the same. The next poll goes on a connection of its own: one that
 // has stood idle since a poll on it failed may be silent by then, and would hide a service that can be reached for as
 // long as a poll that hangs.
 func (w *watcher) fail(err error) {
@@ -162,7 +162,7 @@
 	w.startPoll()
 }
 
-// take hands a poll's list on, or tells why not.
+// take hands a poll's list on, or reports why not.
 func (w *watcher) take(p *poll) error {
 	err := p.check()
 	var older *GenerationError
--- a/internal/policy/fleetsize/estimator.go
+++ b/internal/policy/fleetsize/estimator.go
@@ -24,7 +24,7 @@
 	return &Estimator[Address]{configured: max(1, configured), lastHeard: map[Address]float64{}}
 }
 
-// OnMessage takes that another router was heard.
+// OnMessage handles that another router was heard.
 func (e *Estimator[Address]) OnMessage(now float64, from Address) {
 	_, known := e.lastHeard[from]
 	if known || len(e.lastHeard) < maxRouters {
--- a/internal/policy/gossip/config.go
+++ b/internal/policy/gossip/config.go
@@ -128,7 +128,7 @@
 // minMean bounds the number of attempts that a load stands for.
 const minMean = 1.0 / 32
 
-// CheaperThanBroadcast tells whether gossip within this budget costs fewer bytes than if each router sent a message
+// CheaperThanBroadcast reports whether gossip within this budget costs fewer bytes than if each router sent a message
 // of five observations a second to every other.
 func CheaperThanBroadcast(routers int, bytesPerSecond float64) bool {
 	const broadcastMessageBytes = 15
--- a/internal/policy/gossip/gossiper.go
+++ b/internal/policy/gossip/gossiper.go
@@ -120,7 +120,7 @@
 	}
 }
 
-// SetServers takes the low 16 bits of the identifiers of all servers; observations of others are ignored. Beyond
+// SetServers sets the low 16 bits of the identifiers of all servers; observations of others are ignored. Beyond
 // maxServers none is added.
 func (g *Gossiper) SetServers(ids []uint16) {
 	listed := map[uint16]bool{}
@@ -150,7 +150,7 @@
 	return ids
 }
 
-// Tick gives the datagrams that are to be sent now. It is called each 50 ms.
+// Tick returns the datagrams that are to be sent now. It is called each 50 ms.
 func (g *Gossiper) Tick(now float64) []Datagram {
 	g.observeTime(now)
 	g.sendObservations()
@@ -176,7 +176,7 @@
 	g.now = now
 }
 
-// Summary gives what is held of a server: the decayed sum of relative times over the fleet, their mean, and the age
+// Summary returns what is held of a server: the decayed sum of relative times over the fleet, their mean, and the age
 // of the summary in seconds; false where there is none that counts.
 func (g *Gossiper) Summary(now float64, id uint16) (load, mean, age float64, ok bool) {
 	s := g.serverByID[id]
--- a/internal/policy/gossip/merge.go
+++ b/internal/policy/gossip/merge.go
@@ -52,7 +52,7 @@
 	s.owner.groupSums[group] = sum
 }
 
-// onOwnGroupSum takes the sum of an owner before this one in its own group, which keeps it in case that one dies:
+// onOwnGroupSum handles the sum of an owner before this one in its own group, which keeps it in case that one dies:
 // observations other than refusals are sent to that one alone.
 func (g *Gossiper) onOwnGroupSum(s *serverState, received summary) {
 	s.owner.heardAt[received.rank] = g.now
--- a/internal/policy/gossip/network_test.go
+++ b/internal/policy/gossip/network_test.go
@@ -88,7 +88,7 @@
 	return ids
 }
 
-// names gives the hashes of so many routers' names.
+// names returns the hashes of so many routers' names.
 func names(n int) (all []uint32) {
 	for i := range n {
 		all = append(all, seedhash.Mix(77, uint64(i)))
@@ -320,7 +320,7 @@
 	}
 }
 
-// running gives the routers that run and know the protocol.
+// running returns the routers that run and know the protocol.
 func (net *network) running() (all []int) {
 	for n := range net.gossipers {
 		if !net.down[n] && !net.stalled[n] && !net.oldBuild[n] {
@@ -362,7 +362,7 @@
 	}
 }
 
-// believesRefusing tells whether a router holds that a server refuses.
+// believesRefusing reports whether a router holds that a server refuses.
 func believesRefusing(server int) func(g *Gossiper, now float64) bool {
 	return func(g *Gossiper, now float64) bool {
 		held := g.serverByID[serverID(server)].held
@@ -370,7 +370,7 @@
 	}
 }
 
-// loadErrors gives how far the loads that routers tell their balancers are from those of a broadcast, as a part of
+// loadErrors returns how far the loads that routers tell their balancers are from those of a broadcast, as a part of
 // these: the median, the 95th percentile, and the mean.
 func (net *network) loadErrors() (median, most, mean float64) {
 	var all []float64
@@ -392,7 +392,7 @@
 	return all[len(all)/2], all[len(all)*95/100], total / float64(len(all))
 }
 
-// traffic gives the bytes a second of the mean router and of the one with the most, the most bytes of a router in one
+// traffic returns the bytes a second of the mean router and of the one with the most, the most bytes of a router in one
 // second, and the datagrams a second of the mean router; all of both directions.
 func (net *network) traffic(seconds float64) (mean, most, peak, messages float64) {
 	running := net.running()
@@ -419,7 +419,7 @@
 // inTime is the seconds within which the last router has to learn of a refusal.
 const inTime = 2.9
 
-// ownersOf gives the owners of a server in the group of a router.
+// ownersOf returns the owners of a server in the group of a router.
 func (net *network) ownersOf(router, server int) owners {
 	return net.view.ownersOf(net.view.groupOf(router), serverID(server))
 }
@@ -432,7 +432,7 @@
 	return net
 }
 
-// nonOwner gives a router that is none of the first two owners of a server.
+// nonOwner returns a router that is none of the first two owners of a server.
 func (net *network) nonOwner(server int) int {
 	owners := net.ownersOf(0, server)
 	n := 1
--- a/internal/policy/gossip/observations.go
+++ b/internal/policy/gossip/observations.go
@@ -9,7 +9,7 @@
 	sentTo     [3]int // by the owner's place in targetOwners: the router that was sent it, plus one; 0: none
 }
 
-// Report takes the observations that the balancer has for other routers, three bytes each: the low 16 bits of a
+// Report handles the observations that the balancer has for other routers, three bytes each: the low 16 bits of a
 // server's identifier, and a relative time or refusalByte, as the balancer's messages have it.
 func (g *Gossiper) Report(now float64, observations []byte) {
 	g.observeTime(now)
@@ -41,7 +41,7 @@
 	g.unsentObservations = waiting
 }
 
-// complete tells whether the owners that have to know it were sent the observation.
+// complete reports whether the owners that have to know it were sent the observation.
 func (p *pendingObservation) complete() bool {
 	if p.sentTo[0] == 0 {
 		return false
@@ -74,7 +74,7 @@
 	}
 }
 
-// targetOwners gives the owners that observations of a server are sent to: two from its base rank on that are not
+// targetOwners returns the owners that observations of a server are sent to: two from its base rank on that are not
 // unresponsive; where the first of these is not the first of all, also that one, which so learns of the server once
 // it is back.
 func (g *Gossiper) targetOwners(s *serverState) []int {
--- a/internal/policy/gossip/owner.go
+++ b/internal/policy/gossip/owner.go
@@ -63,7 +63,7 @@
 	return ownersPerGroup
 }
 
-// active tells whether an owner was told anything of the server lately.
+// active reports whether an owner was told anything of the server lately.
 func (o *ownerState) active(now float64) bool {
 	neverTold := o.sum.updatedAt == 0 && math.IsInf(o.sum.refusedAt, -1) && len(o.groupSums) == 0
 	if neverTold {
@@ -125,7 +125,7 @@
 	}
 }
 
-// higherOwnerActs tells whether an owner of a lower rank sends group sums or publishes, so that this one keeps
+// higherOwnerActs reports whether an owner of a lower rank sends group sums or publishes, so that this one keeps
 // silent.
 func (g *Gossiper) higherOwnerActs(s *serverState, rank int) bool {
 	lastHeard := math.Inf(-1)
--- a/internal/policy/gossip/peer.go
+++ b/internal/policy/gossip/peer.go
@@ -16,7 +16,7 @@
 	next int     // how many were due since the view was set
 }
 
-// peer gives what is known of a router, from now on.
+// peer returns what is known of a router, from now on.
 func (g *Gossiper) peer(router int) *peerState {
 	p := g.peerByRouter[router]
 	if p == nil {
@@ -29,7 +29,7 @@
 	return p
 }
 
-// understands tells whether a router has shown lately that it understands the protocol.
+// understands reports whether a router has shown lately that it understands the protocol.
 func (g *Gossiper) understands(router int) bool {
 	if router == g.settings.Self {
 		return true
@@ -38,7 +38,7 @@
 	return p != nil && g.now < p.aliveUntil
 }
 
-// unresponsive tells whether a router was probed and gave no sign: it is of an older build, or down. Of one that was
+// unresponsive reports whether a router was probed and gave no sign: it is of an older build, or down. Of one that was
 // never probed nothing is known, and passing over it would make too many routers owners.
 func (g *Gossiper) unresponsive(router int) bool {
 	if g.understands(router) {
@@ -98,7 +98,7 @@
 	g.outgoing = append(g.outgoing, Datagram{To: to, Bytes: bytes})
 }
 
-// randomPeer gives a random router of the group that understands the protocol; -1: there is none.
+// randomPeer returns a random router of the group that understands the protocol; -1: there is none.
 func (g *Gossiper) randomPeer() int {
 	for len(g.responsive) > 0 {
 		i := g.random.Intn(len(g.responsive))
--- a/internal/policy/gossip/receive.go
+++ b/internal/policy/gossip/receive.go
@@ -109,7 +109,7 @@
 	}
 }
 
-// mayBeOfGroup tells whether a router is of this group, or may believe to be by a list with a few routers more or
+// mayBeOfGroup reports whether a router is of this group, or may believe to be by a list with a few routers more or
 // fewer before it. Its observations count here, as it sends them nowhere else, and it may pull. Summaries are taken
 // from the group alone, or those of two groups would spread in both.
 func (g *Gossiper) mayBeOfGroup(router int) bool {
--- a/internal/policy/gossip/spread.go
+++ b/internal/policy/gossip/spread.go
@@ -65,7 +65,7 @@
 	return n
 }
 
-// lowest gives the lowest priority among the n summaries with the highest ones, and how many of that priority are
+// lowest returns the lowest priority among the n summaries with the highest ones, and how many of that priority are
 // among them.
 func (c *priorityCounts) lowest(n int) (priority, count int) {
 	priority = len(c) - 1
--- a/internal/policy/gossip/summary.go
+++ b/internal/policy/gossip/summary.go
@@ -12,10 +12,10 @@
 	originatedAt        float64 // seconds by this router's clock
 }
 
-// unavailable tells whether the server refuses and nobody has had an answer of it.
+// unavailable reports whether the server refuses and nobody has had an answer of it.
 func (s *summary) unavailable() bool { return s.refusing && !s.answering }
 
-// expired tells whether a summary no longer counts.
+// expired reports whether a summary no longer counts.
 func (s *summary) expired(now float64) bool { return now-s.originatedAt >= summaryLifetime }
 
 // attempts is how many attempts a second and time constant of the load stand for.
@@ -31,7 +31,7 @@
 	outranked                  // the owner before its owner publishes, and is in time
 )
 
-// compare tells whether a received summary takes the place of the held one. It does not depend on the order in which
+// compare reports whether a received summary takes the place of the held one. It does not depend on the order in which
 // versions arrive.
 func compare(held, received *summary, now float64) freshness {
 	sameOwner := held.rank == received.rank && held.incarnation == received.incarnation
--- a/internal/policy/gossip/synthesize.go
+++ b/internal/policy/gossip/synthesize.go
@@ -20,7 +20,7 @@
 	refusalAt float64
 }
 
-// SynthesizeObservations gives observations, three bytes each as in Report, by which the balancer arrives at the
+// SynthesizeObservations returns observations, three bytes each as in Report, by which the balancer arrives at the
 // loads, means and refusals that it would have if every router sent its observations to every other. Where all would
 // send more than it is told, all loads are the same part of what they would be: the balancer compares them. Loads are
 // held until the next summary, and decay once none comes.
--- a/internal/policy/gossip/view.go
+++ b/internal/policy/gossip/view.go
@@ -41,7 +41,7 @@
 // groupOf is the group of a router.
 func (v *View) groupOf(router int) int { return router * v.groups / len(v.hashes) }
 
-// groupBounds gives the first router of a group and the first one after it.
+// groupBounds returns the first router of a group and the first one after it.
 func (v *View) groupBounds(group int) (from, to int) {
 	routers := len(v.hashes)
 	from = (group*routers + v.groups - 1) / v.groups
@@ -49,7 +49,7 @@
 	return from, to
 }
 
-// setServers takes the sorted identifiers of the servers that owners are chosen for.
+// setServers sets the sorted identifiers of the servers that owners are chosen for.
 func (v *View) setServers(servers []uint16) {
 	if slices.Equal(v.servers, servers) {
 		return
@@ -58,7 +58,7 @@
 	clear(v.balanced)
 }
 
-// ownersOf gives a server's owners in a group: rendezvous hashing with bounded loads. By weight alone one router
+// ownersOf returns a server's owners in a group: rendezvous hashing with bounded loads. By weight alone one router
 // would be the first owner of five servers, at half a kilobyte a second each.
 func (v *View) ownersOf(group int, server uint16) owners {
 	key := newOwnerKey(group, server)
@@ -97,7 +97,7 @@
 	}
 }
 
-// ownersByWeight gives the routers of a group by the weight of each for a server, the heaviest first.
+// ownersByWeight returns the routers of a group by the weight of each for a server, the heaviest first.
 func (v *View) ownersByWeight(group int, server uint16) owners {
 	key := newOwnerKey(group, server)
 	if chosen, ok := v.byWeight[key]; ok {
--- a/internal/policy/pollschedule/backoff.go
+++ b/internal/policy/pollschedule/backoff.go
@@ -22,21 +22,21 @@
 	wait  float64 // the last one without its spread; 0: the last call succeeded
 }
 
-// AfterFailure gives how long to wait after a call that failed: twice the wait before. It is at most limit seconds,
+// AfterFailure returns how long to wait after a call that failed: twice the wait before. It is at most limit seconds,
 // spread as much, for callers that are cut off at a bound come back together; 0 for a limit that is over.
 func (b *Backoff) AfterFailure(limit float64) float64 {
 	b.wait = min(max(2*b.wait, b.Initial), max(b.Max, b.Initial))
 	return b.AfterTimeout(limit)
 }
 
-// AfterTimeout gives how long to wait after a call that had no answer, within a limit as AfterFailure. That a service
+// AfterTimeout returns how long to wait after a call that had no answer, within a limit as AfterFailure. That a service
 // is down does not tell that it is full, and the caller has waited already: the wait does not grow.
 func (b *Backoff) AfterTimeout(limit float64) float64 {
 	wait := max(0, min(max(b.wait, b.Initial), limit/maxSpread))
 	return wait * (minSpread + b.chance())
 }
 
-// Reset takes that a call succeeded: the next wait is the first one again.
+// Reset handles that a call succeeded: the next wait is the first one again.
 func (b *Backoff) Reset() { b.wait = 0 }
 
 // chance draws a number from 0 up to, not including, 1. The n-th depends on the seed and n alone.
--- a/internal/policy/pollschedule/helpers_test.go
+++ b/internal/policy/pollschedule/helpers_test.go
@@ -96,7 +96,7 @@
 	return fate{hasNews, sim.service.answersAfter}
 }
 
-// nextToEnd gives the open poll that ends first, if that is before the timer; -1: there is none.
+// nextToEnd returns the open poll that ends first, if that is before the timer; -1: there is none.
 func (sim *simulation) nextToEnd() int {
 	first := -1
 	for i, poll := range sim.open {
@@ -118,7 +118,7 @@
 	sim.start(now)
 }
 
-// end ends a poll, and tells whether it brought the news.
+// end ends a poll, and reports whether it brought the news.
 func (sim *simulation) end(poll openPoll) bool {
 	sim.close(poll.number)
 	if !sim.poller.OnEnd(poll.number) {
@@ -218,7 +218,7 @@
 	}
 }
 
-// next gives the router at which something happens first.
+// next returns the router at which something happens first.
 func (c *crowd) next() *crowdRouter {
 	next := &c.routers[0]
 	for i := range c.routers {
--- a/internal/policy/pollschedule/poller.go
+++ b/internal/policy/pollschedule/poller.go
@@ -57,10 +57,10 @@
 	return poll
 }
 
-// single tells whether there is one poll at a time.
+// single reports whether there is one poll at a time.
 func (p *Poller) single() bool { return p.schedule.MaxInFlight == 1 }
 
-// OnTimeout takes that the time for the last poll's answer, or for a wait, is over.
+// OnTimeout handles the end of the time for the last poll's answer, or for a wait.
 func (p *Poller) OnTimeout(now float64) TimeoutVerdict {
 	if len(p.inFlight) == 0 {
 		return TimeoutVerdict{}
@@ -78,7 +78,7 @@
 	return verdict
 }
 
-// abandon takes a poll out that counts no more, and gives its number: the second oldest, for the oldest may only be
+// abandon takes a poll out that counts no more, and returns its number: the second oldest, for the oldest may only be
 // slow, and the others cannot all be kept as long.
 func (p *Poller) abandon() int {
 	i := min(1, len(p.inFlight)-1)
@@ -90,8 +90,8 @@
 // untilDue is how long the next poll may be waited with, in seconds; below 0: it is overdue.
 func (p *Poller) untilDue(now float64) float64 { return p.lastStarted + p.schedule.MaxInterval - now }
 
-// OnEnd takes that a poll ended. It gives false if the poll was given up before, or one beside it has brought a list:
-// then it tells nothing new, and neither OnFailure nor OnList is to be called.
+// OnEnd handles the end of a poll. It returns false if the poll was given up before, or one beside it has brought a
+// list: then it brings nothing new, and neither OnFailure nor OnList is to be called.
 func (p *Poller) OnEnd(number int) bool {
 	i := slices.Index(p.inFlight, number)
 	if i < 0 {
@@ -101,7 +101,7 @@
 	return true
 }
 
-// OnFailure takes that the poll that ended failed, or brought a list older than what is known. It gives the seconds
+// OnFailure handles that the poll that ended failed, or brought a list older than is known. It returns the seconds
 // until the next poll is to start.
 func (p *Poller) OnFailure(now float64, outdated bool) (wait float64) {
 	p.failed = true
@@ -111,7 +111,7 @@
 	return p.schedule.Backoff.AfterFailure(p.untilDue(now))
 }
 
-// OnList takes that the poll that ended brought a list, and gives the polls that are of no use any more. The next is
+// OnList handles that the poll that ended brought a list, and returns the polls of no use any more. The next is
 // to start at once.
 func (p *Poller) OnList() (abandon []int) {
 	abandon = p.inFlight
--- a/internal/policy/pollschedule/pollschedule_test.go
+++ b/internal/policy/pollschedule/pollschedule_test.go
@@ -100,7 +100,7 @@
 	}
 }
 
-// end ends a poll, and tells whether it counts.
+// end ends a poll, and reports whether it counts.
 func (c *pollerCheck) end(number int) bool {
 	counts := slices.Contains(c.inFlight, number)
 	if c.poller.OnEnd(number) != counts {
--- a/internal/policy/startup/phase.go
+++ b/internal/policy/startup/phase.go
@@ -33,7 +33,7 @@
 	FullService:        "nothing",
 }
 
-// String gives the phase's name as logs and the admin server have it.
+// String returns the phase's name as logs and the admin server have it.
 func (p Phase) String() string { return phaseTexts[p] }
 
 // WaitsFor says what the phase waits for, for operators.
@@ -87,12 +87,12 @@
 	return &Tracker{began: now, since: now, window: requestWindow{began: now}}
 }
 
-// Phase gives the phase, when it began, and the seconds that full service took, 0 while it is not reached.
+// Phase returns the phase, when it began, and the seconds that full service took, 0 while it is not reached.
 func (t *Tracker) Phase() (phase Phase, since, fullServiceSeconds float64) {
 	return t.phase, t.since, t.fullServiceSeconds
 }
 
-// OnEndpoints takes that so many servers are ready, by a list that the list service has told in this process's life,
+// OnEndpoints handles that so many servers are ready, by a list that the list service has told in this process's life,
 // or by a cached one.
 func (t *Tracker) OnEndpoints(ready int, confirmed bool) {
 	if ready <= 0 {
@@ -102,7 +102,7 @@
 	t.endpointsConfirmed = t.endpointsConfirmed || confirmed
 }
 
-// Tick takes how many requests were taken and completed since the start, and gives the changes of phase in their
+// Tick takes how many requests were taken and completed since the start, and returns the changes of phase in their
 // order. It is to be called several times a second.
 func (t *Tracker) Tick(now float64, taken, completed uint64) []Change {
 	var changes []Change
--- a/internal/policy/startup/records.go
+++ b/internal/policy/startup/records.go
@@ -56,7 +56,7 @@
 	},
 }
 
-// Usable tells whether a record of a kind, stored at a time of the machine's clock, may still be used. A clock that
+// Usable reports whether a record of a kind, stored at a time of the machine's clock, may still be used. A clock that
 // went back makes it of the future: then nothing is known of its age, and it is not used. A record of an unknown kind
 // is not, either.
 func Usable(kind string, storedAt, now float64) bool {
--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -54,8 +54,8 @@
 // NameHash is a zone's name as messages have it.
 func NameHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) & zoneHashMask }
 
-// OnEndpoints takes the endpoint lists: how many servers each zone has in service, and the low 16 bits of all
-// servers' ids, which messages must not name. It gives the zones that are never evacuated: those beyond maxZones, and
+// OnEndpoints handles the endpoint lists: how many servers each zone has in service, and the low 16 bits of all
+// servers' ids, which messages must not name. It returns the zones that are never evacuated: those beyond maxZones, and
 // of two zones whose names have the same hash the second by name, as messages cannot tell them apart.
 func (c *Controller) OnEndpoints(now float64, servers map[string]int, ids map[uint16]bool) (untracked []string) {
 	for _, z := range c.zones {
@@ -79,7 +79,7 @@
 	return untracked
 }
 
-// forgettable tells whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
+// forgettable reports whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
 func (c *Controller) forgettable(now float64, z *zone) bool {
 	if z.servers > 0 || z.state != Serving || z.operatorOverride {
 		return false
@@ -87,7 +87,7 @@
 	return len(z.attempts.open) == 0 && now-z.history.recoveredAt > failureMemory
 }
 
-// findOrAdd gives the zone of a name, a new one if need be; nil: there are too many, or another zone's name has the
+// findOrAdd returns the zone of a name, a new one if need be; nil: there are too many, or another zone's name has the
 // same hash.
 func (c *Controller) findOrAdd(name string) *zone {
 	hash := NameHash(name)
@@ -106,7 +106,7 @@
 	slices.Sort(c.names)
 }
 
-// find gives the zone of a name; nil: it is not known.
+// find returns the zone of a name; nil: it is not known.
 func (c *Controller) find(name string) *zone {
 	z := c.zones[NameHash(name)]
 	if z == nil || z.name != name {
@@ -115,7 +115,7 @@
 	return z
 }
 
-// Known tells whether the zone is known: a list has named it or an operator, and it was not forgotten since.
+// Known reports whether the zone is known: a list has named it or an operator, and it was not forgotten since.
 func (c *Controller) Known(name string) bool { return c.find(name) != nil }
 
 // Share is the part of its keys that a zone serves, 0 to 1; 1 for a zone that is not known.
@@ -127,14 +127,14 @@
 	return z.share
 }
 
-// TakeChanges gives the transitions since it was last called, in their order.
+// TakeChanges returns the transitions since it was last called, in their order.
 func (c *Controller) TakeChanges() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// Statuses gives all zones, sorted by name.
+// Statuses returns all zones, sorted by name.
 func (c *Controller) Statuses(now float64) []Status {
 	var all []Status
 	for _, name := range c.names {
--- a/internal/policy/zonefailover/evacuation.go
+++ b/internal/policy/zonefailover/evacuation.go
@@ -22,7 +22,7 @@
 	}
 }
 
-// failingZones gives the zones in use with enough votes against them, by name, and how many others serve all of their
+// failingZones returns the zones in use with enough votes against them, by name, and how many others serve all of their
 // keys.
 func (c *Controller) failingZones(now float64) (failing []*zone, remaining int) {
 	isolated := c.isolated(now)
@@ -133,7 +133,7 @@
 	return fmt.Sprintf("%d of %d routers let it return", votes.recovering, votes.routers)
 }
 
-// otherZoneServes tells whether another zone serves all of its keys. All zones are never evacuated: then the fault is
+// otherZoneServes reports whether another zone serves all of its keys. All zones are never evacuated: then the fault is
 // not theirs.
 func (c *Controller) otherZoneServes(z *zone) bool {
 	for _, other := range c.zones {
--- a/internal/policy/zonefailover/evidence.go
+++ b/internal/policy/zonefailover/evidence.go
@@ -104,7 +104,7 @@
 	v.shares = append(v.shares, 1)
 }
 
-// result gives the votes with their median and the share at the quorum's place.
+// result returns the votes with their median and the share at the quorum's place.
 func (v *voteCounter) result(quorum int) tally {
 	result := v.tally
 	result.share = 1
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -45,7 +45,7 @@
 
 const goldenNow = 100.0
 
-// goldenMessages gives a message of every kind, by its name, in a fixed order.
+// goldenMessages returns a message of every kind, by its name, in a fixed order.
 func goldenMessages() (names []string, messages [][]byte) {
 	servers := map[string]int{"zone-a": 4, "zone-b": 4, "zone-c": 1}
 	newRouter := func(ids map[uint16]bool) *Controller {
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -46,12 +46,12 @@
 	return max(minMessagePeriod, float64(c.settings.RouterCount)/maxMessagesHeard)
 }
 
-// heardLately tells whether what a peer said still counts.
+// heardLately reports whether what a peer said still counts.
 func (c *Controller) heardLately(now float64, p *peer) bool {
 	return now-p.lastHeard <= maxMissedMessages*c.messagePeriod()
 }
 
-// NextMessage gives the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
+// NextMessage returns the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
 // after each Tick. A message holds what is most needed; the rest is told in its turn.
 func (c *Controller) NextMessage(now float64) []byte {
 	if c.settings.RouterCount < 2 || len(c.zones) == 0 {
@@ -89,7 +89,7 @@
 	}
 }
 
-// contradictsPeer tells whether this router had an answer in a zone after a peer began to have none.
+// contradictsPeer reports whether this router had an answer in a zone after a peer began to have none.
 func (c *Controller) contradictsPeer(now float64, z *zone) bool {
 	if now-z.announcement.lastSent <= 2*minMessageGap {
 		return false
@@ -103,7 +103,7 @@
 	return false
 }
 
-// hasNews tells whether others have to know something now.
+// hasNews reports whether others have to know something now.
 func (c *Controller) hasNews() bool {
 	for _, z := range c.zones {
 		if z.announcement.pendingMessages > 0 || z.announcement.newFailure && z.state != Evacuated {
@@ -161,7 +161,7 @@
 	}
 }
 
-// OnMessage takes another router's datagram. It gives false if the datagram is of another kind or damaged, so that
+// OnMessage handles another router's datagram. It returns false if the datagram is of another kind or damaged, so that
 // the caller may offer it elsewhere; one that is late, doubled or this router's own is of this kind, and ignored.
 func (c *Controller) OnMessage(now float64, datagram []byte) bool {
 	data := unpack(datagram)
@@ -189,7 +189,7 @@
 	return true
 }
 
-// sender gives the peer that sent a message, a new one if need be; nil: the message is late or doubled.
+// sender returns the peer that sent a message, a new one if need be; nil: the message is late or doubled.
 func (c *Controller) sender(now float64, head header) *peer {
 	p := c.peers[head.router]
 	if p == nil {
@@ -212,7 +212,7 @@
 	return p
 }
 
-// restart takes that a peer is another process now: what the one before saw counts no more.
+// restart handles that a peer is another process now: what the one before saw counts no more.
 func (p *peer) restart(incarnation uint16) {
 	p.previousIncarnations = append(p.previousIncarnations, p.incarnation)
 	p.previousIncarnations = p.previousIncarnations[max(0, len(p.previousIncarnations)-maxPreviousIncarnations):]
--- a/internal/policy/zonefailover/gossip_test.go
+++ b/internal/policy/zonefailover/gossip_test.go
@@ -42,7 +42,7 @@
 	}
 }
 
-// fullMessage gives as many zones as a message holds.
+// fullMessage returns as many zones as a message holds.
 func fullMessage(router *Controller) (all []*zone) {
 	for i := range maxZonesPerMessage {
 		all = append(all, router.findOrAdd(fmt.Sprint("z", i)))
--- a/internal/policy/zonefailover/message.go
+++ b/internal/policy/zonefailover/message.go
@@ -114,7 +114,7 @@
 	}
 }
 
-// encodeAge gives how long ago a time is, in steps; neverAge for the time 0.
+// encodeAge returns how long ago a time is, in steps; neverAge for the time 0.
 func encodeAge(now, at float64) byte {
 	if at == 0 {
 		return neverAge
@@ -122,7 +122,7 @@
 	return byte(min(maxAge, max(0, math.Round((now-at)/ageStep))))
 }
 
-// decodeAge gives the time of an age; 0 for neverAge.
+// decodeAge returns the time of an age; 0 for neverAge.
 func decodeAge(now float64, age byte) float64 {
 	if age == neverAge {
 		return 0
@@ -140,7 +140,7 @@
 	return datagram
 }
 
-// unpack gives the data of a datagram without the checksum; nil: it is of another kind, or damaged.
+// unpack returns the data of a datagram without the checksum; nil: it is of another kind, or damaged.
 func unpack(datagram []byte) []byte {
 	if len(datagram)%bytesPerData != 0 || len(datagram) < bytesPerData*(headerBytes+checksumBytes) {
 		return nil
--- a/internal/policy/zonefailover/operator.go
+++ b/internal/policy/zonefailover/operator.go
@@ -1,7 +1,7 @@
 package zonefailover
 
 // SetOperatorOverride evacuates a zone at this router until the override is taken back, which begins its recovery. A
-// zone that is not known yet is evacuated once it is. It gives false, and does nothing, where no zone would remain
+// zone that is not known yet is evacuated once it is. It returns false, and does nothing, where no zone would remain
 // that serves all of its keys.
 func (c *Controller) SetOperatorOverride(now float64, name string, evacuate bool) bool {
 	z := c.findOrAdd(name)
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -78,7 +78,7 @@
 	return min(c.settings.RouterCount, max(minProbers, c.settings.RouterCount/proberDivisor))
 }
 
-// isProber tells whether this router is one of those that probe a zone in a round: those of the least hashes.
+// isProber reports whether this router is one of those that probe a zone in a round: those of the least hashes.
 func (c *Controller) isProber(z *zone, round uint32) bool {
 	mine := proberHash(z, round, c.settings.RouterIndex)
 	before := 0
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// sharesOf gives the shares of all zones at all routers, by "router zone".
+// sharesOf returns the shares of all zones at all routers, by "router zone".
 func (sim *simulation) sharesOf() map[string]float64 {
 	shares := map[string]float64{}
 	for index, router := range sim.routers {
@@ -155,7 +155,7 @@
 	return text
 }
 
-// next gives every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
+// next returns every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
 // second.
 func (m *model) next() (all []*model) {
 	for index := range m.routers {
--- a/internal/policy/zonefailover/recovery.go
+++ b/internal/policy/zonefailover/recovery.go
@@ -2,7 +2,7 @@
 
 import "fmt"
 
-// isItsTurn tells whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
+// isItsTurn reports whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
 // neighbours bear the sum.
 func (c *Controller) isItsTurn(z *zone) bool {
 	for _, name := range c.regions[z.name] {
--- a/internal/policy/zonefailover/state.go
+++ b/internal/policy/zonefailover/state.go
@@ -32,10 +32,10 @@
 	Recovering: "returning",
 }
 
-// String gives the state's name as logs and the admin server have it.
+// String returns the state's name as logs and the admin server have it.
 func (s State) String() string { return stateTexts[s] }
 
-// evacuated tells whether a zone in this state has no keys but those of probes.
+// evacuated reports whether a zone in this state has no keys but those of probes.
 func (s State) evacuated() bool { return s == Evacuated || s == Probing }
 
 // Outcome is how an attempt ended, as far as it says something of its zone.
--- a/internal/policy/zonefailover/zone.go
+++ b/internal/policy/zonefailover/zone.go
@@ -95,7 +95,7 @@
 	return minHoldTime * math.Pow(2, float64(doublings))
 }
 
-// failedLately tells whether the zone failed so lately that fewer votes evacuate it again.
+// failedLately reports whether the zone failed so lately that fewer votes evacuate it again.
 func (z *zone) failedLately(now float64) bool {
 	if z.history.evacuations == 0 {
 		return false
--- a/internal/requestcore/attempt.go
+++ b/internal/requestcore/attempt.go
@@ -12,7 +12,7 @@
 	zoneMark  uint64 // the zone observer's; 0: it is not observed
 }
 
-// OnAttemptEnd takes the end of the attempt. A result is passed on before anything else.
+// OnAttemptEnd handles the end of the attempt. A result is passed on before anything else.
 func (a *attempt) OnAttemptEnd(outcome balancer.Outcome, result Result) {
 	r := a.request
 	c := r.core
--- a/internal/requestcore/dispatcher.go
+++ b/internal/requestcore/dispatcher.go
@@ -1,7 +1,7 @@
 package requestcore
 
-// Dispatcher tells which Core takes a request, by the listener where it came in and by what its client says. Front ends
-// call it on the loop's goroutine.
+// Dispatcher decides which Core takes a request, by the listener where it came in and by what its client says. Front
+// ends call it on the loop's goroutine.
 type Dispatcher interface {
 	// Route returns who takes requests of this kind; nil: nobody does.
 	Route(listener, tenant, key string) Route
--- a/internal/requestcore/openrequest.go
+++ b/internal/requestcore/openrequest.go
@@ -17,7 +17,7 @@
 	return client
 }
 
-// reportEnd tells the usage observer how the request ended.
+// reportEnd notifies the usage observer of how the request ended.
 func (r *openRequest) reportEnd(end RequestEnd, why RejectReason) {
 	if r.Usage != nil {
 		r.Usage.Answered(end, why)
--- a/internal/service/adminhandler.go
+++ b/internal/service/adminhandler.go
@@ -43,13 +43,13 @@
 
 var _ admin.Handler = (*adminHandler)(nil)
 
-// Ready tells whether clients are accepted.
+// Ready reports whether clients are accepted.
 func (h *adminHandler) Ready() bool { return h.ready.Load() }
 
-// Metrics gives the last snapshot of the metrics.
+// Metrics returns the last snapshot of the metrics.
 func (h *adminHandler) Metrics() []byte { return *h.metrics.Load() }
 
-// onLoop carries a call out on the loop, and gives its error. What the loop has not begun in time is not done:
+// onLoop carries a call out on the loop, and returns its error. What the loop has not begun in time is not done:
 // admin.ErrBusy then.
 func (h *adminHandler) onLoop(act func() error) error {
 	var begun atomic.Bool
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -47,7 +47,7 @@
 	}
 }
 
-// dialAndSend gives a connection on which a key was asked for; with the key "", nothing was.
+// dialAndSend returns a connection on which a key was asked for; with the key "", nothing was.
 func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -18,7 +18,7 @@
 	defaultHealthCheckPath     = "/"  // of a pool of tile servers
 )
 
-// applyContracts takes the operators' pools and contracts. Requests in flight end under the old ones.
+// applyContracts applies the operators' pools and contracts. Requests in flight end under the old ones.
 func (s *Service) applyContracts(setup Setup) {
 	operators := setup.Operators
 	s.operators = operators
@@ -47,7 +47,7 @@
 	s.openTeamListeners(operators)
 }
 
-// contractTerms gives the terms of all teams.
+// contractTerms returns the terms of all teams.
 func contractTerms(setup Setup) []broker.TeamTerms {
 	terms := setup.Operators.Terms()
 	for i := range terms {
@@ -56,7 +56,7 @@
 	return terms
 }
 
-// applyPools makes the pools that are new, changes the others, and gives all of them as the broker knows them: the
+// applyPools makes the pools that are new, changes the others, and returns all of them as the broker knows them: the
 // platform's first.
 func (s *Service) applyPools(operators operatorconfig.File) []broker.Pool {
 	limits := s.processLimits()
@@ -107,7 +107,7 @@
 	return p
 }
 
-// wireOf gives the protocol that a pool's servers speak.
+// wireOf returns the protocol that a pool's servers speak.
 func (s *Service) wireOf(named operatorconfig.Pool) func(upstream.Link) upstream.Wire {
 	if named.Protocol != "tiles" {
 		return upstream.Memcache
@@ -122,7 +122,7 @@
 	return servers.Wire
 }
 
-// sendQuotaGossip tells the other routers what load is asked of this one, again and again.
+// sendQuotaGossip sends the other routers what load is asked of this one, again and again.
 func (s *Service) sendQuotaGossip() {
 	if s.lifecycle.phase == Ended {
 		return
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -26,7 +26,7 @@
 	s.applyDisabled(ids)
 }
 
-// applyDisabled takes the whole set of servers that are disabled.
+// applyDisabled applies the whole set of servers that are disabled.
 func (s *Service) applyDisabled(ids []string) {
 	wanted := map[string]bool{}
 	for _, id := range ids {
@@ -55,7 +55,7 @@
 	}
 }
 
-// knowsServer tells whether an endpoint list has named a server, or it is disabled.
+// knowsServer reports whether an endpoint list has named a server, or it is disabled.
 func (s *Service) knowsServer(id string) bool {
 	if s.disabled.ids[id] {
 		return true
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -58,7 +58,7 @@
 	return start
 }
 
-// listPoster gives what the watch calls with each list, from its goroutine: it waits until the loop has taken the
+// listPoster returns what the watch calls with each list, from its goroutine: it waits until the loop has taken the
 // list.
 func (p *pool) listPoster(ctx context.Context, w *endpointWatch) func(discovery.EndpointList) error {
 	return func(list discovery.EndpointList) error {
@@ -73,7 +73,7 @@
 	}
 }
 
-// failurePoster gives what the watch calls with each poll that failed, from its goroutine.
+// failurePoster returns what the watch calls with each poll that failed, from its goroutine.
 func (p *pool) failurePoster(w *endpointWatch) func(error) {
 	return func(error) {
 		if p.polled { // elsewhere the balancer has asked for nothing
@@ -119,7 +119,7 @@
 	return nil
 }
 
-// applyDrains takes the drains alone of a list that seems old. Its service may count anew: then the drains count at
+// applyDrains applies the drains alone of a list that seems old. Its service may count anew: then the drains count at
 // once, and if the list is old, they cost little.
 func (p *pool) applyDrains(list discovery.EndpointList) {
 	list.Instances = slices.DeleteFunc(list.Instances, func(entry discovery.Instance) bool {
--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -23,7 +23,7 @@
 	{"instanceId":"s-1","hostPort":"127.0.0.1:2","lifecycle":"draining"},
 	{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"ready"}]},"settings":{"discovery":"on_request",`, 1)
 
-// endpointList gives a list that names s-1 and s-2 at an address where nothing listens, the first in a state.
+// endpointList returns a list that names s-1 and s-2 at an address where nothing listens, the first in a state.
 func endpointList(generation uint64, at, state string) discovery.EndpointList {
 	list, err := discovery.Parse(fmt.Appendf(nil, `{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"%s","lifecycle":"%s"},
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -243,7 +243,7 @@
 	golden(t, "log-reasons", []byte(strings.TrimSuffix(log.String(), "\n")))
 }
 
-// goldenLine gives the level and the names of the fields of the first line with a message.
+// goldenLine returns the level and the names of the fields of the first line with a message.
 func goldenLine(t *testing.T, log, message string) string {
 	t.Helper()
 	for line := range strings.Lines(log) {
@@ -256,7 +256,7 @@
 	return ""
 }
 
-// parseLogLine gives the level, the message and the names of all other fields of a line, in their order. Fields on
+// parseLogLine returns the level, the message and the names of all other fields of a line, in their order. Fields on
 // connections that were cut are left out: whether there are any depends on who closes first.
 func parseLogLine(line string) (level, message string, fields []string) {
 	decoder := json.NewDecoder(strings.NewReader(line))
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -73,7 +73,7 @@
 	return longest
 }
 
-// gossipSender gives what a pool's balancer sends its gossip by. What goes through the fleet is the platform's
+// gossipSender returns what a pool's balancer sends its gossip by. What goes through the fleet is the platform's
 // alone: no other pool hears any.
 func (s *Service) gossipSender(pool string) func(message []byte) {
 	if s.gossip == nil {
@@ -114,7 +114,7 @@
 	}
 }
 
-// onEndpoints takes the platform's endpoint list: gossip is about its servers.
+// onEndpoints handles the platform's endpoint list: gossip is about its servers.
 func (a *gossipAdapter) onEndpoints() {
 	if a == nil {
 		return
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -23,7 +23,7 @@
 // bytesPerSecond is the budget of gossip in these tests.
 const bytesPerSecond = 7000
 
-// peerConfig gives the platform's configuration of one of so many routers, of which the first have the addresses
+// peerConfig returns the platform's configuration of one of so many routers, of which the first have the addresses
 // given.
 func peerConfig(t *testing.T, index, routers int, first ...string) config.Config {
 	t.Helper()
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -50,7 +50,7 @@
 	return file
 }
 
-// assembleConfig gives a service that does not run yet, at an address that is free. The configuration's text has
+// assembleConfig returns a service that does not run yet, at an address that is free. The configuration's text has
 // places for that address and the list service's.
 func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
@@ -66,7 +66,7 @@
 	return s, addr, err
 }
 
-// assembleSetup gives a service that does not run yet.
+// assembleSetup returns a service that does not run yet.
 func assembleSetup(t *testing.T, setup Setup, log zerolog.Logger) *Service {
 	t.Helper()
 	s, err := assemble(setup, requestcore.DefaultBalancer, log)
@@ -84,7 +84,7 @@
 	return ended
 }
 
-// startServing gives a service that serves, its address, and where its end is told.
+// startServing returns a service that serves, its address, and where its end is told.
 func startServing(t *testing.T, discovery string) (s *Service, addr string, ended chan error) {
 	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
 	if err != nil {
@@ -116,7 +116,7 @@
 	return addAdminHandler(s), addr, ended
 }
 
-// addAdminHandler gives a running service an admin handler.
+// addAdminHandler adds an admin handler to a running service.
 func addAdminHandler(s *Service) *adminHandler {
 	return callOnLoop(s, func() *adminHandler {
 		s.admin.handler = &adminHandler{service: s}
@@ -179,7 +179,7 @@
 	waitUntil(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
-// freeAddress gives a TCP address that nothing listens at.
+// freeAddress returns a TCP address that nothing listens at.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,7 +189,7 @@
 	return listener.Addr().String()
 }
 
-// freeUDPAddress gives a UDP address that nothing listens at.
+// freeUDPAddress returns a UDP address that nothing listens at.
 func freeUDPAddress(t *testing.T) string {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -38,7 +38,7 @@
 	waitUntil(t, "the request", s, func() bool { return s.clients.frontend.Open() == 1 })
 }
 
-// phaseOf gives the phase of a process that runs.
+// phaseOf returns the phase of a process that runs.
 func phaseOf(s *Service) Phase { return callOnLoop(s, func() Phase { return s.lifecycle.phase }) }
 
 // The successor is told to end before the predecessor: the latter accepts again at once, not once the successor has
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -66,12 +66,12 @@
 	s.startAccepting()
 }
 
-// acceptsClients tells whether clients that come now are served by this process.
+// acceptsClients reports whether clients that come now are served by this process.
 func (s *Service) acceptsClients() bool {
 	return s.lifecycle.phase == Serving && !s.lifecycle.draining && s.restart.servingSuccessors == 0
 }
 
-// beginShutdown takes the signal to end. A second one changes nothing.
+// beginShutdown handles the signal to end. A second one changes nothing.
 func (s *Service) beginShutdown() {
 	if s.lifecycle.phase >= Leaving {
 		return
@@ -106,7 +106,7 @@
 	s.loop.After(longValuePollSeconds, func() { s.endAtDeadline(latest) })
 }
 
-// answerAllAndEnd gives all open requests their final answer, rejects what still comes, and ends the process once
+// answerAllAndEnd sends all open requests their final answer, rejects what still comes, and ends the process once
 // clients have had time to read that.
 func (s *Service) answerAllAndEnd() {
 	for _, p := range s.pools.active() {
--- a/internal/service/limits_test.go
+++ b/internal/service/limits_test.go
@@ -32,7 +32,7 @@
 	t.Cleanup(func() { server.Close() })
 }
 
-// answersReady tells whether an admin server says that its router is ready.
+// answersReady reports whether an admin server says that its router is ready.
 func answersReady(ops string) bool {
 	answer, err := (&http.Client{Timeout: time.Second}).Get("http://" + ops + "/ready")
 	if err != nil {
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -42,7 +42,7 @@
 	return []byte(text.String())
 }
 
-// serverCounts gives the attempts that were sent since the start, and the servers' connections that ended with
+// serverCounts returns the attempts that were sent since the start, and the servers' connections that ended with
 // something owed, by the reason; also those of pools that are no longer named.
 func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.Cuts)]uint64) {
 	sends = s.pools.retiredSends
@@ -56,7 +56,7 @@
 	return sends, cuts
 }
 
-// clusterHealth tells how many servers the lists of all pools hold, and how many of these are avoided now.
+// clusterHealth returns how many servers the lists of all pools hold, and how many of these are avoided now.
 func (s *Service) clusterHealth() (listed, avoided int) {
 	for _, p := range s.pools.active() {
 		poolListed, poolAvoided := p.health()
@@ -66,7 +66,7 @@
 	return listed, avoided
 }
 
-// trafficClassNames gives the traffic classes of the settings and of the contracts, sorted.
+// trafficClassNames returns the traffic classes of the settings and of the contracts, sorted.
 func (s *Service) trafficClassNames() []string {
 	var names []string
 	for _, class := range s.conf.Settings.TrafficClasses {
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -64,7 +64,7 @@
 	}
 }
 
-// newIncarnation gives a number that differs from those of the processes of this router before and beside this one.
+// newIncarnation returns a number that differs from those of the processes of this router before and beside this one.
 func newIncarnation() uint32 {
 	return crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -117,7 +117,7 @@
 	}
 }
 
-// health tells how many servers the list holds, and how many of these are avoided now.
+// health returns how many servers the list holds, and how many of these are avoided now.
 func (p *pool) health() (listed, avoided int) {
 	for id, isListed := range p.known {
 		if !isListed {
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -26,7 +26,7 @@
 	return poolSet{newBalancer: newBalancer, named: map[string]*pool{}}
 }
 
-// namedInOrder gives the pools of the operators' file, by name.
+// namedInOrder returns the pools of the operators' file, by name.
 func (set *poolSet) namedInOrder() []*pool {
 	pools := make([]*pool, 0, len(set.named))
 	for _, name := range slices.Sorted(maps.Keys(set.named)) {
@@ -35,7 +35,7 @@
 	return pools
 }
 
-// active gives the platform's pool and behind it those of the operators' file, by name.
+// active returns the platform's pool and behind it those of the operators' file, by name.
 func (set *poolSet) active() []*pool {
 	return append([]*pool{set.platform}, set.namedInOrder()...)
 }
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -71,7 +71,7 @@
 	return fmt.Sprintf(`"%s":%v`, label, rapid.Bool().Draw(d.T, label))
 }
 
-// field gives a key with its value; another key where the value is "", which stands for none.
+// field returns a key with its value; another key where the value is "", which stands for none.
 func field(name, value string) string {
 	if value == "" {
 		return `"none":0`
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -160,7 +160,7 @@
 	})
 }
 
-// onEndpoints takes the platform's endpoint list, confirmed where the list service has brought it in this process's
+// onEndpoints handles the platform's endpoint list, confirmed where the list service has brought it in this process's
 // life.
 func (a *startupAdapter) onEndpoints(p *pool, confirmed bool) {
 	if a == nil || p != a.service.pools.platform {
@@ -203,7 +203,7 @@
 	}
 }
 
-// Status tells how far this start is, and what it waits for.
+// Status returns how far this start is, and what it waits for.
 func (h *adminHandler) Status() (admin.Status, error) {
 	var status admin.Status
 	err := h.onLoop(func() error {
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -13,7 +13,7 @@
 
 var _ hotrestart.SuccessorHandler = successors{}
 
-// Sockets gives the descriptors of the sockets that clients connect to, by address; the caller closes them.
+// Sockets returns the descriptors of the sockets that clients connect to, by address; the caller closes them.
 func (h successors) Sockets() map[string]int {
 	result := make(chan map[string]int, 1)
 	h.service.loop.Post(func() { result <- h.service.listeningSockets() })
@@ -37,7 +37,7 @@
 	return sockets
 }
 
-// State gives the endpoint list as it was last received here, encoded.
+// State returns the endpoint list as it was last received here, encoded.
 func (h successors) State() []byte {
 	result := make(chan restartState, 1)
 	h.service.loop.Post(func() { result <- h.service.restartState() })
@@ -59,10 +59,10 @@
 	return state
 }
 
-// Started takes that another process starts beside this one.
+// Started handles that another process starts beside this one.
 func (h successors) Started() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
 
-// Serving takes that a successor accepts clients: from here on it does so alone.
+// Serving handles that a successor accepts clients: from here on it does so alone.
 func (h successors) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
@@ -72,7 +72,7 @@
 	s.publish()
 }
 
-// Ended takes the end of a successor; served tells whether it had accepted clients.
+// Ended handles the end of a successor; served reports whether it had accepted clients.
 func (h successors) Ended(served bool) {
 	h.service.loop.Post(func() { h.service.onSuccessorLost(served) })
 }
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -68,7 +68,7 @@
 	}
 }
 
-// reconfigure takes the operators' file anew.
+// reconfigure applies the operators' file anew.
 func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
 	if a != nil {
 		a.controller.SetRegions(operators.RegionZones())
@@ -90,7 +90,7 @@
 	a.service.loop.After(zoneStepSeconds, a.step)
 }
 
-// applyChanges takes the decisions to the pools.
+// applyChanges applies the decisions to the pools.
 func (a *zoneAdapter) applyChanges() {
 	changed := map[string]bool{}
 	for _, change := range a.controller.TakeChanges() {
@@ -114,7 +114,7 @@
 	}
 }
 
-// applyShare tells a pool what part of its keys a zone serves now. What waits for a connection to an evacuated zone
+// applyShare sets what part of a pool's keys a zone serves now. What waits for a connection to an evacuated zone
 // was never sent, and is attempted elsewhere as such.
 func (a *zoneAdapter) applyShare(p *pool, zone string) {
 	share := a.controller.Share(zone)
@@ -128,7 +128,7 @@
 	p.core.SetZoneShare(zone, share)
 }
 
-// applyTo tells a new pool of all zones.
+// applyTo applies the shares of all zones to a new pool.
 func (a *zoneAdapter) applyTo(p *pool) {
 	if a == nil {
 		return
@@ -140,7 +140,7 @@
 	}
 }
 
-// onEndpoints takes the endpoint lists of all pools.
+// onEndpoints handles the endpoint lists of all pools.
 func (a *zoneAdapter) onEndpoints() {
 	if a == nil {
 		return
@@ -175,13 +175,13 @@
 	return a != nil && a.controller.OnMessage(a.now(), message)
 }
 
-// AttemptStarted takes that an attempt begins at a server of a zone. within is the seconds in which an answer is
+// AttemptStarted handles the start of an attempt at a server of a zone. within is the seconds in which an answer is
 // expected; the result is for AttemptEnded.
 func (a *zoneAdapter) AttemptStarted(zone string, within float64) uint64 {
 	return a.controller.OnAttemptStart(a.now(), zone, within)
 }
 
-// AttemptEnded takes the outcome of an attempt that took so many seconds, of those in which an answer was expected.
+// AttemptEnded handles the outcome of an attempt that took so many seconds, of those in which an answer was expected.
 func (a *zoneAdapter) AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, within float64) {
 	a.controller.OnAttemptEnd(a.now(), zone, mark, zoneEvidence(outcome, took, within))
 }
@@ -207,7 +207,7 @@
 	return zonefailover.Inconclusive
 }
 
-// applyEvacuated takes the whole set of zones that operators have evacuated.
+// applyEvacuated applies the whole set of zones that operators have evacuated.
 func (a *zoneAdapter) applyEvacuated(zones []string) {
 	wanted := map[string]bool{}
 	for _, zone := range zones {
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -15,7 +15,7 @@
 	errLastZone = errors.New("no zone would remain; the last one is not left")
 )
 
-// Zones gives the state of all zones.
+// Zones returns the state of all zones.
 func (h *adminHandler) Zones() ([]admin.Zone, error) {
 	zones := h.service.zones
 	if zones == nil {
