--- /dev/null
+++ b/internal/frontend/tileserver/golden_test.go
@@ -0,0 +1,164 @@
+package tileserver
+
+import (
+	"bytes"
+	"errors"
+	"flag"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"path/filepath"
+	"testing"
+	"time"
+
+	"bendtrestle/internal/eventloop"
+	"bendtrestle/internal/frontend"
+	"bendtrestle/internal/http1"
+	"bendtrestle/internal/requestcore"
+	"bendtrestle/internal/tiles"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+
+// golden compares bytes with a file that the build of 15122f5 wrote.
+func golden(t *testing.T, name string, got []byte) {
+	t.Helper()
+	path := filepath.Join("testdata", name+".golden")
+	if *writeGolden {
+		if err := os.WriteFile(path, got, 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(path)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(got, want) {
+		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+	}
+}
+
+// echoRoute answers each request with what was submitted.
+type echoRoute struct{}
+
+func (echoRoute) MaxDeadline(class string) (float64, bool) { return 5, class == "tile" }
+func (echoRoute) HasCapacity() bool                        { return true }
+func (echoRoute) AddHeldBytes(int)                         {}
+func (echoRoute) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+	value := fmt.Sprintf("class %q tenant %q key %q id %q flags %q figures %q write %t time left %v\n", request.Class, request.Tenant,
+		request.Key, request.ID, request.Flags, request.Figures, request.Write, request.TimeLeft)
+	client.Succeeded(requestcore.Result{Status: 200, Head: "Content-Type: image/png\r\n", Value: []byte(value)})
+	return nil, 0
+}
+
+// echoDispatcher routes all but what comes in at the listener "closed".
+type echoDispatcher struct{}
+
+func (echoDispatcher) Route(listener, _, _ string) requestcore.Route {
+	if listener == "closed" {
+		return nil
+	}
+	return echoRoute{}
+}
+func (echoDispatcher) AdmitConnection(string) bool { return true }
+func (echoDispatcher) ReleaseConnection(string)    {}
+
+func goldenService() *tiles.Service {
+	return tiles.New("Roads", []*tiles.Layer{{Name: "roads", Title: "Roads", Formats: []string{"png"},
+		Styles: []string{"default"}, Sets: []string{tiles.Google}, MaxZoom: 18}}, nil)
+}
+
+// TestGoldenTileAnswers holds the bytes of each answer that the codec writes to a request that was submitted.
+func TestGoldenTileAnswers(t *testing.T) {
+	codec := New(goldenService(), "tile", "X-Wait").Protocol(nil)
+	var text bytes.Buffer
+	line := func(name string, parts ...[]byte) { fmt.Fprintf(&text, "%s: %q\n", name, parts) }
+	line("unreadable", codec.Broken(errors.New("strange")))
+	line("no such method", codec.Broken(&http1.Fault{Status: 405, Why: "only GET and HEAD"}))
+	line("too long", codec.Broken(&http1.Fault{Status: 431, Why: "too long"}))
+	line("unfinished", codec.Unfinished())
+	for _, head := range []bool{false, true} {
+		for _, keep := range []bool{true, false} {
+			request := &requestcore.Request{Figures: marks(head, keep)}
+			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
+			line(name+"tile", codec.Finished(request, requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")})...)
+			line(name+"empty tile", codec.Finished(request, requestcore.Result{Status: 200})...)
+			line(name+"not modified", codec.Finished(request, requestcore.Result{Status: 304, Head: "ETag: \"a\"\r\n"})...)
+			line(name+"no content", codec.Finished(request, requestcore.Result{Status: 204})...)
+			line(name+"rejected", codec.Declined(request, 0))
+			line(name+"rejected, retry after 2.5", codec.Declined(request, 2.5))
+			line(name+"failed", codec.Terminated(request))
+		}
+	}
+	golden(t, "tile-answers", text.Bytes())
+}
+
+// TestGoldenTileConversation holds the bytes of the answers as clients of the two protocols of tiles read them.
+func TestGoldenTileConversation(t *testing.T) {
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	go loop.Run()
+	t.Cleanup(func() { loop.Post(loop.Stop) })
+	onLoop := func(call func()) {
+		done := make(chan bool)
+		loop.Post(func() { call(); close(done) })
+		<-done
+	}
+	server := New(goldenService(), "other", "")
+	var front *frontend.Front
+	addresses := map[string]string{"": "", "closed": ""}
+	onLoop(func() {
+		front = frontend.New(loop, echoDispatcher{}, frontend.Limits{Connections: 100})
+		for listener := range addresses {
+			free, _ := net.Listen("tcp", "127.0.0.1:0")
+			addresses[listener] = free.Addr().String()
+			free.Close()
+			if _, err := loop.Listen(addresses[listener], front.Room, front.At(listener, server.Protocol)); err != nil {
+				t.Error(err)
+			}
+		}
+	})
+	var text bytes.Buffer
+	ask := func(name, listener, request string) {
+		conn, err := net.Dial("tcp", addresses[listener])
+		if err != nil {
+			t.Fatal(err)
+		}
+		defer conn.Close()
+		conn.SetDeadline(time.Now().Add(5 * time.Second))
+		io.WriteString(conn, request)
+		answer, err := io.ReadAll(conn)
+		fmt.Fprintf(&text, "%s: %q -> %q %v\n", name, request, answer, err)
+	}
+	const end = "Connection: close\r\n\r\n"
+	const tile = "GET /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"
+	ask("starting", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	onLoop(front.Ready)
+	ask("serving", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("serving, head", "", "HEAD /health HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("two requests", "", "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("unknown class", "", tile+end)
+	onLoop(func() { server.Change(goldenService(), "tile", "X-Wait") })
+	ask("tile", "", tile+end)
+	ask("tile, head", "", "HEAD /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\nCookie: c\r\nX-Request-Id: 7\r\n"+
+		"If-Modified-Since: d\r\nAccept-Encoding: gzip\r\n"+end)
+	for _, wait := range []string{"0", "-1", "soon", "1e3", "NaN", "99999", "."} {
+		ask("wait "+wait, "", tile+"X-Wait: "+wait+"\r\n"+end)
+	}
+	ask("no route", "closed", tile+end)
+	ask("no such layer", "", "GET /rivers/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("no such path", "", "GET /x HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("report", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetTile HTTP/1.1\r\nHost: a\r\n"+end)
+	for _, host := range []string{"tiles.example:80", "[::1]:80", "a<b"} {
+		ask("capabilities", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetCapabilities HTTP/1.1\r\nHost: "+host+"\r\n"+end)
+	}
+	ask("other method", "", "PUT / HTTP/1.1\r\nHost: a\r\n"+end)
+	ask("not HTTP", "", "nonsense\r\n\r\n")
+	onLoop(func() { front.Drain(true) })
+	ask("draining", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	golden(t, "tile-conversation", text.Bytes())
+}
