--- a/internal/frontend/crossings_test.go
+++ b/internal/frontend/crossings_test.go
@@ -42,7 +42,7 @@
 func (s served) resets(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
-	for c := range s.clients {
+	for c := range s.connections {
 		for !c.conn.Gone() {
 			time.Sleep(time.Millisecond)
 		}
@@ -65,7 +65,7 @@
 func (s served) deserted() {
 	s.t.Helper()
 	for i, n := 0, 1; n > 0; i++ {
-		if s.do(func() { n = len(s.clients) }); i > 5000 {
+		if s.do(func() { n = len(s.connections) }); i > 5000 {
 			s.t.Fatalf("%d connections stay", n)
 		}
 		time.Sleep(time.Millisecond)
@@ -95,7 +95,7 @@
 		"before more than is read at once": func(s served) func() { // a connection's first buffer is smaller
 			return func() {
 				conn, _ := s.dial()
-				for i := range 2 * unread {
+				for i := range 2 * maxOwedAnswers {
 					fmt.Fprintf(conn, "mg k v O%d Pc=t\r\n", i)
 				}
 				ends(t, conn)
@@ -120,12 +120,12 @@
 		"behind what is owed": func(s served) func() {
 			conn, _ := s.dial()
 			var commands strings.Builder
-			for i := range unread + 8 {
+			for i := range maxOwedAnswers + 8 {
 				fmt.Fprintf(&commands, "mg k v O%d Pc=t\r\n", i)
 			}
 			io.WriteString(conn, commands.String())
 			var all []*held
-			for range unread {
+			for range maxOwedAnswers {
 				all = append(all, <-s.began)
 			}
 			return func() {
@@ -162,17 +162,17 @@
 	for i := range answers {
 		fmt.Fprintf(conn, "mg k v O%d Pc=t\r\n", i)
 	}
-	io.WriteString(conn, strings.Repeat("nonsense\r\n", faults)+strings.Repeat("x", 5*16<<10)) // more than a connection's buffer
+	io.WriteString(conn, strings.Repeat("nonsense\r\n", maxBadCommands)+strings.Repeat("x", 5*16<<10)) // more than a connection's buffer
 	for range answers {
 		s.finish(<-s.began, strings.Repeat("v", length))
 	}
 	for open := 1; open > 0; time.Sleep(time.Millisecond) {
-		s.do(func() { open = len(s.clients) })
+		s.do(func() { open = len(s.connections) })
 	}
 	s.do(func() {}) // the rounds in which a socket that is closed is let go of
 	s.do(func() {})
 	all, err := io.ReadAll(conn)
-	if err != nil || len(all) < answers*length || !strings.HasSuffix(string(all), strings.Repeat("ERROR\r\n", faults)) {
+	if err != nil || len(all) < answers*length || !strings.HasSuffix(string(all), strings.Repeat("ERROR\r\n", maxBadCommands)) {
 		t.Errorf("it reads %d bytes, then %v", len(all), err)
 	}
 }
@@ -183,16 +183,16 @@
 	conn, in := s.dial()
 	fmt.Fprintf(conn, "mn\r\n")
 	want(t, in, "SERVER_ERROR starting\r\n")
-	s.do(s.Leave)
+	s.do(s.CloseIdle)
 	if _, err := in.ReadByte(); err != io.EOF {
 		t.Errorf("it is not told of the end: %v", err)
 	}
 	s.do(func() {
-		if n := s.loop.Finishing(); n != 1 || len(s.clients) > 0 {
-			t.Errorf("%d connections wait for their clients' ends, %d are open", n, len(s.clients))
+		if n := s.loop.Finishing(); n != 1 || len(s.connections) > 0 {
+			t.Errorf("%d connections wait for their clients' ends, %d are open", n, len(s.connections))
 		}
 		s.limits = Limits{Connections: 1}
-		if s.Room() {
+		if s.CanAccept() {
 			t.Error("it takes no place while it waits")
 		}
 	})
@@ -212,7 +212,7 @@
 func TestWhatComesBeforeTheEndIsAnsweredByThen(t *testing.T) {
 	s := serve(t, ample)
 	conn, in := s.dial()
-	s.do(func() { s.Until(s.loop.Now() + 100) })
+	s.do(func() { s.SetFinalDeadline(s.loop.Now() + 100) })
 	fmt.Fprintf(conn, "mg k v O1 Pc=t,d=900000\r\n")
 	h := <-s.began
 	if h.op.TimeLeft > 100 {
@@ -220,7 +220,7 @@
 	}
 	s.finish(h, "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
-	s.do(func() { s.Until(s.loop.Now() - 1) })
+	s.do(func() { s.SetFinalDeadline(s.loop.Now() - 1) })
 	fmt.Fprintf(conn, "mg k v O2 Pc=t,d=900000\r\n")
 	want(t, in, "SERVER_ERROR busy\r\n")
 }
@@ -230,8 +230,8 @@
 func TestACommandThatCrossesAClosingIsServed(t *testing.T) {
 	for name, closing := range map[string]func(s served){
 		"by its age":   func(s served) { s.sweep() },
-		"for room":     func(s served) { s.evict() },
-		"on leaving":   func(s served) { s.Leave() },
+		"for room":     func(s served) { s.evictIdle() },
+		"on leaving":   func(s served) { s.CloseIdle() },
 		"on the limit": func(s served) { s.limits.Connections = 1; s.sweep() },
 	} {
 		s := serve(t, ample)
@@ -240,11 +240,11 @@
 		want(t, in, "SERVER_ERROR starting\r\n")
 		s.do(func() {
 			fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
-			for c := range s.clients {
+			for c := range s.connections {
 				for !c.conn.Unread() {
 					time.Sleep(time.Millisecond)
 				}
-				c.used -= 100
+				c.lastActive -= 100
 			}
 			closing(s)
 		})
@@ -264,8 +264,8 @@
 	})
 	s.deserted()
 	s.do(func() {
-		if s.open != 0 || s.desk.held != 0 || len(s.clients) > 0 || s.desk.core.OpenRequests() != 0 {
-			t.Errorf("%d operations and %d bytes stay, of %d clients", s.open, s.desk.held, len(s.clients))
+		if s.openRequests != 0 || s.desk.held != 0 || len(s.connections) > 0 || s.desk.core.OpenRequests() != 0 {
+			t.Errorf("%d operations and %d bytes stay, of %d clients", s.openRequests, s.desk.held, len(s.connections))
 		}
 	})
 }
@@ -278,7 +278,7 @@
 	}{
 		"half a command": {"mg k v", " O1 Pc=t\r\n", func(s served) { s.sweep() }},
 		"a first one":    {"", "mg k v O1 Pc=t\r\n", func(s served) { s.sweep() }},
-		"for room":       {"", "mg k v O1 Pc=t\r\n", func(s served) { s.evict() }},
+		"for room":       {"", "mg k v O1 Pc=t\r\n", func(s served) { s.evictIdle() }},
 	} {
 		s := serve(t, ample)
 		conn, in := s.dial()
@@ -286,18 +286,18 @@
 		io.WriteString(conn, first)
 		for begun := false; !begun; time.Sleep(time.Millisecond) {
 			s.do(func() {
-				for c := range s.clients {
-					begun = c.codec.Begun() || first == ""
+				for c := range s.connections {
+					begun = c.codec.InCommand() || first == ""
 				}
 			})
 		}
 		s.do(func() {
 			io.WriteString(conn, c.rest)
-			for c := range s.clients {
+			for c := range s.connections {
 				for !c.conn.Unread() {
 					time.Sleep(time.Millisecond)
 				}
-				c.used, c.came, c.began = c.used-100, c.came-100, c.began-100
+				c.lastActive, c.acceptedAt, c.commandBegan = c.lastActive-100, c.acceptedAt-100, c.commandBegan-100
 			}
 			c.look(s)
 		})
@@ -315,7 +315,7 @@
 	}
 	io.WriteString(conn, commands.String())
 	var all []*held
-	for range unread {
+	for range maxOwedAnswers {
 		all = append(all, <-s.began)
 	}
 	s.do(func() {})
@@ -337,35 +337,35 @@
 func TestWhatIsCutIsCountedByItsReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(s served, conn net.Conn, h *held)
-		want Cut
+		want CutReason
 	}{
-		"its client leaves": {func(_ served, conn net.Conn, _ *held) { conn.Close() }, ClientLeft},
+		"its client leaves": {func(_ served, conn net.Conn, _ *held) { conn.Close() }, ClientDisconnected},
 		"a value that breaks off": {func(s served, _ net.Conn, h *held) {
 			s.loop.Post(func() { h.x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Body: breaking{}}) })
-		}, ValueCut},
+		}, BodyBroken},
 		"a client that reads nothing": {func(s served, _ net.Conn, h *held) {
 			s.finish(h, strings.Repeat("x", 32<<20)) // beyond what the kernel holds
 			s.do(func() {})
 			s.do(func() {
-				for c := range s.clients {
-					c.used -= patience + 1
+				for c := range s.connections {
+					c.lastActive -= unreadAnswerSeconds + 1
 				}
 				s.sweep()
 			})
-		}, Unread},
+		}, AnswerUnread},
 	} {
 		s := serve(t, bounds{Limits{Connections: 10}, 10, 64 << 20})
 		conn, _ := s.dial()
 		fmt.Fprintf(conn, "mg k v Oa Pc=t\r\n")
 		c.end(s, conn, <-s.began)
-		var want, got [cuts]uint64
+		var want, got [cutReasons]uint64
 		want[c.want] = 1
 		for i, left := 0, 1; i < 500 && left > 0; i++ {
-			s.do(func() { got, left = s.Cut(), s.Clients() })
+			s.do(func() { got, left = s.CutConnections(), s.Connections() })
 			time.Sleep(10 * time.Millisecond)
 		}
 		if got != want {
-			t.Errorf("%s: %v are counted, want %v of %v", name, got, want, Cuts)
+			t.Errorf("%s: %v are counted, want %v of %v", name, got, want, CutReasonNames)
 		}
 	}
 }
@@ -381,17 +381,17 @@
 	time.Sleep(50 * time.Millisecond) // the kernel holds what it takes
 	swept := func() (left int) {
 		s.do(func() {
-			for c := range s.clients {
-				c.used -= patience + 1
+			for c := range s.connections {
+				c.lastActive -= unreadAnswerSeconds + 1
 			}
 			s.sweep()
-			left = s.Clients()
+			left = s.Connections()
 		})
 		return left
 	}
 	s.do(func() {
-		for c := range s.clients {
-			c.used = s.loop.Now() - settled - 1
+		for c := range s.connections {
+			c.lastActive = s.loop.Now() - idleAfterSeconds - 1
 		}
 		s.sweep()
 	})
@@ -417,7 +417,7 @@
 		"it resets":               func(s served, conn net.Conn) { s.resets(conn) },
 		"it says more and closes": func(_ served, conn net.Conn) { fmt.Fprintf(conn, "mg k v O2 Pc=t\r\n"); ends(t, conn) },
 		"its connection is paused": func(s served, conn net.Conn) {
-			for c := range s.clients {
+			for c := range s.connections {
 				c.conn.Pause()
 			}
 			fmt.Fprintf(conn, "mg k v O2 Pc=t\r\n")
@@ -445,8 +445,8 @@
 		}
 		s.do(func() {})
 		s.do(func() {
-			if s.open != 0 || s.desk.core.OpenRequests() != 0 {
-				t.Errorf("%s: %d operations stay, %d at the core", name, s.open, s.desk.core.OpenRequests())
+			if s.openRequests != 0 || s.desk.core.OpenRequests() != 0 {
+				t.Errorf("%s: %d operations stay, %d at the core", name, s.openRequests, s.desk.core.OpenRequests())
 			}
 		})
 	}
@@ -455,7 +455,7 @@
 // Clients that read nothing hold all the memory there is for values: others are not declined for as long as such are waited for
 // otherwise. While nobody is declined they are.
 func TestSlowReadersDoNotKeepAllOthersOut(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 10, Arriving: 1 << 20}, 1000, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 10, LongWriteBytes: 1 << 20}, 1000, 1 << 20})
 	slow, _ := s.dial()
 	for i := range 4 {
 		fmt.Fprintf(slow, "mg k v Os%d Pc=t\r\n", i)
@@ -465,8 +465,8 @@
 	}
 	for still, last := 0, uint64(0); still < 5; time.Sleep(20 * time.Millisecond) { // until the kernel takes no more
 		s.do(func() {
-			for c := range s.clients {
-				if sent := c.conn.Sent(); sent != last || len(c.rest) == 0 {
+			for c := range s.connections {
+				if sent := c.conn.Sent(); sent != last || len(c.segments) == 0 {
 					still, last = 0, sent
 				}
 			}
@@ -474,12 +474,12 @@
 		})
 	}
 	sweep := func() (clients int) {
-		s.do(func() { s.sweep(); clients = len(s.clients) })
+		s.do(func() { s.sweep(); clients = len(s.connections) })
 		return clients
 	}
 	s.do(func() {
-		for c := range s.clients {
-			c.used -= 2 // seconds
+		for c := range s.connections {
+			c.lastActive -= 2 // seconds
 		}
 	})
 	if sweep() != 1 {
@@ -506,7 +506,7 @@
 	}
 	go io.WriteString(conn, commands.String())
 	var all []*held
-	for range unread {
+	for range maxOwedAnswers {
 		all = append(all, <-s.began)
 	}
 	conn.Close()
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -70,7 +70,7 @@
 
 // served is a front on a loop, with one cache server.
 type served struct {
-	*Front
+	*Frontend
 	desk *desk
 	caches
 	t    *testing.T
@@ -94,8 +94,8 @@
 			Upstream: s.caches, Gossip: func([]byte) {}, WatchEndpoints: func(bool) {}, Log: zerolog.Nop()}, requestcore.DefaultBalancer)
 		r.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
 		s.desk.core = r
-		s.Front = New(l, s.desk, limits.Limits)
-		_, err := l.Listen(s.addr, s.Room, s.At("", Memcache))
+		s.Frontend = New(l, s.desk, limits.Limits)
+		_, err := l.Listen(s.addr, s.CanAccept, s.Acceptor("", Memcache))
 		done <- err
 	})
 	if err := <-done; err != nil {
@@ -149,7 +149,7 @@
 	s.finish(first, "a value")
 	want(t, in, "VA 7 O1\r\na value\r\nHD O2 c7\r\nERROR\r\nSERVER_ERROR starting\r\n")
 	s.do(func() {
-		if s.Ready(); s.desk.held != 0 {
+		if s.SetReady(); s.desk.held != 0 {
 			t.Errorf("%d bytes count as held, though all is written", s.desk.held)
 		}
 	})
@@ -161,7 +161,7 @@
 func TestMoreThanMayBeOwed(t *testing.T) {
 	s := serve(t, ample)
 	conn, in := s.dial()
-	const all = 5 * unread
+	const all = 5 * maxOwedAnswers
 	var commands, answers strings.Builder
 	for i := range all {
 		fmt.Fprintf(&commands, "mg k v O%d Pc=t\r\n", i)
@@ -199,15 +199,15 @@
 		t.Error(got)
 	}
 	s.do(func() {
-		if s.Clients() != 0 {
-			t.Errorf("%d clients are left", s.Clients())
+		if s.Connections() != 0 {
+			t.Errorf("%d clients are left", s.Connections())
 		}
 	})
 }
 
 // Near a bound what comes is declined, not crashed over: it surely never ran.
 func TestDeclinedNearABound(t *testing.T) {
-	for name, limits := range map[string]bounds{"open": {Limits{Connections: 10, Spare: 1}, 1, 1 << 20}, "held": {Limits{Connections: 10, Spare: 1}, 100, 1}} {
+	for name, limits := range map[string]bounds{"open": {Limits{Connections: 10, RejectConnections: 1}, 1, 1 << 20}, "held": {Limits{Connections: 10, RejectConnections: 1}, 100, 1}} {
 		s := serve(t, limits)
 		conn, in := s.dial()
 		fmt.Fprintf(conn, "ms k 2 O1 Pc=t\r\nhi\r\nmg k v O2 Pc=t\r\n")
@@ -222,7 +222,7 @@
 }
 
 func TestConnectionsBeyondTheBound(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 1, Spare: 1}, 10, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 1, RejectConnections: 1}, 10, 1 << 20})
 	old, oldIn := s.dial()
 	fmt.Fprintf(old, "mg k v O1 Pc=t\r\n")
 	h := <-s.began
@@ -235,8 +235,8 @@
 	s.finish(h, "x")
 	want(t, oldIn, "VA 1 O1\r\nx\r\n")
 	s.do(func() {
-		for c := range s.clients {
-			c.used -= 2 * arriving
+		for c := range s.connections {
+			c.lastActive -= 2 * evictableAfterSeconds
 		}
 	})
 	conn, in = s.dial() // the old one has been idle for a while and makes room
@@ -273,7 +273,7 @@
 func TestWhatIsOverAsItComesIsDeclined(t *testing.T) {
 	s := serve(t, ample)
 	conn, in := s.dial()
-	for i := range 2 * faults {
+	for i := range 2 * maxBadCommands {
 		fmt.Fprintf(conn, "mg k v O%d Pc=t,d=0\r\n", i)
 		want(t, in, "SERVER_ERROR busy\r\n")
 	}
@@ -309,7 +309,7 @@
 	conn, in := s.dial()
 	io.WriteString(conn, strings.Repeat("mg k v O1 Pc=tt,d=100\r\n", 500))
 	all, _ := io.ReadAll(in)
-	if n := strings.Count(string(all), "CLIENT_ERROR"); n > faults || len(s.began) > 0 {
+	if n := strings.Count(string(all), "CLIENT_ERROR"); n > maxBadCommands || len(s.began) > 0 {
 		t.Errorf("%d errors were told, %d operations taken", n, len(s.began))
 	}
 }
@@ -324,9 +324,9 @@
 	fmt.Fprintf(usual, "mn\r\n")
 	want(t, usualIn, "SERVER_ERROR starting\r\n")
 	s.do(func() {
-		for c := range s.clients {
-			c.came -= begins + 0.1
-			c.began -= begins + 0.1
+		for c := range s.connections {
+			c.acceptedAt -= commandSeconds + 0.1
+			c.commandBegan -= commandSeconds + 0.1
 		}
 		s.sweep()
 	})
@@ -348,16 +348,16 @@
 	fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
 	h := <-s.began
 	s.do(func() {
-		for c := range s.clients {
-			c.used, c.came = c.used-2*kept, c.came-2*kept
+		for c := range s.connections {
+			c.lastActive, c.acceptedAt = c.lastActive-2*idleTimeoutSeconds, c.acceptedAt-2*idleTimeoutSeconds
 		}
 		s.sweep() // it waits for an answer
 	})
 	s.finish(h, "x")
 	want(t, in, "VA 1 O1\r\nx\r\n")
 	s.do(func() {
-		for c := range s.clients {
-			c.used -= 2 * kept
+		for c := range s.connections {
+			c.lastActive -= 2 * idleTimeoutSeconds
 		}
 		s.sweep()
 	})
@@ -369,7 +369,7 @@
 // Clients that ask once and stay come faster than idle connections run out: long before all places are taken each new
 // one takes the place of the longest idle, for clients hold only a part of the descriptors themselves.
 func TestIdleMakeRoomBeforeAllIsTaken(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 4, Spare: 1}, 10, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 4, RejectConnections: 1}, 10, 1 << 20})
 	var first *bufio.Reader
 	for i := range 3 {
 		conn, in := s.dial()
@@ -379,8 +379,8 @@
 			first = in
 		}
 		s.do(func() {
-			for c := range s.clients {
-				c.used -= 2 * arriving
+			for c := range s.connections {
+				c.lastActive -= 2 * evictableAfterSeconds
 			}
 		})
 	}
@@ -388,8 +388,8 @@
 		t.Errorf("the longest idle stays, %v", err)
 	}
 	s.do(func() {
-		if s.Clients() != 2 {
-			t.Errorf("%d are left", s.Clients())
+		if s.Connections() != 2 {
+			t.Errorf("%d are left", s.Connections())
 		}
 	})
 }
@@ -398,7 +398,7 @@
 // are closed and not let go of yet; and each is served.
 func TestNoDescriptorIsHeldTwiceAsIdleOnesMakeRoom(t *testing.T) {
 	const places, spare = 20, 1
-	s := serve(t, bounds{Limits{Connections: places, Spare: spare}, 10, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: places, RejectConnections: spare}, 10, 1 << 20})
 	for range places {
 		conn, in := s.dial()
 		fmt.Fprintf(conn, "mn\r\n")
@@ -406,10 +406,10 @@
 	}
 	most, stopped, on := 0, make(chan bool), make(chan bool)
 	s.loop.Post(func() {
-		for c := range s.clients {
-			c.used -= 2 * arriving
+		for c := range s.connections {
+			c.lastActive -= 2 * evictableAfterSeconds
 		}
-		s.desk.door = func() { most = max(most, len(s.clients)+1+s.loop.Finishing()+s.loop.Closing()) }
+		s.desk.door = func() { most = max(most, len(s.connections)+1+s.loop.Finishing()+s.loop.Closing()) }
 		close(stopped)
 		<-on
 	})
@@ -433,18 +433,18 @@
 
 // Of those that hold the places, one that never sent anything usable goes first, however short its silence is.
 func TestSilentMakeRoom(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 2, Spare: 1}, 10, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 2, RejectConnections: 1}, 10, 1 << 20})
 	usual, usualIn := s.dial()
 	fmt.Fprintf(usual, "mn\r\n")
 	want(t, usualIn, "SERVER_ERROR starting\r\n")
 	_, silent := s.dial()
 	for n := 0; n < 2; {
-		s.do(func() { n = s.Clients() })
+		s.do(func() { n = s.Connections() })
 	}
 	s.do(func() {
-		for c := range s.clients {
-			if c.used -= 2 * arriving; c.useful {
-				c.used -= arriving
+		for c := range s.connections {
+			if c.lastActive -= 2 * evictableAfterSeconds; c.established {
+				c.lastActive -= evictableAfterSeconds
 			}
 		}
 	})
@@ -474,15 +474,15 @@
 	for there := 0; there < 4; { // all have been accepted and read
 		s.do(func() {
 			there = 0
-			for c := range s.clients {
-				if c.codec.Begun() || len(c.answers) > 0 || c.conn.In.Len() == 0 {
+			for c := range s.connections {
+				if c.codec.InCommand() || len(c.answers) > 0 || c.conn.In.Len() == 0 {
 					there++
 				}
 			}
 		})
 	}
 	time.Sleep(20 * time.Millisecond)
-	s.do(s.Leave)
+	s.do(s.CloseIdle)
 	if _, err := idle.ReadByte(); err != io.EOF {
 		t.Errorf("the idle connection stays, %v", err)
 	}
@@ -516,12 +516,12 @@
 		}
 	}
 	s.do(func() {
-		for c := range s.clients {
-			c.used -= patience + 1
+		for c := range s.connections {
+			c.lastActive -= unreadAnswerSeconds + 1
 		}
 		s.sweep()
-		if s.Clients() != 0 || s.desk.held != 0 {
-			t.Errorf("%d clients are left, %d bytes held", s.Clients(), s.desk.held)
+		if s.Connections() != 0 || s.desk.held != 0 {
+			t.Errorf("%d clients are left, %d bytes held", s.Connections(), s.desk.held)
 		}
 	})
 	if !stuck {
@@ -542,7 +542,7 @@
 
 // Each operation that was taken counts once, as its client saw it end; none stays open, and nothing held.
 func TestTally(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 10, Spare: 1}, 1, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 10, RejectConnections: 1}, 1, 1 << 20})
 	conn, in := s.dial()
 	begin := func(id string) *held {
 		fmt.Fprintf(conn, "mg k v O%s Pc=t,d=4000\r\n", id)
@@ -568,9 +568,9 @@
 	conn.Close()
 	for i := 0; ; i++ {
 		var open, held int
-		var tally Tally
-		s.do(func() { open, held, tally = s.Open(), s.desk.held, s.Tally("t") })
-		if open == 0 && held == 0 && tally == (Tally{Answered: 1, Deferred: 3, Errored: 2}) {
+		var tally Outcomes
+		s.do(func() { open, held, tally = s.OpenRequests(), s.desk.held, s.OutcomesOf("t") })
+		if open == 0 && held == 0 && tally == (Outcomes{Succeeded: 1, Rejected: 3, Failed: 2}) {
 			break
 		}
 		if i > 200 {
@@ -583,11 +583,11 @@
 // Long writes come whole as far as memory is set apart for them; one beyond it is declined, and what follows it is read on. The memory
 // is free again once the write has gone on, its client has left, or its body has stood still for long.
 func TestLongWrites(t *testing.T) {
-	s := serve(t, bounds{Limits{Connections: 10, Spare: 1, Arriving: 300000}, 100, 1 << 20})
+	s := serve(t, bounds{Limits{Connections: 10, RejectConnections: 1, LongWriteBytes: 300000}, 100, 1 << 20})
 	apart := func(want int) {
 		t.Helper()
 		for got, i := -1, 0; got != want; i++ {
-			if s.do(func() { got = s.arriving }); i > 2000 {
+			if s.do(func() { got = s.longWriteBytes }); i > 2000 {
 				t.Fatalf("%d bytes are set apart, want %d", got, want)
 			}
 			time.Sleep(time.Millisecond)
@@ -608,19 +608,19 @@
 	}
 	s.loop.Post(func() { h.x.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
 	want(t, in, "HD O1 cr\r\n")
-	for _, c := range []struct{ since, quiet float64 }{{begins + 1, 0}, {begins + 1, standing + 1}, {lasting + 1, 0}, {0, 0}} {
+	for _, c := range []struct{ since, quiet float64 }{{commandSeconds + 1, 0}, {commandSeconds + 1, longWriteStallSeconds + 1}, {longWriteSeconds + 1, 0}, {0, 0}} {
 		conn, in := s.dial()
 		fmt.Fprintf(conn, "ms k %d O3 Pc=t\r\n%s", len(body), body[:5])
 		apart(len(body))
 		s.do(func() {
-			for c0 := range s.clients {
-				if c0.lengthy {
-					c0.began, c0.used = c0.began-c.since, c0.used-c.quiet
+			for c0 := range s.connections {
+				if c0.sendsLongWrite {
+					c0.commandBegan, c0.lastActive = c0.commandBegan-c.since, c0.lastActive-c.quiet
 				}
 			}
 			s.sweep()
 		})
-		if c.since > lasting || c.quiet > 0 {
+		if c.since > longWriteSeconds || c.quiet > 0 {
 			want(t, in, "CLIENT_ERROR the command does not go on\r\n")
 		} else {
 			apart(len(body))
@@ -646,8 +646,8 @@
 			io.WriteString(conn, text[:cut])
 			for begun := cut == 0; !begun; { // until the piece has been read
 				s.do(func() {
-					for c := range s.clients {
-						begun = c.codec.Begun() && c.conn.Quiet()
+					for c := range s.connections {
+						begun = c.codec.InCommand() && c.conn.Quiet()
 					}
 				})
 			}
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -48,17 +48,17 @@
 	write := &requestcore.Request{ID: "w1", Write: true}
 	var text bytes.Buffer
 	line := func(name string, parts ...[]byte) { fmt.Fprintf(&text, "%s: %q\n", name, parts) }
-	line("protocol error", codec.Broken(errors.New("a line is too long")))
-	line("unfinished", codec.Unfinished())
-	line("value", codec.Finished(read, requestcore.Result{Value: []byte("abc")})...)
-	line("empty value", codec.Finished(read, requestcore.Result{})...)
-	line("body stream", codec.Finished(read, requestcore.Result{Body: bodyOfLength(99999)})...)
-	line("stored", codec.Finished(write, requestcore.Result{Receipt: "17"})...)
-	line("stored without a receipt", codec.Finished(write, requestcore.Result{})...)
+	line("protocol error", codec.ProtocolError(errors.New("a line is too long")))
+	line("unfinished", codec.CommandTimeout())
+	line("value", codec.Succeeded(read, requestcore.Result{Value: []byte("abc")})...)
+	line("empty value", codec.Succeeded(read, requestcore.Result{})...)
+	line("body stream", codec.Succeeded(read, requestcore.Result{Body: bodyOfLength(99999)})...)
+	line("stored", codec.Succeeded(write, requestcore.Result{Receipt: "17"})...)
+	line("stored without a receipt", codec.Succeeded(write, requestcore.Result{})...)
 	for _, after := range []float64{0, 0.0001, 0.25, 1, 2.0005} {
-		line(fmt.Sprint("rejected, retry after ", after), codec.Declined(read, after))
+		line(fmt.Sprint("rejected, retry after ", after), codec.Rejected(read, after))
 	}
-	line("failed", codec.Terminated(write))
+	line("failed", codec.Failed(write))
 	golden(t, "memcache-answers", text.Bytes())
 }
 
@@ -86,16 +86,16 @@
 	}
 	s := serve(t, ample)
 	untilAnswered(s, "starting", "mn\r\n", "starting\r\n")
-	s.do(s.Ready)
+	s.do(s.SetReady)
 	untilAnswered(s, "ready", "mn\r\n", "MN\r\n")
 	untilAnswered(s, "no quota", "mg k v O1 Pc=t,tenant=nobody\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "unknown class", "mg k v O2 Pc=u\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "bad deadline", "mg k v O3 Pc=t,d=x\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "no time left", "mg k v O4 Pc=t,d=0\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "id of another request", "mg k v O4 Pc=t,d=0\r\nmg k v O4 Pc=t,d=0\r\nmn\r\n", "MN\r\n")
-	s.do(func() { s.Drain(true) })
+	s.do(func() { s.SetDraining(true) })
 	untilAnswered(s, "draining", "mn\r\n", "draining\r\n")
 	untilClosed(s, "too many faults", "nonsense\r\nnonsense\r\nnonsense\r\nmn\r\n")
-	untilClosed(serve(t, bounds{Limits{Connections: 0, Spare: 1}, 1, 1 << 20}), "beyond the limit", "mg k v O1 Pc=t\r\nmn\r\n")
+	untilClosed(serve(t, bounds{Limits{Connections: 0, RejectConnections: 1}, 1, 1 << 20}), "beyond the limit", "mg k v O1 Pc=t\r\nmn\r\n")
 	golden(t, "memcache-conversation", text.Bytes())
 }
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -12,17 +12,21 @@
 )
 
 // Memcache is the platform's protocol: the meta commands of the memcache text protocol.
-func Memcache(c *Client) Codec { return &memcache{c: c} }
+func Memcache(c *ClientConn) Codec { return &memcache{c: c} }
 
 type memcache struct {
-	c      *Client
+	c      *ClientConn
 	reader meta.CommandReader
 }
 
 func (m *memcache) Read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
-func (m *memcache) Begun() bool                              { return m.reader.Begun() }
-func (m *memcache) Broken(err error) []byte                  { return []byte("CLIENT_ERROR " + err.Error() + "\r\n") }
-func (m *memcache) Unfinished() []byte                       { return []byte("CLIENT_ERROR the command does not go on\r\n") }
+func (m *memcache) InCommand() bool                          { return m.reader.Begun() }
+func (m *memcache) ProtocolError(err error) []byte {
+	return []byte("CLIENT_ERROR " + err.Error() + "\r\n")
+}
+func (m *memcache) CommandTimeout() []byte {
+	return []byte("CLIENT_ERROR the command does not go on\r\n")
+}
 
 // Get takes a read.
 func (m *memcache) Get(key, id, flags, figures string) {
@@ -32,31 +36,31 @@
 // Set takes a write.
 func (m *memcache) Set(key, id, flags, figures string, value []byte) {
 	m.take(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
-	m.c.Arrived()
+	m.c.ReleaseLongWrite()
 }
 
 // Noop tells whether the router serves.
 func (m *memcache) Noop() {
-	if not := m.c.Serves(); not != "" {
-		m.c.Say([]byte("SERVER_ERROR " + not + "\r\n"))
+	if not := m.c.NotServingReason(); not != "" {
+		m.c.Answer([]byte("SERVER_ERROR " + not + "\r\n"))
 	} else {
-		m.c.Say([]byte("MN\r\n"))
+		m.c.Answer([]byte("MN\r\n"))
 	}
 }
 
 // Reserve sets memory apart for a long write.
-func (m *memcache) Reserve(length int) bool { return m.c.Reserve(length) }
+func (m *memcache) Reserve(length int) bool { return m.c.ReserveLongWrite(length) }
 
 // Refused takes the end of a long write for which there was no memory.
 func (m *memcache) Refused() {
-	m.c.Say(meta.AppendBusy(nil, 0))
-	m.c.Arrived()
+	m.c.Answer(meta.AppendBusy(nil, 0))
+	m.c.ReleaseLongWrite()
 }
 
 // Bad takes a command that cannot be used.
 func (m *memcache) Bad(text string) {
-	m.c.Bad([]byte(text + "\r\n"))
-	m.c.Arrived()
+	m.c.AnswerBadCommand([]byte(text + "\r\n"))
+	m.c.ReleaseLongWrite()
 }
 
 func (m *memcache) take(op *requestcore.Request) {
@@ -75,7 +79,7 @@
 	}
 	if op.TimeLeft = left; fault != "" {
 		m.Bad(fault)
-	} else if !m.c.Take(route, op, most) {
+	} else if !m.c.Submit(route, op, most) {
 		m.Bad("CLIENT_ERROR the id O is another operation's")
 	}
 }
@@ -91,11 +95,11 @@
 	if err != nil || strings.Trim(text, "0123456789.") != "" {
 		return 0, "CLIENT_ERROR d is not a number of 0 or more"
 	}
-	return cmp.Or(ms/1e3, over), ""
+	return cmp.Or(ms/1e3, expired), ""
 }
 
-// Finished passes on a value or a receipt.
-func (m *memcache) Finished(op *requestcore.Request, with requestcore.Result) [][]byte {
+// Succeeded passes on a value or a receipt.
+func (m *memcache) Succeeded(op *requestcore.Request, with requestcore.Result) [][]byte {
 	if op.Write {
 		return [][]byte{meta.AppendStored(nil, op.ID, with.Receipt)}
 	}
@@ -105,12 +109,12 @@
 	return [][]byte{meta.AppendValue(nil, op.ID, len(with.Value)), with.Value, []byte("\r\n")}
 }
 
-// Declined tells when to come back.
-func (m *memcache) Declined(_ *requestcore.Request, after float64) []byte {
+// Rejected tells when to come back.
+func (m *memcache) Rejected(_ *requestcore.Request, after float64) []byte {
 	return meta.AppendBusy(nil, int(math.Ceil(after*1e3)))
 }
 
-// Terminated promises nothing.
-func (m *memcache) Terminated(*requestcore.Request) []byte {
+// Failed promises nothing.
+func (m *memcache) Failed(*requestcore.Request) []byte {
 	return []byte("SERVER_ERROR failed\r\n")
 }
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -74,21 +74,21 @@
 	codec := New(goldenService(), "tile", "X-Wait").Protocol(nil)
 	var text bytes.Buffer
 	line := func(name string, parts ...[]byte) { fmt.Fprintf(&text, "%s: %q\n", name, parts) }
-	line("unreadable", codec.Broken(errors.New("strange")))
-	line("no such method", codec.Broken(&http1.Fault{Status: 405, Why: "only GET and HEAD"}))
-	line("too long", codec.Broken(&http1.Fault{Status: 431, Why: "too long"}))
-	line("unfinished", codec.Unfinished())
+	line("unreadable", codec.ProtocolError(errors.New("strange")))
+	line("no such method", codec.ProtocolError(&http1.Fault{Status: 405, Why: "only GET and HEAD"}))
+	line("too long", codec.ProtocolError(&http1.Fault{Status: 431, Why: "too long"}))
+	line("unfinished", codec.CommandTimeout())
 	for _, head := range []bool{false, true} {
 		for _, keep := range []bool{true, false} {
 			request := &requestcore.Request{Figures: marks(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
-			line(name+"tile", codec.Finished(request, requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")})...)
-			line(name+"empty tile", codec.Finished(request, requestcore.Result{Status: 200})...)
-			line(name+"not modified", codec.Finished(request, requestcore.Result{Status: 304, Head: "ETag: \"a\"\r\n"})...)
-			line(name+"no content", codec.Finished(request, requestcore.Result{Status: 204})...)
-			line(name+"rejected", codec.Declined(request, 0))
-			line(name+"rejected, retry after 2.5", codec.Declined(request, 2.5))
-			line(name+"failed", codec.Terminated(request))
+			line(name+"tile", codec.Succeeded(request, requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")})...)
+			line(name+"empty tile", codec.Succeeded(request, requestcore.Result{Status: 200})...)
+			line(name+"not modified", codec.Succeeded(request, requestcore.Result{Status: 304, Head: "ETag: \"a\"\r\n"})...)
+			line(name+"no content", codec.Succeeded(request, requestcore.Result{Status: 204})...)
+			line(name+"rejected", codec.Rejected(request, 0))
+			line(name+"rejected, retry after 2.5", codec.Rejected(request, 2.5))
+			line(name+"failed", codec.Failed(request))
 		}
 	}
 	golden(t, "tile-answers", text.Bytes())
@@ -108,7 +108,7 @@
 		<-done
 	}
 	server := New(goldenService(), "other", "")
-	var front *frontend.Front
+	var front *frontend.Frontend
 	addresses := map[string]string{"": "", "closed": ""}
 	onLoop(func() {
 		front = frontend.New(loop, echoDispatcher{}, frontend.Limits{Connections: 100})
@@ -116,7 +116,7 @@
 			free, _ := net.Listen("tcp", "127.0.0.1:0")
 			addresses[listener] = free.Addr().String()
 			free.Close()
-			if _, err := loop.Listen(addresses[listener], front.Room, front.At(listener, server.Protocol)); err != nil {
+			if _, err := loop.Listen(addresses[listener], front.CanAccept, front.Acceptor(listener, server.Protocol)); err != nil {
 				t.Error(err)
 			}
 		}
@@ -136,12 +136,12 @@
 	const end = "Connection: close\r\n\r\n"
 	const tile = "GET /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"
 	ask("starting", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
-	onLoop(front.Ready)
+	onLoop(front.SetReady)
 	ask("serving", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
 	ask("serving, head", "", "HEAD /health HTTP/1.1\r\nHost: a\r\n"+end)
 	ask("two requests", "", "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /health HTTP/1.1\r\nHost: a\r\n"+end)
 	ask("unknown class", "", tile+end)
-	onLoop(func() { server.Change(goldenService(), "tile", "X-Wait") })
+	onLoop(func() { server.Configure(goldenService(), "tile", "X-Wait") })
 	ask("tile", "", tile+end)
 	ask("tile, head", "", "HEAD /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
 	ask("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\nCookie: c\r\nX-Request-Id: 7\r\n"+
@@ -158,7 +158,7 @@
 	}
 	ask("other method", "", "PUT / HTTP/1.1\r\nHost: a\r\n"+end)
 	ask("not HTTP", "", "nonsense\r\n\r\n")
-	onLoop(func() { front.Drain(true) })
+	onLoop(func() { front.SetDraining(true) })
 	ask("draining", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
 	golden(t, "tile-conversation", text.Bytes())
 }
--- a/internal/frontend/tileserver/tilefront.go
+++ b/internal/frontend/tileserver/tilefront.go
@@ -26,22 +26,22 @@
 // New makes one.
 func New(service *tiles.Service, kind, wait string) *Server {
 	s := &Server{}
-	s.Change(service, kind, wait)
+	s.Configure(service, kind, wait)
 	return s
 }
 
-// Change takes another description. What is open goes on.
-func (s *Server) Change(service *tiles.Service, kind, wait string) {
+// Configure takes another description. What is open goes on.
+func (s *Server) Configure(service *tiles.Service, kind, wait string) {
 	s.service, s.kind, s.wait = service, kind, strings.ToLower(wait)
 }
 
 // Protocol makes the codec of a connection.
-func (s *Server) Protocol(c *frontend.Client) frontend.Codec { return &codec{s: s, c: c} }
+func (s *Server) Protocol(c *frontend.ClientConn) frontend.Codec { return &codec{s: s, c: c} }
 
 // codec is one connection.
 type codec struct {
 	s      *Server
-	c      *frontend.Client
+	c      *frontend.ClientConn
 	reader http1.RequestReader
 
 	// The request at hand.
@@ -58,7 +58,7 @@
 	"accept-encoding": "Accept-Encoding", "accept": "Accept", "x-request-id": "X-Request-Id"}
 
 func (k *codec) Read(in *ringbuffer.Buffer) (bool, error) { return k.reader.Read(in, k) }
-func (k *codec) Begun() bool                              { return k.reader.Begun() }
+func (k *codec) InCommand() bool                          { return k.reader.Begun() }
 
 // Begin takes a request line.
 func (k *codec) Begin(method, target string) {
@@ -84,10 +84,10 @@
 // Request takes the end of a request.
 func (k *codec) Request(keep bool) {
 	if !keep {
-		k.c.Last()
+		k.c.CloseAfterAnswers()
 	}
 	if k.target == healthPath {
-		if not := k.c.Serves(); not != "" {
+		if not := k.c.NotServingReason(); not != "" {
 			k.say(503, "text/plain", "Retry-After: 1\r\n", []byte(not+"\n"), keep)
 		} else {
 			k.say(200, "text/plain", "", []byte("serving\n"), keep)
@@ -100,7 +100,7 @@
 		k.fault(fault, keep)
 		return
 	case asked.Capabilities:
-		k.c.Serves()
+		k.c.NotServingReason()
 		k.say(200, "application/xml", "", k.s.service.Capabilities("http://"+safeHost(k.host)), keep)
 		return
 	}
@@ -120,7 +120,7 @@
 		k.fault(&tiles.Fault{Status: 404, Code: tiles.NotApplied, Text: "no contract holds for this traffic type"}, keep)
 		return
 	}
-	k.c.Take(route, op, most)
+	k.c.Submit(route, op, most)
 }
 
 // marks note what an answer needs to know of its request.
@@ -162,12 +162,12 @@
 
 // say answers from here.
 func (k *codec) say(status int, media, more string, body []byte, keep bool) {
-	k.c.Say(whole(status, "Content-Type: "+media+"\r\n"+more, body, k.head, !keep))
+	k.c.Answer(whole(status, "Content-Type: "+media+"\r\n"+more, body, k.head, !keep))
 }
 
 // fault answers what cannot be meant: by a report where the standard wants one, else in plain text.
 func (k *codec) fault(f *tiles.Fault, keep bool) {
-	k.c.Serves()
+	k.c.NotServingReason()
 	if f.Report {
 		k.say(f.Status, "application/xml", "", f.XML(), keep)
 	} else {
@@ -195,8 +195,8 @@
 	return append(text, "\r\n"...)
 }
 
-// Broken answers what cannot be read.
-func (k *codec) Broken(err error) []byte {
+// ProtocolError answers what cannot be read.
+func (k *codec) ProtocolError(err error) []byte {
 	status, more := 400, ""
 	var f *http1.Fault
 	if errors.As(err, &f) {
@@ -208,13 +208,13 @@
 	return whole(status, "Content-Type: text/plain\r\n"+more, []byte(err.Error()+"\n"), false, true)
 }
 
-// Unfinished answers a request that does not go on.
-func (k *codec) Unfinished() []byte {
+// CommandTimeout answers a request that does not go on.
+func (k *codec) CommandTimeout() []byte {
 	return whole(408, "Content-Type: text/plain\r\n", []byte("the request does not go on\n"), false, true)
 }
 
-// Finished passes on what a tile server made.
-func (k *codec) Finished(op *requestcore.Request, with requestcore.Result) [][]byte {
+// Succeeded passes on what a tile server made.
+func (k *codec) Succeeded(op *requestcore.Request, with requestcore.Result) [][]byte {
 	text := top(with.Status, with.Head, len(with.Value), isLast(op))
 	if isHead(op) || len(with.Value) == 0 {
 		return [][]byte{text}
@@ -222,13 +222,13 @@
 	return [][]byte{text, with.Value}
 }
 
-// Declined tells when to come back, in whole seconds, as HTTP has it.
-func (k *codec) Declined(op *requestcore.Request, after float64) []byte {
+// Rejected tells when to come back, in whole seconds, as HTTP has it.
+func (k *codec) Rejected(op *requestcore.Request, after float64) []byte {
 	return whole(503, fmt.Sprintf("Content-Type: text/plain\r\nCache-Control: no-store\r\nRetry-After: %d\r\n", max(1, int(math.Ceil(after)))),
 		[]byte("busy\n"), isHead(op), isLast(op))
 }
 
-// Terminated promises nothing.
-func (k *codec) Terminated(op *requestcore.Request) []byte {
+// Failed promises nothing.
+func (k *codec) Failed(op *requestcore.Request) []byte {
 	return whole(502, "Content-Type: text/plain\r\nCache-Control: no-store\r\n", []byte("failed\n"), isHead(op), isLast(op))
 }
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -27,7 +27,7 @@
 // logCounts logs what has happened since the start: a line a pool, and one for each team with requests since the
 // last log.
 func (s *Service) logCounts() {
-	clients := s.clients.frontend.Clients()
+	clients := s.clients.frontend.Connections()
 	s.pools.platform.logCounts(s.log, clients)
 	for _, p := range s.pools.namedInOrder() {
 		p.logCounts(s.log.With().Str("pool", p.name).Logger(), clients)
@@ -75,9 +75,9 @@
 			event = event.Uint64("servers' connections cut, "+upstream.Cuts[reason], n)
 		}
 	}
-	for reason, n := range p.service.clients.frontend.Cut() {
+	for reason, n := range p.service.clients.frontend.CutConnections() {
 		if n > 0 {
-			event = event.Uint64("clients' connections cut, "+frontend.Cuts[reason], n)
+			event = event.Uint64("clients' connections cut, "+frontend.CutReasonNames[reason], n)
 		}
 	}
 	withRejectReasons(event, counts.Reasons[:]).Msg("counts")
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -25,11 +25,11 @@
 	}
 	s.lifecycle.draining = on
 	s.lifecycle.drainCalls++
-	s.log.Info().Bool("draining", on).Int("clients", s.clients.frontend.Clients()).Msg("drain")
-	s.clients.frontend.Drain(on)
+	s.log.Info().Bool("draining", on).Int("clients", s.clients.frontend.Connections()).Msg("drain")
+	s.clients.frontend.SetDraining(on)
 	if on {
-		s.afterInDrain(acceptAfterSignalSeconds, s.clients.frontend.Leave)
-		s.afterInDrain(drainCloseSeconds, s.clients.frontend.Shut)
+		s.afterInDrain(acceptAfterSignalSeconds, s.clients.frontend.CloseIdle)
+		s.afterInDrain(drainCloseSeconds, s.clients.frontend.StopReading)
 	}
 	return nil
 }
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -35,7 +35,7 @@
 // waitOneRequest waits until a process has one request open.
 func waitOneRequest(t *testing.T, s *Service) {
 	t.Helper()
-	waitUntil(t, "the request", s, func() bool { return s.clients.frontend.Open() == 1 })
+	waitUntil(t, "the request", s, func() bool { return s.clients.frontend.OpenRequests() == 1 })
 }
 
 // phaseOf gives the phase of a process that runs.
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -58,7 +58,7 @@
 
 // startServing takes clients from now on.
 func (s *Service) startServing() {
-	s.clients.frontend.Ready()
+	s.clients.frontend.SetReady()
 	s.enter(Serving)
 	s.startAccepting()
 }
@@ -80,7 +80,7 @@
 	}
 	s.loop.After(acceptFor, s.finish)
 	deadline := s.loop.Now() + s.longestWait() + killMarginSeconds - lastAnswersSeconds
-	s.clients.frontend.Until(deadline)
+	s.clients.frontend.SetFinalDeadline(deadline)
 	s.loop.Timer(func() { s.endAtDeadline(deadline + longValueExtraSeconds) }).Set(deadline)
 }
 
@@ -96,7 +96,7 @@
 // endAtDeadline ends the router whatever is open, except for long values under way, which have until latest
 // (seconds of the loop's clock): a kill meanwhile would cut them off no earlier than ending here does.
 func (s *Service) endAtDeadline(latest float64) {
-	if s.clients.frontend.Passing() == 0 || s.loop.Now() > latest {
+	if s.clients.frontend.OpenBodyStreams() == 0 || s.loop.Now() > latest {
 		s.answerAllAndEnd()
 		return
 	}
@@ -112,7 +112,7 @@
 	for _, p := range s.pools.retiring {
 		p.core.FailAll()
 	}
-	s.loop.After(lastAnswersSeconds/2, s.clients.frontend.Shut)
+	s.loop.After(lastAnswersSeconds/2, s.clients.frontend.StopReading)
 	s.loop.After(lastAnswersSeconds, s.end)
 }
 
@@ -128,17 +128,17 @@
 		s.restart.listener.Close()
 	}
 	s.enter(Finishing)
-	s.clients.frontend.Leave()
+	s.clients.frontend.CloseIdle()
 	s.endOnceIdle()
 }
 
 func (s *Service) endOnceIdle() {
-	if s.clients.frontend.Clients() == 0 && s.loop.Finishing() == 0 {
+	if s.clients.frontend.Connections() == 0 && s.loop.Finishing() == 0 {
 		s.end()
 		return
 	}
-	s.clients.frontend.Deepen(s.conf.MemoryBytes / 2)
-	s.clients.frontend.Leave() // a connection may have become idle since the last look
+	s.clients.frontend.ExtendSendBuffers(s.conf.MemoryBytes / 2)
+	s.clients.frontend.CloseIdle() // a connection may have become idle since the last look
 	s.loop.After(idlePollSeconds, s.endOnceIdle)
 }
 
--- a/internal/service/lifecycle_test.go
+++ b/internal/service/lifecycle_test.go
@@ -93,7 +93,7 @@
 	waitServing(t, s)
 	conn, in := dialAndSend(t, addr, "a", "")
 	fmt.Fprintf(conn, "mg k1 v Oa Pc=t,d=60000\r\nmg k2 v Ob Pc=t,d=60000\r\n")
-	waitUntil(t, "both requests", s, func() bool { return s.clients.frontend.Open() == 2 })
+	waitUntil(t, "both requests", s, func() bool { return s.clients.frontend.OpenRequests() == 2 })
 	s.loop.Post(s.beginShutdown)
 	waitUntil(t, "the phase finishing", s, func() bool { return s.lifecycle.phase == Finishing })
 	// Half a command does not hold up the end either.
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -46,7 +46,7 @@
 func (s *Service) applyLimits() {
 	limits := s.processLimits()
 	limitMemory(limits)
-	s.clients.frontend.Limit(frontendLimits(limits))
+	s.clients.frontend.SetLimits(frontendLimits(limits))
 	s.broker.SetLimits(brokerLimits(limits))
 	namedParts := 0.0
 	for _, named := range s.operators.Pools {
@@ -59,7 +59,7 @@
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
-	return frontend.Limits{Connections: conf.ClientConnections, Spare: conf.RejectConnections, Arriving: conf.HeldBytes}
+	return frontend.Limits{Connections: conf.ClientConnections, RejectConnections: conf.RejectConnections, LongWriteBytes: conf.HeldBytes}
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -9,7 +9,7 @@
 
 // clientSide is what clients connect to.
 type clientSide struct {
-	frontend      *frontend.Front
+	frontend      *frontend.Frontend
 	listener      *eventloop.Listener            // at the platform's address; nil while another process holds that
 	teamListeners map[string]*eventloop.Listener // by their addresses
 	tileServers   map[string]*tileserver.Server  // those of the teams' listeners that speak HTTP, by their addresses
@@ -76,10 +76,10 @@
 	if address == s.conf.Listen {
 		name = ""
 	}
-	accept := s.clients.frontend.At(name, protocol)
+	accept := s.clients.frontend.Acceptor(name, protocol)
 	if descriptor, inherited := s.restart.inheritedSockets[address]; inherited {
 		delete(s.restart.inheritedSockets, address)
-		listener, err := s.loop.Adopt(descriptor, s.clients.frontend.Room, accept)
+		listener, err := s.loop.Adopt(descriptor, s.clients.frontend.CanAccept, accept)
 		if err == nil {
 			if s.lifecycle.phase != Starting {
 				err = listener.Resume()
@@ -87,7 +87,7 @@
 			return listener, err
 		}
 	}
-	return s.loop.Listen(address, s.clients.frontend.Room, accept)
+	return s.loop.Listen(address, s.clients.frontend.CanAccept, accept)
 }
 
 // startAccepting accepts from now on, and lets the predecessor know.
@@ -95,8 +95,8 @@
 	var err error
 	if s.clients.listenLater {
 		s.clients.listenLater = false
-		accept := s.clients.frontend.At("", frontend.Memcache)
-		s.clients.listener, err = s.loop.Listen(s.conf.Listen, s.clients.frontend.Room, accept)
+		accept := s.clients.frontend.Acceptor("", frontend.Memcache)
+		s.clients.listener, err = s.loop.Listen(s.conf.Listen, s.clients.frontend.CanAccept, accept)
 	} else if s.clients.listener != nil {
 		err = s.clients.listener.Resume()
 	}
@@ -142,7 +142,7 @@
 		front, wantsTiles := tileFronts[address]
 		server := s.clients.tileServers[address]
 		if wantsTiles && server != nil {
-			server.Change(front.Service, front.Kind, front.WaitHeader)
+			server.Configure(front.Service, front.Kind, front.WaitHeader)
 		}
 		sameProtocol := wantsTiles == (server != nil)
 		if wanted[address] && sameProtocol {
--- a/internal/service/longvalues_test.go
+++ b/internal/service/longvalues_test.go
@@ -14,7 +14,7 @@
 func waitNothingOpen(t *testing.T, s *Service) {
 	t.Helper()
 	waitUntil(t, "rest", s, func() bool {
-		return s.clients.frontend.Open() == 0 && s.clients.frontend.Passing() == 0
+		return s.clients.frontend.OpenRequests() == 0 && s.clients.frontend.OpenBodyStreams() == 0
 	})
 }
 
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -15,21 +15,21 @@
 	var text strings.Builder
 	write := func(name string, value uint64) { fmt.Fprintf(&text, "gw.%s=%d\n", name, value) }
 	for _, class := range s.trafficClassNames() {
-		tally := s.clients.frontend.Tally(class)
-		write("transactions."+class+".answered", tally.Answered)
-		write("transactions."+class+".deferred", tally.Deferred)
-		write("transactions."+class+".errored", tally.Errored)
+		tally := s.clients.frontend.OutcomesOf(class)
+		write("transactions."+class+".answered", tally.Succeeded)
+		write("transactions."+class+".deferred", tally.Rejected)
+		write("transactions."+class+".errored", tally.Failed)
 	}
 	sends, serverCuts := s.serverCounts()
 	listed, avoided := s.clusterHealth()
 	write("sends", sends)
-	write("current", uint64(s.clients.frontend.Open()))
+	write("current", uint64(s.clients.frontend.OpenRequests()))
 	write("cluster_size", uint64(listed))
 	write("cluster_unhealthy", uint64(avoided))
 	write("conf_loaded", s.reloads.accepted)
 	write("conf_invalid", s.reloads.rejected)
-	for reason, n := range s.clients.frontend.Cut() {
-		write("cut.clients."+frontend.Cuts[reason], n)
+	for reason, n := range s.clients.frontend.CutConnections() {
+		write("cut.clients."+frontend.CutReasonNames[reason], n)
 	}
 	for reason, n := range serverCuts {
 		write("cut.servers."+upstream.Cuts[reason], n)
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -51,7 +51,7 @@
 			}
 		}
 		waitUntil(t, "an end of all attempts", s, func() bool {
-			return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.Open() == 0
+			return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.OpenRequests() == 0
 		})
 	}
 }
--- a/internal/service/tilepool_test.go
+++ b/internal/service/tilepool_test.go
@@ -318,7 +318,7 @@
 		}
 		closeWriteAndWait(t, conn)
 	})
-	waitUntil(t, "an end", s, func() bool { return s.clients.frontend.Clients() == 0 })
+	waitUntil(t, "an end", s, func() bool { return s.clients.frontend.Connections() == 0 })
 	if n := callOnLoop(s, attempts) - before; n > 0 {
 		t.Errorf("%d more attempts began", n)
 	}
