--- /dev/null
+++ b/internal/frontend/close.go
@@ -0,0 +1,60 @@
+package frontend
+
+// closeIfIdle closes an idle connection if nothing more is read from it, or idle ones are being closed. A client that
+// has just connected sends at once; closed now, it would have come for nothing.
+func (c *ClientConn) closeIfIdle() {
+	f := c.frontend
+	fresh := !c.established && f.loop.Now()-c.acceptedAt < idleAfterSeconds
+	if !c.isOpen() || !c.isIdle() {
+		return
+	}
+	if c.closing || f.closingIdle && !fresh {
+		c.closeGracefully()
+	}
+}
+
+// closeGracefully ends the connection so that the client can read all its answers, also if it goes on sending.
+func (c *ClientConn) closeGracefully() {
+	c.conn.Finish(lingerSeconds)
+	c.Closed()
+}
+
+func (c *ClientConn) close() {
+	c.conn.Close()
+	c.Closed()
+}
+
+// Closed forgets the connection and gives back all that it holds. The event loop calls it when the client has
+// disconnected. A second call does nothing.
+func (c *ClientConn) Closed() {
+	f := c.frontend
+	if !c.isOpen() {
+		return
+	}
+	delete(f.connections, c)
+	if !c.owesNothing() || c.conn.Unsent() > 0 {
+		f.cutConnections[c.cutReason]++
+	}
+	c.ReleaseLongWrite()
+	if c.admitted {
+		f.dispatcher.ReleaseConnection(c.listener)
+	}
+	for _, s := range c.segments {
+		c.discardSegment(s)
+	}
+	for _, a := range c.answers {
+		a.abandon()
+	}
+}
+
+func (c *ClientConn) discardSegment(s segment) {
+	if s.body != nil {
+		c.frontend.openBodies--
+		s.body.Discard()
+		return
+	}
+	s.answer.addHeldBytes(-len(s.text))
+	if s.last {
+		s.answer.countEnd(false)
+	}
+}
--- /dev/null
+++ b/internal/frontend/cut.go
@@ -0,0 +1,18 @@
+package frontend
+
+// CutReason says why a client's connection ended with an answer owed on it.
+type CutReason int
+
+// The reasons. The zero value holds unless the frontend closes the connection itself.
+const (
+	ClientDisconnected CutReason = iota // the client closed or reset the connection
+	AnswerUnread                        // the client read nothing of its answer for too long
+	BodyBroken                          // the rest of a value will not come
+	cutReasons
+)
+
+// CutReasonNames names the reasons, by their numbers, as figures and logs show them.
+var CutReasonNames = [cutReasons]string{"client_left", "unread", "value_cut"}
+
+// CutConnections returns how many connections ended with an answer owed, by CutReason, since the start.
+func (f *Frontend) CutConnections() [cutReasons]uint64 { return f.cutConnections }
--- a/internal/frontend/front_test.go
+++ b/internal/frontend/front_test.go
@@ -614,7 +614,7 @@
 		apart(len(body))
 		s.do(func() {
 			for c0 := range s.connections {
-				if c0.sendsLongWrite {
+				if c0.receivesLongWrite {
 					c0.commandBegan, c0.lastActive = c0.commandBegan-c.since, c0.lastActive-c.quiet
 				}
 			}
@@ -665,7 +665,7 @@
 			}
 			s.finish(h, "x")
 			want(t, in, answer+"SERVER_ERROR starting\r\n")
-			s.do(func() { clear(s.ids[:]) }) // the next form has the same
+			s.do(func() { clear(s.recentIDs.slots[:]) }) // the next form has the same
 		}
 	}
 }
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -2,6 +2,7 @@
 
 import (
 	"cmp"
+	"errors"
 	"math"
 	"strconv"
 	"strings"
@@ -11,110 +12,137 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
+// The answers to commands that cannot be used.
+const (
+	answerNoQuota      = "CLIENT_ERROR no contract holds for this traffic"
+	answerUnknownClass = "CLIENT_ERROR the type c is unknown"
+	answerBadTimeLeft  = "CLIENT_ERROR d is not a number of 0 or more"
+	answerRepeatedID   = "CLIENT_ERROR the id O is another operation's"
+)
+
+// The names of a command's figures that are read here.
+const (
+	classFigure    = "c"
+	tenantFigure   = "tenant"
+	timeLeftFigure = "d" // milliseconds
+)
+
+var errBadTimeLeft = errors.New("not a number of 0 or more")
+
 // Memcache is the platform's protocol: the meta commands of the memcache text protocol.
-func Memcache(c *ClientConn) Codec { return &memcache{c: c} }
+func Memcache(c *ClientConn) Codec { return &memcache{conn: c} }
 
+// memcache is the Codec, and the meta.Commands that its reader calls.
 type memcache struct {
-	c      *ClientConn
+	conn   *ClientConn
 	reader meta.CommandReader
 }
 
 func (m *memcache) Read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
-func (m *memcache) InCommand() bool                          { return m.reader.Begun() }
-func (m *memcache) ProtocolError(err error) []byte {
-	return []byte("CLIENT_ERROR " + err.Error() + "\r\n")
-}
-func (m *memcache) CommandTimeout() []byte {
-	return []byte("CLIENT_ERROR the command does not go on\r\n")
-}
 
-// Get takes a read.
+func (m *memcache) InCommand() bool { return m.reader.Begun() }
+
+// Get submits a read.
 func (m *memcache) Get(key, id, flags, figures string) {
-	m.take(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures})
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures})
 }
 
-// Set takes a write.
+// Set submits a write.
 func (m *memcache) Set(key, id, flags, figures string, value []byte) {
-	m.take(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
-	m.c.ReleaseLongWrite()
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
+	m.conn.ReleaseLongWrite()
 }
 
-// Noop tells whether the router serves.
+// Noop answers whether the router serves.
 func (m *memcache) Noop() {
-	if not := m.c.NotServingReason(); not != "" {
-		m.c.Answer([]byte("SERVER_ERROR " + not + "\r\n"))
-	} else {
-		m.c.Answer([]byte("MN\r\n"))
+	reason := m.conn.NotServingReason()
+	if reason != "" {
+		m.conn.Answer([]byte("SERVER_ERROR " + reason + "\r\n"))
+		return
 	}
+	m.conn.Answer([]byte("MN\r\n"))
 }
 
-// Reserve sets memory apart for a long write.
-func (m *memcache) Reserve(length int) bool { return m.c.ReserveLongWrite(length) }
+// Reserve reserves memory for a long write.
+func (m *memcache) Reserve(length int) bool { return m.conn.ReserveLongWrite(length) }
 
-// Refused takes the end of a long write for which there was no memory.
+// Refused answers the end of a long write for which there was no memory.
 func (m *memcache) Refused() {
-	m.c.Answer(meta.AppendBusy(nil, 0))
-	m.c.ReleaseLongWrite()
+	m.conn.Answer(meta.AppendBusy(nil, 0))
+	m.conn.ReleaseLongWrite()
 }
 
-// Bad takes a command that cannot be used.
+// Bad answers a command that cannot be used.
 func (m *memcache) Bad(text string) {
-	m.c.AnswerBadCommand([]byte(text + "\r\n"))
-	m.c.ReleaseLongWrite()
+	m.conn.AnswerBadCommand([]byte(text + "\r\n"))
+	m.conn.ReleaseLongWrite()
 }
 
-func (m *memcache) take(op *requestcore.Request) {
-	op.Class, _ = meta.Figure(op.Figures, "c")
-	op.Tenant, _ = meta.Figure(op.Figures, "tenant")
-	route, most, known := m.c.Route(op.Tenant, op.Key), 0.0, false
-	if route != nil {
-		most, known = route.MaxDeadline(op.Class)
+func (m *memcache) submit(request *requestcore.Request) {
+	request.Class, _ = meta.Figure(request.Figures, classFigure)
+	request.Tenant, _ = meta.Figure(request.Figures, tenantFigure)
+	route := m.conn.Route(request.Tenant, request.Key)
+	if route == nil {
+		m.Bad(answerNoQuota)
+		return
+	}
+	maxDeadline, known := route.MaxDeadline(request.Class)
+	if !known { // no cache server could use it either
+		m.Bad(answerUnknownClass)
+		return
 	}
-	left, fault := stated(op.Figures)
-	switch {
-	case route == nil:
-		fault = "CLIENT_ERROR no contract holds for this traffic"
-	case !known: // no cache server could use it either
-		fault = "CLIENT_ERROR the type c is unknown"
+	timeLeft, err := parseTimeLeft(request.Figures)
+	if err != nil {
+		m.Bad(answerBadTimeLeft)
+		return
 	}
-	if op.TimeLeft = left; fault != "" {
-		m.Bad(fault)
-	} else if !m.c.Submit(route, op, most) {
-		m.Bad("CLIENT_ERROR the id O is another operation's")
+	request.TimeLeft = timeLeft
+	if !m.conn.Submit(route, request, maxDeadline) {
+		m.Bad(answerRepeatedID)
 	}
 }
 
-// stated reads how long a client will wait, in seconds; 0 if it does not say. One that has less than a millisecond left, in
-// the last of its tries, says 0 by the wire's unit: that is a time, and over.
-func stated(figures string) (left float64, fault string) {
-	text, there := meta.Figure(figures, "d")
-	if !there {
-		return 0, ""
+// parseTimeLeft returns how long a client waits, in seconds; 0 if it does not say. A client with less than a
+// millisecond left, in the last of its attempts, says 0 by the wire's unit: that is a time, and over.
+func parseTimeLeft(figures string) (seconds float64, err error) {
+	text, stated := meta.Figure(figures, timeLeftFigure)
+	if !stated {
+		return 0, nil
 	}
-	ms, err := strconv.ParseFloat(text, 64)
+	milliseconds, err := strconv.ParseFloat(text, 64)
 	if err != nil || strings.Trim(text, "0123456789.") != "" {
-		return 0, "CLIENT_ERROR d is not a number of 0 or more"
+		return 0, errBadTimeLeft
 	}
-	return cmp.Or(ms/1e3, expired), ""
+	return cmp.Or(milliseconds/1e3, expired), nil
+}
+
+// ProtocolError answers a stream that cannot be followed any more.
+func (m *memcache) ProtocolError(err error) []byte {
+	return []byte("CLIENT_ERROR " + err.Error() + "\r\n")
+}
+
+// CommandTimeout answers a command that does not become complete.
+func (m *memcache) CommandTimeout() []byte {
+	return []byte("CLIENT_ERROR the command does not go on\r\n")
 }
 
-// Succeeded passes on a value or a receipt.
-func (m *memcache) Succeeded(op *requestcore.Request, with requestcore.Result) [][]byte {
-	if op.Write {
-		return [][]byte{meta.AppendStored(nil, op.ID, with.Receipt)}
+// Succeeded answers with a value, or with a write's receipt.
+func (m *memcache) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
+	if request.Write {
+		return [][]byte{meta.AppendStored(nil, request.ID, result.Receipt)}
 	}
-	if with.Body != nil { // its bytes and its end follow
-		return [][]byte{meta.AppendValue(nil, op.ID, with.Body.Length()), []byte("\r\n")}
+	if result.Body != nil { // its bytes come between the two parts
+		return [][]byte{meta.AppendValue(nil, request.ID, result.Body.Length()), []byte("\r\n")}
 	}
-	return [][]byte{meta.AppendValue(nil, op.ID, len(with.Value)), with.Value, []byte("\r\n")}
+	return [][]byte{meta.AppendValue(nil, request.ID, len(result.Value)), result.Value, []byte("\r\n")}
 }
 
-// Rejected tells when to come back.
-func (m *memcache) Rejected(_ *requestcore.Request, after float64) []byte {
-	return meta.AppendBusy(nil, int(math.Ceil(after*1e3)))
+// Rejected answers when to retry, in milliseconds.
+func (m *memcache) Rejected(_ *requestcore.Request, retryAfter float64) []byte {
+	return meta.AppendBusy(nil, int(math.Ceil(retryAfter*1e3)))
 }
 
-// Failed promises nothing.
+// Failed answers that the outcome is unknown.
 func (m *memcache) Failed(*requestcore.Request) []byte {
 	return []byte("SERVER_ERROR failed\r\n")
 }
