--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -102,10 +102,14 @@
 	return !c.established && c.owesNothing() && !c.conn.Unread()
 }
 
+// MarkEstablished notes that the client asked something as a usual one does. For room, connections that did not are
+// closed first.
+func (c *ClientConn) MarkEstablished() { c.established = true }
+
 // NotServingReason returns why the router takes no clients now, empty if it does. The client has asked as a usual one
 // does, so it counts as established.
 func (c *ClientConn) NotServingReason() string {
-	c.established = true
+	c.MarkEstablished()
 	switch {
 	case !c.frontend.ready:
 		return "starting"
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -80,7 +80,7 @@
 	line("unfinished", codec.CommandTimeout())
 	for _, head := range []bool{false, true} {
 		for _, keep := range []bool{true, false} {
-			request := &requestcore.Request{Figures: marks(head, keep)}
+			request := &requestcore.Request{Figures: answerForm(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
 			line(name+"tile", codec.Succeeded(request, requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")})...)
 			line(name+"empty tile", codec.Succeeded(request, requestcore.Result{Status: 200})...)
--- /dev/null
+++ b/internal/frontend/tileserver/response.go
@@ -0,0 +1,76 @@
+package tileserver
+
+import (
+	"errors"
+	"fmt"
+	"math"
+	"net/http"
+
+	"bendtrestle/internal/http1"
+	"bendtrestle/internal/requestcore"
+)
+
+// notStored are the headers of an answer that no cache may keep.
+const notStored = "Content-Type: text/plain\r\nCache-Control: no-store\r\n"
+
+// formatResponse writes an answer. The headers end in CRLF each; without a body if only the head is asked for.
+func formatResponse(status int, headers string, body []byte, head, last bool) []byte {
+	text := formatHead(status, headers, len(body), last)
+	if !head {
+		text = append(text, body...)
+	}
+	return text
+}
+
+// formatHead writes an answer's head, for a body of so many bytes.
+func formatHead(status int, headers string, length int, last bool) []byte {
+	text := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, http.StatusText(status), headers)
+	if status != http.StatusNoContent && status != http.StatusNotModified {
+		text = fmt.Appendf(text, "Content-Length: %d\r\n", length)
+	}
+	if last {
+		text = append(text, "Connection: close\r\n"...)
+	}
+	return append(text, "\r\n"...)
+}
+
+// ProtocolError answers what cannot be read; the connection is closed after it.
+func (k *codec) ProtocolError(err error) []byte {
+	status := http.StatusBadRequest
+	var fault *http1.Fault
+	if errors.As(err, &fault) {
+		status = fault.Status
+	}
+	headers := "Content-Type: text/plain\r\n"
+	if status == http.StatusMethodNotAllowed {
+		headers += "Allow: GET, HEAD\r\n"
+	}
+	return formatResponse(status, headers, []byte(err.Error()+"\n"), false, true)
+}
+
+// CommandTimeout answers a request that does not become complete; the connection is closed after it.
+func (k *codec) CommandTimeout() []byte {
+	body := []byte("the request does not go on\n")
+	return formatResponse(http.StatusRequestTimeout, "Content-Type: text/plain\r\n", body, false, true)
+}
+
+// Succeeded passes on a tile server's result.
+func (k *codec) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
+	head := formatHead(result.Status, result.Head, len(result.Value), isLast(request))
+	if isHead(request) || len(result.Value) == 0 {
+		return [][]byte{head}
+	}
+	return [][]byte{head, result.Value}
+}
+
+// Rejected answers when to retry, in whole seconds, as HTTP has it.
+func (k *codec) Rejected(request *requestcore.Request, retryAfter float64) []byte {
+	seconds := max(1, int(math.Ceil(retryAfter)))
+	headers := fmt.Sprintf(notStored+"Retry-After: %d\r\n", seconds)
+	return formatResponse(http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), isLast(request))
+}
+
+// Failed answers that the outcome is unknown.
+func (k *codec) Failed(request *requestcore.Request) []byte {
+	return formatResponse(http.StatusBadGateway, notStored, []byte("failed\n"), isHead(request), isLast(request))
+}
