--- /dev/null
+++ b/internal/upstream/tileclient/golden_test.go
@@ -0,0 +1,50 @@
+package tileclient
+
+import (
+	"bytes"
+	"flag"
+	"os"
+	"testing"
+
+	"bendtrestle/internal/requestcore"
+	"bendtrestle/internal/tiles"
+)
+
+var writeGolden = flag.Bool("write-golden", false, "write the golden files anew")
+
+const commandsGolden = "testdata/tile_commands.golden"
+
+// TestTileCommandsGolden holds the exact bytes that tile servers are sent.
+func TestTileCommandsGolden(t *testing.T) {
+	var written bytes.Buffer
+	servers := &Servers{Scheme: tiles.XYZ, Host: "tiles.example", Probe: "/ready"}
+	for _, c := range []struct {
+		name        string
+		request     *requestcore.Request
+		secondsLeft float64
+	}{
+		{"probe", nil, 1},
+		{"read", &requestcore.Request{Key: "roads/1/0/0.png"}, 2},
+		{"read, a part of a millisecond is rounded up", &requestcore.Request{Key: "roads/1/0/1.png"}, 1.0001},
+		{"read, no time is left", &requestcore.Request{Key: "roads/3/2/1.png"}, -1},
+		{"conditional read", &requestcore.Request{Key: "roads/1/0/0.png", Flags: "If-None-Match: x\r\n"}, 0.5},
+	} {
+		written.WriteString("# " + c.name + "\n")
+		for _, part := range servers.Wire(nil).Command(c.request, c.secondsLeft) {
+			written.Write(part)
+		}
+		written.WriteString("\n")
+	}
+	if *writeGolden {
+		if err := os.WriteFile(commandsGolden, written.Bytes(), 0o644); err != nil {
+			t.Fatal(err)
+		}
+	}
+	want, err := os.ReadFile(commandsGolden)
+	if err != nil {
+		t.Fatal(err)
+	}
+	if !bytes.Equal(written.Bytes(), want) {
+		t.Errorf("the commands are %q, want %q", written.Bytes(), want)
+	}
+}
