--- a/internal/upstream/tileclient/golden_test.go
+++ b/internal/upstream/tileclient/golden_test.go
@@ -24,10 +24,10 @@
 		secondsLeft float64
 	}{
 		{"probe", nil, 1},
-		{"read", &requestcore.Request{Key: "roads/1/0/0.png"}, 2},
-		{"read, a part of a millisecond is rounded up", &requestcore.Request{Key: "roads/1/0/1.png"}, 1.0001},
-		{"read, no time is left", &requestcore.Request{Key: "roads/3/2/1.png"}, -1},
-		{"conditional read", &requestcore.Request{Key: "roads/1/0/0.png", Flags: "If-None-Match: x\r\n"}, 0.5},
+		{"read", &requestcore.Request{Key: "roads/day/grid/1/0/0.png"}, 2},
+		{"read, a part of a millisecond is rounded up", &requestcore.Request{Key: "roads/day/grid/1/0/1.png"}, 1.0001},
+		{"read, no time is left", &requestcore.Request{Key: "roads//grid/3/2/1.png"}, -1},
+		{"conditional read", &requestcore.Request{Key: "roads/day/grid/1/0/0.png", Flags: "If-None-Match: x\r\n"}, 0.5},
 	} {
 		written.WriteString("# " + c.name + "\n")
 		for _, part := range servers.Wire(nil).Command(c.request, c.secondsLeft) {
