--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -65,7 +65,7 @@
 		namedParts += named.Connections
 	}
 	platformConnections := connectionShare(limits.UpstreamConnections, 1-namedParts)
-	s.pools.platform.servers.Limit(platformConnections)
+	s.pools.platform.servers.SetMaxConnections(platformConnections)
 	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
 	for _, named := range operators.Pools {
 		connections := connectionShare(limits.UpstreamConnections, named.Connections)
@@ -73,7 +73,7 @@
 		if p == nil {
 			p = s.addPool(named, connections)
 		}
-		p.servers.Limit(connections)
+		p.servers.SetMaxConnections(connections)
 		p.follow(named.Discovery)
 		pools = append(pools, broker.Pool{
 			Name:        named.Name,
@@ -108,18 +108,18 @@
 }
 
 // wireOf gives the protocol that a pool's servers speak.
-func (s *Service) wireOf(named operatorconfig.Pool) func(upstream.Link) upstream.Wire {
+func (s *Service) wireOf(named operatorconfig.Pool) func(upstream.ReplyHandler) upstream.Codec {
 	if named.Protocol != "tiles" {
-		return upstream.Memcache
+		return upstream.NewMemcacheCodec
 	}
-	servers := &tileclient.Servers{
+	servers := &tileclient.Client{
 		Scheme:  tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
 		Host:    cmp.Or(named.Host, named.Name),
-		Probe:   cmp.Or(named.Probe, defaultHealthCheckPath),
-		Largest: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		Most:    s.conf.HeldBytes,
+		ProbePath:   cmp.Or(named.Probe, defaultHealthCheckPath),
+		MaxBodyBytes: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
+		MaxBufferedBytes:    s.conf.HeldBytes,
 	}
-	return servers.Wire
+	return servers.NewCodec
 }
 
 // sendQuotaGossip tells the other routers what load is asked of this one, again and again.
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -69,10 +69,10 @@
 		Uint64("faults", counts.Faults).
 		Int("open", p.core.OpenRequests()).
 		Int("clients", clients).
-		Int("idle", p.servers.Idle())
-	for reason, n := range p.servers.Cut() {
+		Int("idle", p.servers.IdleConnections())
+	for reason, n := range p.servers.CloseCounts() {
 		if n > 0 {
-			event = event.Uint64("servers' connections cut, "+upstream.Cuts[reason], n)
+			event = event.Uint64("servers' connections cut, "+upstream.CloseReasons[reason], n)
 		}
 	}
 	for reason, n := range p.service.clients.frontend.Cut() {
--- a/internal/service/disabledservers_test.go
+++ b/internal/service/disabledservers_test.go
@@ -42,7 +42,7 @@
 			t.Errorf("it answers %q", got)
 		}
 	}
-	noneIdle := func() bool { return platform.servers.Idle() == 0 }
+	noneIdle := func() bool { return platform.servers.IdleConnections() == 0 }
 	if callOnLoop(s, noneIdle) {
 		t.Error("no connection is kept")
 	}
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -21,7 +21,7 @@
 	p.service.onEndpointsChanged(p, update)
 	maps.DeleteFunc(p.ready, func(id uint64, ready bool) bool {
 		if !ready {
-			p.servers.Unlisted(id)
+			p.servers.RemoveEndpoint(id)
 		}
 		return !ready
 	})
@@ -54,7 +54,7 @@
 	} else {
 		p.endpoints[entry.ID] = entry
 	}
-	p.servers.Listed(entry.ID, entry.Addr)
+	p.servers.SetEndpoint(entry.ID, entry.Addr)
 }
 
 // onEndpointsChanged lets the adapters know of a pool's list.
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -52,10 +52,10 @@
 	for _, named := range s.operators.Pools {
 		namedParts += named.Connections
 		if p := s.pools.named[named.Name]; p != nil {
-			p.servers.Limit(connectionShare(limits.UpstreamConnections, named.Connections))
+			p.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, named.Connections))
 		}
 	}
-	s.pools.platform.servers.Limit(connectionShare(limits.UpstreamConnections, 1-namedParts))
+	s.pools.platform.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, 1-namedParts))
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -32,7 +32,7 @@
 		write("cut.clients."+frontend.Cuts[reason], n)
 	}
 	for reason, n := range serverCuts {
-		write("cut.servers."+upstream.Cuts[reason], n)
+		write("cut.servers."+upstream.CloseReasons[reason], n)
 	}
 	s.zones.writeMetrics(write)
 	s.gossip.writeMetrics(write)
@@ -44,12 +44,12 @@
 
 // serverCounts gives the attempts that were sent since the start, and the servers' connections that ended with
 // something owed, by the reason; also those of pools that are no longer named.
-func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.Cuts)]uint64) {
+func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.CloseReasons)]uint64) {
 	sends = s.pools.retiredSends
 	cuts = s.pools.retiredCuts
 	for _, p := range slices.Concat(s.pools.active(), s.pools.retiring) {
-		sends += p.servers.Sends()
-		for reason, n := range p.servers.Cut() {
+		sends += p.servers.SentAttempts()
+		for reason, n := range p.servers.CloseCounts() {
 			cuts[reason] += n
 		}
 	}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -21,7 +21,7 @@
 	service *Service
 	name    string // "": the platform's
 	core    *requestcore.Core
-	servers *upstream.Fleet
+	servers *upstream.ConnectionPools
 	log     zerolog.Logger
 
 	polled      bool                          // its balancer polls the endpoint list, and hears of polls that fail
@@ -45,7 +45,7 @@
 	stallTimeout          float64
 	idleTimeout           float64
 	requestsPerConnection int
-	wire                  func(upstream.Link) upstream.Wire
+	wire                  func(upstream.ReplyHandler) upstream.Codec
 }
 
 // newPool makes a pool without servers.
@@ -68,11 +68,11 @@
 		p.log = s.log.With().Str("pool", p.name).Logger()
 	}
 	p.servers = upstream.New(s.loop, upstream.Limits{
-		Connections:    options.connections,
-		PerConnection:  requestsPerConnection(settings, options.requestsPerConnection),
+		MaxConnections:    options.connections,
+		MaxInFlightPerConnection:  requestsPerConnection(settings, options.requestsPerConnection),
 		ConnectTimeout: options.connectTimeout,
-		Stall:          options.stallTimeout,
-		Idle:           options.idleTimeout,
+		StallTimeout:          options.stallTimeout,
+		IdleTimeout:           options.idleTimeout,
 	}, options.wire, p.log)
 	p.core = s.newCore(p, settings)
 	return p
@@ -135,6 +135,6 @@
 func (p *pool) setDisabled(id uint64, disabled bool) {
 	p.core.SetDisabled(id, disabled)
 	if disabled {
-		p.servers.LetGo(id)
+		p.servers.CancelUnsent(id)
 	}
 }
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -19,7 +19,7 @@
 	retiring    []*pool          // no longer named, with requests open
 
 	retiredSends uint64                     // attempts sent to servers of pools that are gone
-	retiredCuts  [len(upstream.Cuts)]uint64 // connections of theirs that ended with something owed, by the reason
+	retiredCuts  [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
 }
 
 func newPoolSet(newBalancer requestcore.NewBalancer) poolSet {
@@ -62,8 +62,8 @@
 		}
 		p.stopWatching()
 		p.servers.Close()
-		pools.retiredSends += p.servers.Sends()
-		for reason, n := range p.servers.Cut() {
+		pools.retiredSends += p.servers.SentAttempts()
+		for reason, n := range p.servers.CloseCounts() {
 			pools.retiredCuts[reason] += n
 		}
 		return true
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -162,7 +162,7 @@
 		stallTimeout:          stallTimeout(conf.ConnectTimeout),
 		idleTimeout:           conf.IdleTimeout,
 		requestsPerConnection: conf.AttemptsPerConnection,
-		wire:                  upstream.Memcache,
+		wire:                  upstream.NewMemcacheCodec,
 	})
 	s.broker = broker.New(s.loop.Now, settings, s.pools.platform.core, brokerLimits(conf))
 	s.clients.frontend = frontend.New(s.loop, s.broker, frontendLimits(conf))
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -121,7 +121,7 @@
 	if share == 0 {
 		for id, entry := range p.endpoints {
 			if entry.Zone == zone {
-				p.servers.LetGo(id)
+				p.servers.CancelUnsent(id)
 			}
 		}
 	}
--- a/internal/upstream/caches_test.go
+++ b/internal/upstream/caches_test.go
@@ -40,7 +40,7 @@
 
 // fleet is one cache server, known as 1, that serves each connection by a function of the lines it reads.
 type fleet struct {
-	*Fleet
+	*ConnectionPools
 	t     *testing.T
 	lines chan string // all that the server read
 }
@@ -87,8 +87,8 @@
 	t.Cleanup(func() { l.Post(l.Stop); ln.Close() })
 	f = fleet{t: t}
 	f.do(l, func() {
-		f.Fleet = New(l, limits, Memcache, zerolog.Nop())
-		f.Listed(1, netip.MustParseAddrPort(ln.Addr().String()))
+		f.ConnectionPools = New(l, limits, NewMemcacheCodec, zerolog.Nop())
+		f.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
 	})
 	return f, conns
 }
@@ -180,7 +180,7 @@
 	}
 }
 
-var usual = Limits{Connections: 8, PerConnection: 4, ConnectTimeout: 1, Stall: 0.05, Idle: 60}
+var usual = Limits{MaxConnections: 8, MaxInFlightPerConnection: 4, ConnectTimeout: 1, StallTimeout: 0.05, IdleTimeout: 60}
 
 // The protocol's table: what came back, and what that proves.
 func TestOutcomes(t *testing.T) {
@@ -216,8 +216,8 @@
 	o.want(t, balancer.Succeeded)
 	f.line("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
 	f.do(f.loop, func() {
-		if f.links != 1 {
-			t.Errorf("%d connections, one is enough", f.links)
+		if f.connectionCount != 1 {
+			t.Errorf("%d connections, one is enough", f.connectionCount)
 		}
 	})
 }
@@ -264,8 +264,8 @@
 	f.do(f.loop, func() {
 		idle, now := f.servers[1].idle, f.loop.Now()
 		for _, c := range []struct{ old, young, want float64 }{{9, 0, 9}, {9, 1, 1}, {0, 0, 0}} {
-			idle[0].since, idle[1].since = now-c.old, now-c.young
-			if got := now - f.servers[1].rested().since; got != c.want {
+			idle[0].idleSince, idle[1].idleSince = now-c.old, now-c.young
+			if got := now - f.servers[1].pickIdle().idleSince; got != c.want {
 				t.Errorf("of %v and %v s of rest %v was taken", c.old, c.young, got)
 			}
 		}
@@ -334,7 +334,7 @@
 func TestRefusedNeverRan(t *testing.T) {
 	f := serving(t, usual, nil)
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
-	f.do(f.loop, func() { f.Listed(1, netip.MustParseAddrPort(free.Addr().String())) })
+	f.do(f.loop, func() { f.SetEndpoint(1, netip.MustParseAddrPort(free.Addr().String())) })
 	free.Close()
 	o, _ := f.execute(5)
 	o.want(t, balancer.ConnectFailed)
@@ -354,7 +354,7 @@
 	o := make(outcome, 1)
 	f.do(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o)
-		f.servers[1].links[0].neverUp()
+		f.servers[1].connections[0].onConnectTimeout()
 	})
 	o.want(t, balancer.ConnectFailed)
 }
@@ -362,9 +362,9 @@
 // A machine that is cut off is silent on every connection: after one silence, or a connection that never came up,
 // the idle ones are not tried one by one.
 func TestSilenceClosesTheIdle(t *testing.T) {
-	for name, silence := range map[string]func(f *Fleet, a *attempt){
-		"no answer": func(_ *Fleet, a *attempt) { a.overdue() },
-		"never up":  func(f *Fleet, _ *attempt) { f.servers[1].links[2].neverUp() },
+	for name, silence := range map[string]func(f *ConnectionPools, a *attempt){
+		"no answer": func(_ *ConnectionPools, a *attempt) { a.onTimer() },
+		"never up":  func(f *ConnectionPools, _ *attempt) { f.servers[1].connections[2].onConnectTimeout() },
 	} {
 		f := serving(t, usual, func(conn net.Conn, line string) {
 			if strings.Contains(line, "Oa") {
@@ -379,10 +379,10 @@
 		f.do(f.loop, func() {
 			a := f.StartAttempt(1, slow, 5, 5, silent).(*attempt)
 			if name == "never up" {
-				f.servers[1].waiting = append(f.servers[1].waiting, &attempt{on: a.on, done: true})
+				f.servers[1].waiting = append(f.servers[1].waiting, &attempt{pool: a.pool, settled: true})
 				f.servers[1].dial()
 			}
-			silence(f.Fleet, a)
+			silence(f.ConnectionPools, a)
 			if n := len(f.servers[1].idle); n != 0 {
 				t.Errorf("%s: %d idle connections are kept", name, n)
 			}
@@ -396,7 +396,7 @@
 func TestLimitBeforeTheConnectionIsUp(t *testing.T) {
 	f := serving(t, usual, func(net.Conn, string) {})
 	o := make(outcome, 1)
-	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).overdue() })
+	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).onTimer() })
 	o.want(t, balancer.NotAttempted)
 }
 
@@ -405,7 +405,7 @@
 // answer in time still ends it, and what was piped there may have run.
 func TestPipedBehindADroppedOne(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	answer := make(chan bool)
 	f := serving(t, limits, func(conn net.Conn, _ string) {
 		<-answer
@@ -421,7 +421,7 @@
 	second.want(t, balancer.Succeeded)
 	third, p := f.execute(5)
 	fourth, _ := f.execute(5)
-	f.do(f.loop, p.(*attempt).overdue)
+	f.do(f.loop, p.(*attempt).onTimer)
 	third.want(t, balancer.TimedOut)
 	fourth.want(t, balancer.ConnectionLost)
 	close(answer)
@@ -439,7 +439,7 @@
 	f.do(f.loop, func() {})
 	o, first, value := make(outcome, 1), make(outcome, 1), make([]byte, 64<<10)
 	f.do(f.loop, func() {
-		f.limits.Connections, f.limits.PerConnection = 1, 1000
+		f.limits.MaxConnections, f.limits.MaxInFlightPerConnection = 1, 1000
 		f.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: value}, 5, 5, first)
 	})
 	f.line("ms")
@@ -469,7 +469,7 @@
 	o, _ := f.execute(5)
 	f.line("mg")
 	f.do(f.loop, func() {
-		f.Unlisted(1)
+		f.RemoveEndpoint(1)
 		if len(f.servers) != 0 {
 			t.Errorf("%d servers share in the bound of connections", len(f.servers))
 		}
@@ -486,14 +486,14 @@
 	f.do(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, first)
 		f.StartAttempt(1, &requestcore.Request{ID: "b"}, 5, 5, second).CancelIfUnsent()
-		f.Unlisted(1)
+		f.RemoveEndpoint(1)
 	})
 	first.want(t, balancer.NotAttempted)
 	second.want(t, balancer.NotAttempted)
 	time.Sleep(20 * time.Millisecond)
 	f.do(f.loop, func() {
-		if len(f.lines) > 0 && <-f.lines != "end" || f.links != 0 {
-			t.Errorf("a command was sent, or one of %d connections kept", f.links)
+		if len(f.lines) > 0 && <-f.lines != "end" || f.connectionCount != 0 {
+			t.Errorf("a command was sent, or one of %d connections kept", f.connectionCount)
 		}
 	})
 }
@@ -514,7 +514,7 @@
 // Cache servers close what stood idle for long; what is written just then may be lost.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
 	limits := usual
-	limits.Idle = 0.1
+	limits.IdleTimeout = 0.1
 	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.execute(5)
 	o.want(t, balancer.Succeeded)
@@ -524,16 +524,16 @@
 
 // counted counts how often it is told that its connection is closed.
 type counted struct {
-	Wire
+	Codec
 	drops *int
 }
 
-func (c counted) Drop() { *c.drops++ }
+func (c counted) Release() { *c.drops++ }
 
 // Whatever ends a connection, its wire is told, and lets go of what has come: here an execution is given up midway.
 func TestWiresAreToldOfTheEnd(t *testing.T) {
-	f, drops := serving(t, Limits{Connections: 4, PerConnection: 1, ConnectTimeout: 1, Stall: 0.03, Idle: 60}, func(c net.Conn, _ string) { c.Write([]byte("VA 9 Oa\r\nhal")) }), 0
-	f.do(f.loop, func() { f.wire = func(l Link) Wire { return counted{Memcache(l), &drops} } })
+	f, drops := serving(t, Limits{MaxConnections: 4, MaxInFlightPerConnection: 1, ConnectTimeout: 1, StallTimeout: 0.03, IdleTimeout: 60}, func(c net.Conn, _ string) { c.Write([]byte("VA 9 Oa\r\nhal")) }), 0
+	f.do(f.loop, func() { f.newCodec = func(l ReplyHandler) Codec { return counted{NewMemcacheCodec(l), &drops} } })
 	o, _ := f.execute(0.05)
 	<-o
 	f.do(f.loop, func() {
@@ -546,12 +546,12 @@
 // With more servers than connections, those that were asked first kept the rest from ever being asked.
 func TestMoreServersThanConnections(t *testing.T) {
 	limits := usual
-	limits.Connections = 20
+	limits.MaxConnections = 20
 	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	for id := uint64(1); id <= 300; id++ {
 		o := make(outcome, 1)
 		f.do(f.loop, func() {
-			f.Listed(id, f.servers[1].addr)
+			f.SetEndpoint(id, f.servers[1].addr)
 			f.StartAttempt(id, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
 		if o.want(t, balancer.Succeeded); t.Failed() {
@@ -559,8 +559,8 @@
 		}
 	}
 	f.do(f.loop, func() {
-		if f.links > limits.Connections || f.links < limits.Connections/2 {
-			t.Errorf("%d connections are kept, of %d", f.links, limits.Connections)
+		if f.connectionCount > limits.MaxConnections || f.connectionCount < limits.MaxConnections/2 {
+			t.Errorf("%d connections are kept, of %d", f.connectionCount, limits.MaxConnections)
 		}
 	})
 }
@@ -587,7 +587,7 @@
 	const length = 1 << 20
 	part := make(chan int)
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f := serving(t, limits, func(conn net.Conn, line string) {
 		if line == "mn\r\n" {
 			conn.Write([]byte("MN\r\n"))
@@ -613,12 +613,12 @@
 		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
 		late.want(t, balancer.NotAttempted)
 		f.do(f.loop, func() {
-			l := f.servers[1].links[0]
-			l.stalled()
+			l := f.servers[1].connections[0]
+			l.onStallTimeout()
 			k.room = 1000
 			long.StartReading(k)
-			if k.got != 1000 || l.conn.In.Len()+k.got > 20<<10 || f.sends == 0 {
-				t.Errorf("%d bytes were taken, %d are held", k.got, l.conn.In.Len())
+			if k.got != 1000 || l.socket.In.Len()+k.got > 20<<10 || f.sentAttempts == 0 {
+				t.Errorf("%d bytes were taken, %d are held", k.got, l.socket.In.Len())
 			}
 			k.room = 2 * length
 			long.ResumeReading()
@@ -626,8 +626,8 @@
 		for i := 0; k.ended != nil && len(k.ended) == 0 && i < 200; i++ {
 			time.Sleep(10 * time.Millisecond)
 			f.do(f.loop, func() {
-				if i == 100 && len(f.servers[1].links) > 0 { // by now nothing more comes
-					f.servers[1].links[0].stalled()
+				if i == 100 && len(f.servers[1].connections) > 0 { // by now nothing more comes
+					f.servers[1].connections[0].onStallTimeout()
 				}
 			})
 		}
@@ -637,8 +637,8 @@
 		go func() { part <- 0 }() // to the one behind
 	}
 	f.do(f.loop, func() {
-		if f.Sends() != 4 {
-			t.Errorf("%d are counted as sent, want 4", f.Sends())
+		if f.SentAttempts() != 4 {
+			t.Errorf("%d are counted as sent, want 4", f.SentAttempts())
 		}
 	})
 }
@@ -665,7 +665,7 @@
 		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.ServerError},
 	} {
 		limits := usual
-		limits.Stall = 60 // a busy machine may take its time between two pieces
+		limits.StallTimeout = 60 // a busy machine may take its time between two pieces
 		f, conns := listening(t, limits)
 		var conn net.Conn
 		for cut := range c.reply {
@@ -680,8 +680,8 @@
 			conn.Write([]byte(c.reply[:cut]))
 			for begun := cut == 0; !begun; { // until the piece has been read
 				f.do(f.loop, func() {
-					l := f.servers[1].links[0]
-					begun = l.wire.Begun() && l.conn.Quiet()
+					l := f.servers[1].connections[0]
+					begun = l.codec.ReplyBegun() && l.socket.Quiet()
 				})
 			}
 			if len(o) > 0 {
@@ -693,8 +693,8 @@
 			}
 		}
 		f.do(f.loop, func() {
-			if f.links != 1 {
-				t.Errorf("%s: %d connections are left", form, f.links)
+			if f.connectionCount != 1 {
+				t.Errorf("%s: %d connections are left", form, f.connectionCount)
 			}
 		})
 	}
@@ -707,12 +707,12 @@
 	limits.ConnectTimeout = 60
 	f, _ := listening(t, limits)
 	at, accept := full(t)
-	f.do(f.loop, func() { f.Listed(2, at) })
+	f.do(f.loop, func() { f.SetEndpoint(2, at) })
 	o := make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
 	o.want(t, balancer.NotAttempted)
 	f.do(f.loop, func() {
-		if f.servers[2].coming != 1 {
+		if f.servers[2].connecting != 1 {
 			t.Error("the connection is up already")
 		}
 	})
@@ -720,7 +720,7 @@
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
 		f.do(f.loop, func() { idle = len(f.servers[2].idle) })
 	}
-	f.do(f.loop, func() { f.Unlisted(2) })
+	f.do(f.loop, func() { f.RemoveEndpoint(2) })
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
 		t.Errorf("the server read %q, %v", heard, err)
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -17,9 +17,9 @@
 )
 
 // stuck is a fleet whose server reads nothing of the one connection to it, until it is told: it is full of a write.
-func stuck(t *testing.T) (f fleet, l *link, a outcome, hear func() []byte) {
+func stuck(t *testing.T) (f fleet, l *connection, a outcome, hear func() []byte) {
 	limits := usual
-	limits.Connections, limits.PerConnection = 1, 10
+	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 10
 	f, conns := listening(t, limits)
 	a = make(outcome, 1)
 	f.do(f.loop, func() {
@@ -29,8 +29,8 @@
 	for held := -1; ; { // until the kernel takes no more
 		now := 0
 		f.do(f.loop, func() {
-			if l = f.servers[1].links[0]; l.conn.Unsent() > 0 {
-				now = int(l.conn.Sent())
+			if l = f.servers[1].connections[0]; l.socket.Unsent() > 0 {
+				now = int(l.socket.Sent())
 			}
 		})
 		if now > 0 && now == held {
@@ -51,16 +51,16 @@
 	for name, cross := range map[string]func(f fleet, b requestcore.PendingAttempt){
 		"its client leaves": func(_ fleet, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
 		"it is withdrawn":   func(_ fleet, b requestcore.PendingAttempt) { b.Cancel() },
-		"a drain is told":   func(f fleet, _ requestcore.PendingAttempt) { f.Unlisted(1) },
-		"out by hand":       func(f fleet, _ requestcore.PendingAttempt) { f.LetGo(1) },
-		"its window ends":   func(_ fleet, b requestcore.PendingAttempt) { b.(*attempt).overdue() },
+		"a drain is told":   func(f fleet, _ requestcore.PendingAttempt) { f.RemoveEndpoint(1) },
+		"out by hand":       func(f fleet, _ requestcore.PendingAttempt) { f.CancelUnsent(1) },
+		"its window ends":   func(_ fleet, b requestcore.PendingAttempt) { b.(*attempt).onTimer() },
 		"its window has ended, and the kernel takes more before that is heard": func(_ fleet, b requestcore.PendingAttempt) {
-			b.(*attempt).latest = 0
-			b.(*attempt).link.Flushed()
+			b.(*attempt).sendDeadline = 0
+			b.(*attempt).connection.Flushed()
 		},
 		"its client has left, and the kernel takes more before that is heard": func(_ fleet, b requestcore.PendingAttempt) {
-			b.(*attempt).wanted = func() bool { return false }
-			b.(*attempt).link.Flushed()
+			b.(*attempt).stillWanted = func() bool { return false }
+			b.(*attempt).connection.Flushed()
 		},
 	} {
 		f, l, a, hear := stuck(t)
@@ -79,8 +79,8 @@
 		go func() { // the write goes on, and ends with its connection
 			for whole := false; !whole; time.Sleep(10 * time.Millisecond) {
 				f.do(f.loop, func() {
-					if whole = l.queue[0].written() && l.conn.Unsent() == 0; whole {
-						l.conn.Close()
+					if whole = l.inFlight[0].fullyWritten() && l.socket.Unsent() == 0; whole {
+						l.socket.Close()
 						l.Closed()
 					}
 				})
@@ -96,7 +96,7 @@
 // One that has begun to leave when its client does ends its connection, where no other is on it, and never comes whole.
 func TestWhatHasBegunToLeaveIsCutOff(t *testing.T) {
 	f, l, a, hear := stuck(t)
-	f.do(f.loop, func() { l.queue[0].CancelIfUnsent() })
+	f.do(f.loop, func() { l.inFlight[0].CancelIfUnsent() })
 	a.want(t, balancer.NotAttempted)
 	if heard := hear(); len(heard) >= 32<<20 {
 		t.Errorf("the server read all %d bytes", len(heard))
@@ -110,8 +110,8 @@
 	o := make(outcome, 1)
 	f.do(f.loop, func() { // in one round, so that the connection is not up yet
 		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
-		f.Listed(1, other.servers[1].addr)
-		if links := f.servers[1].links; len(links) != 1 || links[0].addr != f.servers[1].addr { // the one before might never come up
+		f.SetEndpoint(1, other.servers[1].addr)
+		if links := f.servers[1].connections; len(links) != 1 || links[0].addr != f.servers[1].addr { // the one before might never come up
 			t.Errorf("%d connections come up", len(links))
 		}
 	})
@@ -133,7 +133,7 @@
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
 	old := <-before
-	f.do(f.loop, func() { f.Listed(1, other.servers[1].addr) })
+	f.do(f.loop, func() { f.SetEndpoint(1, other.servers[1].addr) })
 	answer(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second) })
@@ -151,7 +151,7 @@
 	answer(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
-		f.servers[1].idle[0].since -= f.limits.Idle
+		f.servers[1].idle[0].idleSince -= f.limits.IdleTimeout
 		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	answer(t, <-conns, "VA 0 Ob\r\n\r\n")
@@ -176,7 +176,7 @@
 		answer(t, conn, "VA 0 Oa\r\n\r\n")
 		first.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
-			f.servers[1].links[0].spoke = f.loop.Now() - c.behind
+			f.servers[1].connections[0].lastReplyAt = f.loop.Now() - c.behind
 			f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob", NotIdempotent: c.once}, 5, 5, second)
 		})
 		answer(t, conn, "SERVER_ERROR busy\r\n")
@@ -187,7 +187,7 @@
 // At the bound, what waited for a connection is piped once it is up: it waited for the answers before it, or its own end.
 func TestWhatWaitsIsPipedOnceAConnectionIsUp(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f := serving(t, limits, func(net.Conn, string) {})
 	f.do(f.loop, func() { // in one round, so that all wait for the one connection
 		for _, key := range []string{"k1", "k2", "k3"} {
@@ -202,7 +202,7 @@
 // Nothing is piped on a connection that its server has ended, though that is not heard of yet.
 func TestNothingIsPipedOnAConnectionThatHasEnded(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
@@ -210,7 +210,7 @@
 	heard(t, old)
 	f.do(f.loop, func() { // the loop is held until the end has come
 		old.(*net.TCPConn).CloseWrite()
-		for l := f.servers[1].links[0]; !l.conn.Ended(); {
+		for l := f.servers[1].connections[0]; !l.socket.Ended(); {
 			time.Sleep(time.Millisecond)
 		}
 		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
@@ -231,7 +231,7 @@
 	f.do(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, o)
 		conn = <-conns // the kernel has it, and the loop has not heard of it
-		f.Unlisted(1)
+		f.RemoveEndpoint(1)
 	})
 	o.want(t, balancer.NotAttempted)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
@@ -243,7 +243,7 @@
 // The same for an answer, whose connection is free in that round: what waits for it is not sent.
 func TestADrainIsToldAsAnAnswerFreesItsConnection(t *testing.T) {
 	limits := usual
-	limits.Connections, limits.PerConnection = 1, 1
+	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
@@ -251,12 +251,12 @@
 	heard(t, conn)
 	f.do(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
-		l := f.servers[1].links[0]
+		l := f.servers[1].connections[0]
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-		for !l.conn.Unread() {
+		for !l.socket.Unread() {
 			time.Sleep(time.Millisecond)
 		}
-		f.Unlisted(1)
+		f.RemoveEndpoint(1)
 	})
 	first.want(t, balancer.Succeeded)
 	second.want(t, balancer.NotAttempted)
@@ -271,15 +271,15 @@
 	for range 20 {
 		o := make(outcome, 1)
 		f.do(f.loop, func() {
-			var l *link
+			var l *connection
 			f.loop.Post(func() { // in the round in which it is up, and before that is heard
 				(<-conns).Close()
-				for !l.conn.Ended() {
+				for !l.socket.Ended() {
 					time.Sleep(time.Millisecond)
 				}
 			})
 			f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, o)
-			l = f.servers[1].links[0]
+			l = f.servers[1].connections[0]
 			for len(conns) == 0 {
 				time.Sleep(time.Millisecond)
 			}
@@ -294,7 +294,7 @@
 // A long value that nobody waits for any more is let go of as it comes; the one piped behind it gets its own answer.
 func TestALongValueThatNobodyWantsHoldsUpNothing(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
 	var p requestcore.PendingAttempt
@@ -319,22 +319,22 @@
 	conn := <-conns
 	heard(t, conn)
 	f.do(f.loop, func() {
-		l := f.servers[1].links[0]
-		a := l.queue[0]
+		l := f.servers[1].connections[0]
+		a := l.inFlight[0]
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-		for !l.conn.Unread() {
+		for !l.socket.Unread() {
 			time.Sleep(time.Millisecond)
 		}
-		a.until = f.loop.Now()
-		a.timer.Set(a.until)
+		a.deadline = f.loop.Now()
+		a.timer.Set(a.deadline)
 	})
 	if how := <-o; how != balancer.Succeeded && how != balancer.TimedOut {
 		t.Errorf("it ended as %d", how)
 	}
 	f.do(f.loop, func() {})
 	f.do(f.loop, func() {
-		if len(o) > 0 || len(f.servers[1].links) > 1 {
-			t.Errorf("it ended %d times more, %d connections are kept", len(o), len(f.servers[1].links))
+		if len(o) > 0 || len(f.servers[1].connections) > 1 {
+			t.Errorf("it ended %d times more, %d connections are kept", len(o), len(f.servers[1].connections))
 		}
 	})
 }
@@ -346,8 +346,8 @@
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, first)
-		f.Unlisted(1)
-		f.Listed(1, other.servers[1].addr)
+		f.RemoveEndpoint(1)
+		f.SetEndpoint(1, other.servers[1].addr)
 		f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "Ob"}, 5, 5, second)
 	})
 	first.want(t, balancer.NotAttempted)
@@ -389,7 +389,7 @@
 	f.do(f.loop, func() { a = f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 30, o).(*attempt) })
 	conn := <-conns
 	heard(t, conn)
-	f.do(f.loop, a.overdue) // the window ends
+	f.do(f.loop, a.onTimer) // the window ends
 	conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	o.want(t, balancer.Succeeded)
 }
@@ -473,7 +473,7 @@
 			}
 			f.do(f.loop, func() {})
 			f.do(f.loop, func() {
-				if len(f.servers[1].links) > 0 {
+				if len(f.servers[1].connections) > 0 {
 					t.Error("the ended connection is kept")
 				}
 			})
@@ -485,7 +485,7 @@
 // what could not be written never ran.
 func TestAnAnswerBeforeAWriteThatFails(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f, conns := listening(t, limits)
 	first, second := make(outcome, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
@@ -504,7 +504,7 @@
 // value is let go of.
 func TestALongValueIsLeftWithAnotherBehindIt(t *testing.T) {
 	limits := usual
-	limits.Connections = 1
+	limits.MaxConnections = 1
 	f, conns := listening(t, limits)
 	settled, second := make(chan requestcore.Result, 1), make(outcome, 1)
 	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
@@ -519,8 +519,8 @@
 	conn.Write(append(value(110000), "\r\nVA 0 Ob\r\n\r\n"...))
 	second.want(t, balancer.Succeeded)
 	f.do(f.loop, func() {
-		if f.cut != [cuts]uint64{} || len(k.ended) > 0 || k.got > 50000 {
-			t.Errorf("%v are counted as cut, %d bytes were taken", f.cut, k.got)
+		if f.closeCounts != [closeReasonCount]uint64{} || len(k.ended) > 0 || k.got > 50000 {
+			t.Errorf("%v are counted as cut, %d bytes were taken", f.closeCounts, k.got)
 		}
 	})
 }
@@ -530,32 +530,32 @@
 	for name, c := range map[string]struct {
 		answer string
 		end    func(f fleet, conn net.Conn, long requestcore.BodyStream)
-		why    Cut
+		why    CloseReason
 		none   bool
 	}{
-		"a reset in place of an answer":  {"", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { reset(conn.(*net.TCPConn)) }, ServerEnded, false},
-		"an end within a long value":     {"VA 70000 Oa\r\nxx", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { conn.Close() }, ServerEnded, false},
-		"noise in place of an answer":    {"noise\r\n", func(fleet, net.Conn, requestcore.BodyStream) {}, OutOfOrder, false},
-		"an answer that does not go on":  {"VA 100 Oa\r\nxx", func(fleet, net.Conn, requestcore.BodyStream) {}, Silent, false},
-		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ fleet, _ net.Conn, long requestcore.BodyStream) { long.Discard() }, ClientGone, false},
+		"a reset in place of an answer":  {"", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { reset(conn.(*net.TCPConn)) }, ServerClosed, false},
+		"an end within a long value":     {"VA 70000 Oa\r\nxx", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { conn.Close() }, ServerClosed, false},
+		"noise in place of an answer":    {"noise\r\n", func(fleet, net.Conn, requestcore.BodyStream) {}, UnexpectedReply, false},
+		"an answer that does not go on":  {"VA 100 Oa\r\nxx", func(fleet, net.Conn, requestcore.BodyStream) {}, ReplyStalled, false},
+		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ fleet, _ net.Conn, long requestcore.BodyStream) { long.Discard() }, ClientDisconnected, false},
 		"an attempt given up before it": {"", func(f fleet, _ net.Conn, _ requestcore.BodyStream) {
-			f.servers[1].links[0].queue[0].giveUp(balancer.TimedOut)
-		}, GivenUp, false},
+			f.servers[1].connections[0].inFlight[0].abandon(balancer.TimedOut)
+		}, AttemptAbandoned, false},
 		"an end after the answer": {"VA 0 Oa\r\n\r\n", func(_ fleet, conn net.Conn, _ requestcore.BodyStream) { conn.Close() }, 0, true},
 		"an end on which nobody waits": {"", func(f fleet, conn net.Conn, _ requestcore.BodyStream) {
-			f.servers[1].links[0].queue[0].Cancel()
+			f.servers[1].connections[0].inFlight[0].Cancel()
 			conn.Close()
 		}, 0, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			limits := usual
-			limits.Connections = 1
+			limits.MaxConnections = 1
 			f, conns := listening(t, limits)
 			settled, behind := make(chan requestcore.Result, 1), make(outcome, 1)
 			f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, results(settled)) })
 			conn := <-conns
 			heard(t, conn)
-			if c.why == GivenUp {
+			if c.why == AttemptAbandoned {
 				f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind) })
 			}
 			conn.Write([]byte(c.answer))
@@ -566,20 +566,20 @@
 				}
 			}
 			f.do(f.loop, func() { c.end(f, conn, long) })
-			want := [cuts]uint64{}
+			want := [closeReasonCount]uint64{}
 			if want[c.why]++; c.none {
 				want[c.why] = 0
 			}
-			var got [cuts]uint64
+			var got [closeReasonCount]uint64
 			for i := 0; i < 500; i++ {
 				over := false
-				if f.do(f.loop, func() { got, over = f.cut, len(f.servers[1].links) == 0 }); over {
+				if f.do(f.loop, func() { got, over = f.closeCounts, len(f.servers[1].connections) == 0 }); over {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got != want {
-				t.Errorf("%v are counted, want %v of %v", got, want, Cuts)
+				t.Errorf("%v are counted, want %v of %v", got, want, CloseReasons)
 			}
 		})
 	}
@@ -616,14 +616,14 @@
 				return conn
 			},
 			"is free": func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn {
-				f.limits.Connections, f.limits.PerConnection = 1, 1
+				f.limits.MaxConnections, f.limits.MaxInFlightPerConnection = 1, 1
 				first, o := make(outcome, 1), make(outcome, 1)
 				f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first) })
 				conn := <-conns
 				heard(t, conn)
 				f.do(f.loop, func() {
 					conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-					for !f.servers[1].links[0].conn.Unread() {
+					for !f.servers[1].connections[0].socket.Unread() {
 						time.Sleep(time.Millisecond)
 					}
 					wait(o)
@@ -633,7 +633,7 @@
 				return conn
 			},
 			"is to be shared": func(f fleet, conns chan net.Conn, wait func(o outcome)) net.Conn {
-				f.limits.Connections = 1
+				f.limits.MaxConnections = 1
 				first, o := make(outcome, 1), make(outcome, 1)
 				var conn net.Conn
 				f.do(f.loop, func() {
@@ -649,11 +649,11 @@
 		} {
 			f, conns := listening(t, usual)
 			conn := cross(f, conns, func(o outcome) {
-				for a := begin(f, o); a.wanted() && f.loop.Now() < a.latest; {
+				for a := begin(f, o); a.stillWanted() && f.loop.Now() < a.sendDeadline; {
 					time.Sleep(time.Millisecond)
 				}
 			})
-			f.do(f.loop, func() { f.Unlisted(1) })
+			f.do(f.loop, func() { f.RemoveEndpoint(1) })
 			conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 			if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
 				t.Errorf("%s, a connection %s: the server read %q, %v", name, which, heard, err)
@@ -666,11 +666,11 @@
 // leave, so that it may run, and it is not told as one that never did.
 func TestWhatGoesOnToLeaveMayRun(t *testing.T) {
 	for name, giveUp := range map[string]func(b *attempt){
-		"at its limit":      (*attempt).overdue,
+		"at its limit":      (*attempt).onTimer,
 		"its client leaves": (*attempt).CancelIfUnsent,
 	} {
 		limits := usual
-		limits.Connections = 1
+		limits.MaxConnections = 1
 		f, conns := listening(t, limits)
 		a, b := make(outcome, 1), make(outcome, 1)
 		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a) })
@@ -684,7 +684,7 @@
 		conn.Write([]byte("VA 100000 Oa\r\n" + strings.Repeat("x", 50000)))
 		a.want(t, balancer.Succeeded)
 		f.do(f.loop, func() {
-			if second.written() || !second.left() {
+			if second.fullyWritten() || !second.partlyWritten() {
 				t.Error("the write is not on its way")
 			}
 			giveUp(second)
--- a/internal/upstream/cuts.go
+++ b/internal/upstream/cuts.go
@@ -1,25 +1,25 @@
 package upstream
 
-// Cut is why a connection to a server ended with something owed on it: an answer that somebody waits for, or the rest of a value.
-type Cut int
+// CloseReason is why a connection to a server ended with something owed on it: an answer that somebody waits for, or the rest of a value.
+type CloseReason int
 
 const (
-	ServerEnded Cut = iota // the server closed or reset it
-	Silent                 // a reply that had begun did not go on
-	OutOfOrder             // what came was no reply to what was asked
-	GivenUp                // an attempt before the others was given up, and nothing else ends it
-	ClientGone             // a value's client left, or was let go of
-	Unwhole                // a reply came before its command was written, or said that it is the last
-	cuts
+	ServerClosed       CloseReason = iota // the server closed or reset it
+	ReplyStalled                          // a reply that had begun did not go on
+	UnexpectedReply                       // what came was no reply to what was asked
+	AttemptAbandoned                      // an attempt before the others was given up, and nothing else ends it
+	ClientDisconnected                    // a value's client left, or was let go of
+	PrematureReply                        // a reply came before its command was written, or said that it is the last
+	closeReasonCount
 )
 
-// Cuts names them, for the door and the log.
-var Cuts = [cuts]string{"server_ended", "silent", "out_of_order", "given_up", "client_gone", "unwhole"}
+// CloseReasons names them, for the door and the log.
+var CloseReasons = [closeReasonCount]string{"server_ended", "silent", "out_of_order", "given_up", "client_gone", "unwhole"}
 
-// Cut counts the connections that ended with something owed, by the reason, since the start.
-func (f *Fleet) Cut() [cuts]uint64 { return f.cut }
+// CloseCounts counts the connections that ended with something owed, by the reason, since the start.
+func (f *ConnectionPools) CloseCounts() [closeReasonCount]uint64 { return f.closeCounts }
 
-// owes tells whether somebody waits for an answer on the connection, or for the rest of a value.
-func (l *link) owes() bool {
-	return l.carries(nil) || l.passage != nil && l.passage.wanted()
+// owesReply tells whether somebody waits for an answer on the connection, or for the rest of a value.
+func (l *connection) owesReply() bool {
+	return l.awaitedBesides(nil) || l.body != nil && l.body.awaited()
 }
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -32,7 +32,7 @@
 		{"write, an empty value", &requestcore.Request{Key: "k", ID: "b", Flags: "Ob", Write: true}, 0.25},
 	} {
 		written.WriteString("# " + c.name + "\n")
-		for _, part := range Memcache(nil).Command(c.request, c.secondsLeft) {
+		for _, part := range NewMemcacheCodec(nil).Encode(c.request, c.secondsLeft) {
 			written.Write(part)
 		}
 		written.WriteString("\n")
@@ -54,7 +54,7 @@
 // TestCloseReasonTexts holds the texts that stand in the figures' names and in the log.
 func TestCloseReasonTexts(t *testing.T) {
 	const want = "server_ended silent out_of_order given_up client_gone unwhole"
-	if got := strings.Join(Cuts[:], " "); got != want {
+	if got := strings.Join(CloseReasons[:], " "); got != want {
 		t.Errorf("the reasons are %q, want %q", got, want)
 	}
 }
--- a/internal/upstream/link.go
+++ b/internal/upstream/link.go
@@ -12,351 +12,355 @@
 
 // attempt is one execution, or a probe where op is nil.
 type attempt struct {
-	on     *server
-	op     *requestcore.Request
-	ended  func(balancer.Outcome, requestcore.Result)
-	until  float64
-	timer  *eventloop.Timer
-	early  bool        // its timer is for when it is to be written, which is before that
-	latest float64     // it is not written from then on
-	wanted func() bool // its operation still waits for it; nil: a probe
-	link   *link       // nil while it waits for one
-	parts  [][]byte    // of its command, not in its connection's buffer yet
-	begun  bool        // some of it is or was there
-	start  uint64      // where its first byte stands in what its connection is sent
-	end    uint64      // and where its last byte does
-	sent   bool        // it is counted as written
-	done   bool
+	pool               *serverPool
+	request            *requestcore.Request
+	onEnd              func(balancer.Outcome, requestcore.Result)
+	deadline           float64
+	timer              *eventloop.Timer
+	awaitsSendDeadline bool        // its timer is for when it is to be written, which is before that
+	sendDeadline       float64     // it is not written from then on
+	stillWanted        func() bool // its operation still waits for it; nil: a probe
+	connection         *connection // nil while it waits for one
+	unbuffered         [][]byte    // of its command, not in its connection's buffer yet
+	buffered           bool        // some of it is or was there
+	startOffset        uint64      // where its first byte stands in what its connection is sent
+	endOffset          uint64      // and where its last byte does
+	countedSent        bool        // it is counted as written
+	settled            bool
 }
 
 // settle tells how it ended, after the present callback.
 func (a *attempt) settle(how balancer.Outcome, with requestcore.Result) {
-	if !a.done {
-		a.done = true
+	if !a.settled {
+		a.settled = true
 		a.timer.Stop()
-		a.on.note(how)
-		a.on.f.loop.Later(func() { a.ended(how, with) })
+		a.pool.logHealthChange(how)
+		a.pool.pools.loop.Later(func() { a.onEnd(how, with) })
 	}
 }
 
-// written tells whether its last byte was: else it never ran.
-func (a *attempt) written() bool { return a.link != nil && a.link.conn.Sent() >= a.end }
+// fullyWritten tells whether its last byte was: else it never ran.
+func (a *attempt) fullyWritten() bool {
+	return a.connection != nil && a.connection.socket.Sent() >= a.endOffset
+}
 
-// count counts it once it is written.
-func (a *attempt) count() {
-	if !a.sent && a.op != nil && a.written() {
-		a.sent = true
-		a.on.f.sends++
+// countIfSent counts it once it is written.
+func (a *attempt) countIfSent() {
+	if !a.countedSent && a.request != nil && a.fullyWritten() {
+		a.countedSent = true
+		a.pool.pools.sentAttempts++
 	}
 }
 
-// left tells whether any of it was written.
-func (a *attempt) left() bool { return a.link != nil && a.begun && a.link.conn.Sent() > a.start }
+// partlyWritten tells whether any of it was written.
+func (a *attempt) partlyWritten() bool {
+	return a.connection != nil && a.buffered && a.connection.socket.Sent() > a.startOffset
+}
 
-// overdue gives it up at its limit, or where it was to be written by now and is not.
-func (a *attempt) overdue() {
+// onTimer gives it up at its limit, or where it was to be written by now and is not.
+func (a *attempt) onTimer() {
 	switch {
-	case !a.written():
-		a.giveUp(balancer.NotAttempted)
-	case a.early:
-		a.early = false
-		a.timer.Set(a.until)
+	case !a.fullyWritten():
+		a.abandon(balancer.NotAttempted)
+	case a.awaitsSendDeadline:
+		a.awaitsSendDeadline = false
+		a.timer.Set(a.deadline)
 	default:
-		a.giveUp(balancer.TimedOut)
-		a.on.closeIdle() // a machine cut off would be silent there too; a new connection tells within its timeout
+		a.abandon(balancer.TimedOut)
+		a.pool.closeIdle() // a machine cut off would be silent there too; a new connection tells within its timeout
 	}
 }
 
-// lapsed tells that it must not be written any more, though the loop, which may have been stopped, has not heard of that yet: the
+// expired tells that it must not be written any more, though the loop, which may have been stopped, has not heard of that yet: the
 // time in which it was to be written is over, or its client has left.
-func (a *attempt) lapsed() bool {
-	return a.on.f.loop.Now() >= a.latest || a.wanted != nil && !a.wanted()
+func (a *attempt) expired() bool {
+	return a.pool.pools.loop.Now() >= a.sendDeadline || a.stillWanted != nil && !a.stillWanted()
 }
 
 // Cancel gives it up.
-func (a *attempt) Cancel() { a.giveUp(balancer.Cancelled) }
+func (a *attempt) Cancel() { a.abandon(balancer.Cancelled) }
 
 // CancelIfUnsent gives it up if it still waits for a connection, or on one whose kernel takes no more: its operation is answered, or
 // its client has gone, and what is sent later is for nobody. One that has begun to leave goes on where that would end others.
 func (a *attempt) CancelIfUnsent() {
-	if !a.written() && (!a.left() || !a.link.carries(a)) {
-		a.giveUp(balancer.NotAttempted)
+	if !a.fullyWritten() && (!a.partlyWritten() || !a.connection.awaitedBesides(a)) {
+		a.abandon(balancer.NotAttempted)
 	}
 }
 
-// giveUp ends its connection, which tells the cache server; what is piped there ends with it. What has not left is only taken
+// abandon ends its connection, which tells the cache server; what is piped there ends with it. What has not left is only taken
 // back, and a client that leaves does not end the executions of others.
-func (a *attempt) giveUp(how balancer.Outcome) {
-	if a.done {
+func (a *attempt) abandon(how balancer.Outcome) {
+	if a.settled {
 		return
 	}
-	if how == balancer.NotAttempted && a.left() && a.link.passage != nil {
+	if how == balancer.NotAttempted && a.partlyWritten() && a.connection.body != nil {
 		how = balancer.Cancelled // its rest goes on to leave, and it may run
 	}
 	a.settle(how, requestcore.Result{})
-	switch l := a.link; {
+	switch l := a.connection; {
 	case l == nil:
-		a.on.leave(a)
-	case l.takeBack(a):
-	case l.passage != nil: // a long value is before it, which must not be cut off
-	case how == balancer.Cancelled && l.carries(a):
+		a.pool.removeWaiting(a)
+	case l.withdraw(a):
+	case l.body != nil: // a long value is before it, which must not be cut off
+	case how == balancer.Cancelled && l.awaitedBesides(a):
 	default:
-		l.broken(GivenUp)
+		l.fail(AttemptAbandoned)
 	}
 }
 
-// link is one connection to a cache server.
-type link struct {
-	on      *server
-	addr    netip.AddrPort // where it leads
-	conn    *eventloop.Conn
-	timer   *eventloop.Timer // until it is up, then until a reply that has begun must have gone on
-	up      bool
-	wire    Wire
-	queue   []*attempt // out, in the order of their answers
-	passage *passage   // of the first of them
-	length  uint64     // of all that its buffer was given
-	since   float64    // idle since then
-	spoke   float64    // when the last whole reply was read
+// connection is one connection to a cache server.
+type connection struct {
+	pool          *serverPool
+	addr          netip.AddrPort // where it leads
+	socket        *eventloop.Conn
+	timer         *eventloop.Timer // until it is up, then until a reply that has begun must have gone on
+	established   bool
+	codec         Codec
+	inFlight      []*attempt  // out, in the order of their answers
+	body          *bodyStream // of the first of them
+	bufferedBytes uint64      // of all that its buffer was given
+	idleSince     float64     // idle since then
+	lastReplyAt   float64     // when the last whole reply was read
 }
 
 // send writes an attempt's command.
-func (l *link) send(a *attempt) {
-	s := l.on
+func (l *connection) send(a *attempt) {
+	s := l.pool
 	if i := slices.Index(s.idle, l); i >= 0 {
 		s.idle = slices.Delete(s.idle, i, i+1)
 	}
-	a.link, a.end = l, math.MaxUint64
-	l.queue = append(l.queue, a)
-	a.parts = l.wire.Command(a.op, a.until-s.f.loop.Now())
-	l.fill()
-	a.count()
+	a.connection, a.endOffset = l, math.MaxUint64
+	l.inFlight = append(l.inFlight, a)
+	a.unbuffered = l.codec.Encode(a.request, a.deadline-s.pools.loop.Now())
+	l.writePending()
+	a.countIfSent()
 }
 
 // Flushed goes on with what waits.
-func (l *link) Flushed() {
-	l.queue = slices.DeleteFunc(l.queue, func(a *attempt) bool { // before fill, which would begin the next of them
-		late := len(a.parts) > 0 && !a.begun && a.lapsed()
+func (l *connection) Flushed() {
+	l.inFlight = slices.DeleteFunc(l.inFlight, func(a *attempt) bool { // before fill, which would begin the next of them
+		late := len(a.unbuffered) > 0 && !a.buffered && a.expired()
 		if late {
 			a.settle(balancer.NotAttempted, requestcore.Result{})
 		}
 		return late
 	})
-	l.fill()
-	for _, a := range l.queue {
-		if a.count(); !a.sent && a.op != nil {
+	l.writePending()
+	for _, a := range l.inFlight {
+		if a.countIfSent(); !a.countedSent && a.request != nil {
 			break // nor are those behind it
 		}
 	}
 }
 
-// fill gives the connection's buffer what waits, one command at a time: while none of it has left it can still be taken back.
-func (l *link) fill() {
-	for _, a := range l.queue {
-		if len(a.parts) == 0 {
+// writePending gives the connection's buffer what waits, one command at a time: while none of it has left it can still be taken back.
+func (l *connection) writePending() {
+	for _, a := range l.inFlight {
+		if len(a.unbuffered) == 0 {
 			continue
 		}
-		if !a.begun && l.conn.Unsent() > 0 {
+		if !a.buffered && l.socket.Unsent() > 0 {
 			return
 		}
-		if !a.begun {
-			a.begun, a.start = true, l.length
+		if !a.buffered {
+			a.buffered, a.startOffset = true, l.bufferedBytes
 		}
-		for len(a.parts) > 0 {
-			n := l.conn.Write(a.parts[0])
-			l.length += uint64(n)
-			if a.parts[0] = a.parts[0][n:]; len(a.parts[0]) > 0 {
+		for len(a.unbuffered) > 0 {
+			n := l.socket.Write(a.unbuffered[0])
+			l.bufferedBytes += uint64(n)
+			if a.unbuffered[0] = a.unbuffered[0][n:]; len(a.unbuffered[0]) > 0 {
 				return
 			}
-			a.parts = a.parts[1:]
+			a.unbuffered = a.unbuffered[1:]
 		}
-		a.end = l.length
+		a.endOffset = l.bufferedBytes
 	}
 }
 
-// takeBack takes an attempt of which nothing has left from what is to be sent; false if some of it has.
-func (l *link) takeBack(a *attempt) bool {
-	i := slices.Index(l.queue, a)
-	if i < 0 || a.left() {
+// withdraw takes an attempt of which nothing has left from what is to be sent; false if some of it has.
+func (l *connection) withdraw(a *attempt) bool {
+	i := slices.Index(l.inFlight, a)
+	if i < 0 || a.partlyWritten() {
 		return false
 	}
-	if a.begun { // then the buffer holds nothing else
-		l.conn.TakeBack()
-		l.length = a.start
+	if a.buffered { // then the buffer holds nothing else
+		l.socket.TakeBack()
+		l.bufferedBytes = a.startOffset
 	}
-	a.parts = nil
-	if l.queue = slices.Delete(l.queue, i, i+1); len(l.queue) == 0 {
-		l.on.free(l)
+	a.unbuffered = nil
+	if l.inFlight = slices.Delete(l.inFlight, i, i+1); len(l.inFlight) == 0 {
+		l.pool.release(l)
 	} else {
-		l.fill()
+		l.writePending()
 	}
 	return true
 }
 
-// carries tells whether somebody waits for another execution on the connection.
-func (l *link) carries(but *attempt) bool {
-	return slices.ContainsFunc(l.queue, func(a *attempt) bool { return a != but && !a.done })
+// awaitedBesides tells whether somebody waits for another execution on the connection.
+func (l *connection) awaitedBesides(but *attempt) bool {
+	return slices.ContainsFunc(l.inFlight, func(a *attempt) bool { return a != but && !a.settled })
 }
 
 // Opened takes the end of a dial.
-func (l *link) Opened() {
+func (l *connection) Opened() {
 	l.timer.Stop()
-	l.timer = l.on.f.loop.Timer(l.stalled)
-	l.up = true
-	l.on.coming--
-	if !l.conn.Quiet() && l.addr == l.on.addr && len(l.on.waiting) > 0 {
+	l.timer = l.pool.pools.loop.Timer(l.onStallTimeout)
+	l.established = true
+	l.pool.connecting--
+	if !l.socket.Quiet() && l.addr == l.pool.addr && len(l.pool.waiting) > 0 {
 		// It ended or spoke as it came up: another at once would fare no better, nor would all that follow, as fast as they can be made.
-		a := l.on.waiting[0]
-		l.on.leave(a)
+		a := l.pool.waiting[0]
+		l.pool.removeWaiting(a)
 		a.settle(balancer.ConnectFailed, requestcore.Result{})
-		l.broken(ServerEnded)
+		l.fail(ServerClosed)
 		return
 	}
-	l.on.free(l)
-	l.on.spread()
+	l.pool.release(l)
+	l.pool.assignWaiting()
 }
 
-// neverUp takes the time by which a connection should have come up.
-func (l *link) neverUp() {
-	l.conn.Close()
-	l.on.closeIdle() // they lead to the same machine, and would tell nothing for an execution's whole limit
+// onConnectTimeout takes the time by which a connection should have come up.
+func (l *connection) onConnectTimeout() {
+	l.socket.Close()
+	l.pool.closeIdle() // they lead to the same machine, and would tell nothing for an execution's whole limit
 	l.Closed()
 }
 
 // Closed takes a connection's end, or that it never came up: then the longest waiting attempt failed.
-func (l *link) Closed() {
-	s := l.on
-	if !l.up && len(s.waiting) > 0 {
+func (l *connection) Closed() {
+	s := l.pool
+	if !l.established && len(s.waiting) > 0 {
 		a := s.waiting[0]
-		s.leave(a)
+		s.removeWaiting(a)
 		a.settle(balancer.ConnectFailed, requestcore.Result{})
 	}
-	if l.up && !l.conn.ByReset() {
-		l.wire.Closed() // it may end an answer as it should; a reset is no end
+	if l.established && !l.socket.ByReset() {
+		l.codec.OnServerClose() // it may end an answer as it should; a reset is no end
 	}
-	l.broken(ServerEnded)
+	l.fail(ServerClosed)
 }
 
-// broken settles all that is out on a connection and closes it. Where something is owed on it, the reason is counted, and a value that
+// fail settles all that is out on a connection and closes it. Where something is owed on it, the reason is counted, and a value that
 // is cut off is logged.
-func (l *link) broken(why Cut) {
-	if l.owes() {
-		l.on.f.cut[why]++
+func (l *connection) fail(why CloseReason) {
+	if l.owesReply() {
+		l.pool.pools.closeCounts[why]++
 	}
-	if l.passage != nil && l.passage.wanted() && why != ClientGone {
-		l.on.f.log.Warn().Stringer("server", l.addr).Str("why", Cuts[why]).Int("length", l.passage.length).Msg("a value is cut off")
+	if l.body != nil && l.body.awaited() && why != ClientDisconnected {
+		l.pool.pools.log.Warn().Stringer("server", l.addr).Str("why", CloseReasons[why]).Int("length", l.body.length).Msg("a value is cut off")
 	}
-	for _, a := range l.queue {
-		if a.written() {
+	for _, a := range l.inFlight {
+		if a.fullyWritten() {
 			a.settle(balancer.ConnectionLost, requestcore.Result{})
 		} else {
 			a.settle(balancer.ConnectFailed, requestcore.Result{})
 		}
 	}
-	l.queue = nil
-	l.cut()
-	if l.conn != nil { // what was given up must not reach a machine that was cut off seconds later, when its operation has long ended
-		l.conn.Forget()
+	l.inFlight = nil
+	l.breakBody()
+	if l.socket != nil { // what was given up must not reach a machine that was cut off seconds later, when its operation has long ended
+		l.socket.Forget()
 	}
 	l.close()
-	l.on.spread()
+	l.pool.assignWaiting()
 }
 
 // close forgets the connection.
-func (l *link) close() {
-	s := l.on
-	i := slices.Index(s.links, l)
+func (l *connection) close() {
+	s := l.pool
+	i := slices.Index(s.connections, l)
 	if i < 0 {
 		return
 	}
-	s.links = slices.Delete(s.links, i, i+1)
-	s.f.links--
-	if !l.up {
-		s.coming--
+	s.connections = slices.Delete(s.connections, i, i+1)
+	s.pools.connectionCount--
+	if !l.established {
+		s.connecting--
 	}
 	if i := slices.Index(s.idle, l); i >= 0 {
 		s.idle = slices.Delete(s.idle, i, i+1)
 	}
 	l.timer.Stop()
-	l.conn.Close()
-	l.wire.Drop()
+	l.socket.Close()
+	l.codec.Release()
 }
 
 // Input reads replies.
-func (l *link) Input() {
-	for l.conn.In.Len() > 0 {
-		held := l.conn.In.Len()
-		if _, err := l.wire.Read(l.conn.In); err != nil {
-			l.Stray(err.Error())
+func (l *connection) Input() {
+	for l.socket.In.Len() > 0 {
+		held := l.socket.In.Len()
+		if _, err := l.codec.Decode(l.socket.In); err != nil {
+			l.OnUnexpectedReply(err.Error())
 			return
 		}
-		if l.conn.In.Len() == held {
+		if l.socket.In.Len() == held {
 			break // a long value that is not taken now
 		}
-		if !slices.Contains(l.on.links, l) {
+		if !slices.Contains(l.pool.connections, l) {
 			return // a reply ended it
 		}
 	}
-	if l.passage != nil {
-		l.timer.Set(l.on.f.loop.Now() + silent)
-	} else if l.wire.Begun() {
-		l.timer.Set(l.on.f.loop.Now() + l.on.f.limits.Stall)
+	if l.body != nil {
+		l.timer.Set(l.pool.pools.loop.Now() + bodyStallTimeout)
+	} else if l.codec.ReplyBegun() {
+		l.timer.Set(l.pool.pools.loop.Now() + l.pool.pools.limits.StallTimeout)
 	} else {
 		l.timer.Stop()
 	}
 }
 
-// stalled takes that a reply does not go on: one that says more than it holds would be waited for until the hard
+// onStallTimeout takes that a reply does not go on: one that says more than it holds would be waited for until the hard
 // stop. What the loop has not come to read is no stall.
-func (l *link) stalled() {
-	if l.passage != nil && l.conn.In.Len() > 0 { // its taker has no room
-		l.timer.Set(l.on.f.loop.Now() + silent)
-	} else if l.conn.Unread() {
-		l.timer.Set(l.on.f.loop.Now() + l.on.f.limits.Stall)
+func (l *connection) onStallTimeout() {
+	if l.body != nil && l.socket.In.Len() > 0 { // its taker has no room
+		l.timer.Set(l.pool.pools.loop.Now() + bodyStallTimeout)
+	} else if l.socket.Unread() {
+		l.timer.Set(l.pool.pools.loop.Now() + l.pool.pools.limits.StallTimeout)
 	} else {
-		l.stray("a part", Silent)
+		l.failOnReply("a part", ReplyStalled)
 	}
 }
 
-// Stray takes what no server should have sent: the connection cannot be relied on any more.
-func (l *link) Stray(what string) { l.stray(what, OutOfOrder) }
+// OnUnexpectedReply takes what no server should have sent: the connection cannot be relied on any more.
+func (l *connection) OnUnexpectedReply(what string) { l.failOnReply(what, UnexpectedReply) }
 
-func (l *link) stray(what string, why Cut) {
-	l.on.f.log.Warn().Stringer("server", l.on.addr).Str("reply", what).Msg("a reply out of order")
-	l.broken(why)
+func (l *connection) failOnReply(what string, why CloseReason) {
+	l.pool.pools.log.Warn().Stringer("server", l.pool.addr).Str("reply", what).Msg("a reply out of order")
+	l.fail(why)
 }
 
-// second is how long after a reply another may come of the same command, in seconds: the slack that the protocol allows to all
+// duplicateReplyWindow is how long after a reply another may come of the same command, in seconds: the slack that the protocol allows to all
 // that is late.
-const second = 0.05
+const duplicateReplyWindow = 0.05
 
-// Answered settles the attempt whose turn it is. One that is not written yet, or a reply with none out, leaves
+// OnReply settles the attempt whose turn it is. One that is not written yet, or a reply with none out, leaves
 // the connection in no known state.
-func (l *link) Answered(how balancer.Outcome, with requestcore.Result, more bool) {
-	if len(l.queue) == 0 {
-		l.broken(OutOfOrder)
+func (l *connection) OnReply(how balancer.Outcome, with requestcore.Result, more bool) {
+	if len(l.inFlight) == 0 {
+		l.fail(UnexpectedReply)
 		return
 	}
-	a := l.queue[0]
-	l.queue = l.queue[1:]
-	whole, now := a.written(), l.on.f.loop.Now()
-	if how == balancer.Overloaded && a.op != nil && a.op.NotIdempotent && now-l.spoke < second {
+	a := l.inFlight[0]
+	l.inFlight = l.inFlight[1:]
+	whole, now := a.fullyWritten(), l.pool.pools.loop.Now()
+	if how == balancer.Overloaded && a.request != nil && a.request.NotIdempotent && now-l.lastReplyAt < duplicateReplyWindow {
 		how = balancer.OutcomeUnknown // it may be the reply before, said twice: this names no operation, and proves nothing
 	}
-	l.spoke = now
+	l.lastReplyAt = now
 	a.settle(how, with)
 	switch {
 	case !whole || !more:
-		l.broken(Unwhole)
-	case len(l.queue) == 0:
-		l.on.free(l)
+		l.fail(PrematureReply)
+	case len(l.inFlight) == 0:
+		l.pool.release(l)
 	}
 }
 
-// Due gives the operation whose reply is due, nil for a probe; false if none is.
-func (l *link) Due() (op *requestcore.Request, due bool) {
-	if len(l.queue) == 0 {
+// PendingRequest gives the operation whose reply is due, nil for a probe; false if none is.
+func (l *connection) PendingRequest() (op *requestcore.Request, due bool) {
+	if len(l.inFlight) == 0 {
 		return nil, false
 	}
-	return l.queue[0].op, true
+	return l.inFlight[0].request, true
 }
--- a/internal/upstream/tileclient/golden_test.go
+++ b/internal/upstream/tileclient/golden_test.go
@@ -17,7 +17,7 @@
 // TestTileCommandsGolden holds the exact bytes that tile servers are sent.
 func TestTileCommandsGolden(t *testing.T) {
 	var written bytes.Buffer
-	servers := &Servers{Scheme: tiles.XYZ, Host: "tiles.example", Probe: "/ready"}
+	servers := &Client{Scheme: tiles.XYZ, Host: "tiles.example", ProbePath: "/ready"}
 	for _, c := range []struct {
 		name        string
 		request     *requestcore.Request
@@ -30,7 +30,7 @@
 		{"conditional read", &requestcore.Request{Key: "roads/day/grid/1/0/0.png", Flags: "If-None-Match: x\r\n"}, 0.5},
 	} {
 		written.WriteString("# " + c.name + "\n")
-		for _, part := range servers.Wire(nil).Command(c.request, c.secondsLeft) {
+		for _, part := range servers.NewCodec(nil).Encode(c.request, c.secondsLeft) {
 			written.Write(part)
 		}
 		written.WriteString("\n")
--- a/internal/upstream/tileclient/tilewire.go
+++ b/internal/upstream/tileclient/tilewire.go
@@ -14,123 +14,125 @@
 	"bendtrestle/internal/upstream"
 )
 
-// Servers are a pool's tile servers.
-type Servers struct {
-	Scheme  tiles.Scheme
-	Host    string // that requests name
-	Probe   string // a path that answers when a server is there
-	Largest int    // bytes of a body: a larger one is refused at its header
-	Most    int    // bytes of bodies that are on their way, over all connections
-	held    int
+// Client are a pool's tile servers.
+type Client struct {
+	Scheme           tiles.Scheme
+	Host             string // that requests name
+	ProbePath        string // a path that answers when a server is there
+	MaxBodyBytes     int    // bytes of a body: a larger one is refused at its header
+	MaxBufferedBytes int    // bytes of bodies that are on their way, over all connections
+	bufferedBytes    int
 }
 
-// Wire makes the protocol of a connection.
-func (s *Servers) Wire(l upstream.Link) upstream.Wire { return &wire{s: s, l: l} }
+// NewCodec makes the protocol of a connection.
+func (s *Client) NewCodec(l upstream.ReplyHandler) upstream.Codec {
+	return &codec{client: s, replies: l}
+}
 
-// Held is how many bytes of bodies are on their way.
-func (s *Servers) Held() int { return s.held }
+// BufferedBytes is how many bytes of bodies are on their way.
+func (s *Client) BufferedBytes() int { return s.bufferedBytes }
 
-type wire struct {
-	s      *Servers
-	l      upstream.Link
-	reader http1.ResponseReader
-	status int
-	head   strings.Builder
-	body   []byte
+type codec struct {
+	client  *Client
+	replies upstream.ReplyHandler
+	reader  http1.ResponseReader
+	status  int
+	head    strings.Builder
+	body    []byte
 }
 
-// Kept are the headers of an answer that clients get as they are.
-var Kept = map[string]string{"content-type": "Content-Type", "content-encoding": "Content-Encoding", "etag": "ETag",
+// ForwardedHeaders are the headers of an answer that clients get as they are.
+var ForwardedHeaders = map[string]string{"content-type": "Content-Type", "content-encoding": "Content-Encoding", "etag": "ETag",
 	"last-modified": "Last-Modified", "cache-control": "Cache-Control", "expires": "Expires", "date": "Date", "age": "Age"}
 
-func (w *wire) Begun() bool { return w.reader.Begun() }
+func (w *codec) ReplyBegun() bool { return w.reader.Begun() }
 
-// Read hands on the next answer; after an error the connection ends, and what came of a body is let go.
-func (w *wire) Read(in *ringbuffer.Buffer) (bool, error) {
+// Decode hands on the next answer; after an error the connection ends, and what came of a body is let go.
+func (w *codec) Decode(in *ringbuffer.Buffer) (bool, error) {
 	whole, err := w.reader.Read(in, w)
 	if err != nil {
-		w.drop()
+		w.releaseBody()
 	}
 	return whole, err
 }
 
-// Closed takes the connection's end, which may be the end of a body without a length.
-func (w *wire) Closed() {
+// OnServerClose takes the connection's end, which may be the end of a body without a length.
+func (w *codec) OnServerClose() {
 	if !w.reader.Closed(w) {
-		w.drop()
+		w.releaseBody()
 	}
 }
 
-// Drop lets go of what came of a body: one that is given up midway must not count as held for ever.
-func (w *wire) Drop() { w.drop() }
+// Release lets go of what came of a body: one that is given up midway must not count as held for ever.
+func (w *codec) Release() { w.releaseBody() }
 
-func (w *wire) drop() {
-	w.s.held -= len(w.body)
+func (w *codec) releaseBody() {
+	w.client.bufferedBytes -= len(w.body)
 	w.body = nil
 }
 
-// Command writes a request.
-func (w *wire) Command(op *requestcore.Request, left float64) [][]byte {
+// Encode writes a request.
+func (w *codec) Encode(op *requestcore.Request, left float64) [][]byte {
 	if op == nil {
-		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", w.s.Probe, w.s.Host)}
+		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", w.client.ProbePath, w.client.Host)}
 	}
 	t, _ := tiles.Named(op.Key) // it was made by a front of this kind
 	ms := int(math.Ceil(max(1e-3, left) * 1e3))
-	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n", w.s.Scheme.Address(t), w.s.Host, op.Flags, ms)}
+	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n", w.client.Scheme.Address(t), w.client.Host, op.Flags, ms)}
 }
 
 // Status begins an answer.
-func (w *wire) Status(code int) {
+func (w *codec) Status(code int) {
 	w.status = code
 	w.head.Reset()
-	w.drop()
+	w.releaseBody()
 }
 
 // Header takes a header.
-func (w *wire) Header(name, value string) {
-	if proper, kept := Kept[name]; kept {
+func (w *codec) Header(name, value string) {
+	if proper, kept := ForwardedHeaders[name]; kept {
 		fmt.Fprintf(&w.head, "%s: %s\r\n", proper, value)
 	}
 }
 
 // Length refuses a body that is too large before any of it is taken in.
-func (w *wire) Length(n int64) error {
-	if n > int64(w.s.Largest) {
-		return fmt.Errorf("a body of %d bytes, more than %d", n, w.s.Largest)
+func (w *codec) Length(n int64) error {
+	if n > int64(w.client.MaxBodyBytes) {
+		return fmt.Errorf("a body of %d bytes, more than %d", n, w.client.MaxBodyBytes)
 	}
 	return nil
 }
 
 // Body takes a part of a body.
-func (w *wire) Body(part []byte) error {
-	if len(w.body)+len(part) > w.s.Largest {
-		return fmt.Errorf("a body of more than %d bytes", w.s.Largest)
+func (w *codec) Body(part []byte) error {
+	if len(w.body)+len(part) > w.client.MaxBodyBytes {
+		return fmt.Errorf("a body of more than %d bytes", w.client.MaxBodyBytes)
 	}
-	if w.s.held+len(part) > w.s.Most {
-		return fmt.Errorf("more than %d bytes of bodies are on their way", w.s.Most)
+	if w.client.bufferedBytes+len(part) > w.client.MaxBufferedBytes {
+		return fmt.Errorf("more than %d bytes of bodies are on their way", w.client.MaxBufferedBytes)
 	}
-	w.s.held += len(part)
+	w.client.bufferedBytes += len(part)
 	w.body = append(w.body, part...)
 	return nil
 }
 
 // End takes the end of an answer. What it says of the request's fate is the table in docs/operators/tiles.md.
-func (w *wire) End(more bool) {
-	op, due := w.l.Due()
+func (w *codec) End(more bool) {
+	op, due := w.replies.PendingRequest()
 	with := requestcore.Result{Status: w.status, Head: w.head.String(), Value: w.body}
-	w.drop()
+	w.releaseBody()
 	switch conditional := op != nil && strings.Contains(op.Flags, "If-"); {
 	case !due:
-		w.l.Stray("an answer that nobody asked for")
+		w.replies.OnUnexpectedReply("an answer that nobody asked for")
 	case op == nil && w.status/100 == 2:
-		w.l.Answered(balancer.Succeeded, requestcore.Result{}, more)
+		w.replies.OnReply(balancer.Succeeded, requestcore.Result{}, more)
 	case w.status == 429 || w.status == 503:
-		w.l.Answered(balancer.Overloaded, requestcore.Result{}, more)
+		w.replies.OnReply(balancer.Overloaded, requestcore.Result{}, more)
 	case op == nil:
-		w.l.Answered(balancer.ServerError, requestcore.Result{}, more)
+		w.replies.OnReply(balancer.ServerError, requestcore.Result{}, more)
 	case w.status == 200 || w.status == 203 || w.status == 204 || w.status == 404 || w.status == 410 || w.status == 304 && conditional:
-		w.l.Answered(balancer.Succeeded, with, more)
+		w.replies.OnReply(balancer.Succeeded, with, more)
 	default:
-		w.l.Answered(balancer.ServerError, requestcore.Result{}, more)
+		w.replies.OnReply(balancer.ServerError, requestcore.Result{}, more)
 	}
 }
--- a/internal/upstream/tileclient/tilewire_test.go
+++ b/internal/upstream/tileclient/tilewire_test.go
@@ -18,44 +18,44 @@
 	"github.com/rs/zerolog"
 )
 
-// link notes how what was asked for ended.
-type link struct {
-	upstream.Link // for what tiles have no use for
-	op            *requestcore.Request
-	ended         []balancer.Outcome
-	stray         int
+// fakeReplies notes how what was asked for ended.
+type fakeReplies struct {
+	upstream.ReplyHandler // for what tiles have no use for
+	op                    *requestcore.Request
+	ended                 []balancer.Outcome
+	stray                 int
 }
 
-func (l *link) Due() (*requestcore.Request, bool) { return l.op, l.op != nil }
-func (l *link) Answered(how balancer.Outcome, _ requestcore.Result, _ bool) {
+func (l *fakeReplies) PendingRequest() (*requestcore.Request, bool) { return l.op, l.op != nil }
+func (l *fakeReplies) OnReply(how balancer.Outcome, _ requestcore.Result, _ bool) {
 	l.ended = append(l.ended, how)
 }
-func (l *link) Stray(string) { l.stray++ }
+func (l *fakeReplies) OnUnexpectedReply(string) { l.stray++ }
 
-func fed(s *Servers, l *link, text string) (*wire, error) {
-	w := s.Wire(l).(*wire)
+func decode(s *Client, l *fakeReplies, text string) (*codec, error) {
+	w := s.NewCodec(l).(*codec)
 	in := ringbuffer.New(4096)
 	in.Write([]byte(text))
-	_, err := w.Read(in)
+	_, err := w.Decode(in)
 	return w, err
 }
 
 // A body that is given up midway, too large or never ends is let go: else all tiles would be refused after a while.
 func TestNothingIsHeldForEver(t *testing.T) {
-	s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
+	s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
-		w, _ := fed(s, &link{op: &requestcore.Request{}}, text)
-		if w.Drop(); s.Held() != 0 {
-			t.Errorf("after %q %d bytes are held", text, s.Held())
+		w, _ := decode(s, &fakeReplies{op: &requestcore.Request{}}, text)
+		if w.Release(); s.BufferedBytes() != 0 {
+			t.Errorf("after %q %d bytes are held", text, s.BufferedBytes())
 		}
 	}
-	one, _ := fed(s, &link{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
-	if _, err := fed(s, &link{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.Held() != 19 {
-		t.Errorf("more than all may hold was taken: %d bytes, %v", s.Held(), err)
+	one, _ := decode(s, &fakeReplies{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
+	if _, err := decode(s, &fakeReplies{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.BufferedBytes() != 19 {
+		t.Errorf("more than all may hold was taken: %d bytes, %v", s.BufferedBytes(), err)
 	}
-	if one.Drop(); s.Held() != 0 {
-		t.Errorf("%d bytes are held", s.Held())
+	if one.Release(); s.BufferedBytes() != 0 {
+		t.Errorf("%d bytes are held", s.BufferedBytes())
 	}
 }
 
@@ -63,17 +63,17 @@
 func TestOutcomes(t *testing.T) {
 	for status, want := range map[string]balancer.Outcome{"200": balancer.Succeeded, "404": balancer.Succeeded, "204": balancer.Succeeded, "304": balancer.ServerError,
 		"302": balancer.ServerError, "403": balancer.ServerError, "429": balancer.Overloaded, "503": balancer.Overloaded, "500": balancer.ServerError} {
-		l := &link{op: &requestcore.Request{}}
-		if fed(&Servers{Largest: 9, Most: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
+		l := &fakeReplies{op: &requestcore.Request{}}
+		if decode(&Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
 			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
 		}
 	}
-	l := &link{op: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
-	if fed(&Servers{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Succeeded {
+	l := &fakeReplies{op: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
+	if decode(&Client{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Succeeded {
 		t.Error("what was not modified is no answer")
 	}
-	l = &link{}
-	if fed(&Servers{}, l, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); l.stray != 1 {
+	l = &fakeReplies{}
+	if decode(&Client{}, l, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); l.stray != 1 {
 		t.Error("an answer that nobody asked for is taken")
 	}
 }
@@ -119,9 +119,9 @@
 		t.Cleanup(func() { l.Post(l.Stop) })
 		o := make(outcome, 1)
 		l.Post(func() {
-			s := &Servers{Scheme: tiles.XYZ, Largest: 20, Most: 30}
-			f := upstream.New(l, upstream.Limits{Connections: 8, PerConnection: 1, ConnectTimeout: 60, Stall: 60, Idle: 60}, s.Wire, zerolog.Nop())
-			f.Listed(1, netip.MustParseAddrPort(ln.Addr().String()))
+			s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
+			f := upstream.New(l, upstream.Limits{MaxConnections: 8, MaxInFlightPerConnection: 1, ConnectTimeout: 60, StallTimeout: 60, IdleTimeout: 60}, s.NewCodec, zerolog.Nop())
+			f.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
 			f.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, o)
 		})
 		select {
