--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -113,11 +113,11 @@
 		return upstream.NewMemcacheCodec
 	}
 	servers := &tileclient.Client{
-		Scheme:  tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
-		Host:    cmp.Or(named.Host, named.Name),
-		ProbePath:   cmp.Or(named.Probe, defaultHealthCheckPath),
-		MaxBodyBytes: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		MaxBufferedBytes:    s.conf.HeldBytes,
+		Scheme:           tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
+		Host:             cmp.Or(named.Host, named.Name),
+		ProbePath:        cmp.Or(named.Probe, defaultHealthCheckPath),
+		MaxBodyBytes:     cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
+		MaxBufferedBytes: s.conf.HeldBytes,
 	}
 	return servers.NewCodec
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -68,11 +68,11 @@
 		p.log = s.log.With().Str("pool", p.name).Logger()
 	}
 	p.servers = upstream.New(s.loop, upstream.Limits{
-		MaxConnections:    options.connections,
-		MaxInFlightPerConnection:  requestsPerConnection(settings, options.requestsPerConnection),
-		ConnectTimeout: options.connectTimeout,
-		StallTimeout:          options.stallTimeout,
-		IdleTimeout:           options.idleTimeout,
+		MaxConnections:           options.connections,
+		MaxInFlightPerConnection: requestsPerConnection(settings, options.requestsPerConnection),
+		ConnectTimeout:           options.connectTimeout,
+		StallTimeout:             options.stallTimeout,
+		IdleTimeout:              options.idleTimeout,
 	}, options.wire, p.log)
 	p.core = s.newCore(p, settings)
 	return p
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -18,7 +18,7 @@
 	named       map[string]*pool // those of the operators' file, by name
 	retiring    []*pool          // no longer named, with requests open
 
-	retiredSends uint64                     // attempts sent to servers of pools that are gone
+	retiredSends uint64                             // attempts sent to servers of pools that are gone
 	retiredCuts  [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
 }
 
