--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -42,7 +42,7 @@
 		t.Errorf("took %d, room for %d, %d free slices", n, b.Room(), len(b.Free(nil)))
 	}
 	b.Drop(1000)
-	if b.Len() != 0 || b.buf != nil {
+	if b.Len() != 0 || b.memory != nil {
 		t.Error("an empty buffer that had grown keeps its memory")
 	}
 }
@@ -65,10 +65,10 @@
 			t.Errorf("it is offered %d bytes, want %d", n, want)
 		}
 	}
-	if read(100); b.buf != nil {
-		t.Errorf("with little to read it holds %d bytes", len(b.buf))
+	if read(100); b.memory != nil {
+		t.Errorf("with little to read it holds %d bytes", len(b.memory))
 	}
-	if n := read(1 << 20); n != small {
+	if n := read(1 << 20); n != initialBytes {
 		t.Errorf("after that it is offered %d bytes", n)
 	}
 }
