--- a/internal/eventloop/eventloop_test.go
+++ b/internal/eventloop/eventloop_test.go
@@ -127,7 +127,7 @@
 		}
 		held = false
 		c.Resume()
-		c.h.Input()
+		c.handler.Input()
 	})
 	await(t, happy, "closed")
 	l.Post(func() {
@@ -389,8 +389,8 @@
 	defer conn.Close()
 	conn.Write([]byte("x"))
 	for range 5 { // the listener is told of it meanwhile, and looks away
-		if err := dial(func() { time.Sleep(5 * time.Millisecond) }); err != unix.EMFILE || l.held != 1 {
-			t.Errorf("at the bound a dial gets %v, and %d are held", err, l.held)
+		if err := dial(func() { time.Sleep(5 * time.Millisecond) }); err != unix.EMFILE || l.descriptors.open != 1 {
+			t.Errorf("at the bound a dial gets %v, and %d are held", err, l.descriptors.open)
 		}
 	}
 	if err := dial(func() { c.Close() }); err != unix.EMFILE {
--- a/internal/ringbuffer/buffer.go
+++ b/internal/ringbuffer/buffer.go
@@ -41,8 +41,8 @@
 	return append(slices, b.memory[from:], b.memory[:wrapped])
 }
 
-// Held appends to slices the bytes that it holds, in order, and returns the result. They are valid until the buffer is
-// next changed.
+// Held appends to slices the bytes that it holds, in order, and returns the result. They are valid until the buffer
+// is next changed.
 func (b *Buffer) Held(slices [][]byte) [][]byte { return b.segment(slices, 0, b.length) }
 
 // Free appends to slices the memory that may be filled, in order, and returns the result; full memory grows first, as
@@ -52,8 +52,9 @@
 	return b.segment(slices, b.length, len(b.memory)-b.length)
 }
 
-// Fill takes n bytes that were laid into Free's slices. Where they fill the memory more is to come: the next read is
-// offered twice as much, also if these are dropped at once. Otherwise a megabyte would be read initialBytes at a time.
+// Fill takes n bytes that were laid into Free's slices. Where they fill the memory more is to come: the next read
+// is offered twice as much, also if these are dropped at once. Otherwise a megabyte would be read initialBytes at a
+// time.
 func (b *Buffer) Fill(n int) {
 	b.length += n
 	switch {
@@ -64,8 +65,8 @@
 	}
 }
 
-// Drop lets go of the first n bytes; n is at most Len. An empty buffer that had grown gives its memory back, unless the
-// last read filled it.
+// Drop lets go of the first n bytes; n is at most Len. An empty buffer that had grown gives its memory back, unless
+// the last read filled it.
 func (b *Buffer) Drop(n int) {
 	if n == 0 {
 		return
