--- /dev/null
+++ b/internal/eventloop/listener_test.go
@@ -0,0 +1,57 @@
+package eventloop
+
+import (
+	"os"
+	"testing"
+)
+
+// A listener closes its descriptor once: a second time it would close what another goroutine has opened meanwhile.
+func TestListenerClosesItsDescriptorOnce(t *testing.T) {
+	l, err := New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	go l.Run()
+	defer l.Post(l.Stop)
+	stop, broken := make(chan bool), make(chan error, 1)
+	go func() { // it opens files all the time, and finds whether one is closed under it
+		for {
+			select {
+			case <-stop:
+				close(broken)
+				return
+			default:
+			}
+			r, w, err := os.Pipe()
+			if err != nil {
+				broken <- err
+				return
+			}
+			_, err = w.Write([]byte{1})
+			w.Close()
+			r.Close()
+			if err != nil {
+				broken <- err
+				return
+			}
+		}
+	}()
+	for range 2000 {
+		done := make(chan error)
+		l.Post(func() {
+			ln, err := l.Listen("127.0.0.1:0", func() bool { return true }, nil)
+			if err == nil {
+				ln.Close()
+				ln.Close()
+			}
+			done <- err
+		})
+		if err := <-done; err != nil {
+			t.Fatal(err)
+		}
+	}
+	close(stop)
+	if err := <-broken; err != nil {
+		t.Errorf("another's file was closed: %v", err)
+	}
+}
--- /dev/null
+++ b/internal/eventloop/read_test.go
@@ -0,0 +1,51 @@
+package eventloop
+
+import (
+	"net"
+	"testing"
+	"time"
+)
+
+// A full buffer must stop the reading, hold the sender up and lose nothing; resumed, the rest comes.
+func TestFullMeansStopReading(t *testing.T) {
+	l := running(t)
+	took := make(chan *Conn, 1)
+	held := true
+	total := 0
+	addr, happy := listening(t, l, func(c *Conn) {
+		if !held {
+			total += c.In.Len()
+			c.In.Drop(c.In.Len())
+		} else if c.In.Room() == 0 {
+			c.Pause()
+			took <- c
+		}
+	})
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	const size = 32 << 20 // beyond what the kernel's buffers hold
+	go func() {
+		conn.Write(make([]byte, size))
+		conn.Close()
+	}()
+	c := <-took
+	time.Sleep(50 * time.Millisecond)
+	l.Post(func() {
+		if c.In.Len() != bufferBound {
+			t.Errorf("%d bytes are held, the bound is %d", c.In.Len(), bufferBound)
+		}
+		held = false
+		c.Resume()
+		c.handler.Input()
+	})
+	await(t, happy, "closed")
+	l.Post(func() {
+		if total != size {
+			t.Errorf("%d bytes came of %d", total, size)
+		}
+		happy <- "counted"
+	})
+	await(t, happy, "counted")
+}
--- /dev/null
+++ b/internal/eventloop/write_test.go
@@ -0,0 +1,38 @@
+package eventloop
+
+import (
+	"io"
+	"net"
+	"testing"
+	"time"
+)
+
+// What waits for a slow reader is written as it reads, also while nothing is read from it.
+func TestSlowReaderWhilePaused(t *testing.T) {
+	l := running(t)
+	const size = 8 << 20
+	left := size
+	var push func(c *Conn)
+	push = func(c *Conn) {
+		for left > 0 {
+			n := c.Write(make([]byte, min(left, bufferBound)))
+			if left -= n; n == 0 {
+				l.After(0.001, func() { push(c) })
+				return
+			}
+		}
+	}
+	addr, _ := listening(t, l, func(c *Conn) {
+		c.Pause()
+		push(c)
+	})
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	conn.Write([]byte("x"))
+	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
+	if n, err := io.CopyN(io.Discard, conn, size); err != nil {
+		t.Errorf("%d bytes of %d, %v", n, size, err)
+	}
+}
