--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -220,15 +220,15 @@
 func (t *team) Take(op *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	k := t.kinds[op.Class]
 	t.tally.Received++
-	ticket, why, after := t.pool.budgets.Admit(t.b.now(), t.Team, op.Class, k.guess)
-	if !why.Admitted() {
+	verdict := t.pool.budgets.Admit(t.b.now(), t.Team, op.Class, k.guess)
+	if !verdict.Admitted() {
 		t.tally.decline(requestcore.ReasonQuota)
-		client.Rejected(after)
+		client.Rejected(verdict.RetryAfter)
 		return nil, 0
 	}
 	t.b.places.ForceAcquire(t.place, 1)
 	t.pool.out.ForceAcquire(t.out, 1)
-	op.Account = &account{team: t, ticket: ticket}
+	op.Account = &account{team: t, ticket: verdict.Reservation}
 	op.Class, op.Tenant = k.name, t.Team
 	return t.pool.Core, t.pool.Core.Submit(op, client)
 }
--- a/internal/policy/quota/golden_test.go
+++ b/internal/policy/quota/golden_test.go
@@ -45,129 +45,157 @@
 func TestGoldenDemandScale(t *testing.T) {
 	var lines []string
 	for _, rate := range []float64{0, 9.99e-7, 1e-6, 2e-6, 0.001, 0.0137, 0.5, 1, 37.5, 1e6, 1e23, 1e40} {
-		x := scaled(rate)
-		lines = append(lines, fmt.Sprintf("%v %04x %v", rate, x, unscaled(x)))
+		x := packDemand(rate)
+		lines = append(lines, fmt.Sprintf("%v %04x %v", rate, x, unpackDemand(x)))
 	}
 	golden(t, "demand-scale", lines)
 }
 
-// The words between routers, byte for byte: of no team, of a few, of so many that they do not fit into one message. The file's bytes are read by
-// another router, whose part of the budgets shows what it understood.
+// The messages between routers, byte for byte: of no team, of a few, of so many that they do not fit into one
+// message. The file's bytes are read by another router, whose shares of the quotas show what it understood.
 func TestGoldenMessages(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 3, 41, 100} {
-		tr := routers(3, true, 1000, many(n)...)
+		routers := newFleet(3, true, 1000, manyQuotas(n)...)
 		var lines []string
 		for i := range 4 {
 			now := 101 + float64(i)*0.7
 			for j := range n {
-				tr.pools[1].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.01*float64(j%7))
+				routers.limiters[1].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.01*float64(j%7))
 				if i == 2 {
-					tr.pools[0].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.02)
+					routers.limiters[0].Admit(now, fmt.Sprintf("team-%d", j), "t", 0.02)
 				}
 			}
-			lines = append(lines, hex.EncodeToString(tr.parts[1].Message(now)))
+			lines = append(lines, hex.EncodeToString(routers.shares[1].Message(now)))
 		}
 		name := fmt.Sprintf("messages-%d-teams", n)
-		var want []string
-		if *writeGolden {
-			want = lines
-		} else {
+		written := lines
+		if !*writeGolden {
 			text, err := os.ReadFile(filepath.Join("testdata", name+".golden"))
 			if err != nil {
 				t.Fatal(err)
 			}
-			want = strings.Split(string(text), "\n")[:4]
+			written = strings.Split(string(text), "\n")[:4]
 		}
-		for i, text := range want {
-			words, err := hex.DecodeString(text)
+		reader := routers.shares[0]
+		for i, text := range written {
+			message, err := hex.DecodeString(text)
 			if err != nil {
 				t.Fatal(err)
 			}
-			lines = append(lines, fmt.Sprintf("read: %t", tr.parts[0].OnMessage(102.8+float64(i)*0.1, words)))
+			lines = append(lines, fmt.Sprintf("read: %t", reader.OnMessage(102.8+float64(i)*0.1, message)))
 		}
-		tr.parts[0].Recompute(103.3)
-		lines = append(lines, fmt.Sprintf("known: %v", tr.parts[0].LivePeers(103.3)))
-		for _, m := range tr.pools[0].Buckets() {
-			lines = append(lines, fmt.Sprintf("%s: part %v", m.Team, m.Share()))
+		reader.Recompute(103.3)
+		lines = append(lines, fmt.Sprintf("known: %v", reader.LivePeers(103.3)))
+		for _, b := range routers.limiters[0].Buckets() {
+			lines = append(lines, fmt.Sprintf("%s: part %v", b.Team, b.Share()))
 		}
 		golden(t, name, lines)
 	}
 }
 
-// What is decided, charged, lent and forgiven, to the last bit, over a minute with borrowers, changes of contracts, parts that move, clock steps
-// and teams that are not known.
+// goldenDecisions hashes all decisions of a limiter, and tells how it stands.
+type goldenDecisions struct {
+	limiter *Limiter
+	counts  map[Reason]int
+	sum     []byte
+}
+
+func (g *goldenDecisions) add(format string, about ...any) {
+	h := sha256.New()
+	h.Write(g.sum)
+	fmt.Fprintf(h, format, about...)
+	g.sum = h.Sum(nil)
+}
+
+func (g *goldenDecisions) line(now float64) string {
+	line := fmt.Sprintf("%.2f: %d %d %d %d, %x", now,
+		g.counts[WithinQuota], g.counts[Borrowed], g.counts[OverQuota], g.counts[UnknownTeam], g.sum[:8])
+	unused := g.limiter.Totals
+	line += fmt.Sprintf(" left %v of %v %v %v %v", g.limiter.Unused(),
+		unused.Filled, unused.Dropped, unused.Charged, unused.Forgiven)
+	for _, b := range g.limiter.Buckets() {
+		totals := b.Totals
+		line += fmt.Sprintf("; %s %v %v %v, %v %v %v %v %v, %d %d %d, %v %d",
+			b.Team, b.Balance(), b.Share(), b.Demand.Rate(now),
+			totals.Start, totals.Filled, totals.Spilled, totals.Charged, totals.Forgiven,
+			totals.WithinQuota, totals.Borrowed, totals.Rejected, totals.LoadUsed, totals.InFlight)
+	}
+	return line
+}
+
+// What is decided, charged, lent and forgiven, to the last bit, over a minute with borrowers, changes of quotas,
+// shares that move, clock steps, a service that hangs and teams that are not known.
 func TestGoldenDecisions(t *testing.T) {
-	chance := rand.New(rand.NewPCG(5, 50))
-	all := []Quota{{Team: "a", GuaranteedRate: 1, Burst: 0.5}, {Team: "b", GuaranteedRate: 0.7, Burst: 2, BorrowRate: 1, Weight: 3}, {Team: "c", GuaranteedRate: 0.3, Burst: 0.1, BorrowRate: 5},
-		{Team: "d", GuaranteedRate: 0, Burst: 0.2}, {Team: "e", GuaranteedRate: 0.2, Burst: 1, BorrowRate: 2, FlatCost: 0.02}, {Team: "g", BorrowRate: 3, Weight: 0.5}}
-	p := NewLimiter(100, 4, 7)
-	p.SetQuotas(100, 4, all)
-	other := NewLimiter(100, 1, 8)
-	other.SetQuotas(100, 1, all[1:3])
-	sum := []byte(nil)
-	add := func(format string, about ...any) {
-		h := sha256.New()
-		h.Write(sum)
-		fmt.Fprintf(h, format, about...)
-		sum = h.Sum(nil)
+	random := rand.New(rand.NewPCG(5, 50))
+	quotas := []Quota{
+		{Team: "a", GuaranteedRate: 1, Burst: 0.5},
+		{Team: "b", GuaranteedRate: 0.7, Burst: 2, BorrowRate: 1, Weight: 3},
+		{Team: "c", GuaranteedRate: 0.3, Burst: 0.1, BorrowRate: 5},
+		{Team: "d", GuaranteedRate: 0, Burst: 0.2},
+		{Team: "e", GuaranteedRate: 0.2, Burst: 1, BorrowRate: 2, FlatCost: 0.02},
+		{Team: "g", BorrowRate: 3, Weight: 0.5},
 	}
-	var out []*Reservation
+	l := NewLimiter(100, 4, 7)
+	l.SetQuotas(100, 4, quotas)
+	otherPool := NewLimiter(100, 1, 8)
+	otherPool.SetQuotas(100, 1, quotas[1:3])
+	decisions := &goldenDecisions{limiter: l, counts: map[Reason]int{}}
+	var open []*Reservation
 	var lines []string
-	counts := map[Reason]int{}
 	now := 100.0
 	for step := range 6000 {
 		now += 0.01
-		for range chance.IntN(5) {
-			team := string(rune('a' + chance.IntN(7)))
-			k, why, after := p.Admit(now, team, []string{"t", "u"}[chance.IntN(2)], 0.001+0.05*chance.Float64())
-			counts[why]++
-			add("%s %d %s %t %v\n", team, int(why), why, why.Admitted(), after)
-			if k != nil {
-				out = append(out, k)
+		for range random.IntN(5) {
+			team := string(rune('a' + random.IntN(7)))
+			verdict := l.Admit(now, team, []string{"t", "u"}[random.IntN(2)], 0.001+0.05*random.Float64())
+			reason := verdict.Reason
+			decisions.counts[reason]++
+			decisions.add("%s %d %s %t %v\n", team, int(reason), reason, verdict.Admitted(), verdict.RetryAfter)
+			if verdict.Reservation != nil {
+				open = append(open, verdict.Reservation)
 			}
 		}
-		for len(out) > 0 && chance.IntN(3) > 0 {
-			i := chance.IntN(len(out))
-			took := p.ChargeableTime(out[i], 0.001+0.1*chance.Float64()*chance.Float64())
-			if step > 5000 && chance.IntN(50) == 0 {
-				took = 7 // a service that hung
+		for len(open) > 0 && random.IntN(3) > 0 {
+			i := random.IntN(len(open))
+			load := l.ChargeableTime(open[i], 0.001+0.1*random.Float64()*random.Float64())
+			if step > 5000 && random.IntN(50) == 0 {
+				load = 7 // a service that hung
 			}
-			add("%v\n", took)
-			p.Settle(now, out[i], took)
-			out = append(out[:i], out[i+1:]...)
+			decisions.add("%v\n", load)
+			l.Settle(now, open[i], load)
+			open = append(open[:i], open[i+1:]...)
 		}
 		switch step {
 		case 1000:
-			p.SetUnreservedShare(now, 0.5)
-			for i, m := range p.Buckets() {
-				p.SetShare(now, m, 0.2*float64(i))
+			l.SetUnreservedShare(now, 0.5)
+			for i, b := range l.Buckets() {
+				l.SetShare(now, b, 0.2*float64(i))
 			}
 		case 2000:
-			p.SetQuotas(now, 5, []Quota{all[0], {Team: "b", GuaranteedRate: 2, Burst: 1}, {Team: "c", GuaranteedRate: 0.1, Burst: 3, BorrowRate: 1, Weight: 2}, all[4], {Team: "h", GuaranteedRate: 1, Burst: 1}})
+			l.SetQuotas(now, 5, []Quota{
+				quotas[0],
+				{Team: "b", GuaranteedRate: 2, Burst: 1},
+				{Team: "c", GuaranteedRate: 0.1, Burst: 3, BorrowRate: 1, Weight: 2},
+				quotas[4],
+				{Team: "h", GuaranteedRate: 1, Burst: 1},
+			})
 		case 2500:
 			now -= 30
 		case 3000:
 			now += 1000
 		case 3500:
-			p.SetQuotas(now, 3, all)
-			p.AdoptBalance(now, "b", other.Balance(now, "b"))
-			p.AdoptBalance(now, "nobody", 1)
-			p.SetUnreservedShare(now, 1)
+			l.SetQuotas(now, 3, quotas)
+			l.AdoptBalance(now, "b", otherPool.Balance(now, "b"))
+			l.AdoptBalance(now, "nobody", 1)
+			l.SetUnreservedShare(now, 1)
 		case 4000:
-			for _, m := range p.Buckets() {
-				p.SetShare(now, m, 1)
+			for _, b := range l.Buckets() {
+				l.SetShare(now, b, 1)
 			}
 		}
 		if step%100 == 99 {
-			line := fmt.Sprintf("%.2f: %d %d %d %d, %x", now, counts[WithinQuota], counts[Borrowed], counts[OverQuota], counts[UnknownTeam], sum[:8])
-			x := p.Totals
-			line += fmt.Sprintf(" left %v of %v %v %v %v", p.Unused(), x.Filled, x.Dropped, x.Charged, x.Forgiven)
-			for _, m := range p.Buckets() {
-				y := m.Totals
-				line += fmt.Sprintf("; %s %v %v %v, %v %v %v %v %v, %d %d %d, %v %d", m.Team, m.Balance(), m.Share(), m.Demand.Rate(now),
-					y.Start, y.Filled, y.Spilled, y.Charged, y.Forgiven, y.WithinQuota, y.Borrowed, y.Rejected, y.LoadUsed, y.InFlight)
-			}
-			add("%s\n", line)
+			line := decisions.line(now)
+			decisions.add("%s\n", line)
 			if step%500 == 499 {
 				lines = append(lines, line)
 			}
@@ -176,25 +204,28 @@
 	golden(t, "decisions", lines)
 }
 
-// The parts of the budgets that routers have come to, to the last bit, while they talk, fall silent, and say what cannot be used.
-// Of three routers: the demands of more others are added up in the order of a map, and the last bit of their sum is not always the same.
-func TestGoldenParts(t *testing.T) {
-	tr := routers(3, true, 8, Quota{Team: "a", GuaranteedRate: 4, Burst: 1}, Quota{Team: "b", GuaranteedRate: 1, Burst: 1, BorrowRate: 2})
+// The shares of the quotas that routers have come to, to the last bit, while they talk, fall silent, and send what
+// cannot be used. Of three routers: the demands of more others are added up in the order of a map, and the last bit
+// of their sum is not always the same.
+func TestGoldenShares(t *testing.T) {
+	routers := newFleet(3, true, 8,
+		Quota{Team: "a", GuaranteedRate: 4, Burst: 1},
+		Quota{Team: "b", GuaranteedRate: 1, Burst: 1, BorrowRate: 2})
 	var lines []string
 	now := 100.0
 	line := func(what string) {
 		text := what
-		for i, p := range tr.pools {
-			text += fmt.Sprintf("; %v", tr.parts[i].LivePeers(now))
-			for _, m := range p.Buckets() {
-				text += fmt.Sprintf(" %v %v", m.Share(), m.Balance())
+		for i, l := range routers.limiters {
+			text += fmt.Sprintf("; %v", routers.shares[i].LivePeers(now))
+			for _, b := range l.Buckets() {
+				text += fmt.Sprintf(" %v %v", b.Share(), b.Balance())
 			}
 		}
 		lines = append(lines, text)
 	}
 	run := func(what, team string, rate float64, split []float64) {
 		for range 3 {
-			got := tr.run(now, now+1, team, rate, split)
+			got := routers.run(now, now+1, team, rate, split)
 			now++
 			line(fmt.Sprintf("%s, %s got %v", what, team, got))
 		}
@@ -202,23 +233,33 @@
 	line("at the start")
 	run("skewed", "a", 800, []float64{0.8, 0.1, 0.1})
 	run("at one", "b", 300, []float64{0, 0, 1})
-	tr.talk = false
+	routers.talking = false
 	run("silent", "a", 800, []float64{0.25, 0.25, 0.5})
-	tr.talk = true
+	routers.talking = true
 	run("they talk again", "b", 100, []float64{0.5, 0.5, 0})
-	for i, words := range [][]byte{nil, {0xc7}, {0xc7, 1, 0, 0}, {0xc7, 1, 0, 1, 1, 2, 3, 4}, {0xc7, 1, 0, 1, 1, 2, 3, 4, 0xff, 0xff}, {0xc7, 1, 0, 1, 1, 2, 3, 4, 5, 6, 0},
-		{0xc7, 9, 0, 0}, {0xc7, 0, 0, 0}, {0xc8, 1, 0, 0}, {0xc7, 1, 0, 0, 0, 0}} {
-		line(fmt.Sprintf("message %d is read: %t", i, tr.parts[0].OnMessage(now, words)))
+	for i, datagram := range [][]byte{
+		nil,
+		{0xc7},
+		{0xc7, 1, 0, 0},
+		{0xc7, 1, 0, 1, 1, 2, 3, 4},
+		{0xc7, 1, 0, 1, 1, 2, 3, 4, 0xff, 0xff},
+		{0xc7, 1, 0, 1, 1, 2, 3, 4, 5, 6, 0},
+		{0xc7, 9, 0, 0},
+		{0xc7, 0, 0, 0},
+		{0xc8, 1, 0, 0},
+		{0xc7, 1, 0, 0, 0, 0},
+	} {
+		line(fmt.Sprintf("message %d is read: %t", i, routers.shares[0].OnMessage(now, datagram)))
 	}
 	run("on they go", "a", 400, []float64{0.5, 0, 0.5})
-	golden(t, "parts", lines)
+	golden(t, "shares", lines)
 }
 
 // What the operators' page calls each reason.
 func TestGoldenReasons(t *testing.T) {
 	var lines []string
-	for _, why := range []Reason{WithinQuota, Borrowed, OverQuota, UnknownTeam} {
-		lines = append(lines, fmt.Sprintf("%d %s %t", int(why), why, why.Admitted()))
+	for _, reason := range []Reason{WithinQuota, Borrowed, OverQuota, UnknownTeam} {
+		lines = append(lines, fmt.Sprintf("%d %s %t", int(reason), reason, reason.Admitted()))
 	}
 	golden(t, "reasons", lines)
 }
--- a/internal/policy/quota/helpers_test.go
+++ b/internal/policy/quota/helpers_test.go
@@ -6,88 +6,100 @@
 	"testing"
 )
 
-func pool(capacity float64, all ...Quota) *Limiter {
-	p := NewLimiter(100, capacity, 7)
-	p.SetQuotas(100, capacity, all)
-	return p
+// newTestLimiter is a limiter at the time 100.
+func newTestLimiter(capacity float64, quotas ...Quota) *Limiter {
+	l := NewLimiter(100, capacity, 7)
+	l.SetQuotas(100, capacity, quotas)
+	return l
 }
 
-// steady lets operations of a team come evenly, each taking so long from its start; it gives the load admitted.
+// flow is requests of a team that come evenly.
 type flow struct {
 	team string
-	rate float64 // operations a second
-	load float64 // seconds that each takes
+	rate float64 // requests a second
+	load float64 // seconds of load that each takes
 }
 
-type open struct {
-	k    *Reservation
-	ends float64
-	took float64
+// inFlight is an admitted request.
+type inFlight struct {
+	reservation *Reservation
+	endsAt      float64
+	load        float64
 }
 
-// run plays flows from one time to another in steps of a millisecond; every operation ends after what it takes. It gives
-// the load of admitted operations by team.
-func run(p *Limiter, from, to float64, flows ...flow) map[string]float64 {
-	got, due := map[string]float64{}, make([]float64, len(flows))
-	var out []open
+// run plays flows from one time to another in steps of a millisecond; every request ends 20 ms after its arrival. It
+// gives the load of admitted requests by team.
+func run(l *Limiter, from, to float64, flows ...flow) map[string]float64 {
+	admitted := map[string]float64{}
+	due := make([]float64, len(flows))
+	var open []inFlight
 	for i, now := 0, from; now < to; i, now = i+1, from+float64(i+1)*0.001 {
-		for len(out) > 0 && out[0].ends <= now {
-			p.Settle(now, out[0].k, out[0].took)
-			out = out[1:]
+		for len(open) > 0 && open[0].endsAt <= now {
+			l.Settle(now, open[0].reservation, open[0].load)
+			open = open[1:]
 		}
 		for j, f := range flows {
 			for due[j] += f.rate * 0.001; due[j] >= 1; due[j]-- {
-				if k, why, _ := p.Admit(now, f.team, "t", f.load); why.Admitted() {
-					got[f.team] += f.load
-					out = append(out, open{k, now + 0.02, f.load})
+				verdict := l.Admit(now, f.team, "t", f.load)
+				if verdict.Admitted() {
+					admitted[f.team] += f.load
+					open = append(open, inFlight{verdict.Reservation, now + 0.02, f.load})
 				}
 			}
 		}
 	}
-	for _, o := range out {
-		p.Settle(to, o.k, o.took)
+	for _, request := range open {
+		l.Settle(to, request.reservation, request.load)
 	}
-	return got
+	return admitted
 }
 
-// balanced checks that no load was lost or invented.
-func balanced(t interface {
+// reporter is a test, or one of a property.
+type reporter interface {
 	Helper()
 	Errorf(string, ...any)
-}, p *Limiter) {
+}
+
+// checkBalances checks that no load was lost or invented.
+func checkBalances(t reporter, l *Limiter) {
 	t.Helper()
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*(1+math.Abs(a)+math.Abs(b)) }
-	left := p.left
-	for _, m := range p.Buckets() {
-		if want := m.Totals.Start + m.Totals.Filled - m.Totals.Spilled - m.Totals.Charged + m.Totals.Forgiven; !near(m.balance, want) {
-			t.Errorf("%s has %v, its totals say %v", m.Team, m.balance, want)
+	unused := l.unused.available
+	for _, b := range l.Buckets() {
+		totals := b.Totals
+		want := totals.Start + totals.Filled - totals.Spilled - totals.Charged + totals.Forgiven
+		if !near(b.balance, want) {
+			t.Errorf("%s has %v, its totals say %v", b.Team, b.balance, want)
 		}
-		if m.balance > m.holds()+1e-6 {
-			t.Errorf("%s has %v, more than its burst %v", m.Team, m.balance, m.holds())
+		if b.balance > b.capacity()+1e-6 {
+			t.Errorf("%s has %v, more than its burst %v", b.Team, b.balance, b.capacity())
 		}
-		if m.full != (m.slot < 0) && m.fills() > 0 {
-			t.Errorf("%s: full is %v, its place among those that fill is %d", m.Team, m.full, m.slot)
+		if b.full != (b.fillIndex < 0) && b.fillRate() > 0 {
+			t.Errorf("%s: full is %v, its index among those that fill is %d", b.Team, b.full, b.fillIndex)
 		}
-		if left += m.own; m.asks {
-			left += (p.each - m.seen) * m.weight()
+		unused += b.borrowing.unused
+		if b.borrowing.active {
+			unused += (l.borrowers.perWeight - b.borrowing.perWeight) * b.weight()
 		}
 	}
-	x := p.Totals
-	if want := x.Filled - x.Dropped - x.Charged + x.Forgiven; !near(left, want) {
-		t.Errorf("%v is left unused, the totals say %v", left, want)
+	totals := l.Totals
+	want := totals.Filled - totals.Dropped - totals.Charged + totals.Forgiven
+	if !near(unused, want) {
+		t.Errorf("%v is unused, the totals say %v", unused, want)
 	}
 }
 
-func between(t *testing.T, what string, x, from, to float64) {
+func checkBetween(t *testing.T, what string, got, from, to float64) {
 	t.Helper()
-	if !(x >= from && x <= to) {
-		t.Errorf("%s is %.4f, not between %v and %v", what, x, from, to)
+	if !(got >= from && got <= to) {
+		t.Errorf("%s is %.4f, not between %v and %v", what, got, from, to)
 	}
 }
 
-func many(n int) (all []Quota) {
+// manyQuotas are those of team-0, team-1 and so on.
+func manyQuotas(n int) (quotas []Quota) {
 	for i := range n {
-		all = append(all, Quota{Team: fmt.Sprintf("team-%d", i), GuaranteedRate: 1, Burst: 1, BorrowRate: 1})
+		quotas = append(quotas, Quota{Team: fmt.Sprintf("team-%d", i), GuaranteedRate: 1, Burst: 1, BorrowRate: 1})
 	}
-	return all
+	return quotas
 }
