--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -2,11 +2,11 @@
 
 import "errors"
 
-// Handler is what the server calls. The methods are called from any goroutine, several at once, and must return within a
-// second. A nil error is answered with "done" or with the value; ErrUnknownServer and ErrUnknownZone with 404; any other
-// error, ErrBusy among them, with 503. The texts of errors are answered as they are.
+// Handler is what the server calls. The methods are called from any goroutine, several at once, and must return within
+// a second. A nil error is answered with "done" or with the value; ErrUnknownServer and ErrUnknownZone with 404; any
+// other error, ErrBusy among them, with 503. The texts of errors are answered as they are.
 type Handler interface {
-	// Ready tells whether the router accepts clients.
+	// Ready reports whether the router accepts clients.
 	Ready() bool
 	// Metrics returns the figures, a line each.
 	Metrics() []byte
@@ -16,7 +16,7 @@
 	// Drain sends clients away until Undrain.
 	Drain() error
 	Undrain() error
-	// Status tells how far the start is.
+	// Status returns how far the start is.
 	Status() (Status, error)
 	// Zones returns all zones, in the order in which they are shown.
 	Zones() ([]Zone, error)
@@ -25,13 +25,14 @@
 	RestoreZone(zone string) error
 }
 
-// Status is how far a start is.
+// Status is how far a start is. Its phase is that of package startup, from no known server up to full service, and not
+// service.Phase, which is where the process stands between its start and its exit.
 type Status struct {
-	Phase              string  `json:"phase"`
+	Phase              string  `json:"phase"`                // startup.Phase
 	PhaseSeconds       float64 `json:"for_s"`                // since the phase began
 	FullServiceSeconds float64 `json:"full_service_seconds"` // from the start to full service; 0: not reached yet
-	WaitsFor           string  `json:"waits_for"`
-	AcceptsClients     bool    `json:"taking_clients"`
+	WaitsFor           string  `json:"waits_for"`            // for what the phase waits, in words
+	AcceptsClients     bool    `json:"taking_clients"`       // service.Phase is Serving, with no drain or successor
 }
 
 // Zone is what operators see of one zone.
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -46,12 +46,12 @@
 	return max(minMessagePeriod, float64(c.settings.RouterCount)/maxMessagesHeard)
 }
 
-// heardLately tells whether what a peer said still counts.
+// heardLately reports whether what a peer said still counts.
 func (c *Controller) heardLately(now float64, p *peer) bool {
 	return now-p.lastHeard <= maxMissedMessages*c.messagePeriod()
 }
 
-// NextMessage gives the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
+// NextMessage returns the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
 // after each Tick. A message holds what is most needed; the rest is told in its turn.
 func (c *Controller) NextMessage(now float64) []byte {
 	if c.settings.RouterCount < 2 || len(c.zones) == 0 {
@@ -70,7 +70,7 @@
 	zones := slices.SortedFunc(maps.Values(c.zones), byNeed)
 	zones = zones[:min(len(zones), maxZonesPerMessage)]
 	for _, z := range zones {
-		z.announcement = announcement{owed: max(0, z.announcement.owed-1), lastSent: now}
+		z.announcement = announcement{pendingMessages: max(0, z.announcement.pendingMessages-1), lastSent: now}
 	}
 	c.MessagesSent++
 	return c.message(now, zones)
@@ -80,16 +80,16 @@
 // there or probes it, and this router has had an answer that it has not told of.
 func (c *Controller) noteObjections(now float64) {
 	for _, z := range c.zones {
-		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.owed > 0 {
+		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.pendingMessages > 0 {
 			continue
 		}
 		if z.state.evacuated() || c.contradictsPeer(now, z) {
-			z.announcement.owed = 1
+			z.announcement.pendingMessages = 1
 		}
 	}
 }
 
-// contradictsPeer tells whether this router had an answer in a zone after a peer began to have none.
+// contradictsPeer reports whether this router had an answer in a zone after a peer began to have none.
 func (c *Controller) contradictsPeer(now float64, z *zone) bool {
 	if now-z.announcement.lastSent <= 2*minMessageGap {
 		return false
@@ -103,10 +103,10 @@
 	return false
 }
 
-// hasNews tells whether others have to know something now.
+// hasNews reports whether others have to know something now.
 func (c *Controller) hasNews() bool {
 	for _, z := range c.zones {
-		if z.announcement.owed > 0 || z.announcement.newFailure && z.state != Evacuated {
+		if z.announcement.pendingMessages > 0 || z.announcement.newFailure && z.state != Evacuated {
 			return true
 		}
 	}
@@ -123,7 +123,7 @@
 
 // need is how much others need to hear of a zone; 0 is the most.
 func (z *zone) need() int {
-	if z.announcement.owed > 0 || z.announcement.newFailure {
+	if z.announcement.pendingMessages > 0 || z.announcement.newFailure {
 		return 0
 	}
 	if z.state != Serving || z.evidence.failingSince > 0 {
@@ -161,7 +161,7 @@
 	}
 }
 
-// OnMessage takes another router's datagram. It gives false if the datagram is of another kind or damaged, so that
+// OnMessage handles another router's datagram. It returns false if the datagram is of another kind or damaged, so that
 // the caller may offer it elsewhere; one that is late, doubled or this router's own is of this kind, and ignored.
 func (c *Controller) OnMessage(now float64, datagram []byte) bool {
 	data := unpack(datagram)
@@ -169,50 +169,50 @@
 		return false
 	}
 	c.noticeStandstill(now)
-	header := parseHeader(data)
-	if header.router == c.settings.RouterIndex || header.router >= c.settings.RouterCount || now < c.gossip.ignoreUntil {
+	head := parseHeader(data)
+	if head.router == c.settings.RouterIndex || head.router >= c.settings.RouterCount || now < c.gossip.ignoreUntil {
 		return true
 	}
-	p := c.sender(now, header)
+	p := c.sender(now, head)
 	if p == nil {
 		return true
 	}
 	if !c.heardLately(now, p) {
 		c.greet(now, p)
 	}
-	p.sequence = header.sequence
+	p.sequence = head.sequence
 	p.lastHeard = now
-	p.isolated = header.isolated
+	p.isolated = head.isolated
 	for rest := data[headerBytes:]; len(rest) >= reportBytes; rest = rest[reportBytes:] {
 		c.takeReport(p, parseReport(rest, now))
 	}
 	return true
 }
 
-// sender gives the peer that sent a message, a new one if need be; nil: the message is late or doubled.
-func (c *Controller) sender(now float64, header header) *peer {
-	p := c.peers[header.router]
+// sender returns the peer that sent a message, a new one if need be; nil: the message is late or doubled.
+func (c *Controller) sender(now float64, head header) *peer {
+	p := c.peers[head.router]
 	if p == nil {
-		p = &peer{incarnation: header.incarnation, reports: map[uint32]report{}}
-		c.peers[header.router] = p
+		p = &peer{incarnation: head.incarnation, reports: map[uint32]report{}}
+		c.peers[head.router] = p
 		c.greet(now, p)
 		return p
 	}
-	if slices.Contains(p.previousIncarnations, header.incarnation) {
+	if slices.Contains(p.previousIncarnations, head.incarnation) {
 		return nil
 	}
-	if p.incarnation == header.incarnation {
-		if int32(header.sequence-p.sequence) <= 0 {
+	if p.incarnation == head.incarnation {
+		if int32(head.sequence-p.sequence) <= 0 {
 			return nil
 		}
 		return p
 	}
-	p.restart(header.incarnation)
+	p.restart(head.incarnation)
 	c.greet(now, p)
 	return p
 }
 
-// restart takes that a peer is another process now: what the one before saw counts no more.
+// restart handles that a peer is another process now: what the one before saw counts no more.
 func (p *peer) restart(incarnation uint16) {
 	p.previousIncarnations = append(p.previousIncarnations, p.incarnation)
 	p.previousIncarnations = p.previousIncarnations[max(0, len(p.previousIncarnations)-maxPreviousIncarnations):]
--- a/internal/policy/zonefailover/message.go
+++ b/internal/policy/zonefailover/message.go
@@ -91,7 +91,7 @@
 	if r.operatorOverride {
 		state |= overrideFlag
 	}
-	step := byte(min(maxStepCount, r.lastStep.answered) | min(maxStepCount, r.lastStep.strained)<<stepBits)
+	step := byte(min(maxStepCount, r.lastStep.answered) | min(maxStepCount, r.lastStep.degraded)<<stepBits)
 	return append(data,
 		byte(r.hash), byte(r.hash>>8), byte(r.hash>>16),
 		state,
@@ -110,11 +110,11 @@
 		share:            min(float64(data[4])/shareSteps, 1),
 		lastAnswer:       decodeAge(now, data[5]),
 		failingSince:     decodeAge(now, data[6]),
-		lastStep:         stepCounts{answered: int(data[7] & maxStepCount), strained: int(data[7] >> stepBits)},
+		lastStep:         stepCounts{answered: int(data[7] & maxStepCount), degraded: int(data[7] >> stepBits)},
 	}
 }
 
-// encodeAge gives how long ago a time is, in steps; neverAge for the time 0.
+// encodeAge returns how long ago a time is, in steps; neverAge for the time 0.
 func encodeAge(now, at float64) byte {
 	if at == 0 {
 		return neverAge
@@ -122,7 +122,7 @@
 	return byte(min(maxAge, max(0, math.Round((now-at)/ageStep))))
 }
 
-// decodeAge gives the time of an age; 0 for neverAge.
+// decodeAge returns the time of an age; 0 for neverAge.
 func decodeAge(now float64, age byte) float64 {
 	if age == neverAge {
 		return 0
@@ -140,7 +140,7 @@
 	return datagram
 }
 
-// unpack gives the data of a datagram without the checksum; nil: it is of another kind, or damaged.
+// unpack returns the data of a datagram without the checksum; nil: it is of another kind, or damaged.
 func unpack(datagram []byte) []byte {
 	if len(datagram)%bytesPerData != 0 || len(datagram) < bytesPerData*(headerBytes+checksumBytes) {
 		return nil
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -50,7 +50,7 @@
 	})
 }
 
-// sharesOf gives the shares of all zones at all routers, by "router zone".
+// sharesOf returns the shares of all zones at all routers, by "router zone".
 func (sim *simulation) sharesOf() map[string]float64 {
 	shares := map[string]float64{}
 	for index, router := range sim.routers {
@@ -115,15 +115,15 @@
 	c := *router
 	c.zones, c.peers, c.changes = map[uint32]*zone{}, map[int]*peer{}, nil
 	for hash, z := range router.zones {
-		zone := *z
-		zone.attempts.open = maps.Clone(z.attempts.open)
-		c.zones[hash] = &zone
+		zoneCopy := *z
+		zoneCopy.attempts.open = maps.Clone(z.attempts.open)
+		c.zones[hash] = &zoneCopy
 	}
 	for index, p := range router.peers {
-		peer := *p
-		peer.reports = maps.Clone(p.reports)
-		peer.previousIncarnations = slices.Clone(p.previousIncarnations)
-		c.peers[index] = &peer
+		peerCopy := *p
+		peerCopy.reports = maps.Clone(p.reports)
+		peerCopy.previousIncarnations = slices.Clone(p.previousIncarnations)
+		c.peers[index] = &peerCopy
 	}
 	return &c
 }
@@ -137,8 +137,8 @@
 			z := router.find(name)
 			text += fmt.Sprint(z.state, z.share,
 				age(z.evidence.lastAnswer), age(z.evidence.failingSince), age(z.evidence.sufficientSince),
-				age(z.history.evacuatedAt), age(z.step.began), z.step.counts.answered, z.step.counts.strained,
-				z.announcement.newFailure, z.announcement.owed, age(z.announcement.lastSent), ";")
+				age(z.history.evacuatedAt), age(z.step.began), z.step.counts.answered, z.step.counts.degraded,
+				z.announcement.newFailure, z.announcement.pendingMessages, age(z.announcement.lastSent), ";")
 			for _, index := range slices.Sorted(maps.Keys(router.peers)) {
 				p := router.peers[index]
 				r := p.reports[z.hash]
@@ -155,7 +155,7 @@
 	return text
 }
 
-// next gives every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
+// next returns every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
 // second.
 func (m *model) next() (all []*model) {
 	for index := range m.routers {
--- /dev/null
+++ b/internal/service/lifecycle_test.go
@@ -0,0 +1,223 @@
+package service
+
+import (
+	"bufio"
+	"fmt"
+	"io"
+	"net"
+	"os"
+	"runtime"
+	"runtime/debug"
+	"strings"
+	"sync/atomic"
+	"syscall"
+	"testing"
+	"time"
+
+	"bendtrestle/balancer"
+	"bendtrestle/internal/requestcore"
+
+	"github.com/rs/zerolog"
+)
+
+// withoutDeadline is baseConfig with a traffic class that has no deadline.
+var withoutDeadline = strings.Replace(baseConfig, `"hardStop":2000000000,`, "", 1)
+
+// From start to exit: it serves, goes on accepting for a while once told to end, completes the requests in flight,
+// and ends by itself.
+func TestFromStartToExit(t *testing.T) {
+	// An answer takes longer than new connections are accepted.
+	s, addr, ended := startServing(t, startCacheServer(t, 700*time.Millisecond))
+	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
+		t.Errorf("serving, it answers %q", got)
+	}
+	s.loop.Post(s.beginShutdown)
+	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" {
+		t.Errorf("leaving, it answers %q", got)
+	}
+	select {
+	case err := <-ended:
+		if err != nil || s.lifecycle.phase != Ended {
+			t.Errorf("it ended %s, %v", s.lifecycle.phase, err)
+		}
+	case <-time.After(5 * time.Second):
+		t.Fatal("it does not end")
+	}
+	if got := sendCommand(addr, firstGet); got != "no connection" {
+		t.Errorf("ended, it answers %q", got)
+	}
+}
+
+// A client that keeps its connection and sends nothing does not keep the router from ending.
+func TestIdleClientDoesNotHoldTheEnd(t *testing.T) {
+	s, addr, ended := startServing(t, startCacheServer(t, 0))
+	conn, err := net.Dial("tcp", addr)
+	if err != nil {
+		t.Fatal(err)
+	}
+	defer conn.Close()
+	start := time.Now()
+	s.loop.Post(s.beginShutdown)
+	<-ended
+	if took := time.Since(start); took > 2*time.Second {
+		t.Errorf("it took %v to end", took)
+	}
+}
+
+// Without an endpoint list it accepts connections, rejects requests and does not say that it serves.
+func TestStarting(t *testing.T) {
+	s, addr, err := assembleConfig(baseConfig, "127.0.0.1:1", zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	go s.loop.Run()
+	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" {
+		t.Errorf("starting, mn is answered %q", got)
+	}
+	if got := sendCommand(addr, firstGet); got != "SERVER_ERROR busy" {
+		t.Errorf("starting, it answers %q", got)
+	}
+	s.loop.Post(s.end)
+}
+
+// Every cache server hangs, and a traffic class has no deadline: what is still open when the process must end is
+// answered first, and all of that can be read.
+func TestAllThatIsOpenAtTheEndIsAnswered(t *testing.T) {
+	list := startScriptedServer(t, func(net.Conn, string, string) {})
+	s, addr, err := assembleConfig(withoutDeadline, list, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- s.loop.Run() }()
+	waitServing(t, s)
+	conn, in := dialAndSend(t, addr, "a", "")
+	fmt.Fprintf(conn, "mg k1 v Oa Pc=t,d=60000\r\nmg k2 v Ob Pc=t,d=60000\r\n")
+	waitUntil(t, "both requests", s, func() bool { return s.clients.frontend.OpenRequests() == 2 })
+	s.loop.Post(s.beginShutdown)
+	waitUntil(t, "the phase finishing", s, func() bool { return s.lifecycle.phase == Finishing })
+	// Half a command does not hold up the end either.
+	fmt.Fprintf(conn, "mg k3 v Oc Pc=t,d=60000\r\nmg and then nothing")
+	all, err := io.ReadAll(in)
+	lines := strings.Split(string(all), "\r\n")
+	if err != nil || len(lines) != 4 || strings.Count(string(all), "SERVER_ERROR ") != 3 {
+		t.Errorf("three requests were answered by %q, %v", all, err)
+	}
+	<-ended
+}
+
+// Told to end before it is ready, and twice, it ends by itself, though a list comes after all.
+func TestToldToEndBeforeItIsReady(t *testing.T) {
+	s, addr, err := assembleConfig(baseConfig, "127.0.0.1:1", zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	ended := make(chan error, 1)
+	go func() { ended <- s.loop.Run() }()
+	runOnLoop(s, func() {
+		platform := s.pools.platform
+		s.beginShutdown()
+		s.beginShutdown()
+		platform.nextWatch = &endpointWatch{stop: func() {}}
+		platform.onList(platform.nextWatch, endpointList(1, "127.0.0.1:2", "ready"))
+	})
+	if got := sendCommand(addr, "mn"); got == "MN" {
+		t.Error("a process that ends says that it serves")
+	}
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it does not end")
+	}
+}
+
+// A client stands in the listener's backlog, with its command, as the listener is closed: it is accepted and
+// answered.
+func TestABacklogAsTheListenerCloses(t *testing.T) {
+	s, addr, _ := startServing(t, startCacheServer(t, 0))
+	var in *bufio.Reader
+	runOnLoop(s, func() {
+		for range 20 {
+			_, in = dialAndSend(t, addr, "a", "short")
+		}
+		s.lifecycle.phase = Leaving
+		s.finish()
+	})
+	line, err := in.ReadString('\n')
+	if line != "VA 2 Oa\r\n" && !strings.HasPrefix(line, "CLIENT_ERROR the id") {
+		t.Errorf("the last of them reads %q, %v", line, err)
+	}
+}
+
+// timeLeftRecorder is a balancer that notes how long requests may take, in seconds.
+type timeLeftRecorder struct {
+	requestcore.Balancer
+	left chan float64
+}
+
+func (r timeLeftRecorder) OnRequest(now float64, id uint64, class, tenant, key string, left float64) {
+	r.left <- left
+	r.Balancer.OnRequest(now, id, class, tenant, key, left)
+}
+
+// A request that comes once the process is told to end is given no more time than the process has.
+func TestRequestsDuringShutdownGetNoMoreTimeThanIsLeft(t *testing.T) {
+	left := make(chan float64, 10)
+	addr := freeAddress(t)
+	conf := parseConfig(t, withoutDeadline, addr, startCacheServer(t, 0), "")
+	newBalancer := func(now float64, settings balancer.Settings, host balancer.Host) requestcore.Balancer {
+		return timeLeftRecorder{requestcore.DefaultBalancer(now, settings, host), left}
+	}
+	s, err := assemble(Setup{Platform: conf}, newBalancer, zerolog.Nop())
+	if err != nil {
+		t.Fatal(err)
+	}
+	s.runLoop(t)
+	runOnLoop(s, s.beginShutdown)
+	sendCommand(addr, "mg k v Oa Pc=t,d=60000")
+	if got := <-left; got > defaultClientWaitSeconds+killMarginSeconds {
+		t.Errorf("it may take %v s", got)
+	}
+}
+
+// panickingLog is a log that panics once, at a line of the loop's own.
+type panickingLog struct{ panicked atomic.Bool }
+
+func (l *panickingLog) Write(line []byte) (int, error) {
+	if strings.Contains(string(line), `"message":"list"`) && l.panicked.CompareAndSwap(false, true) {
+		panic("no such line")
+	}
+	return len(line), nil
+}
+
+// A callback that panics does not end the process: it serves, and ends when it is told to.
+func TestACallbackFailsAndTheProcessServes(t *testing.T) {
+	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
+	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
+	addr := freeAddress(t)
+	log := &panickingLog{}
+	conf := parseConfig(t, baseConfig, addr, startCacheServer(t, 0), "")
+	signals := make(chan os.Signal, 1)
+	ended := make(chan error, 1)
+	go func() {
+		ended <- Run(Setup{Platform: conf}, signals, requestcore.DefaultBalancer, nil, zerolog.New(log))
+	}()
+	for i := 0; sendCommand(addr, firstGet) != "VA 2 Oa1" && i < 500; i++ {
+		time.Sleep(10 * time.Millisecond)
+	}
+	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" || !log.panicked.Load() {
+		t.Errorf("it answers %q, a callback has failed: %v", got, log.panicked.Load())
+	}
+	signals <- syscall.SIGTERM
+	select {
+	case err := <-ended:
+		if err != nil {
+			t.Error(err)
+		}
+	case <-time.After(10 * time.Second):
+		t.Error("it does not end")
+	}
+}
