--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -68,6 +68,7 @@
 //	executions          attempts
 //	faults              panics of the balancer
 //	open                requests without an answer, or with an attempt in flight
+//	clients             clients' connections, of the whole process
 //	idle                servers' connections without a request
 //	declined for REASON rejected requests by requestcore.ReasonNames
 //
