--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -65,13 +65,13 @@
 // TestGoldenMemcacheConversation holds the bytes of the answers that need no server, as a client reads them.
 func TestGoldenMemcacheConversation(t *testing.T) {
 	var text bytes.Buffer
-	untilClosed := func(s served, name, commands string) {
+	untilClosed := func(s testServer, name, commands string) {
 		conn, in := s.dial()
 		io.WriteString(conn, commands)
 		answers, err := io.ReadAll(in)
 		fmt.Fprintf(&text, "%s: %q -> %q %v\n", name, commands, answers, err)
 	}
-	untilAnswered := func(s served, name, commands, end string) {
+	untilAnswered := func(s testServer, name, commands, end string) {
 		conn, in := s.dial()
 		io.WriteString(conn, commands)
 		var answers []byte
@@ -84,18 +84,19 @@
 		}
 		fmt.Fprintf(&text, "%s: %q -> %q\n", name, commands, answers)
 	}
-	s := serve(t, ample)
+	s := startServer(t, ampleLimits)
 	untilAnswered(s, "starting", "mn\r\n", "starting\r\n")
-	s.do(s.SetReady)
+	s.onLoop(s.SetReady)
 	untilAnswered(s, "ready", "mn\r\n", "MN\r\n")
 	untilAnswered(s, "no quota", "mg k v O1 Pc=t,tenant=nobody\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "unknown class", "mg k v O2 Pc=u\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "bad deadline", "mg k v O3 Pc=t,d=x\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "no time left", "mg k v O4 Pc=t,d=0\r\nmn\r\n", "MN\r\n")
 	untilAnswered(s, "id of another request", "mg k v O4 Pc=t,d=0\r\nmg k v O4 Pc=t,d=0\r\nmn\r\n", "MN\r\n")
-	s.do(func() { s.SetDraining(true) })
+	s.onLoop(func() { s.SetDraining(true) })
 	untilAnswered(s, "draining", "mn\r\n", "draining\r\n")
 	untilClosed(s, "too many faults", "nonsense\r\nnonsense\r\nnonsense\r\nmn\r\n")
-	untilClosed(serve(t, bounds{Limits{Connections: 0, RejectConnections: 1}, 1, 1 << 20}), "beyond the limit", "mg k v O1 Pc=t\r\nmn\r\n")
+	full := startServer(t, testLimits{Limits{Connections: 0, RejectConnections: 1}, 1, 1 << 20})
+	untilClosed(full, "beyond the limit", "mg k v O1 Pc=t\r\nmn\r\n")
 	golden(t, "memcache-conversation", text.Bytes())
 }
--- /dev/null
+++ b/internal/frontend/helpers_test.go
@@ -0,0 +1,248 @@
+package frontend
+
+import (
+	"bufio"
+	"io"
+	"net"
+	"testing"
+	"time"
+
+	"bendtrestle/balancer"
+	"bendtrestle/internal/eventloop"
+	"bendtrestle/internal/requestcore"
+
+	"github.com/rs/zerolog"
+	"golang.org/x/sys/unix"
+)
+
+// heldUpstream holds attempts until the test ends them. It is the requestcore.Upstream of a testServer.
+type heldUpstream struct{ started chan *heldAttempt }
+
+// heldAttempt is an attempt that waits for the test.
+type heldAttempt struct {
+	request   *requestcore.Request
+	observer  requestcore.AttemptObserver
+	cancelled chan string
+}
+
+func (u heldUpstream) Probe(uint64, func(balancer.Outcome)) {}
+
+func (u heldUpstream) StartAttempt(
+	_ uint64, request *requestcore.Request, _, _ float64, observer requestcore.AttemptObserver,
+) requestcore.PendingAttempt {
+	attempt := &heldAttempt{request, observer, make(chan string, 1)}
+	u.started <- attempt
+	return attempt
+}
+
+func (h *heldAttempt) Cancel()         { h.cancelled <- "dropped" }
+func (h *heldAttempt) CancelIfUnsent() {}
+
+// testLimits are the limits of a frontend and of its dispatcher.
+type testLimits struct {
+	Limits
+	openRequests, heldBytes int
+}
+
+var ampleLimits = testLimits{Limits{Connections: 10}, 1000, 1 << 20}
+
+// testDispatcher routes all requests of the class "t" to one core, within limits. It is its own Route.
+type testDispatcher struct {
+	testLimits
+	core    *requestcore.Core
+	held    int    // bytes
+	onAdmit func() // called as a connection comes; nil: nothing is
+}
+
+func (d *testDispatcher) Route(_, tenant, _ string) requestcore.Route {
+	if tenant == "nobody" {
+		return nil
+	}
+	return d
+}
+
+func (d *testDispatcher) AdmitConnection(listener string) bool {
+	if d.onAdmit != nil {
+		d.onAdmit()
+	}
+	return listener != "full"
+}
+
+func (d *testDispatcher) ReleaseConnection(string) {}
+
+func (d *testDispatcher) MaxDeadline(class string) (float64, bool) { return 5000, class == "t" }
+
+func (d *testDispatcher) HasCapacity() bool {
+	return d.core.OpenRequests() < d.testLimits.openRequests && d.held < d.heldBytes
+}
+
+func (d *testDispatcher) AddHeldBytes(n int) { d.held += n }
+
+func (d *testDispatcher) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+	return d.core, d.core.Submit(request, client)
+}
+
+// testServer is a frontend on a loop, with one cache server.
+type testServer struct {
+	*Frontend
+	dispatcher *testDispatcher
+	heldUpstream
+	t    *testing.T
+	addr string
+}
+
+func startServer(t *testing.T, limits testLimits) testServer {
+	loop, err := eventloop.New()
+	if err != nil {
+		t.Fatal(err)
+	}
+	go loop.Run()
+	t.Cleanup(func() { loop.Post(loop.Stop) })
+	free, _ := net.Listen("tcp", "127.0.0.1:0")
+	s := testServer{
+		heldUpstream: heldUpstream{make(chan *heldAttempt, 1000)},
+		dispatcher:   &testDispatcher{testLimits: limits},
+		t:            t,
+		addr:         free.Addr().String(),
+	}
+	free.Close()
+	done := make(chan error)
+	loop.Post(func() {
+		s.dispatcher.core = newTestCore(loop, s.heldUpstream)
+		s.Frontend = New(loop, s.dispatcher, limits.Limits)
+		_, err := loop.Listen(s.addr, s.CanAccept, s.Acceptor("", Memcache))
+		done <- err
+	})
+	if err := <-done; err != nil {
+		t.Fatal(err)
+	}
+	return s
+}
+
+// newTestCore makes a core with one endpoint and the class "t".
+func newTestCore(loop *eventloop.Loop, upstream requestcore.Upstream) *requestcore.Core {
+	class := balancer.TrafficClass{
+		Name:             "t",
+		Idempotency:      balancer.Idempotent,
+		LatencyObjective: 1000,
+		Deadline:         5000,
+		PriorityWeight:   1,
+	}
+	settings := balancer.Settings{CancellationAllowed: true, TrafficClasses: []balancer.TrafficClass{class}}
+	dependencies := requestcore.Dependencies{
+		Clock:          loop,
+		Upstream:       upstream,
+		Gossip:         func([]byte) {},
+		WatchEndpoints: func(bool) {},
+		Log:            zerolog.Nop(),
+	}
+	core := requestcore.New(settings, dependencies, requestcore.DefaultBalancer)
+	core.OnEndpoints(balancer.UpdateFull, []balancer.Endpoint{{ID: 1, State: balancer.Ready, Capacity: 1}})
+	return core
+}
+
+func (s testServer) dial() (net.Conn, *bufio.Reader) {
+	conn, err := net.Dial("tcp", s.addr)
+	if err != nil {
+		s.t.Fatal(err)
+	}
+	conn.SetDeadline(time.Now().Add(5 * time.Second))
+	s.t.Cleanup(func() { conn.Close() })
+	return conn, bufio.NewReader(conn)
+}
+
+// succeed ends an attempt with a value, which is the receipt of a write.
+func (s testServer) succeed(h *heldAttempt, value string) {
+	s.loop.Post(func() {
+		h.observer.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Value: []byte(value), Receipt: value})
+	})
+}
+
+// onLoop calls a function on the loop's goroutine and waits for its end.
+func (s testServer) onLoop(call func()) {
+	done := make(chan bool)
+	s.loop.Post(func() { call(); close(done) })
+	<-done
+}
+
+// expect reads as many bytes as a text has and compares them.
+func expect(t *testing.T, in io.Reader, text string) {
+	t.Helper()
+	got := make([]byte, len(text))
+	n, err := io.ReadFull(in, got)
+	if string(got) != text {
+		t.Errorf("got %.200q, %d bytes of %d, want %.200q, %v", got[:n], n, len(text), text, err)
+	}
+}
+
+// result is what the cache server makes of a request.
+var result = requestcore.Result{Value: []byte("x")}
+
+// brokenBody is a body stream that breaks off after a byte.
+type brokenBody struct{}
+
+func (brokenBody) Length() int    { return 99999 }
+func (brokenBody) ResumeReading() {}
+func (brokenBody) Discard()       {}
+func (brokenBody) StartReading(sink requestcore.BodySink) {
+	sink.OnPart([]byte("x"))
+	sink.OnBroken()
+}
+
+// closeWrite ends a client's sending and waits until the other side's kernel knows.
+func closeWrite(t *testing.T, conn net.Conn) {
+	t.Helper()
+	conn.(*net.TCPConn).CloseWrite()
+	raw, _ := conn.(*net.TCPConn).SyscallConn()
+	const finWait2, closed = 5, 7 // of the kernel's states; closed: it was even answered by a reset
+	for i := 0; ; i++ {
+		state := uint8(0)
+		raw.Control(func(fd uintptr) {
+			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
+				state = info.State
+			}
+		})
+		if state == finWait2 || state == closed {
+			return
+		}
+		if i > 5000 {
+			t.Fatalf("the end is not acknowledged, state %d", state)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
+
+// reset ends a client by a reset and waits, on the loop, until it has come.
+func (s testServer) reset(conn net.Conn) {
+	conn.(*net.TCPConn).SetLinger(0)
+	conn.Close()
+	for c := range s.connections {
+		for !c.conn.Gone() {
+			time.Sleep(time.Millisecond)
+		}
+	}
+}
+
+// expectServed reports an error unless the command O1 is served.
+func (s testServer) expectServed(name string, in io.Reader) {
+	s.t.Helper()
+	select {
+	case h := <-s.started:
+		s.succeed(h, "x")
+		expect(s.t, in, "VA 1 O1\r\nx\r\n")
+	case <-time.After(5 * time.Second):
+		s.t.Errorf("%s: the command is not served", name)
+	}
+}
+
+// waitForNoClients waits until no client is left.
+func (s testServer) waitForNoClients() {
+	s.t.Helper()
+	for i, n := 0, 1; n > 0; i++ {
+		s.onLoop(func() { n = len(s.connections) })
+		if i > 5000 {
+			s.t.Fatalf("%d connections stay", n)
+		}
+		time.Sleep(time.Millisecond)
+	}
+}
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -46,8 +46,9 @@
 func (echoRoute) HasCapacity() bool                        { return true }
 func (echoRoute) AddHeldBytes(int)                         {}
 func (echoRoute) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
-	value := fmt.Sprintf("class %q tenant %q key %q id %q flags %q figures %q write %t time left %v\n", request.Class, request.Tenant,
-		request.Key, request.ID, request.Flags, request.Figures, request.Write, request.TimeLeft)
+	value := fmt.Sprintf("class %q tenant %q key %q id %q flags %q figures %q write %t time left %v\n",
+		request.Class, request.Tenant, request.Key, request.ID, request.Flags, request.Figures, request.Write,
+		request.TimeLeft)
 	client.Succeeded(requestcore.Result{Status: 200, Head: "Content-Type: image/png\r\n", Value: []byte(value)})
 	return nil, 0
 }
@@ -82,7 +83,8 @@
 		for _, keep := range []bool{true, false} {
 			request := &requestcore.Request{Figures: answerForm(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
-			line(name+"tile", codec.Succeeded(request, requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")})...)
+			tile := requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")}
+			line(name+"tile", codec.Succeeded(request, tile)...)
 			line(name+"empty tile", codec.Succeeded(request, requestcore.Result{Status: 200})...)
 			line(name+"not modified", codec.Succeeded(request, requestcore.Result{Status: 304, Head: "ETag: \"a\"\r\n"})...)
 			line(name+"no content", codec.Succeeded(request, requestcore.Result{Status: 204})...)
@@ -116,7 +118,8 @@
 			free, _ := net.Listen("tcp", "127.0.0.1:0")
 			addresses[listener] = free.Addr().String()
 			free.Close()
-			if _, err := loop.Listen(addresses[listener], front.CanAccept, front.Acceptor(listener, server.Protocol)); err != nil {
+			accept := front.Acceptor(listener, server.Protocol)
+			if _, err := loop.Listen(addresses[listener], front.CanAccept, accept); err != nil {
 				t.Error(err)
 			}
 		}
@@ -144,7 +147,8 @@
 	onLoop(func() { server.Configure(goldenService(), "tile", "X-Wait") })
 	ask("tile", "", tile+end)
 	ask("tile, head", "", "HEAD /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\nCookie: c\r\nX-Request-Id: 7\r\n"+
+	ask("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\n"+
+		"Cookie: c\r\nX-Request-Id: 7\r\n"+
 		"If-Modified-Since: d\r\nAccept-Encoding: gzip\r\n"+end)
 	for _, wait := range []string{"0", "-1", "soon", "1e3", "NaN", "99999", "."} {
 		ask("wait "+wait, "", tile+"X-Wait: "+wait+"\r\n"+end)
