--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -5,116 +5,128 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// bodyStallTimeout is how long a cache server may give nothing of a long value: peers take seconds, and one that is cut off never goes on.
-const bodyStallTimeout = 5
-
-// bodyStream is a long value on its way from a server's connection to whoever takes it.
+// bodyStream is a body on its way from a connection to its sink. It is a requestcore.BodyStream.
 type bodyStream struct {
-	connection *connection // nil once it is whole or broken
-	length     int
+	connection *connection // nil once the body is complete or broken
+	length     int         // bytes
 	sink       requestcore.BodySink
-	outcome    func(requestcore.BodySink) // what became of it, where nobody had pulled yet
+	ending     func(requestcore.BodySink) // what to call on a sink that comes after the end; nil: it has not ended
 }
 
-// Length is how many bytes it has.
-func (p *bodyStream) Length() int { return p.length }
+// Length is how many bytes the body has.
+func (b *bodyStream) Length() int { return b.length }
 
-// StartReading hands it on from now on.
-func (p *bodyStream) StartReading(to requestcore.BodySink) {
-	if p.sink = to; p.outcome != nil {
-		p.finish(p.outcome)
+// StartReading hands the body to a sink from now on.
+func (b *bodyStream) StartReading(sink requestcore.BodySink) {
+	b.sink = sink
+	if b.ending != nil {
+		b.finish(b.ending)
 		return
 	}
-	p.ResumeReading()
+	b.ResumeReading()
 }
 
-// ResumeReading goes on reading.
-func (p *bodyStream) ResumeReading() {
-	if l := p.connection; l != nil && p.sink != nil {
-		l.Input()
-		if p.connection != nil && l.socket.In.Room() > 0 {
-			l.socket.Resume()
-		}
+// ResumeReading goes on reading; the sink calls it when it has room again.
+func (b *bodyStream) ResumeReading() {
+	c := b.connection
+	if c == nil || b.sink == nil {
+		return
+	}
+	c.Input()
+	if b.connection != nil && c.socket.In.Room() > 0 {
+		c.socket.Resume()
 	}
 }
 
-// Discard gives it up: the rest is of no use, and its connection ends. Where others wait for answers behind it the rest is let go of as it
-// comes: a client that leaves does not end the attempts of others.
-func (p *bodyStream) Discard() {
-	if l := p.connection; l != nil && l.awaitedBesides(nil) {
-		p.sink = discardSink{}
-		l.pool.pools.loop.Later(p.ResumeReading)
+// Discard gives the rest up, and its connection ends. Where others wait for replies behind it, the rest is read and
+// dropped instead: a client that leaves does not end the attempts of others.
+func (b *bodyStream) Discard() {
+	c := b.connection
+	if c != nil && c.awaitedBesides(nil) {
+		b.sink = discardSink{}
+		c.pool.pools.loop.Later(b.ResumeReading)
 		return
-	} else if l != nil {
-		l.fail(ClientDisconnected)
 	}
-	p.sink, p.outcome = nil, func(requestcore.BodySink) {}
-}
-
-// awaited tells whether somebody waits for the rest of it.
-func (p *bodyStream) awaited() bool { return p.sink != discardSink{} && p.outcome == nil }
-
-// finish tells what became of it, once there is somebody to tell.
-func (p *bodyStream) finish(how func(requestcore.BodySink)) {
-	if p.outcome = how; p.sink != nil {
-		to := p.sink
-		p.sink = nil
-		how(to)
+	if c != nil {
+		c.fail(ClientDisconnected)
 	}
+	b.sink = nil
+	b.ending = func(requestcore.BodySink) {}
 }
 
-// OnBodyStart settles the attempt whose turn it is at the first bytes of a long value. It stays first on its connection until all of
-// that has come.
-func (l *connection) OnBodyStart(length int) {
-	if len(l.inFlight) == 0 || !l.inFlight[0].fullyWritten() {
-		l.fail(UnexpectedReply)
+// awaited tells whether somebody waits for the rest.
+func (b *bodyStream) awaited() bool { return b.sink != discardSink{} && b.ending == nil }
+
+// finish tells the sink how the body ended, now or once there is a sink.
+func (b *bodyStream) finish(ending func(requestcore.BodySink)) {
+	b.ending = ending
+	if b.sink == nil {
 		return
 	}
-	l.body = &bodyStream{connection: l, length: length}
-	if l.inFlight[0].settled { // nobody waits for it, but for what is behind it
-		l.body.sink = discardSink{}
-	}
-	l.inFlight[0].settle(balancer.Succeeded, requestcore.Result{Body: l.body})
+	sink := b.sink
+	b.sink = nil
+	ending(sink)
 }
 
-// discardSink takes what discardSink wants.
+// discardSink takes a body that nobody waits for.
 type discardSink struct{}
 
 func (discardSink) OnPart(part []byte) int { return len(part) }
 func (discardSink) OnComplete()            {}
 func (discardSink) OnBroken()              {}
 
-// OnBodyPart takes the next bytes, as far as they can be handed on. The rest is held: a server may end the connection right behind an answer,
-// and its taker reads the end of that much later.
-func (l *connection) OnBodyPart(part []byte) (n int) {
-	if l.body != nil && l.body.sink != nil {
-		n = l.body.sink.OnPart(part)
+// OnBodyStart settles the attempt whose turn it is with a body that follows. The attempt stays the first in flight
+// until all of the body has come.
+func (c *connection) OnBodyStart(length int) {
+	if len(c.inFlight) == 0 || !c.inFlight[0].fullyWritten() {
+		c.fail(UnexpectedReply)
+		return
+	}
+	first := c.inFlight[0]
+	c.body = &bodyStream{connection: c, length: length}
+	if first.settled { // nobody waits for it, but for what is behind it
+		c.body.sink = discardSink{}
+	}
+	first.settle(balancer.Succeeded, requestcore.Result{Body: c.body})
+}
+
+// OnBodyPart hands the next bytes of a body on, and returns how many were taken. The rest is held: a server may end
+// the connection right behind a reply, and the sink is told of the end after all bytes.
+func (c *connection) OnBodyPart(part []byte) int {
+	taken := 0
+	if c.body != nil && c.body.sink != nil {
+		taken = c.body.sink.OnPart(part)
 	}
-	l.socket.Hold(n < len(part))
-	return n
+	c.socket.Hold(taken < len(part))
+	return taken
 }
 
-// OnBodyEnd takes the end of a long value. If nobody waits for an answer behind it any more the connection is of no use.
-func (l *connection) OnBodyEnd() {
-	p := l.body
-	if p == nil {
+// OnBodyEnd takes the end of a body. If nobody waits for a reply behind it the connection is of no use any more.
+func (c *connection) OnBodyEnd() {
+	body := c.body
+	if body == nil {
+		return
+	}
+	c.body = nil
+	body.connection = nil
+	c.inFlight = c.inFlight[1:]
+	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnComplete) })
+	if len(c.inFlight) == 0 {
+		c.pool.release(c)
 		return
 	}
-	l.body, p.connection = nil, nil
-	l.inFlight = l.inFlight[1:]
-	l.pool.pools.loop.Later(func() { p.finish(requestcore.BodySink.OnComplete) })
-	switch {
-	case len(l.inFlight) == 0:
-		l.pool.release(l)
-	case !l.awaitedBesides(nil):
-		l.fail(AttemptAbandoned)
+	if !c.awaitedBesides(nil) {
+		c.fail(AttemptAbandoned)
 	}
 }
 
-// breakBody tells that the rest of a long value will not come.
-func (l *connection) breakBody() {
-	if p := l.body; p != nil {
-		l.body, p.connection = nil, nil
-		l.pool.pools.loop.Later(func() { p.finish(requestcore.BodySink.OnBroken) })
+// breakBody tells that the rest of a body will not come, if one is being passed on.
+func (c *connection) breakBody() {
+	body := c.body
+	if body == nil {
+		return
 	}
+	c.body = nil
+	body.connection = nil
+	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnBroken) })
 }
--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -45,8 +45,8 @@
 	}
 }
 
-// What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was told to drain,
-// or its window is over; and what is before it goes on.
+// What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was
+// told to drain, or its window is over; and what is before it goes on.
 func TestWhatTheKernelHasNotBegunToTakeIsTakenBack(t *testing.T) {
 	for name, cross := range map[string]func(f fleet, b requestcore.PendingAttempt){
 		"its client leaves": func(_ fleet, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
@@ -103,7 +103,8 @@
 	}
 }
 
-// A server that moves while a connection to where it was comes up must not be sent to there: another may be there by now.
+// A server that moves while a connection to where it was comes up must not be sent to there: another may be there by
+// now.
 func TestAServerMovesWhileAConnectionComesUp(t *testing.T) {
 	f, before := listening(t, usual)
 	other, after := listening(t, usual)
@@ -141,8 +142,8 @@
 	second.want(t, balancer.Succeeded)
 }
 
-// The sweep of idle connections comes late where the loop was stopped: an old one is not written to, for its server may be closing
-// it, and what it was sent may have run.
+// The sweep of idle connections comes late where the loop was stopped: an old one is not written to, for its server
+// may be closing it, and what it was sent may have run.
 func TestAnIdleConnectionIsNotUsedWhenItIsOld(t *testing.T) {
 	f, conns := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
@@ -161,8 +162,8 @@
 	}
 }
 
-// A reply that is said twice names no operation where it is a refusal. Right behind another reply it proves nothing to one that
-// must not run twice.
+// A reply that is said twice names no operation where it is a refusal. Right behind another reply it proves nothing
+// to one that must not run twice.
 func TestARefusalRightBehindAnotherReplyProvesNothing(t *testing.T) {
 	for _, c := range []struct {
 		once   bool
@@ -184,7 +185,8 @@
 	}
 }
 
-// At the bound, what waited for a connection is piped once it is up: it waited for the answers before it, or its own end.
+// At the bound, what waited for a connection is piped once it is up: it waited for the answers before it, or its own
+// end.
 func TestWhatWaitsIsPipedOnceAConnectionIsUp(t *testing.T) {
 	limits := usual
 	limits.MaxConnections = 1
@@ -223,7 +225,8 @@
 	}
 }
 
-// A drain is told in the round in which a connection to the server has come up: nothing is written there, and it is not kept.
+// A drain is told in the round in which a connection to the server has come up: nothing is written there, and it is
+// not kept.
 func TestADrainIsToldAsAConnectionComesUp(t *testing.T) {
 	f, conns := listening(t, usual)
 	o := make(outcome, 1)
@@ -265,7 +268,8 @@
 	}
 }
 
-// A server ends each connection right as it comes up: that is no connection, and none is made anew as fast as that goes.
+// A server ends each connection right as it comes up: that is no connection, and none is made anew as fast as that
+// goes.
 func TestAServerThatEndsEachConnectionIsNotStormed(t *testing.T) {
 	f, conns := listening(t, usual)
 	for range 20 {
@@ -339,7 +343,8 @@
 	})
 }
 
-// A server is gone and back, elsewhere, in one list: what waited for it is told that it was not sent, what comes next goes where it is now.
+// A server is gone and back, elsewhere, in one list: what waited for it is told that it was not sent, what comes next
+// goes where it is now.
 func TestAServerIsGoneAndBackInOneRound(t *testing.T) {
 	f, before := listening(t, usual)
 	other, after := listening(t, usual)
@@ -360,7 +365,8 @@
 	}
 }
 
-// A connection comes up after what it was made for has settled: it is kept for the next, and nothing is written on it before that.
+// A connection comes up after what it was made for has settled: it is kept for the next, and nothing is written on it
+// before that.
 func TestAConnectionComesUpAfterItsAttemptSettled(t *testing.T) {
 	f, conns := listening(t, usual)
 	first, second := make(outcome, 1), make(outcome, 1)
@@ -419,8 +425,9 @@
 	conn.Close()
 }
 
-// A server ends its connection right behind a long answer, and what takes the value does so late, in parts: it gets all of it, whether
-// the end is heard while nothing is read, while the rest is held here, or with the bytes in one round, as a close or as a reset.
+// A server ends its connection right behind a long answer, and what takes the value does so late, in parts: it gets
+// all of it, whether the end is heard while nothing is read, while the rest is held here, or with the bytes in one
+// round, as a close or as a reset.
 func TestTheEndBehindALongValueThatIsTakenLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		length, taken int // bytes in all, and of them those that are taken before the end comes
@@ -481,8 +488,8 @@
 	}
 }
 
-// A server answers and its connection is reset; what is written behind that in the same round fails. The answer is read all the same, and
-// what could not be written never ran.
+// A server answers and its connection is reset; what is written behind that in the same round fails. The answer is
+// read all the same, and what could not be written never ran.
 func TestAnAnswerBeforeAWriteThatFails(t *testing.T) {
 	limits := usual
 	limits.MaxConnections = 1
@@ -500,8 +507,8 @@
 	second.want(t, balancer.ConnectFailed)
 }
 
-// A client leaves while its long value is on its way, and another's attempt is out behind it: that gets its own answer, and the rest of the
-// value is let go of.
+// A client leaves while its long value is on its way, and another's attempt is out behind it: that gets its own
+// answer, and the rest of the value is let go of.
 func TestALongValueIsLeftWithAnotherBehindIt(t *testing.T) {
 	limits := usual
 	limits.MaxConnections = 1
@@ -590,8 +597,9 @@
 
 func (left) StillWanted() bool { return false }
 
-// The loop was stopped for longer than an execution may wait to be written, or its client left meanwhile, and in the round in which
-// it goes on there is a connection for it: it is not written, for its repeats are not dropped any more, or nobody waits for it.
+// The loop was stopped for longer than an execution may wait to be written, or its client left meanwhile, and in the
+// round in which it goes on there is a connection for it: it is not written, for its repeats are not dropped any
+// more, or nobody waits for it.
 func TestWhatHasWaitedTooLongIsNotWritten(t *testing.T) {
 	const within = 0.02
 	for name, begin := range map[string]func(f fleet, o outcome) *attempt{
@@ -662,8 +670,8 @@
 	}
 }
 
-// A write has begun to leave behind a long value that is on its way back, which must not be cut off: given up, its rest goes on to
-// leave, so that it may run, and it is not told as one that never did.
+// A write has begun to leave behind a long value that is on its way back, which must not be cut off: given up, its
+// rest goes on to leave, so that it may run, and it is not told as one that never did.
 func TestWhatGoesOnToLeaveMayRun(t *testing.T) {
 	for name, giveUp := range map[string]func(b *attempt){
 		"at its limit":      (*attempt).onTimer,
--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -93,7 +93,8 @@
 	return f, conns
 }
 
-// full is an address whose backlog is full, so that connections do not come up there, until they are accepted: accept gives the last.
+// full is an address whose backlog is full, so that connections do not come up there, until they are accepted: accept
+// gives the last.
 func full(t *testing.T) (at netip.AddrPort, accept func() net.Conn) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
@@ -400,9 +401,9 @@
 	o.want(t, balancer.NotAttempted)
 }
 
-// At the bound executions are piped. Where nobody waits for one any more the others on its connection go on, each with its own
-// answer: it was ended for all, so that a client who left cost another its operation, and its server a failure. One that has no
-// answer in time still ends it, and what was piped there may have run.
+// At the bound executions are piped. Where nobody waits for one any more the others on its connection go on, each
+// with its own answer: it was ended for all, so that a client who left cost another its operation, and its server a
+// failure. One that has no answer in time still ends it, and what was piped there may have run.
 func TestPipedBehindADroppedOne(t *testing.T) {
 	limits := usual
 	limits.MaxConnections = 1
@@ -427,8 +428,9 @@
 	close(answer)
 }
 
-// What is not written whole when the connection breaks never ran: it may be made again whatever it does. The server breaks it once all are
-// on their way; by a clock it might break it sooner, and what it had not been given yet would go whole by the next connection.
+// What is not written whole when the connection breaks never ran: it may be made again whatever it does. The server
+// breaks it once all are on their way; by a clock it might break it sooner, and what it had not been given yet would
+// go whole by the next connection.
 func TestBreaksBeforeTheLastByte(t *testing.T) {
 	all := make(chan bool)
 	f := serving(t, usual, func(conn net.Conn, _ string) {
@@ -581,8 +583,9 @@
 	return n
 }
 
-// A long value settles its execution at the first bytes, is read no faster than it is taken, and is not cut off by what is given up
-// behind it, nor by a stall while it is not taken. One whose server gives nothing more is broken. Each counts as sent once, a probe never.
+// A long value settles its execution at the first bytes, is read no faster than it is taken, and is not cut off by
+// what is given up behind it, nor by a stall while it is not taken. One whose server gives nothing more is broken.
+// Each counts as sent once, a probe never.
 func TestLongValues(t *testing.T) {
 	const length = 1 << 20
 	part := make(chan int)
@@ -649,7 +652,8 @@
 func (r results) OnAttemptEnd(_ balancer.Outcome, with requestcore.Result) { r <- with }
 func (r results) StillWanted() bool                                        { return true }
 
-// A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's, whole.
+// A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's,
+// whole.
 func TestAReplyInPieces(t *testing.T) {
 	for form, c := range map[string]struct {
 		reply string
@@ -700,8 +704,8 @@
 	}
 }
 
-// A connection takes longer to come up than a repeat's window is: the repeat is told as not sent as that ends, and nothing is written
-// for it when the connection is there.
+// A connection takes longer to come up than a repeat's window is: the repeat is told as not sent as that ends, and
+// nothing is written for it when the connection is there.
 func TestAWindowEndsBeforeAConnectionIsUp(t *testing.T) {
 	limits := usual
 	limits.ConnectTimeout = 60
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -1,9 +1,9 @@
-// Package tileclient speaks HTTP to tile servers, by the scheme that their pool wants; all else of the connections is shared.
 package tileclient
 
 import (
 	"fmt"
 	"math"
+	"net/http"
 	"strings"
 
 	"bendtrestle/balancer"
@@ -14,125 +14,135 @@
 	"bendtrestle/internal/upstream"
 )
 
-// Client are a pool's tile servers.
-type Client struct {
-	Scheme           tiles.Scheme
-	Host             string // that requests name
-	ProbePath        string // a path that answers when a server is there
-	MaxBodyBytes     int    // bytes of a body: a larger one is refused at its header
-	MaxBufferedBytes int    // bytes of bodies that are on their way, over all connections
-	bufferedBytes    int
-}
-
-// NewCodec makes the protocol of a connection.
-func (s *Client) NewCodec(l upstream.ReplyHandler) upstream.Codec {
-	return &codec{client: s, replies: l}
-}
-
-// BufferedBytes is how many bytes of bodies are on their way.
-func (s *Client) BufferedBytes() int { return s.bufferedBytes }
+// minSecondsLeft is the least time that a server is told a request has: it is told whole milliseconds, and at least
+// one.
+const minSecondsLeft = 1e-3
 
+// codec is the upstream.Codec of one connection, and its reader's http1.Replies.
 type codec struct {
 	client  *Client
 	replies upstream.ReplyHandler
 	reader  http1.ResponseReader
-	status  int
-	head    strings.Builder
-	body    []byte
+	status  int             // of the reply at hand
+	head    strings.Builder // its forwarded headers
+	body    []byte          // as far as it has come
 }
 
-// ForwardedHeaders are the headers of an answer that clients get as they are.
-var ForwardedHeaders = map[string]string{"content-type": "Content-Type", "content-encoding": "Content-Encoding", "etag": "ETag",
-	"last-modified": "Last-Modified", "cache-control": "Cache-Control", "expires": "Expires", "date": "Date", "age": "Age"}
-
-func (w *codec) ReplyBegun() bool { return w.reader.Begun() }
+// Encode writes a request, or a probe.
+func (c *codec) Encode(request *requestcore.Request, secondsLeft float64) [][]byte {
+	if request == nil {
+		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.client.ProbePath, c.client.Host)}
+	}
+	tile, _ := tiles.Named(request.Key) // the tile frontend made the key
+	milliseconds := int(math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3))
+	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n",
+		c.client.Scheme.Address(tile), c.client.Host, request.Flags, milliseconds)}
+}
 
-// Decode hands on the next answer; after an error the connection ends, and what came of a body is let go.
-func (w *codec) Decode(in *ringbuffer.Buffer) (bool, error) {
-	whole, err := w.reader.Read(in, w)
+// Decode reads the next reply; after an error what came of its body is released.
+func (c *codec) Decode(in *ringbuffer.Buffer) (bool, error) {
+	complete, err := c.reader.Read(in, c)
 	if err != nil {
-		w.releaseBody()
+		c.releaseBody()
 	}
-	return whole, err
+	return complete, err
 }
 
+// ReplyBegun tells that a reply has begun and is not complete.
+func (c *codec) ReplyBegun() bool { return c.reader.Begun() }
+
 // OnServerClose takes the connection's end, which may be the end of a body without a length.
-func (w *codec) OnServerClose() {
-	if !w.reader.Closed(w) {
-		w.releaseBody()
+func (c *codec) OnServerClose() {
+	complete := c.reader.Closed(c)
+	if !complete {
+		c.releaseBody()
 	}
 }
 
-// Release lets go of what came of a body: one that is given up midway must not count as held for ever.
-func (w *codec) Release() { w.releaseBody() }
-
-func (w *codec) releaseBody() {
-	w.client.bufferedBytes -= len(w.body)
-	w.body = nil
-}
+// Release lets go of what came of a body: one that is given up midway must not count as buffered for ever.
+func (c *codec) Release() { c.releaseBody() }
 
-// Encode writes a request.
-func (w *codec) Encode(op *requestcore.Request, left float64) [][]byte {
-	if op == nil {
-		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", w.client.ProbePath, w.client.Host)}
-	}
-	t, _ := tiles.Named(op.Key) // it was made by a front of this kind
-	ms := int(math.Ceil(max(1e-3, left) * 1e3))
-	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n", w.client.Scheme.Address(t), w.client.Host, op.Flags, ms)}
+func (c *codec) releaseBody() {
+	c.client.bufferedBytes -= len(c.body)
+	c.body = nil
 }
 
-// Status begins an answer.
-func (w *codec) Status(code int) {
-	w.status = code
-	w.head.Reset()
-	w.releaseBody()
+// Status begins a reply.
+func (c *codec) Status(code int) {
+	c.status = code
+	c.head.Reset()
+	c.releaseBody()
 }
 
-// Header takes a header.
-func (w *codec) Header(name, value string) {
-	if proper, kept := ForwardedHeaders[name]; kept {
-		fmt.Fprintf(&w.head, "%s: %s\r\n", proper, value)
+// Header takes a header, its name in lower case.
+func (c *codec) Header(name, value string) {
+	written, forwarded := ForwardedHeaders[name]
+	if forwarded {
+		fmt.Fprintf(&c.head, "%s: %s\r\n", written, value)
 	}
 }
 
 // Length refuses a body that is too large before any of it is taken in.
-func (w *codec) Length(n int64) error {
-	if n > int64(w.client.MaxBodyBytes) {
-		return fmt.Errorf("a body of %d bytes, more than %d", n, w.client.MaxBodyBytes)
+func (c *codec) Length(bytes int64) error {
+	if bytes > int64(c.client.MaxBodyBytes) {
+		return fmt.Errorf("a body of %d bytes, more than %d", bytes, c.client.MaxBodyBytes)
 	}
 	return nil
 }
 
 // Body takes a part of a body.
-func (w *codec) Body(part []byte) error {
-	if len(w.body)+len(part) > w.client.MaxBodyBytes {
-		return fmt.Errorf("a body of more than %d bytes", w.client.MaxBodyBytes)
+func (c *codec) Body(part []byte) error {
+	if len(c.body)+len(part) > c.client.MaxBodyBytes {
+		return fmt.Errorf("a body of more than %d bytes", c.client.MaxBodyBytes)
 	}
-	if w.client.bufferedBytes+len(part) > w.client.MaxBufferedBytes {
-		return fmt.Errorf("more than %d bytes of bodies are on their way", w.client.MaxBufferedBytes)
+	if c.client.bufferedBytes+len(part) > c.client.MaxBufferedBytes {
+		return fmt.Errorf("more than %d bytes of bodies are on their way", c.client.MaxBufferedBytes)
 	}
-	w.client.bufferedBytes += len(part)
-	w.body = append(w.body, part...)
+	c.client.bufferedBytes += len(part)
+	c.body = append(c.body, part...)
 	return nil
 }
 
-// End takes the end of an answer. What it says of the request's fate is the table in docs/operators/tiles.md.
-func (w *codec) End(more bool) {
-	op, due := w.replies.PendingRequest()
-	with := requestcore.Result{Status: w.status, Head: w.head.String(), Value: w.body}
-	w.releaseBody()
-	switch conditional := op != nil && strings.Contains(op.Flags, "If-"); {
-	case !due:
-		w.replies.OnUnexpectedReply("an answer that nobody asked for")
-	case op == nil && w.status/100 == 2:
-		w.replies.OnReply(balancer.Succeeded, requestcore.Result{}, more)
-	case w.status == 429 || w.status == 503:
-		w.replies.OnReply(balancer.Overloaded, requestcore.Result{}, more)
-	case op == nil:
-		w.replies.OnReply(balancer.ServerError, requestcore.Result{}, more)
-	case w.status == 200 || w.status == 203 || w.status == 204 || w.status == 404 || w.status == 410 || w.status == 304 && conditional:
-		w.replies.OnReply(balancer.Succeeded, with, more)
+// End takes the end of a reply. The connection can be used on if it is reusable.
+func (c *codec) End(reusable bool) {
+	request, due := c.replies.PendingRequest()
+	reply := requestcore.Result{Status: c.status, Head: c.head.String(), Value: c.body}
+	c.releaseBody()
+	if !due {
+		c.replies.OnUnexpectedReply("an answer that nobody asked for")
+		return
+	}
+	outcome := outcomeOf(c.status, request)
+	if request == nil || outcome != balancer.Succeeded {
+		reply = requestcore.Result{}
+	}
+	c.replies.OnReply(outcome, reply, reusable)
+}
+
+// outcomeOf tells what a status says of the request's fate, by the table in docs/operators/tiles.md. A nil request is
+// a probe.
+func outcomeOf(status int, request *requestcore.Request) balancer.Outcome {
+	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
+		return balancer.Overloaded
+	}
+	succeeded := status/100 == 2
+	if request != nil {
+		succeeded = isTileAnswer(status, request)
+	}
+	if succeeded {
+		return balancer.Succeeded
+	}
+	return balancer.ServerError
+}
+
+// isTileAnswer tells whether a status answers a request for a tile, be it that there is none.
+func isTileAnswer(status int, request *requestcore.Request) bool {
+	switch status {
+	case http.StatusOK, http.StatusNonAuthoritativeInfo, http.StatusNoContent, http.StatusNotFound, http.StatusGone:
+		return true
+	case http.StatusNotModified:
+		return strings.Contains(request.Flags, "If-")
 	default:
-		w.replies.OnReply(balancer.ServerError, requestcore.Result{}, more)
+		return false
 	}
 }
--- a/internal/upstream/tileclient/codec_test.go
+++ b/internal/upstream/tileclient/codec_test.go
@@ -86,7 +86,8 @@
 }
 func (o outcome) StillWanted() bool { return true }
 
-// A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and nobody's tile.
+// A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and
+// nobody's tile.
 func TestABodyWithoutALength(t *testing.T) {
 	for name, c := range map[string]struct {
 		leave func(conn *net.TCPConn)
