--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -15,21 +15,21 @@
 	var text strings.Builder
 	write := func(name string, value uint64) { fmt.Fprintf(&text, "gw.%s=%d\n", name, value) }
 	for _, class := range s.trafficClassNames() {
-		tally := s.clients.frontend.Tally(class)
-		write("transactions."+class+".answered", tally.Answered)
-		write("transactions."+class+".deferred", tally.Deferred)
-		write("transactions."+class+".errored", tally.Errored)
+		tally := s.clients.frontend.OutcomesOf(class)
+		write("transactions."+class+".answered", tally.Succeeded)
+		write("transactions."+class+".deferred", tally.Rejected)
+		write("transactions."+class+".errored", tally.Failed)
 	}
 	sends, serverCuts := s.serverCounts()
 	listed, avoided := s.clusterHealth()
 	write("sends", sends)
-	write("current", uint64(s.clients.frontend.Open()))
+	write("current", uint64(s.clients.frontend.OpenRequests()))
 	write("cluster_size", uint64(listed))
 	write("cluster_unhealthy", uint64(avoided))
 	write("conf_loaded", s.reloads.accepted)
 	write("conf_invalid", s.reloads.rejected)
-	for reason, n := range s.clients.frontend.Cut() {
-		write("cut.clients."+frontend.Cuts[reason], n)
+	for reason, n := range s.clients.frontend.CutConnections() {
+		write("cut.clients."+frontend.CutReasonNames[reason], n)
 	}
 	for reason, n := range serverCuts {
 		write("cut.servers."+upstream.CloseReasons[reason], n)
@@ -42,7 +42,7 @@
 	return []byte(text.String())
 }
 
-// serverCounts gives the attempts that were sent since the start, and the servers' connections that ended with
+// serverCounts returns the attempts that were sent since the start, and the servers' connections that ended with
 // something owed, by the reason; also those of pools that are no longer named.
 func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.CloseReasons)]uint64) {
 	sends = s.pools.retiredSends
@@ -56,7 +56,7 @@
 	return sends, cuts
 }
 
-// clusterHealth tells how many servers the lists of all pools hold, and how many of these are avoided now.
+// clusterHealth returns how many servers the lists of all pools hold, and how many of these are avoided now.
 func (s *Service) clusterHealth() (listed, avoided int) {
 	for _, p := range s.pools.active() {
 		poolListed, poolAvoided := p.health()
@@ -66,7 +66,7 @@
 	return listed, avoided
 }
 
-// trafficClassNames gives the traffic classes of the settings and of the contracts, sorted.
+// trafficClassNames returns the traffic classes of the settings and of the contracts, sorted.
 func (s *Service) trafficClassNames() []string {
 	var names []string
 	for _, class := range s.conf.Settings.TrafficClasses {
