--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -201,7 +201,8 @@
 	}
 	c.inFlight = nil
 	c.breakBody()
-	if c.socket != nil { // what was given up must not reach a machine that is cut off for seconds, when its request has long ended
+	if c.socket != nil {
+		// What was given up must not reach a machine that is cut off for seconds, when its request has long ended.
 		c.socket.Forget()
 	}
 	c.close()
--- a/internal/upstream/tileclient/client.go
+++ b/internal/upstream/tileclient/client.go
@@ -16,12 +16,12 @@
 }
 
 // NewCodec makes the codec of a connection.
-func (s *Client) NewCodec(replies upstream.ReplyHandler) upstream.Codec {
-	return &codec{client: s, replies: replies}
+func (c *Client) NewCodec(replies upstream.ReplyHandler) upstream.Codec {
+	return &codec{client: c, replies: replies}
 }
 
 // BufferedBytes is how many bytes of bodies are buffered because they are not complete.
-func (s *Client) BufferedBytes() int { return s.bufferedBytes }
+func (c *Client) BufferedBytes() int { return c.bufferedBytes }
 
 // ForwardedHeaders are the headers of a reply that clients get as they are: by their names in lower case, as they are
 // written.
