--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -9,10 +9,10 @@
 	"time"
 )
 
-// A connection closed in its own callback is let go of, and nothing more is heard of it.
+// A connection closed in its own callback is released, and its handler hears nothing more.
 func TestCloseInItsOwnCallback(t *testing.T) {
-	l := running(t)
-	addr, happy := listening(t, l, func(c *Conn) { c.Close() })
+	l := startLoop(t)
+	addr, events := serve(t, l, func(c *Conn) { c.Close() })
 	for range 100 {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
@@ -25,19 +25,19 @@
 		}
 		conn.Close()
 	}
-	l.Post(func() { happy <- "done" })
-	await(t, happy, "done")
+	l.Post(func() { events <- "done" })
+	await(t, events, "done")
 }
 
 // The other side learns of a close before anything else is done: the callback that closed is not over yet.
 func TestCloseIsToldAtOnce(t *testing.T) {
-	told := make(chan bool)
-	addr, happy := listening(t, running(t), func(c *Conn) {
+	noticed := make(chan bool)
+	addr, events := serve(t, startLoop(t), func(c *Conn) {
 		c.Close()
 		select {
-		case <-told:
+		case <-noticed:
 		case <-time.After(5 * time.Second):
-			t.Error("the other side was not told while the callback ran")
+			t.Error("the other side did not notice while the callback ran")
 		}
 	})
 	conn, err := net.Dial("tcp", addr)
@@ -48,8 +48,8 @@
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
 		t.Errorf("got %v", err)
 	}
-	told <- true
-	if len(happy) > 0 {
-		t.Errorf("after Close came %s", <-happy)
+	noticed <- true
+	if len(events) > 0 {
+		t.Errorf("after Close came %s", <-events)
 	}
 }
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -7,17 +7,19 @@
 	"testing"
 )
 
+// What comes can be written back, and the client's end is notified.
 func TestEchoAndTheClientsEnd(t *testing.T) {
-	addr, happy := listening(t, running(t), echo)
+	addr, events := serve(t, startLoop(t), echo)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
-	sent, got := bytes.Repeat([]byte("0123456789"), 300), make([]byte, 3000)
+	sent := bytes.Repeat([]byte("0123456789"), 300)
+	got := make([]byte, len(sent))
 	conn.Write(sent)
 	if _, err := io.ReadFull(conn, got); err != nil || !bytes.Equal(sent, got) {
 		t.Fatalf("the echo differs: %v", err)
 	}
 	conn.Close()
-	await(t, happy, "closed")
+	await(t, events, "closed")
 }
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -6,37 +6,40 @@
 	"testing"
 )
 
+// A dialled connection is notified as opened, is written to and is answered.
 func TestDial(t *testing.T) {
-	l := running(t)
-	addr, _ := listening(t, l, echo)
-	happy := make(chan string, 10)
-	e := &events{happy: happy, input: func(c *Conn) { happy <- "input" }}
+	l := startLoop(t)
+	addr, _ := serve(t, l, echo)
+	events := make(chan string, 10)
+	handler := &recordingHandler{events: events, input: func(c *Conn) { events <- "input" }}
 	l.Post(func() {
 		var err error
-		if e.c, err = l.Dial(netip.MustParseAddrPort(addr), e); err != nil {
-			happy <- err.Error()
+		handler.conn, err = l.Dial(netip.MustParseAddrPort(addr), handler)
+		if err != nil {
+			events <- err.Error()
 		}
 	})
-	await(t, happy, "opened")
+	await(t, events, "opened")
 	l.Post(func() {
-		if e.c.Write([]byte("hello")); e.c.Sent() != 5 {
-			t.Errorf("%d bytes left of 5", e.c.Sent())
+		handler.conn.Write([]byte("hello"))
+		if handler.conn.Sent() != 5 {
+			t.Errorf("%d bytes left of 5", handler.conn.Sent())
 		}
 	})
-	await(t, happy, "input")
+	await(t, events, "input")
 }
 
-// A refused connection is told as closed, and the dial does not wait for it.
+// A refused connection is notified as closed, and the dial does not wait for it.
 func TestRefused(t *testing.T) {
-	l := running(t)
+	l := startLoop(t)
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	addr := netip.MustParseAddrPort(free.Addr().String())
 	free.Close()
-	happy := make(chan string, 10)
+	events := make(chan string, 10)
 	l.Post(func() {
-		if _, err := l.Dial(addr, &events{happy: happy}); err != nil {
-			happy <- "closed"
+		if _, err := l.Dial(addr, &recordingHandler{events: events}); err != nil {
+			events <- "closed"
 		}
 	})
-	await(t, happy, "closed")
+	await(t, events, "closed")
 }
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -6,19 +6,20 @@
 	"time"
 )
 
-// events is a handler that notes what happens to its connection.
-type events struct {
-	c     *Conn
-	happy chan string
-	input func(*Conn)
+// recordingHandler sends the name of what happens to its connection to a channel, and calls input for Input.
+type recordingHandler struct {
+	conn   *Conn
+	events chan string
+	input  func(*Conn)
 }
 
-func (e *events) Opened()  { e.happy <- "opened" }
-func (e *events) Flushed() {}
-func (e *events) Closed()  { e.happy <- "closed" }
-func (e *events) Input()   { e.input(e.c) }
+func (h *recordingHandler) Opened()  { h.events <- "opened" }
+func (h *recordingHandler) Flushed() {}
+func (h *recordingHandler) Closed()  { h.events <- "closed" }
+func (h *recordingHandler) Input()   { h.input(h.conn) }
 
-func running(t *testing.T) *Loop {
+// startLoop runs a loop until the test ends.
+func startLoop(t *testing.T) *Loop {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -28,6 +29,7 @@
 	return l
 }
 
+// await waits for the next event and fails where it is another than want.
 func await(t *testing.T, from chan string, want string) {
 	t.Helper()
 	select {
@@ -40,28 +42,29 @@
 	}
 }
 
-// listening gives a served address; each connection's input goes to input.
-func listening(t *testing.T, l *Loop, input func(*Conn)) (addr string, happy chan string) {
+// serve listens at a free address; each connection is handled by a recordingHandler on events with that input.
+func serve(t *testing.T, l *Loop, input func(*Conn)) (addr string, events chan string) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	addr = free.Addr().String()
 	free.Close()
-	happy = make(chan string, 100)
+	events = make(chan string, 100)
 	done := make(chan error)
 	l.Post(func() {
 		_, err := l.Listen(addr, func() bool { return true }, func(c *Conn) Handler {
-			return &events{c: c, happy: happy, input: input}
+			return &recordingHandler{conn: c, events: events, input: input}
 		})
 		done <- err
 	})
 	if err := <-done; err != nil {
 		t.Fatal(err)
 	}
-	return addr, happy
+	return addr, events
 }
 
+// echo writes back what has come, as far as it is taken.
 func echo(c *Conn) {
 	for _, part := range c.In.Held(nil) {
 		n := c.Write(part)
@@ -72,14 +75,14 @@
 	}
 }
 
-// pair gives two clients' ends of connections, which the loop has accepted, and its own.
-func pair(t *testing.T, l *Loop, input func(*Conn)) (clients []*net.TCPConn, served []*Conn, happy chan string) {
+// connectTwo gives two clients' ends of connections, which the loop has accepted, and its own.
+func connectTwo(t *testing.T, l *Loop, input func(*Conn)) (clients []*net.TCPConn, served []*Conn, events chan string) {
 	t.Helper()
-	came := make(chan *Conn, 2)
-	addr, happy := listening(t, l, func(c *Conn) {
+	accepted := make(chan *Conn, 2)
+	addr, events := serve(t, l, func(c *Conn) {
 		if len(served) < 2 {
 			c.In.Drop(c.In.Len())
-			came <- c
+			accepted <- c
 			return
 		}
 		input(c)
@@ -91,17 +94,19 @@
 		}
 		t.Cleanup(func() { conn.Close() })
 		conn.Write([]byte{0})
-		c, done := <-came, make(chan bool)
-		l.Post(func() { served = append(served, c); close(done) })
-		<-done
+		c := <-accepted
+		runOnLoop(l, func() { served = append(served, c) })
 		clients = append(clients, conn.(*net.TCPConn))
 	}
-	return clients, served, happy
+	return clients, served, events
 }
 
-// on calls on the loop and waits for it.
-func on(l *Loop, call func()) {
+// runOnLoop calls on the loop and waits for the call to end.
+func runOnLoop(l *Loop, call func()) {
 	done := make(chan bool)
-	l.Post(func() { call(); close(done) })
+	l.Post(func() {
+		call()
+		close(done)
+	})
 	<-done
 }
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -1,31 +1,30 @@
 package eventloop
 
-import (
-	"testing"
-)
+import "testing"
 
-// A callback that fails, posted, of a timer or left for later, keeps none of the others from being called.
+// A callback that panics (posted, of a timer or deferred) keeps none of the others from being called.
 func TestAGuardedLoopGoesOn(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	faults, happy := make(chan any, 10), make(chan string, 10)
+	faults := make(chan any, 10)
+	events := make(chan string, 10)
 	l.Guard(func(what any, _ []byte) { faults <- what })
 	go l.Run()
 	defer l.Post(l.Stop)
 	l.Post(func() {
 		now := l.Now()
 		l.Timer(func() { panic("timer") }).Set(now)
-		l.Timer(func() { happy <- "timer" }).Set(now)
+		l.Timer(func() { events <- "timer" }).Set(now)
 		l.Later(func() { panic("later") })
-		l.Later(func() { happy <- "later" })
+		l.Later(func() { events <- "later" })
 		panic("posted")
 	})
-	l.Post(func() { happy <- "posted" })
+	l.Post(func() { events <- "posted" })
 	got := map[string]int{}
 	for range 3 {
-		got[<-happy]++
+		got[<-events]++
 		got[(<-faults).(string)]++
 	}
 	if got["timer"] != 2 || got["later"] != 2 || got["posted"] != 2 {
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -8,17 +8,17 @@
 
 // A full buffer must stop the reading, hold the sender up and lose nothing; resumed, the rest comes.
 func TestFullMeansStopReading(t *testing.T) {
-	l := running(t)
-	took := make(chan *Conn, 1)
+	l := startLoop(t)
+	filled := make(chan *Conn, 1)
 	held := true
 	total := 0
-	addr, happy := listening(t, l, func(c *Conn) {
+	addr, events := serve(t, l, func(c *Conn) {
 		if !held {
 			total += c.In.Len()
 			c.In.Drop(c.In.Len())
 		} else if c.In.Room() == 0 {
 			c.Pause()
-			took <- c
+			filled <- c
 		}
 	})
 	conn, err := net.Dial("tcp", addr)
@@ -30,7 +30,7 @@
 		conn.Write(make([]byte, size))
 		conn.Close()
 	}()
-	c := <-took
+	c := <-filled
 	time.Sleep(50 * time.Millisecond)
 	l.Post(func() {
 		if c.In.Len() != bufferBound {
@@ -40,12 +40,12 @@
 		c.Resume()
 		c.handler.Input()
 	})
-	await(t, happy, "closed")
+	await(t, events, "closed")
 	l.Post(func() {
 		if total != size {
 			t.Errorf("%d bytes came of %d", total, size)
 		}
-		happy <- "counted"
+		events <- "counted"
 	})
-	await(t, happy, "counted")
+	await(t, events, "counted")
 }
--- a/internal/eventloop/release_test.go
+++ b/internal/eventloop/release_test.go
@@ -9,23 +9,25 @@
 	"golang.org/x/sys/unix"
 )
 
-// At the bound nothing is dialled or accepted, also while what was closed is not let go of; once it is, both go on.
+// At the bound nothing is dialled or accepted, also while what was closed is not released; once it is, both go on.
 func TestNoMoreDescriptorsThanTheBound(t *testing.T) {
-	l := running(t)
-	addr, _ := listening(t, l, echo)
+	l := startLoop(t)
+	addr, _ := serve(t, l, echo)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer other.Close()
-	to, e, done := netip.MustParseAddrPort(other.Addr().String()), &events{happy: make(chan string, 10)}, make(chan error)
-	var c *Conn
+	to := netip.MustParseAddrPort(other.Addr().String())
+	handler := &recordingHandler{events: make(chan string, 10)}
+	done := make(chan error)
+	var dialled *Conn
 	dial := func(before func()) error {
 		l.Post(func() {
 			before()
-			next, err := l.Dial(to, e)
+			next, err := l.Dial(to, handler)
 			if err == nil {
-				c = next
+				dialled = next
 			}
 			done <- err
 		})
@@ -34,19 +36,19 @@
 	if err := dial(func() { l.Limit(1) }); err != nil {
 		t.Fatal(err)
 	}
-	await(t, e.happy, "opened")
+	await(t, handler.events, "opened")
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
 		t.Fatal(err)
 	}
 	defer conn.Close()
 	conn.Write([]byte("x"))
-	for range 5 { // the listener is told of it meanwhile, and looks away
+	for range 5 { // the listener sees it meanwhile, and stops for a moment
 		if err := dial(func() { time.Sleep(5 * time.Millisecond) }); err != unix.EMFILE || l.descriptors.open != 1 {
 			t.Errorf("at the bound a dial gets %v, and %d are held", err, l.descriptors.open)
 		}
 	}
-	if err := dial(func() { c.Close() }); err != unix.EMFILE {
+	if err := dial(func() { dialled.Close() }); err != unix.EMFILE {
 		t.Errorf("in the round of a close a dial gets %v", err)
 	}
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -6,7 +6,7 @@
 )
 
 func TestTimers(t *testing.T) {
-	l := running(t)
+	l := startLoop(t)
 	var order []int
 	done := make(chan string)
 	l.Post(func() {
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -7,22 +7,23 @@
 	"time"
 )
 
-// What waits for a slow reader is written as it reads, also while nothing is read from it.
+// What waits for a slow reader is written as it reads, also while its connection is paused.
 func TestSlowReaderWhilePaused(t *testing.T) {
-	l := running(t)
+	l := startLoop(t)
 	const size = 8 << 20
 	left := size
 	var push func(c *Conn)
 	push = func(c *Conn) {
 		for left > 0 {
 			n := c.Write(make([]byte, min(left, bufferBound)))
-			if left -= n; n == 0 {
+			left -= n
+			if n == 0 {
 				l.After(0.001, func() { push(c) })
 				return
 			}
 		}
 	}
-	addr, _ := listening(t, l, func(c *Conn) {
+	addr, _ := serve(t, l, func(c *Conn) {
 		c.Pause()
 		push(c)
 	})
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -47,9 +47,9 @@
 	}
 }
 
-// A buffer that each read fills is offered more at the next, though it is emptied at once, up to its bound; once less comes it
-// gives the memory back.
-func TestWhatFillsItIsOfferedMore(t *testing.T) {
+// A buffer that each read fills offers more to the next, though it is emptied at once, up to its bound; once less comes
+// it gives the memory back.
+func TestFilledBufferOffersMore(t *testing.T) {
 	b := New(5000)
 	read := func(most int) (n int) {
 		for _, part := range b.Free(nil) {
@@ -65,7 +65,8 @@
 			t.Errorf("it is offered %d bytes, want %d", n, want)
 		}
 	}
-	if read(100); b.memory != nil {
+	read(100)
+	if b.memory != nil {
 		t.Errorf("with little to read it holds %d bytes", len(b.memory))
 	}
 	if n := read(1 << 20); n != initialBytes {
