--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -18,7 +18,7 @@
 	defaultHealthCheckPath     = "/"  // of a pool of tile servers
 )
 
-// applyContracts takes the operators' pools and contracts. Requests in flight end under the old ones.
+// applyContracts applies the operators' pools and contracts. Requests in flight end under the old ones.
 func (s *Service) applyContracts(setup Setup) {
 	operators := setup.Operators
 	s.operators = operators
@@ -47,7 +47,7 @@
 	s.openTeamListeners(operators)
 }
 
-// contractTerms gives the terms of all teams.
+// contractTerms returns the terms of all teams.
 func contractTerms(setup Setup) []broker.TeamTerms {
 	terms := setup.Operators.Terms()
 	for i := range terms {
@@ -56,7 +56,7 @@
 	return terms
 }
 
-// applyPools makes the pools that are new, changes the others, and gives all of them as the broker knows them: the
+// applyPools makes the pools that are new, changes the others, and returns all of them as the broker knows them: the
 // platform's first.
 func (s *Service) applyPools(operators operatorconfig.File) []broker.Pool {
 	limits := s.processLimits()
@@ -65,7 +65,7 @@
 		namedParts += named.Connections
 	}
 	platformConnections := connectionShare(limits.UpstreamConnections, 1-namedParts)
-	s.pools.platform.servers.Limit(platformConnections)
+	s.pools.platform.servers.SetMaxConnections(platformConnections)
 	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
 	for _, named := range operators.Pools {
 		connections := connectionShare(limits.UpstreamConnections, named.Connections)
@@ -73,7 +73,7 @@
 		if p == nil {
 			p = s.addPool(named, connections)
 		}
-		p.servers.Limit(connections)
+		p.servers.SetMaxConnections(connections)
 		p.follow(named.Discovery)
 		pools = append(pools, broker.Pool{
 			Name:        named.Name,
@@ -97,7 +97,7 @@
 		stallTimeout:          named.StallTimeout(stallTimeout(connectTimeout)),
 		idleTimeout:           named.IdleTimeout(limits.IdleTimeout),
 		requestsPerConnection: named.AttemptsPerConnection(limits.AttemptsPerConnection),
-		wire:                  s.wireOf(named),
+		wire:                  s.codecOf(named),
 	})
 	s.pools.named[named.Name] = p
 	for id := range s.disabled.ids {
@@ -107,22 +107,22 @@
 	return p
 }
 
-// wireOf gives the protocol that a pool's servers speak.
-func (s *Service) wireOf(named operatorconfig.Pool) func(upstream.Link) upstream.Wire {
+// codecOf returns the codec of the protocol that a pool's servers speak.
+func (s *Service) codecOf(named operatorconfig.Pool) func(upstream.ReplyHandler) upstream.Codec {
 	if named.Protocol != "tiles" {
-		return upstream.Memcache
+		return upstream.NewMemcacheCodec
 	}
-	servers := &tileclient.Servers{
-		Scheme:  tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
-		Host:    cmp.Or(named.Host, named.Name),
-		Probe:   cmp.Or(named.Probe, defaultHealthCheckPath),
-		Largest: cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		Most:    s.conf.HeldBytes,
+	servers := &tileclient.Client{
+		Scheme:           tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
+		Host:             cmp.Or(named.Host, named.Name),
+		ProbePath:        cmp.Or(named.Probe, defaultHealthCheckPath),
+		MaxBodyBytes:     cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
+		MaxBufferedBytes: s.conf.HeldBytes,
 	}
-	return servers.Wire
+	return servers.NewCodec
 }
 
-// sendQuotaGossip tells the other routers what load is asked of this one, again and again.
+// sendQuotaGossip sends the other routers what load is asked of this one, again and again.
 func (s *Service) sendQuotaGossip() {
 	if s.lifecycle.phase == Ended {
 		return
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -27,7 +27,7 @@
 // logCounts logs what has happened since the start: a line a pool, and one for each team with requests since the
 // last log.
 func (s *Service) logCounts() {
-	clients := s.clients.frontend.Clients()
+	clients := s.clients.frontend.Connections()
 	s.pools.platform.logCounts(s.log, clients)
 	for _, p := range s.pools.namedInOrder() {
 		p.logCounts(s.log.With().Str("pool", p.name).Logger(), clients)
@@ -56,7 +56,23 @@
 	}
 }
 
-// logCounts logs the counts of one pool. The names of the fields are read by dashboards.
+// logCounts logs the counts of one pool. Dashboards read the names of the fields, which stay as they have always been;
+// those of a team's line (Service.logCounts) are alike:
+//
+//	field               counter
+//	taken               requests received from clients
+//	finished            requests that succeeded
+//	declined            requests that were rejected: a retry is safe
+//	terminated          requests that failed: whether they took effect is unknown
+//	left                requests whose clients disconnected before an answer
+//	executions          attempts
+//	faults              panics of the balancer
+//	open                requests without an answer, or with an attempt in flight
+//	idle                servers' connections without a request
+//	declined for REASON rejected requests by requestcore.ReasonNames
+//
+// Of a team alone: load is the load that it has used, budget its guaranteed rate (its quota), part this router's share
+// of that, and balance what is left in its bucket.
 func (p *pool) logCounts(log zerolog.Logger, clients int) {
 	counts := p.core.Counts
 	event := log.Info().
@@ -69,15 +85,15 @@
 		Uint64("faults", counts.Faults).
 		Int("open", p.core.OpenRequests()).
 		Int("clients", clients).
-		Int("idle", p.servers.Idle())
-	for reason, n := range p.servers.Cut() {
+		Int("idle", p.servers.IdleConnections())
+	for reason, n := range p.servers.CloseCounts() {
 		if n > 0 {
-			event = event.Uint64("servers' connections cut, "+upstream.Cuts[reason], n)
+			event = event.Uint64("servers' connections cut, "+upstream.CloseReasons[reason], n)
 		}
 	}
-	for reason, n := range p.service.clients.frontend.Cut() {
+	for reason, n := range p.service.clients.frontend.CutConnections() {
 		if n > 0 {
-			event = event.Uint64("clients' connections cut, "+frontend.Cuts[reason], n)
+			event = event.Uint64("clients' connections cut, "+frontend.CutReasonNames[reason], n)
 		}
 	}
 	withRejectReasons(event, counts.Reasons[:]).Msg("counts")
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -2,13 +2,16 @@
 
 import "cmp"
 
-// Phase is a named part of a router process's life. A process never goes back to an earlier one.
+// Phase is a named part of a router process's life, from its start to its exit. A process never goes back to an
+// earlier one. It is not the phase of package startup, which says how far the router is on its way to full service and
+// is what admin.Status shows; this one is shown in log lines alone.
 type Phase int
 
 const (
-	// Starting: no endpoint list is known. Commands are taken; the health check mn is not answered MN.
+	// Starting: no endpoint list is known. Commands are taken; the health check fails: mn, memcache's no-op, which
+	// clients use as a health check, is not answered by MN.
 	Starting Phase = iota
-	// Serving: mn is answered MN.
+	// Serving: requests are served, and the health check succeeds.
 	Serving
 	// Leaving: SIGTERM has come. Connections are still accepted, and all requests are served.
 	Leaving
@@ -58,17 +61,17 @@
 
 // startServing takes clients from now on.
 func (s *Service) startServing() {
-	s.clients.frontend.Ready()
+	s.clients.frontend.SetReady()
 	s.enter(Serving)
 	s.startAccepting()
 }
 
-// acceptsClients tells whether clients that come now are served by this process.
+// acceptsClients reports whether clients that come now are served by this process.
 func (s *Service) acceptsClients() bool {
 	return s.lifecycle.phase == Serving && !s.lifecycle.draining && s.restart.servingSuccessors == 0
 }
 
-// beginShutdown takes the signal to end. A second one changes nothing.
+// beginShutdown handles the signal to end. A second one changes nothing.
 func (s *Service) beginShutdown() {
 	if s.lifecycle.phase >= Leaving {
 		return
@@ -80,7 +83,7 @@
 	}
 	s.loop.After(acceptFor, s.finish)
 	deadline := s.loop.Now() + s.longestWait() + killMarginSeconds - lastAnswersSeconds
-	s.clients.frontend.Until(deadline)
+	s.clients.frontend.SetFinalDeadline(deadline)
 	s.loop.Timer(func() { s.endAtDeadline(deadline + longValueExtraSeconds) }).Set(deadline)
 }
 
@@ -96,14 +99,14 @@
 // endAtDeadline ends the router whatever is open, except for long values under way, which have until latest
 // (seconds of the loop's clock): a kill meanwhile would cut them off no earlier than ending here does.
 func (s *Service) endAtDeadline(latest float64) {
-	if s.clients.frontend.Passing() == 0 || s.loop.Now() > latest {
+	if s.clients.frontend.OpenBodyStreams() == 0 || s.loop.Now() > latest {
 		s.answerAllAndEnd()
 		return
 	}
 	s.loop.After(longValuePollSeconds, func() { s.endAtDeadline(latest) })
 }
 
-// answerAllAndEnd gives all open requests their final answer, rejects what still comes, and ends the process once
+// answerAllAndEnd sends all open requests their final answer, rejects what still comes, and ends the process once
 // clients have had time to read that.
 func (s *Service) answerAllAndEnd() {
 	for _, p := range s.pools.active() {
@@ -112,7 +115,7 @@
 	for _, p := range s.pools.retiring {
 		p.core.FailAll()
 	}
-	s.loop.After(lastAnswersSeconds/2, s.clients.frontend.Shut)
+	s.loop.After(lastAnswersSeconds/2, s.clients.frontend.StopReading)
 	s.loop.After(lastAnswersSeconds, s.end)
 }
 
@@ -128,17 +131,17 @@
 		s.restart.listener.Close()
 	}
 	s.enter(Finishing)
-	s.clients.frontend.Leave()
+	s.clients.frontend.CloseIdle()
 	s.endOnceIdle()
 }
 
 func (s *Service) endOnceIdle() {
-	if s.clients.frontend.Clients() == 0 && s.loop.Finishing() == 0 {
+	if s.clients.frontend.Connections() == 0 && s.loop.Finishing() == 0 {
 		s.end()
 		return
 	}
-	s.clients.frontend.Deepen(s.conf.MemoryBytes / 2)
-	s.clients.frontend.Leave() // a connection may have become idle since the last look
+	s.clients.frontend.ExtendSendBuffers(s.conf.MemoryBytes / 2)
+	s.clients.frontend.CloseIdle() // a connection may have become idle since the last look
 	s.loop.After(idlePollSeconds, s.endOnceIdle)
 }
 
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -46,20 +46,20 @@
 func (s *Service) applyLimits() {
 	limits := s.processLimits()
 	limitMemory(limits)
-	s.clients.frontend.Limit(frontendLimits(limits))
+	s.clients.frontend.SetLimits(frontendLimits(limits))
 	s.broker.SetLimits(brokerLimits(limits))
 	namedParts := 0.0
 	for _, named := range s.operators.Pools {
 		namedParts += named.Connections
 		if p := s.pools.named[named.Name]; p != nil {
-			p.servers.Limit(connectionShare(limits.UpstreamConnections, named.Connections))
+			p.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, named.Connections))
 		}
 	}
-	s.pools.platform.servers.Limit(connectionShare(limits.UpstreamConnections, 1-namedParts))
+	s.pools.platform.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, 1-namedParts))
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
-	return frontend.Limits{Connections: conf.ClientConnections, Spare: conf.RejectConnections, Arriving: conf.HeldBytes}
+	return frontend.Limits{Connections: conf.ClientConnections, RejectConnections: conf.RejectConnections, LongWriteBytes: conf.HeldBytes}
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -18,15 +18,15 @@
 	named       map[string]*pool // those of the operators' file, by name
 	retiring    []*pool          // no longer named, with requests open
 
-	retiredSends uint64                     // attempts sent to servers of pools that are gone
-	retiredCuts  [len(upstream.Cuts)]uint64 // connections of theirs that ended with something owed, by the reason
+	retiredSends uint64                             // attempts sent to servers of pools that are gone
+	retiredCuts  [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
 }
 
 func newPoolSet(newBalancer requestcore.NewBalancer) poolSet {
 	return poolSet{newBalancer: newBalancer, named: map[string]*pool{}}
 }
 
-// namedInOrder gives the pools of the operators' file, by name.
+// namedInOrder returns the pools of the operators' file, by name.
 func (set *poolSet) namedInOrder() []*pool {
 	pools := make([]*pool, 0, len(set.named))
 	for _, name := range slices.Sorted(maps.Keys(set.named)) {
@@ -35,7 +35,7 @@
 	return pools
 }
 
-// active gives the platform's pool and behind it those of the operators' file, by name.
+// active returns the platform's pool and behind it those of the operators' file, by name.
 func (set *poolSet) active() []*pool {
 	return append([]*pool{set.platform}, set.namedInOrder()...)
 }
@@ -62,8 +62,8 @@
 		}
 		p.stopWatching()
 		p.servers.Close()
-		pools.retiredSends += p.servers.Sends()
-		for reason, n := range p.servers.Cut() {
+		pools.retiredSends += p.servers.SentAttempts()
+		for reason, n := range p.servers.CloseCounts() {
 			pools.retiredCuts[reason] += n
 		}
 		return true
