--- a/internal/policy/bulkhead/bulkhead.go
+++ b/internal/policy/bulkhead/bulkhead.go
@@ -1,124 +1,129 @@
-// Package bulkhead splits places of one kind between teams, so that nobody's surge takes another's last one. Each has
-// places of its own that wait for it; the rest is for whoever comes. It does no I/O and has no clock.
 package bulkhead
 
 import "math"
 
-// ReservedFraction is the part of all places that is split up for good: the other half serves whoever needs more, so that a team
-// alone may still use most of what there is.
+// ReservedFraction is the part of all slots that is reserved for teams. The rest serves whoever needs more, so that a
+// team alone may still use most of what there is.
 const ReservedFraction = 0.5
 
-// Bulkhead are all places of one kind.
+// Bulkhead is all slots of one kind. It belongs to one goroutine.
 type Bulkhead struct {
 	capacity      int
 	inUse         int
-	unusedReserve int // for teams that use less than their own
+	unusedReserve int // reserved slots that their teams do not use
 	partitions    map[string]*Partition
 }
 
-// Partition is one team's.
+// Partition is one team's part. A team that is no longer named keeps its partition until it has released its slots.
 type Partition struct {
-	bulkhead *Bulkhead
 	reserved int
 	inUse    int
-	ended    bool
+	ended    bool // it counts no more for the reserve
 }
 
-// New makes so many places for nobody yet.
-func New(total int) *Bulkhead {
-	return &Bulkhead{capacity: max(0, total), partitions: map[string]*Partition{}}
+// New makes one with so many slots, none of them reserved.
+func New(capacity int) *Bulkhead {
+	return &Bulkhead{capacity: max(0, capacity), partitions: map[string]*Partition{}}
 }
 
-// Repartition gives each of these teams its own places, by weight. Those that are no longer named keep what they use until
-// they let go of it. A team with a weight has one place of its own at the least, as long as there are enough.
-func (p *Bulkhead) Repartition(total int, weights map[string]float64) {
-	p.capacity = max(0, total)
+// Repartition sets the capacity, and reserves slots for each of these teams by weight. Teams that are no longer named
+// keep the slots that they use until they release them. A team with a weight above 0 has one reserved slot at the
+// least, as long as there are enough.
+func (b *Bulkhead) Repartition(capacity int, weights map[string]float64) {
+	b.capacity = max(0, capacity)
+	b.endUnnamed(weights)
 	sum := 0.0
-	for _, w := range weights {
-		sum += max(0, w)
+	for _, weight := range weights {
+		sum += max(0, weight)
 	}
-	for name, s := range p.partitions {
-		if _, there := weights[name]; !there {
-			s.reserved, s.ended = 0, true
-			delete(p.partitions, name)
+	reservable := ReservedFraction * float64(b.capacity)
+	for team, weight := range weights {
+		p := b.partitions[team]
+		if p == nil {
+			p = &Partition{}
+			b.partitions[team] = p
 		}
-	}
-	kept := ReservedFraction * float64(p.capacity)
-	for name, w := range weights {
-		s := p.partitions[name]
-		if s == nil {
-			s = &Partition{bulkhead: p}
-			p.partitions[name] = s
-		}
-		if s.reserved = 0; sum > 0 && w > 0 {
-			s.reserved = int(math.Floor(kept * w / sum))
+		p.reserved = 0
+		if sum > 0 && weight > 0 {
+			p.reserved = int(math.Floor(reservable * weight / sum))
 		}
-		if s.reserved == 0 && w > 0 && len(weights) <= int(kept) {
-			s.reserved = 1
+		if p.reserved == 0 && weight > 0 && len(weights) <= int(reservable) {
+			p.reserved = 1
 		}
 	}
-	p.unusedReserve = 0
-	for _, s := range p.partitions {
-		p.unusedReserve += max(0, s.reserved-s.inUse)
+	b.unusedReserve = 0
+	for _, p := range b.partitions {
+		b.unusedReserve += p.unused()
+	}
+}
+
+// endUnnamed ends the partitions of teams without a weight.
+func (b *Bulkhead) endUnnamed(weights map[string]float64) {
+	for team, p := range b.partitions {
+		if _, named := weights[team]; !named {
+			p.reserved = 0
+			p.ended = true
+			delete(b.partitions, team)
+		}
 	}
 }
 
 // Partition gives a team's; nil if it has none.
-func (p *Bulkhead) Partition(name string) *Partition { return p.partitions[name] }
+func (b *Bulkhead) Partition(team string) *Partition { return b.partitions[team] }
 
-// InUse is how many places are taken.
-func (p *Bulkhead) InUse() int { return p.inUse }
+// InUse is how many slots are taken, by teams and others.
+func (b *Bulkhead) InUse() int { return b.inUse }
 
-// Capacity is how many there are.
-func (p *Bulkhead) Capacity() int { return p.capacity }
+// Capacity is how many slots there are.
+func (b *Bulkhead) Capacity() int { return b.capacity }
 
-// CanAcquire tells whether a team could take n places without touching what is others' own. Without a team they come from
-// what is nobody's.
-func (p *Bulkhead) CanAcquire(s *Partition, n int) bool {
-	own := 0
-	if s != nil {
-		own = min(n, max(0, s.reserved-s.inUse))
+// CanAcquire tells whether n slots may be taken for a team without touching what is reserved for others. A nil
+// partition takes of what is not reserved.
+func (b *Bulkhead) CanAcquire(p *Partition, n int) bool {
+	fromReserve := 0
+	if p != nil {
+		fromReserve = min(n, p.unused())
+	}
+	if fromReserve == n {
+		return true // reserved slots are the team's own, even where others have forced theirs beyond the capacity
 	}
-	return n == own || n-own <= p.capacity-p.inUse-p.unusedReserve // its own are its own, also where others were forced in
+	unreserved := b.capacity - b.inUse - b.unusedReserve
+	return n-fromReserve <= unreserved
 }
 
-// TryAcquire takes n places where there is room for them; false takes none.
-func (p *Bulkhead) TryAcquire(s *Partition, n int) bool {
-	if !p.CanAcquire(s, n) {
+// TryAcquire takes n slots if it can; false: it took none.
+func (b *Bulkhead) TryAcquire(p *Partition, n int) bool {
+	if !b.CanAcquire(p, n) {
 		return false
 	}
-	p.acquire(s, n)
+	b.adjust(p, n)
 	return true
 }
 
-// ForceAcquire takes n places whether there are any or not: for what cannot be refused any more.
-func (p *Bulkhead) ForceAcquire(s *Partition, n int) { p.acquire(s, n) }
+// ForceAcquire takes n slots whether there are any or not: for what cannot be rejected any more.
+func (b *Bulkhead) ForceAcquire(p *Partition, n int) { b.adjust(p, n) }
 
-func (p *Bulkhead) acquire(s *Partition, n int) {
-	p.inUse += n
-	if s != nil {
-		p.adjust(s, n)
-	}
-}
+// Release gives n slots back.
+func (b *Bulkhead) Release(p *Partition, n int) { b.adjust(p, -n) }
 
-// Release gives n places back.
-func (p *Bulkhead) Release(s *Partition, n int) {
-	p.inUse -= n
-	if s != nil {
-		p.adjust(s, -n)
+// adjust changes the slots in use.
+func (b *Bulkhead) adjust(p *Partition, n int) {
+	b.inUse += n
+	if p == nil {
+		return
 	}
-}
-
-func (p *Bulkhead) adjust(s *Partition, n int) {
-	before := max(0, s.reserved-s.inUse)
-	s.inUse += n
-	if !s.ended {
-		p.unusedReserve += max(0, s.reserved-s.inUse) - before
+	before := p.unused()
+	p.inUse += n
+	if !p.ended {
+		b.unusedReserve += p.unused() - before
 	}
 }
 
-// Reserved is how many wait for a team, and Uses how many it has.
-func (s *Partition) Reserved() int { return s.reserved }
+// Reserved is how many slots wait for a team.
+func (p *Partition) Reserved() int { return p.reserved }
+
+// InUse is how many slots a team has taken.
+func (p *Partition) InUse() int { return p.inUse }
 
-// InUse is how many places a team has taken.
-func (s *Partition) InUse() int { return s.inUse }
+// unused is how many reserved slots the team does not use.
+func (p *Partition) unused() int { return max(0, p.reserved-p.inUse) }
--- a/internal/policy/bulkhead/bulkhead_test.go
+++ b/internal/policy/bulkhead/bulkhead_test.go
@@ -7,119 +7,122 @@
 	"pgregory.net/rapid"
 )
 
-func TestNobodyTakesAnothersLastPlace(t *testing.T) {
-	p := New(100)
-	p.Repartition(100, map[string]float64{"a": 1, "b": 1, "c": 3})
-	a, b, c := p.Partition("a"), p.Partition("b"), p.Partition("c")
+func TestNobodyTakesAnothersLastSlot(t *testing.T) {
+	bulkhead := New(100)
+	bulkhead.Repartition(100, map[string]float64{"a": 1, "b": 1, "c": 3})
+	a, b, c := bulkhead.Partition("a"), bulkhead.Partition("b"), bulkhead.Partition("c")
 	n := 0
-	for p.TryAcquire(a, 1) {
+	for bulkhead.TryAcquire(a, 1) {
 		n++
 	}
 	if a.Reserved() != 10 || n != 60 {
-		t.Errorf("a, with %d of its own, took %d", a.Reserved(), n)
+		t.Errorf("a, with %d reserved, took %d", a.Reserved(), n)
 	}
 	for i := range 10 {
-		if !p.TryAcquire(b, 1) {
+		if !bulkhead.TryAcquire(b, 1) {
 			t.Fatalf("b got only %d of its own", i)
 		}
 	}
-	if p.TryAcquire(b, 1) || p.TryAcquire(nil, 1) || !p.TryAcquire(c, 30) || p.TryAcquire(c, 1) {
-		t.Error("more was given than there is, or less than c's own")
+	if bulkhead.TryAcquire(b, 1) || bulkhead.TryAcquire(nil, 1) || !bulkhead.TryAcquire(c, 30) || bulkhead.TryAcquire(c, 1) {
+		t.Error("more was given than there is, or less than is reserved for c")
 	}
-	p.Release(a, 5)
-	if !p.TryAcquire(nil, 5) || p.TryAcquire(b, 1) {
-		t.Error("what came back is not for whoever comes")
+	bulkhead.Release(a, 5)
+	if !bulkhead.TryAcquire(nil, 5) || bulkhead.TryAcquire(b, 1) {
+		t.Error("what was released is not for whoever comes")
 	}
 }
 
-// A new split keeps what is used; a team that is no longer named gives its places back as it lets go of them.
-func TestSplitAnew(t *testing.T) {
-	p := New(10)
-	p.Repartition(10, map[string]float64{"a": 1, "b": 1})
-	a := p.Partition("a")
-	p.TryAcquire(a, 4)
-	p.Repartition(10, map[string]float64{"b": 1})
-	if p.Partition("a") != nil || p.Partition("b").Reserved() != 5 || p.TryAcquire(nil, 2) || !p.TryAcquire(nil, 1) {
-		t.Error("the split does not keep what is used")
+// A new partition keeps what is in use; a team that is no longer named gives its slots back as it releases them.
+func TestRepartition(t *testing.T) {
+	bulkhead := New(10)
+	bulkhead.Repartition(10, map[string]float64{"a": 1, "b": 1})
+	a := bulkhead.Partition("a")
+	bulkhead.TryAcquire(a, 4)
+	bulkhead.Repartition(10, map[string]float64{"b": 1})
+	ended := bulkhead.Partition("a") == nil && bulkhead.Partition("b").Reserved() == 5
+	if !ended || bulkhead.TryAcquire(nil, 2) || !bulkhead.TryAcquire(nil, 1) {
+		t.Error("the partition does not keep what is in use")
 	}
-	p.Release(a, 4)
-	if !p.TryAcquire(nil, 4) || p.InUse() != 5 {
-		t.Errorf("%d are used", p.InUse())
+	bulkhead.Release(a, 4)
+	if !bulkhead.TryAcquire(nil, 4) || bulkhead.InUse() != 5 {
+		t.Errorf("%d are in use", bulkhead.InUse())
 	}
-	p.Repartition(10, map[string]float64{"b": 1, "tiny": 1e-9})
-	if p.Partition("tiny").Reserved() != 1 {
-		t.Error("a small team has no place of its own")
+	bulkhead.Repartition(10, map[string]float64{"b": 1, "tiny": 1e-9})
+	if bulkhead.Partition("tiny").Reserved() != 1 {
+		t.Error("a small team has no reserved slot")
 	}
 }
 
-// Whatever is taken, given back and split: a team below its own always gets a place, and no more are used than there
-// are, but for those that a new split took from under their users.
+// Whatever is taken, released and repartitioned: a team below its reserve always gets a slot, and no more are in use
+// than there are, but for those that a repartition took from under their users.
 func TestAnyOrder(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		total := rapid.IntRange(0, 60).Draw(t, "total")
-		p := New(total)
-		names := []string{"a", "b", "c", "d"}
+		bulkhead := New(total)
+		teams := []string{"a", "b", "c", "d"}
 		used := map[*Partition]int{}
-		cut := 0
-		split := func() {
-			w := map[string]float64{}
-			for _, n := range names {
+		excess := 0
+		repartition := func() {
+			weights := map[string]float64{}
+			for _, team := range teams {
 				if rapid.Bool().Draw(t, "in") {
-					w[n] = rapid.Float64Range(0, 5).Draw(t, "weight")
+					weights[team] = rapid.Float64Range(0, 5).Draw(t, "weight")
 				}
 			}
-			p.Repartition(total, w)
-			cut = max(0, p.inUse+p.unusedReserve-total)
+			bulkhead.Repartition(total, weights)
+			excess = max(0, bulkhead.inUse+bulkhead.unusedReserve-total)
 		}
-		split()
+		repartition()
 		for range rapid.IntRange(1, 200).Draw(t, "steps") {
-			s := p.Partition(rapid.SampledFrom(names).Draw(t, "who"))
-			switch n := rapid.IntRange(1, 4).Draw(t, "n"); rapid.IntRange(0, 9).Draw(t, "what") {
+			p := bulkhead.Partition(rapid.SampledFrom(teams).Draw(t, "who"))
+			n := rapid.IntRange(1, 4).Draw(t, "n")
+			switch rapid.IntRange(0, 9).Draw(t, "what") {
 			case 0:
-				split()
+				repartition()
 			case 1, 2, 3:
-				if s != nil && used[s] >= n {
-					p.Release(s, n)
-					used[s] -= n
+				if p != nil && used[p] >= n {
+					bulkhead.Release(p, n)
+					used[p] -= n
 				}
 			default:
-				room := s != nil && s.reserved-s.inUse >= n && cut == 0
-				if got := p.TryAcquire(s, n); got && s != nil {
-					used[s] += n
-				} else if got {
-					p.Release(nil, n)
-				} else if room {
-					t.Fatalf("a team with %d of %d was refused %d", s.inUse, s.reserved, n)
+				withinReserve := p != nil && p.reserved-p.inUse >= n && excess == 0
+				if acquired := bulkhead.TryAcquire(p, n); acquired && p != nil {
+					used[p] += n
+				} else if acquired {
+					bulkhead.Release(nil, n)
+				} else if withinReserve {
+					t.Fatalf("a team with %d of %d was refused %d", p.inUse, p.reserved, n)
 				}
 			}
-			reserved := 0
-			for _, s := range p.partitions {
-				if s.inUse != used[s] || s.inUse < 0 {
-					t.Fatalf("a share counts %d, it uses %d", s.inUse, used[s])
+			reserve := 0
+			for _, p := range bulkhead.partitions {
+				if p.inUse != used[p] || p.inUse < 0 {
+					t.Fatalf("a partition counts %d, it uses %d", p.inUse, used[p])
 				}
-				reserved += max(0, s.reserved-s.inUse)
+				reserve += max(0, p.reserved-p.inUse)
 			}
-			if reserved != p.unusedReserve {
-				t.Fatalf("%d are reserved, counted %d", reserved, p.unusedReserve)
+			if reserve != bulkhead.unusedReserve {
+				t.Fatalf("%d are reserved, counted %d", reserve, bulkhead.unusedReserve)
 			}
-			if p.inUse+p.unusedReserve > total+cut {
-				t.Fatalf("%d used and %d reserved of %d", p.inUse, p.unusedReserve, total)
+			if bulkhead.inUse+bulkhead.unusedReserve > total+excess {
+				t.Fatalf("%d in use and %d reserved of %d", bulkhead.inUse, bulkhead.unusedReserve, total)
 			}
 		}
 	})
 }
 
-func BenchmarkTake(b *testing.B) {
-	p, w := New(100000), map[string]float64{}
+func BenchmarkTryAcquire(b *testing.B) {
+	bulkhead := New(100000)
+	weights := map[string]float64{}
 	for i := range 1000 {
-		w[fmt.Sprint(i)] = 1
+		weights[fmt.Sprint(i)] = 1
 	}
-	p.Repartition(100000, w)
-	s := p.Partition("7")
+	bulkhead.Repartition(100000, weights)
+	p := bulkhead.Partition("7")
 	b.ReportAllocs()
 	for range b.N {
-		if p.TryAcquire(s, 1) {
-			p.Release(s, 1)
+		if bulkhead.TryAcquire(p, 1) {
+			bulkhead.Release(p, 1)
 		}
 	}
 }
--- a/internal/policy/bulkhead/golden_test.go
+++ b/internal/policy/bulkhead/golden_test.go
@@ -12,58 +12,59 @@
 
 var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
 
-// What is given and what is refused, over some thousands of takes, releases and splits, is as in the build of 15122f5.
+// What is given and what is refused, over some thousands of acquisitions, releases and repartitions, is as in the
+// build of 15122f5.
 func TestGoldenDecisions(t *testing.T) {
 	const file = "testdata/decisions.golden"
-	chance := rand.New(rand.NewPCG(5, 51))
-	p := New(50)
+	random := rand.New(rand.NewPCG(5, 51))
+	bulkhead := New(50)
 	names := []string{"a", "b", "c", "d"}
-	held := map[*Partition]int{}
+	used := map[*Partition]int{}
 	sum := []byte(nil)
 	var lines []string
 	for step := range 4000 {
-		s := p.Partition(names[chance.IntN(4)])
-		n := 1 + chance.IntN(3)
+		partition := bulkhead.Partition(names[random.IntN(4)])
+		n := 1 + random.IntN(3)
 		what := ""
-		switch chance.IntN(8) {
+		switch random.IntN(8) {
 		case 0, 1, 2:
-			what = fmt.Sprint("take ", p.CanAcquire(s, n))
-			took := p.TryAcquire(s, n)
+			what = fmt.Sprint("take ", bulkhead.CanAcquire(partition, n))
+			took := bulkhead.TryAcquire(partition, n)
 			if took {
-				held[s] += n
+				used[partition] += n
 			}
 			what += fmt.Sprint(" ", took)
 		case 3:
-			if chance.IntN(4) == 0 {
-				p.ForceAcquire(s, n)
-				held[s] += n
+			if random.IntN(4) == 0 {
+				bulkhead.ForceAcquire(partition, n)
+				used[partition] += n
 			}
 		case 4, 5, 6:
-			if held[s] >= n {
-				p.Release(s, n)
-				held[s] -= n
+			if used[partition] >= n {
+				bulkhead.Release(partition, n)
+				used[partition] -= n
 			}
 		case 7:
 			if step%5 == 0 {
 				weights := map[string]float64{}
 				for _, name := range names {
-					if chance.IntN(4) > 0 {
-						weights[name] = float64(chance.IntN(5)) * chance.Float64()
+					if random.IntN(4) > 0 {
+						weights[name] = float64(random.IntN(5)) * random.Float64()
 					}
 				}
-				p.Repartition(30+chance.IntN(40), weights)
+				bulkhead.Repartition(30+random.IntN(40), weights)
 			}
 		}
 		h := sha256.New()
-		fmt.Fprintf(h, "%x %s %d %d\n", sum, what, p.InUse(), p.Capacity())
+		fmt.Fprintf(h, "%x %s %d %d\n", sum, what, bulkhead.InUse(), bulkhead.Capacity())
 		for _, name := range names {
-			if s := p.Partition(name); s != nil {
-				fmt.Fprintf(h, "%s %d %d\n", name, s.Reserved(), s.InUse())
+			if partition := bulkhead.Partition(name); partition != nil {
+				fmt.Fprintf(h, "%s %d %d\n", name, partition.Reserved(), partition.InUse())
 			}
 		}
 		sum = h.Sum(nil)
 		if step%100 == 99 {
-			lines = append(lines, fmt.Sprintf("%d: %d of %d, %x", step, p.InUse(), p.Capacity(), sum[:8]))
+			lines = append(lines, fmt.Sprintf("%d: %d of %d, %x", step, bulkhead.InUse(), bulkhead.Capacity(), sum[:8]))
 		}
 	}
 	got := strings.Join(lines, "\n") + "\n"
