--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -19,7 +19,7 @@
 		switch r := b.Route(listener, tenant, key).(type) {
 		case *team:
 			return r.Team
-		case *plain:
+		case *platform:
 			return "platform"
 		}
 		return "nobody"
@@ -126,7 +126,8 @@
 	}
 }
 
-// While operations are open a contract is lowered, moved to another pool, and ended: each ends under what it began with.
+// While operations are open a contract is lowered, moved to another pool, and ended: each ends under what it began
+// with.
 func TestChangesUnderLoad(t *testing.T) {
 	b, o, pools := serving(t, ample, terms("a", "own", 2), terms("b", "own", 1))
 	var open []*client
@@ -202,7 +203,7 @@
 			}
 			br, o, _ := serving(&testing.T{}, Limits{Requests: 1 << 20, BufferedBytes: 1 << 30, Connections: 100}, all...)
 			for _, p := range br.pools {
-				p.out.Repartition(1<<20, nil)
+				p.requests.Repartition(1<<20, nil)
 			}
 			b.ReportAllocs()
 			b.ResetTimer()
--- /dev/null
+++ b/internal/broker/team.go
@@ -0,0 +1,103 @@
+package broker
+
+import (
+	"bendtrestle/internal/policy/bulkhead"
+	"bendtrestle/internal/requestcore"
+)
+
+// firstEstimatePart is the part of a traffic class's latency objective that a request is taken to cost until some
+// have ended, as the balancer takes it.
+const firstEstimatePart = 1.0 / 4
+
+// team is the route of a team's requests, under the terms as they are now.
+type team struct {
+	TeamTerms
+	broker  *Broker
+	pool    *pool
+	classes map[string]teamClass // by the name that clients use
+	tally   *Tally
+
+	requests     *bulkhead.Partition
+	bytes        *bulkhead.Partition
+	connections  *bulkhead.Partition
+	poolRequests *bulkhead.Partition // of the connections to the pool's servers
+}
+
+// teamClass is a traffic class of a team.
+type teamClass struct {
+	name     string  // by which the pool's balancer knows it
+	deadline float64 // seconds
+	estimate float64 // seconds of load, until some requests have ended
+}
+
+// newTeam makes the route of a team. Its partitions and its pool have to be there.
+func (b *Broker) newTeam(terms TeamTerms) *team {
+	p := b.pools[terms.Pool]
+	t := &team{
+		TeamTerms:    terms,
+		broker:       b,
+		pool:         p,
+		classes:      map[string]teamClass{},
+		tally:        b.tallies[terms.Team],
+		requests:     b.slots.requests.Partition(terms.Team),
+		bytes:        b.slots.bytes.Partition(terms.Team),
+		connections:  b.slots.connections.Partition(terms.Team),
+		poolRequests: p.requests.Partition(terms.Team),
+	}
+	for _, class := range terms.TrafficClasses {
+		b.longestDeadline = max(b.longestDeadline, class.Deadline)
+		t.classes[class.Name] = teamClass{
+			name:     qualifiedName(terms.Team, class.Name),
+			deadline: class.Deadline,
+			estimate: class.LatencyObjective * firstEstimatePart,
+		}
+	}
+	if t.tally == nil {
+		t.tally = &Tally{}
+		b.tallies[terms.Team] = t.tally
+	}
+	return t
+}
+
+// qualifiedName is the name by which a pool's balancer knows a team's traffic class.
+func qualifiedName(team, class string) string { return team + "/" + class }
+
+// MaxDeadline is the deadline of a traffic class, in seconds; false: the team has no such class.
+func (t *team) MaxDeadline(class string) (seconds float64, known bool) {
+	named, known := t.classes[class]
+	return named.deadline, known
+}
+
+// HasCapacity tells whether there is a slot for another request that is not reserved for another team. If there is
+// none a rejected request is counted.
+func (t *team) HasCapacity() bool {
+	if t.broker.slots.requests.CanAcquire(t.requests, 1) &&
+		t.broker.slots.bytes.CanAcquire(t.bytes, 1) &&
+		t.pool.requests.CanAcquire(t.poolRequests, 1) {
+		return true
+	}
+	t.tally.Received++
+	t.tally.reject(requestcore.ReasonNoCapacity)
+	return false
+}
+
+// Submit admits a request by the team's quota, or answers its client at once; then the core is nil.
+func (t *team) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
+	class := t.classes[request.Class]
+	t.tally.Received++
+	verdict := t.pool.limiter.Admit(t.broker.now(), t.Team, request.Class, class.estimate)
+	if !verdict.Admitted() {
+		t.tally.reject(requestcore.ReasonQuota)
+		client.Rejected(verdict.RetryAfter)
+		return nil, 0
+	}
+	t.broker.slots.requests.ForceAcquire(t.requests, 1)
+	t.pool.requests.ForceAcquire(t.poolRequests, 1)
+	request.Usage = &usage{team: t, reservation: verdict.Reservation}
+	request.Class = class.name
+	request.Tenant = t.Team
+	return t.pool.Core, t.pool.Core.Submit(request, client)
+}
+
+// AddHeldBytes counts bytes that are held for the team's clients, more or less.
+func (t *team) AddHeldBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
