--- a/internal/broker/golden_test.go
+++ b/internal/broker/golden_test.go
@@ -34,16 +34,23 @@
 }
 
 func goldenTerms() []TeamTerms {
-	a, c, d := terms("a", "own", 1), terms("c", "", 0.5), terms("d", "own", 0)
-	a.Listen, a.BorrowRate, a.Weight = "127.0.0.1:1", 0.5, 2
+	a := testTerms("a", "own", 1)
+	a.Listen = "127.0.0.1:1"
+	a.BorrowRate = 0.5
+	a.Weight = 2
+	c := testTerms("c", "", 0.5)
+	d := testTerms("d", "own", 0)
 	c.Prefix = "lab:"
-	c.TrafficClasses = []balancer.TrafficClass{{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5}, {Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2}}
+	c.TrafficClasses = []balancer.TrafficClass{
+		{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5},
+		{Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2},
+	}
 	return []TeamTerms{a, c, d}
 }
 
-// The lines that operators find in the log for each change of contracts.
+// The lines that operators find in the log for each change of teams and pools.
 func TestGoldenChangeLines(t *testing.T) {
-	b, _, pools := serving(t, ample)
+	b, _, pools := newTestBroker(t, ample)
 	var lines []string
 	change := func(what string, pools []Pool, all []TeamTerms, others UnmatchedTraffic) {
 		lines = append(lines, "# "+what)
@@ -53,7 +60,8 @@
 	change("three teams", pools, all, UnmatchedToPlatform)
 	change("nothing", pools, all, UnmatchedToPlatform)
 	other := slices.Clone(all)
-	other[0].GuaranteedRate, other[1].Tenant = 2.5, "x"
+	other[0].GuaranteedRate = 2.5
+	other[1].Tenant = "x"
 	other[2].TrafficClasses = nil
 	change("each is another", pools, other, UnmatchedRejected)
 	pools[1].Capacity = 3.25
@@ -61,38 +69,41 @@
 	change("capacities", pools, other, UnmatchedRejected)
 	more := append(slices.Clone(pools), Pool{Name: "third", Core: pools[1].Core, Capacity: 1.5, Connections: 3})
 	change("a pool comes, teams go", more, other[1:2], UnmatchedToPlatform)
-	change("a pool goes", pools[:1], []TeamTerms{terms("z", "", 0.1)}, UnmatchedToPlatform)
+	change("a pool goes", pools[:1], []TeamTerms{testTerms("z", "", 0.1)}, UnmatchedToPlatform)
 	golden(t, "change-lines", lines)
 }
 
-// What becomes of each operation of a day in small, and what the operators' page shows of the teams.
+// What becomes of each request, and what the operators' page shows of the teams.
 func TestGoldenDecisions(t *testing.T) {
-	b, o, pools := serving(t, Limits{Requests: 40, BufferedBytes: 1000, Connections: 8}, goldenTerms()...)
+	b, upstream, pools := newTestBroker(t, Limits{Requests: 40, BufferedBytes: 1000, Connections: 8}, goldenTerms()...)
 	var lines []string
-	ask := func(listener, tenant, key, kind string) {
-		r := b.Route(listener, tenant, key)
-		if r == nil {
+	submit := func(listener, tenant, key, class string) {
+		route := b.Route(listener, tenant, key)
+		if route == nil {
 			lines = append(lines, fmt.Sprintf("%q %q %q: nobody's", listener, tenant, key))
 			return
 		}
-		stop, known := r.MaxDeadline(kind)
-		line := fmt.Sprintf("%q %q %q %s: hard stop %v %t", listener, tenant, key, kind, stop, known)
+		deadline, known := route.MaxDeadline(class)
+		line := fmt.Sprintf("%q %q %q %s: hard stop %v %t", listener, tenant, key, class, deadline, known)
 		if !known {
 			lines = append(lines, line)
 			return
 		}
-		if !r.HasCapacity() {
+		if !route.HasCapacity() {
 			lines = append(lines, line+", no room")
 			return
 		}
-		c := goldenTake(r, kind, tenant, key)
-		lines = append(lines, fmt.Sprintf("%s, %d %d %d after %v", line, c.finished, c.declined, c.terminated, c.after))
+		c := submitTo(route, class, tenant, key)
+		lines = append(lines, fmt.Sprintf("%s, %d %d %d after %v", line, c.succeeded, c.rejected, c.failed, c.retryAfter))
 	}
 	show := func() {
-		lines = append(lines, fmt.Sprintf("open %d, longest %v, revision %d", b.OpenRequests(), b.LongestDeadline(), b.Revision()))
+		lines = append(lines, fmt.Sprintf("open %d, longest %v, revision %d",
+			b.OpenRequests(), b.LongestDeadline(), b.Revision()))
 		for _, s := range b.TeamStates() {
-			lines = append(lines, fmt.Sprintf("%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v", s.Team, s.Pool, s.GuaranteedRate, s.Share, s.Balance,
-				s.OpenRequests, s.Received, s.Succeeded, s.Rejected, s.Failed, s.Disconnected, s.Reasons, s.LoadUsed))
+			lines = append(lines, fmt.Sprintf(
+				"%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v",
+				s.Team, s.Pool, s.GuaranteedRate, s.Share, s.Balance, s.OpenRequests,
+				s.Received, s.Succeeded, s.Rejected, s.Failed, s.Disconnected, s.Reasons, s.LoadUsed))
 		}
 		kinds := b.TrafficClassNames()
 		slices.Sort(kinds)
@@ -102,32 +113,40 @@
 		}
 	}
 	for i := range 24 {
-		ask("", "a", fmt.Sprint("k", i), "view")
-		ask("127.0.0.1:1", "c", "k", "view")
-		ask("", "", "lab:7", []string{"put", "add", "view"}[i%3])
-		ask("", "d", "k", "view")
-		ask("", "who", "k", "view")
+		submit("", "a", fmt.Sprint("k", i), "view")
+		submit("127.0.0.1:1", "c", "k", "view")
+		submit("", "", "lab:7", []string{"put", "add", "view"}[i%3])
+		submit("", "d", "k", "view")
+		submit("", "who", "k", "view")
 		if i%6 == 5 {
 			show()
-			o.finish(0.3)
+			upstream.finish(0.3)
 		}
 	}
-	for _, listener := range []string{"127.0.0.1:1", "127.0.0.1:1", "", "127.0.0.1:9", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1", "127.0.0.1:1"} {
+	listenA, unknown := "127.0.0.1:1", "127.0.0.1:9"
+	for _, listener := range []string{
+		listenA, listenA, "", unknown, listenA, listenA, listenA, listenA, listenA, listenA,
+	} {
 		lines = append(lines, fmt.Sprintf("connection at %q: %t", listener, b.AdmitConnection(listener)))
 	}
 	b.ReleaseConnection("127.0.0.1:1")
 	b.ReleaseConnection("")
 	lines = append(lines, fmt.Sprintf("one went: %t", b.AdmitConnection("127.0.0.1:1")))
-	b.Configure(pools, []TeamTerms{terms("a", "", 1), {Quota: quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1}, Pool: "own", Prefix: "lab:",
-		TrafficClasses: goldenTerms()[1].TrafficClasses}}, UnmatchedRejected)
+	moved := TeamTerms{
+		Quota:          quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1},
+		Pool:           "own",
+		Prefix:         "lab:",
+		TrafficClasses: goldenTerms()[1].TrafficClasses,
+	}
+	b.Configure(pools, []TeamTerms{testTerms("a", "", 1), moved}, UnmatchedRejected)
 	show()
 	for i := range 24 {
-		ask("", "a", fmt.Sprint("k", i), "view")
-		ask("", "", "lab:7", "put")
-		ask("", "who", "k", "view")
+		submit("", "a", fmt.Sprint("k", i), "view")
+		submit("", "", "lab:7", "put")
+		submit("", "who", "k", "view")
 		if i%6 == 5 {
 			show()
-			o.finish(0.3)
+			upstream.finish(0.3)
 		}
 	}
 	show()
