--- /dev/null
+++ b/internal/tiles/kvp.go
@@ -0,0 +1,104 @@
+package tiles
+
+import (
+	"fmt"
+	"slices"
+	"strings"
+)
+
+const wmtsVersion = "1.0.0"
+
+// tileParameters are what GetTile must name, in the order in which they are checked.
+var tileParameters = []string{
+	"Version", "Layer", "Style", "Format", "TileMatrixSet", "TileMatrix", "TileRow", "TileCol",
+}
+
+// parsePairs reads a WMTS request by key-value pairs.
+func (s *Service) parsePairs(query string) (Asked, *Fault) {
+	values, fault := parseQuery(query)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	for _, name := range []string{"Service", "Request"} {
+		if values[strings.ToLower(name)] == "" {
+			return Asked{}, missingParameter(name)
+		}
+	}
+	if !strings.EqualFold(values["service"], "WMTS") {
+		return Asked{}, invalidParameter("Service", values["service"])
+	}
+	operation := values["request"]
+	switch operation {
+	case "GetCapabilities":
+		return Asked{Capabilities: true}, nil
+	case "GetTile":
+		return s.parseGetTile(values)
+	case "GetFeatureInfo":
+		return Asked{}, unsupportedOperation("GetFeatureInfo is not offered")
+	}
+	return Asked{}, unsupportedOperation(fmt.Sprintf("there is no operation %.40q", operation))
+}
+
+// parseGetTile reads the parameters of GetTile; their names are in lower case.
+func (s *Service) parseGetTile(values map[string]string) (Asked, *Fault) {
+	fault := checkTileParameters(values)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	layer := s.Layer(values["layer"])
+	if layer == nil {
+		return Asked{}, invalidParameter("Layer", values["layer"])
+	}
+	tile, fault := layer.parseTileParameters(values)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	fault = s.resolveSet(layer, &tile)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	fault = layer.setDimensionsFromQuery(&tile, values)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	return Asked{Tile: tile}, nil
+}
+
+// checkTileParameters checks that all parameters of GetTile are given, and the version. Only the style may be empty.
+func checkTileParameters(values map[string]string) *Fault {
+	for _, name := range tileParameters {
+		value, given := values[strings.ToLower(name)]
+		if !given || value == "" && name != "Style" {
+			return missingParameter(name)
+		}
+	}
+	if values["version"] != wmtsVersion {
+		return invalidParameter("Version", values["version"])
+	}
+	return nil
+}
+
+// parseTileParameters reads a tile of a layer. Its matrix set and position are not checked yet.
+func (l *Layer) parseTileParameters(values map[string]string) (Tile, *Fault) {
+	tile := Tile{Layer: l.Name, Style: values["style"], Set: values["tilematrixset"], Matrix: values["tilematrix"]}
+	tile.Format = formatName(values["format"])
+	if tile.Style == "" { // the standard's word for the default style
+		tile.Style = l.Styles[0]
+	}
+	if !slices.Contains(l.Styles, tile.Style) {
+		return Tile{}, invalidParameter("Style", values["style"])
+	}
+	if !slices.Contains(l.Formats, tile.Format) {
+		return Tile{}, invalidParameter("Format", values["format"])
+	}
+	var ok bool
+	tile.Row, ok = parseNumber(values["tilerow"])
+	if !ok {
+		return Tile{}, invalidParameter("TileRow", values["tilerow"])
+	}
+	tile.Col, ok = parseNumber(values["tilecol"])
+	if !ok {
+		return Tile{}, invalidParameter("TileCol", values["tilecol"])
+	}
+	return tile, nil
+}
--- /dev/null
+++ b/internal/tiles/rest.go
@@ -0,0 +1,83 @@
+package tiles
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+)
+
+// The segments of a RESTful path behind the version. The dimensions' values stand between the style and the matrix
+// set: the segments from there on are counted without them.
+const (
+	restLayer = iota
+	restStyle
+	restSet
+	restMatrix
+	restRow
+	restCol // with the format
+	restSegments
+	restDimensions = restSet
+)
+
+// parseREST reads {Layer}/{Style}/{dimensions}/{TileMatrixSet}/{TileMatrix}/{TileRow}/{TileCol}.{format}.
+func (s *Service) parseREST(path string) (Asked, *Fault) {
+	segments, fault := pathSegments(path)
+	if fault != nil {
+		fault.Report = true
+		return Asked{}, fault
+	}
+	layer := s.Layer(segments[restLayer])
+	if layer == nil {
+		return Asked{}, invalidParameter("Layer", segments[restLayer])
+	}
+	want := restSegments + len(layer.Dimensions)
+	if len(segments) != want {
+		const format = "the path has %d parts behind the version, this layer's tiles have %d"
+		fault = reportedFault(Missing, "TileCol", fmt.Sprintf(format, len(segments), want))
+		fault.Status = http.StatusNotFound
+		return Asked{}, fault
+	}
+	tile, fault := layer.parseRESTSegments(segments)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	fault = s.resolveSet(layer, &tile)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	fault = layer.setDimensions(&tile, func(index int) string { return segments[restDimensions+index] })
+	if fault != nil {
+		return Asked{}, fault
+	}
+	return Asked{Tile: tile}, nil
+}
+
+// parseRESTSegments reads a tile of a layer. Its matrix set, position and dimensions are not checked yet.
+func (l *Layer) parseRESTSegments(segments []string) (Tile, *Fault) {
+	behindDimensions := segments[len(l.Dimensions):]
+	tile := Tile{
+		Layer:  l.Name,
+		Style:  segments[restStyle],
+		Set:    behindDimensions[restSet],
+		Matrix: behindDimensions[restMatrix],
+	}
+	if !slices.Contains(l.Styles, tile.Style) {
+		return Tile{}, invalidParameter("Style", tile.Style)
+	}
+	col, extension, _ := strings.Cut(behindDimensions[restCol], ".")
+	tile.Format = formatName(extension)
+	if !slices.Contains(l.Formats, tile.Format) {
+		return Tile{}, invalidParameter("Format", extension)
+	}
+	var ok bool
+	tile.Row, ok = parseNumber(behindDimensions[restRow])
+	if !ok {
+		return Tile{}, invalidParameter("TileRow", behindDimensions[restRow])
+	}
+	tile.Col, ok = parseNumber(col)
+	if !ok {
+		return Tile{}, invalidParameter("TileCol", col)
+	}
+	return tile, nil
+}
--- /dev/null
+++ b/internal/tiles/scheme.go
@@ -0,0 +1,80 @@
+package tiles
+
+import (
+	"fmt"
+	"net/url"
+	"strings"
+)
+
+// Scheme is how tile servers want to be asked.
+type Scheme string
+
+// The schemes.
+const (
+	XYZ   Scheme = "xyz"
+	Pairs Scheme = "wmts-kvp"
+	Rest  Scheme = "wmts-rest"
+)
+
+// Schemes are all schemes.
+var Schemes = []Scheme{XYZ, Pairs, Rest}
+
+// Address writes a tile's target under a scheme. XYZ paths have no place for a style other than the default one: it is
+// in the query, as are the dimensions' values.
+func (s Scheme) Address(t Tile) string {
+	switch s {
+	case Pairs:
+		return pairsAddress(t)
+	case Rest:
+		return restAddress(t)
+	}
+	return xyzAddress(t)
+}
+
+// wmtsSetName gives the name by which WMTS knows a tile's matrix set.
+func wmtsSetName(t Tile) string {
+	if t.Twice {
+		return GoogleTwice
+	}
+	return t.Set
+}
+
+func pairsAddress(t Tile) string {
+	const format = wmtsPath + "?service=WMTS&request=GetTile&version=" + wmtsVersion +
+		"&layer=%s&style=%s&format=%s&tilematrixset=%s&tilematrix=%s&tilerow=%d&tilecol=%d"
+	text := fmt.Sprintf(format,
+		url.QueryEscape(t.Layer),
+		url.QueryEscape(t.Style),
+		url.QueryEscape(Types[t.Format]),
+		url.QueryEscape(wmtsSetName(t)),
+		url.QueryEscape(t.Matrix),
+		t.Row,
+		t.Col)
+	for _, pair := range t.Dims { // words, which need no escape
+		text += "&" + pair
+	}
+	return text
+}
+
+func restAddress(t Tile) string {
+	segments := []string{t.Layer, t.Style}
+	for _, pair := range t.Dims {
+		_, value, _ := strings.Cut(pair, "=")
+		segments = append(segments, value)
+	}
+	start := restPath + strings.Join(segments, "/")
+	return fmt.Sprintf("%s/%s/%s/%d/%d.%s", start, wmtsSetName(t), t.Matrix, t.Row, t.Col, t.Format)
+}
+
+func xyzAddress(t Tile) string {
+	mark := ""
+	if t.Twice {
+		mark = doubleSizeMark
+	}
+	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, mark, t.Format)
+	if t.Style == defaultName && len(t.Dims) == 0 {
+		return text
+	}
+	query := append([]string{"style=" + t.Style}, t.Dims...)
+	return text + "?" + strings.Join(query, "&")
+}
--- /dev/null
+++ b/internal/tiles/xyz.go
@@ -0,0 +1,94 @@
+package tiles
+
+import (
+	"fmt"
+	"net/http"
+	"slices"
+	"strings"
+)
+
+// The segments of an XYZ path.
+const (
+	xyzLayer = iota
+	xyzZoom
+	xyzCol
+	xyzRow // with the mark of double-size tiles and the format
+	xyzSegments
+)
+
+const doubleSizeMark = "@2x"
+
+// parseXYZ reads /{layer}/{z}/{x}/{y}.{format} and /{layer}/{z}/{x}/{y}@2x.{format}; dimensions are in the query.
+func (s *Service) parseXYZ(path, query string) (Asked, *Fault) {
+	segments, fault := pathSegments(strings.TrimPrefix(path, "/"))
+	if fault != nil {
+		return Asked{}, fault
+	}
+	if len(segments) != xyzSegments {
+		const text = "no tile has such an address: /{layer}/{z}/{x}/{y}.{format}"
+		return Asked{}, plainFault(http.StatusNotFound, text)
+	}
+	layer := s.Layer(segments[xyzLayer])
+	if layer == nil {
+		text := fmt.Sprintf("there is no layer %.40q", segments[xyzLayer])
+		return Asked{}, plainFault(http.StatusNotFound, text)
+	}
+	tile, fault := layer.parseXYZSegments(segments)
+	if fault != nil {
+		return Asked{}, fault
+	}
+	fault = s.checkPosition(layer, &tile)
+	if fault != nil {
+		fault.Status = http.StatusNotFound
+		fault.Report = false
+		return Asked{}, fault
+	}
+	fault = layer.setXYZQuery(&tile, query)
+	if fault != nil {
+		fault.Report = false
+		return Asked{}, fault
+	}
+	return Asked{Tile: tile}, nil
+}
+
+// parseXYZSegments reads a tile from the segments of a path, in the layer's default style and first matrix set.
+func (l *Layer) parseXYZSegments(segments []string) (Tile, *Fault) {
+	tile := Tile{Layer: l.Name, Style: l.Styles[0], Set: l.Sets[0], Matrix: segments[xyzZoom]}
+	_, zoomOK := parseNumber(segments[xyzZoom])
+	if !zoomOK {
+		return Tile{}, plainFault(http.StatusBadRequest, "the zoom level is not a whole number")
+	}
+	row, extension, _ := strings.Cut(segments[xyzRow], ".")
+	row, tile.Twice = strings.CutSuffix(row, doubleSizeMark)
+	var colOK, rowOK bool
+	tile.Col, colOK = parseNumber(segments[xyzCol])
+	tile.Row, rowOK = parseNumber(row)
+	if !colOK || !rowOK {
+		return Tile{}, plainFault(http.StatusBadRequest, "column and row are not whole numbers")
+	}
+	tile.Format = formatName(extension)
+	if tile.Format == "" || !slices.Contains(l.Formats, tile.Format) {
+		text := fmt.Sprintf("the layer has no format %.20q", extension)
+		return Tile{}, plainFault(http.StatusNotFound, text)
+	}
+	if tile.Twice && !l.Retina {
+		return Tile{}, plainFault(http.StatusNotFound, "the layer has no tiles of twice the size")
+	}
+	return tile, nil
+}
+
+// setXYZQuery gives a tile the style and the dimensions' values that the query of an XYZ path names.
+func (l *Layer) setXYZQuery(tile *Tile, query string) *Fault {
+	values, fault := parseQuery(query)
+	if fault != nil {
+		return fault
+	}
+	style := values["style"]
+	if style != "" && style != defaultName {
+		if !slices.Contains(l.Styles, style) {
+			return plainFault(http.StatusNotFound, fmt.Sprintf("the layer has no style %.40q", style))
+		}
+		tile.Style = style
+	}
+	return l.setDimensionsFromQuery(tile, values)
+}
