--- a/internal/tiles/golden_test.go
+++ b/internal/tiles/golden_test.go
@@ -6,7 +6,6 @@
 	"fmt"
 	"os"
 	"path/filepath"
-	"regexp"
 	"testing"
 )
 
@@ -45,15 +44,22 @@
 		"/wmts", "/wmts?service=WMS&request=x", "/wmts?service=WMTS&request=GetFeatureInfo",
 		"/wmts?service=WMTS&request=x", "/wmts?a=%zz", "/wmts?service=WMTS&request=GetTile",
 		pairs + "&layer=x",
-		restStart + "%zz", restStart + "rivers", restStart + "roads", restStart + "roads/x/GoogleMapsCompatible/3/5/2.png",
+		restStart + "%zz", restStart + "rivers", restStart + "roads",
+		restStart + "roads/x/GoogleMapsCompatible/3/5/2.png",
 		restStart + "roads/default/GoogleMapsCompatible/3/5/2.gif", restStart + "roads/default/x/3/5/2.png",
-		restStart + "roads/default/GoogleMapsCompatible/3/x/2.png", restStart + "roads/default/GoogleMapsCompatible/3/5/x.png",
-		restStart + "roads/default/GoogleMapsCompatible/99/5/2.png", restStart + "roads/default/GoogleMapsCompatible/3/9/2.png",
+		restStart + "roads/default/GoogleMapsCompatible/3/x/2.png",
+		restStart + "roads/default/GoogleMapsCompatible/3/5/x.png",
+		restStart + "roads/default/GoogleMapsCompatible/99/5/2.png",
+		restStart + "roads/default/GoogleMapsCompatible/3/9/2.png",
 		restStart + "roads/default/GoogleMapsCompatible/3/5/9.png",
 		restStart + "clinics/night/1999/GoogleMapsCompatible/8/111/191.png",
 	}
-	for _, parameter := range []string{"version", "layer", "style", "format", "tilematrixset", "tilematrix", "tilerow", "tilecol"} {
-		targets = append(targets, pairs+"&"+parameter+"=twice", withParameter(parameter, "x"), withParameter(parameter, ""))
+	tileParameterNames := []string{
+		"version", "layer", "style", "format", "tilematrixset", "tilematrix", "tilerow", "tilecol",
+	}
+	for _, parameter := range tileParameterNames {
+		targets = append(targets, pairs+"&"+parameter+"=twice")
+		targets = append(targets, withParameter(parameter, "x"), withParameter(parameter, ""))
 	}
 	var text bytes.Buffer
 	for _, target := range targets {
@@ -82,7 +88,3 @@
 	}
 	checkGolden(t, "addresses.golden", text.Bytes())
 }
-
-func withParameter(name, value string) string {
-	return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(pairs, "$1="+value)
-}
--- a/internal/tiles/helpers_test.go
+++ b/internal/tiles/helpers_test.go
@@ -1,13 +1,18 @@
 package tiles
 
+import "regexp"
+
 // service has a plain layer, one with all there is, and one in a set of its own.
 func service() *Service {
 	return New("Roads & clinics", []*Layer{
-		{Name: "roads", Title: "Roads", Formats: []string{"png", "jpg"}, Styles: []string{"default"}, Sets: []string{Google}, MaxZoom: 18},
-		{Name: "clinics", Title: "Clinics <all>", Formats: []string{"png"}, Styles: []string{"default", "night"}, Sets: []string{Google, "grid"},
+		{Name: "roads", Title: "Roads", Formats: []string{"png", "jpg"}, Styles: []string{"default"},
+			Sets: []string{Google}, MaxZoom: 18},
+		{Name: "clinics", Title: "Clinics <all>", Formats: []string{"png"},
+			Styles: []string{"default", "night"}, Sets: []string{Google, "grid"},
 			MinZoom: 1, MaxZoom: 12, Retina: true, Bounds: []float64{88, 21, 90, 27},
 			Dimensions: []Dimension{{Name: "Time", Values: []string{"2026", "2025"}}}},
-		{Name: "grid", Title: "Grid", Formats: []string{"png"}, Styles: []string{"plain"}, Sets: []string{"grid"}, MaxZoom: 1},
+		{Name: "grid", Title: "Grid", Formats: []string{"png"}, Styles: []string{"plain"},
+			Sets: []string{"grid"}, MaxZoom: 1},
 	}, []*Set{{Name: "grid", CRS: "urn:ogc:def:crs:EPSG::9678", Matrices: []Matrix{
 		{Name: "coarse", Scale: 1e6, Left: 0, Top: 1e6, Width: 2, Height: 3, Side: 256},
 		{Name: "fine", Scale: 5e5, Left: 0, Top: 1e6, Width: 4, Height: 6, Side: 256}}}})
@@ -26,3 +31,13 @@
 	}
 	return a.Tile.Key()
 }
+
+// withParameter gives the target pairs with another value of a parameter.
+func withParameter(name, value string) string {
+	return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(pairs, "$1="+value)
+}
+
+// withoutParameter gives the target pairs without a parameter.
+func withoutParameter(name string) string {
+	return regexp.MustCompile("&"+name+"=[^&]*").ReplaceAllString(pairs, "")
+}
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -5,25 +5,31 @@
 	"fmt"
 	"io"
 	"math/rand/v2"
-	"regexp"
 	"strconv"
 	"strings"
 	"testing"
 )
 
-const pairs = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png&tilematrixset=GoogleMapsCompatible&tilematrix=3&tilerow=5&tilecol=2"
+const pairs = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
+	"&tilematrixset=GoogleMapsCompatible&tilematrix=3&tilerow=5&tilecol=2"
 
 // The same tile under any scheme is one key; names are in any case and any order.
 func TestOneKey(t *testing.T) {
 	s := service()
 	for want, targets := range map[string][]string{
-		"roads/default/GoogleMapsCompatible/3/2/5.png": {"/roads/3/2/5.png", "/%72oads/3/2/5.png", pairs, pairs + "&extra=1",
-			"/wmts?TILECOL=2&TileRow=5&tilematrix=3&TILEMATRIXSET=GoogleMapsCompatible&FORMAT=image%2Fpng&STYLE=&LAYER=roads&VERSION=1.0.0&REQUEST=GetTile&SERVICE=wmts",
+		"roads/default/GoogleMapsCompatible/3/2/5.png": {
+			"/roads/3/2/5.png", "/%72oads/3/2/5.png", pairs, pairs + "&extra=1",
+			"/wmts?TILECOL=2&TileRow=5&tilematrix=3&TILEMATRIXSET=GoogleMapsCompatible" +
+				"&FORMAT=image%2Fpng&STYLE=&LAYER=roads&VERSION=1.0.0&REQUEST=GetTile&SERVICE=wmts",
 			"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png"},
-		"roads/default/GoogleMapsCompatible/0/0/0.jpg": {"/roads/0/0/0.jpg", "/roads/0/0/0.jpeg", "/wmts/1.0.0/roads/default/GoogleMapsCompatible/0/0/0.jpg"},
-		"clinics/default/GoogleMapsCompatible/8/191/111@2x.png?Time=2026": {"/clinics/8/191/111@2x.png", "/clinics/8/191/111@2x.png?time=2026",
+		"roads/default/GoogleMapsCompatible/0/0/0.jpg": {
+			"/roads/0/0/0.jpg", "/roads/0/0/0.jpeg", "/wmts/1.0.0/roads/default/GoogleMapsCompatible/0/0/0.jpg",
+		},
+		"clinics/default/GoogleMapsCompatible/8/191/111@2x.png?Time=2026": {
+			"/clinics/8/191/111@2x.png", "/clinics/8/191/111@2x.png?time=2026",
 			"/wmts/1.0.0/clinics/default/2026/GoogleMapsCompatible-2x/8/111/191.png",
-			"/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=clinics&style=&format=image/png&tilematrixset=GoogleMapsCompatible-2x&tilematrix=8&tilerow=111&tilecol=191&TIME=default"},
+			"/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=clinics&style=&format=image/png" +
+				"&tilematrixset=GoogleMapsCompatible-2x&tilematrix=8&tilerow=111&tilecol=191&TIME=default"},
 		"clinics/night/grid/fine/3/5.png?Time=2025": {},
 		"grid/plain/grid/fine/3/5.png":              {"/wmts/1.0.0/grid/plain/grid/fine/5/3.png"},
 	} {
@@ -49,39 +55,63 @@
 
 // The standard's errors, and what no scheme can mean: each a clean answer.
 func TestFaults(t *testing.T) {
+	const noSuchAddress = "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}"
 	s := service()
-	without := func(name string) string { return regexp.MustCompile("&"+name+"=[^&]*").ReplaceAllString(pairs, "") }
-	with := func(name, value string) string {
-		return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(pairs, "$1="+value)
-	}
 	for target, want := range map[string]string{
-		"/roads/-1/0/0.png": "4 the zoom level is not a whole number", "/roads/1e3/0/0.png": "4 the zoom level is not a whole number",
-		"/roads/007/0/0.png": "4 the zoom level is not a whole number", "/roads//0/0.png": "4 the zoom level is not a whole number",
-		"/roads/99/0/0.png": `4 the layer has no zoom level "99"`, "/roads/" + strings.Repeat("7", 4000) + "/0/0.png": "4 the zoom level is not a whole number",
-		"/roads/3/8/0.png": "4 the column is not between 0 and 7", "/roads/3/0/8.png": "4 the row is not between 0 and 7",
-		"/roads/3/+1/0.png": "4 column and row are not whole numbers", "/roads/3/0/0.gif": `4 the layer has no format "gif"`,
-		"/roads/3/0/0": `4 the layer has no format ""`, "/roads/3/0/0@2x.png": "4 the layer has no tiles of twice the size",
-		"/rivers/3/0/0.png": `4 there is no layer "rivers"`, "/": "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}",
-		"/roads/3/0/0.png/": "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}", "/roads%2f3/0/0.png": "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}",
-		"/roads/%zz/0/0.png": "4 an escape in the path cannot be read", "/clinics/8/191/111.png?time=2024": `4 Time cannot be "2024"`,
-		"/clinics/8/0/0.png": "4 the row is not between 108 and 112", "/clinics/8/191/111.png?style=x": `4 the layer has no style "x"`,
-		"/wmts": "4 MissingParameterValue Service", "/wmts?service=WMTS": "4 MissingParameterValue Request", "/wmts?service=WMS&request=GetTile": "4 InvalidParameterValue Service",
-		with("request", "GetMap"): "5 OperationNotSupported Request", with("request", "GetFeatureInfo"): "5 OperationNotSupported Request",
-		with("request", "GetCapabilities"): "capabilities", "/wmts/1.0.0/WMTSCapabilities.xml": "capabilities",
-		without("version"): "4 MissingParameterValue Version", without("layer"): "4 MissingParameterValue Layer", without("style"): "4 MissingParameterValue Style",
-		without("format"): "4 MissingParameterValue Format", without("tilematrixset"): "4 MissingParameterValue TileMatrixSet",
-		without("tilematrix"): "4 MissingParameterValue TileMatrix", without("tilerow"): "4 MissingParameterValue TileRow",
-		without("tilecol"): "4 MissingParameterValue TileCol", with("tilecol", ""): "4 MissingParameterValue TileCol",
-		with("version", "1.1.0"): "4 InvalidParameterValue Version", with("layer", "rivers"): "4 InvalidParameterValue Layer",
-		with("style", "x"): "4 InvalidParameterValue Style", with("format", "image/gif"): "4 InvalidParameterValue Format",
-		with("tilematrixset", "x"): "4 InvalidParameterValue TileMatrixSet", with("tilematrix", "99"): "4 InvalidParameterValue TileMatrix",
-		with("tilematrix", "03"): "4 InvalidParameterValue TileMatrix", with("tilerow", "8"): "4 TileOutOfRange TileRow", with("tilecol", "8"): "4 TileOutOfRange TileCol",
-		with("tilerow", "-1"): "4 InvalidParameterValue TileRow", with("tilecol", "1e3"): "4 InvalidParameterValue TileCol",
-		pairs + "&Layer=roads": "4 InvalidParameterValue layer", pairs + "&%zz=1": "4 InvalidParameterValue ",
-		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5": "4 MissingParameterValue TileCol", "/wmts/1.0.0/rivers/a/b/3/5/2.png": "4 InvalidParameterValue Layer",
-		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/9/2.png":          "4 TileOutOfRange TileRow",
-		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.gif":          "4 InvalidParameterValue Format",
-		"/wmts/1.0.0/grid/plain/grid/fine/5/4.png":                          "4 TileOutOfRange TileCol",
+		"/roads/-1/0/0.png":  "4 the zoom level is not a whole number",
+		"/roads/1e3/0/0.png": "4 the zoom level is not a whole number",
+		"/roads/007/0/0.png": "4 the zoom level is not a whole number",
+		"/roads//0/0.png":    "4 the zoom level is not a whole number",
+		"/roads/99/0/0.png":  `4 the layer has no zoom level "99"`,
+		"/roads/" + strings.Repeat("7", 4000) + "/0/0.png": "4 the zoom level is not a whole number",
+		"/roads/3/8/0.png":                                         "4 the column is not between 0 and 7",
+		"/roads/3/0/8.png":                                         "4 the row is not between 0 and 7",
+		"/roads/3/+1/0.png":                                        "4 column and row are not whole numbers",
+		"/roads/3/0/0.gif":                                         `4 the layer has no format "gif"`,
+		"/roads/3/0/0":                                             `4 the layer has no format ""`,
+		"/roads/3/0/0@2x.png":                                      "4 the layer has no tiles of twice the size",
+		"/rivers/3/0/0.png":                                        `4 there is no layer "rivers"`,
+		"/":                                                        noSuchAddress,
+		"/roads/3/0/0.png/":                                        noSuchAddress,
+		"/roads%2f3/0/0.png":                                       noSuchAddress,
+		"/roads/%zz/0/0.png":                                       "4 an escape in the path cannot be read",
+		"/clinics/8/191/111.png?time=2024":                         `4 Time cannot be "2024"`,
+		"/clinics/8/0/0.png":                                       "4 the row is not between 108 and 112",
+		"/clinics/8/191/111.png?style=x":                           `4 the layer has no style "x"`,
+		"/wmts":                                                    "4 MissingParameterValue Service",
+		"/wmts?service=WMTS":                                       "4 MissingParameterValue Request",
+		"/wmts?service=WMS&request=GetTile":                        "4 InvalidParameterValue Service",
+		withParameter("request", "GetMap"):                         "5 OperationNotSupported Request",
+		withParameter("request", "GetFeatureInfo"):                 "5 OperationNotSupported Request",
+		withParameter("request", "GetCapabilities"):                "capabilities",
+		"/wmts/1.0.0/WMTSCapabilities.xml":                         "capabilities",
+		withoutParameter("version"):                                "4 MissingParameterValue Version",
+		withoutParameter("layer"):                                  "4 MissingParameterValue Layer",
+		withoutParameter("style"):                                  "4 MissingParameterValue Style",
+		withoutParameter("format"):                                 "4 MissingParameterValue Format",
+		withoutParameter("tilematrixset"):                          "4 MissingParameterValue TileMatrixSet",
+		withoutParameter("tilematrix"):                             "4 MissingParameterValue TileMatrix",
+		withoutParameter("tilerow"):                                "4 MissingParameterValue TileRow",
+		withoutParameter("tilecol"):                                "4 MissingParameterValue TileCol",
+		withParameter("tilecol", ""):                               "4 MissingParameterValue TileCol",
+		withParameter("version", "1.1.0"):                          "4 InvalidParameterValue Version",
+		withParameter("layer", "rivers"):                           "4 InvalidParameterValue Layer",
+		withParameter("style", "x"):                                "4 InvalidParameterValue Style",
+		withParameter("format", "image/gif"):                       "4 InvalidParameterValue Format",
+		withParameter("tilematrixset", "x"):                        "4 InvalidParameterValue TileMatrixSet",
+		withParameter("tilematrix", "99"):                          "4 InvalidParameterValue TileMatrix",
+		withParameter("tilematrix", "03"):                          "4 InvalidParameterValue TileMatrix",
+		withParameter("tilerow", "8"):                              "4 TileOutOfRange TileRow",
+		withParameter("tilecol", "8"):                              "4 TileOutOfRange TileCol",
+		withParameter("tilerow", "-1"):                             "4 InvalidParameterValue TileRow",
+		withParameter("tilecol", "1e3"):                            "4 InvalidParameterValue TileCol",
+		pairs + "&Layer=roads":                                     "4 InvalidParameterValue layer",
+		pairs + "&%zz=1":                                           "4 InvalidParameterValue ",
+		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5":       "4 MissingParameterValue TileCol",
+		"/wmts/1.0.0/rivers/a/b/3/5/2.png":                         "4 InvalidParameterValue Layer",
+		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/9/2.png": "4 TileOutOfRange TileRow",
+		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.gif": "4 InvalidParameterValue Format",
+		"/wmts/1.0.0/grid/plain/grid/fine/5/4.png":                 "4 TileOutOfRange TileCol",
 		"/wmts/1.0.0/clinics/night/1999/GoogleMapsCompatible/8/111/191.png": "4 InvalidParameterValue Time",
 	} {
 		if got := asked(s, target); got != want {
@@ -134,14 +164,20 @@
 			for _, m := range link.TileMatrixLimits {
 				for _, style := range l.Style {
 					for _, u := range l.ResourceURL {
-						at := strings.NewReplacer("{Style}", style.Identifier, "{TileMatrixSet}", link.TileMatrixSet, "{TileMatrix}", m.TileMatrix,
-							"{TileRow}", strconv.Itoa(m.MaxTileRow), "{TileCol}", strconv.Itoa(m.MinTileCol)).Replace(u.Template)
+						at := strings.NewReplacer(
+							"{Style}", style.Identifier,
+							"{TileMatrixSet}", link.TileMatrixSet,
+							"{TileMatrix}", m.TileMatrix,
+							"{TileRow}", strconv.Itoa(m.MaxTileRow),
+							"{TileCol}", strconv.Itoa(m.MinTileCol),
+						).Replace(u.Template)
 						for _, d := range l.Dimension {
 							at = strings.ReplaceAll(at, "{"+d.Identifier+"}", d.Value[len(d.Value)-1])
 						}
 						target := strings.TrimPrefix(at, "http://127.0.0.1:8080")
 						a, fault := s.Parse(target)
-						if fault != nil || a.Tile.Layer != l.Identifier || a.Tile.Row != m.MaxTileRow || a.Tile.Col != m.MinTileCol {
+						if fault != nil || a.Tile.Layer != l.Identifier ||
+							a.Tile.Row != m.MaxTileRow || a.Tile.Col != m.MinTileCol {
 							t.Fatalf("%s is read as %+v, %v", target, a, fault)
 						}
 						followed++
@@ -158,7 +194,8 @@
 func TestReport(t *testing.T) {
 	f := Fault{Code: Invalid, Locator: "Layer", Text: `Layer cannot be "<x>"`}
 	text := string(f.XML())
-	if !strings.Contains(text, `exceptionCode="InvalidParameterValue" locator="Layer"`) || !strings.Contains(text, "&lt;x&gt;") {
+	const start = `exceptionCode="InvalidParameterValue" locator="Layer"`
+	if !strings.Contains(text, start) || !strings.Contains(text, "&lt;x&gt;") {
 		t.Errorf("the report is %s", text)
 	}
 }
@@ -168,8 +205,10 @@
 	s, chance := service(), rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
 		z := chance.IntN(19)
-		want := Tile{Layer: "roads", Style: "default", Set: Google, Matrix: strconv.Itoa(z), Col: chance.IntN(1 << z), Row: chance.IntN(1 << z),
-			Format: []string{"png", "jpg"}[chance.IntN(2)]}.Key()
+		want := Tile{
+			Layer: "roads", Style: "default", Set: Google, Matrix: strconv.Itoa(z),
+			Col: chance.IntN(1 << z), Row: chance.IntN(1 << z), Format: []string{"png", "jpg"}[chance.IntN(2)],
+		}.Key()
 		tile, _ := Named(want)
 		for _, scheme := range Schemes {
 			if got := asked(s, scheme.Address(tile)); got != want {
@@ -182,7 +221,9 @@
 // No address stops the reader, and whatever is taken for a tile names one that can be asked for under every scheme.
 func FuzzParse(f *testing.F) {
 	s := service()
-	for _, target := range []string{"/roads/3/2/5.png", pairs, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%"} {
+	for _, target := range []string{
+		"/roads/3/2/5.png", pairs, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%",
+	} {
 		f.Add(target)
 	}
 	f.Fuzz(func(t *testing.T, target string) {
@@ -208,8 +249,11 @@
 
 func BenchmarkParse(b *testing.B) {
 	s := service()
-	for name, target := range map[string]string{"xyz": "/roads/12/2345/1456.png", "pairs": strings.Replace(pairs, "tilematrix=3", "tilematrix=12", 1),
-		"rest": "/wmts/1.0.0/roads/default/GoogleMapsCompatible/12/1456/2345.png"} {
+	for name, target := range map[string]string{
+		"xyz":   "/roads/12/2345/1456.png",
+		"pairs": strings.Replace(pairs, "tilematrix=3", "tilematrix=12", 1),
+		"rest":  "/wmts/1.0.0/roads/default/GoogleMapsCompatible/12/1456/2345.png",
+	} {
 		b.Run(name, func(b *testing.B) {
 			b.ReportAllocs()
 			for range b.N {
