--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -21,7 +21,7 @@
 func (n *notes) Status(code int)             { n.body.Reset(); fmt.Fprint(n, code) }
 func (n *notes) Length(x int64) error {
 	if n.bound > 0 && x > n.bound {
-		return bad("too large")
+		return badResponse("too large")
 	}
 	return nil
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,147 +7,197 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Requests is called with a client's requests: Begin, then each header, then Request once all of it has come.
+// Requests is called with a client's requests: Begin, then each header, then Request once all of it has come. The calls
+// come from within RequestReader.Read.
 type Requests interface {
 	Begin(method, target string)
 	Header(name, value string) // the name in lower case
 	Request(keep bool)         // keep: the connection stays open after its answer
 }
 
-// RequestReader reads a client's requests, which have no bodies here.
+// RequestReader reads a client's requests, which have no bodies here. The zero value is ready for use.
 type RequestReader struct {
-	liner
-	begun   bool // the request line has come
-	minor   int
-	headers int // bytes
-	count   int
-	hosts   int
-	length  bool
-	closing bool
-	keeping bool
+	lineReader
+	head      messageHead
+	hostCount int
+	begun     bool // the request line has come
+	hasLength bool
 }
 
-// Begun tells whether a request has begun and is not whole.
+// Begun tells whether a request has begun and is not complete.
 func (r *RequestReader) Begun() bool { return r.begun || len(r.line) > 0 }
 
-var known = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"}
+var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"}
 
-// Read goes on with the request at hand; true once it was handed on whole. After a fault nothing more can be read.
+// Read goes on with the request at hand; true once all of it was handed on. After a fault nothing more can be read.
 func (r *RequestReader) Read(in *ringbuffer.Buffer, to Requests) (bool, error) {
 	for {
-		long, bound := errLine, lineBound
-		if r.begun {
-			long, bound = errHeaders, headerBound
+		line, complete, fault := r.readNextLine(in)
+		if fault != nil {
+			return false, fault
 		}
-		line, whole, err := r.read(in, bound, long)
-		if err != nil {
-			return false, err
-		}
-		if !whole {
+		if !complete {
 			return false, nil
 		}
-		switch {
-		case !r.begun && len(line) == 0: // an empty line before a request is passed over
-		case !r.begun:
-			if err := r.first(line, to); err != nil {
-				return false, err
-			}
-		case len(line) == 0:
-			r.next()
-			return true, r.end(to)
-		default:
-			if err := r.header(line, to); err != nil {
-				return false, err
-			}
+		if r.begun && len(line) == 0 {
+			r.resetLine()
+			return true, r.finish(to)
+		}
+		fault = r.takeLine(line, to)
+		if fault != nil {
+			return false, fault
 		}
-		r.next()
+		r.resetLine()
+	}
+}
+
+func (r *RequestReader) readNextLine(in *ringbuffer.Buffer) ([]byte, bool, *Fault) {
+	if r.begun {
+		return r.readLine(in, maxHeaderLine, errHeadersTooLong)
+	}
+	return r.readLine(in, maxRequestLine, errRequestLineTooLong)
+}
+
+// takeLine takes a line that does not end the request. Empty lines before a request are ignored.
+func (r *RequestReader) takeLine(line []byte, to Requests) *Fault {
+	if r.begun {
+		return r.takeHeader(line, to)
+	}
+	if len(line) == 0 {
+		return nil
 	}
+	return r.takeRequestLine(line, to)
 }
 
-// first takes the request line.
-func (r *RequestReader) first(line []byte, to Requests) error {
-	method, rest, ok := bytes.Cut(line, []byte(" "))
-	target, version, ok2 := bytes.Cut(rest, []byte(" "))
-	if !ok || !ok2 || len(method) == 0 || slices.ContainsFunc(method, func(b byte) bool { return !token(b) }) || bytes.IndexByte(version, ' ') >= 0 {
-		return &Fault{400, "the request line cannot be read"}
+func (r *RequestReader) takeRequestLine(line []byte, to Requests) *Fault {
+	method, rest, hasTarget := bytes.Cut(line, []byte(" "))
+	target, version, hasVersion := bytes.Cut(rest, []byte(" "))
+	if !hasTarget || !hasVersion || !isMethod(method) || bytes.IndexByte(version, ' ') >= 0 {
+		return errRequestLine
+	}
+	minorVersion, fault := parseVersion(version)
+	if fault != nil {
+		return fault
+	}
+	methodName := string(method)
+	if !slices.Contains(knownMethods, methodName) {
+		return errUnknownMethod
+	}
+	if methodName != "GET" && methodName != "HEAD" {
+		return errMethodNotAllowed
+	}
+	path, fault := parseTarget(target)
+	if fault != nil {
+		return fault
+	}
+	r.begun = true
+	r.head = messageHead{minorVersion: minorVersion}
+	r.hostCount = 0
+	r.hasLength = false
+	to.Begin(methodName, string(path))
+	return nil
+}
+
+func isMethod(text []byte) bool {
+	for _, b := range text {
+		if !isToken(b) {
+			return false
+		}
 	}
+	return len(text) > 0
+}
+
+// parseVersion gives the minor version of HTTP/1.
+func parseVersion(version []byte) (int, *Fault) {
 	switch {
 	case bytes.Equal(version, []byte("HTTP/1.1")):
-		r.minor = 1
+		return 1, nil
 	case bytes.Equal(version, []byte("HTTP/1.0")):
-		r.minor = 0
+		return 0, nil
 	case bytes.HasPrefix(version, []byte("HTTP/")):
-		return &Fault{505, "this version is not spoken"}
-	default:
-		return &Fault{400, "the request line cannot be read"}
-	}
-	if !slices.Contains(known, string(method)) {
-		return &Fault{501, "this method is not known"}
-	}
-	if m := string(method); m != "GET" && m != "HEAD" {
-		return &Fault{405, "only GET and HEAD are taken"}
-	}
-	if i := bytes.Index(target, []byte("://")); i > 0 && target[0] != '/' { // the form for proxies
-		path := bytes.IndexByte(target[i+3:], '/')
-		if path < 0 {
-			target = []byte("/")
-		} else {
-			target = target[i+3+path:]
-		}
+		return 0, errVersion
 	}
-	if len(target) == 0 || target[0] != '/' {
-		return &Fault{400, "the target is not a path"}
+	return 0, errRequestLine
+}
+
+// parseTarget gives the path and query of a request's target, which may be in the absolute form that proxies get.
+func parseTarget(target []byte) ([]byte, *Fault) {
+	path := cutAuthority(target)
+	if len(path) == 0 || path[0] != '/' {
+		return nil, errTargetNotPath
 	}
-	for _, b := range target {
+	for _, b := range path {
 		if b <= ' ' || b >= 0x7f {
-			return &Fault{400, "the target holds what must be escaped"}
+			return nil, errTargetNotEscaped
 		}
 	}
-	r.begun, r.headers, r.count, r.hosts, r.length, r.closing, r.keeping = true, 0, 0, 0, false, false, false
-	to.Begin(string(method), string(target))
-	return nil
+	return path, nil
+}
+
+// cutAuthority cuts the scheme and the authority off a target in the absolute form.
+func cutAuthority(target []byte) []byte {
+	const separator = "://"
+	schemeEnd := bytes.Index(target, []byte(separator))
+	if schemeEnd <= 0 || target[0] == '/' {
+		return target
+	}
+	authority := target[schemeEnd+len(separator):]
+	pathStart := bytes.IndexByte(authority, '/')
+	if pathStart < 0 {
+		return []byte("/")
+	}
+	return authority[pathStart:]
 }
 
-func (r *RequestReader) header(line []byte, to Requests) error {
-	r.headers += len(line)
-	if r.count++; r.count > headerCount || r.headers > headersBound {
-		return errHeaders
+func (r *RequestReader) takeHeader(line []byte, to Requests) *Fault {
+	if !r.head.countHeader(line) {
+		return errHeadersTooLong
 	}
-	name, value, err := header(line)
-	if err != nil {
-		return err
+	name, value, fault := splitHeader(line)
+	if fault != nil {
+		return fault
 	}
 	switch string(name) {
 	case "host":
-		r.hosts++
+		r.hostCount++
 	case "content-length":
-		n, err := digits(value, 18)
-		if err != nil || r.length {
-			return errLength
-		}
-		if r.length = true; n > 0 {
-			return &Fault{400, "a body is not taken"}
-		}
+		fault = r.takeLength(value)
 	case "transfer-encoding":
-		if r.length {
-			return errLength
+		fault = errTransferCoding
+		if r.hasLength {
+			fault = errLength
 		}
-		return errCoding
 	case "expect":
-		return &Fault{417, "nothing is expected here"}
+		fault = errExpectation
 	case "connection":
-		r.closing = r.closing || listed(value, "close")
-		r.keeping = r.keeping || listed(value, "keep-alive")
+		r.head.setConnection(value)
+	}
+	if fault != nil {
+		return fault
 	}
 	to.Header(string(name), string(value))
 	return nil
 }
 
-func (r *RequestReader) end(to Requests) error {
+// takeLength takes a Content-Length: it may be there once, and be 0.
+func (r *RequestReader) takeLength(value []byte) *Fault {
+	length, err := parseDigits(value, maxLengthDigits)
+	if err != nil || r.hasLength {
+		return errLength
+	}
+	if length > 0 {
+		return errRequestBody
+	}
+	r.hasLength = true
+	return nil
+}
+
+// finish ends the request at hand. HTTP/1.1 demands one Host header, HTTP/1.0 allows it to be missing.
+func (r *RequestReader) finish(to Requests) error {
 	r.begun = false
-	if r.minor == 1 && r.hosts != 1 || r.hosts > 1 {
-		return &Fault{400, "there is not one host header"}
+	if r.head.minorVersion == 1 && r.hostCount != 1 || r.hostCount > 1 {
+		return errHost
 	}
-	to.Request(!r.closing && (r.minor == 1 || r.keeping))
+	to.Request(r.head.keepsConnection())
 	return nil
 }
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -7,52 +7,63 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Replies is called with a server's answers: Status, then each header, then parts of the body, then End.
+// Replies is called with a server's responses: Status, then each header, then Length if it is stated, then parts of the
+// body, then End. The calls come from within ResponseReader.Read and ResponseReader.Closed.
 type Replies interface {
 	Status(code int)
 	Header(name, value string) // the name in lower case; none that are of this connection alone
 	Length(n int64) error      // of the body; an error ends the reading, and nothing of the body was taken in
-	Body(part []byte) error
-	End(keep bool)
+	Body(part []byte) error    // valid during the call; an error ends the reading
+	End(keep bool)             // keep: the connection can carry another request
 }
 
-// ResponseReader reads a server's answers to GET requests.
+// ResponseReader reads a server's responses to GET requests. The zero value is ready for use.
 type ResponseReader struct {
-	liner
-	phase   int
-	minor   int
-	code    int
-	headers int
-	count   int
-	early   int // answers of the kind 1xx before the one at hand
-	length  int64
-	stated  bool
-	chunked bool
-	closing bool
-	keeping bool
-	left    int64 // of the body, or of the chunk
+	lineReader
+	head          messageHead
+	phase         responsePhase
+	hasLength     bool
+	chunked       bool
+	code          int
+	informational int   // responses of the kind 1xx before the one at hand
+	length        int64 // stated, of the body
+	remaining     int64 // bytes of the body, or of the chunk
 }
 
-// The parts of an answer.
+// responsePhase is which part of a response comes next.
+type responsePhase uint8
+
 const (
-	atStatus = iota
+	atStatus responsePhase = iota
 	inHeaders
 	inBody
-	atChunk    // a chunk's length
-	inChunk    // its bytes
-	afterChunk // the line end behind them
+	atChunkLength
+	inChunk
+	afterChunk // the line end behind a chunk's bytes
 	inTrailers
-	untilEnd // the body goes on until the connection ends
+	inBodyUntilClose // the body goes on until the connection ends
 )
 
-const mostEarly = 4 // answers of the kind 1xx: more are no use to anybody
+// progress is what a step of a reader came to.
+type progress int
+
+const (
+	needsInput progress = iota
+	advanced
+	completed
+)
+
+const (
+	maxInformational = 4 // responses of the kind 1xx: more are no use to anybody
+	maxChunkDigits   = 8 // hexadecimal
+)
 
-// Begun tells whether an answer has begun and is not whole.
+// Begun tells whether a response has begun and is not complete.
 func (r *ResponseReader) Begun() bool { return r.phase != atStatus || len(r.line) > 0 }
 
-// Closed takes the connection's end: true if that ends the answer at hand as it should.
+// Closed takes the connection's end: true if that ends the response at hand as it should.
 func (r *ResponseReader) Closed(to Replies) bool {
-	if r.phase != untilEnd {
+	if r.phase != inBodyUntilClose {
 		return false
 	}
 	r.phase = atStatus
@@ -60,168 +71,237 @@
 	return true
 }
 
-func bad(why string) *Fault { return &Fault{502, why} }
-
-// Read goes on with the answer at hand; true once it was handed on whole. After an error nothing more can be read.
+// Read goes on with the response at hand; true once all of it was handed on. After an error nothing more can be read.
 func (r *ResponseReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	for {
-		switch r.phase {
-		case inBody, inChunk, untilEnd:
-			var parts [2][]byte
-			held := in.Held(parts[:0])
-			if len(held) == 0 {
-				return false, nil
-			}
-			part := held[0]
-			if r.phase != untilEnd {
-				part = part[:min(int64(len(part)), r.left)]
-			}
-			if err := to.Body(part); err != nil {
-				return false, err
-			}
-			in.Drop(len(part))
-			if r.left -= int64(len(part)); r.left > 0 || r.phase == untilEnd {
-				continue
-			}
-			if r.phase == inBody {
-				return true, r.end(to)
-			}
-			r.phase = afterChunk
-		default:
-			line, whole, fault := r.read(in, headerBound, bad("a line is too long"))
-			if fault != nil {
-				return false, fault
-			}
-			if !whole {
-				return false, nil
-			}
-			done, err := r.take(line, to)
-			r.next()
-			if err != nil || done {
-				return done, err
-			}
+		step, err := r.step(in, to)
+		if err != nil {
+			return false, err
+		}
+		if step != advanced {
+			return step == completed, nil
 		}
 	}
 }
 
-// take takes a line; true if it ends the answer.
-func (r *ResponseReader) take(line []byte, to Replies) (bool, error) {
+func (r *ResponseReader) step(in *ringbuffer.Buffer, to Replies) (progress, error) {
+	switch r.phase {
+	case inBody, inChunk, inBodyUntilClose:
+		return r.readBody(in, to)
+	}
+	line, complete, fault := r.readLine(in, maxHeaderLine, errResponseLineTooLong)
+	if fault != nil {
+		return needsInput, fault
+	}
+	if !complete {
+		return needsInput, nil
+	}
+	step, err := r.takeLine(line, to)
+	r.resetLine()
+	return step, err
+}
+
+// readBody hands on what has come of a body or of a chunk.
+func (r *ResponseReader) readBody(in *ringbuffer.Buffer, to Replies) (progress, error) {
+	var parts [2][]byte
+	held := in.Held(parts[:0])
+	if len(held) == 0 {
+		return needsInput, nil
+	}
+	part := held[0]
+	if r.phase != inBodyUntilClose {
+		part = part[:min(int64(len(part)), r.remaining)]
+	}
+	err := to.Body(part)
+	if err != nil {
+		return needsInput, err
+	}
+	in.Drop(len(part))
+	if r.phase == inBodyUntilClose {
+		return advanced, nil
+	}
+	r.remaining -= int64(len(part))
+	if r.remaining > 0 {
+		return advanced, nil
+	}
+	if r.phase == inBody {
+		return r.finish(to), nil
+	}
+	r.phase = afterChunk
+	return advanced, nil
+}
+
+func (r *ResponseReader) takeLine(line []byte, to Replies) (progress, error) {
 	switch r.phase {
 	case atStatus:
-		return false, r.status(line, to)
+		return advanced, r.takeStatus(line, to)
 	case inHeaders:
-		if len(line) > 0 {
-			return false, r.header(line, to)
-		}
-		return r.body(to)
-	case atChunk:
-		size, _, _ := bytes.Cut(line, []byte(";"))
-		size = bytes.TrimRight(size, " \t")
-		n, err := strconv.ParseUint(string(size), 16, 32)
-		if err != nil || len(size) > 8 || len(size) == 0 || size[0] == '+' || size[0] == '_' {
-			return false, bad("a chunk's length cannot be read")
-		}
-		if r.phase, r.left = inChunk, int64(n); n == 0 {
-			r.phase = inTrailers
+		if len(line) == 0 {
+			return r.endHeaders(to)
 		}
+		return advanced, r.takeHeader(line, to)
+	case atChunkLength:
+		return advanced, r.takeChunkLength(line)
 	case afterChunk:
 		if len(line) > 0 {
-			return false, bad("a chunk does not end where its length says")
+			return advanced, errChunkEnd
 		}
-		r.phase = atChunk
+		r.phase = atChunkLength
 	case inTrailers:
 		if len(line) == 0 {
-			return true, r.end(to)
+			return r.finish(to), nil
 		}
-		r.headers += len(line)
-		if r.count++; r.count > headerCount || r.headers > headersBound {
-			return false, bad("the trailers are too long")
+		if !r.head.countHeader(line) {
+			return advanced, errTrailersTooLong
 		}
 	}
-	return false, nil
+	return advanced, nil
 }
 
-func (r *ResponseReader) status(line []byte, to Replies) error {
-	if len(line) < len("HTTP/1.1 200") || !bytes.HasPrefix(line, []byte("HTTP/1.")) || line[8] != ' ' || len(line) > 12 && line[12] != ' ' {
-		return bad("no status line")
+func (r *ResponseReader) takeStatus(line []byte, to Replies) error {
+	code, minorVersion, valid := parseStatusLine(line)
+	if !valid {
+		return errStatusLine
 	}
-	code, err := digits(line[9:12], 3)
-	if r.minor = int(line[7] - '0'); err != nil || code < 100 || r.minor != 0 && r.minor != 1 {
-		return bad("no status line")
+	r.code = code
+	r.phase = inHeaders
+	r.head = messageHead{minorVersion: minorVersion}
+	r.length = 0
+	r.hasLength = false
+	r.chunked = false
+	if r.isFinal() {
+		to.Status(code)
+		return nil
 	}
-	r.code, r.phase = int(code), inHeaders
-	r.headers, r.count, r.length, r.stated, r.chunked, r.closing, r.keeping = 0, 0, 0, false, false, false, false
-	if r.code >= 200 {
-		to.Status(r.code)
-	} else if r.early++; r.early > mostEarly || r.code == 101 {
-		return bad("too many answers before the answer")
+	r.informational++
+	if r.informational > maxInformational || code == 101 {
+		return errTooManyInformational
 	}
 	return nil
 }
 
-func (r *ResponseReader) header(line []byte, to Replies) error {
-	r.headers += len(line)
-	if r.count++; r.count > headerCount || r.headers > headersBound {
-		return bad("the headers are too long")
+// isFinal tells whether the response is the answer itself, not one of the kind 1xx before it.
+func (r *ResponseReader) isFinal() bool { return r.code >= 200 }
+
+// parseStatusLine reads "HTTP/1.x 200", alone or with a reason behind a space.
+func parseStatusLine(line []byte) (code, minorVersion int, valid bool) {
+	const (
+		prefix    = "HTTP/1."
+		codeStart = len(prefix) + len("x ")
+		codeEnd   = codeStart + len("200")
+	)
+	if len(line) < codeEnd || !bytes.HasPrefix(line, []byte(prefix)) || line[codeStart-1] != ' ' {
+		return 0, 0, false
+	}
+	if len(line) > codeEnd && line[codeEnd] != ' ' {
+		return 0, 0, false
+	}
+	number, err := parseDigits(line[codeStart:codeEnd], codeEnd-codeStart)
+	if err != nil || number < 100 {
+		return 0, 0, false
+	}
+	minor := line[len(prefix)]
+	if minor != '0' && minor != '1' {
+		return 0, 0, false
+	}
+	return int(number), int(minor - '0'), true
+}
+
+func (r *ResponseReader) takeHeader(line []byte, to Replies) error {
+	if !r.head.countHeader(line) {
+		return errResponseHeadersTooLong
 	}
-	name, value, fault := header(line)
+	name, value, fault := splitHeader(line)
 	if fault != nil {
-		return bad(fault.Why)
+		return badResponse(fault.Why)
 	}
 	switch string(name) {
 	case "content-length":
-		n, err := digits(value, 18)
-		if err != nil || r.stated || r.chunked {
-			return bad("the length cannot be read, or there are two")
-		}
-		r.length, r.stated = n, true
+		return r.takeLength(value)
 	case "transfer-encoding":
-		if r.stated || r.chunked || !bytes.EqualFold(value, []byte("chunked")) {
-			return bad("this transfer coding is not taken, or stands beside a length")
+		if r.hasLength || r.chunked || !bytes.EqualFold(value, []byte("chunked")) {
+			return errResponseCoding
 		}
 		r.chunked = true
 	case "connection":
-		r.closing = r.closing || listed(value, "close")
-		r.keeping = r.keeping || listed(value, "keep-alive")
-	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade":
+		r.head.setConnection(value)
+	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade": // of this connection alone
 	default:
-		if r.code >= 200 {
+		if r.isFinal() {
 			to.Header(string(name), string(value))
 		}
 	}
 	return nil
 }
 
-// body takes the end of the headers.
-func (r *ResponseReader) body(to Replies) (bool, error) {
+func (r *ResponseReader) takeLength(value []byte) error {
+	length, err := parseDigits(value, maxLengthDigits)
+	if err != nil || r.hasLength || r.chunked {
+		return errResponseLength
+	}
+	r.length = length
+	r.hasLength = true
+	return nil
+}
+
+// endHeaders takes the end of the headers: it tells how the body comes.
+func (r *ResponseReader) endHeaders(to Replies) (progress, error) {
 	switch {
-	case r.code < 200:
+	case !r.isFinal():
 		r.phase = atStatus
-		return false, nil
-	case r.code == 204 || r.code == 304: // they have none, whatever length they state
+		return advanced, nil
+	case r.code == 204 || r.code == 304: // they have no body, whatever length they state
 		if r.chunked {
-			return false, bad("chunks where there can be no body")
+			return advanced, errUnexpectedChunks
 		}
-		return true, r.end(to)
+		return r.finish(to), nil
 	case r.chunked:
-		r.phase = atChunk
-		return false, nil
-	case r.stated:
-		if err := to.Length(r.length); err != nil {
-			return false, err
-		}
-		if r.left = r.length; r.left == 0 {
-			return true, r.end(to)
-		}
-		r.phase = inBody
-		return false, nil
+		r.phase = atChunkLength
+		return advanced, nil
+	case r.hasLength:
+		return r.beginBody(to)
+	}
+	r.phase = inBodyUntilClose
+	return advanced, nil
+}
+
+// beginBody begins a body of a stated length.
+func (r *ResponseReader) beginBody(to Replies) (progress, error) {
+	err := to.Length(r.length)
+	if err != nil {
+		return advanced, err
+	}
+	if r.length == 0 {
+		return r.finish(to), nil
 	}
-	r.phase = untilEnd
-	return false, nil
+	r.remaining = r.length
+	r.phase = inBody
+	return advanced, nil
 }
 
-func (r *ResponseReader) end(to Replies) error {
-	r.phase, r.early = atStatus, 0
-	to.End(!r.closing && (r.minor == 1 || r.keeping))
+// takeChunkLength takes a chunk's length; extensions behind it are ignored. A length of 0 ends the body.
+func (r *ResponseReader) takeChunkLength(line []byte) error {
+	digits, _, _ := bytes.Cut(line, []byte(";"))
+	digits = bytes.TrimRight(digits, " \t")
+	if len(digits) == 0 || len(digits) > maxChunkDigits {
+		return errChunkLength
+	}
+	length, err := strconv.ParseUint(string(digits), 16, 32)
+	if err != nil {
+		return errChunkLength
+	}
+	r.remaining = int64(length)
+	r.phase = inChunk
+	if length == 0 {
+		r.phase = inTrailers
+	}
 	return nil
 }
+
+// finish ends the response at hand.
+func (r *ResponseReader) finish(to Replies) progress {
+	r.phase = atStatus
+	r.informational = 0
+	to.End(r.head.keepsConnection())
+	return completed
+}
