--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -3,7 +3,6 @@
 import (
 	"bytes"
 	"slices"
-	"strconv"
 
 	"bendtrestle/internal/ringbuffer"
 )
@@ -16,100 +15,112 @@
 	Noop()
 	Bad(answer string) // a command that can't be used, and what its sender is told
 
-	// Reserve sets memory apart for a value of more than ValueBound, which begins; false: there is none, and it is skipped.
+	// Reserve sets memory apart for a value of more than ValueBound, which begins; false: there is none, and it is
+	// skipped.
 	Reserve(length int) bool
 	Refused() // such a value has been skipped
 }
 
-// CommandReader reads a client's commands.
+// CommandReader reads a client's commands. The zero value is ready for use.
 type CommandReader struct {
-	cutter
-	reserved bool // there is memory for the long value at hand
-	skip     int  // bytes of one for which there was none
+	messageReader
+	reserved  bool // there is memory for the long value at hand
+	skipBytes int  // of a value, with its line end, for which there was no memory
 }
 
-// Begun tells whether a command has begun and is not whole.
+// Begun tells whether a command has begun and is not complete.
 func (r *CommandReader) Begun() bool { return r.begun() }
 
-// Read hands on the next command; false while it is not whole. After an error nothing more can be read.
+// Read hands on the next command; false while it is not complete. After an error nothing more can be read.
 func (r *CommandReader) Read(in *ringbuffer.Buffer, to Commands) (bool, error) {
-	if r.skip > 0 {
-		return r.pass(in, to), nil
+	if r.skipBytes > 0 {
+		return r.skipValue(in, to), nil
 	}
-	verb, fields, whole, err := r.readLine(in)
-	if !whole {
+	verb, fields, complete, err := r.readLine(in)
+	if !complete {
 		return false, err
 	}
 	switch {
 	case verb == "mn" && len(fields) == 1:
 		to.Noop()
 	case verb == "mg" && len(fields) >= 2:
-		if id, flags, figures, fault := about(fields[1], fields[2:]); fault != "" {
-			to.Bad(fault)
-		} else {
-			to.Get(string(fields[1]), id, flags, figures)
-		}
+		takeGet(fields, to)
 	case verb == "ms" && len(fields) >= 3:
-		if n := long(fields[2]); n > 0 && !r.reserved {
-			if r.reserved = to.Reserve(n); !r.reserved {
-				r.skip = n + len("\r\n")
-				return r.pass(in, to), nil
-			}
-		}
-		value, whole, err := r.readValue(in, fields[2], LongBound)
-		if !whole {
-			return false, err
-		}
-		if id, flags, figures, fault := about(fields[1], fields[3:]); fault != "" {
-			to.Bad(fault)
-		} else {
-			to.Set(string(fields[1]), id, flags, figures, value)
-		}
+		return r.readSet(in, fields, to)
 	default:
 		to.Bad("ERROR")
 	}
-	r.next()
-	r.reserved = false
+	r.nextMessage()
 	return true, nil
 }
 
-// pass skips what has come of a value for which there is no memory.
-func (r *CommandReader) pass(in *ringbuffer.Buffer, to Commands) bool {
-	n := min(in.Len(), r.skip)
-	in.Drop(n)
-	if r.skip -= n; r.skip > 0 {
-		return false
+// takeGet hands on a read: mg <key> <flags>.
+func takeGet(fields [][]byte, to Commands) {
+	flags, fault := parseFlags(fields[1], fields[2:])
+	if fault != "" {
+		to.Bad(fault)
+		return
 	}
-	r.next()
-	to.Refused()
-	return true
+	to.Get(string(fields[1]), flags.id, flags.others, flags.figures)
 }
 
-func about(key []byte, all [][]byte) (id, flags, figures, fault string) {
-	id, figures = flag(all, 'O'), flag(all, 'P')
-	others := slices.DeleteFunc(slices.Clone(all), func(f []byte) bool { return f[0] == 'P' })
-	flags = string(bytes.Join(others, []byte(" ")))
-	switch {
-	case len(key) > keyBound:
-		fault = "CLIENT_ERROR the key is too long"
-	case id == "":
-		fault = "CLIENT_ERROR the flag O is missing"
+// readSet hands on a write once its value has come: ms <key> <length> <flags>.
+func (r *CommandReader) readSet(in *ringbuffer.Buffer, fields [][]byte, to Commands) (bool, error) {
+	longLength := longValueLength(fields[2])
+	if longLength > 0 && !r.reserved {
+		r.reserved = to.Reserve(longLength)
+		if !r.reserved {
+			r.skipBytes = longLength + len(lineEnd)
+			return r.skipValue(in, to), nil
+		}
 	}
-	return id, flags, figures, fault
+	value, complete, err := r.readValue(in, fields[2], LongBound)
+	if !complete {
+		return false, err
+	}
+	flags, fault := parseFlags(fields[1], fields[3:])
+	if fault != "" {
+		to.Bad(fault)
+	} else {
+		to.Set(string(fields[1]), flags.id, flags.others, flags.figures, value)
+	}
+	r.nextMessage()
+	r.reserved = false
+	return true, nil
 }
 
-// AppendGet writes the command for a read.
-func AppendGet(to []byte, key, flags, figures string) []byte {
-	return appendAbout(append(append(to, "mg "...), key...), flags, figures)
+// skipValue skips what has come of a value for which there is no memory; true once all of it is skipped.
+func (r *CommandReader) skipValue(in *ringbuffer.Buffer, to Commands) bool {
+	skipped := min(in.Len(), r.skipBytes)
+	in.Drop(skipped)
+	r.skipBytes -= skipped
+	if r.skipBytes > 0 {
+		return false
+	}
+	r.nextMessage()
+	to.Refused()
+	return true
 }
 
-// AppendSet writes the command for a write, without the value and its CRLF.
-func AppendSet(to []byte, key, flags, figures string, length int) []byte {
-	to = append(append(append(to, "ms "...), key...), ' ')
-	return appendAbout(strconv.AppendInt(to, int64(length), 10), flags, figures)
+// commandFlags are the flags of a command.
+type commandFlags struct {
+	id      string
+	figures string
+	others  string // all but the figures, the id included
 }
 
-func appendAbout(to []byte, flags, figures string) []byte {
-	to = append(append(append(to, ' '), flags...), " P"...)
-	return append(append(to, figures...), "\r\n"...)
+// parseFlags reads a command's flags. The fault is what the sender of an unusable command is told, else empty.
+func parseFlags(key []byte, fields [][]byte) (flags commandFlags, fault string) {
+	if len(key) > maxKeyBytes {
+		return commandFlags{}, "CLIENT_ERROR the key is too long"
+	}
+	flags.id = flagValue(fields, idFlag)
+	if flags.id == "" {
+		return commandFlags{}, "CLIENT_ERROR the flag O is missing"
+	}
+	flags.figures = flagValue(fields, figuresFlag)
+	isFigures := func(field []byte) bool { return field[0] == figuresFlag }
+	others := slices.DeleteFunc(slices.Clone(fields), isFigures)
+	flags.others = string(bytes.Join(others, []byte(" ")))
+	return flags, ""
 }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -75,50 +75,53 @@
 
 // However a stream is cut, the commands are the same; one that cannot be followed is an error, never a guess.
 func TestCommands(t *testing.T) {
-	for stream, want := range map[string]string{
-		"mn\r\n":                                     "noop",
-		"mg k v Oa1 Pc=read,d=480\r\n":               "get k a1 [v Oa1] c=read,d=480",
-		"mg k v k Oa1 Pd=1\nmn\r\n":                  "get k a1 [v k Oa1] d=1; noop",
-		"ms k 5 Oa Pc=put,d=9\r\nhe\r\no\r\nmn\r\n":  `set k a [Oa] c=put,d=9 "he\r\no"; noop`,
-		"ms k 0 Oa\r\n\r\n":                          `set k a [Oa]  ""`,
-		"get k\r\n\r\nmn x\r\n":                      "bad ERROR; bad ERROR; bad ERROR",
-		"mg k v\r\n":                                 "bad CLIENT_ERROR the flag O is missing",
-		"mg " + strings.Repeat("k", 251) + " Oa\r\n": "bad CLIENT_ERROR the key is too long",
-		"mg " + strings.Repeat("k", 3000):            "a line is too long",
-		"ms k 4194305 Oa\r\n":                        "a value is too long",
-		"ms k 65537 Oa\r\nxy":                        "reserve 65537",
-		"ms k 70000 Oa\r\n" + strings.Repeat("x", 70000) + "\r\nmn\r\n": "reserve 70000; refused; noop",
-		"ms k -1 Oa\r\n":                              "a value's length cannot be read",
-		"ms k 99999999999999999999 Oa\r\n":            "a value's length cannot be read",
-		"ms k 2 Oa\r\nhello\r\n":                      "a value does not end where its length says",
-		"ms k 65536 Oa\r\n" + strings.Repeat("x", 99): "",
-	} {
-		inPieces(t, stream, want, commands)
+	tests := []struct{ stream, want string }{
+		{"mn\r\n", "noop"},
+		{"mg k v Oa1 Pc=read,d=480\r\n", "get k a1 [v Oa1] c=read,d=480"},
+		{"mg k v k Oa1 Pd=1\nmn\r\n", "get k a1 [v k Oa1] d=1; noop"},
+		{"ms k 5 Oa Pc=put,d=9\r\nhe\r\no\r\nmn\r\n", `set k a [Oa] c=put,d=9 "he\r\no"; noop`},
+		{"ms k 0 Oa\r\n\r\n", `set k a [Oa]  ""`},
+		{"get k\r\n\r\nmn x\r\n", "bad ERROR; bad ERROR; bad ERROR"},
+		{"mg k v\r\n", "bad CLIENT_ERROR the flag O is missing"},
+		{"mg " + strings.Repeat("k", 251) + " Oa\r\n", "bad CLIENT_ERROR the key is too long"},
+		{"mg " + strings.Repeat("k", 3000), "a line is too long"},
+		{"ms k 4194305 Oa\r\n", "a value is too long"},
+		{"ms k 65537 Oa\r\nxy", "reserve 65537"},
+		{"ms k 70000 Oa\r\n" + strings.Repeat("x", 70000) + "\r\nmn\r\n", "reserve 70000; refused; noop"},
+		{"ms k -1 Oa\r\n", "a value's length cannot be read"},
+		{"ms k 99999999999999999999 Oa\r\n", "a value's length cannot be read"},
+		{"ms k 2 Oa\r\nhello\r\n", "a value does not end where its length says"},
+		{"ms k 65536 Oa\r\n" + strings.Repeat("x", 99), ""},
+	}
+	for _, test := range tests {
+		inPieces(t, test.stream, test.want, commands)
 	}
 }
 
 func TestReplies(t *testing.T) {
-	for stream, want := range map[string]string{
-		"VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\n":                  `value a "hello"; stored b 77`,
-		"VA 0 Oa h0 Z\r\n\r\nMN\r\n":                            `value a ""; ready`,
-		"SERVER_ERROR busy\r\nSERVER_ERROR busy 20\r\n":         "busy; busy",
-		"SERVER_ERROR failed\r\nSERVER_ERROR out of memory\r\n": "failed; other SERVER_ERROR out of memory",
-		"VA 3000000000 Oa\r\nxxx":                               "a value's length cannot be read",
-		"EN\r\n":                                                "no reply begins so",
-		"\x00":                                                  "no reply begins so", // at once, not at an end of the line that may never come
-		"VB 5":                                                  "no reply begins so",
-		"VA\r\n":                                                "no reply begins so",
-		"VA x Oa\r\n":                                           "a value's length cannot be read",
-		"VA 3 Oa\r\nhello":                                      "a value does not end where its length says",
-		"VA " + strings.Repeat("x", 2049):                       "a line is too long",
-		"VA 65536 Oa\r\nhe":                                     "",
-		"VA 65537 Oa\r\n":                                       "",
-		"VA 65537 Oa\r\nhe":                                     "long a 65537",
-		"VA 65537 Oa\r\n" + strings.Repeat("x", 65537) + "\r\nMN\r\n": "long a 65537; end; ready",
-		"VA 65537 Oa\r\n" + strings.Repeat("x", 65537) + "\rx":        "a value does not end where its length says",
-		"VA 4194305 Oa\r\nhe": "a value is too long",
-	} {
-		inPieces(t, stream, want, replies)
+	tests := []struct{ stream, want string }{
+		{"VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\n", `value a "hello"; stored b 77`},
+		{"VA 0 Oa h0 Z\r\n\r\nMN\r\n", `value a ""; ready`},
+		{"SERVER_ERROR busy\r\nSERVER_ERROR busy 20\r\n", "busy; busy"},
+		{"SERVER_ERROR failed\r\nSERVER_ERROR out of memory\r\n", "failed; other SERVER_ERROR out of memory"},
+		{"VA 3000000000 Oa\r\nxxx", "a value's length cannot be read"},
+		{"EN\r\n", "no reply begins so"},
+		// At once, not at an end of the line that may never come.
+		{"\x00", "no reply begins so"},
+		{"VB 5", "no reply begins so"},
+		{"VA\r\n", "no reply begins so"},
+		{"VA x Oa\r\n", "a value's length cannot be read"},
+		{"VA 3 Oa\r\nhello", "a value does not end where its length says"},
+		{"VA " + strings.Repeat("x", 2049), "a line is too long"},
+		{"VA 65536 Oa\r\nhe", ""},
+		{"VA 65537 Oa\r\n", ""},
+		{"VA 65537 Oa\r\nhe", "long a 65537"},
+		{"VA 65537 Oa\r\n" + strings.Repeat("x", 65537) + "\r\nMN\r\n", "long a 65537; end; ready"},
+		{"VA 65537 Oa\r\n" + strings.Repeat("x", 65537) + "\rx", "a value does not end where its length says"},
+		{"VA 4194305 Oa\r\nhe", "a value is too long"},
+	}
+	for _, test := range tests {
+		inPieces(t, test.stream, test.want, replies)
 	}
 }
 
@@ -147,8 +150,10 @@
 	f.Fuzz(func(t *testing.T, stream string, piece int) {
 		piece = 1 + int(uint(piece)%60)
 		for _, fresh := range []func() reader{commands, replies} {
-			if a, b := read(stream, piece, fresh()), read(stream, 64, fresh()); a != b {
-				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, a, b)
+			inPieces := read(stream, piece, fresh())
+			whole := read(stream, 64, fresh())
+			if inPieces != whole {
+				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, inPieces, whole)
 			}
 		}
 	})
--- a/internal/meta/pieces_test.go
+++ b/internal/meta/pieces_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every form that the protocol allows, its flags and figures in any order, several of them in one segment, cut anywhere, is read as the
-// same command.
+// Every form that the protocol allows, its flags and figures in any order, several of them in one segment, cut
+// anywhere, is read as the same command.
 func TestCommandsOfEveryFormCutAnywhere(t *testing.T) {
 	for _, end := range []string{"\r\n", "\n"} {
 		for _, figures := range orders("c=read", "d=480", "r=1") {
@@ -14,16 +14,20 @@
 			for _, flags := range orders("v", "Oa1", "P"+p) {
 				others := strings.Join(without(flags, "P"+p), " ")
 				all := strings.Join(flags, " ")
-				stream := "mg k " + all + end + "ms k 3 " + strings.Join(without(flags, "v"), " ") + end + "m\r\n\r\n" + "mn" + end
-				cutAnywhere(t, stream, "get k a1 ["+others+"] "+p+`; set k a1 [Oa1] `+p+` "m\r\n"; noop`, commands)
+				setFlags := strings.Join(without(flags, "v"), " ")
+				stream := "mg k " + all + end + "ms k 3 " + setFlags + end + "m\r\n\r\n" + "mn" + end
+				want := "get k a1 [" + others + "] " + p + `; set k a1 [Oa1] ` + p + ` "m\r\n"; noop`
+				cutAnywhere(t, stream, want, commands)
 			}
 		}
 	}
 	// What looks like a command, a flag or an end within a value or a key is none.
-	cutAnywhere(t, "ms Ok 12 Oa Pc=x\r\nmg k v\r\nmn\r\n\r\nmg Pk v Ob\r\n", `set Ok a [Oa] c=x "mg k v\r\nmn\r\n"; get Pk b [v Ob] `, commands)
+	cutAnywhere(t, "ms Ok 12 Oa Pc=x\r\nmg k v\r\nmn\r\n\r\nmg Pk v Ob\r\n",
+		`set Ok a [Oa] c=x "mg k v\r\nmn\r\n"; get Pk b [v Ob] `, commands)
 	cutAnywhere(t, "mg  k   v  Oa \r\nms k 0 Oa\r\n\r\nmn \r\n", `get k a [v Oa] ; set k a [Oa]  ""; noop`, commands)
 	// A bad one in between costs itself alone.
-	cutAnywhere(t, "mn\r\nhello\r\n\r\nmg\r\nmg k v\r\nmn\r\n", "noop; bad ERROR; bad ERROR; bad ERROR; bad CLIENT_ERROR the flag O is missing; noop", commands)
+	cutAnywhere(t, "mn\r\nhello\r\n\r\nmg\r\nmg k v\r\nmn\r\n",
+		"noop; bad ERROR; bad ERROR; bad ERROR; bad CLIENT_ERROR the flag O is missing; noop", commands)
 }
 
 // The same for replies, with the flags of how a read went in any order, and several in one segment.
@@ -34,5 +38,6 @@
 	for _, flags := range orders("Oc1", "cO77") {
 		cutAnywhere(t, "HD "+strings.Join(flags, " ")+"\r\nVA 0 Ob h1\r\n\r\n", `stored c1 O77; value b ""`, replies)
 	}
-	cutAnywhere(t, "SERVER_ERROR busy\r\nSERVER_ERROR failed\r\nSERVER_ERROR busy 20\r\nHD Oa c7\r\n", "busy; failed; busy; stored a 7", replies)
+	cutAnywhere(t, "SERVER_ERROR busy\r\nSERVER_ERROR failed\r\nSERVER_ERROR busy 20\r\nHD Oa c7\r\n",
+		"busy; failed; busy; stored a 7", replies)
 }
