--- a/internal/policy/gossip/codec.go
+++ b/internal/policy/gossip/codec.go
@@ -7,7 +7,7 @@
 	"math"
 )
 
-// Datagrams are told apart from all else that routers send by their length and first byte: the balancer's messages
+// Datagrams differ from all else that routers send by their length and first byte: the balancer's messages
 // and those of zones have a length that is a multiple of three, and no other message begins with messageTag. Builds
 // that do not know this package would take them for observations: so they are sent to those routers alone that have
 // sent a probe or an acknowledgement, one byte each, which holds no observation.
@@ -55,7 +55,7 @@
 	maxRelativeTime = 8 // of one observation
 )
 
-// form is how a datagram is told apart.
+// form is what kind of datagram one is.
 type form int
 
 const (
@@ -170,8 +170,8 @@
 	return summaries*summaryBytes + minMessageBytes + datagramOverhead
 }
 
-// appendSummary adds a summary or group sum to a message. Its age is told, not its time: routers have clocks of their
-// own.
+// appendSummary adds a summary or group sum to a message. It carries the age, not the time: routers have clocks of
+// their own.
 func appendSummary(message []byte, server uint16, s summary, now float64) []byte {
 	flags := s.rank & rankMask
 	if s.refusing {
--- a/internal/policy/gossip/doc.go
+++ b/internal/policy/gossip/doc.go
@@ -11,7 +11,7 @@
 //
 //   - An observation is what this router saw of a server: how long an attempt took, relative to the mean of its traffic
 //     class, or a refusal. It is sent to the first owner of the server in the group; a refusal also to the second.
-//   - A group sum is what an owner has been told of a server, decayed over time. Owners send it to the owners in all
+//   - A group sum is what has been reported to an owner of a server, decayed over time. Owners send it to the owners in all
 //     other groups, which keep the newest of each group: so nothing is counted twice, in whatever order and however
 //     often it arrives.
 //   - A summary is the sum over all groups, published by an owner to its own group with a version. Routers pass it on
@@ -53,5 +53,5 @@
 //	receive.go        what becomes of a datagram that arrives
 //	codec.go          the bytes of each message
 //	budget.go         limits in bytes and messages a second
-//	synthesize.go     what the balancer is told
+//	synthesize.go     the observations for the balancer
 package gossip
--- a/internal/policy/gossip/gossiper.go
+++ b/internal/policy/gossip/gossiper.go
@@ -50,7 +50,7 @@
 	batchSentAt float64        // when summaries that are not urgent were last sent
 
 	synthesizedAt float64
-	feedFraction  float64 // of the loads, that the balancer is told
+	feedFraction  float64 // of the loads, that is passed to the balancer
 
 	budgets  budgets
 	outgoing []Datagram
--- a/internal/policy/gossip/owner.go
+++ b/internal/policy/gossip/owner.go
@@ -8,7 +8,7 @@
 // timeUnit is the relative time of 1 as observations and summaries carry it.
 const timeUnit = 32
 
-// observationSum is what an owner has been told of a server by the routers of its group.
+// observationSum is what the routers of its group have reported of a server to an owner.
 type observationSum struct {
 	load       float64 // sum of relative times, decayed with loadDecay
 	timeSum    float64 // the same, decayed with meanDecay
@@ -63,14 +63,14 @@
 	return ownersPerGroup
 }
 
-// active reports whether an owner was told anything of the server lately.
+// active reports whether anything of the server was reported to an owner lately.
 func (o *ownerState) active(now float64) bool {
-	neverTold := o.sum.updatedAt == 0 && math.IsInf(o.sum.refusedAt, -1) && len(o.groupSums) == 0
-	if neverTold {
+	neverReported := o.sum.updatedAt == 0 && math.IsInf(o.sum.refusedAt, -1) && len(o.groupSums) == 0
+	if neverReported {
 		return false
 	}
-	lastTold := max(o.sum.updatedAt, o.sum.refusedAt, o.newestGroupSum())
-	return now-lastTold <= summaryLifetime
+	lastReported := max(o.sum.updatedAt, o.sum.refusedAt, o.newestGroupSum())
+	return now-lastReported <= summaryLifetime
 }
 
 // newestGroupSum is when the newest group sum of other groups was originated.
@@ -91,7 +91,7 @@
 	}
 	rank := g.ownRank(s)
 	if rank == ownersPerGroup {
-		return // it was told by a router with another view
+		return // a router with another view reported to it
 	}
 	own := g.ownGroupSum(s, rank)
 	total := g.mergeGroupSums(s, own)
@@ -111,7 +111,7 @@
 	g.publishIfDue(s, total)
 }
 
-// ownGroupSum is what the routers of this group have told this owner.
+// ownGroupSum is what the routers of this group have reported to this owner.
 func (g *Gossiper) ownGroupSum(s *serverState, rank int) summary {
 	sum := &s.owner.sum
 	return summary{
@@ -200,9 +200,9 @@
 type change int
 
 const (
-	minor    change = iota // told with the next refresh
-	notable                // told after changeInterval
-	pressing               // told at once
+	minor    change = iota // published with the next refresh
+	notable                // published after changeInterval
+	pressing               // published at once
 )
 
 func compareContents(held, total *summary) change {
--- a/internal/policy/gossip/peer.go
+++ b/internal/policy/gossip/peer.go
@@ -38,8 +38,8 @@
 	return p != nil && g.now < p.aliveUntil
 }
 
-// unresponsive reports whether a router was probed and gave no sign: it is of an older build, or down. Of one that was
-// never probed nothing is known, and passing over it would make too many routers owners.
+// unresponsive reports whether a router was probed and gave no sign: it is of an older build, or down. Of one that
+// was never probed nothing is known, and passing over it would make too many routers owners.
 func (g *Gossiper) unresponsive(router int) bool {
 	if g.understands(router) {
 		return false
--- a/internal/policy/gossip/summary.go
+++ b/internal/policy/gossip/summary.go
@@ -31,8 +31,8 @@
 	outranked                  // the owner before its owner publishes, and is in time
 )
 
-// compare reports whether a received summary takes the place of the held one. It does not depend on the order in which
-// versions arrive.
+// compare reports whether a received summary takes the place of the held one. It does not depend on the order in
+// which versions arrive.
 func compare(held, received *summary, now float64) freshness {
 	sameOwner := held.rank == received.rank && held.incarnation == received.incarnation
 	if sameOwner && held.version == received.version {
--- a/internal/policy/gossip/synthesize.go
+++ b/internal/policy/gossip/synthesize.go
@@ -13,7 +13,7 @@
 	refusalFeedAge = 1.5 * changeInterval // seconds of age up to which a summary stands for refusals
 )
 
-// feedState is what the balancer was told of a server.
+// feedState is what was passed to the balancer about a server.
 type feedState struct {
 	load      float64 // sum of relative times, decayed as the balancer does
 	updatedAt float64
@@ -22,7 +22,7 @@
 
 // SynthesizeObservations returns observations, three bytes each as in Report, by which the balancer arrives at the
 // loads, means and refusals that it would have if every router sent its observations to every other. Where all would
-// send more than it is told, all loads are the same part of what they would be: the balancer compares them. Loads are
+// send more than that limit, all loads are the same part of what they would be: the balancer compares them. Loads are
 // held until the next summary, and decay once none comes.
 func (g *Gossiper) SynthesizeObservations(now float64) (observations []byte) {
 	g.observeTime(now)
--- a/internal/policy/quota/bucket.go
+++ b/internal/policy/quota/bucket.go
@@ -20,7 +20,7 @@
 	fullAt    float64 // when it will be full
 	fillIndex int     // in the limiter's heap; -1: not there
 	borrowing borrowing
-	retryAt   float64 // when the last of the clients that were told a Retry-After will come back
+	retryAt   float64 // when the last of the clients that got a Retry-After will come back
 	costs     map[string]*ClassCost
 	Demand    Demand
 	Totals    BucketTotals
--- a/internal/policy/quota/limiter.go
+++ b/internal/policy/quota/limiter.go
@@ -12,7 +12,7 @@
 
 // Retry-After of rejected requests.
 const (
-	maxRetryAfter      = 5.0  // seconds: clients that are told more have left
+	maxRetryAfter      = 5.0  // seconds: clients that get a larger one have left
 	minRetryAfterPart  = 0.75 // the least random part of it; the largest is 1.25
 	retryAfterSpreadBy = 2    // the random part is spread over 1 divided by this
 )
@@ -126,7 +126,7 @@
 }
 
 // retryAfter tells how long the client of a rejected request is to stay away: until the bucket has room for it behind
-// those that were told before, with a random part so that they do not come back at once.
+// those that got one before, with a random part so that they do not come back at once.
 func (l *Limiter) retryAfter(b *Bucket, load float64) float64 {
 	if b.fillRate() <= 0 {
 		return 0 // no time will do
@@ -135,7 +135,7 @@
 	b.retryAt = max(b.retryAt, paidOff) + load/b.fillRate()
 	wait := b.retryAt - l.clock.now
 	if wait > maxRetryAfter {
-		b.retryAt = l.clock.now + maxRetryAfter // more come than can be told different times
+		b.retryAt = l.clock.now + maxRetryAfter // more come than there are different times
 	}
 	return min(wait, maxRetryAfter) * (minRetryAfterPart + l.random.Float64()/retryAfterSpreadBy)
 }
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -44,7 +44,7 @@
 	// Reservation is the admitted request's, to be settled at its end; nil if it was rejected.
 	Reservation *Reservation
 
-	// RetryAfter is the seconds for which the client of a rejected request is to stay away; 0: none are told.
+	// RetryAfter is the seconds for which the client of a rejected request is to stay away; 0: none.
 	RetryAfter float64
 }
 
