--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -68,8 +68,8 @@
 	return named.deadline, known
 }
 
-// HasCapacity tells whether there is a slot for another request that is not reserved for another team. If there is
-// none a rejected request is counted.
+// HasCapacity reports whether there is a slot for another request that is not reserved for another team. If there is
+// none it counts a received and a rejected request of the team: the caller rejects it and asks no further.
 func (t *team) HasCapacity() bool {
 	if t.broker.slots.requests.CanAcquire(t.requests, 1) &&
 		t.broker.slots.bytes.CanAcquire(t.bytes, 1) &&
--- a/internal/frontend/config.go
+++ b/internal/frontend/config.go
@@ -2,12 +2,14 @@
 
 // Limits bound the connections and the memory of long writes. What is open or held else is bounded by the routes.
 type Limits struct {
-	// Connections is how many clients may be connected. Beyond that an idle connection makes room; if there is none,
-	// the new one has its requests rejected and is closed.
+	// Connections is how many clients may be connected. From half of it on a new connection evicts an idle one, those
+	// that have sent nothing usable first. Beyond it, if none is idle, the new one has its requests rejected and is
+	// closed.
 	Connections int
 	// RejectConnections is how many connections beyond that are accepted in order to be rejected.
 	RejectConnections int
-	// LongWriteBytes is how many bytes are reserved at most for long writes that are being received.
+	// LongWriteBytes is how many bytes are reserved at most for long writes that are being received. Half of it also
+	// bounds what is held for clients that do not read (closeSlowestReader): the memory for values is as large.
 	LongWriteBytes int
 }
 
--- a/internal/frontend/cut.go
+++ b/internal/frontend/cut.go
@@ -3,7 +3,8 @@
 // CutReason says why a client's connection ended with an answer owed on it.
 type CutReason int
 
-// The reasons. The zero value holds unless the frontend closes the connection itself.
+// The reasons. The zero value holds unless the frontend notes another before it closes the connection itself;
+// closeSlowestReader notes none, so its closes count as ClientDisconnected.
 const (
 	ClientDisconnected CutReason = iota // the client closed or reset the connection
 	AnswerUnread                        // the client read nothing of its answer for too long
--- a/internal/policy/gossip/budget.go
+++ b/internal/policy/gossip/budget.go
@@ -2,7 +2,8 @@
 
 import "math"
 
-// Parts of the budget. Each is BytesPerSecond divided by the number.
+// Parts of the budget. A rate is BytesPerSecond divided by its number, a burst as many bytes as BytesPerSecond divided
+// by its number: how much may go out at once after a pause.
 const (
 	urgentRateDivisor     = 7 // for urgent summaries
 	urgentBurstDivisor    = 4
--- a/internal/policy/gossip/config.go
+++ b/internal/policy/gossip/config.go
@@ -66,7 +66,7 @@
 	ownerTimeout = 4.5
 
 	pullAfter       = refreshInterval + 0.75*changeInterval // age from which on a router pulls a summary
-	overdueInterval = refreshInterval + 1.5*changeInterval  // age from which on a lower owner's summary counts
+	overdueInterval = refreshInterval + 1.5*changeInterval  // age from which on a later owner's summary counts
 	freshAge        = 0.25                                  // age up to which a summary is passed on at once
 
 	// incarnationAgeMargin is by how much a summary of another incarnation has to be newer: ages are rounded up.
--- a/internal/policy/gossip/owner.go
+++ b/internal/policy/gossip/owner.go
@@ -96,7 +96,7 @@
 	own := g.ownGroupSum(s, rank)
 	total := g.mergeGroupSums(s, own)
 	newRefusal := own.unavailable() && !(s.held.unavailable() && g.now-s.held.originatedAt < changeInterval)
-	if g.higherOwnerActs(s, rank) {
+	if g.earlierOwnerActs(s, rank) {
 		takesOver := newRefusal && g.now-owner.sum.refusedAt > secondaryRefusalDelay
 		if !takesOver {
 			return
@@ -125,9 +125,9 @@
 	}
 }
 
-// higherOwnerActs reports whether an owner of a lower rank sends group sums or publishes, so that this one keeps
-// silent.
-func (g *Gossiper) higherOwnerActs(s *serverState, rank int) bool {
+// earlierOwnerActs reports whether an owner before this one (of a smaller rank) sends group sums or publishes, so that
+// this one keeps silent.
+func (g *Gossiper) earlierOwnerActs(s *serverState, rank int) bool {
 	lastHeard := math.Inf(-1)
 	for i := range rank {
 		lastHeard = max(lastHeard, s.owner.heardAt[i])
--- a/internal/policy/quota/limiter.go
+++ b/internal/policy/quota/limiter.go
@@ -10,11 +10,12 @@
 // maxClockStep bounds the seconds that one step of the caller's clock counts: a clock that jumps creates no balance.
 const maxClockStep = 10.0
 
-// Retry-After of rejected requests.
+// Retry-After of rejected requests: the wait that was reckoned, up to maxRetryAfter seconds, times a random factor
+// from 0.75 to 1.25, so that rejected clients do not return at once. The longest is thus 6.25 s.
 const (
-	maxRetryAfter      = 5.0  // seconds: clients that are told more have left
-	minRetryAfterPart  = 0.75 // the least random part of it; the largest is 1.25
-	retryAfterSpreadBy = 2    // the random part is spread over 1 divided by this
+	maxRetryAfter      = 5.0  // seconds, before the random factor: clients that are told more have left
+	minRetryAfterPart  = 0.75 // the least random factor
+	retryAfterSpreadBy = 2    // the random factor is the least one and up to 1 divided by this
 )
 
 // Limiter is the buckets of one pool at one router. It belongs to one goroutine.
--- a/internal/policy/quota/shares.go
+++ b/internal/policy/quota/shares.go
@@ -132,7 +132,7 @@
 	for team, rate := range received.demands() {
 		if s.peerDemands[team] == nil {
 			if len(s.peerDemands) >= s.maxTeams() {
-				return true // it tells of teams that have no quota
+				return true // it names teams that have no quota here: other pools' messages come here, too
 			}
 			s.peerDemands[team] = map[int]peerRate{}
 		}
@@ -141,7 +141,8 @@
 	return true
 }
 
-// maxTeams bounds the teams that others may tell of.
+// maxTeams bounds the teams of which demands are kept: those with a quota here, several times over, for pools share
+// the messages, and some more while configurations differ.
 func (s *Shares) maxTeams() int { return 4*len(s.limiter.buckets) + 64 }
 
 // forgetStale drops what was told too long ago.
