--- a/internal/policy/quota/limiter.go
+++ b/internal/policy/quota/limiter.go
@@ -13,7 +13,7 @@
 // Retry-After of rejected requests: the wait that was reckoned, up to maxRetryAfter seconds, times a random factor
 // from 0.75 to 1.25, so that rejected clients do not return at once. The longest is thus 6.25 s.
 const (
-	maxRetryAfter      = 5.0  // seconds, before the random factor: clients that are told more have left
+	maxRetryAfter      = 5.0  // seconds, before the random factor: clients that get more have left
 	minRetryAfterPart  = 0.75 // the least random factor
 	retryAfterSpreadBy = 2    // the random factor is the least one and up to 1 divided by this
 )
@@ -127,7 +127,7 @@
 }
 
 // retryAfter tells how long the client of a rejected request is to stay away: until the bucket has room for it behind
-// those that were told before, with a random part so that they do not come back at once.
+// those that got one before, with a random part so that they do not come back at once.
 func (l *Limiter) retryAfter(b *Bucket, load float64) float64 {
 	if b.fillRate() <= 0 {
 		return 0 // no time will do
@@ -136,7 +136,7 @@
 	b.retryAt = max(b.retryAt, paidOff) + load/b.fillRate()
 	wait := b.retryAt - l.clock.now
 	if wait > maxRetryAfter {
-		b.retryAt = l.clock.now + maxRetryAfter // more come than can be told different times
+		b.retryAt = l.clock.now + maxRetryAfter // more come than there are different times
 	}
 	return min(wait, maxRetryAfter) * (minRetryAfterPart + l.random.Float64()/retryAfterSpreadBy)
 }
