--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -20,13 +20,13 @@
 	"golang.org/x/sys/unix"
 )
 
-// outcome notes how an execution ended.
-type outcome chan balancer.Outcome
+// outcomeRecorder notes how an execution ended.
+type outcomeRecorder chan balancer.Outcome
 
-func (o outcome) OnAttemptEnd(how balancer.Outcome, _ requestcore.Result) { o <- how }
-func (o outcome) StillWanted() bool                                       { return true }
+func (o outcomeRecorder) OnAttemptEnd(how balancer.Outcome, _ requestcore.Result) { o <- how }
+func (o outcomeRecorder) StillWanted() bool                                       { return true }
 
-func (o outcome) want(t *testing.T, want balancer.Outcome) {
+func (o outcomeRecorder) want(t *testing.T, want balancer.Outcome) {
 	t.Helper()
 	select {
 	case got := <-o:
@@ -38,15 +38,15 @@
 	}
 }
 
-// fleet is one cache server, known as 1, that serves each connection by a function of the lines it reads.
-type fleet struct {
+// testPools is one cache server, known as 1, that serves each connection by a function of the lines it reads.
+type testPools struct {
 	*ConnectionPools
 	t     *testing.T
 	lines chan string // all that the server read
 }
 
-func serving(t *testing.T, limits Limits, serve func(conn net.Conn, line string)) fleet {
-	f, conns := listening(t, limits)
+func startServer(t *testing.T, limits Limits, serve func(conn net.Conn, line string)) testPools {
+	f, conns := startListener(t, limits)
 	f.lines = make(chan string, 10000)
 	go func() {
 		for conn := range conns {
@@ -67,8 +67,8 @@
 	return f
 }
 
-// listening is one cache server, known as 1, that does nothing with its connections.
-func listening(t *testing.T, limits Limits) (f fleet, conns chan net.Conn) {
+// startListener is one cache server, known as 1, that does nothing with its connections.
+func startListener(t *testing.T, limits Limits) (f testPools, conns chan net.Conn) {
 	conns = make(chan net.Conn, 1000)
 	l, err := eventloop.New()
 	if err != nil {
@@ -85,17 +85,17 @@
 	}()
 	go l.Run()
 	t.Cleanup(func() { l.Post(l.Stop); ln.Close() })
-	f = fleet{t: t}
-	f.do(l, func() {
+	f = testPools{t: t}
+	f.onLoop(l, func() {
 		f.ConnectionPools = New(l, limits, NewMemcacheCodec, zerolog.Nop())
 		f.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
 	})
 	return f, conns
 }
 
-// full is an address whose backlog is full, so that connections do not come up there, until they are accepted: accept
+// listenWithFullBacklog is an address whose backlog is listenWithFullBacklog, so that connections do not come up there, until they are accepted: accept
 // gives the last.
-func full(t *testing.T) (at netip.AddrPort, accept func() net.Conn) {
+func listenWithFullBacklog(t *testing.T) (at netip.AddrPort, accept func() net.Conn) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -136,8 +136,8 @@
 	}
 }
 
-// heard reads a command.
-func heard(t *testing.T, conn net.Conn) {
+// readCommand reads a command.
+func readCommand(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	for one := make([]byte, 1); one[0] != '\n'; {
@@ -147,29 +147,29 @@
 	}
 }
 
-// answer reads a command and answers it.
-func answer(t *testing.T, conn net.Conn, text string) {
+// answerCommand reads a command and answers it.
+func answerCommand(t *testing.T, conn net.Conn, text string) {
 	t.Helper()
-	heard(t, conn)
+	readCommand(t, conn)
 	conn.Write([]byte(text))
 }
 
-// do calls on the loop and waits for it.
-func (f fleet) do(l *eventloop.Loop, call func()) {
+// onLoop calls on the loop and waits for it.
+func (f testPools) onLoop(l *eventloop.Loop, call func()) {
 	done := make(chan bool)
 	l.Post(func() { call(); close(done) })
 	<-done
 }
 
-func (f fleet) execute(limit float64) (o outcome, p requestcore.PendingAttempt) {
-	o = make(outcome, 1)
-	f.do(f.loop, func() {
+func (f testPools) startAttempt(limit float64) (o outcomeRecorder, p requestcore.PendingAttempt) {
+	o = make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() {
 		p = f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}, limit, limit, o)
 	})
 	return o, p
 }
 
-func (f fleet) line(want string) {
+func (f testPools) wantLine(want string) {
 	f.t.Helper()
 	select {
 	case got := <-f.lines:
@@ -181,7 +181,7 @@
 	}
 }
 
-var usual = Limits{MaxConnections: 8, MaxInFlightPerConnection: 4, ConnectTimeout: 1, StallTimeout: 0.05, IdleTimeout: 60}
+var defaultLimits = Limits{MaxConnections: 8, MaxInFlightPerConnection: 4, ConnectTimeout: 1, StallTimeout: 0.05, IdleTimeout: 60}
 
 // The protocol's table: what came back, and what that proves.
 func TestOutcomes(t *testing.T) {
@@ -197,26 +197,26 @@
 		"VA 99999 Oa\r\n":         balancer.ConnectionLost,
 		"":                        balancer.ConnectionLost, // the server ends the connection
 	} {
-		f := serving(t, usual, func(conn net.Conn, _ string) {
+		f := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 			conn.Write([]byte(reply))
 			if !strings.HasSuffix(reply, "\r\n") {
 				conn.Close()
 			}
 		})
-		o, _ := f.execute(3)
+		o, _ := f.startAttempt(3)
 		o.want(t, want)
 	}
 }
 
 func TestPassedOnWithTheTimeLeft(t *testing.T) {
-	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	o, _ := f.execute(2)
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
+	o, _ := f.startAttempt(2)
 	o.want(t, balancer.Succeeded)
-	f.line("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
-	o, _ = f.execute(2)
+	f.wantLine("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
+	o, _ = f.startAttempt(2)
 	o.want(t, balancer.Succeeded)
-	f.line("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
-	f.do(f.loop, func() {
+	f.wantLine("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
+	f.onLoop(f.loop, func() {
 		if f.connectionCount != 1 {
 			t.Errorf("%d connections, one is enough", f.connectionCount)
 		}
@@ -228,27 +228,27 @@
 func TestSpoiltAnswer(t *testing.T) {
 	for _, reply := range []string{"CLIENT_ERROR bad\r\n", "SERVER_ERROR odd\r\n", "\x93\x00\xff", "no end of a line",
 		"VA 9 Oa\r\nhi\r\n", "VA 3000000000 Oa\r\nhi", "VA 2 O", "VA 1 Oa\r\nhi\r\n", "VA 2 Ob\r\nhi\r\n"} {
-		f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
+		f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
 		began := time.Now()
-		o, _ := f.execute(3)
+		o, _ := f.startAttempt(3)
 		o.want(t, balancer.ConnectionLost)
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%q: told after %v", reply, took)
 		}
-		f.line("mg")
-		f.line("end")
+		f.wantLine("mg")
+		f.wantLine("end")
 	}
 }
 
 // A good answer stands, whatever comes behind it; the next execution gets a connection of its own.
 func TestMoreThanTheAnswer(t *testing.T) {
 	for _, more := range []string{"VA 0 Oa\r\n\r\n", "\x93noise", "END\r\n"} {
-		f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
+		f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
 		for range 2 {
-			o, _ := f.execute(3)
+			o, _ := f.startAttempt(3)
 			o.want(t, balancer.Succeeded)
-			f.line("mg")
-			f.line("end")
+			f.wantLine("mg")
+			f.wantLine("end")
 		}
 	}
 }
@@ -256,13 +256,13 @@
 // A server may end a connection right after its answer, which is heard of only a little later: a connection that has
 // rested is used before one that was answered on just now.
 func TestRestedConnectionIsUsedFirst(t *testing.T) {
-	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	first, second := make(outcome, 1), make(outcome, 1)
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
+	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 	op := &requestcore.Request{ID: "a", Flags: "Oa"}
-	f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
+	f.onLoop(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
 	first.want(t, balancer.Succeeded)
 	second.want(t, balancer.Succeeded)
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		idle, now := f.servers[1].idle, f.loop.Now()
 		for _, c := range []struct{ old, young, want float64 }{{9, 0, 9}, {9, 1, 1}, {0, 0, 0}} {
 			idle[0].idleSince, idle[1].idleSince = now-c.old, now-c.young
@@ -277,83 +277,83 @@
 // it would count as one that may have run.
 func TestAnswerAndEndTogether(t *testing.T) {
 	var n atomic.Int32
-	f := serving(t, usual, func(conn net.Conn, _ string) {
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 		if n.Add(1) == 2 {
 			conn.Close()
 		}
 	})
-	first, _ := f.execute(5)
+	first, _ := f.startAttempt(5)
 	first.want(t, balancer.Succeeded)
-	op, next := &requestcore.Request{ID: "a"}, make(outcome, 1)
-	f.do(f.loop, func() {
-		f.StartAttempt(1, op, 5, 5, follow(func() { f.StartAttempt(1, op, 5, 5, next) }))
+	op, next := &requestcore.Request{ID: "a"}, make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() {
+		f.StartAttempt(1, op, 5, 5, endFunc(func() { f.StartAttempt(1, op, 5, 5, next) }))
 		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
 	})
 	next.want(t, balancer.Succeeded)
 }
 
-// follow does something as soon as an execution has ended.
-type follow func()
+// endFunc does something as soon as an execution has ended.
+type endFunc func()
 
-func (f follow) OnAttemptEnd(balancer.Outcome, requestcore.Result) { f() }
-func (f follow) StillWanted() bool                                 { return true }
+func (f endFunc) OnAttemptEnd(balancer.Outcome, requestcore.Result) { f() }
+func (f endFunc) StillWanted() bool                                 { return true }
 
 func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
-	f := serving(t, usual, func(net.Conn, string) {})
-	o, _ := f.execute(0.05)
+	f := startServer(t, defaultLimits, func(net.Conn, string) {})
+	o, _ := f.startAttempt(0.05)
 	o.want(t, balancer.TimedOut)
-	f.line("mg")
-	f.line("end")
+	f.wantLine("mg")
+	f.wantLine("end")
 }
 
 func TestDropTellsTheServer(t *testing.T) {
-	f := serving(t, usual, func(net.Conn, string) {})
-	o, p := f.execute(5)
-	f.line("mg")
-	f.do(f.loop, p.Cancel)
+	f := startServer(t, defaultLimits, func(net.Conn, string) {})
+	o, p := f.startAttempt(5)
+	f.wantLine("mg")
+	f.onLoop(f.loop, p.Cancel)
 	o.want(t, balancer.Cancelled)
-	f.line("end")
+	f.wantLine("end")
 }
 
 // The greatest value is longer than a connection's buffer: it must go out whole.
 func TestGreatestValue(t *testing.T) {
 	value := []byte(strings.Repeat("0123456789abcde\n", 4<<10))
 	n := 0
-	f := serving(t, usual, func(conn net.Conn, line string) {
+	f := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 		if n++; n == 1+len(value)/16+1 { // the command, the value's lines, the end
 			conn.Write([]byte("HD Oa c1\r\n"))
 		}
 	})
-	o := make(outcome, 1)
-	f.do(f.loop, func() {
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa", Write: true, Value: value}, 5, 5, o)
 	})
 	o.want(t, balancer.Succeeded)
 }
 
 func TestRefusedNeverRan(t *testing.T) {
-	f := serving(t, usual, nil)
+	f := startServer(t, defaultLimits, nil)
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
-	f.do(f.loop, func() { f.SetEndpoint(1, netip.MustParseAddrPort(free.Addr().String())) })
+	f.onLoop(f.loop, func() { f.SetEndpoint(1, netip.MustParseAddrPort(free.Addr().String())) })
 	free.Close()
-	o, _ := f.execute(5)
+	o, _ := f.startAttempt(5)
 	o.want(t, balancer.ConnectFailed)
 }
 
 // What hinders a dial on this side says nothing against the server, which must not be passed over for it.
 func TestNoMeansToDial(t *testing.T) {
-	f := serving(t, usual, nil)
-	o := make(outcome, 1)
-	f.do(f.loop, func() { f.StartAttempt(9, &requestcore.Request{ID: "a"}, 5, 5, o) }) // it has no address
+	f := startServer(t, defaultLimits, nil)
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.StartAttempt(9, &requestcore.Request{ID: "a"}, 5, 5, o) }) // it has no address
 	o.want(t, balancer.NotAttempted)
 }
 
 // A machine that is cut off says nothing: what waits for a connection there never ran.
 func TestNeverUp(t *testing.T) {
-	f := serving(t, usual, func(net.Conn, string) {})
-	o := make(outcome, 1)
-	f.do(f.loop, func() {
+	f := startServer(t, defaultLimits, func(net.Conn, string) {})
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o)
 		f.servers[1].connections[0].onConnectTimeout()
 	})
@@ -367,17 +367,17 @@
 		"no answer": func(_ *ConnectionPools, a *attempt) { a.onTimer() },
 		"never up":  func(f *ConnectionPools, _ *attempt) { f.servers[1].connections[2].onConnectTimeout() },
 	} {
-		f := serving(t, usual, func(conn net.Conn, line string) {
+		f := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 			if strings.Contains(line, "Oa") {
 				conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 			}
 		})
-		first, second, silent, next := make(outcome, 1), make(outcome, 1), make(outcome, 1), make(outcome, 1)
+		first, second, silent, next := make(outcomeRecorder, 1), make(outcomeRecorder, 1), make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 		op, slow := &requestcore.Request{ID: "a", Flags: "Oa"}, &requestcore.Request{ID: "b", Flags: "Ob"}
-		f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
+		f.onLoop(f.loop, func() { f.StartAttempt(1, op, 5, 5, first); f.StartAttempt(1, op, 5, 5, second) })
 		first.want(t, balancer.Succeeded)
 		second.want(t, balancer.Succeeded)
-		f.do(f.loop, func() {
+		f.onLoop(f.loop, func() {
 			a := f.StartAttempt(1, slow, 5, 5, silent).(*attempt)
 			if name == "never up" {
 				f.servers[1].waiting = append(f.servers[1].waiting, &attempt{pool: a.pool, settled: true})
@@ -388,16 +388,16 @@
 				t.Errorf("%s: %d idle connections are kept", name, n)
 			}
 		})
-		f.do(f.loop, func() { f.StartAttempt(1, op, 5, 5, next) })
+		f.onLoop(f.loop, func() { f.StartAttempt(1, op, 5, 5, next) })
 		next.want(t, balancer.Succeeded)
 	}
 }
 
 // Its own time over before the connection is up says nothing against the server.
 func TestLimitBeforeTheConnectionIsUp(t *testing.T) {
-	f := serving(t, usual, func(net.Conn, string) {})
-	o := make(outcome, 1)
-	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).onTimer() })
+	f := startServer(t, defaultLimits, func(net.Conn, string) {})
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).onTimer() })
 	o.want(t, balancer.NotAttempted)
 }
 
@@ -405,24 +405,24 @@
 // with its own answer: it was ended for all, so that a client who left cost another its operation, and its server a
 // failure. One that has no answer in time still ends it, and what was piped there may have run.
 func TestPipedBehindADroppedOne(t *testing.T) {
-	limits := usual
+	limits := defaultLimits
 	limits.MaxConnections = 1
 	answer := make(chan bool)
-	f := serving(t, limits, func(conn net.Conn, _ string) {
+	f := startServer(t, limits, func(conn net.Conn, _ string) {
 		<-answer
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	})
-	first, p := f.execute(5)
-	f.line("mg")
-	second, _ := f.execute(5)
-	f.do(f.loop, p.Cancel)
+	first, p := f.startAttempt(5)
+	f.wantLine("mg")
+	second, _ := f.startAttempt(5)
+	f.onLoop(f.loop, p.Cancel)
 	first.want(t, balancer.Cancelled)
 	answer <- true
 	answer <- true
 	second.want(t, balancer.Succeeded)
-	third, p := f.execute(5)
-	fourth, _ := f.execute(5)
-	f.do(f.loop, p.(*attempt).onTimer)
+	third, p := f.startAttempt(5)
+	fourth, _ := f.startAttempt(5)
+	f.onLoop(f.loop, p.(*attempt).onTimer)
 	third.want(t, balancer.TimedOut)
 	fourth.want(t, balancer.ConnectionLost)
 	close(answer)
@@ -433,21 +433,21 @@
 // go whole by the next connection.
 func TestBreaksBeforeTheLastByte(t *testing.T) {
 	all := make(chan bool)
-	f := serving(t, usual, func(conn net.Conn, _ string) {
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		<-all
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	})
-	f.do(f.loop, func() {})
-	o, first, value := make(outcome, 1), make(outcome, 1), make([]byte, 64<<10)
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {})
+	o, first, value := make(outcomeRecorder, 1), make(outcomeRecorder, 1), make([]byte, 64<<10)
+	f.onLoop(f.loop, func() {
 		f.limits.MaxConnections, f.limits.MaxInFlightPerConnection = 1, 1000
 		f.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: value}, 5, 5, first)
 	})
-	f.line("ms")
-	f.do(f.loop, func() { // more than the kernel's buffers hold, since the server reads none of it
+	f.wantLine("ms")
+	f.onLoop(f.loop, func() { // more than the kernel's buffers hold, since the server reads none of it
 		for range 200 {
-			f.StartAttempt(1, &requestcore.Request{ID: "b", Write: true, Value: value}, 5, 5, make(outcome, 1))
+			f.StartAttempt(1, &requestcore.Request{ID: "b", Write: true, Value: value}, 5, 5, make(outcomeRecorder, 1))
 		}
 		f.StartAttempt(1, &requestcore.Request{ID: "c", Write: true, Value: value}, 5, 5, o)
 	})
@@ -457,20 +457,20 @@
 }
 
 func TestProbe(t *testing.T) {
-	f := serving(t, usual, func(conn net.Conn, _ string) { conn.Write([]byte("MN\r\n")) })
-	o := make(outcome, 1)
-	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { o <- how }) })
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("MN\r\n")) })
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { o <- how }) })
 	o.want(t, balancer.Succeeded)
-	f.line("mn")
+	f.wantLine("mn")
 }
 
 // A server that wants nothing new keeps no idle connection and shares in no bound, and what is out there goes on.
 func TestUnlisted(t *testing.T) {
 	answer := make(chan bool)
-	f := serving(t, usual, func(conn net.Conn, _ string) { <-answer; conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	o, _ := f.execute(5)
-	f.line("mg")
-	f.do(f.loop, func() {
+	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { <-answer; conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
+	o, _ := f.startAttempt(5)
+	f.wantLine("mg")
+	f.onLoop(f.loop, func() {
 		f.RemoveEndpoint(1)
 		if len(f.servers) != 0 {
 			t.Errorf("%d servers share in the bound of connections", len(f.servers))
@@ -478,14 +478,14 @@
 	})
 	answer <- true
 	o.want(t, balancer.Succeeded)
-	f.line("end")
+	f.wantLine("end")
 }
 
 // What waits for a connection when its server is told to drain, or when its operation is answered, is never sent.
 func TestWaitingIsNotSentAnyMore(t *testing.T) {
-	f := serving(t, usual, func(net.Conn, string) {})
-	first, second := make(outcome, 1), make(outcome, 1)
-	f.do(f.loop, func() {
+	f := startServer(t, defaultLimits, func(net.Conn, string) {})
+	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() {
 		f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, first)
 		f.StartAttempt(1, &requestcore.Request{ID: "b"}, 5, 5, second).CancelIfUnsent()
 		f.RemoveEndpoint(1)
@@ -493,7 +493,7 @@
 	first.want(t, balancer.NotAttempted)
 	second.want(t, balancer.NotAttempted)
 	time.Sleep(20 * time.Millisecond)
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		if len(f.lines) > 0 && <-f.lines != "end" || f.connectionCount != 0 {
 			t.Errorf("a command was sent, or one of %d connections kept", f.connectionCount)
 		}
@@ -502,43 +502,43 @@
 
 // Behind a slow answer a quick one would wait: while connections may be opened, none is piped.
 func TestEachOnAConnectionOfItsOwn(t *testing.T) {
-	f := serving(t, usual, func(conn net.Conn, line string) {
+	f := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 		if strings.Contains(line, "Ob") {
 			conn.Write([]byte("VA 0 Ob\r\n\r\n"))
 		}
 	})
-	f.execute(5)
-	o := make(outcome, 1)
-	f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
+	f.startAttempt(5)
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, o) })
 	o.want(t, balancer.Succeeded)
 }
 
 // Cache servers close what stood idle for long; what is written just then may be lost.
 func TestIdleConnectionsAreClosedFirst(t *testing.T) {
-	limits := usual
+	limits := defaultLimits
 	limits.IdleTimeout = 0.1
-	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	o, _ := f.execute(5)
+	f := startServer(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
+	o, _ := f.startAttempt(5)
 	o.want(t, balancer.Succeeded)
-	f.line("mg")
-	f.line("end")
+	f.wantLine("mg")
+	f.wantLine("end")
 }
 
-// counted counts how often it is told that its connection is closed.
-type counted struct {
+// releaseCounter counts how often it is told that its connection is closed.
+type releaseCounter struct {
 	Codec
-	drops *int
+	released *int
 }
 
-func (c counted) Release() { *c.drops++ }
+func (c releaseCounter) Release() { *c.released++ }
 
 // Whatever ends a connection, its wire is told, and lets go of what has come: here an execution is given up midway.
 func TestWiresAreToldOfTheEnd(t *testing.T) {
-	f, drops := serving(t, Limits{MaxConnections: 4, MaxInFlightPerConnection: 1, ConnectTimeout: 1, StallTimeout: 0.03, IdleTimeout: 60}, func(c net.Conn, _ string) { c.Write([]byte("VA 9 Oa\r\nhal")) }), 0
-	f.do(f.loop, func() { f.newCodec = func(l ReplyHandler) Codec { return counted{NewMemcacheCodec(l), &drops} } })
-	o, _ := f.execute(0.05)
+	f, drops := startServer(t, Limits{MaxConnections: 4, MaxInFlightPerConnection: 1, ConnectTimeout: 1, StallTimeout: 0.03, IdleTimeout: 60}, func(c net.Conn, _ string) { c.Write([]byte("VA 9 Oa\r\nhal")) }), 0
+	f.onLoop(f.loop, func() { f.newCodec = func(l ReplyHandler) Codec { return releaseCounter{NewMemcacheCodec(l), &drops} } })
+	o, _ := f.startAttempt(0.05)
 	<-o
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		if drops != 1 {
 			t.Errorf("it was told %d times", drops)
 		}
@@ -547,12 +547,12 @@
 
 // With more servers than connections, those that were asked first kept the rest from ever being asked.
 func TestMoreServersThanConnections(t *testing.T) {
-	limits := usual
+	limits := defaultLimits
 	limits.MaxConnections = 20
-	f := serving(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
+	f := startServer(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	for id := uint64(1); id <= 300; id++ {
-		o := make(outcome, 1)
-		f.do(f.loop, func() {
+		o := make(outcomeRecorder, 1)
+		f.onLoop(f.loop, func() {
 			f.SetEndpoint(id, f.servers[1].addr)
 			f.StartAttempt(id, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, o)
 		})
@@ -560,23 +560,23 @@
 			t.Fatalf("at server %d", id)
 		}
 	}
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		if f.connectionCount > limits.MaxConnections || f.connectionCount < limits.MaxConnections/2 {
 			t.Errorf("%d connections are kept, of %d", f.connectionCount, limits.MaxConnections)
 		}
 	})
 }
 
-// taker counts what it takes of a long value, and how that ended.
-type taker struct {
+// fakeSink counts what it takes of a long value, and how that ended.
+type fakeSink struct {
 	room, got int
 	sum       uint32 // of the bytes
-	ended     chan string
+	ending    chan string
 }
 
-func (k *taker) OnComplete() { k.ended <- "whole" }
-func (k *taker) OnBroken()   { k.ended <- "broken" }
-func (k *taker) OnPart(p []byte) int {
+func (k *fakeSink) OnComplete() { k.ending <- "whole" }
+func (k *fakeSink) OnBroken()   { k.ending <- "broken" }
+func (k *fakeSink) OnPart(p []byte) int {
 	n := min(len(p), k.room)
 	k.room, k.got = k.room-n, k.got+n
 	k.sum = crc32.Update(k.sum, crc32.IEEETable, p[:n])
@@ -589,33 +589,33 @@
 func TestLongValues(t *testing.T) {
 	const length = 1 << 20
 	part := make(chan int)
-	limits := usual
+	limits := defaultLimits
 	limits.MaxConnections = 1
-	f := serving(t, limits, func(conn net.Conn, line string) {
+	f := startServer(t, limits, func(conn net.Conn, line string) {
 		if line == "mn\r\n" {
 			conn.Write([]byte("MN\r\n"))
 		} else if n := <-part; n > 0 {
 			conn.Write([]byte("VA 1048576 Oa\r\n" + strings.Repeat("x", n) + strings.Repeat("\r\n", n/length)))
 		}
 	})
-	probed := make(outcome, 1)
-	f.do(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { probed <- how }) })
+	probed := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.Probe(1, func(how balancer.Outcome) { probed <- how }) })
 	probed.want(t, balancer.Succeeded)
 	for _, c := range []struct {
 		gives int
 		ends  string
 	}{{length, "whole"}, {length / 2, "broken"}} {
-		settled, k := make(chan requestcore.Result, 1), &taker{ended: make(chan string, 1)}
-		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, results(settled)) })
-		behind := make(outcome, 1)
-		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
+		settled, k := make(chan requestcore.Result, 1), &fakeSink{ending: make(chan string, 1)}
+		f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, resultRecorder(settled)) })
+		behind := make(outcomeRecorder, 1)
+		f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind) })
 		part <- c.gives
 		long := (<-settled).Body
 		behind.want(t, balancer.TimedOut)
-		late := make(outcome, 1) // is not sent behind it
-		f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
+		late := make(outcomeRecorder, 1) // is not sent behind it
+		f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late) })
 		late.want(t, balancer.NotAttempted)
-		f.do(f.loop, func() {
+		f.onLoop(f.loop, func() {
 			l := f.servers[1].connections[0]
 			l.onStallTimeout()
 			k.room = 1000
@@ -626,31 +626,31 @@
 			k.room = 2 * length
 			long.ResumeReading()
 		})
-		for i := 0; k.ended != nil && len(k.ended) == 0 && i < 200; i++ {
+		for i := 0; k.ending != nil && len(k.ending) == 0 && i < 200; i++ {
 			time.Sleep(10 * time.Millisecond)
-			f.do(f.loop, func() {
+			f.onLoop(f.loop, func() {
 				if i == 100 && len(f.servers[1].connections) > 0 { // by now nothing more comes
 					f.servers[1].connections[0].onStallTimeout()
 				}
 			})
 		}
-		if got := <-k.ended; got != c.ends || k.got != c.gives {
+		if got := <-k.ending; got != c.ends || k.got != c.gives {
 			t.Errorf("it ended %s with %d bytes, want %s with %d", got, k.got, c.ends, c.gives)
 		}
 		go func() { part <- 0 }() // to the one behind
 	}
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		if f.SentAttempts() != 4 {
 			t.Errorf("%d are counted as sent, want 4", f.SentAttempts())
 		}
 	})
 }
 
-// results takes what an execution settles with.
-type results chan requestcore.Result
+// resultRecorder takes what an execution settles with.
+type resultRecorder chan requestcore.Result
 
-func (r results) OnAttemptEnd(_ balancer.Outcome, with requestcore.Result) { r <- with }
-func (r results) StillWanted() bool                                        { return true }
+func (r resultRecorder) OnAttemptEnd(_ balancer.Outcome, with requestcore.Result) { r <- with }
+func (r resultRecorder) StillWanted() bool                                        { return true }
 
 // A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's,
 // whole.
@@ -668,22 +668,22 @@
 		"and until when":      {"SERVER_ERROR busy 20\r\n", false, balancer.Overloaded},
 		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.ServerError},
 	} {
-		limits := usual
+		limits := defaultLimits
 		limits.StallTimeout = 60 // a busy machine may take its time between two pieces
-		f, conns := listening(t, limits)
+		f, conns := startListener(t, limits)
 		var conn net.Conn
 		for cut := range c.reply {
-			o := make(outcome, 1)
-			f.do(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
+			o := make(outcomeRecorder, 1)
+			f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa", Write: c.write}, 60, 60, o) })
 			if conn == nil {
 				conn = <-conns
 			}
-			if heard(t, conn); c.write { // and the end of the empty value
-				heard(t, conn)
+			if readCommand(t, conn); c.write { // and the end of the empty value
+				readCommand(t, conn)
 			}
 			conn.Write([]byte(c.reply[:cut]))
 			for begun := cut == 0; !begun; { // until the piece has been read
-				f.do(f.loop, func() {
+				f.onLoop(f.loop, func() {
 					l := f.servers[1].connections[0]
 					begun = l.codec.ReplyBegun() && l.socket.Quiet()
 				})
@@ -696,7 +696,7 @@
 				t.Fatalf("%s, cut at %d", form, cut)
 			}
 		}
-		f.do(f.loop, func() {
+		f.onLoop(f.loop, func() {
 			if f.connectionCount != 1 {
 				t.Errorf("%s: %d connections are left", form, f.connectionCount)
 			}
@@ -707,24 +707,24 @@
 // A connection takes longer to come up than a repeat's window is: the repeat is told as not sent as that ends, and
 // nothing is written for it when the connection is there.
 func TestAWindowEndsBeforeAConnectionIsUp(t *testing.T) {
-	limits := usual
+	limits := defaultLimits
 	limits.ConnectTimeout = 60
-	f, _ := listening(t, limits)
-	at, accept := full(t)
-	f.do(f.loop, func() { f.SetEndpoint(2, at) })
-	o := make(outcome, 1)
-	f.do(f.loop, func() { f.StartAttempt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
+	f, _ := startListener(t, limits)
+	at, accept := listenWithFullBacklog(t)
+	f.onLoop(f.loop, func() { f.SetEndpoint(2, at) })
+	o := make(outcomeRecorder, 1)
+	f.onLoop(f.loop, func() { f.StartAttempt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, o) })
 	o.want(t, balancer.NotAttempted)
-	f.do(f.loop, func() {
+	f.onLoop(f.loop, func() {
 		if f.servers[2].connecting != 1 {
 			t.Error("the connection is up already")
 		}
 	})
 	conn := accept() // the kernel tries again after a second
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
-		f.do(f.loop, func() { idle = len(f.servers[2].idle) })
+		f.onLoop(f.loop, func() { idle = len(f.servers[2].idle) })
 	}
-	f.do(f.loop, func() { f.RemoveEndpoint(2) })
+	f.onLoop(f.loop, func() { f.RemoveEndpoint(2) })
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
 		t.Errorf("the server read %q, %v", heard, err)
--- a/internal/upstream/tileclient/codec_test.go
+++ b/internal/upstream/tileclient/codec_test.go
@@ -21,16 +21,18 @@
 // fakeReplies notes how what was asked for ended.
 type fakeReplies struct {
 	upstream.ReplyHandler // for what tiles have no use for
-	op                    *requestcore.Request
-	ended                 []balancer.Outcome
-	stray                 int
+	request               *requestcore.Request
+	outcomes              []balancer.Outcome
+	unexpected            int
 }
 
-func (l *fakeReplies) PendingRequest() (*requestcore.Request, bool) { return l.op, l.op != nil }
+func (l *fakeReplies) PendingRequest() (*requestcore.Request, bool) {
+	return l.request, l.request != nil
+}
 func (l *fakeReplies) OnReply(how balancer.Outcome, _ requestcore.Result, _ bool) {
-	l.ended = append(l.ended, how)
+	l.outcomes = append(l.outcomes, how)
 }
-func (l *fakeReplies) OnUnexpectedReply(string) { l.stray++ }
+func (l *fakeReplies) OnUnexpectedReply(string) { l.unexpected++ }
 
 func decode(s *Client, l *fakeReplies, text string) (*codec, error) {
 	w := s.NewCodec(l).(*codec)
@@ -45,13 +47,13 @@
 	s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
-		w, _ := decode(s, &fakeReplies{op: &requestcore.Request{}}, text)
+		w, _ := decode(s, &fakeReplies{request: &requestcore.Request{}}, text)
 		if w.Release(); s.BufferedBytes() != 0 {
 			t.Errorf("after %q %d bytes are held", text, s.BufferedBytes())
 		}
 	}
-	one, _ := decode(s, &fakeReplies{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
-	if _, err := decode(s, &fakeReplies{op: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.BufferedBytes() != 19 {
+	one, _ := decode(s, &fakeReplies{request: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
+	if _, err := decode(s, &fakeReplies{request: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.BufferedBytes() != 19 {
 		t.Errorf("more than all may hold was taken: %d bytes, %v", s.BufferedBytes(), err)
 	}
 	if one.Release(); s.BufferedBytes() != 0 {
@@ -63,28 +65,28 @@
 func TestOutcomes(t *testing.T) {
 	for status, want := range map[string]balancer.Outcome{"200": balancer.Succeeded, "404": balancer.Succeeded, "204": balancer.Succeeded, "304": balancer.ServerError,
 		"302": balancer.ServerError, "403": balancer.ServerError, "429": balancer.Overloaded, "503": balancer.Overloaded, "500": balancer.ServerError} {
-		l := &fakeReplies{op: &requestcore.Request{}}
-		if decode(&Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.ended) != 1 || l.ended[0] != want {
-			t.Errorf("%s ends as %v, want %v", status, l.ended, want)
+		l := &fakeReplies{request: &requestcore.Request{}}
+		if decode(&Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.outcomes) != 1 || l.outcomes[0] != want {
+			t.Errorf("%s ends as %v, want %v", status, l.outcomes, want)
 		}
 	}
-	l := &fakeReplies{op: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
-	if decode(&Client{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.ended[0] != balancer.Succeeded {
+	l := &fakeReplies{request: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
+	if decode(&Client{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.outcomes[0] != balancer.Succeeded {
 		t.Error("what was not modified is no answer")
 	}
 	l = &fakeReplies{}
-	if decode(&Client{}, l, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); l.stray != 1 {
+	if decode(&Client{}, l, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); l.unexpected != 1 {
 		t.Error("an answer that nobody asked for is taken")
 	}
 }
 
-// outcome notes how an execution ended, and with what.
-type outcome chan string
+// outcomeRecorder notes how an execution ended, and with what.
+type outcomeRecorder chan string
 
-func (o outcome) OnAttemptEnd(how balancer.Outcome, with requestcore.Result) {
+func (o outcomeRecorder) OnAttemptEnd(how balancer.Outcome, with requestcore.Result) {
 	o <- fmt.Sprintf("%d %s", how, with.Value)
 }
-func (o outcome) StillWanted() bool { return true }
+func (o outcomeRecorder) StillWanted() bool { return true }
 
 // A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and
 // nobody's tile.
@@ -118,7 +120,7 @@
 		}
 		go l.Run()
 		t.Cleanup(func() { l.Post(l.Stop) })
-		o := make(outcome, 1)
+		o := make(outcomeRecorder, 1)
 		l.Post(func() {
 			s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 			f := upstream.New(l, upstream.Limits{MaxConnections: 8, MaxInFlightPerConnection: 1, ConnectTimeout: 60, StallTimeout: 60, IdleTimeout: 60}, s.NewCodec, zerolog.Nop())
