--- a/internal/upstream/crossings_test.go
+++ b/internal/upstream/crossings_test.go
@@ -47,7 +47,7 @@
 
 // What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was
 // told to drain, or its window is over; and what is before it goes on.
-func TestWhatTheKernelHasNotBegunToTakeIsTakenBack(t *testing.T) {
+func TestUnwrittenAttemptIsWithdrawnBehindBlockedWrite(t *testing.T) {
 	for name, cross := range map[string]func(f testPools, b requestcore.PendingAttempt){
 		"its client leaves": func(_ testPools, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
 		"it is withdrawn":   func(_ testPools, b requestcore.PendingAttempt) { b.Cancel() },
@@ -94,7 +94,7 @@
 }
 
 // One that has begun to leave when its client does ends its connection, where no other is on it, and never comes whole.
-func TestWhatHasBegunToLeaveIsCutOff(t *testing.T) {
+func TestPartlyWrittenAttemptEndsItsConnection(t *testing.T) {
 	f, l, a, hear := startBlockedServer(t)
 	f.onLoop(f.loop, func() { l.inFlight[0].CancelIfUnsent() })
 	a.want(t, balancer.NotAttempted)
@@ -105,7 +105,7 @@
 
 // A server that moves while a connection to where it was comes up must not be sent to there: another may be there by
 // now.
-func TestAServerMovesWhileAConnectionComesUp(t *testing.T) {
+func TestAddressChangeWhileConnecting(t *testing.T) {
 	f, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	o := make(outcomeRecorder, 1)
@@ -128,7 +128,7 @@
 }
 
 // A connection that is in use when its server moves is not used again.
-func TestAServerMovesWhileAnAnswerIsOut(t *testing.T) {
+func TestAddressChangeWhileReplyIsPending(t *testing.T) {
 	f, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -144,7 +144,7 @@
 
 // The sweep of idle connections comes late where the loop was stopped: an old one is not written to, for its server
 // may be closing it, and what it was sent may have run.
-func TestAnIdleConnectionIsNotUsedWhenItIsOld(t *testing.T) {
+func TestExpiredIdleConnectionIsNotUsed(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
@@ -164,7 +164,7 @@
 
 // A reply that is said twice names no operation where it is a refusal. Right behind another reply it proves nothing
 // to one that must not run twice.
-func TestARefusalRightBehindAnotherReplyProvesNothing(t *testing.T) {
+func TestRejectionRightBehindReplyIsOutcomeUnknown(t *testing.T) {
 	for _, c := range []struct {
 		once   bool
 		behind float64
@@ -187,7 +187,7 @@
 
 // At the bound, what waited for a connection is piped once it is up: it waited for the answers before it, or its own
 // end.
-func TestWhatWaitsIsPipedOnceAConnectionIsUp(t *testing.T) {
+func TestWaitingAttemptsArePipelinedOnceConnected(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	f := startServer(t, limits, func(net.Conn, string) {})
@@ -202,7 +202,7 @@
 }
 
 // Nothing is piped on a connection that its server has ended, though that is not heard of yet.
-func TestNothingIsPipedOnAConnectionThatHasEnded(t *testing.T) {
+func TestNoPipeliningOnEndedConnection(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	f, conns := startListener(t, limits)
@@ -227,7 +227,7 @@
 
 // A drain is told in the round in which a connection to the server has come up: nothing is written there, and it is
 // not kept.
-func TestADrainIsToldAsAConnectionComesUp(t *testing.T) {
+func TestRemovalAsConnectionIsEstablished(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	o := make(outcomeRecorder, 1)
 	var conn net.Conn
@@ -244,7 +244,7 @@
 }
 
 // The same for an answer, whose connection is free in that round: what waits for it is not sent.
-func TestADrainIsToldAsAnAnswerFreesItsConnection(t *testing.T) {
+func TestRemovalAsReplyFreesConnection(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 1
 	f, conns := startListener(t, limits)
@@ -270,7 +270,7 @@
 
 // A server ends each connection right as it comes up: that is no connection, and none is made anew as fast as that
 // goes.
-func TestAServerThatEndsEachConnectionIsNotStormed(t *testing.T) {
+func TestServerThatEndsEachConnectionIsNotRedialled(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	for range 20 {
 		o := make(outcomeRecorder, 1)
@@ -296,7 +296,7 @@
 }
 
 // A long value that nobody waits for any more is let go of as it comes; the one piped behind it gets its own answer.
-func TestALongValueThatNobodyWantsHoldsUpNothing(t *testing.T) {
+func TestUnwantedBodyIsDiscarded(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	f, conns := startListener(t, limits)
@@ -316,7 +316,7 @@
 }
 
 // An answer has come as its limit ends, and the loop hears of both in one round: it ends once, either way.
-func TestAnAnswerAndItsLimitInOneRound(t *testing.T) {
+func TestReplyAndTimeoutInOneRound(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	o := make(outcomeRecorder, 2)
 	f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, o) })
@@ -345,7 +345,7 @@
 
 // A server is gone and back, elsewhere, in one list: what waited for it is told that it was not sent, what comes next
 // goes where it is now.
-func TestAServerIsGoneAndBackInOneRound(t *testing.T) {
+func TestServerRemovedAndListedInOneRound(t *testing.T) {
 	f, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -367,7 +367,7 @@
 
 // A connection comes up after what it was made for has settled: it is kept for the next, and nothing is written on it
 // before that.
-func TestAConnectionComesUpAfterItsAttemptSettled(t *testing.T) {
+func TestConnectionEstablishedAfterAttemptSettled(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() {
@@ -388,7 +388,7 @@
 }
 
 // What was written in time is waited for beyond the time in which it was to be written.
-func TestWhatIsWrittenWithinItsWindowMayBeAnsweredAfterIt(t *testing.T) {
+func TestReplyAfterSendDeadline(t *testing.T) {
 	f, conns := startListener(t, defaultLimits)
 	o := make(outcomeRecorder, 1)
 	var a *attempt
@@ -428,7 +428,7 @@
 // A server ends its connection right behind a long answer, and what takes the value does so late, in parts: it gets
 // all of it, whether the end is heard while nothing is read, while the rest is held here, or with the bytes in one
 // round, as a close or as a reset.
-func TestTheEndBehindALongValueThatIsTakenLate(t *testing.T) {
+func TestCloseBehindBodyThatIsReadLate(t *testing.T) {
 	for name, c := range map[string]struct {
 		length, taken int // bytes in all, and of them those that are taken before the end comes
 		end           func(conn *net.TCPConn)
@@ -490,7 +490,7 @@
 
 // A server answers and its connection is reset; what is written behind that in the same round fails. The answer is
 // read all the same, and what could not be written never ran.
-func TestAnAnswerBeforeAWriteThatFails(t *testing.T) {
+func TestReplyBeforeFailedWrite(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	f, conns := startListener(t, limits)
@@ -509,7 +509,7 @@
 
 // A client leaves while its long value is on its way, and another's attempt is out behind it: that gets its own
 // answer, and the rest of the value is let go of.
-func TestALongValueIsLeftWithAnotherBehindIt(t *testing.T) {
+func TestBodyDiscardedWithAttemptBehindIt(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	f, conns := startListener(t, limits)
@@ -533,7 +533,7 @@
 }
 
 // Each end of a connection on which something is owed is counted by its reason, one on which nothing is owed is not.
-func TestWhatIsCutIsCountedByItsReason(t *testing.T) {
+func TestCloseCountsByReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		answer string
 		end    func(f testPools, conn net.Conn, long requestcore.BodyStream)
@@ -600,7 +600,7 @@
 // The loop was stopped for longer than an execution may wait to be written, or its client left meanwhile, and in the
 // round in which it goes on there is a connection for it: it is not written, for its repeats are not dropped any
 // more, or nobody waits for it.
-func TestWhatHasWaitedTooLongIsNotWritten(t *testing.T) {
+func TestExpiredAttemptIsNotWritten(t *testing.T) {
 	const within = 0.02
 	for name, begin := range map[string]func(f testPools, o outcomeRecorder) *attempt{
 		"its window ended": func(f testPools, o outcomeRecorder) *attempt {
@@ -672,7 +672,7 @@
 
 // A write has begun to leave behind a long value that is on its way back, which must not be cut off: given up, its
 // rest goes on to leave, so that it may run, and it is not told as one that never did.
-func TestWhatGoesOnToLeaveMayRun(t *testing.T) {
+func TestPartlyWrittenAttemptBehindBodyMayRun(t *testing.T) {
 	for name, giveUp := range map[string]func(b *attempt){
 		"at its limit":      (*attempt).onTimer,
 		"its client leaves": (*attempt).CancelIfUnsent,
--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -208,7 +208,7 @@
 	}
 }
 
-func TestPassedOnWithTheTimeLeft(t *testing.T) {
+func TestCommandTellsTimeLeft(t *testing.T) {
 	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.startAttempt(2)
 	o.want(t, balancer.Succeeded)
@@ -225,7 +225,7 @@
 
 // A spoilt answer leaves its connection open and of no use: it must be ended, lest the rest be taken for the next
 // execution's answer, and told at once, not when the execution's limit is over.
-func TestSpoiltAnswer(t *testing.T) {
+func TestMalformedReplyEndsConnection(t *testing.T) {
 	for _, reply := range []string{"CLIENT_ERROR bad\r\n", "SERVER_ERROR odd\r\n", "\x93\x00\xff", "no end of a line",
 		"VA 9 Oa\r\nhi\r\n", "VA 3000000000 Oa\r\nhi", "VA 2 O", "VA 1 Oa\r\nhi\r\n", "VA 2 Ob\r\nhi\r\n"} {
 		f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
@@ -241,7 +241,7 @@
 }
 
 // A good answer stands, whatever comes behind it; the next execution gets a connection of its own.
-func TestMoreThanTheAnswer(t *testing.T) {
+func TestBytesBehindReply(t *testing.T) {
 	for _, more := range []string{"VA 0 Oa\r\n\r\n", "\x93noise", "END\r\n"} {
 		f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
 		for range 2 {
@@ -255,7 +255,7 @@
 
 // A server may end a connection right after its answer, which is heard of only a little later: a connection that has
 // rested is used before one that was answered on just now.
-func TestRestedConnectionIsUsedFirst(t *testing.T) {
+func TestIdleConnectionReuseOrder(t *testing.T) {
 	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 	op := &requestcore.Request{ID: "a", Flags: "Oa"}
@@ -275,7 +275,7 @@
 
 // A server that answers and ends the connection in one go: the next execution must not be written there, where
 // it would count as one that may have run.
-func TestAnswerAndEndTogether(t *testing.T) {
+func TestReplyAndCloseTogether(t *testing.T) {
 	var n atomic.Int32
 	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
@@ -299,7 +299,7 @@
 func (f endFunc) OnAttemptEnd(balancer.Outcome, requestcore.Result) { f() }
 func (f endFunc) StillWanted() bool                                 { return true }
 
-func TestSilenceAtLimitClosesTheConnection(t *testing.T) {
+func TestTimeoutClosesConnection(t *testing.T) {
 	f := startServer(t, defaultLimits, func(net.Conn, string) {})
 	o, _ := f.startAttempt(0.05)
 	o.want(t, balancer.TimedOut)
@@ -307,7 +307,7 @@
 	f.wantLine("end")
 }
 
-func TestDropTellsTheServer(t *testing.T) {
+func TestCancelClosesConnection(t *testing.T) {
 	f := startServer(t, defaultLimits, func(net.Conn, string) {})
 	o, p := f.startAttempt(5)
 	f.wantLine("mg")
@@ -317,7 +317,7 @@
 }
 
 // The greatest value is longer than a connection's buffer: it must go out whole.
-func TestGreatestValue(t *testing.T) {
+func TestGreatestValueIsWrittenWhole(t *testing.T) {
 	value := []byte(strings.Repeat("0123456789abcde\n", 4<<10))
 	n := 0
 	f := startServer(t, defaultLimits, func(conn net.Conn, line string) {
@@ -332,7 +332,7 @@
 	o.want(t, balancer.Succeeded)
 }
 
-func TestRefusedNeverRan(t *testing.T) {
+func TestConnectionRefused(t *testing.T) {
 	f := startServer(t, defaultLimits, nil)
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	f.onLoop(f.loop, func() { f.SetEndpoint(1, netip.MustParseAddrPort(free.Addr().String())) })
@@ -342,7 +342,7 @@
 }
 
 // What hinders a dial on this side says nothing against the server, which must not be passed over for it.
-func TestNoMeansToDial(t *testing.T) {
+func TestServerWithoutAddress(t *testing.T) {
 	f := startServer(t, defaultLimits, nil)
 	o := make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() { f.StartAttempt(9, &requestcore.Request{ID: "a"}, 5, 5, o) }) // it has no address
@@ -350,7 +350,7 @@
 }
 
 // A machine that is cut off says nothing: what waits for a connection there never ran.
-func TestNeverUp(t *testing.T) {
+func TestConnectTimeout(t *testing.T) {
 	f := startServer(t, defaultLimits, func(net.Conn, string) {})
 	o := make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() {
@@ -362,7 +362,7 @@
 
 // A machine that is cut off is silent on every connection: after one silence, or a connection that never came up,
 // the idle ones are not tried one by one.
-func TestSilenceClosesTheIdle(t *testing.T) {
+func TestTimeoutClosesIdleConnections(t *testing.T) {
 	for name, silence := range map[string]func(f *ConnectionPools, a *attempt){
 		"no answer": func(_ *ConnectionPools, a *attempt) { a.onTimer() },
 		"never up":  func(f *ConnectionPools, _ *attempt) { f.servers[1].connections[2].onConnectTimeout() },
@@ -394,7 +394,7 @@
 }
 
 // Its own time over before the connection is up says nothing against the server.
-func TestLimitBeforeTheConnectionIsUp(t *testing.T) {
+func TestTimeoutWhileConnecting(t *testing.T) {
 	f := startServer(t, defaultLimits, func(net.Conn, string) {})
 	o := make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() { f.StartAttempt(1, &requestcore.Request{ID: "a"}, 5, 5, o).(*attempt).onTimer() })
@@ -404,7 +404,7 @@
 // At the bound executions are piped. Where nobody waits for one any more the others on its connection go on, each
 // with its own answer: it was ended for all, so that a client who left cost another its operation, and its server a
 // failure. One that has no answer in time still ends it, and what was piped there may have run.
-func TestPipedBehindADroppedOne(t *testing.T) {
+func TestPipelinedBehindCancelledAttempt(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	answer := make(chan bool)
@@ -431,7 +431,7 @@
 // What is not written whole when the connection breaks never ran: it may be made again whatever it does. The server
 // breaks it once all are on their way; by a clock it might break it sooner, and what it had not been given yet would
 // go whole by the next connection.
-func TestBreaksBeforeTheLastByte(t *testing.T) {
+func TestConnectionBreaksBeforeLastByte(t *testing.T) {
 	all := make(chan bool)
 	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		<-all
@@ -465,7 +465,7 @@
 }
 
 // A server that wants nothing new keeps no idle connection and shares in no bound, and what is out there goes on.
-func TestUnlisted(t *testing.T) {
+func TestRemoveEndpoint(t *testing.T) {
 	answer := make(chan bool)
 	f := startServer(t, defaultLimits, func(conn net.Conn, _ string) { <-answer; conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	o, _ := f.startAttempt(5)
@@ -482,7 +482,7 @@
 }
 
 // What waits for a connection when its server is told to drain, or when its operation is answered, is never sent.
-func TestWaitingIsNotSentAnyMore(t *testing.T) {
+func TestWaitingAttemptsAreNotSentAfterRemoval(t *testing.T) {
 	f := startServer(t, defaultLimits, func(net.Conn, string) {})
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 	f.onLoop(f.loop, func() {
@@ -501,7 +501,7 @@
 }
 
 // Behind a slow answer a quick one would wait: while connections may be opened, none is piped.
-func TestEachOnAConnectionOfItsOwn(t *testing.T) {
+func TestNoPipeliningBelowConnectionLimit(t *testing.T) {
 	f := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 		if strings.Contains(line, "Ob") {
 			conn.Write([]byte("VA 0 Ob\r\n\r\n"))
@@ -514,7 +514,7 @@
 }
 
 // Cache servers close what stood idle for long; what is written just then may be lost.
-func TestIdleConnectionsAreClosedFirst(t *testing.T) {
+func TestIdleTimeout(t *testing.T) {
 	limits := defaultLimits
 	limits.IdleTimeout = 0.1
 	f := startServer(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
@@ -533,7 +533,7 @@
 func (c releaseCounter) Release() { *c.released++ }
 
 // Whatever ends a connection, its wire is told, and lets go of what has come: here an execution is given up midway.
-func TestWiresAreToldOfTheEnd(t *testing.T) {
+func TestCodecIsReleasedWithItsConnection(t *testing.T) {
 	f, drops := startServer(t, Limits{MaxConnections: 4, MaxInFlightPerConnection: 1, ConnectTimeout: 1, StallTimeout: 0.03, IdleTimeout: 60}, func(c net.Conn, _ string) { c.Write([]byte("VA 9 Oa\r\nhal")) }), 0
 	f.onLoop(f.loop, func() { f.newCodec = func(l ReplyHandler) Codec { return releaseCounter{NewMemcacheCodec(l), &drops} } })
 	o, _ := f.startAttempt(0.05)
@@ -586,7 +586,7 @@
 // A long value settles its execution at the first bytes, is read no faster than it is taken, and is not cut off by
 // what is given up behind it, nor by a stall while it is not taken. One whose server gives nothing more is broken.
 // Each counts as sent once, a probe never.
-func TestLongValues(t *testing.T) {
+func TestBodyStreams(t *testing.T) {
 	const length = 1 << 20
 	part := make(chan int)
 	limits := defaultLimits
@@ -654,7 +654,7 @@
 
 // A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's,
 // whole.
-func TestAReplyInPieces(t *testing.T) {
+func TestReplyInTwoPieces(t *testing.T) {
 	for form, c := range map[string]struct {
 		reply string
 		write bool
@@ -706,7 +706,7 @@
 
 // A connection takes longer to come up than a repeat's window is: the repeat is told as not sent as that ends, and
 // nothing is written for it when the connection is there.
-func TestAWindowEndsBeforeAConnectionIsUp(t *testing.T) {
+func TestSendDeadlineWhileConnecting(t *testing.T) {
 	limits := defaultLimits
 	limits.ConnectTimeout = 60
 	f, _ := startListener(t, limits)
--- a/internal/upstream/tileclient/codec_test.go
+++ b/internal/upstream/tileclient/codec_test.go
@@ -43,7 +43,7 @@
 }
 
 // A body that is given up midway, too large or never ends is let go: else all tiles would be refused after a while.
-func TestNothingIsHeldForEver(t *testing.T) {
+func TestBodiesAreReleased(t *testing.T) {
 	s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
@@ -90,7 +90,7 @@
 
 // A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and
 // nobody's tile.
-func TestABodyWithoutALength(t *testing.T) {
+func TestBodyWithoutLength(t *testing.T) {
 	for name, c := range map[string]struct {
 		leave func(conn *net.TCPConn)
 		want  string
