--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -18,6 +18,9 @@
 func TestMemcacheCommandsGolden(t *testing.T) {
 	var written bytes.Buffer
 	read := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
+	write := &requestcore.Request{
+		Key: "k", ID: "b", Flags: "Ob c", Figures: "c=y", Write: true, Value: []byte("a\r\nvalue"),
+	}
 	for _, c := range []struct {
 		name        string
 		request     *requestcore.Request
@@ -28,7 +31,7 @@
 		{"read, a part of a millisecond is rounded up", read, 1.0001},
 		{"read, no time is left", read, -1},
 		{"read, without flags and figures", &requestcore.Request{Key: "k"}, 0.5},
-		{"write", &requestcore.Request{Key: "k", ID: "b", Flags: "Ob c", Figures: "c=y", Write: true, Value: []byte("a\r\nvalue")}, 0.25},
+		{"write", write, 0.25},
 		{"write, an empty value", &requestcore.Request{Key: "k", ID: "b", Flags: "Ob", Write: true}, 0.25},
 	} {
 		written.WriteString("# " + c.name + "\n")
--- a/internal/upstream/tileclient/codec_test.go
+++ b/internal/upstream/tileclient/codec_test.go
@@ -26,16 +26,16 @@
 	unexpected            int
 }
 
-func (l *fakeReplies) PendingRequest() (*requestcore.Request, bool) {
-	return l.request, l.request != nil
+func (r *fakeReplies) PendingRequest() (*requestcore.Request, bool) {
+	return r.request, r.request != nil
 }
-func (l *fakeReplies) OnReply(how balancer.Outcome, _ requestcore.Result, _ bool) {
-	l.outcomes = append(l.outcomes, how)
+func (r *fakeReplies) OnReply(how balancer.Outcome, _ requestcore.Result, _ bool) {
+	r.outcomes = append(r.outcomes, how)
 }
-func (l *fakeReplies) OnUnexpectedReply(string) { l.unexpected++ }
+func (r *fakeReplies) OnUnexpectedReply(string) { r.unexpected++ }
 
-func decode(s *Client, l *fakeReplies, text string) (*codec, error) {
-	w := s.NewCodec(l).(*codec)
+func decode(client *Client, replies *fakeReplies, text string) (*codec, error) {
+	w := client.NewCodec(replies).(*codec)
 	in := ringbuffer.New(4096)
 	in.Write([]byte(text))
 	_, err := w.Decode(in)
@@ -44,43 +44,59 @@
 
 // A body that is given up midway, too large or never ends is let go: else all tiles would be refused after a while.
 func TestBodiesAreReleased(t *testing.T) {
-	s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
-	for _, text := range []string{"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf", "HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
-		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890"} {
-		w, _ := decode(s, &fakeReplies{request: &requestcore.Request{}}, text)
-		if w.Release(); s.BufferedBytes() != 0 {
-			t.Errorf("after %q %d bytes are held", text, s.BufferedBytes())
+	client := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
+	for _, text := range []string{
+		"HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhalf",
+		"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
+		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890",
+	} {
+		w, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, text)
+		if w.Release(); client.BufferedBytes() != 0 {
+			t.Errorf("after %q %d bytes are held", text, client.BufferedBytes())
 		}
 	}
-	one, _ := decode(s, &fakeReplies{request: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678")
-	if _, err := decode(s, &fakeReplies{request: &requestcore.Request{}}, "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"); err == nil || s.BufferedBytes() != 19 {
-		t.Errorf("more than all may hold was taken: %d bytes, %v", s.BufferedBytes(), err)
+	const incomplete = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"
+	one, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, incomplete)
+	_, err := decode(client, &fakeReplies{request: &requestcore.Request{}}, incomplete)
+	if err == nil || client.BufferedBytes() != 19 {
+		t.Errorf("more than all may hold was taken: %d bytes, %v", client.BufferedBytes(), err)
 	}
-	if one.Release(); s.BufferedBytes() != 0 {
-		t.Errorf("%d bytes are held", s.BufferedBytes())
+	if one.Release(); client.BufferedBytes() != 0 {
+		t.Errorf("%d bytes are held", client.BufferedBytes())
 	}
 }
 
 // The table of outcomes in docs/operators/tiles.md.
 func TestOutcomes(t *testing.T) {
-	for status, want := range map[string]balancer.Outcome{"200": balancer.Succeeded, "404": balancer.Succeeded, "204": balancer.Succeeded, "304": balancer.ServerError,
-		"302": balancer.ServerError, "403": balancer.ServerError, "429": balancer.Overloaded, "503": balancer.Overloaded, "500": balancer.ServerError} {
-		l := &fakeReplies{request: &requestcore.Request{}}
-		if decode(&Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}, l, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n"); len(l.outcomes) != 1 || l.outcomes[0] != want {
-			t.Errorf("%s ends as %v, want %v", status, l.outcomes, want)
+	for status, want := range map[string]balancer.Outcome{
+		"200": balancer.Succeeded,
+		"204": balancer.Succeeded,
+		"404": balancer.Succeeded,
+		"302": balancer.ServerError,
+		"304": balancer.ServerError,
+		"403": balancer.ServerError,
+		"500": balancer.ServerError,
+		"429": balancer.Overloaded,
+		"503": balancer.Overloaded,
+	} {
+		replies := &fakeReplies{request: &requestcore.Request{}}
+		client := &Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}
+		decode(client, replies, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n")
+		if len(replies.outcomes) != 1 || replies.outcomes[0] != want {
+			t.Errorf("%s ends as %v, want %v", status, replies.outcomes, want)
 		}
 	}
-	l := &fakeReplies{request: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
-	if decode(&Client{}, l, "HTTP/1.1 304 X\r\n\r\n"); l.outcomes[0] != balancer.Succeeded {
+	replies := &fakeReplies{request: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
+	if decode(&Client{}, replies, "HTTP/1.1 304 X\r\n\r\n"); replies.outcomes[0] != balancer.Succeeded {
 		t.Error("what was not modified is no answer")
 	}
-	l = &fakeReplies{}
-	if decode(&Client{}, l, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); l.unexpected != 1 {
+	replies = &fakeReplies{}
+	if decode(&Client{}, replies, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); replies.unexpected != 1 {
 		t.Error("an answer that nobody asked for is taken")
 	}
 }
 
-// outcomeRecorder notes how an execution ended, and with what.
+// outcomeRecorder notes how an attempt ended, and with what.
 type outcomeRecorder chan string
 
 func (o outcomeRecorder) OnAttemptEnd(how balancer.Outcome, with requestcore.Result) {
@@ -95,10 +111,17 @@
 		leave func(conn *net.TCPConn)
 		want  string
 	}{
-		"an end":               {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Succeeded, " a tile")},
-		"a half-close":         {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Succeeded, " a tile")},
-		"a reset":              {func(conn *net.TCPConn) { time.Sleep(20 * time.Millisecond); conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
-		"a reset right behind": {func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() }, fmt.Sprint(balancer.ConnectionLost, " ")},
+		"an end":       {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Succeeded, " a tile")},
+		"a half-close": {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Succeeded, " a tile")},
+		"a reset": {func(conn *net.TCPConn) {
+			time.Sleep(20 * time.Millisecond)
+			conn.SetLinger(0)
+			conn.Close()
+		}, fmt.Sprint(balancer.ConnectionLost, " ")},
+		"a reset right behind": {func(conn *net.TCPConn) {
+			conn.SetLinger(0)
+			conn.Close()
+		}, fmt.Sprint(balancer.ConnectionLost, " ")},
 	} {
 		ln, err := net.Listen("tcp", "127.0.0.1:0")
 		if err != nil {
@@ -122,10 +145,17 @@
 		t.Cleanup(func() { l.Post(l.Stop) })
 		o := make(outcomeRecorder, 1)
 		l.Post(func() {
-			s := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
-			f := upstream.New(l, upstream.Limits{MaxConnections: 8, MaxInFlightPerConnection: 1, ConnectTimeout: 60, StallTimeout: 60, IdleTimeout: 60}, s.NewCodec, zerolog.Nop())
-			f.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
-			f.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, o)
+			client := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
+			limits := upstream.Limits{
+				MaxConnections:           8,
+				MaxInFlightPerConnection: 1,
+				ConnectTimeout:           60,
+				StallTimeout:             60,
+				IdleTimeout:              60,
+			}
+			pools := upstream.New(l, limits, client.NewCodec, zerolog.Nop())
+			pools.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
+			pools.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, o)
 		})
 		select {
 		case got := <-o:
