--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -229,9 +229,13 @@
 		if _, err = v.fleet.Add(spec, false); err != nil {
 			return v, fmt.Errorf("%w (another --net may be free)", err)
 		}
-		ln, err := net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.Net, n+1))
-		if err != nil {
-			return v, fmt.Errorf("%w (another --net may be free)", err)
+		var ln net.Listener
+		listen := func() (err error) {
+			ln, err = net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.Net, n+1))
+			return err
+		}
+		if err = again(ctx, listen); err != nil {
+			return v, err
 		}
 		v.sources = append(v.sources, ln)
 		via[spec.Name] = ln.Addr().String()
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -97,9 +97,14 @@
 	a.abandon(balancer.NotAttempted)
 }
 
-// abandon settles it and takes it back if nothing of it is written. Else its connection ends, which tells the server,
-// and with it what is pipelined there; but a client that leaves does not end the attempts of others, nor is a body
-// before it cut off.
+// abandon settles it. What becomes of its connection:
+//
+//	nothing of it is written     it is taken back, the connection goes on
+//	a body is being passed on    the connection goes on: the body of another attempt must not be cut off
+//	its client has left, and     the connection goes on; the answer is discarded when it comes
+//	another attempt waits there
+//	else                         the connection ends, which tells the server, and with it all that is pipelined
+//	                             there: those attempts end as ConnectionLost, or ConnectFailed if not written
 func (a *attempt) abandon(outcome balancer.Outcome) {
 	if a.settled {
 		return
