--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -89,7 +89,16 @@
 		if got := <-sink.ending; got != c.ends || sink.got != c.gives {
 			t.Errorf("it ended %s with %d bytes, want %s with %d", got, sink.got, c.ends, c.gives)
 		}
-		go func() { part <- 0 }() // to the one behind
+		released := make(chan bool)
+		go func() { part <- 0; close(released) }() // to the one behind
+		if c.ends == "whole" {
+			// Else the old connection's server, which waits for this, could take what the next case gives.
+			select {
+			case <-released:
+			case <-time.After(5 * time.Second):
+				t.Fatal("the server has not read the attempt behind")
+			}
+		}
 	}
 	pools.onLoop(pools.loop, func() {
 		if pools.SentAttempts() != 4 {
