--- a/internal/policy/zonefailover/attempts.go
+++ b/internal/policy/zonefailover/attempts.go
@@ -4,15 +4,15 @@
 
 // attempts are those of this router in one zone.
 type attempts struct {
-	open map[uint64]openAttempt // by token
+	inFlight map[uint64]inFlightAttempt // by token
 	// rate is the attempts a second, averaged over rateWindow. It decays only while the zone serves all of its keys
 	// (Serving, Suspected): after the evacuation it holds what the zone had before, from which probeShare follows.
 	// Attempts are added in every state, those of probes and of a recovery, too.
 	rate float64
 }
 
-// openAttempt is an attempt without an outcome yet.
-type openAttempt struct {
+// inFlightAttempt is an attempt without an outcome yet.
+type inFlightAttempt struct {
 	began     float64
 	objective float64 // seconds within which an answer is promised
 }
@@ -27,7 +27,7 @@
 	}
 	c.lastToken++
 	c.watchedAttempts++
-	z.attempts.open[c.lastToken] = openAttempt{now, objective}
+	z.attempts.inFlight[c.lastToken] = inFlightAttempt{now, objective}
 	z.attempts.rate += 1.0 / rateWindow
 	return c.lastToken
 }
@@ -38,11 +38,11 @@
 	if z == nil || token == 0 {
 		return
 	}
-	attempt, open := z.attempts.open[token]
+	attempt, open := z.attempts.inFlight[token]
 	if !open {
 		return
 	}
-	delete(z.attempts.open, token)
+	delete(z.attempts.inFlight, token)
 	c.watchedAttempts--
 	if outcome == Inconclusive {
 		return
@@ -51,7 +51,7 @@
 		z.step.counts.add(outcome)
 	}
 	if outcome == NoAnswer {
-		z.noteFailure(attempt.began)
+		z.recordFailure(attempt.began)
 		return
 	}
 	z.evidence.lastAnswer = now
@@ -77,7 +77,7 @@
 			z.attempts.rate *= math.Exp(-sinceLastTick / rateWindow)
 		}
 		if began := z.oldestOverdue(now); began < now {
-			z.noteFailure(began)
+			z.recordFailure(began)
 		}
 	}
 }
@@ -86,7 +86,7 @@
 // there is none.
 func (z *zone) oldestOverdue(now float64) float64 {
 	oldest := math.Inf(1)
-	for _, attempt := range z.attempts.open {
+	for _, attempt := range z.attempts.inFlight {
 		overdue := now-attempt.began > attempt.objective
 		if overdue && attempt.began > z.evidence.lastAnswer {
 			oldest = min(oldest, attempt.began)
@@ -97,6 +97,6 @@
 
 // forgetAttempts drops all open attempts of a zone.
 func (c *Controller) forgetAttempts(z *zone) {
-	c.watchedAttempts -= len(z.attempts.open)
-	clear(z.attempts.open)
+	c.watchedAttempts -= len(z.attempts.inFlight)
+	clear(z.attempts.inFlight)
 }
--- a/internal/policy/zonefailover/config.go
+++ b/internal/policy/zonefailover/config.go
@@ -31,9 +31,9 @@
 
 // Evidence and evacuation, times in seconds.
 const (
-	// objectionWindow is the time between enough evidence and the evacuation: whoever has had an answer says so
+	// evacuationDelay is the time between enough evidence and the evacuation: whoever has had an answer says so
 	// within it. Longer loses requests, shorter evacuates zones that others reach.
-	objectionWindow = 0.1
+	evacuationDelay = 0.1
 	// votesAgainstPerVoteFor is how many votes against a zone it takes to outweigh one vote for it, so that a zone
 	// with some servers down stays. Less evacuates such zones, more keeps one that few routers reach. For example, 16
 	// votes against a zone outweigh 2 votes for it, but not 3.
@@ -46,8 +46,8 @@
 	quorumDivisor = 4
 	// ownAnswerWindow is how long an answer of its own keeps a router from following others out of a zone.
 	ownAnswerWindow = 1.0
-	// failureMemory is the time of serving after which former evacuations are forgotten: about the longest hold time.
-	failureMemory = 60
+	// historyRetention is the time of serving after which former evacuations are forgotten: about the longest hold time.
+	historyRetention = 60
 	// maxTickGap is the time between two ticks beyond which this process has stood still and knows nothing.
 	maxTickGap = 0.5
 	// staleInputWindow is the time after such a gap in which what waited at the socket is read, and ignored.
@@ -94,12 +94,12 @@
 const (
 	// minMessagePeriod is the least time between two messages without news.
 	minMessagePeriod = 0.5
-	// maxMessagesHeard bounds the messages without news that a router hears a second: beyond half as many routers
+	// maxMessageRate bounds the messages without news that a router hears a second: beyond half as many routers
 	// each speaks less often.
-	maxMessagesHeard = 100
-	// maxMissedMessages is after how many periods a silent peer is no longer counted: it lost three messages, or has
+	maxMessageRate = 100
+	// peerTimeoutPeriods is after how many periods a silent peer is no longer counted: it lost three messages, or has
 	// gone. More counts votes of peers that have gone, fewer drops those whose messages are lost.
-	maxMissedMessages = 3.5
+	peerTimeoutPeriods = 3.5
 	// minMessageGap is the time between two messages with news: what happens in one tick is told together.
 	minMessageGap = 0.04
 	// maxGossipTokens bounds the messages that may be sent early in a row; one token comes each period.
--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -35,7 +35,7 @@
 		settings: settings,
 		zones:    map[uint32]*zone{},
 		peers:    map[int]*peer{},
-		gossip:   gossip{marker: markers[0], greeting: true},
+		gossip:   gossip{marker: markers[0], sendEarly: true},
 	}
 	c.SetRegions(settings.Regions)
 	return c
@@ -71,7 +71,7 @@
 	}
 	c.gossip.chooseMarker(ids)
 	for hash, z := range c.zones {
-		if c.forgettable(now, z) {
+		if c.removable(now, z) {
 			delete(c.zones, hash)
 		}
 	}
@@ -79,12 +79,12 @@
 	return untracked
 }
 
-// forgettable reports whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
-func (c *Controller) forgettable(now float64, z *zone) bool {
+// removable reports whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
+func (c *Controller) removable(now float64, z *zone) bool {
 	if z.servers > 0 || z.state != Serving || z.operatorOverride {
 		return false
 	}
-	return len(z.attempts.open) == 0 && now-z.history.recoveredAt > failureMemory
+	return len(z.attempts.inFlight) == 0 && now-z.history.recoveredAt > historyRetention
 }
 
 // findOrAdd returns the zone of a name, a new one if need be; nil: there are too many, or another zone's name has the
@@ -161,7 +161,7 @@
 // Tick decides on all zones. It is to be called several times within the shortest latency objective.
 func (c *Controller) Tick(now float64) {
 	sinceLastTick := now - c.lastTick
-	c.noticeStandstill(now)
+	c.resetAfterStall(now)
 	c.lastTick = now
 	c.gossip.addTokens(sinceLastTick / c.messagePeriod())
 	c.ageAttempts(now, sinceLastTick)
@@ -172,12 +172,12 @@
 	for _, name := range c.names {
 		c.advance(now, c.find(name))
 	}
-	c.keepOneZone(now)
+	c.ensureOneZoneServes(now)
 }
 
-// noticeStandstill notices that this process stood still. Its open attempts are old, what it knows of its peers is
+// resetAfterStall notices that this process stood still. Its open attempts are old, what it knows of its peers is
 // past, and so are the messages that waited for it: all is forgotten, and the peers are asked to speak.
-func (c *Controller) noticeStandstill(now float64) {
+func (c *Controller) resetAfterStall(now float64) {
 	if c.lastTick == 0 || now-c.lastTick <= maxTickGap {
 		return
 	}
@@ -189,6 +189,6 @@
 	for _, p := range c.peers {
 		p.lastHeard = math.Inf(-1)
 	}
-	c.gossip.greeting = true
+	c.gossip.sendEarly = true
 	c.gossip.ignoreUntil = now + staleInputWindow
 }
--- a/internal/policy/zonefailover/evacuation.go
+++ b/internal/policy/zonefailover/evacuation.go
@@ -14,7 +14,7 @@
 			continue
 		}
 		votes := c.countVotes(now, z)
-		if now-z.evidence.sufficientSince >= objectionWindow {
+		if now-z.evidence.sufficientSince >= evacuationDelay {
 			reason := fmt.Sprintf("%d of %d routers have had no answer there, %d have",
 				votes.against, votes.routers, votes.inFavour)
 			c.evacuate(now, z, reason)
@@ -32,7 +32,7 @@
 			continue
 		}
 		votes := c.countVotes(now, z)
-		if isolated || !c.votedOut(now, z, votes) {
+		if isolated || !c.votesSuffice(now, z, votes) {
 			z.evidence.sufficientSince = 0
 			c.updateSuspicion(now, z, votes)
 			if z.servers > 0 && z.share == 1 {
@@ -50,11 +50,11 @@
 	return failing, remaining
 }
 
-// votedOut reports whether the votes against a zone suffice. They have to be a quorum, or minVotes if the zone failed
+// votesSuffice reports whether the votes against a zone suffice. They have to be a quorum, or minVotes if the zone failed
 // lately, and at least votesAgainstPerVoteFor times the votes for it.
-func (c *Controller) votedOut(now float64, z *zone, votes tally) bool {
+func (c *Controller) votesSuffice(now float64, z *zone, votes tally) bool {
 	needed := c.quorum(votes.routers)
-	if z.failedLately(now) {
+	if z.failedRecently(now) {
 		needed = c.minVotes()
 	}
 	return votes.against >= needed && votesAgainstPerVoteFor*votes.inFavour <= votes.against
@@ -76,7 +76,7 @@
 }
 
 func (c *Controller) evacuate(now float64, z *zone, reason string) {
-	if now-z.history.recoveredAt > failureMemory && z.state != Recovering {
+	if now-z.history.recoveredAt > historyRetention && z.state != Recovering {
 		z.history.evacuations = 0
 	}
 	z.history.evacuations = min(z.history.evacuations+1, maxHoldDoublings+1)
@@ -94,16 +94,16 @@
 		votes := c.countVotes(now, z)
 		switch z.state {
 		case Serving, Suspected:
-			c.followOutOf(now, z, votes)
+			c.followPeersFromServing(now, z, votes)
 		case Evacuated, Probing:
-			c.followInto(now, z, votes)
+			c.followPeersIntoRecovery(now, z, votes)
 		}
 	}
 }
 
-// followOutOf has a zone that serves all of its keys evacuated or recovering, as it is at most peers. A recent answer
+// followPeersFromServing has a zone that serves all of its keys evacuated or recovering, as it is at most peers. A recent answer
 // of this router's own keeps it from that.
-func (c *Controller) followOutOf(now float64, z *zone, votes tally) {
+func (c *Controller) followPeersFromServing(now float64, z *zone, votes tally) {
 	if now-z.evidence.lastAnswer <= ownAnswerWindow {
 		return
 	}
@@ -119,12 +119,12 @@
 	}
 }
 
-// followInto begins the recovery of an evacuated zone that already recovers at a quorum of routers.
-func (c *Controller) followInto(now float64, z *zone, votes tally) {
+// followPeersIntoRecovery begins the recovery of an evacuated zone that already recovers at a quorum of routers.
+func (c *Controller) followPeersIntoRecovery(now float64, z *zone, votes tally) {
 	quorum := c.quorum(votes.routers)
 	mostRecovering := votes.recovering >= quorum && votes.recovering+votes.serving >= votes.evacuated
 	heldLongEnough := now > z.history.evacuatedAt+z.holdTime()/2
-	if mostRecovering && heldLongEnough && c.isItsTurn(z) {
+	if mostRecovering && heldLongEnough && c.mayRecover(z) {
 		c.transition(now, z, Recovering, min(votes.share, maxFollowedShare), recoveringElsewhere(votes))
 	}
 }
@@ -144,9 +144,9 @@
 	return false
 }
 
-// keepOneZone sees to it that some zone serves all of its keys, also when an endpoint list takes the others away: the
+// ensureOneZoneServes sees to it that some zone serves all of its keys, also when an endpoint list takes the others away: the
 // one whose recovery is furthest, else all that were evacuated by evidence.
-func (c *Controller) keepOneZone(now float64) {
+func (c *Controller) ensureOneZoneServes(now float64) {
 	var furthest *zone
 	var evacuated []*zone
 	for _, name := range c.names {
--- a/internal/policy/zonefailover/evacuation_test.go
+++ b/internal/policy/zonefailover/evacuation_test.go
@@ -9,7 +9,7 @@
 	sim.run(3)
 	sim.mustServe("b")
 	sim.answered["b"] = 0
-	first, last := sim.until("evacuated", 0.6, evacuated("b"))
+	first, last := sim.runUntil("evacuated", 0.6, evacuated("b"))
 	t.Logf("evacuated after %.2f to %.2f s, %d attempts unanswered", first, last, sim.unanswered["b"])
 	if last-first > 0.3 {
 		t.Errorf("%.2f s from first to last", last-first)
@@ -17,8 +17,8 @@
 	sim.run(4)
 	unanswered := sim.unanswered["b"]
 	sim.answered["b"] = 1
-	_, began := sim.until("its recovery begins", 0.3, recovering("b"))
-	first, last = sim.until("serving", 3, serving("b"))
+	_, began := sim.runUntil("its recovery begins", 0.3, recovering("b"))
+	first, last = sim.runUntil("serving", 3, serving("b"))
 	t.Logf("its recovery began everywhere within %.2f s", began)
 	t.Logf("%d unanswered in all, serving after %.2f to %.2f s; %d messages in %.0f s",
 		unanswered, first, last, sim.messagesSent, sim.now-simulationStart)
@@ -36,29 +36,29 @@
 		},
 		"a router is isolated": func(sim *simulation) {
 			sim.reaches = func(n int, _ string) bool { return n != 3 }
-			sim.hears = func(from, to int) bool { return from != 3 && to != 3 }
+			sim.receives = func(from, to int) bool { return from != 3 && to != 3 }
 		},
 		"a router reaches no zone, and is heard": func(sim *simulation) {
 			sim.reaches = func(router int, _ string) bool { return router != 3 }
 		},
 		"no zone answers": func(sim *simulation) { clear(sim.answered) },
 		"it is the only zone": func(sim *simulation) {
-			sim.names = []string{"b"}
+			sim.zoneNames = []string{"b"}
 			sim.answered["b"] = 0
 			sim.restartAll()
 		},
 		"nobody hears any other": func(sim *simulation) {
-			sim.hears = func(int, int) bool { return false }
+			sim.receives = func(int, int) bool { return false }
 			sim.answered["b"] = 0
 		},
-		"halves hear only halves": func(sim *simulation) { sim.hears = func(from, to int) bool { return from%2 == to%2 } },
+		"halves hear only halves": func(sim *simulation) { sim.receives = func(from, to int) bool { return from%2 == to%2 } },
 	} {
 		t.Run(name, func(t *testing.T) {
 			sim := newSimulation(t, 12, "a", "b", "c", "d")
 			sim.run(3)
 			fault(sim)
 			sim.run(8)
-			for _, zone := range sim.names {
+			for _, zone := range sim.zoneNames {
 				sim.mustServe(zone)
 			}
 		})
@@ -86,9 +86,9 @@
 			sim.answered["b"] = 1
 			inside := func(n int) bool { return n < 6 }
 			sim.reaches = func(n int, z string) bool { return inside(n) == (z == "b") }
-			sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
+			sim.receives = func(from, to int) bool { return inside(from) == inside(to) }
 		}, func(sim *simulation) {
-			sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+			sim.reaches, sim.receives = func(int, string) bool { return true }, func(int, int) bool { return true }
 		}, 1.5},
 		"clocks are off by minutes": {func(sim *simulation) {
 			for n := range sim.routers {
@@ -109,7 +109,7 @@
 			sim.answered["b"] = 0
 		}, nil, 1.5},
 		"half of the builds do not know zones": {func(sim *simulation) {
-			sim.hears = func(from, _ int) bool { return from%2 == 0 }
+			sim.receives = func(from, _ int) bool { return from%2 == 0 }
 		}, nil, 2.5},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -117,7 +117,7 @@
 			sim.run(3)
 			sim.answered["b"] = 0
 			c.begin(sim)
-			_, last := sim.until("evacuated", c.bound, func(router *Controller) bool {
+			_, last := sim.runUntil("evacuated", c.bound, func(router *Controller) bool {
 				insider := name == "its own routers reach it" && router.settings.RouterIndex < 6
 				return insider || evacuated("b")(router)
 			})
@@ -133,7 +133,7 @@
 			}
 			sim.run(1)
 			sim.answered["b"] = 1
-			_, back := sim.until("serving", 9, serving("b"))
+			_, back := sim.runUntil("serving", 9, serving("b"))
 			t.Logf("evacuated after %.2f s, serving after %.2f s", last, back)
 		})
 	}
@@ -145,19 +145,19 @@
 	sim := newSimulation(t, 12, "a", "b", "c")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1.5, evacuated("b"))
+	sim.runUntil("evacuated", 1.5, evacuated("b"))
 	sim.start(5, 2, nil)
 	sim.run(1.2)
 	if !evacuated("b")(sim.routers[5]) {
 		sim.showLog()
 		t.Fatal("the new process uses a zone that all others have evacuated")
 	}
-	sim.down[7], sim.stopped[7] = true, true // it knows what it knew, and messages wait for it
+	sim.down[7], sim.suspended[7] = true, true // it knows what it knew, and messages wait for it
 	sim.run(3)
 	sim.answered["b"] = 1
 	sim.run(8)
-	sim.down[7], sim.stopped[7] = false, false
-	sim.until("serving", 3, serving("b"))
+	sim.down[7], sim.suspended[7] = false, false
+	sim.runUntil("serving", 3, serving("b"))
 	for range 60 { // and what it believed changes nothing
 		sim.run(0.05)
 		sim.mustServe("b")
@@ -190,13 +190,13 @@
 	sim := newSimulation(t, 24, "a", "b", "c", "d")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1, evacuated("b"))
+	sim.runUntil("evacuated", 1, evacuated("b"))
 	sim.answered["b"] = 1
-	sim.until("serving", 9, serving("b"))
+	sim.runUntil("serving", 9, serving("b"))
 	sim.run(1)
 	inside := func(n int) bool { return n < 6 }
 	sim.reaches = func(n int, z string) bool { return inside(n) == (z == "a") }
-	sim.hears = func(from, to int) bool { return inside(from) == inside(to) }
+	sim.receives = func(from, to int) bool { return inside(from) == inside(to) }
 	for range 60 {
 		sim.run(0.05)
 		sim.mustServe("b")
@@ -210,12 +210,12 @@
 	sim.run(3)
 	few := func(n int) bool { return n < 4 }
 	sim.reaches = func(n int, z string) bool { return few(n) || z != "b" }
-	sim.hears = func(from, to int) bool { return few(from) == few(to) }
+	sim.receives = func(from, to int) bool { return few(from) == few(to) }
 	sim.run(3)
 	if !evacuated("b")(sim.routers[8]) {
 		t.Fatal("a router that does not reach the zone still uses it")
 	}
-	sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+	sim.reaches, sim.receives = func(int, string) bool { return true }, func(int, int) bool { return true }
 	for range 80 {
 		sim.run(0.05)
 		for n := range 4 {
@@ -225,5 +225,5 @@
 			}
 		}
 	}
-	sim.until("serving", 3, serving("b"))
+	sim.runUntil("serving", 3, serving("b"))
 }
--- a/internal/policy/zonefailover/evidence.go
+++ b/internal/policy/zonefailover/evidence.go
@@ -40,13 +40,13 @@
 		})
 	}
 	for _, p := range c.peers {
-		if !c.heardLately(now, p) {
+		if !c.heardRecently(now, p) {
 			continue
 		}
 		counter.tally.routers++
 		said, reported := p.reports[z.hash]
 		if !reported {
-			counter.addSilent()
+			counter.addWithoutReport()
 			continue
 		}
 		if said.operatorOverride {
@@ -98,8 +98,8 @@
 	}
 }
 
-// addSilent counts a router that is heard and has not said anything of the zone.
-func (v *voteCounter) addSilent() {
+// addWithoutReport counts a router that is heard and has not said anything of the zone.
+func (v *voteCounter) addWithoutReport() {
 	v.tally.serving++
 	v.shares = append(v.shares, 1)
 }
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -204,10 +204,10 @@
 			sim.answered["b"], sim.answered["c"] = 0, 0
 			text += trace(t, sim, 2)
 			sim.start(5, 3, [][]string{{"b", "c"}})
-			sim.down[7], sim.stopped[7] = true, true
+			sim.down[7], sim.suspended[7] = true, true
 			text += trace(t, sim, 3)
 			sim.answered["b"], sim.answered["c"] = 1, 1
-			sim.down[7], sim.stopped[7] = false, false
+			sim.down[7], sim.suspended[7] = false, false
 			return text + trace(t, sim, 10)
 		}},
 		{"operators-and-lists", func(t *testing.T, sim *simulation) string {
@@ -239,9 +239,9 @@
 			text := trace(t, sim, 3)
 			few := func(n int) bool { return n < 4 }
 			sim.reaches = func(n int, z string) bool { return few(n) || z != "b" }
-			sim.hears = func(from, to int) bool { return few(from) == few(to) }
+			sim.receives = func(from, to int) bool { return few(from) == few(to) }
 			text += trace(t, sim, 3)
-			sim.reaches, sim.hears = func(int, string) bool { return true }, func(int, int) bool { return true }
+			sim.reaches, sim.receives = func(int, string) bool { return true }, func(int, int) bool { return true }
 			return text + trace(t, sim, 6)
 		}},
 	} {
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -13,7 +13,7 @@
 	sequence    uint32  // of the last message
 	lastSent    float64 // when that was
 	tokens      float64 // messages that may be sent before their time
-	greeting    bool    // a peer was heard for the first time, or anew: it may know nothing
+	sendEarly    bool    // a peer was heard for the first time, or anew: it may know nothing
 	ignoreUntil float64 // messages are not listened to until then
 }
 
@@ -25,7 +25,7 @@
 	isolated             bool              // as it says itself
 	reports              map[uint32]report // by the hash of the zones' names
 	previousIncarnations []uint16          // their messages may still come
-	lastGreeted          float64           // when this router last spoke because of it
+	lastSentEarly          float64           // when this router last spoke because of it
 }
 
 // addTokens earns tokens for messages before their time.
@@ -43,12 +43,12 @@
 
 // messagePeriod is the time between two messages without news, in seconds.
 func (c *Controller) messagePeriod() float64 {
-	return max(minMessagePeriod, float64(c.settings.RouterCount)/maxMessagesHeard)
+	return max(minMessagePeriod, float64(c.settings.RouterCount)/maxMessageRate)
 }
 
-// heardLately reports whether what a peer said still counts.
-func (c *Controller) heardLately(now float64, p *peer) bool {
-	return now-p.lastHeard <= maxMissedMessages*c.messagePeriod()
+// heardRecently reports whether what a peer said still counts.
+func (c *Controller) heardRecently(now float64, p *peer) bool {
+	return now-p.lastHeard <= peerTimeoutPeriods*c.messagePeriod()
 }
 
 // NextMessage returns the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
@@ -57,17 +57,17 @@
 	if c.settings.RouterCount < 2 || len(c.zones) == 0 {
 		return nil
 	}
-	c.noteObjections(now)
+	c.announceRecentAnswers(now)
 	sinceLast := now - c.gossip.lastSent
 	if sinceLast < c.messagePeriod() {
-		if sinceLast < minMessageGap || c.gossip.tokens < 1 || !c.hasNews() {
+		if sinceLast < minMessageGap || c.gossip.tokens < 1 || !c.mustSendEarly() {
 			return nil
 		}
 		c.gossip.tokens--
 	}
 	c.gossip.lastSent = now
-	c.gossip.greeting = false
-	zones := slices.SortedFunc(maps.Values(c.zones), byNeed)
+	c.gossip.sendEarly = false
+	zones := slices.SortedFunc(maps.Values(c.zones), byAnnouncementOrder)
 	zones = zones[:min(len(zones), maxZonesPerMessage)]
 	for _, z := range zones {
 		z.announcement = announcement{pendingMessages: max(0, z.announcement.pendingMessages-1), lastSent: now}
@@ -76,9 +76,9 @@
 	return c.message(now, zones)
 }
 
-// noteObjections has the zones announced for which others wait to hear from this router: one of them has no answer
+// announceRecentAnswers has the zones announced for which others wait to hear from this router: one of them has no answer
 // there or probes it, and this router has had an answer that it has not told of.
-func (c *Controller) noteObjections(now float64) {
+func (c *Controller) announceRecentAnswers(now float64) {
 	for _, z := range c.zones {
 		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.pendingMessages > 0 {
 			continue
@@ -96,33 +96,33 @@
 	}
 	for _, p := range c.peers {
 		failingSince := p.reports[z.hash].failingSince
-		if failingSince > 0 && z.evidence.lastAnswer > failingSince && c.heardLately(now, p) {
+		if failingSince > 0 && z.evidence.lastAnswer > failingSince && c.heardRecently(now, p) {
 			return true
 		}
 	}
 	return false
 }
 
-// hasNews reports whether others have to know something now.
-func (c *Controller) hasNews() bool {
+// mustSendEarly reports whether others have to know something now.
+func (c *Controller) mustSendEarly() bool {
 	for _, z := range c.zones {
 		if z.announcement.pendingMessages > 0 || z.announcement.newFailure && z.state != Evacuated {
 			return true
 		}
 	}
-	return c.gossip.greeting
+	return c.gossip.sendEarly
 }
 
-// byNeed orders zones for a message: what others have to hear, what is not as usual, and what was told of longest ago.
-func byNeed(a, b *zone) int {
+// byAnnouncementOrder orders zones for a message: what others have to hear, what is not as usual, and what was told of longest ago.
+func byAnnouncementOrder(a, b *zone) int {
 	return cmp.Or(
-		cmp.Compare(a.need(), b.need()),
+		cmp.Compare(a.announcementRank(), b.announcementRank()),
 		cmp.Compare(a.announcement.lastSent, b.announcement.lastSent),
 		cmp.Compare(a.name, b.name))
 }
 
-// need is how much others need to hear of a zone; 0 is the most.
-func (z *zone) need() int {
+// announcementRank is how much others announcementRank to hear of a zone; 0 is the most.
+func (z *zone) announcementRank() int {
 	if z.announcement.pendingMessages > 0 || z.announcement.newFailure {
 		return 0
 	}
@@ -168,8 +168,8 @@
 	if data == nil {
 		return false
 	}
-	c.noticeStandstill(now)
-	head := parseHeader(data)
+	c.resetAfterStall(now)
+	head := decodeHeader(data)
 	if head.router == c.settings.RouterIndex || head.router >= c.settings.RouterCount || now < c.gossip.ignoreUntil {
 		return true
 	}
@@ -177,14 +177,14 @@
 	if p == nil {
 		return true
 	}
-	if !c.heardLately(now, p) {
-		c.greet(now, p)
+	if !c.heardRecently(now, p) {
+		c.sendEarlyFor(now, p)
 	}
 	p.sequence = head.sequence
 	p.lastHeard = now
 	p.isolated = head.isolated
 	for rest := data[headerBytes:]; len(rest) >= reportBytes; rest = rest[reportBytes:] {
-		c.takeReport(p, parseReport(rest, now))
+		c.storeReport(p, decodeReport(rest, now))
 	}
 	return true
 }
@@ -195,7 +195,7 @@
 	if p == nil {
 		p = &peer{incarnation: head.incarnation, reports: map[uint32]report{}}
 		c.peers[head.router] = p
-		c.greet(now, p)
+		c.sendEarlyFor(now, p)
 		return p
 	}
 	if slices.Contains(p.previousIncarnations, head.incarnation) {
@@ -208,7 +208,7 @@
 		return p
 	}
 	p.restart(head.incarnation)
-	c.greet(now, p)
+	c.sendEarlyFor(now, p)
 	return p
 }
 
@@ -220,8 +220,8 @@
 	p.reports = map[uint32]report{}
 }
 
-// takeReport keeps what a peer says of a zone, within bounds.
-func (c *Controller) takeReport(p *peer, r report) {
+// storeReport keeps what a peer says of a zone, within bounds.
+func (c *Controller) storeReport(p *peer, r report) {
 	if r.state > Recovering {
 		return
 	}
@@ -230,10 +230,10 @@
 	}
 }
 
-// greet has a message sent soon, for a peer that is new may know nothing; not for each that comes back at once.
-func (c *Controller) greet(now float64, p *peer) {
-	if now-p.lastGreeted > c.messagePeriod()/2 {
-		p.lastGreeted = now
-		c.gossip.greeting = true
+// sendEarlyFor has a message sent soon, for a peer that is new may know nothing; not for each that comes back at once.
+func (c *Controller) sendEarlyFor(now float64, p *peer) {
+	if now-p.lastSentEarly > c.messagePeriod()/2 {
+		p.lastSentEarly = now
+		c.gossip.sendEarly = true
 	}
 }
--- a/internal/policy/zonefailover/gossip_test.go
+++ b/internal/policy/zonefailover/gossip_test.go
@@ -69,9 +69,9 @@
 	sim.answered[last] = 1
 	sim.run(1)
 	sim.answered[last] = 0
-	sim.until("evacuated", 1.5, evacuated(last))
+	sim.runUntil("evacuated", 1.5, evacuated(last))
 	sim.answered[last] = 1
-	sim.until("serving", 6, serving(last))
+	sim.runUntil("serving", 6, serving(last))
 }
 
 // A process that stood still knows nothing: neither attempts from before nor the messages that waited for it count.
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -9,20 +9,20 @@
 const (
 	simulationStart = 1000.0
 	simulationStep  = 0.01
-	ticksEvery      = 5 // steps
-	objective       = 0.15
+	stepsPerTick      = 5 // steps
+	latencyObjective       = 0.15
 	answerTime      = 0.02
 	lateAnswerTime  = 0.3
-	timeout         = 0.5
+	attemptTimeout         = 0.5
 )
 
 // simulation is routers, zones and the network between them, stepped by hundredths of a second.
 type simulation struct {
 	t       *testing.T
 	now     float64
-	chance  *rand.Rand
+	random  *rand.Rand
 	routers []*Controller
-	names   []string // of the zones
+	zoneNames   []string // of the zones
 	servers int      // of each zone
 	skew    float64  // seconds by which each router's clock is ahead of the one before
 	rate    float64  // attempts a second of each router
@@ -31,14 +31,14 @@
 	slow       map[string]bool    // zones whose answers are late
 	overloaded map[string]bool    // zones that reject
 	reaches    func(router int, zone string) bool
-	hears      func(from, to int) bool
+	receives      func(from, to int) bool
 	down       map[int]bool // routers that do not run
-	stopped    map[int]bool // of these, those that stand still: messages wait for them
+	suspended    map[int]bool // of these, those that stand still: messages wait for them
 	loss       float64      // part of the messages
 	delay      float64      // seconds that a message takes at least
 
 	inTransit    []datagram
-	open         []simulatedAttempt
+	inFlight         []simulatedAttempt
 	unanswered   map[string]int // attempts by zone
 	messagesSent int
 	log          []string
@@ -63,18 +63,18 @@
 	sim := &simulation{
 		t:          t,
 		now:        simulationStart,
-		chance:     rand.New(rand.NewPCG(1, 2)),
+		random:     rand.New(rand.NewPCG(1, 2)),
 		routers:    make([]*Controller, routers),
-		names:      names,
+		zoneNames:      names,
 		servers:    4,
 		rate:       27,
 		answered:   map[string]float64{},
 		slow:       map[string]bool{},
 		overloaded: map[string]bool{},
 		reaches:    func(int, string) bool { return true },
-		hears:      func(int, int) bool { return true },
+		receives:      func(int, int) bool { return true },
 		down:       map[int]bool{},
-		stopped:    map[int]bool{},
+		suspended:    map[int]bool{},
 		delay:      0.002,
 		unanswered: map[string]int{},
 	}
@@ -100,7 +100,7 @@
 		Regions:       regions,
 	})
 	servers := map[string]int{}
-	for _, name := range sim.names {
+	for _, name := range sim.zoneNames {
 		servers[name] = sim.servers
 	}
 	router.OnEndpoints(sim.clock(index), servers, nil)
@@ -129,7 +129,7 @@
 }
 
 func (sim *simulation) endAttempts() {
-	ended := take(&sim.open, func(attempt simulatedAttempt) bool { return attempt.at <= sim.now })
+	ended := removeIf(&sim.inFlight, func(attempt simulatedAttempt) bool { return attempt.at <= sim.now })
 	for _, attempt := range ended {
 		if !sim.down[attempt.router] {
 			sim.routers[attempt.router].OnAttemptEnd(sim.clock(attempt.router), attempt.zone, attempt.token, attempt.outcome)
@@ -138,7 +138,7 @@
 }
 
 func (sim *simulation) deliver() {
-	arrived := take(&sim.inTransit, func(d datagram) bool { return d.at <= sim.now && !sim.stopped[d.to] })
+	arrived := removeIf(&sim.inTransit, func(d datagram) bool { return d.at <= sim.now && !sim.suspended[d.to] })
 	for _, d := range arrived {
 		if !sim.down[d.to] {
 			sim.routers[d.to].OnMessage(sim.clock(d.to), d.message)
@@ -147,10 +147,10 @@
 }
 
 func (sim *simulation) step(index int, router *Controller) {
-	if sim.chance.Float64() < sim.rate*simulationStep {
+	if sim.random.Float64() < sim.rate*simulationStep {
 		sim.attempt(index, router)
 	}
-	if int(sim.now*100+0.5)%ticksEvery == 0 {
+	if int(sim.now*100+0.5)%stepsPerTick == 0 {
 		router.Tick(sim.clock(index))
 	}
 	for _, c := range router.TakeChanges() {
@@ -172,19 +172,19 @@
 		sim.t.Fatalf("a message of %d bytes", len(message))
 	}
 	for to := range sim.routers {
-		if to != from && sim.hears(from, to) && sim.chance.Float64() >= sim.loss {
-			sim.inTransit = append(sim.inTransit, datagram{sim.now + sim.delay*(1+sim.chance.Float64()), to, message})
+		if to != from && sim.receives(from, to) && sim.random.Float64() >= sim.loss {
+			sim.inTransit = append(sim.inTransit, datagram{sim.now + sim.delay*(1+sim.random.Float64()), to, message})
 		}
 	}
 }
 
 // attempt has a router send to a zone by chance, if its share allows it.
 func (sim *simulation) attempt(index int, router *Controller) {
-	zone := sim.names[sim.chance.IntN(len(sim.names))]
-	if sim.chance.Float64() >= router.Share(zone) {
+	zone := sim.zoneNames[sim.random.IntN(len(sim.zoneNames))]
+	if sim.random.Float64() >= router.Share(zone) {
 		return
 	}
-	token := router.OnAttemptStart(sim.clock(index), zone, objective)
+	token := router.OnAttemptStart(sim.clock(index), zone, latencyObjective)
 	attempt := simulatedAttempt{at: sim.now + answerTime, router: index, zone: zone, token: token}
 	if sim.slow[zone] {
 		attempt.at = sim.now + lateAnswerTime
@@ -193,16 +193,16 @@
 	if sim.overloaded[zone] {
 		attempt.outcome = Overloaded
 	}
-	if sim.chance.Float64() >= sim.answered[zone] || !sim.reaches(index, zone) {
-		attempt.at = sim.now + timeout
+	if sim.random.Float64() >= sim.answered[zone] || !sim.reaches(index, zone) {
+		attempt.at = sim.now + attemptTimeout
 		attempt.outcome = NoAnswer
 		sim.unanswered[zone]++
 	}
-	sim.open = append(sim.open, attempt)
+	sim.inFlight = append(sim.inFlight, attempt)
 }
 
-// take removes the items of a list that a condition holds for, and gives them.
-func take[T any](all *[]T, which func(T) bool) (taken []T) {
+// removeIf removes the items of a list that a condition holds for, and gives them.
+func removeIf[T any](all *[]T, which func(T) bool) (taken []T) {
 	rest := (*all)[:0:0]
 	for _, item := range *all {
 		if which(item) {
@@ -215,9 +215,9 @@
 	return taken
 }
 
-// until runs until something holds at all routers that run, and gives how long that took at the first and at the
+// runUntil runs runUntil something holds at all routers that run, and gives how long that took at the first and at the
 // last; it fails after a bound in seconds.
-func (sim *simulation) until(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
+func (sim *simulation) runUntil(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
 	sim.t.Helper()
 	began, first := sim.now, -1.0
 	for sim.now-began < bound {
--- a/internal/policy/zonefailover/message.go
+++ b/internal/policy/zonefailover/message.go
@@ -75,8 +75,8 @@
 	return append(data, flags, byte(h.zones), 0)
 }
 
-// parseHeader reads a header from data that unpack has checked.
-func parseHeader(data []byte) header {
+// decodeHeader reads a header from data that unpack has checked.
+func decodeHeader(data []byte) header {
 	return header{
 		router:      int(binary.LittleEndian.Uint16(data[1:])),
 		incarnation: binary.LittleEndian.Uint16(data[3:]),
@@ -101,8 +101,8 @@
 		step)
 }
 
-// parseReport reads a report of reportBytes bytes.
-func parseReport(data []byte, now float64) report {
+// decodeReport reads a report of reportBytes bytes.
+func decodeReport(data []byte, now float64) report {
 	return report{
 		hash:             uint32(data[0]) | uint32(data[1])<<8 | uint32(data[2])<<16,
 		state:            State(data[3] & stateMask),
@@ -160,7 +160,7 @@
 	if data[0] != messageKind || binary.LittleEndian.Uint16(data[end:]) != uint16(crc32.ChecksumIEEE(data[:end])) {
 		return nil
 	}
-	if end != headerBytes+parseHeader(data).zones*reportBytes {
+	if end != headerBytes+decodeHeader(data).zones*reportBytes {
 		return nil
 	}
 	return data[:end]
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -28,7 +28,7 @@
 		return
 	}
 	answered := c.routersAnswered(now, z)
-	if answered >= min(minFailureVotes, c.probers()) && c.isItsTurn(z) {
+	if answered >= min(minFailureVotes, c.probers()) && c.mayRecover(z) {
 		c.transition(now, z, Recovering, firstRecoveryShare, fmt.Sprintf("%d routers had answers there", answered))
 		return
 	}
@@ -59,7 +59,7 @@
 	}
 	for _, p := range c.peers {
 		said, reported := p.reports[z.hash]
-		if !reported || !c.heardLately(now, p) {
+		if !reported || !c.heardRecently(now, p) {
 			continue
 		}
 		if answeredSince(since, said.lastAnswer, said.failingSince) {
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -54,7 +54,7 @@
 func (sim *simulation) sharesOf() map[string]float64 {
 	shares := map[string]float64{}
 	for index, router := range sim.routers {
-		for _, name := range sim.names {
+		for _, name := range sim.zoneNames {
 			shares[fmt.Sprint(index, name)] = router.Share(name)
 		}
 	}
@@ -67,9 +67,9 @@
 	rapid.Check(t, func(r *rapid.T) {
 		sim := newSimulation(t, rapid.IntRange(1, 5).Draw(r, "routers"), "a", "b", "c")
 		sim.rate = 60
-		sim.chance = rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 3))
+		sim.random = rand.New(rand.NewPCG(rapid.Uint64().Draw(r, "seed"), 3))
 		for range rapid.IntRange(1, 8).Draw(r, "faults") {
-			zone := rapid.SampledFrom(sim.names).Draw(r, "zone")
+			zone := rapid.SampledFrom(sim.zoneNames).Draw(r, "zone")
 			sim.answered[zone] = rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(r, "answered")
 			sim.loss = rapid.SampledFrom([]float64{0, 0, 0.5, 1}).Draw(r, "loss")
 			for range rapid.IntRange(1, 30).Draw(r, "duration") {
@@ -77,7 +77,7 @@
 				sim.run(0.05)
 				for index, router := range sim.routers {
 					used := 0.0
-					for _, name := range sim.names {
+					for _, name := range sim.zoneNames {
 						share, was := router.Share(name), before[fmt.Sprint(index, name)]
 						used = max(used, share)
 						z := router.find(name)
@@ -116,7 +116,7 @@
 	c.zones, c.peers, c.changes = map[uint32]*zone{}, map[int]*peer{}, nil
 	for hash, z := range router.zones {
 		zoneCopy := *z
-		zoneCopy.attempts.open = maps.Clone(z.attempts.open)
+		zoneCopy.attempts.inFlight = maps.Clone(z.attempts.inFlight)
 		c.zones[hash] = &zoneCopy
 	}
 	for index, p := range router.peers {
@@ -145,7 +145,7 @@
 				text += fmt.Sprint(age(p.lastHeard), r.state, r.share, age(r.lastAnswer), age(r.failingSince), p.isolated, ",")
 			}
 		}
-		text += fmt.Sprint(router.gossip.greeting, age(router.gossip.lastSent), int(router.gossip.tokens*10))
+		text += fmt.Sprint(router.gossip.sendEarly, age(router.gossip.lastSent), int(router.gossip.tokens*10))
 	}
 	for from := range 3 {
 		for to := range 3 {
@@ -212,7 +212,7 @@
 	first := &model{now: sim.now, routers: sim.routers, inTransit: map[[2]int][]byte{}}
 	for _, router := range sim.routers {
 		for _, z := range router.zones {
-			clear(z.attempts.open)
+			clear(z.attempts.inFlight)
 		}
 		router.watchedAttempts, router.changes = 0, nil
 	}
--- a/internal/policy/zonefailover/quorum.go
+++ b/internal/policy/zonefailover/quorum.go
@@ -34,7 +34,7 @@
 	}
 	heardLately, heardSince := 1, 1
 	for _, p := range c.peers {
-		if c.heardLately(now, p) {
+		if c.heardRecently(now, p) {
 			heardLately++
 		}
 		if p.lastHeard > failingSince {
--- a/internal/policy/zonefailover/recovery.go
+++ b/internal/policy/zonefailover/recovery.go
@@ -2,9 +2,9 @@
 
 import "fmt"
 
-// isItsTurn reports whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
+// mayRecover reports whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
 // neighbours bear the sum.
-func (c *Controller) isItsTurn(z *zone) bool {
+func (c *Controller) mayRecover(z *zone) bool {
 	for _, name := range c.regions[z.name] {
 		other := c.find(name)
 		if other != nil && other != z && other.state == Recovering {
@@ -35,7 +35,7 @@
 	}
 	for _, p := range c.peers {
 		said, reported := p.reports[z.hash]
-		if !reported || said.state != Recovering || p.isolated || !c.heardLately(now, p) {
+		if !reported || said.state != Recovering || p.isolated || !c.heardRecently(now, p) {
 			continue
 		}
 		sum.counts.answered += said.lastStep.answered
--- a/internal/policy/zonefailover/recovery_test.go
+++ b/internal/policy/zonefailover/recovery_test.go
@@ -11,8 +11,8 @@
 	}
 	sim.run(3)
 	sim.answered["b"], sim.answered["c"] = 0, 0
-	sim.until("b evacuated", 2, evacuated("b"))
-	sim.until("c evacuated", 2, evacuated("c"))
+	sim.runUntil("b evacuated", 2, evacuated("b"))
+	sim.runUntil("c evacuated", 2, evacuated("c"))
 	sim.run(3)
 	sim.answered["b"], sim.answered["c"], sim.overloaded["b"] = 1, 1, true
 	most := 0.0
@@ -29,8 +29,8 @@
 		t.Errorf("a zone that rejects all was given %v of its keys", most)
 	}
 	sim.overloaded["b"] = false
-	sim.until("b serving", 12, serving("b"))
-	sim.until("c serving", 12, serving("c"))
+	sim.runUntil("b serving", 12, serving("b"))
+	sim.runUntil("c serving", 12, serving("c"))
 }
 
 // An operator's override goes before evidence, at this router alone, and the last zone is not evacuated.
@@ -46,7 +46,7 @@
 		t.Fatalf("shares %v and %v, want 0 by the override and 1 elsewhere", router.Share("b"), sim.routers[1].Share("b"))
 	}
 	router.SetOperatorOverride(sim.now, "b", false)
-	sim.until("serving", 4, serving("b"))
+	sim.runUntil("serving", 4, serving("b"))
 }
 
 // Where the endpoint list takes away the zones that serve, those that were evacuated serve again: some zone always
@@ -55,12 +55,12 @@
 	sim := newSimulation(t, 6, "a", "b")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1, evacuated("b"))
+	sim.runUntil("evacuated", 1, evacuated("b"))
 	for _, router := range sim.routers {
 		router.OnAttemptStart(sim.now, "a", 9) // an attempt is open there
 		router.OnEndpoints(sim.now, map[string]int{"b": 4}, nil)
 	}
-	sim.until("b serves all", 0.2, serving("b"))
+	sim.runUntil("b serves all", 0.2, serving("b"))
 }
 
 // What others reported before a zone began its recovery does not have it evacuated again: they have not come to say
@@ -69,7 +69,7 @@
 	sim := newSimulation(t, 12, "a", "b", "c")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1, evacuated("b"))
+	sim.runUntil("evacuated", 1, evacuated("b"))
 	sim.run(1)
 	router := sim.routers[0]
 	router.StartRecovery(sim.now, "b")
@@ -86,13 +86,13 @@
 	sim := newSimulation(t, 12, "a", "b", "c")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1, evacuated("b"))
+	sim.runUntil("evacuated", 1, evacuated("b"))
 	sim.run(1)
 	sim.answered["b"] = 1
-	sim.hears = func(from, to int) bool { return to != 3 }
+	sim.receives = func(from, to int) bool { return to != 3 }
 	sim.run(4)
-	sim.hears = func(from, to int) bool { return true }
-	sim.until("serving", 1.8, serving("b"))
+	sim.receives = func(from, to int) bool { return true }
+	sim.runUntil("serving", 1.8, serving("b"))
 }
 
 // A zone that fails again while it recovers is evacuated by two votes, not by a quarter of the routers.
@@ -100,9 +100,9 @@
 	sim := newSimulation(t, 24, "a", "b", "c", "d")
 	sim.run(3)
 	sim.answered["b"] = 0
-	sim.until("evacuated", 1, evacuated("b"))
+	sim.runUntil("evacuated", 1, evacuated("b"))
 	sim.answered["b"] = 1
-	sim.until("its recovery begins", 2, recovering("b"))
+	sim.runUntil("its recovery begins", 2, recovering("b"))
 	sim.reaches = func(n int, z string) bool { return n >= 3 || z != "b" }
 	for _, router := range sim.routers[:3] { // three of 24 miss answers, nobody else had one since
 		router.find("b").evidence.lastAnswer = 0
@@ -112,5 +112,5 @@
 		router.find("b").evidence.lastAnswer = 0
 	}
 	sim.rate = 0
-	sim.until("evacuated again", 0.4, func(router *Controller) bool { return router.find("b").state == Evacuated })
+	sim.runUntil("evacuated again", 0.4, func(router *Controller) bool { return router.find("b").state == Evacuated })
 }
--- a/internal/policy/zonefailover/zone.go
+++ b/internal/policy/zonefailover/zone.go
@@ -70,13 +70,13 @@
 		hash:     NameHash(name),
 		share:    1,
 		reason:   reasonInitial,
-		attempts: attempts{open: map[uint64]openAttempt{}},
+		attempts: attempts{inFlight: map[uint64]inFlightAttempt{}},
 		history:  history{recoveredAt: math.Inf(-1)},
 	}
 }
 
-// noteFailure notes that an attempt had no answer. One that began before the last answer is no evidence.
-func (z *zone) noteFailure(attemptBegan float64) {
+// recordFailure notes that an attempt had no answer. One that began before the last answer is no evidence.
+func (z *zone) recordFailure(attemptBegan float64) {
 	if attemptBegan <= z.evidence.lastAnswer || z.evidence.failingSince != 0 {
 		return
 	}
@@ -95,10 +95,10 @@
 	return minHoldTime * math.Pow(2, float64(doublings))
 }
 
-// failedLately reports whether the zone failed so lately that fewer votes evacuate it again.
-func (z *zone) failedLately(now float64) bool {
+// failedRecently reports whether the zone failed so lately that fewer votes evacuate it again.
+func (z *zone) failedRecently(now float64) bool {
 	if z.history.evacuations == 0 {
 		return false
 	}
-	return z.state == Recovering || now-z.history.recoveredAt < failureMemory
+	return z.state == Recovering || now-z.history.recoveredAt < historyRetention
 }
