--- a/internal/policy/zonefailover/attempts.go
+++ b/internal/policy/zonefailover/attempts.go
@@ -2,24 +2,24 @@
 
 import "math"
 
-// attempts are those of this router in one zone.
+// attempts holds this router's attempts in one zone.
 type attempts struct {
 	inFlight map[uint64]inFlightAttempt // by token
-	// rate is the attempts a second, averaged over rateWindow. It decays only while the zone serves all of its keys
-	// (Serving, Suspected): after the evacuation it holds what the zone had before, from which probeShare follows.
-	// Attempts are added in every state, those of probes and of a recovery, too.
+	// rate is the number of attempts a second, averaged over rateWindow. It decays only while the zone serves all of
+	// its keys (Serving, Suspected). After an evacuation it therefore keeps the earlier rate, from which probeShare is
+	// computed. Attempts are added in every state, including those of probes and of a recovery.
 	rate float64
 }
 
 // inFlightAttempt is an attempt without an outcome yet.
 type inFlightAttempt struct {
 	began     float64
-	objective float64 // seconds within which an answer is promised
+	objective float64 // latency objective in seconds
 }
 
-// OnAttemptStart handles the start of an attempt in a zone that promises an answer within objective seconds. The
-// token names the attempt in OnAttemptEnd; 0: it is not watched, as the zone is not known or too many attempts are
-// open.
+// OnAttemptStart handles the start of an attempt in a zone with a latency objective in seconds. The token identifies
+// the attempt in OnAttemptEnd. It is 0 if the attempt is not watched, because the zone is not tracked or too many
+// attempts are in flight.
 func (c *Controller) OnAttemptStart(now float64, name string, objective float64) (token uint64) {
 	z := c.find(name)
 	if z == nil || c.watchedAttempts >= maxWatchedAttempts {
@@ -32,14 +32,15 @@
 	return c.lastToken
 }
 
-// OnAttemptEnd handles the outcome of an attempt. Tokens that are not open, 0 among them, are ignored.
+// OnAttemptEnd handles the outcome of an attempt. It ignores tokens of attempts that are not in flight, and the token
+// 0.
 func (c *Controller) OnAttemptEnd(now float64, name string, token uint64, outcome Outcome) {
 	z := c.find(name)
 	if z == nil || token == 0 {
 		return
 	}
-	attempt, open := z.attempts.inFlight[token]
-	if !open {
+	attempt, inFlight := z.attempts.inFlight[token]
+	if !inFlight {
 		return
 	}
 	delete(z.attempts.inFlight, token)
@@ -58,7 +59,7 @@
 	z.evidence.failingSince = 0
 }
 
-// add counts an attempt. Late and rejected ones count as answered and as degraded.
+// add counts an attempt. Late and rejected attempts count both as answered and as degraded.
 func (s *stepCounts) add(outcome Outcome) {
 	if outcome != Answered {
 		s.degraded++
@@ -68,8 +69,8 @@
 	}
 }
 
-// ageAttempts lets the rates of zones decay that serve all of their keys, and counts attempts beyond their latency
-// objective as unanswered.
+// ageAttempts decays the attempt rates of the zones that serve all of their keys, and records attempts in flight beyond
+// their latency objective as unanswered.
 func (c *Controller) ageAttempts(now, sinceLastTick float64) {
 	for _, name := range c.names {
 		z := c.find(name)
@@ -82,8 +83,8 @@
 	}
 }
 
-// oldestOverdue is when the oldest open attempt beyond its objective began, of those since the last answer; +Inf:
-// there is none.
+// oldestOverdue returns the start of the oldest attempt in flight that is beyond its latency objective and began after
+// the last answer. It returns +Inf if there is none.
 func (z *zone) oldestOverdue(now float64) float64 {
 	oldest := math.Inf(1)
 	for _, attempt := range z.attempts.inFlight {
@@ -95,7 +96,7 @@
 	return oldest
 }
 
-// forgetAttempts drops all open attempts of a zone.
+// forgetAttempts discards all attempts in flight in a zone.
 func (c *Controller) forgetAttempts(z *zone) {
 	c.watchedAttempts -= len(z.attempts.inFlight)
 	clear(z.attempts.inFlight)
--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -10,11 +10,11 @@
 // zoneHashMask keeps the 24 bits of a name's hash that a message carries.
 const zoneHashMask = 0xffffff
 
-// Controller is one router's view of all zones and its verdict on each. See the package's comment for who calls it.
+// Controller holds one router's state of all zones and decides on each. The package comment says how it is called.
 type Controller struct {
 	settings Settings
 	zones    map[uint32]*zone // by the hash of their names
-	names    []string         // of the zones, sorted: loops follow it wherever their order matters
+	names    []string         // of the zones, sorted: loops use it where their order matters
 	regions  map[string][]string
 	peers    map[int]*peer // by their router index
 	changes  []Change      // not taken yet
@@ -24,11 +24,11 @@
 	watchedAttempts int
 
 	gossip gossip
-	// MessagesSent counts the messages given by NextMessage since the start.
+	// MessagesSent counts the messages returned by NextMessage since the start.
 	MessagesSent uint64
 }
 
-// New makes a Controller that knows no zone.
+// New returns a Controller without zones; OnEndpoints adds them.
 func New(settings Settings) *Controller {
 	settings.RouterCount = max(1, settings.RouterCount)
 	c := &Controller{
@@ -41,7 +41,7 @@
 	return c
 }
 
-// SetRegions replaces the zones by region, as Settings.Regions.
+// SetRegions replaces the zones of each region, see Settings.Regions.
 func (c *Controller) SetRegions(regions [][]string) {
 	c.regions = map[string][]string{}
 	for _, names := range regions {
@@ -51,12 +51,13 @@
 	}
 }
 
-// NameHash is a zone's name as messages have it.
+// NameHash returns the hash by which messages name a zone.
 func NameHash(name string) uint32 { return crc32.ChecksumIEEE([]byte(name)) & zoneHashMask }
 
-// OnEndpoints handles the endpoint lists: how many servers each zone has in service, and the low 16 bits of all
-// servers' ids, which messages must not name. It returns the zones that are never evacuated: those beyond maxZones, and
-// of two zones whose names have the same hash the second by name, as messages cannot tell them apart.
+// OnEndpoints handles new endpoint lists: the number of servers in service by zone, and the low 16 bits of all servers'
+// ids, which must not occur as a message's marker. It returns the zones that are never evacuated: those beyond
+// maxZones, and of two zones whose names have the same hash the second by name, because messages can't distinguish
+// them.
 func (c *Controller) OnEndpoints(now float64, servers map[string]int, ids map[uint16]bool) (untracked []string) {
 	for _, z := range c.zones {
 		z.servers = 0
@@ -79,7 +80,8 @@
 	return untracked
 }
 
-// removable reports whether nothing of a zone has to be remembered: no list has it, and it has not failed lately.
+// removable reports whether a zone's state can be discarded: no endpoint list contains the zone, and it hasn't failed
+// recently.
 func (c *Controller) removable(now float64, z *zone) bool {
 	if z.servers > 0 || z.state != Serving || z.operatorOverride {
 		return false
@@ -87,8 +89,8 @@
 	return len(z.attempts.inFlight) == 0 && now-z.history.recoveredAt > historyRetention
 }
 
-// findOrAdd returns the zone of a name, a new one if need be; nil: there are too many, or another zone's name has the
-// same hash.
+// findOrAdd returns the zone with a name and adds it if necessary. It returns nil if there are too many zones or
+// another zone's name has the same hash.
 func (c *Controller) findOrAdd(name string) *zone {
 	hash := NameHash(name)
 	if c.zones[hash] == nil && len(c.zones) < maxZones {
@@ -106,7 +108,7 @@
 	slices.Sort(c.names)
 }
 
-// find returns the zone of a name; nil: it is not known.
+// find returns the zone with a name, or nil if there is none.
 func (c *Controller) find(name string) *zone {
 	z := c.zones[NameHash(name)]
 	if z == nil || z.name != name {
@@ -115,10 +117,11 @@
 	return z
 }
 
-// Known reports whether the zone is known: a list has named it or an operator, and it was not forgotten since.
+// Known reports whether the zone is tracked: an endpoint list or an operator has named it, and it wasn't discarded
+// since.
 func (c *Controller) Known(name string) bool { return c.find(name) != nil }
 
-// Share is the part of its keys that a zone serves, 0 to 1; 1 for a zone that is not known.
+// Share returns the fraction of its keys that a zone serves, 0 to 1; 1 for a zone that is not tracked.
 func (c *Controller) Share(name string) float64 {
 	z := c.find(name)
 	if z == nil {
@@ -127,14 +130,14 @@
 	return z.share
 }
 
-// TakeChanges returns the transitions since it was last called, in their order.
+// TakeChanges returns the transitions since the last call, in order.
 func (c *Controller) TakeChanges() []Change {
 	changes := c.changes
 	c.changes = nil
 	return changes
 }
 
-// Statuses returns all zones, sorted by name.
+// Statuses returns the status of all zones, sorted by name.
 func (c *Controller) Statuses(now float64) []Status {
 	var all []Status
 	for _, name := range c.names {
@@ -158,7 +161,7 @@
 	return all
 }
 
-// Tick decides on all zones. It is to be called several times within the shortest latency objective.
+// Tick updates the decisions on all zones. Call it several times within the shortest latency objective.
 func (c *Controller) Tick(now float64) {
 	sinceLastTick := now - c.lastTick
 	c.resetAfterStall(now)
@@ -175,8 +178,8 @@
 	c.ensureOneZoneServes(now)
 }
 
-// resetAfterStall notices that this process stood still. Its open attempts are old, what it knows of its peers is
-// past, and so are the messages that waited for it: all is forgotten, and the peers are asked to speak.
+// resetAfterStall discards this process's evidence if the process was stalled: its attempts in flight, the state of its
+// peers and the messages queued at its socket are outdated. It sends a message early, so that the peers send theirs.
 func (c *Controller) resetAfterStall(now float64) {
 	if c.lastTick == 0 || now-c.lastTick <= maxTickGap {
 		return
--- a/internal/policy/zonefailover/evacuation.go
+++ b/internal/policy/zonefailover/evacuation.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// evacuateFailing evacuates the zones with enough votes against them, after objectionWindow, unless no zone would
-// remain.
+// evacuateFailing evacuates the zones that have had enough votes against them for evacuationDelay, unless no other zone
+// would serve all of its keys.
 func (c *Controller) evacuateFailing(now float64) {
 	failing, remaining := c.failingZones(now)
 	for _, z := range failing {
@@ -22,8 +22,8 @@
 	}
 }
 
-// failingZones returns the zones in use with enough votes against them, by name, and how many others serve all of their
-// keys.
+// failingZones returns the zones in use with enough votes against them, sorted by name, and the number of other zones
+// that serve all of their keys.
 func (c *Controller) failingZones(now float64) (failing []*zone, remaining int) {
 	isolated := c.isolated(now)
 	for _, name := range c.names {
@@ -50,8 +50,8 @@
 	return failing, remaining
 }
 
-// votesSuffice reports whether the votes against a zone suffice. They have to be a quorum, or minVotes if the zone failed
-// lately, and at least votesAgainstPerVoteFor times the votes for it.
+// votesSuffice reports whether the votes against a zone suffice to evacuate it. They have to be a quorum, or minVotes
+// if the zone failed recently, and at least votesAgainstPerVoteFor times the votes for it.
 func (c *Controller) votesSuffice(now float64, z *zone, votes tally) bool {
 	needed := c.quorum(votes.routers)
 	if z.failedRecently(now) {
@@ -60,7 +60,7 @@
 	return votes.against >= needed && votesAgainstPerVoteFor*votes.inFavour <= votes.against
 }
 
-// updateSuspicion moves a zone that is not voted out between Serving and Suspected.
+// updateSuspicion moves a zone without enough votes for an evacuation between Serving and Suspected.
 func (c *Controller) updateSuspicion(now float64, z *zone, votes tally) {
 	switch z.state {
 	case Suspected:
@@ -83,8 +83,8 @@
 	c.transition(now, z, Evacuated, 0, reason)
 }
 
-// followPeers takes over what a quorum of peers has decided, where this router knows no better: it has just started,
-// stood still, or lost their messages.
+// followPeers adopts the decision of a quorum of peers where this router lacks evidence, for example because it has
+// just started, was stalled or missed their messages.
 func (c *Controller) followPeers(now float64) {
 	for _, name := range c.names {
 		z := c.find(name)
@@ -101,8 +101,8 @@
 	}
 }
 
-// followPeersFromServing has a zone that serves all of its keys evacuated or recovering, as it is at most peers. A recent answer
-// of this router's own keeps it from that.
+// followPeersFromServing evacuates a zone that serves all of its keys, or begins its recovery, if most peers have done
+// so. It does nothing if this router itself has had an answer there within ownAnswerWindow.
 func (c *Controller) followPeersFromServing(now float64, z *zone, votes tally) {
 	if now-z.evidence.lastAnswer <= ownAnswerWindow {
 		return
@@ -119,7 +119,7 @@
 	}
 }
 
-// followPeersIntoRecovery begins the recovery of an evacuated zone that already recovers at a quorum of routers.
+// followPeersIntoRecovery begins the recovery of an evacuated zone that is already recovering at a quorum of routers.
 func (c *Controller) followPeersIntoRecovery(now float64, z *zone, votes tally) {
 	quorum := c.quorum(votes.routers)
 	mostRecovering := votes.recovering >= quorum && votes.recovering+votes.serving >= votes.evacuated
@@ -133,8 +133,8 @@
 	return fmt.Sprintf("%d of %d routers let it return", votes.recovering, votes.routers)
 }
 
-// otherZoneServes reports whether another zone serves all of its keys. All zones are never evacuated: then the fault is
-// not theirs.
+// otherZoneServes reports whether another zone serves all of its keys. Evacuating the last one is not allowed: if all
+// zones fail, the cause lies elsewhere.
 func (c *Controller) otherZoneServes(z *zone) bool {
 	for _, other := range c.zones {
 		if other != z && other.servers > 0 && other.share == 1 {
@@ -144,10 +144,11 @@
 	return false
 }
 
-// ensureOneZoneServes sees to it that some zone serves all of its keys, also when an endpoint list takes the others away: the
-// one whose recovery is furthest, else all that were evacuated by evidence.
+// ensureOneZoneServes keeps at least one zone serving all of its keys, also when an endpoint list drops the others. If
+// there is none, the recovering zone with the largest share gets all of its keys, or without a recovering zone all
+// zones that were evacuated by evidence.
 func (c *Controller) ensureOneZoneServes(now float64) {
-	var furthest *zone
+	var mostRecovered *zone
 	var evacuated []*zone
 	for _, name := range c.names {
 		z := c.find(name)
@@ -161,12 +162,12 @@
 			evacuated = append(evacuated, z)
 			continue
 		}
-		if furthest == nil || z.share > furthest.share {
-			furthest = z
+		if mostRecovered == nil || z.share > mostRecovered.share {
+			mostRecovered = z
 		}
 	}
-	if furthest != nil {
-		evacuated = []*zone{furthest}
+	if mostRecovered != nil {
+		evacuated = []*zone{mostRecovered}
 	}
 	for _, z := range evacuated {
 		c.transition(now, z, Recovering, 1, reasonNoOtherZone)
--- a/internal/policy/zonefailover/evidence.go
+++ b/internal/policy/zonefailover/evidence.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// vote is what one router says of a zone. Times are by this router's clock.
+// vote is one router's evidence and state of a zone. Times are by this router's clock.
 type vote struct {
 	lastAnswer    float64 // 0: never
-	failingSince  float64 // 0: it does not fail
+	failingSince  float64 // 0: the zone doesn't fail
 	state         State
 	share         float64
-	failureCounts bool // the router is not isolated
+	failureCounts bool // the router is not isolated, so its failures are evidence
 }
 
-// tally is what all routers heard of lately, this one among them, say of one zone.
+// tally sums up the votes on one zone of all routers heard from recently, including this one.
 type tally struct {
-	routers  int // heard of lately
-	against  int // without an answer since failingSince
-	inFavour int // with a later answer
-	// failingSince is the median of when those against the zone began to have no answer.
+	routers  int // heard from recently
+	against  int // routers whose attempts get no answer
+	inFavour int // routers with an answer after failingSince
+	// failingSince is the median of the times since which the routers against the zone get no answer.
 	failingSince float64
-	// The routers that say they have evacuated the zone, that let it recover, that serve all of its keys.
+	// The number of routers that have evacuated the zone, that let it recover, and that send it all of its keys.
 	evacuated, recovering, serving int
-	// share is a low one of the shares that routers give the zone: at the place of the quorum in their sorted row, so
-	// that one router whose attempts alone are degraded holds no other back.
+	// share is the n-th smallest of the shares that routers give the zone, with n the quorum. A low share at fewer
+	// routers, such as a single one with degraded attempts, doesn't hold back the others.
 	share float64
 }
 
-// countVotes counts the votes on a zone. Its sums are counts, a median and a place in a sorted row: the same votes give
-// the same result in any order.
+// countVotes counts the votes on a zone. The result doesn't depend on the order of the votes, because it consists of
+// counts, a median and an element of a sorted list.
 func (c *Controller) countVotes(now float64, z *zone) tally {
 	counter := newVoteCounter(z, 1+len(c.peers))
 	counter.tally.routers = 1
@@ -44,35 +44,35 @@
 			continue
 		}
 		counter.tally.routers++
-		said, reported := p.reports[z.hash]
+		r, reported := p.reports[z.hash]
 		if !reported {
 			counter.addWithoutReport()
 			continue
 		}
-		if said.operatorOverride {
+		if r.operatorOverride {
 			continue
 		}
 		counter.add(vote{
-			lastAnswer:    said.lastAnswer,
-			failingSince:  said.failingSince,
-			state:         said.state,
-			share:         said.share,
+			lastAnswer:    r.lastAnswer,
+			failingSince:  r.failingSince,
+			state:         r.state,
+			share:         r.share,
 			failureCounts: !p.isolated,
 		})
 	}
 	return counter.result(c.quorum(counter.tally.routers))
 }
 
-// voteCounter collects votes.
+// voteCounter collects the votes on one zone.
 type voteCounter struct {
-	recoveryBegan float64 // failures from before it are over
+	recoveryBegan float64 // failures from before this time are ignored
 	tally         tally
-	failures      []float64 // when those against the zone began to have no answer
+	failures      []float64 // since when each router against the zone gets no answer
 	answers       []float64 // when each router had its last answer
-	shares        []float64 // of those that do not evacuate the zone
+	shares        []float64 // of the routers that have not evacuated the zone
 }
 
-// newVoteCounter makes a counter for a zone for at most so many votes.
+// newVoteCounter returns a counter for at most maxVotes votes on a zone.
 func newVoteCounter(z *zone, maxVotes int) voteCounter {
 	return voteCounter{
 		recoveryBegan: z.history.recoveryBegan,
@@ -81,30 +81,30 @@
 	}
 }
 
-func (v *voteCounter) add(said vote) {
-	if said.failureCounts && said.failingSince > v.recoveryBegan && said.failingSince > 0 {
-		v.failures = append(v.failures, said.failingSince)
+func (v *voteCounter) add(newVote vote) {
+	if newVote.failureCounts && newVote.failingSince > v.recoveryBegan && newVote.failingSince > 0 {
+		v.failures = append(v.failures, newVote.failingSince)
 	}
-	v.answers = append(v.answers, said.lastAnswer)
-	switch said.state {
+	v.answers = append(v.answers, newVote.lastAnswer)
+	switch newVote.state {
 	case Evacuated, Probing:
 		v.tally.evacuated++
 	case Recovering:
 		v.tally.recovering++
-		v.shares = append(v.shares, said.share)
+		v.shares = append(v.shares, newVote.share)
 	default:
 		v.tally.serving++
 		v.shares = append(v.shares, 1)
 	}
 }
 
-// addWithoutReport counts a router that is heard and has not said anything of the zone.
+// addWithoutReport counts a router whose messages have not reported the zone yet as serving all of its keys.
 func (v *voteCounter) addWithoutReport() {
 	v.tally.serving++
 	v.shares = append(v.shares, 1)
 }
 
-// result returns the votes with their median and the share at the quorum's place.
+// result returns the tally with the median of the failure times and the quorum's share (see tally.share).
 func (v *voteCounter) result(quorum int) tally {
 	result := v.tally
 	result.share = 1
@@ -121,8 +121,8 @@
 	return result
 }
 
-// answeredAfter counts the routers with an answer after a time. Messages carry ages in steps, so it has to be two of
-// these later.
+// answeredAfter counts the routers with an answer after a time. Messages round ages to steps of ageStep, so the answer
+// has to be more than two steps later.
 func (v *voteCounter) answeredAfter(at float64) int {
 	count := 0
 	for _, lastAnswer := range v.answers {
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -7,31 +7,32 @@
 	"slices"
 )
 
-// gossip is when this router speaks, and listens.
+// gossip is the state of this router's message exchange: when it sends, and until when it ignores messages.
 type gossip struct {
 	marker      [2]byte
-	sequence    uint32  // of the last message
-	lastSent    float64 // when that was
-	tokens      float64 // messages that may be sent before their time
-	sendEarly    bool    // a peer was heard for the first time, or anew: it may know nothing
-	ignoreUntil float64 // messages are not listened to until then
+	sequence    uint32  // of the last message sent
+	lastSent    float64 // when the last message was sent
+	tokens      float64 // messages that may be sent before the end of the period
+	sendEarly   bool    // a message is due early, for example because a new or returning peer may lack all reports
+	ignoreUntil float64 // messages received before this time are ignored
 }
 
-// peer is what another router said last.
+// peer is the latest state received from another router.
 type peer struct {
 	incarnation          uint16
 	sequence             uint32
 	lastHeard            float64
-	isolated             bool              // as it says itself
+	isolated             bool              // by its own report
 	reports              map[uint32]report // by the hash of the zones' names
-	previousIncarnations []uint16          // their messages may still come
-	lastSentEarly          float64           // when this router last spoke because of it
+	previousIncarnations []uint16          // their messages may still arrive
+	lastSentEarly        float64           // when this peer last made this router send a message early
 }
 
-// addTokens earns tokens for messages before their time.
+// addTokens adds tokens for messages sent before the end of the period.
 func (g *gossip) addTokens(earned float64) { g.tokens = min(g.tokens+earned, maxGossipTokens) }
 
-// chooseMarker chooses the first marker that is the end of no server's id; without any the present one stays.
+// chooseMarker sets the first marker that equals the end of no server's id. If there is none, the marker stays as it
+// is.
 func (g *gossip) chooseMarker(ids map[uint16]bool) {
 	for _, marker := range markers {
 		if !ids[binary.LittleEndian.Uint16(marker[:])] {
@@ -41,18 +42,18 @@
 	}
 }
 
-// messagePeriod is the time between two messages without news, in seconds.
+// messagePeriod returns the time between two periodic messages in seconds.
 func (c *Controller) messagePeriod() float64 {
 	return max(minMessagePeriod, float64(c.settings.RouterCount)/maxMessageRate)
 }
 
-// heardRecently reports whether what a peer said still counts.
+// heardRecently reports whether a peer's last message is so recent that its reports still count.
 func (c *Controller) heardRecently(now float64, p *peer) bool {
 	return now-p.lastHeard <= peerTimeoutPeriods*c.messagePeriod()
 }
 
-// NextMessage returns the datagram that is to be sent to all other routers now; nil: there is none. It is to be called
-// after each Tick. A message holds what is most needed; the rest is told in its turn.
+// NextMessage returns the datagram to send to all other routers now, or nil if none is due. Call it after each Tick. A
+// message holds the most urgent reports; later messages carry the others in turn.
 func (c *Controller) NextMessage(now float64) []byte {
 	if c.settings.RouterCount < 2 || len(c.zones) == 0 {
 		return nil
@@ -76,8 +77,8 @@
 	return c.message(now, zones)
 }
 
-// announceRecentAnswers has the zones announced for which others wait to hear from this router: one of them has no answer
-// there or probes it, and this router has had an answer that it has not told of.
+// announceRecentAnswers schedules an early report of each zone where this router has had an unreported answer that
+// matters to others: the zone is evacuated or probed, or a peer's attempts there get no answer.
 func (c *Controller) announceRecentAnswers(now float64) {
 	for _, z := range c.zones {
 		if z.evidence.lastAnswer <= z.announcement.lastSent || z.announcement.pendingMessages > 0 {
@@ -89,7 +90,7 @@
 	}
 }
 
-// contradictsPeer reports whether this router had an answer in a zone after a peer began to have none.
+// contradictsPeer reports whether this router had an answer in a zone after a peer's attempts there began to fail.
 func (c *Controller) contradictsPeer(now float64, z *zone) bool {
 	if now-z.announcement.lastSent <= 2*minMessageGap {
 		return false
@@ -103,7 +104,7 @@
 	return false
 }
 
-// mustSendEarly reports whether others have to know something now.
+// mustSendEarly reports whether a message is due before the end of the period.
 func (c *Controller) mustSendEarly() bool {
 	for _, z := range c.zones {
 		if z.announcement.pendingMessages > 0 || z.announcement.newFailure && z.state != Evacuated {
@@ -113,7 +114,7 @@
 	return c.gossip.sendEarly
 }
 
-// byAnnouncementOrder orders zones for a message: what others have to hear, what is not as usual, and what was told of longest ago.
+// byAnnouncementOrder orders zones for a message: by rank, then least recently sent first, then by name.
 func byAnnouncementOrder(a, b *zone) int {
 	return cmp.Or(
 		cmp.Compare(a.announcementRank(), b.announcementRank()),
@@ -121,7 +122,8 @@
 		cmp.Compare(a.name, b.name))
 }
 
-// announcementRank is how much others announcementRank to hear of a zone; 0 is the most.
+// announcementRank returns how urgent the report of a zone is: 0 for one with pending announcements or a new failure, 1
+// for one that is failing or in another state than Serving, 2 for the others.
 func (z *zone) announcementRank() int {
 	if z.announcement.pendingMessages > 0 || z.announcement.newFailure {
 		return 0
@@ -132,7 +134,7 @@
 	return 2
 }
 
-// message makes the next message of this router, with its reports of some zones.
+// message returns this router's next message with its reports of the given zones.
 func (c *Controller) message(now float64, zones []*zone) []byte {
 	c.gossip.sequence++
 	data := header{
@@ -148,7 +150,7 @@
 	return pack(data, c.gossip.marker)
 }
 
-// report is what this router says of a zone.
+// report returns what a message reports of a zone.
 func (z *zone) report() report {
 	return report{
 		hash:             z.hash,
@@ -162,7 +164,8 @@
 }
 
 // OnMessage handles another router's datagram. It returns false if the datagram is of another kind or damaged, so that
-// the caller may offer it elsewhere; one that is late, doubled or this router's own is of this kind, and ignored.
+// the caller can pass it to another handler. It ignores late or duplicate messages and this router's own, and returns
+// true for them.
 func (c *Controller) OnMessage(now float64, datagram []byte) bool {
 	data := unpack(datagram)
 	if data == nil {
@@ -189,7 +192,8 @@
 	return true
 }
 
-// sender returns the peer that sent a message, a new one if need be; nil: the message is late or doubled.
+// sender returns the peer that sent a message and adds it if necessary. It returns nil if the message is late or a
+// duplicate.
 func (c *Controller) sender(now float64, head header) *peer {
 	p := c.peers[head.router]
 	if p == nil {
@@ -212,7 +216,7 @@
 	return p
 }
 
-// restart handles that a peer is another process now: what the one before saw counts no more.
+// restart handles a peer's new process: the reports of the previous one are discarded.
 func (p *peer) restart(incarnation uint16) {
 	p.previousIncarnations = append(p.previousIncarnations, p.incarnation)
 	p.previousIncarnations = p.previousIncarnations[max(0, len(p.previousIncarnations)-maxPreviousIncarnations):]
@@ -220,7 +224,7 @@
 	p.reports = map[uint32]report{}
 }
 
-// storeReport keeps what a peer says of a zone, within bounds.
+// storeReport stores a peer's report of a zone, within bounds.
 func (c *Controller) storeReport(p *peer, r report) {
 	if r.state > Recovering {
 		return
@@ -230,7 +234,8 @@
 	}
 }
 
-// sendEarlyFor has a message sent soon, for a peer that is new may know nothing; not for each that comes back at once.
+// sendEarlyFor requests an early message for a new or returning peer, which may lack all reports. It does so at most
+// once in half a period for each peer, because such peers may return repeatedly.
 func (c *Controller) sendEarlyFor(now float64, p *peer) {
 	if now-p.lastSentEarly > c.messagePeriod()/2 {
 		p.lastSentEarly = now
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -7,38 +7,38 @@
 )
 
 const (
-	simulationStart = 1000.0
-	simulationStep  = 0.01
-	stepsPerTick      = 5 // steps
-	latencyObjective       = 0.15
-	answerTime      = 0.02
-	lateAnswerTime  = 0.3
-	attemptTimeout         = 0.5
+	simulationStart  = 1000.0
+	simulationStep   = 0.01
+	stepsPerTick     = 5 // steps
+	latencyObjective = 0.15
+	answerTime       = 0.02
+	lateAnswerTime   = 0.3
+	attemptTimeout   = 0.5
 )
 
 // simulation is routers, zones and the network between them, stepped by hundredths of a second.
 type simulation struct {
-	t       *testing.T
-	now     float64
-	random  *rand.Rand
-	routers []*Controller
-	zoneNames   []string // of the zones
-	servers int      // of each zone
-	skew    float64  // seconds by which each router's clock is ahead of the one before
-	rate    float64  // attempts a second of each router
+	t         *testing.T
+	now       float64
+	random    *rand.Rand
+	routers   []*Controller
+	zoneNames []string // of the zones
+	servers   int      // of each zone
+	skew      float64  // seconds by which each router's clock is ahead of the one before
+	rate      float64  // attempts a second of each router
 
 	answered   map[string]float64 // part of the attempts in a zone that are answered
 	slow       map[string]bool    // zones whose answers are late
 	overloaded map[string]bool    // zones that reject
 	reaches    func(router int, zone string) bool
-	receives      func(from, to int) bool
+	receives   func(from, to int) bool
 	down       map[int]bool // routers that do not run
-	suspended    map[int]bool // of these, those that stand still: messages wait for them
+	suspended  map[int]bool // of these, those that stand still: messages wait for them
 	loss       float64      // part of the messages
 	delay      float64      // seconds that a message takes at least
 
 	inTransit    []datagram
-	inFlight         []simulatedAttempt
+	inFlight     []simulatedAttempt
 	unanswered   map[string]int // attempts by zone
 	messagesSent int
 	log          []string
@@ -65,16 +65,16 @@
 		now:        simulationStart,
 		random:     rand.New(rand.NewPCG(1, 2)),
 		routers:    make([]*Controller, routers),
-		zoneNames:      names,
+		zoneNames:  names,
 		servers:    4,
 		rate:       27,
 		answered:   map[string]float64{},
 		slow:       map[string]bool{},
 		overloaded: map[string]bool{},
 		reaches:    func(int, string) bool { return true },
-		receives:      func(int, int) bool { return true },
+		receives:   func(int, int) bool { return true },
 		down:       map[int]bool{},
-		suspended:    map[int]bool{},
+		suspended:  map[int]bool{},
 		delay:      0.002,
 		unanswered: map[string]int{},
 	}
--- a/internal/policy/zonefailover/message.go
+++ b/internal/policy/zonefailover/message.go
@@ -7,20 +7,20 @@
 	"slices"
 )
 
-// A message tells the other routers what one router has seen of up to maxZonesPerMessage zones, in 256 bytes at most.
+// A message carries one router's reports of up to maxZonesPerMessage zones to the other routers, in at most 256 bytes.
 //
-// It shares its socket with other kinds of messages. Builds that do not know it take each three bytes of a datagram
-// for the end of a server's id and a time; so only every third byte carries data, and the two before it, the marker,
-// are the end of no server's id.
+// Other kinds of messages use the same socket. Builds that don't support this kind read each three bytes of a datagram
+// as the end of a server's id and a time. Therefore only every third byte carries data, and the two bytes before it,
+// the marker, equal the end of no server's id.
 //
-// The data are a header, the zones' reports and a checksum, all little-endian:
+// The data consist of a header, the zones' reports and a checksum, all little-endian:
 //
 //	header   kind(1) router(2) incarnation(2) sequence(4) flags(1) zones(1) unused(1)
 //	report   name hash(3) state(1) share(1) last answer(1) failing since(1) last step(1)
 //	checksum the low 16 bits of a CRC-32
 const (
 	maxMessageBytes    = 256
-	bytesPerData       = 3 // a marker and one byte of data
+	bytesPerData       = 3 // bytes of the datagram for a byte of data: the marker and the byte itself
 	headerBytes        = 12
 	reportBytes        = 8
 	checksumBytes      = 2
@@ -28,38 +28,38 @@
 
 	messageKind  = 0x5a
 	isolatedFlag = 1
-	overrideFlag = 0x80 // beside the state
+	overrideFlag = 0x80 // in the byte of the state
 	stateMask    = 0x7f
-	shareSteps   = 128 // of a share of 1
+	shareSteps   = 128 // encodes a share of 1
 	maxStepCount = 15
 	stepBits     = 4
 
-	// ageStep is the unit of ages in seconds: maxAge of them are 5 s, beyond which an age makes no difference.
+	// ageStep is the unit of encoded ages in seconds. maxAge steps are 5 s; greater ages make no difference.
 	ageStep  = 0.02
 	maxAge   = 254
 	neverAge = 255
 )
 
-// markers are what may precede a byte of data.
+// markers are the possible markers before a byte of data.
 var markers = [...][2]byte{{0xc7, 0xff}, {0x5a, 0xfe}, {0xb1, 0xfd}, {0x3e, 0xfc}}
 
-// header is what a message says of its sender.
+// header holds the fields of a message that describe its sender.
 type header struct {
 	router      int
 	incarnation uint16
 	sequence    uint32 // a later message has a larger one, modulo 2^32
 	isolated    bool
-	zones       int // reports that follow
+	zones       int // number of reports that follow
 }
 
-// report is what a router says of a zone. Times are by the clock of the router that has the report.
+// report is one router's report of a zone. Times are by the clock of the router that holds the report.
 type report struct {
 	hash             uint32 // of the zone's name
 	state            State
 	operatorOverride bool
 	share            float64
 	lastAnswer       float64 // 0: never
-	failingSince     float64 // 0: it does not fail
+	failingSince     float64 // 0: the zone doesn't fail
 	lastStep         stepCounts
 }
 
@@ -75,7 +75,7 @@
 	return append(data, flags, byte(h.zones), 0)
 }
 
-// decodeHeader reads a header from data that unpack has checked.
+// decodeHeader decodes the header of data that unpack has checked.
 func decodeHeader(data []byte) header {
 	return header{
 		router:      int(binary.LittleEndian.Uint16(data[1:])),
@@ -101,7 +101,7 @@
 		step)
 }
 
-// decodeReport reads a report of reportBytes bytes.
+// decodeReport decodes a report of reportBytes bytes.
 func decodeReport(data []byte, now float64) report {
 	return report{
 		hash:             uint32(data[0]) | uint32(data[1])<<8 | uint32(data[2])<<16,
@@ -114,7 +114,7 @@
 	}
 }
 
-// encodeAge returns how long ago a time is, in steps; neverAge for the time 0.
+// encodeAge returns the age of a time in steps, or neverAge for the time 0.
 func encodeAge(now, at float64) byte {
 	if at == 0 {
 		return neverAge
@@ -122,7 +122,7 @@
 	return byte(min(maxAge, max(0, math.Round((now-at)/ageStep))))
 }
 
-// decodeAge returns the time of an age; 0 for neverAge.
+// decodeAge returns the time that has an encoded age, or 0 for neverAge.
 func decodeAge(now float64, age byte) float64 {
 	if age == neverAge {
 		return 0
@@ -130,7 +130,7 @@
 	return now - float64(age)*ageStep
 }
 
-// pack makes a datagram of data: the checksum is added, and the marker put before each byte.
+// pack returns the datagram of data: it appends the checksum and puts the marker before each byte.
 func pack(data []byte, marker [2]byte) []byte {
 	data = binary.LittleEndian.AppendUint16(data, uint16(crc32.ChecksumIEEE(data)))
 	datagram := make([]byte, 0, bytesPerData*len(data))
@@ -140,7 +140,7 @@
 	return datagram
 }
 
-// unpack returns the data of a datagram without the checksum; nil: it is of another kind, or damaged.
+// unpack returns the data of a datagram without the checksum, or nil if the datagram is of another kind or damaged.
 func unpack(datagram []byte) []byte {
 	if len(datagram)%bytesPerData != 0 || len(datagram) < bytesPerData*(headerBytes+checksumBytes) {
 		return nil
--- a/internal/policy/zonefailover/operator.go
+++ b/internal/policy/zonefailover/operator.go
@@ -1,8 +1,8 @@
 package zonefailover
 
-// SetOperatorOverride evacuates a zone at this router until the override is taken back, which begins its recovery. A
-// zone that is not known yet is evacuated once it is. It returns false, and does nothing, where no zone would remain
-// that serves all of its keys.
+// SetOperatorOverride evacuates a zone at this router until the override is removed, which begins the zone's recovery.
+// A zone that no endpoint list contains yet is evacuated from the start when a list adds it. SetOperatorOverride
+// returns false and does nothing if the zone can't be tracked, or if no other zone would serve all of its keys.
 func (c *Controller) SetOperatorOverride(now float64, name string, evacuate bool) bool {
 	z := c.findOrAdd(name)
 	if z == nil {
@@ -23,8 +23,8 @@
 	return true
 }
 
-// StartRecovery begins the recovery of a zone that was evacuated by evidence, without its hold time; false if it is
-// not evacuated, or by an operator.
+// StartRecovery begins the recovery of a zone that was evacuated by evidence, without waiting for its hold time. It
+// returns false if the zone is not evacuated, or is evacuated by an operator.
 func (c *Controller) StartRecovery(now float64, name string) bool {
 	z := c.find(name)
 	if z == nil || z.operatorOverride || !z.state.evacuated() {
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -8,7 +8,7 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// advance leads an evacuated zone back to all of its keys.
+// advance advances the probing or recovery of a zone that does not serve all of its keys.
 func (c *Controller) advance(now float64, z *zone) {
 	if z.operatorOverride || z.servers == 0 {
 		return
@@ -21,7 +21,7 @@
 	}
 }
 
-// probe begins the recovery of a zone once enough probes were answered; until then routers probe it in turn.
+// probe begins the recovery of a zone once enough probes were answered. Until then routers take turns to probe it.
 func (c *Controller) probe(now float64, z *zone) {
 	probingSince := z.history.evacuatedAt + z.holdTime()
 	if now < probingSince {
@@ -33,24 +33,25 @@
 		return
 	}
 	round := math.Floor((now - z.history.evacuatedAt - z.holdTime()) / probeRound)
-	mine := c.isProber(z, uint32(round))
-	if mine && z.state == Evacuated {
+	prober := c.isProber(z, uint32(round))
+	if prober && z.state == Evacuated {
 		c.transition(now, z, Probing, z.probeShare(), reasonProbeHere)
 	}
-	if !mine && z.state == Probing {
+	if !prober && z.state == Probing {
 		c.transition(now, z, Evacuated, 0, reasonProbeOthers)
 	}
 }
 
-// probeShare is the share of a zone's keys that makes some probesPerRound attempts: more would be lost where nothing
-// answers.
+// probeShare returns the share of a zone's keys that leads to about probesPerRound attempts a round. A larger share
+// would lose more attempts while nothing answers.
 func (z *zone) probeShare() float64 {
-	const minAttempts = 1e-9 // a round; it keeps the quotient finite
+	const minAttempts = 1e-9 // attempts a round; keeps the quotient finite
 	share := probesPerRound / max(z.attempts.rate*probeRound, minAttempts)
 	return min(max(share, minShare), maxProbeShare)
 }
 
-// routersAnswered counts the routers that had an answer since the zone was evacuated, not one that was on its way then.
+// routersAnswered counts the routers with an answer in an evacuated zone. Answers from the first half of its hold time
+// don't count, because they may belong to attempts sent before the evacuation.
 func (c *Controller) routersAnswered(now float64, z *zone) int {
 	since := z.history.evacuatedAt + z.holdTime()/2
 	count := 0
@@ -58,11 +59,11 @@
 		count++
 	}
 	for _, p := range c.peers {
-		said, reported := p.reports[z.hash]
+		r, reported := p.reports[z.hash]
 		if !reported || !c.heardRecently(now, p) {
 			continue
 		}
-		if answeredSince(since, said.lastAnswer, said.failingSince) {
+		if answeredSince(since, r.lastAnswer, r.failingSince) {
 			count++
 		}
 	}
@@ -73,27 +74,28 @@
 	return lastAnswer > since && lastAnswer > failingSince
 }
 
-// probers is how many routers probe a zone at once.
+// probers returns how many routers probe a zone at once.
 func (c *Controller) probers() int {
 	return min(c.settings.RouterCount, max(minProbers, c.settings.RouterCount/proberDivisor))
 }
 
-// isProber reports whether this router is one of those that probe a zone in a round: those of the least hashes.
+// isProber reports whether this router probes a zone in a round: the probers are the routers with the smallest hashes.
 func (c *Controller) isProber(z *zone, round uint32) bool {
-	mine := proberHash(z, round, c.settings.RouterIndex)
-	before := 0
+	own := proberHash(z, round, c.settings.RouterIndex)
+	smaller := 0
 	for router := range c.settings.RouterCount {
 		hash := proberHash(z, round, router)
-		if hash < mine || hash == mine && router < c.settings.RouterIndex {
-			before++
+		if hash < own || hash == own && router < c.settings.RouterIndex {
+			smaller++
 		}
 	}
-	return before < c.probers()
+	return smaller < c.probers()
 }
 
-// proberHash orders the routers for a round of probes. CRC-32 alone is affine: the same routers would be the first in
-// every round. The finalizer behind it is seedhash.Avalanche without its last step, hash ^ hash>>16, which is undone by
-// doing it again; routers of all builds have to draw alike, so it stays without.
+// proberHash returns the hash by which routers are ordered in a round of probes. CRC-32 alone is affine: the same
+// routers would be the first in every round. It is therefore followed by seedhash.Avalanche without the last step, hash
+// ^ hash>>16, which is its own inverse and is undone here. Routers of all builds have to compute the same hashes, so
+// the omission of the last step is permanent.
 func proberHash(z *zone, round uint32, router int) uint32 {
 	input := [...]byte{
 		byte(z.hash), byte(z.hash >> 8), byte(z.hash >> 16),
--- a/internal/policy/zonefailover/quorum.go
+++ b/internal/policy/zonefailover/quorum.go
@@ -1,20 +1,20 @@
 package zonefailover
 
-// quorum is how many of the routers heard of, this one among them, have to say something for it to count:
+// quorum returns how many of the routers heard from, including this one, have to agree on a decision:
 //
 //	quorum = max(minVotes, a quarter of routersHeard, rounded up)
 //
-// Example: 2 of 3 routers, 2 of 8, 3 of 9, 25 of 100. What one router of several sees alone changes
-// nothing.
+// Examples: 2 of 3 routers, 2 of 8, 3 of 9, 25 of 100. In a fleet of several routers the observations of a single one
+// change nothing.
 func (c *Controller) quorum(routersHeard int) int {
 	return max(c.minVotes(), (routersHeard+quorumDivisor-1)/quorumDivisor)
 }
 
-// minVotes is the least number of routers that a verdict needs: two, or one where there is only one.
+// minVotes returns the minimum number of routers for a decision: two, or one in a fleet of one router.
 func (c *Controller) minVotes() int { return min(minFailureVotes, c.settings.RouterCount) }
 
-// isolated reports whether this router's connection fails rather than the zones: it hears no other router, or most
-// zones fail and less than half of the routers were heard since that began.
+// isolated reports whether this router's own network connection is failing rather than the zones: it receives messages
+// from no other router, or most zones fail and it has heard from less than half of the routers since that began.
 func (c *Controller) isolated(now float64) bool {
 	if c.settings.RouterCount == 1 {
 		return false
--- a/internal/policy/zonefailover/recovery.go
+++ b/internal/policy/zonefailover/recovery.go
@@ -2,8 +2,8 @@
 
 import "fmt"
 
-// mayRecover reports whether a zone may begin its recovery now: of a region one zone at a time, since the origin and the
-// neighbours bear the sum.
+// mayRecover reports whether a zone may begin its recovery now. In a region one zone recovers at a time, because the
+// loads of simultaneous recoveries add up at the origin and the neighbouring zones.
 func (c *Controller) mayRecover(z *zone) bool {
 	for _, name := range c.regions[z.name] {
 		other := c.find(name)
@@ -14,19 +14,20 @@
 	return true
 }
 
-// stepTime is how long a recovering zone stays at a share before that is doubled, in seconds.
+// stepTime returns how long a recovering zone stays at a share before it is doubled, in seconds.
 func (c *Controller) stepTime() float64 {
 	return min(max(c.settings.WarmupSeconds/stepsPerWarmup, minStepTime), maxStepTime)
 }
 
-// stepResult is how the present step of a recovery goes at all routers.
+// stepResult is the result of the current step of a recovery across all routers.
 type stepResult struct {
 	counts   stepCounts
-	routers  int // with a degraded attempt
+	routers  int // routers with a degraded attempt
 	degraded bool
 }
 
-// fleetStep sums up this router's step and the last ones that peers have told of: each router alone sees little.
+// fleetStep sums up this router's current step and the last steps reported by peers, because each router alone has few
+// attempts in the zone.
 func (c *Controller) fleetStep(now float64, z *zone) stepResult {
 	own := z.step.counts
 	sum := stepResult{counts: own}
@@ -34,22 +35,22 @@
 		sum.routers++
 	}
 	for _, p := range c.peers {
-		said, reported := p.reports[z.hash]
-		if !reported || said.state != Recovering || p.isolated || !c.heardRecently(now, p) {
+		r, reported := p.reports[z.hash]
+		if !reported || r.state != Recovering || p.isolated || !c.heardRecently(now, p) {
 			continue
 		}
-		sum.counts.answered += said.lastStep.answered
-		sum.counts.degraded += said.lastStep.degraded
-		if said.lastStep.degraded > 0 {
+		sum.counts.answered += r.lastStep.answered
+		sum.counts.degraded += r.lastStep.degraded
+		if r.lastStep.degraded > 0 {
 			sum.routers++
 		}
 	}
-	seenByEnough := sum.routers >= c.minVotes() || own.isDegraded()
-	sum.degraded = sum.counts.isDegraded() && seenByEnough
+	enoughRouters := sum.routers >= c.minVotes() || own.isDegraded()
+	sum.degraded = sum.counts.isDegraded() && enoughRouters
 	return sum
 }
 
-// advanceRecovery moves the share of a recovering zone at the end of each step.
+// advanceRecovery updates the share of a recovering zone at the end of each step.
 func (c *Controller) advanceRecovery(now float64, z *zone) {
 	step := c.fleetStep(now, z)
 	stepTime := c.stepTime()
@@ -70,8 +71,8 @@
 	}
 }
 
-// nextShare is the share of a recovering zone's next step: doubled as long as its attempts are answered in time,
-// halved after a degraded step, and never far from the share that the fleet gives it.
+// nextShare returns the share of a recovering zone's next step: doubled as long as its attempts are answered in time,
+// halved after a degraded step, and kept close to the fleet's share (tally.share).
 func (c *Controller) nextShare(z *zone, fleetShare float64, step stepResult) (share float64, reason string) {
 	doubled := min(2*z.share, max(2*fleetShare, z.share))
 	switch {
--- a/internal/policy/zonefailover/state.go
+++ b/internal/policy/zonefailover/state.go
@@ -1,19 +1,19 @@
 package zonefailover
 
-// State is a named part of a zone's course, as this router sees it.
+// State is the state of a zone at this router.
 type State uint8
 
-// The states, in the order in which a zone goes through them. Their numbers are those of the messages between routers.
+// The states, in the order in which a zone goes through them. Messages between routers encode their numbers.
 const (
 	Serving    State = iota // serves all of its keys
-	Suspected               // serves all of its keys, though this router or others have had no answer there for a while
+	Suspected               // serves all of its keys, although attempts of this or other routers there get no answer
 	Evacuated               // serves no keys
-	Probing                 // evacuated, and this router is one of the few that probe it now
-	Recovering              // serves a growing share of its keys
+	Probing                 // evacuated, and this router is one of the few that currently probe it
+	Recovering              // serves a growing fraction of its keys
 )
 
-// stateTexts are the states' names in logs and in the admin server's answers, which operators and dashboards read. They
-// stay as they have always been:
+// stateTexts are the states' names in logs and in the admin server's answers. Operators and dashboards match them, so
+// they must not change:
 //
 //	text       state
 //	well       Serving
@@ -22,8 +22,8 @@
 //	tried      Probing
 //	returning  Recovering
 //
-// In the texts of reasons "left" and "let it return" stand for evacuated and recovering likewise, "by hand" for an
-// operator's call, "tried" for probed, "executions" for attempts and "turned away" for rejected.
+// The texts of reasons use the same words: "left" stands for evacuated, "let it return" for recovering, "by hand" for
+// an operator's call, "tried" for probed, "executions" for attempts and "turned away" for rejected.
 var stateTexts = [...]string{
 	Serving:    "well",
 	Suspected:  "suspected",
@@ -32,21 +32,21 @@
 	Recovering: "returning",
 }
 
-// String returns the state's name as logs and the admin server have it.
+// String returns the state's name in logs and in the admin server's answers.
 func (s State) String() string { return stateTexts[s] }
 
-// evacuated reports whether a zone in this state has no keys but those of probes.
+// evacuated reports whether a zone in this state serves no keys except those of probes.
 func (s State) evacuated() bool { return s == Evacuated || s == Probing }
 
-// Outcome is how an attempt ended, as far as it says something of its zone.
+// Outcome is how an attempt ended, as evidence about its zone.
 type Outcome uint8
 
 // The outcomes.
 const (
 	Answered     Outcome = iota // within its latency objective
-	Late                        // answered beyond it
+	Late                        // answered after its latency objective
 	Overloaded                  // rejected by the server
-	NoAnswer                    // no answer, no connection, or the connection was lost
+	NoAnswer                    // not answered: timed out, not connected, or the connection was lost
 	Inconclusive                // cancelled by this router itself, or never sent
 )
 
@@ -54,27 +54,27 @@
 type Change struct {
 	Zone     string
 	From, To State
-	Share    float64 // of its keys that the zone serves from now on, 0 to 1
+	Share    float64 // fraction of its keys that the zone serves from now on, 0 to 1
 	Reason   string
 }
 
-// Status is what is known of one zone.
+// Status describes one zone for operators.
 type Status struct {
 	Zone             string
 	State            State
-	Share            float64 // of its keys that the zone serves, 0 to 1
+	Share            float64 // fraction of its keys that the zone serves, 0 to 1
 	Since            float64 // when the state began, in seconds of the caller's clock
 	Reason           string  // of the last change
 	OperatorOverride bool    // evacuated by an operator
-	Servers          int     // that the endpoint list has in service
-	VotesAgainst     int     // routers that have had no answer there since all others
-	VotesFor         int     // routers that have had one later
-	RoutersHeard     int     // routers heard of lately, this one among them
-	Evacuations      int     // of late
+	Servers          int     // in service, by the endpoint list
+	VotesAgainst     int     // routers whose attempts there get no answer
+	VotesFor         int     // routers with a later answer
+	RoutersHeard     int     // routers heard from recently, including this one
+	Evacuations      int     // recent ones, see historyRetention
 	Transitions      uint64  // evacuations and recoveries begun since the start
 }
 
-// Reasons of changes that carry no numbers. Logs and the admin server show them.
+// Reasons of changes without numbers. Logs and the admin server show them.
 const (
 	reasonInitial     = "as usual" // of a new zone
 	reasonOperator    = "by hand"  // an operator's override, its end, or StartRecovery
--- a/internal/policy/zonefailover/transition.go
+++ b/internal/policy/zonefailover/transition.go
@@ -1,7 +1,6 @@
 package zonefailover
 
-// transition moves a zone to a state and a share of its keys, and notes the change. Without a difference it does
-// nothing.
+// transition sets a zone's state and share and records the change. It does nothing if both stay the same.
 func (c *Controller) transition(now float64, z *zone, to State, share float64, reason string) {
 	from := z.state
 	if to == from && share == z.share {
@@ -34,7 +33,7 @@
 	z.announcement.pendingMessages = transitionAnnouncements
 }
 
-// enterRecovery also forgets what failed before: it does not count in the recovery.
+// enterRecovery also discards earlier failures: they are no evidence in the recovery.
 func (z *zone) enterRecovery(now float64) {
 	z.evidence.failingSince = 0
 	z.history.recoveryBegan = now
--- a/internal/policy/zonefailover/zone.go
+++ b/internal/policy/zonefailover/zone.go
@@ -2,15 +2,15 @@
 
 import "math"
 
-// zone is what this router knows and has decided of one zone.
+// zone is the state of one zone at this router.
 type zone struct {
 	name             string
-	hash             uint32 // of the name, as messages have it
-	servers          int    // that the endpoint list has in service
+	hash             uint32 // of the name, as encoded in messages
+	servers          int    // in service, by the endpoint list
 	operatorOverride bool   // evacuated by an operator
 
 	state       State
-	share       float64 // of its keys, 0 to 1
+	share       float64 // fraction of its keys that the zone serves, 0 to 1
 	since       float64 // when the state began
 	reason      string
 	transitions uint64
@@ -22,48 +22,48 @@
 	announcement announcement
 }
 
-// evidence is what this router has seen of a zone itself. Times are by its own clock.
+// evidence holds this router's own observations of a zone. Times are by its own clock.
 type evidence struct {
 	lastAnswer      float64 // 0: never
-	failingSince    float64 // when the first attempt after the last answer began that had no answer; 0: there is none
+	failingSince    float64 // start of the first attempt after the last answer that got no answer; 0: there is none
 	sufficientSince float64 // since when the votes against the zone suffice; 0: they do not
 }
 
-// history is how a zone failed and recovered before.
+// history holds a zone's earlier evacuations and recoveries.
 type history struct {
 	evacuatedAt   float64
-	recoveryBegan float64 // evidence from before it is over
+	recoveryBegan float64 // evidence from before this time is ignored
 	recoveredAt   float64
-	evacuations   int // of late
+	evacuations   int // recent ones, see historyRetention
 }
 
-// stepCounts are the attempts of one step of a recovery.
+// stepCounts counts the attempts of one step of a recovery.
 type stepCounts struct {
 	answered int
-	degraded int // late, rejected or without an answer
+	degraded int // late, rejected or unanswered
 }
 
-// isDegraded reports whether so many attempts were degraded that the zone is taken not to bear its share: at least
-// minDegradedAttempts, and more than a quarter of those that were answered.
+// isDegraded reports whether so many attempts were degraded that the zone counts as overloaded by its share: at least
+// minDegradedAttempts, and more than a quarter of the answered attempts.
 func (s stepCounts) isDegraded() bool {
 	return s.degraded >= minDegradedAttempts && degradedDivisor*s.degraded > s.answered
 }
 
-// step is the present step of a recovery.
+// step is the current step of a recovery.
 type step struct {
 	began    float64
 	counts   stepCounts
-	previous stepCounts // of the step before, which others are told of
+	previous stepCounts // of the step before, which messages carry
 }
 
-// announcement is what other routers still have to be told of a zone.
+// announcement tracks what messages still have to report of a zone.
 type announcement struct {
-	pendingMessages int     // messages that are to carry the zone
-	newFailure      bool    // it has begun to fail since a message last carried it
-	lastSent        float64 // when a message last carried it
+	pendingMessages int     // messages that still have to carry the zone
+	newFailure      bool    // the zone has begun to fail since a message last carried it
+	lastSent        float64 // when a message last carried the zone
 }
 
-// newZone makes a zone that serves all of its keys.
+// newZone returns a zone that serves all of its keys.
 func newZone(name string) *zone {
 	return &zone{
 		name:     name,
@@ -75,7 +75,7 @@
 	}
 }
 
-// recordFailure notes that an attempt had no answer. One that began before the last answer is no evidence.
+// recordFailure records that an attempt got no answer. An attempt that began before the last answer is no evidence.
 func (z *zone) recordFailure(attemptBegan float64) {
 	if attemptBegan <= z.evidence.lastAnswer || z.evidence.failingSince != 0 {
 		return
@@ -84,18 +84,18 @@
 	z.announcement.newFailure = true
 }
 
-// beginStep starts to count anew how attempts in the zone go.
+// beginStep starts the next step of a recovery with zero counts.
 func (z *zone) beginStep(now float64) {
 	z.step = step{began: now, previous: z.step.counts}
 }
 
-// holdTime is how long the zone stays evacuated before it is probed, in seconds.
+// holdTime returns how long the zone stays evacuated before it is probed, in seconds.
 func (z *zone) holdTime() float64 {
 	doublings := max(0, z.history.evacuations-1)
 	return minHoldTime * math.Pow(2, float64(doublings))
 }
 
-// failedRecently reports whether the zone failed so lately that fewer votes evacuate it again.
+// failedRecently reports whether the zone failed so recently that fewer votes evacuate it again.
 func (z *zone) failedRecently(now float64) bool {
 	if z.history.evacuations == 0 {
 		return false
