--- a/internal/disabledservers/golden_test.go
+++ b/internal/disabledservers/golden_test.go
@@ -39,11 +39,11 @@
 	path := filepath.Join(t.TempDir(), "out")
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	for _, id := range []string{"s-1", "s-2", "10.0.0.1:11211", "ünïcode"} {
-		if err := registry.Update(id, true, soon()); err != nil {
+		if err := registry.Update(id, true, farDeadline()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := registry.Update("s-1", false, soon()); err != nil {
+	if err := registry.Update("s-1", false, farDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	registry.Close()
@@ -79,7 +79,7 @@
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	defer registry.Close()
-	lock := held(t, path+".lock")
+	lock := mustLock(t, path+".lock")
 	defer lock.Close()
 	texts = append(texts, registry.Update("s-2", true, time.Now()).Error())
 	texts = append(texts, registry.Update("s-1", false, time.Now()).Error())
--- a/internal/disabledservers/registry_test.go
+++ b/internal/disabledservers/registry_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// next returns the next value, or the zero value if none comes.
-func next[T any](from chan T) (value T) {
+// receive returns the receive value, or the zero value if none comes.
+func receive[T any](from chan T) (value T) {
 	select {
 	case value = <-from:
 	case <-time.After(3 * time.Second):
@@ -28,8 +28,8 @@
 	return filepath.Join(t.TempDir(), "bendtrestle-17416036.out")
 }
 
-// opened returns a registry, and the sets that it reports, each as one text; the first is what Open returned.
-func opened(t *testing.T, path string) (*Registry, chan string) {
+// openRegistry returns a registry, and the sets that it reports, each as one text; the first is what Open returned.
+func openRegistry(t *testing.T, path string) (*Registry, chan string) {
 	reported := make(chan string, 1000)
 	registry, ids := Open(path, func(ids []string) { reported <- strings.Join(ids, " ") }, zerolog.Nop())
 	t.Cleanup(registry.Close)
@@ -37,37 +37,37 @@
 	return registry, reported
 }
 
-// soon is a deadline far beyond what a busy machine needs.
-func soon() time.Time { return time.Now().Add(time.Minute) }
+// farDeadline is a deadline far beyond what a busy machine needs.
+func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
 // An update of one process reaches the other, whichever writes, and one that starts later; of concurrent updates none
 // is lost.
 func TestRegistryOfTwoProcesses(t *testing.T) {
 	path := registryPath(t)
-	first, reportedByFirst := opened(t, path)
-	second, reportedBySecond := opened(t, path)
+	first, reportedByFirst := openRegistry(t, path)
+	second, reportedBySecond := openRegistry(t, path)
 	waitFor := func(reported chan string, want string) {
 		t.Helper()
 		for got := "?"; got != want; {
-			got = next(reported)
+			got = receive(reported)
 			if got == "" && want != "" && len(reported) == 0 {
 				t.Fatalf("%q does not come", want)
 			}
 		}
 	}
-	next(reportedBySecond)
-	first.Update("s-1", true, soon())
+	receive(reportedBySecond)
+	first.Update("s-1", true, farDeadline())
 	waitFor(reportedBySecond, "s-1")
-	second.Update("s-2", true, soon())
-	second.Update("s-2", true, soon())
+	second.Update("s-2", true, farDeadline())
+	second.Update("s-2", true, farDeadline())
 	waitFor(reportedByFirst, "s-1 s-2")
-	second.Update("s-1", false, soon())
+	second.Update("s-1", false, farDeadline())
 	waitFor(reportedByFirst, "s-2")
 	done := make(chan bool)
 	for i, registry := range []*Registry{first, second} {
 		go func() {
 			for j := range 40 {
-				if err := registry.Update(fmt.Sprint("s-", i, "-", j), true, soon()); err != nil {
+				if err := registry.Update(fmt.Sprint("s-", i, "-", j), true, farDeadline()); err != nil {
 					t.Error(err)
 				}
 			}
@@ -76,7 +76,7 @@
 	}
 	<-done
 	<-done
-	_, reported := opened(t, path)
+	_, reported := openRegistry(t, path)
 	if ids := strings.Fields(<-reported); len(ids) != 81 {
 		t.Errorf("%d are disabled, want 81", len(ids))
 	}
@@ -103,22 +103,22 @@
 		{"another user's file", otherUsers, "", true, nil},
 		{"no list", large, strings.Repeat("x ", maxDisabled-1) + "x", false, ErrTooMany},
 	} {
-		registry, reported := opened(t, c.path)
-		if first := next(reported); first != c.first {
+		registry, reported := openRegistry(t, c.path)
+		if first := receive(reported); first != c.first {
 			t.Errorf("%s: at first %.20q are disabled", c.name, first)
 		}
-		err := registry.Update("s-1", true, soon())
+		err := registry.Update("s-1", true, farDeadline())
 		if c.persisted != (err == nil) || c.err != nil && err != c.err {
 			t.Errorf("%s: an update gets %v", c.name, err)
 		}
-		if c.err == nil && next(reported) != "s-1" {
+		if c.err == nil && receive(reported) != "s-1" {
 			t.Errorf("%s: the update does not hold", c.name)
 		}
 	}
 }
 
-// held locks one of a registry's lock files, as another process does.
-func held(t *testing.T, path string) *os.File {
+// mustLock locks one of a registry's lock files, as another process does.
+func mustLock(t *testing.T, path string) *os.File {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err == nil {
@@ -130,8 +130,8 @@
 	return file
 }
 
-// contents returns the entries of a registry's file, as one text.
-func contents(path string) string {
+// fileEntries returns the entries of a registry's file, as one text.
+func fileEntries(path string) string {
 	text, _ := os.ReadFile(path)
 	return strings.Join(strings.Fields(string(text)), " ")
 }
@@ -146,11 +146,11 @@
 		reason error
 	}{
 		{"another process writes", func(path string) func() {
-			lock := held(t, path+".lock")
+			lock := mustLock(t, path+".lock")
 			return func() { lock.Close() }
 		}, ErrLockTimeout},
 		{"another process waits", func(path string) func() {
-			queue := held(t, path+".turn")
+			queue := mustLock(t, path+".turn")
 			return func() { queue.Close() }
 		}, ErrLockTimeout},
 		{"no lock file", func(path string) func() {
@@ -160,7 +160,7 @@
 	} {
 		path := registryPath(t)
 		os.WriteFile(path, []byte("s-1\ns-2\n"), 0o600)
-		registry, _ := opened(t, path)
+		registry, _ := openRegistry(t, path)
 		unblock := c.block(path)
 		os.WriteFile(path, []byte("s-1\ns-2\ns-3\n"), 0o600) // what the other process writes now
 		if err := registry.Update("s-4", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, c.reason) {
@@ -169,7 +169,7 @@
 		if err := registry.Update("s-1", false, time.Now()); !errors.Is(err, ErrUnchanged) || !errors.Is(err, c.reason) {
 			t.Errorf("%s: enabling gets %v", c.name, err)
 		}
-		if got := contents(path); got != "s-1 s-2 s-3" {
+		if got := fileEntries(path); got != "s-1 s-2 s-3" {
 			t.Errorf("%s: the file holds %q", c.name, got)
 		}
 		if ids := registry.IDs(); !slices.Contains(ids, "s-1") || !slices.Contains(ids, "s-4") {
@@ -177,11 +177,11 @@
 		}
 		unblock()
 		for id, disabled := range map[string]bool{"s-4": true, "s-1": false} {
-			if err := registry.Update(id, disabled, soon()); err != nil {
+			if err := registry.Update(id, disabled, farDeadline()); err != nil {
 				t.Errorf("%s: repeated it gets %v", c.name, err)
 			}
 		}
-		if got := contents(path); got != "s-2 s-3 s-4" || strings.Join(registry.IDs(), " ") != got {
+		if got := fileEntries(path); got != "s-2 s-3 s-4" || strings.Join(registry.IDs(), " ") != got {
 			t.Errorf("%s: the file holds %q then, %q are disabled here", c.name, got, registry.IDs())
 		}
 	}
@@ -190,10 +190,10 @@
 // An update whose lock is released while it waits is written behind what the other process wrote.
 func TestLockReleasedWhileAnUpdateWaits(t *testing.T) {
 	path := registryPath(t)
-	registry, _ := opened(t, path)
-	lock := held(t, path+".lock")
+	registry, _ := openRegistry(t, path)
+	lock := mustLock(t, path+".lock")
 	done := make(chan error, 1)
-	go func() { done <- registry.Update("s-2", true, soon()) }()
+	go func() { done <- registry.Update("s-2", true, farDeadline()) }()
 	queue, err := os.OpenFile(path+".turn", os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
 		t.Fatal(err)
@@ -205,8 +205,8 @@
 	}
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
 	lock.Close()
-	if err := <-done; err != nil || contents(path) != "s-1 s-2" {
-		t.Errorf("it gets %v, and the file holds %q", err, contents(path))
+	if err := <-done; err != nil || fileEntries(path) != "s-1 s-2" {
+		t.Errorf("it gets %v, and the file holds %q", err, fileEntries(path))
 	}
 }
 
@@ -216,41 +216,41 @@
 	// Its lock file has a name, that of its next version would be too long.
 	long := filepath.Join(t.TempDir(), strings.Repeat("x", 250))
 	os.WriteFile(long, []byte("s-1\n"), 0o600)
-	registry, reported := opened(t, long)
-	next(reported)
-	err := registry.Update("s-2", true, soon())
-	if !errors.Is(err, ErrLocalOnly) || next(reported) != "s-1 s-2" || contents(long) != "s-1" {
-		t.Errorf("disabling gets %v, and the file holds %q", err, contents(long))
+	registry, reported := openRegistry(t, long)
+	receive(reported)
+	err := registry.Update("s-2", true, farDeadline())
+	if !errors.Is(err, ErrLocalOnly) || receive(reported) != "s-1 s-2" || fileEntries(long) != "s-1" {
+		t.Errorf("disabling gets %v, and the file holds %q", err, fileEntries(long))
 	}
-	err = registry.Update("s-1", false, soon())
+	err = registry.Update("s-1", false, farDeadline())
 	if !errors.Is(err, ErrUnchanged) || strings.Join(registry.IDs(), " ") != "s-1 s-2" {
 		t.Errorf("enabling gets %v, and %q are disabled", err, registry.IDs())
 	}
 	os.WriteFile(long, []byte("s-1\ns-3\n"), 0o600)
 	for got := ""; got != "s-1 s-3 s-2"; {
-		if got = next(reported); got == "" {
+		if got = receive(reported); got == "" {
 			t.Fatalf("%q are disabled", registry.IDs())
 		}
 	}
-	err = registry.Update("s-2", false, soon())
+	err = registry.Update("s-2", false, farDeadline())
 	if err != nil || strings.Join(registry.IDs(), " ") != "s-1 s-3" {
 		t.Errorf("enabling what is disabled here only gets %v, and %q are disabled", err, registry.IDs())
 	}
 
 	folder := filepath.Join(t.TempDir(), "folder") // can be opened, but not read
 	os.Mkdir(folder, 0o700)
-	registry, _ = opened(t, folder)
-	err = registry.Update("s-1", true, soon())
+	registry, _ = openRegistry(t, folder)
+	err = registry.Update("s-1", true, farDeadline())
 	if !errors.Is(err, ErrLocalOnly) || !errors.Is(err, unix.EISDIR) {
 		t.Errorf("with a file that cannot be read it gets %v", err)
 	}
 
 	overfull := filepath.Join(t.TempDir(), "many")
 	os.WriteFile(overfull, slices.Repeat([]byte("x\n"), maxDisabled+1), 0o600)
-	registry, _ = opened(t, overfull)
-	err = registry.Update("x", false, soon())
-	if err != ErrTooMany || strings.Count(contents(overfull), "x") != maxDisabled+1 {
-		t.Errorf("with more than the bound enabling gets %v, and %d are left", err, strings.Count(contents(overfull), "x"))
+	registry, _ = openRegistry(t, overfull)
+	err = registry.Update("x", false, farDeadline())
+	if err != ErrTooMany || strings.Count(fileEntries(overfull), "x") != maxDisabled+1 {
+		t.Errorf("with more than the bound enabling gets %v, and %d are left", err, strings.Count(fileEntries(overfull), "x"))
 	}
 }
 
@@ -271,9 +271,9 @@
 	if err := os.WriteFile(path, []byte("s-3\n"), 0); err != nil {
 		t.Fatal(err)
 	}
-	err := registry.Update("s-2", true, soon())
-	if err != nil || contents(path) != "s-3 s-1 s-2" || strings.Join(registry.IDs(), " ") != contents(path) {
-		t.Errorf("then it gets %v, the file holds %q, and %q are disabled", err, contents(path), registry.IDs())
+	err := registry.Update("s-2", true, farDeadline())
+	if err != nil || fileEntries(path) != "s-3 s-1 s-2" || strings.Join(registry.IDs(), " ") != fileEntries(path) {
+		t.Errorf("then it gets %v, the file holds %q, and %q are disabled", err, fileEntries(path), registry.IDs())
 	}
 }
 
@@ -283,14 +283,14 @@
 	if err := unix.Mkfifo(path, 0o600); err != nil { // opening it waits for a writer
 		t.Fatal(err)
 	}
-	registry, reported := opened(t, path)
+	registry, reported := openRegistry(t, path)
 	if first := <-reported; first != "" {
 		t.Errorf("at first %q are disabled", first)
 	}
 	if err := os.WriteFile(path, []byte("s-1\n"), 0); err != nil {
 		t.Fatal(err)
 	}
-	if got := next(reported); got != "s-1" || strings.Join(registry.IDs(), " ") != got {
+	if got := receive(reported); got != "s-1" || strings.Join(registry.IDs(), " ") != got {
 		t.Errorf("then %q are disabled, %q was reported", registry.IDs(), got)
 	}
 	if file, err := os.OpenFile(path, os.O_RDWR, 0); err == nil { // no poll is to wait any more
@@ -311,12 +311,12 @@
 		os.Chtimes(path, modified, modified)
 	}
 	writeInPlace("s-1\n")
-	registry, reported := opened(t, path)
-	next(reported)
+	registry, reported := openRegistry(t, path)
+	receive(reported)
 	registry.mu.Lock() // no poll between the bytes and the time
 	writeInPlace("s-2\n")
 	registry.mu.Unlock()
-	if got := next(reported); got != "s-2" {
+	if got := receive(reported); got != "s-2" {
 		t.Errorf("it takes %q", got)
 	}
 }
--- a/internal/disabledservers/update.go
+++ b/internal/disabledservers/update.go
@@ -104,7 +104,7 @@
 // persist reads, changes and replaces the file under a lock, or changes nothing. Without the lock, or from a file that
 // cannot be read, it could undo what the other process has written.
 func (r *Registry) persist(u *update) error {
-	if !r.becomeWriter(u.deadline) {
+	if !r.acquireWriter(u.deadline) {
 		return ErrLockTimeout
 	}
 	defer func() { <-r.writer }()
@@ -158,8 +158,8 @@
 	return text, ids, nil
 }
 
-// becomeWriter waits for the turn among the calls of this process; false: it has not come by the deadline.
-func (r *Registry) becomeWriter(deadline time.Time) bool {
+// acquireWriter waits for the turn among the calls of this process; false: it has not come by the deadline.
+func (r *Registry) acquireWriter(deadline time.Time) bool {
 	select {
 	case r.writer <- struct{}{}:
 		return true
--- a/internal/policy/pollschedule/backoff.go
+++ b/internal/policy/pollschedule/backoff.go
@@ -8,8 +8,8 @@
 	maxSpread = 1.5
 )
 
-// chanceRange is one more than the largest number that a draw gives.
-const chanceRange = 1 << 32
+// randomRange is one more than the largest number that a draw gives.
+const randomRange = 1 << 32
 
 // Backoff is the waits of one caller after failures, in seconds. Each call that is made too early is one that the
 // service rejects, and so is the next.
@@ -33,14 +33,14 @@
 // is down does not tell that it is full, and the caller has waited already: the wait does not grow.
 func (b *Backoff) AfterTimeout(limit float64) float64 {
 	wait := max(0, min(max(b.wait, b.Initial), limit/maxSpread))
-	return wait * (minSpread + b.chance())
+	return wait * (minSpread + b.randomFraction())
 }
 
 // Reset handles that a call succeeded: the next wait is the first one again.
 func (b *Backoff) Reset() { b.wait = 0 }
 
-// chance draws a number from 0 up to, not including, 1. The n-th depends on the seed and n alone.
-func (b *Backoff) chance() float64 {
+// randomFraction draws a number from 0 up to, not including, 1. The n-th depends on the seed and n alone.
+func (b *Backoff) randomFraction() float64 {
 	b.draws++
-	return float64(seedhash.Mix(b.Seed, b.draws)) / chanceRange
+	return float64(seedhash.Mix(b.Seed, b.draws)) / randomRange
 }
--- a/internal/policy/pollschedule/helpers_test.go
+++ b/internal/policy/pollschedule/helpers_test.go
@@ -6,27 +6,27 @@
 	"slices"
 )
 
-// fateKind is what becomes of a poll.
-type fateKind string
+// pollOutcome is what becomes of a poll.
+type pollOutcome string
 
 const (
-	hasNews  fateKind = "news"     // a list with the change
-	noNews   fateKind = "no news"  // a list without it
-	fails    fateKind = "failed"   // rejected, cut or malformed
-	outdated fateKind = "outdated" // a list that is behind what is known
-	hangs    fateKind = "hangs"    // for ever
+	changedList   pollOutcome = "news"     // a list with the change
+	unchangedList pollOutcome = "no news"  // a list without it
+	fails         pollOutcome = "failed"   // rejected, cut or malformed
+	outdated      pollOutcome = "outdated" // a list that is behind what is known
+	hangs         pollOutcome = "hangs"    // for ever
 )
 
-// fate is what becomes of a poll, so many seconds from its start.
-type fate struct {
-	kind  fateKind
+// pollResult is what becomes of a poll, so many seconds from its start.
+type pollResult struct {
+	kind  pollOutcome
 	after float64
 }
 
-// openPoll is one that has not ended.
-type openPoll struct {
+// pollInFlight is one that has not ended.
+type pollInFlight struct {
 	number int
-	fate
+	pollResult
 	endsAt float64
 }
 
@@ -34,17 +34,17 @@
 // so many seconds after they started. What it answers in its first seconds is behind what is known, and the first
 // polls that could be answered may be rejected.
 type simulatedService struct {
-	fates        []fate
-	answersAfter float64
-	lagsUntil    float64
-	rejects      int
+	results       []pollResult
+	answerTime    float64
+	outdatedUntil float64
+	rejections    int
 }
 
 // simulation is a poller and a simulated service.
 type simulation struct {
 	poller    *Poller
 	service   simulatedService
-	open      []openPoll
+	inFlight  []pollInFlight
 	timer     float64 // when the last poll's answer is late, or a wait is over
 	polls     int
 	changedAt float64 // right after the last fated poll's start: no other moment is as long before the next poll
@@ -61,7 +61,7 @@
 			sim.timeOut()
 			continue
 		}
-		ended := sim.open[i]
+		ended := sim.inFlight[i]
 		if sim.end(ended) {
 			return sim.firstPoll, ended.endsAt - sim.changedAt
 		}
@@ -71,36 +71,36 @@
 
 func (sim *simulation) start(now float64) {
 	poll := sim.poller.Start(now)
-	fate := sim.nextFate(now)
+	fate := sim.nextResult(now)
 	sim.polls++
-	if sim.polls == len(sim.service.fates) {
+	if sim.polls == len(sim.service.results) {
 		sim.changedAt = now
 	}
 	if fate.kind == hangs || fate.after > poll.Lifetime {
 		fate.kind = fails
 		fate.after = poll.Lifetime
 	}
-	sim.open = append(sim.open, openPoll{poll.Number, fate, now + fate.after})
+	sim.inFlight = append(sim.inFlight, pollInFlight{poll.Number, fate, now + fate.after})
 	sim.timer = now + poll.Timeout
 }
 
-func (sim *simulation) nextFate(now float64) fate {
-	fated := len(sim.service.fates)
+func (sim *simulation) nextResult(now float64) pollResult {
+	fated := len(sim.service.results)
 	if sim.polls < fated {
-		return sim.service.fates[sim.polls]
+		return sim.service.results[sim.polls]
 	}
 	sim.firstPoll = min(sim.firstPoll, now-sim.changedAt)
-	if sim.polls < fated+sim.service.rejects {
-		return fate{fails, 0.003}
+	if sim.polls < fated+sim.service.rejections {
+		return pollResult{fails, 0.003}
 	}
-	return fate{hasNews, sim.service.answersAfter}
+	return pollResult{changedList, sim.service.answerTime}
 }
 
 // nextToEnd returns the open poll that ends first, if that is before the timer; -1: there is none.
 func (sim *simulation) nextToEnd() int {
 	first := -1
-	for i, poll := range sim.open {
-		if poll.endsAt <= sim.timer && (first < 0 || poll.endsAt < sim.open[first].endsAt) {
+	for i, poll := range sim.inFlight {
+		if poll.endsAt <= sim.timer && (first < 0 || poll.endsAt < sim.inFlight[first].endsAt) {
 			first = i
 		}
 	}
@@ -119,19 +119,19 @@
 }
 
 // end ends a poll, and reports whether it brought the news.
-func (sim *simulation) end(poll openPoll) bool {
+func (sim *simulation) end(poll pollInFlight) bool {
 	sim.close(poll.number)
 	if !sim.poller.OnEnd(poll.number) {
 		return false
 	}
 	kind := poll.kind
-	if kind == hasNews && poll.endsAt < sim.service.lagsUntil {
+	if kind == changedList && poll.endsAt < sim.service.outdatedUntil {
 		kind = outdated
 	}
 	switch kind {
-	case hasNews:
+	case changedList:
 		return true
-	case noNews:
+	case unchangedList:
 		sim.close(sim.poller.OnList()...)
 		sim.start(poll.endsAt)
 	default:
@@ -141,13 +141,13 @@
 }
 
 func (sim *simulation) close(numbers ...int) {
-	sim.open = slices.DeleteFunc(sim.open, func(poll openPoll) bool { return slices.Contains(numbers, poll.number) })
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(poll pollInFlight) bool { return slices.Contains(numbers, poll.number) })
 }
 
 // sequences calls f with each sequence of up to longest fates, from the shortest on.
-func sequences(fates []fate, longest int, f func([]fate)) {
-	var grow func(to []fate)
-	grow = func(to []fate) {
+func sequences(fates []pollResult, longest int, f func([]pollResult)) {
+	var grow func(to []pollResult)
+	grow = func(to []pollResult) {
 		if len(to) > 0 {
 			f(to)
 		}
@@ -161,65 +161,65 @@
 }
 
 const (
-	crowdDownUntil  = 8    // seconds for which the service of a crowd is down
-	crowdQueue      = 2    // seconds for which it queues polls
-	crowdRejectCost = 0.25 // of a poll that is answered
-	crowdGiveUp     = 60   // seconds after its return
+	serviceDownUntil   = 8    // seconds for which the service of a crowd is down
+	serviceMaxQueueing = 2    // seconds for which it queues polls
+	rejectionCost      = 0.25 // of a poll that is answered
+	fleetTimeout       = 60   // seconds after its return
 )
 
-// crowd is many routers that poll one shared service. It is down at first, refusing or silent, and then takes so many
+// simulatedFleet is many routers that poll one shared service. It is down at first, refusing or silent, and then takes so many
 // polls a second: it queues them, rejects at a lower cost what would wait longer, and goes on answering who was given
 // up.
-type crowd struct {
-	routers  []crowdRouter
-	rate     float64
-	silent   bool
-	busy     float64 // until when the service has work
-	rejected int
+type simulatedFleet struct {
+	routers   []simulatedRouter
+	rate      float64
+	silent    bool
+	busyUntil float64 // until when the service has work
+	rejected  int
 }
 
-type crowdRouter struct {
-	poller *Poller
-	poll   int
-	timer  float64 // when its poll is late or its wait over
-	endsAt float64 // of its poll
-	listed bool    // whether that brings a list
+type simulatedRouter struct {
+	poller     *Poller
+	poll       int
+	timer      float64 // when its poll is late or its wait over
+	endsAt     float64 // of its poll
+	bringsList bool    // whether that brings a list
 }
 
-// newCrowd starts the routers' polls at some time while the service is down.
-func newCrowd(routers int, rate float64, silent bool) *crowd {
-	c := &crowd{routers: make([]crowdRouter, routers), rate: rate, silent: silent}
+// newSimulatedFleet starts the routers' polls at some time while the service is down.
+func newSimulatedFleet(routers int, rate float64, silent bool) *simulatedFleet {
+	c := &simulatedFleet{routers: make([]simulatedRouter, routers), rate: rate, silent: silent}
 	chance := rand.New(rand.NewPCG(1, 2))
 	for i := range c.routers {
-		c.routers[i] = crowdRouter{poller: NewPoller(ForSharedService(10, chance.Uint32()))}
-		c.start(&c.routers[i], crowdDownUntil*chance.Float64())
+		c.routers[i] = simulatedRouter{poller: NewPoller(ForSharedService(10, chance.Uint32()))}
+		c.start(&c.routers[i], serviceDownUntil*chance.Float64())
 	}
 	return c
 }
 
-func (c *crowd) start(router *crowdRouter, now float64) {
+func (c *simulatedFleet) start(router *simulatedRouter, now float64) {
 	poll := router.poller.Start(now)
 	router.poll = poll.Number
 	router.timer = now + poll.Timeout
 	router.endsAt = now + 0.001
-	router.listed = false
-	c.busy = max(c.busy, now)
+	router.bringsList = false
+	c.busyUntil = max(c.busyUntil, now)
 	switch {
-	case now < crowdDownUntil && c.silent:
+	case now < serviceDownUntil && c.silent:
 		router.endsAt = math.Inf(1)
-	case now < crowdDownUntil:
-	case c.busy+1/c.rate-now <= crowdQueue:
-		c.busy += 1 / c.rate
-		router.endsAt = c.busy
-		router.listed = true
+	case now < serviceDownUntil:
+	case c.busyUntil+1/c.rate-now <= serviceMaxQueueing:
+		c.busyUntil += 1 / c.rate
+		router.endsAt = c.busyUntil
+		router.bringsList = true
 	default:
-		c.busy += crowdRejectCost / c.rate
+		c.busyUntil += rejectionCost / c.rate
 		c.rejected++
 	}
 }
 
 // next returns the router at which something happens first.
-func (c *crowd) next() *crowdRouter {
+func (c *simulatedFleet) next() *simulatedRouter {
 	next := &c.routers[0]
 	for i := range c.routers {
 		other := &c.routers[i]
@@ -232,11 +232,11 @@
 
 // run runs until each router has a list. It gives when the last got it, in seconds from the service's return, and how
 // many polls were rejected.
-func (c *crowd) run() (last float64, rejected int) {
+func (c *simulatedFleet) run() (last float64, rejected int) {
 	for waiting := len(c.routers); waiting > 0; {
 		router := c.next()
 		now := min(router.timer, router.endsAt)
-		if now > crowdDownUntil+crowdGiveUp {
+		if now > serviceDownUntil+fleetTimeout {
 			return math.Inf(1), c.rejected
 		}
 		if router.endsAt > now || !router.poller.OnEnd(router.poll) {
@@ -244,19 +244,19 @@
 			continue
 		}
 		router.endsAt = math.Inf(1)
-		if !router.listed {
+		if !router.bringsList {
 			router.timer = now + router.poller.OnFailure(now, false)
 			continue
 		}
 		router.poller.OnList()
 		router.timer = math.Inf(1) // its long poll goes on
-		last = now - crowdDownUntil
+		last = now - serviceDownUntil
 		waiting--
 	}
 	return last, c.rejected
 }
 
-func (c *crowd) timeOut(router *crowdRouter, now float64) {
+func (c *simulatedFleet) timeOut(router *simulatedRouter, now float64) {
 	verdict := router.poller.OnTimeout(now)
 	router.endsAt = math.Inf(1)
 	router.timer = now + verdict.Wait
--- a/internal/policy/pollschedule/poller.go
+++ b/internal/policy/pollschedule/poller.go
@@ -4,13 +4,13 @@
 
 // Poller decides when to poll a list service, and which polls still count.
 type Poller struct {
-	schedule    Schedule
-	inFlight    []int // the numbers of the polls that count, the oldest first
-	started     int
-	lastStarted float64 // when the last one was
-	silent      bool    // the last poll had no answer in time
-	silentTwice bool    // nor had the one before it
-	failed      bool    // a poll failed since the last list
+	schedule      Schedule
+	inFlight      []int // the numbers of the polls that count, the oldest first
+	started       int
+	lastStarted   float64 // when the last one was
+	timedOut      bool    // the last poll had no answer in time
+	timedOutTwice bool    // nor had the one before it
+	failed        bool    // a poll failed since the last list
 }
 
 // Poll is one that is to be sent. Times are in seconds from its start.
@@ -21,8 +21,8 @@
 	Lifetime     float64 // then it ends at the latest: where all others are rejected at once nothing else would end it
 }
 
-// TimeoutVerdict is what is to be done at a timeout.
-type TimeoutVerdict struct {
+// TimeoutAction is what is to be done at a timeout.
+type TimeoutAction struct {
 	Abandon int     // the poll that is to be given up; 0: none
 	Wait    float64 // seconds until the next poll is to start; 0: at once
 	Late    bool    // an answer is late; else a wait is over
@@ -43,36 +43,36 @@
 		Timeout:      timeout,
 		Lifetime:     max(p.schedule.MinLifetime, 2*timeout),
 	}
-	if p.single() {
+	if p.onePollAtATime() {
 		// The poll may stand in a full service's queue: were it held as well, it would be taken for silent.
-		if p.silent || p.failed {
+		if p.timedOut || p.failed {
 			poll.LongPollWait = 0
 		}
 		return poll
 	}
-	if p.silent {
+	if p.timedOut {
 		poll.LongPollWait = 0
 		poll.Timeout = p.schedule.RetryInterval
 	}
 	return poll
 }
 
-// single reports whether there is one poll at a time.
-func (p *Poller) single() bool { return p.schedule.MaxInFlight == 1 }
+// onePollAtATime reports whether there is one poll at a time.
+func (p *Poller) onePollAtATime() bool { return p.schedule.MaxInFlight == 1 }
 
 // OnTimeout handles the end of the time for the last poll's answer, or for a wait.
-func (p *Poller) OnTimeout(now float64) TimeoutVerdict {
+func (p *Poller) OnTimeout(now float64) TimeoutAction {
 	if len(p.inFlight) == 0 {
-		return TimeoutVerdict{}
+		return TimeoutAction{}
 	}
-	p.silentTwice = p.silent
-	p.silent = true
-	verdict := TimeoutVerdict{Late: true}
+	p.timedOutTwice = p.timedOut
+	p.timedOut = true
+	verdict := TimeoutAction{Late: true}
 	if len(p.inFlight) < p.schedule.MaxInFlight {
 		return verdict
 	}
 	verdict.Abandon = p.abandon()
-	if p.single() && p.silentTwice {
+	if p.onePollAtATime() && p.timedOutTwice {
 		verdict.Wait = p.schedule.Backoff.AfterTimeout(p.untilDue(now))
 	}
 	return verdict
@@ -116,8 +116,8 @@
 func (p *Poller) OnList() (abandon []int) {
 	abandon = p.inFlight
 	p.inFlight = nil
-	p.silent = false
-	p.silentTwice = false
+	p.timedOut = false
+	p.timedOutTwice = false
 	p.failed = false
 	p.schedule.Backoff.Reset()
 	return abandon
--- a/internal/policy/pollschedule/pollschedule_test.go
+++ b/internal/policy/pollschedule/pollschedule_test.go
@@ -162,34 +162,34 @@
 	})
 }
 
-// fates are what may become of a poll that a schedule doubts after so long: refused at its dial, rejected, not
+// possibleResults are what may become of a poll that a schedule doubts after so long: refused at its dial, rejected, not
 // connected, broken, malformed or cut in the middle of its body, at once or just before it is doubted; silent; a list
 // without the news, at once or after the long poll; a list that is behind.
-func fates(doubtedAfter float64) []fate {
-	return []fate{
+func possibleResults(doubtedAfter float64) []pollResult {
+	return []pollResult{
 		{fails, 0},
 		{fails, 0.003},
 		{fails, 0.2 * doubtedAfter},
 		{fails, 0.8 * doubtedAfter},
 		{fails, 0.999 * doubtedAfter},
 		{hangs, 0},
-		{noNews, 0.003},
-		{noNews, 0.8 * doubtedAfter},
+		{unchangedList, 0.003},
+		{unchangedList, 0.8 * doubtedAfter},
 		{outdated, 0.003},
 		{outdated, 0.999 * doubtedAfter},
 	}
 }
 
 // checkKnown fails where a change is not known in time, or not polled for.
-func checkKnown(t errorReporter, name string, s Schedule, fates []fate, answersAfter, bound float64) {
-	firstPoll, known := simulate(s, simulatedService{fates: fates, answersAfter: answersAfter})
+func checkKnown(t errorReporter, name string, s Schedule, fates []pollResult, answersAfter, bound float64) {
+	firstPoll, known := simulate(s, simulatedService{results: fates, answerTime: answersAfter})
 	if firstPoll > s.MaxInterval+1e-9 || known > bound {
 		t.Errorf("%s: after %v the next poll starts %v s after the change, which is known after %v s",
 			name, fates, firstPoll, known)
 	}
 }
 
-func checkAgent(t errorReporter, grace float64, seed uint32, fates []fate) {
+func checkAgent(t errorReporter, grace float64, seed uint32, fates []pollResult) {
 	s := ForLocalAgent(grace, seed)
 	for _, answersAfter := range []float64{0.3, 1, 2, 2.999} {
 		checkKnown(t, "local agent", s, fates, answersAfter, 6)
@@ -197,7 +197,7 @@
 	checkKnown(t, "local agent", s, fates, 0.0005, min(max(grace, 0.1), 1))
 }
 
-func checkSharedService(t errorReporter, interval float64, seed uint32, fates []fate) {
+func checkSharedService(t errorReporter, interval float64, seed uint32, fates []pollResult) {
 	for _, answersAfter := range []float64{0.001, 0.5, 2, 2.499} {
 		checkKnown(t, "shared service", ForSharedService(interval, seed), fates, answersAfter, 6)
 	}
@@ -210,18 +210,18 @@
 func TestNothingBeforeHidesAChange(t *testing.T) {
 	for seed := uint32(1); seed < 4; seed++ {
 		for _, grace := range []float64{0, 0.1, 0.25, 0.5, 1, 30} {
-			sequences(fates(ForLocalAgent(grace, 1).MaxInterval), 3, func(f []fate) { checkAgent(t, grace, seed, f) })
+			sequences(possibleResults(ForLocalAgent(grace, 1).MaxInterval), 3, func(f []pollResult) { checkAgent(t, grace, seed, f) })
 		}
 		for _, interval := range []float64{0, 0.5, 1, 4, 10, 1000} {
-			sequences(fates(2.5), 3, func(f []fate) { checkSharedService(t, interval, seed, f) })
+			sequences(possibleResults(2.5), 3, func(f []pollResult) { checkSharedService(t, interval, seed, f) })
 		}
 	}
 	rapid.Check(t, func(t *rapid.T) {
 		grace := rapid.Float64Range(0, 2).Draw(t, "grace")
 		interval := rapid.Float64Range(0, 20).Draw(t, "interval")
 		seed := rapid.Uint32().Draw(t, "seed")
-		draw := func(doubtedAfter float64) []fate {
-			return rapid.SliceOfN(rapid.SampledFrom(fates(doubtedAfter)), 1, 20).Draw(t, "fates")
+		draw := func(doubtedAfter float64) []pollResult {
+			return rapid.SliceOfN(rapid.SampledFrom(possibleResults(doubtedAfter)), 1, 20).Draw(t, "fates")
 		}
 		checkAgent(t, grace, seed, draw(ForLocalAgent(grace, seed).MaxInterval))
 		checkSharedService(t, interval, seed, draw(2.5))
@@ -233,8 +233,8 @@
 func TestAPollRejectedAfterSilenceCostsNoMoreThanIsPromised(t *testing.T) {
 	for _, interval := range []float64{0, 1, 4, 10, 1000} {
 		for seed := uint32(1); seed < 100; seed++ {
-			sequences([]fate{{hangs, 0}, {noNews, 0.003}}, 5, func(f []fate) {
-				service := simulatedService{fates: f, answersAfter: 0.5, rejects: 1}
+			sequences([]pollResult{{hangs, 0}, {unchangedList, 0.003}}, 5, func(f []pollResult) {
+				service := simulatedService{results: f, answerTime: 0.5, rejections: 1}
 				if _, known := simulate(ForSharedService(interval, seed), service); known > 6 {
 					t.Errorf("interval %v: after %v and a poll that is rejected it is known after %v s", interval, f, known)
 				}
@@ -248,16 +248,16 @@
 func TestAServiceThatLagsHidesAChangeNoLonger(t *testing.T) {
 	for seed := uint32(1); seed < 4; seed++ {
 		for _, grace := range []float64{0.1, 0.5, 1} {
-			sequences(fates(ForLocalAgent(grace, 1).MaxInterval), 2, func(f []fate) {
-				service := simulatedService{fates: f, answersAfter: 0.001, lagsUntil: 2}
+			sequences(possibleResults(ForLocalAgent(grace, 1).MaxInterval), 2, func(f []pollResult) {
+				service := simulatedService{results: f, answerTime: 0.001, outdatedUntil: 2}
 				if _, known := simulate(ForLocalAgent(grace, seed), service); known > 4 {
 					t.Errorf("grace %v: after %v it is known after %v s", grace, f, known)
 				}
 			})
 		}
 		for _, interval := range []float64{0, 1, 4, 10} {
-			sequences(fates(2.5), 2, func(f []fate) {
-				service := simulatedService{fates: f, answersAfter: 2, lagsUntil: 2}
+			sequences(possibleResults(2.5), 2, func(f []pollResult) {
+				service := simulatedService{results: f, answerTime: 2, outdatedUntil: 2}
 				if _, known := simulate(ForSharedService(interval, seed), service); known > 6 {
 					t.Errorf("interval %v: after %v it is known after %v s", interval, f, known)
 				}
@@ -285,7 +285,7 @@
 		{"silent, slow", true, 10, 40, 10 * routers},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			last, rejected := newCrowd(routers, routers/c.takes, c.silent).run()
+			last, rejected := newSimulatedFleet(routers, routers/c.takes, c.silent).run()
 			t.Logf("takes all in %v s: the last is answered after %.1f s, %d are rejected", c.takes, last, rejected)
 			if last > c.last || rejected > c.rejected {
 				t.Errorf("takes all in %v s: the last is answered after %.1f s, %d are rejected", c.takes, last, rejected)
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -11,8 +11,8 @@
 
 	// writeInterval is between two copies. A shorter one wears the disk, and what is kept is as good a second later.
 	writeInterval = time.Second
-	// restFactor times as long as a copy took, no other one is begun: a slow disk is left alone for most of the time.
-	restFactor = 4
+	// pauseFactor times as long as a copy took, no other one is begun: a slow disk is left alone for most of the time.
+	pauseFactor = 4
 )
 
 // writeCopies writes a copy whenever something was put, until Close, and then a last one.
@@ -32,14 +32,14 @@
 		s.logChange(err, failing)
 		failing = err != nil
 		if open {
-			s.rest(took)
+			s.pause(took)
 		}
 	}
 }
 
-func (s *Store) rest(took time.Duration) {
+func (s *Store) pause(took time.Duration) {
 	select {
-	case <-time.After(max(writeInterval, restFactor*took)):
+	case <-time.After(max(writeInterval, pauseFactor*took)):
 	case <-s.closing:
 	}
 }
