--- a/internal/policy/fleetsize/doc.go
+++ b/internal/policy/fleetsize/doc.go
@@ -1,5 +1,6 @@
-// Package fleetsize estimates how many routers there are, by those that are heard.
+// Package fleetsize estimates the number of routers in the fleet from the messages received from other routers.
 //
-// An Estimator is stepped: what is heard goes in with its time, the number comes out. It does no I/O and reads no
-// clock; it belongs to one goroutine, the event loop of its process. Times are float64 seconds of the caller's clock.
+// An Estimator is a state machine driven by its caller: messages go in with their time, the fleet size comes out. It
+// does no I/O and reads no clock. It belongs to one goroutine, the event loop of its process. Times are float64 seconds
+// of the caller's clock.
 package fleetsize
--- a/internal/policy/fleetsize/estimator.go
+++ b/internal/policy/fleetsize/estimator.go
@@ -1,30 +1,30 @@
 package fleetsize
 
 const (
-	// silenceTimeout is the time in seconds after which a silent router counts no more. Routers that have something
-	// to say say it each second or two: longer counts routers that have gone, shorter drops those whose messages are
-	// lost.
+	// silenceTimeout is the time in seconds after which a silent router is no longer counted. Routers that send
+	// messages send one each second or two. A longer timeout counts stopped routers, a shorter one drops routers whose
+	// messages are lost.
 	silenceTimeout = 10.0
-	// maxRouters bounds the other routers that are kept, several times the largest fleet: whoever claims to be more
-	// lies.
+	// maxRouters bounds the stored senders. It is several times the largest fleet; more senders than that can't be
+	// genuine.
 	maxRouters = 4096
-	// expiryInterval is the time in seconds between two looks at who is silent.
+	// expiryInterval is the time in seconds between two searches for silent routers.
 	expiryInterval = 1.0
 )
 
-// Estimator is one router's view of how many there are. Address tells the others apart.
+// Estimator is one router's estimate of the fleet size. Address identifies the other routers.
 type Estimator[Address comparable] struct {
 	configured int
-	lastHeard  map[Address]float64 // of each of the others
+	lastHeard  map[Address]float64 // when each other router was last heard from
 	lastExpiry float64
 }
 
-// New makes an Estimator for a fleet that has so many routers by its settings; values below 1 count as 1.
+// New returns an Estimator for a configured fleet size; values below 1 count as 1.
 func New[Address comparable](configured int) *Estimator[Address] {
 	return &Estimator[Address]{configured: max(1, configured), lastHeard: map[Address]float64{}}
 }
 
-// OnMessage handles that another router was heard.
+// OnMessage handles a message from another router.
 func (e *Estimator[Address]) OnMessage(now float64, from Address) {
 	_, known := e.lastHeard[from]
 	if known || len(e.lastHeard) < maxRouters {
@@ -32,8 +32,8 @@
 	}
 }
 
-// Size is how many routers there are, this one included: those that are heard, but never fewer than configured, as
-// one that is silent may be cut off, and sends as much as any other.
+// Size returns the number of routers, including this one: the routers heard from, but at least the configured number. A
+// silent router may only be cut off from this one, and sends as many requests to the servers as any other.
 func (e *Estimator[Address]) Size(now float64) int {
 	if now-e.lastExpiry >= expiryInterval || now < e.lastExpiry {
 		e.expire(now)
@@ -41,7 +41,7 @@
 	return max(e.configured, len(e.lastHeard)+1)
 }
 
-// expire forgets the routers that are silent.
+// expire removes the routers that have been silent for silenceTimeout.
 func (e *Estimator[Address]) expire(now float64) {
 	e.lastExpiry = now
 	for from, at := range e.lastHeard {
--- a/internal/policy/fleetsize/estimator_test.go
+++ b/internal/policy/fleetsize/estimator_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Fewer than configured are silent ones; more count from when they are heard until they have been silent for long; the
-// number of senders that are kept is bounded.
-func TestSize(t *testing.T) {
+// The size is at least the configured one, because silent routers still send requests. Routers beyond it count from
+// their first message until silenceTimeout after their last. The number of stored senders is bounded.
+func TestSizeCountsConfiguredAndHeardRouters(t *testing.T) {
 	for _, c := range []struct {
 		name              string
 		configured, heard int
@@ -12,16 +12,16 @@
 		want              int
 	}{
 		{"nothing configured", 0, 0, 0, 1},
-		{"nobody heard", 30, 0, 0, 30},
+		{"none heard", 30, 0, 0, 30},
 		{"some heard", 30, 10, 0, 30},
 		{"all heard", 30, 29, 0, 30},
 		{"one more heard", 30, 30, 0, 31},
 		{"many more heard", 30, 299, 0, 300},
-		{"just not silent for long", 30, 299, 9.9, 300},
-		{"silent for long", 30, 299, 10, 30},
+		{"silent for less than the timeout", 30, 299, 9.9, 300},
+		{"silent for the timeout", 30, 299, 10, 30},
 		{"one configured", 1, 3, 2, 4},
-		{"more than are kept", 30, 100000, 0, 4097},
-		{"more than are kept, silent for long", 30, 100000, 10, 30},
+		{"more than the bound", 30, 100000, 0, 4097},
+		{"more than the bound, silent for the timeout", 30, 100000, 10, 30},
 	} {
 		t.Run(c.name, func(t *testing.T) {
 			estimator := New[int](c.configured)
@@ -29,14 +29,14 @@
 				estimator.OnMessage(5, from)
 			}
 			if got := estimator.Size(5 + c.later); got != c.want {
-				t.Errorf("%d routers, want %d", got, c.want)
+				t.Errorf("got size %d, want %d", got, c.want)
 			}
 		})
 	}
 }
 
-// A router that goes on speaking goes on counting, once.
-func TestSizeCountsASpeakerOnce(t *testing.T) {
+// A router that keeps sending messages counts once, and for as long as it sends them.
+func TestSizeCountsEachSenderOnce(t *testing.T) {
 	estimator := New[string](1)
 	for now := 0.0; now < 100; now += 3 {
 		estimator.OnMessage(now, "a")
@@ -48,7 +48,7 @@
 			want = 2
 		}
 		if got := estimator.Size(now); got != want {
-			t.Errorf("at %v there are %d routers, want %d", now, got, want)
+			t.Errorf("at %v: got size %d, want %d", now, got, want)
 		}
 	}
 }
--- a/internal/policy/pollschedule/golden_test.go
+++ b/internal/policy/pollschedule/golden_test.go
@@ -2,7 +2,8 @@
 
 import "testing"
 
-// Routers of two builds have to spread alike, so the draws are those of the build of 15122f5, to the last bit.
+// The waits equal those of commit 15122f5 to the last bit, because routers of different builds have to spread their
+// polls in the same way.
 func TestGoldenWaits(t *testing.T) {
 	for _, c := range []struct {
 		seed uint32
--- a/internal/policy/pollschedule/helpers_test.go
+++ b/internal/policy/pollschedule/helpers_test.go
@@ -6,53 +6,52 @@
 	"slices"
 )
 
-// pollOutcome is what becomes of a poll.
+// pollOutcome is the kind of a poll's result.
 type pollOutcome string
 
 const (
-	changedList   pollOutcome = "news"     // a list with the change
-	unchangedList pollOutcome = "no news"  // a list without it
-	fails         pollOutcome = "failed"   // rejected, cut or malformed
-	outdated      pollOutcome = "outdated" // a list that is behind what is known
-	hangs         pollOutcome = "hangs"    // for ever
+	changedList   pollOutcome = "changed list"   // a list with the change
+	unchangedList pollOutcome = "unchanged list" // a list without the change
+	fails         pollOutcome = "failed"         // rejected, truncated or malformed
+	outdated      pollOutcome = "outdated"       // a list older than the current one
+	hangs         pollOutcome = "hangs"          // never answered
 )
 
-// pollResult is what becomes of a poll, so many seconds from its start.
+// pollResult is the result of a poll and its time.
 type pollResult struct {
 	kind  pollOutcome
-	after float64
+	after float64 // seconds from the poll's start
 }
 
-// pollInFlight is one that has not ended.
+// pollInFlight is a poll that has not ended.
 type pollInFlight struct {
 	number int
 	pollResult
 	endsAt float64
 }
 
-// simulatedService is a list service: the first polls are fated, those that start later are answered with the news,
-// so many seconds after they started. What it answers in its first seconds is behind what is known, and the first
-// polls that could be answered may be rejected.
+// simulatedService is a list service. Its first polls have given results; later polls are answered with the changed
+// list.
 type simulatedService struct {
-	results       []pollResult
-	answerTime    float64
-	outdatedUntil float64
-	rejections    int
+	results       []pollResult // of the first polls
+	answerTime    float64      // seconds from the start of a later poll to its answer
+	outdatedUntil float64      // seconds until which its lists are older than the current one
+	rejections    int          // number of later polls that it rejects first
 }
 
-// simulation is a poller and a simulated service.
+// simulation connects a poller and a simulated service.
 type simulation struct {
 	poller    *Poller
 	service   simulatedService
 	inFlight  []pollInFlight
-	timer     float64 // when the last poll's answer is late, or a wait is over
+	timer     float64 // when the last poll's answer is late, or a wait ends
 	polls     int
-	changedAt float64 // right after the last fated poll's start: no other moment is as long before the next poll
-	firstPoll float64 // how long after that the first of the others started
+	changedAt float64 // start of the last poll with a given result: as long before the next poll as possible
+	firstPoll float64 // seconds from changedAt to the start of the first later poll
 }
 
-// simulate polls a service by a schedule until the news is known. It gives how long after the news was there the
-// first poll that is not fated started, and how long until the news was known.
+// simulate polls a service by a schedule until the poller has the changed list. It returns the seconds from the change
+// to the start of the first poll after those with given results, and to the arrival of the changed list.
 func simulate(schedule Schedule, service simulatedService) (firstPoll, known float64) {
 	sim := &simulation{poller: NewPoller(schedule), service: service, changedAt: math.Inf(1), firstPoll: math.Inf(1)}
 	for range 1000 {
@@ -71,32 +70,32 @@
 
 func (sim *simulation) start(now float64) {
 	poll := sim.poller.Start(now)
-	fate := sim.nextResult(now)
+	result := sim.nextResult(now)
 	sim.polls++
 	if sim.polls == len(sim.service.results) {
 		sim.changedAt = now
 	}
-	if fate.kind == hangs || fate.after > poll.Lifetime {
-		fate.kind = fails
-		fate.after = poll.Lifetime
+	if result.kind == hangs || result.after > poll.Lifetime {
+		result.kind = fails
+		result.after = poll.Lifetime
 	}
-	sim.inFlight = append(sim.inFlight, pollInFlight{poll.Number, fate, now + fate.after})
+	sim.inFlight = append(sim.inFlight, pollInFlight{poll.Number, result, now + result.after})
 	sim.timer = now + poll.Timeout
 }
 
 func (sim *simulation) nextResult(now float64) pollResult {
-	fated := len(sim.service.results)
-	if sim.polls < fated {
+	given := len(sim.service.results)
+	if sim.polls < given {
 		return sim.service.results[sim.polls]
 	}
 	sim.firstPoll = min(sim.firstPoll, now-sim.changedAt)
-	if sim.polls < fated+sim.service.rejections {
+	if sim.polls < given+sim.service.rejections {
 		return pollResult{fails, 0.003}
 	}
 	return pollResult{changedList, sim.service.answerTime}
 }
 
-// nextToEnd returns the open poll that ends first, if that is before the timer; -1: there is none.
+// nextToEnd returns the index of the poll in flight that ends first. It returns -1 if none ends before the timer.
 func (sim *simulation) nextToEnd() int {
 	first := -1
 	for i, poll := range sim.inFlight {
@@ -109,16 +108,16 @@
 
 func (sim *simulation) timeOut() {
 	now := sim.timer
-	verdict := sim.poller.OnTimeout(now)
-	sim.close(verdict.Abandon)
-	if verdict.Wait > 0 {
-		sim.timer = now + verdict.Wait
+	action := sim.poller.OnTimeout(now)
+	sim.close(action.Abandon)
+	if action.Wait > 0 {
+		sim.timer = now + action.Wait
 		return
 	}
 	sim.start(now)
 }
 
-// end ends a poll, and reports whether it brought the news.
+// end ends a poll, and reports whether it returned the changed list.
 func (sim *simulation) end(poll pollInFlight) bool {
 	sim.close(poll.number)
 	if !sim.poller.OnEnd(poll.number) {
@@ -141,18 +140,20 @@
 }
 
 func (sim *simulation) close(numbers ...int) {
-	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(poll pollInFlight) bool { return slices.Contains(numbers, poll.number) })
+	sim.inFlight = slices.DeleteFunc(sim.inFlight, func(poll pollInFlight) bool {
+		return slices.Contains(numbers, poll.number)
+	})
 }
 
-// sequences calls f with each sequence of up to longest fates, from the shortest on.
-func sequences(fates []pollResult, longest int, f func([]pollResult)) {
+// sequences calls f with each sequence of 1 to longest of the results.
+func sequences(results []pollResult, longest int, f func([]pollResult)) {
 	var grow func(to []pollResult)
 	grow = func(to []pollResult) {
 		if len(to) > 0 {
 			f(to)
 		}
 		if len(to) < longest {
-			for _, next := range fates {
+			for _, next := range results {
 				grow(append(to[:len(to):len(to)], next))
 			}
 		}
@@ -161,68 +162,68 @@
 }
 
 const (
-	serviceDownUntil   = 8    // seconds for which the service of a crowd is down
-	serviceMaxQueueing = 2    // seconds for which it queues polls
-	rejectionCost      = 0.25 // of a poll that is answered
-	fleetTimeout       = 60   // seconds after its return
+	serviceDownUntil   = 8    // seconds for which the shared service is down
+	serviceMaxQueueing = 2    // seconds for which it queues polls at most
+	rejectionCost      = 0.25 // of the cost of an answered poll
+	fleetTimeout       = 60   // seconds after the service is up again
 )
 
-// simulatedFleet is many routers that poll one shared service. It is down at first, refusing or silent, and then takes so many
-// polls a second: it queues them, rejects at a lower cost what would wait longer, and goes on answering who was given
-// up.
+// simulatedFleet is many routers that poll one shared service. The service is down at first: it refuses connections or
+// does not answer. Then it answers polls at a limited rate. It queues polls, rejects those that would wait longer at a
+// lower cost, and also spends time on polls that were abandoned.
 type simulatedFleet struct {
 	routers   []simulatedRouter
-	rate      float64
-	silent    bool
-	busyUntil float64 // until when the service has work
+	rate      float64 // polls a second that the service answers
+	silent    bool    // while down it does not answer; otherwise it refuses connections
+	busyUntil float64 // end of the work queued at the service
 	rejected  int
 }
 
 type simulatedRouter struct {
 	poller     *Poller
 	poll       int
-	timer      float64 // when its poll is late or its wait over
-	endsAt     float64 // of its poll
-	bringsList bool    // whether that brings a list
+	timer      float64 // when its poll is late or its wait ends
+	endsAt     float64 // when its poll ends
+	bringsList bool    // the poll returns a list
 }
 
-// newSimulatedFleet starts the routers' polls at some time while the service is down.
+// newSimulatedFleet starts the routers' polls at random times while the service is down.
 func newSimulatedFleet(routers int, rate float64, silent bool) *simulatedFleet {
-	c := &simulatedFleet{routers: make([]simulatedRouter, routers), rate: rate, silent: silent}
-	chance := rand.New(rand.NewPCG(1, 2))
-	for i := range c.routers {
-		c.routers[i] = simulatedRouter{poller: NewPoller(ForSharedService(10, chance.Uint32()))}
-		c.start(&c.routers[i], serviceDownUntil*chance.Float64())
+	f := &simulatedFleet{routers: make([]simulatedRouter, routers), rate: rate, silent: silent}
+	random := rand.New(rand.NewPCG(1, 2))
+	for i := range f.routers {
+		f.routers[i] = simulatedRouter{poller: NewPoller(ForSharedService(10, random.Uint32()))}
+		f.start(&f.routers[i], serviceDownUntil*random.Float64())
 	}
-	return c
+	return f
 }
 
-func (c *simulatedFleet) start(router *simulatedRouter, now float64) {
+func (f *simulatedFleet) start(router *simulatedRouter, now float64) {
 	poll := router.poller.Start(now)
 	router.poll = poll.Number
 	router.timer = now + poll.Timeout
 	router.endsAt = now + 0.001
 	router.bringsList = false
-	c.busyUntil = max(c.busyUntil, now)
+	f.busyUntil = max(f.busyUntil, now)
 	switch {
-	case now < serviceDownUntil && c.silent:
+	case now < serviceDownUntil && f.silent:
 		router.endsAt = math.Inf(1)
 	case now < serviceDownUntil:
-	case c.busyUntil+1/c.rate-now <= serviceMaxQueueing:
-		c.busyUntil += 1 / c.rate
-		router.endsAt = c.busyUntil
+	case f.busyUntil+1/f.rate-now <= serviceMaxQueueing:
+		f.busyUntil += 1 / f.rate
+		router.endsAt = f.busyUntil
 		router.bringsList = true
 	default:
-		c.busyUntil += rejectionCost / c.rate
-		c.rejected++
+		f.busyUntil += rejectionCost / f.rate
+		f.rejected++
 	}
 }
 
-// next returns the router at which something happens first.
-func (c *simulatedFleet) next() *simulatedRouter {
-	next := &c.routers[0]
-	for i := range c.routers {
-		other := &c.routers[i]
+// next returns the router with the earliest event.
+func (f *simulatedFleet) next() *simulatedRouter {
+	next := &f.routers[0]
+	for i := range f.routers {
+		other := &f.routers[i]
 		if min(other.timer, other.endsAt) < min(next.timer, next.endsAt) {
 			next = other
 		}
@@ -230,17 +231,17 @@
 	return next
 }
 
-// run runs until each router has a list. It gives when the last got it, in seconds from the service's return, and how
-// many polls were rejected.
-func (c *simulatedFleet) run() (last float64, rejected int) {
-	for waiting := len(c.routers); waiting > 0; {
-		router := c.next()
+// run runs until each router has a list. It returns the time at which the last router got one, in seconds after the
+// service was up again, and the number of rejected polls.
+func (f *simulatedFleet) run() (last float64, rejected int) {
+	for waiting := len(f.routers); waiting > 0; {
+		router := f.next()
 		now := min(router.timer, router.endsAt)
 		if now > serviceDownUntil+fleetTimeout {
-			return math.Inf(1), c.rejected
+			return math.Inf(1), f.rejected
 		}
 		if router.endsAt > now || !router.poller.OnEnd(router.poll) {
-			c.timeOut(router, now)
+			f.timeOut(router, now)
 			continue
 		}
 		router.endsAt = math.Inf(1)
@@ -249,18 +250,18 @@
 			continue
 		}
 		router.poller.OnList()
-		router.timer = math.Inf(1) // its long poll goes on
+		router.timer = math.Inf(1) // its next long poll is not simulated
 		last = now - serviceDownUntil
 		waiting--
 	}
-	return last, c.rejected
+	return last, f.rejected
 }
 
-func (c *simulatedFleet) timeOut(router *simulatedRouter, now float64) {
-	verdict := router.poller.OnTimeout(now)
+func (f *simulatedFleet) timeOut(router *simulatedRouter, now float64) {
+	action := router.poller.OnTimeout(now)
 	router.endsAt = math.Inf(1)
-	router.timer = now + verdict.Wait
-	if verdict.Wait == 0 {
-		c.start(router, now)
+	router.timer = now + action.Wait
+	if action.Wait == 0 {
+		f.start(router, now)
 	}
 }
--- a/internal/policy/pollschedule/poller.go
+++ b/internal/policy/pollschedule/poller.go
@@ -5,33 +5,33 @@
 // Poller decides when to poll a list service, and which polls still count.
 type Poller struct {
 	schedule      Schedule
-	inFlight      []int // the numbers of the polls that count, the oldest first
+	inFlight      []int // numbers of the polls that still count, oldest first
 	started       int
-	lastStarted   float64 // when the last one was
-	timedOut      bool    // the last poll had no answer in time
-	timedOutTwice bool    // nor had the one before it
+	lastStarted   float64 // when the last poll started
+	timedOut      bool    // the last poll was not answered in time
+	timedOutTwice bool    // nor was the one before it
 	failed        bool    // a poll failed since the last list
 }
 
-// Poll is one that is to be sent. Times are in seconds from its start.
+// Poll describes a poll to send. Times are in seconds from its start.
 type Poll struct {
-	Number       int     // from 1 on
-	LongPollWait float64 // how long the service is asked to hold it until there is news
-	Timeout      float64 // then OnTimeout is to be called, unless another call set another time meanwhile
-	Lifetime     float64 // then it ends at the latest: where all others are rejected at once nothing else would end it
+	Number       int     // counts from 1
+	LongPollWait float64 // how long the service may hold the poll until the list changes
+	Timeout      float64 // when to call OnTimeout, unless a later call returns another time
+	Lifetime     float64 // when to end the poll; needed if all other polls are rejected at once, so that none replaces it
 }
 
-// TimeoutAction is what is to be done at a timeout.
+// TimeoutAction says what to do at a timeout.
 type TimeoutAction struct {
-	Abandon int     // the poll that is to be given up; 0: none
-	Wait    float64 // seconds until the next poll is to start; 0: at once
-	Late    bool    // an answer is late; else a wait is over
+	Abandon int     // number of the poll to abandon; 0: none
+	Wait    float64 // seconds until the next poll has to start; 0: immediately
+	Late    bool    // an answer is late; otherwise a wait has ended
 }
 
-// NewPoller makes a Poller without a poll in flight.
+// NewPoller returns a Poller without a poll in flight.
 func NewPoller(schedule Schedule) *Poller { return &Poller{schedule: schedule} }
 
-// Start starts a poll.
+// Start starts a poll and returns its parameters.
 func (p *Poller) Start(now float64) Poll {
 	p.started++
 	p.lastStarted = now
@@ -44,7 +44,8 @@
 		Lifetime:     max(p.schedule.MinLifetime, 2*timeout),
 	}
 	if p.onePollAtATime() {
-		// The poll may stand in a full service's queue: were it held as well, it would be taken for silent.
+		// The poll may wait in the queue of an overloaded service. A long-poll wait in addition would exceed the
+		// timeout.
 		if p.timedOut || p.failed {
 			poll.LongPollWait = 0
 		}
@@ -57,29 +58,29 @@
 	return poll
 }
 
-// onePollAtATime reports whether there is one poll at a time.
+// onePollAtATime reports whether at most one poll may be in flight.
 func (p *Poller) onePollAtATime() bool { return p.schedule.MaxInFlight == 1 }
 
-// OnTimeout handles the end of the time for the last poll's answer, or for a wait.
+// OnTimeout handles the timeout of the last poll's answer, or the end of a wait.
 func (p *Poller) OnTimeout(now float64) TimeoutAction {
 	if len(p.inFlight) == 0 {
 		return TimeoutAction{}
 	}
 	p.timedOutTwice = p.timedOut
 	p.timedOut = true
-	verdict := TimeoutAction{Late: true}
+	action := TimeoutAction{Late: true}
 	if len(p.inFlight) < p.schedule.MaxInFlight {
-		return verdict
+		return action
 	}
-	verdict.Abandon = p.abandon()
+	action.Abandon = p.abandon()
 	if p.onePollAtATime() && p.timedOutTwice {
-		verdict.Wait = p.schedule.Backoff.AfterTimeout(p.untilDue(now))
+		action.Wait = p.schedule.Backoff.AfterTimeout(p.untilDue(now))
 	}
-	return verdict
+	return action
 }
 
-// abandon takes a poll out that counts no more, and returns its number: the second oldest, for the oldest may only be
-// slow, and the others cannot all be kept as long.
+// abandon removes a poll that counts no longer and returns its number. It abandons the second oldest: the oldest is
+// kept because its answer may only be slow, and not all polls can be kept that long.
 func (p *Poller) abandon() int {
 	i := min(1, len(p.inFlight)-1)
 	number := p.inFlight[i]
@@ -87,11 +88,11 @@
 	return number
 }
 
-// untilDue is how long the next poll may be waited with, in seconds; below 0: it is overdue.
+// untilDue returns the seconds until the next poll has to start at the latest; negative if it is overdue.
 func (p *Poller) untilDue(now float64) float64 { return p.lastStarted + p.schedule.MaxInterval - now }
 
-// OnEnd handles the end of a poll. It returns false if the poll was given up before, or one beside it has brought a
-// list: then it brings nothing new, and neither OnFailure nor OnList is to be called.
+// OnEnd handles the end of a poll. It returns false if the poll was abandoned, or if a list from a concurrent poll has
+// replaced it. The result of such a poll is ignored: call neither OnFailure nor OnList for it.
 func (p *Poller) OnEnd(number int) bool {
 	i := slices.Index(p.inFlight, number)
 	if i < 0 {
@@ -101,8 +102,8 @@
 	return true
 }
 
-// OnFailure handles that the poll that ended failed, or brought a list older than is known. It returns the seconds
-// until the next poll is to start.
+// OnFailure handles an ended poll that failed or, if outdated is set, returned a list older than the current one. It
+// returns the seconds until the next poll has to start.
 func (p *Poller) OnFailure(now float64, outdated bool) (wait float64) {
 	p.failed = true
 	if outdated {
@@ -111,8 +112,8 @@
 	return p.schedule.Backoff.AfterFailure(p.untilDue(now))
 }
 
-// OnList handles that the poll that ended brought a list, and returns the polls of no use any more. The next is
-// to start at once.
+// OnList handles an ended poll that returned a list, and returns the numbers of the other polls in flight, which are to
+// be abandoned. The next poll has to start immediately.
 func (p *Poller) OnList() (abandon []int) {
 	abandon = p.inFlight
 	p.inFlight = nil
--- a/internal/policy/pollschedule/schedule.go
+++ b/internal/policy/pollschedule/schedule.go
@@ -1,35 +1,36 @@
 package pollschedule
 
-// Schedule is when a list service is polled. Times are in seconds.
+// Schedule configures when a list service is polled. Times are in seconds.
 type Schedule struct {
-	// LongPollWait is how long the service is asked to hold a poll until there is news. Short, so that a poll that
-	// hangs is soon found; shorter polls more often.
+	// LongPollWait is how long the service may hold a poll until the list changes. It is short, so that a hanging poll
+	// is detected soon; a shorter wait polls more often.
 	LongPollWait float64
-	// AnswerTolerance is how much longer than LongPollWait an answer may take before it is in doubt. Longer finds a
-	// poll that hangs later, shorter doubts a service that is only slow.
+	// AnswerTolerance is how much longer than LongPollWait an answer may take before it counts as late. A longer time
+	// detects a hanging poll later, with a shorter one answers of a service that is only slow count as late.
 	AnswerTolerance float64
-	// RetryInterval is the time between polls while an answer is in doubt; these are not held. Only where MaxInFlight
-	// is above 1.
+	// RetryInterval is the time between polls while an answer is late; the service doesn't hold these polls. It applies
+	// only if MaxInFlight is above 1.
 	RetryInterval float64
-	// MaxInterval is the longest time from a poll's start to the next one's, whatever became of it.
+	// MaxInterval is the longest time from the start of a poll to the start of the next, regardless of its outcome.
 	MaxInterval float64
-	// OutdatedRetry is the wait before a service is polled again whose list is older than what is known.
+	// OutdatedRetry is the wait before the next poll of a service whose list is older than the current one.
 	OutdatedRetry float64
-	// MinLifetime is how long the oldest poll counts at least, for it may only be slow.
+	// MinLifetime is the minimum time for which the oldest poll is kept, because its answer may only be slow.
 	MinLifetime float64
-	// MaxInFlight is the number of polls at once, 1 or more; where one more is to start, one is given up.
+	// MaxInFlight is the maximum number of polls in flight, 1 or more. One is abandoned when a further one has to
+	// start.
 	MaxInFlight int
-	// Backoff is the waits between a poll that failed and the next.
+	// Backoff computes the wait between a failed poll and the next.
 	Backoff Backoff
 }
 
-// maxStaleness is what is promised to operators: whatever became of polls, a change is known so many seconds after
-// the service had it and could be reached.
+// maxStaleness is the bound guaranteed to operators, in seconds: regardless of the outcome of earlier polls, the router
+// knows a change at most this long after the service had it and was reachable.
 const maxStaleness = 6
 
-// The polls of an agent on the router's own machine. Times but the grace itself are parts of it.
+// Polls of an agent on the router's own machine. Times without a unit are fractions of the drain grace period.
 const (
-	minAgentGrace         = 0.1 // seconds; below it polls would be all that the agent does
+	minAgentGrace         = 0.1 // seconds; a shorter one would keep the agent busy with polls
 	maxAgentGrace         = 1   // seconds
 	agentLongPollWait     = 0.6
 	agentAnswerTolerance  = 0.3
@@ -41,26 +42,26 @@
 	maxAgentPollsInFlight = 7
 )
 
-// The polls of a service that answers all routers.
+// Polls of a service that answers all routers.
 const (
-	sharedLongPollWait     = 2   // seconds, as long as a full service lets polls wait
+	sharedLongPollWait     = 2   // seconds, as long as an overloaded service queues polls
 	sharedAnswerTolerance  = 0.5 // seconds
 	sharedOutdatedRetry    = 1   // seconds
 	minSharedInitialWait   = 0.1 // seconds
 	maxSharedInitialWait   = 1   // seconds
 	minSharedMaxWait       = 1   // seconds
 	maxSharedMaxWait       = 2   // seconds
-	sharedInitialDivisor   = 4   // the first wait is this part of the poll interval
-	sharedMaxDivisor       = 2   // the longest likewise
-	maxSharedPollsInFlight = 1   // a poll that is rejected costs the service, too
+	sharedInitialDivisor   = 4   // first wait: the poll interval divided by this
+	sharedMaxDivisor       = 2   // longest wait: the poll interval divided by this
+	maxSharedPollsInFlight = 1   // rejected polls cost the service capacity, too
 )
 
-// ForLocalAgent is the schedule for an agent on the router's own machine, which answers at once and at no cost. What
-// the agent has counts as known, whether or not a poll hangs, fails or brings a list that is behind: nothing may hide
-// it for the grace in seconds after which a server that drains may get nothing new. So a poll that is in doubt has
-// others beside it, the next starts in time after a failure, too, and the oldest poll is kept, however short the
-// grace: the one that is the oldest after it started once the agent could be reached, so an answer that takes as long
-// is heard.
+// ForLocalAgent returns the schedule for an agent on the router's own machine, which answers immediately and at no
+// cost. A draining server must get no new requests after the grace period in seconds, so a hanging or failed poll or an
+// outdated list must not delay a change that the agent already has by that long. Therefore further polls start while an
+// answer is late, and the next poll starts in time also after a failure. The oldest poll is kept for MinLifetime,
+// however short the grace period, so that also the answer of a slow agent arrives: the poll that becomes the oldest was
+// started after the agent became reachable.
 func ForLocalAgent(grace float64, seed uint32) Schedule {
 	grace = min(max(grace, minAgentGrace), maxAgentGrace)
 	return Schedule{
@@ -75,10 +76,11 @@
 	}
 }
 
-// ForSharedService is the schedule for a service that answers all routers and wants each to poll within an interval
-// in seconds. A poll that it rejects costs it too, so there is one at a time. One that is silent is given up, and the
-// next starts at once; if that is silent, too, or one fails, there is a wait before the next, which ends so early
-// that an answer as late as may be is still within maxStaleness.
+// ForSharedService returns the schedule for a service that answers all routers and expects each to poll once in
+// interval seconds. Rejected polls cost the service capacity, too, so there is one poll at a time. A poll without an
+// answer is abandoned, and the next starts immediately. If that has no answer either, or after a failed poll, the
+// Poller waits before the next. The wait ends early enough for the latest possible answer to arrive within
+// maxStaleness.
 func ForSharedService(interval float64, seed uint32) Schedule {
 	return Schedule{
 		LongPollWait:    sharedLongPollWait,
--- a/internal/policy/startup/doc.go
+++ b/internal/policy/startup/doc.go
@@ -1,9 +1,9 @@
-// Package startup decides how far a router has come since its process started, and which records of the process
-// before may still be used.
+// Package startup tracks the phases of a router's process from its start to full service, and decides which records of
+// the previous process may still be used.
 //
-// A Tracker is a state machine that is stepped (phase.go): endpoint lists and request counts go in with the time,
-// phase changes come out. It does no I/O and reads no clock; it belongs to one goroutine, the event loop of its
-// process. What is kept from one process to the next, and for how long, is a table (records.go).
+// A Tracker (phase.go) is a state machine driven by its caller: endpoint lists and request counts go in with the time,
+// phase changes come out. It does no I/O and reads no clock. It belongs to one goroutine, the event loop of its
+// process. A table (records.go) lists what is kept for the next process, and for how long.
 //
-// All times are float64 seconds: those of a Tracker by the caller's clock, those of records by the machine's.
+// All times are float64 seconds: those of a Tracker by the caller's clock, those of records by the machine's clock.
 package startup
--- a/internal/policy/startup/golden_test.go
+++ b/internal/policy/startup/golden_test.go
@@ -13,21 +13,21 @@
 rate: executions a second that servers finished here	hint	300	it allows cold servers work; what finishes now takes its place over the warm-up
 list: the last list, where the platform gives none	hint	600	its servers are used as if they had just started: which have, it cannot tell (rule 4)
 out: servers and zones out by hand	binding	0	held as they stand, in files of their own
-0.5 {listening listed servers are known from before}
-0.5 {listed confirmed the list service has told the list}
-0.5 {confirmed learning servers answer}
-3.5 {learning full 388 of 176 finished in a second}
-0.5 {listening listed servers are known from before}
-0.5 {listed confirmed the list service has told the list}
-0.5 {confirmed learning servers answer}
-61 {learning full not as usual after 60 s, which is no matter of the start any more}
-1 {listening listed servers are known from before}
-1 {listed confirmed the list service has told the list}
-5 {confirmed full hardly anything came for five seconds}
+0.5 {listening listed an endpoint list has ready servers}
+0.5 {listed confirmed the list service has returned the endpoint list}
+0.5 {confirmed learning servers answer requests}
+3.5 {learning full 388 of 176 requests were completed in a second}
+0.5 {listening listed an endpoint list has ready servers}
+0.5 {listed confirmed the list service has returned the endpoint list}
+0.5 {confirmed learning servers answer requests}
+61 {learning full too few requests are completed after 60 s; the cause is not the start}
+1 {listening listed an endpoint list has ready servers}
+1 {listed confirmed the list service has returned the endpoint list}
+5 {confirmed full hardly any requests were received for five seconds}
 `
 
-// Logs, the admin server and `check` show these texts, and records are found by their kind's name: all are those of the
-// build of 15122f5.
+// Logs, the admin server and the check command show these texts, and records in a snapshot are found by their kind's
+// name. The names, and the texts about what phases wait for and what records hold, equal those of commit 15122f5.
 func TestGoldenTexts(t *testing.T) {
 	got := ""
 	for phase := Listening; phase <= FullService; phase++ {
