--- a/internal/snapshot/doc.go
+++ b/internal/snapshot/doc.go
@@ -1,21 +1,20 @@
-// Package snapshot keeps, in a folder, what a router's next process may use of this one's knowledge: the list of
-// servers, a rate. It has no opinion on what its entries mean; the rules of their use (binding, hint) are
-// policy/startup's.
+// Package snapshot stores, in a folder, state that a router's next process may reuse: the endpoint list and a rate. It
+// does not interpret its entries; package policy/startup has the rules of their use (binding, hint).
 //
-// A Store holds a few small entries, a generation each, in memory, and writes them all to one of two copies in turn,
-// so that one copy is whole at any moment. Open reads both and takes the newest that is intact; a copy that cannot be
-// used is renamed aside and logged with a typed error that says why.
+// A Store holds a few small entries in memory, each with a generation, and writes all of them to one of two copies in
+// turn, so that one copy is intact at any moment. Open reads both copies and uses the newest intact one. A copy that
+// cannot be used is renamed, and logged with a typed error that says why.
 //
-// Nothing that happens to a file or a disk keeps a router from starting or holds it up: Open waits for the disk for
-// openTimeout at most, Get and Put never do. Copies are written on a goroutine of the store's own, one in
-// writeInterval at most, and less often on a slow disk. What was put since the last copy is lost in a kill: that of
-// the last write interval, which is a second at least, and longer on a slow disk (restFactor times what a copy takes).
+// No failure of a file or a disk prevents or delays a router's start: Open waits at most openTimeout for the disk, Get
+// and Put never wait. The store's own goroutine writes copies, at most one in writeInterval, and fewer on a slow disk.
+// A killed process loses what was put since the last copy, that is, in the last write interval. That is at least a
+// second, and longer on a slow disk (pauseFactor times the duration of a write).
 //
 // Files:
 //
-//	store.go   Store: Open, Get, Put, Close, figures
+//	store.go   Store: Open, Get, Put, Close, statistics
 //	writer.go  the goroutine that writes copies
 //	reader.go  the search for the newest intact copy
-//	codec.go   the bytes of a copy
+//	codec.go   the encoding of a copy
 //	errors.go  typed errors
 package snapshot
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -5,53 +5,54 @@
 	"fmt"
 )
 
-// Why a copy cannot be used.
+// Reasons why a copy cannot be used.
 var (
-	ErrForeign   = errors.New("it is no store of this program")
-	ErrOtherUser = errors.New("it is another user's, or no file")
+	ErrForeign   = errors.New("the file is not a snapshot of this program")
+	ErrOtherUser = errors.New("the file belongs to another user or is not a regular file")
 )
 
-// VersionError reports that a copy was written by a newer build, in a form that this one does not know.
+// VersionError reports that a newer build wrote a copy in a format that this build cannot read.
 type VersionError struct {
-	Version uint16 // of the copy's form
-	Newest  uint16 // that this build reads
+	Version uint16 // format version of the copy
+	Newest  uint16 // newest format version that this build reads
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("it was written by a newer build, version %d; this build knows up to %d", e.Version, e.Newest)
+	return fmt.Sprintf("the snapshot was written by a newer build in format version %d; this build reads versions up to %d",
+		e.Version, e.Newest)
 }
 
-// DamagedError reports that a copy is cut, changed or longer than any copy is.
+// DamagedError reports that a copy is truncated, corrupted or longer than any valid copy.
 type DamagedError struct {
-	Reason error // nil: its length or its checksum is wrong
+	Reason error // nil: the length or checksum is wrong
 }
 
 func (e *DamagedError) Error() string {
 	if e.Reason == nil {
-		return "it is damaged"
+		return "the snapshot is damaged: wrong length or checksum"
 	}
-	return "it is damaged: " + e.Reason.Error()
+	return "the snapshot is damaged: " + e.Reason.Error()
 }
 
 func (e *DamagedError) Unwrap() error { return e.Reason }
 
 // OwnerError reports that a copy belongs to another router.
 type OwnerError struct {
-	Owner string // of the copy
-	Want  string // this store's
+	Owner string // owner of the copy
+	Want  string // owner of this store
 }
 
 func (e *OwnerError) Error() string {
-	return fmt.Sprintf("it is another router's: of %q, this is %q", e.Owner, e.Want)
+	return fmt.Sprintf("the snapshot belongs to router %q; this is router %q", e.Owner, e.Want)
 }
 
-// CapacityError reports that an entry was not taken, because the store would be too large with it.
+// CapacityError reports that an entry was rejected because the store would exceed its size limit.
 type CapacityError struct {
-	Kind  string // of the entry
-	Size  int    // bytes of the store with it
-	Limit int    // bytes that a store may have
+	Kind  string // kind of the entry
+	Size  int    // size of the store with the entry in bytes
+	Limit int    // maximum size of a store in bytes
 }
 
 func (e *CapacityError) Error() string {
-	return fmt.Sprintf("entry %q would make the store %d bytes long, the limit is %d", e.Kind, e.Size, e.Limit)
+	return fmt.Sprintf("entry %q would make the snapshot %d bytes long; the limit is %d bytes", e.Kind, e.Size, e.Limit)
 }
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -15,11 +15,12 @@
 	"github.com/rs/zerolog"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
 const goldenOwner = "127.0.0.1:11211"
 
-// golden compares a text with a file that the build of 15122f5 wrote, and returns what the file holds.
+// golden compares a text with a golden file, and returns the content of the file. Commit 15122f5 wrote the files of copies
+// and of the path.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -46,12 +47,12 @@
 	}
 }
 
-// The next process may be of another build: both copies are written as they were, byte by byte, and are read as they
-// were.
+// The next process may be of another build. Therefore both copies are written as by commit 15122f5, byte for byte, and
+// copies of that build are read with the same entries.
 func TestGoldenCopies(t *testing.T) {
 	base := filepath.Join(t.TempDir(), "r")
 	var copies []string
-	for i, entry := range goldenEntries() { // a process each, which writes one copy
+	for i, entry := range goldenEntries() { // one process for each entry, which writes one copy
 		store := Open(base, goldenOwner, zerolog.Nop())
 		store.Put("list", entry)
 		store.Close(5 * time.Second)
@@ -76,13 +77,13 @@
 		entry, found := store.Get("list")
 		if !found || entry.Generation != want.Generation || entry.StoredAt != want.StoredAt || entry.Source != want.Source ||
 			!bytes.Equal(entry.Body, want.Body) {
-			t.Errorf("copy %d is read as %+v, %t", i, entry, found)
+			t.Errorf("copy %d: got entry %+v, %t, want %+v", i, entry, found, want)
 		}
 		store.Close(time.Second)
 	}
 }
 
-// Entries of several kinds are in one copy, in any order.
+// A copy holds entries of several kinds, in any order.
 func TestGoldenCopyOfTwoKinds(t *testing.T) {
 	base := filepath.Join(t.TempDir(), "r")
 	entries := goldenEntries()
@@ -115,17 +116,17 @@
 	for i, kind := range []string{"list", "rate"} {
 		entry, found := store.Get(kind)
 		if !found || entry.Generation != entries[i].Generation || !bytes.Equal(entry.Body, entries[i].Body) {
-			t.Errorf("%s is read as %+v, %t", kind, entry, found)
+			t.Errorf("%s: got entry %+v, %t, want %+v", kind, entry, found, entries[i])
 		}
 	}
 }
 
-// The folder's file is found by the address that clients connect to.
+// A router of another build finds the snapshot in the folder by the address that clients connect to.
 func TestGoldenPath(t *testing.T) {
 	golden(t, "path", filepath.Base(Path(t.TempDir(), goldenOwner)))
 }
 
-// What is logged of a copy that cannot be used says why.
+// The log line of an unusable copy says why it cannot be used.
 func TestGoldenUnusableCopies(t *testing.T) {
 	text, err := os.ReadFile(filepath.Join("testdata", "copy.store-0.golden"))
 	if err != nil {
@@ -144,7 +145,7 @@
 		name, owner string
 		text        []byte
 	}{
-		{"foreign", goldenOwner, []byte("# a file of something else")},
+		{"foreign", goldenOwner, []byte("# a file of another program")},
 		{"newer", goldenOwner, newer},
 		{"changed", goldenOwner, changed},
 		{"cut", goldenOwner, whole[:len(whole)-1]},
--- a/internal/snapshot/reader.go
+++ b/internal/snapshot/reader.go
@@ -8,10 +8,11 @@
 	"syscall"
 )
 
-// unusableEnding is put behind the name of a copy that cannot be used. Pages for operators name it.
+// unusableEnding is appended to the name of a copy that cannot be used. The documentation for operators mentions it.
 const unusableEnding = ".cannot-be-used"
 
-// newestCopy returns the newest copy that can be used, or the store as it is. The others are renamed and logged.
+// newestCopy returns the content of the newest usable copy, or the store's current content if there is none. Unusable
+// copies are renamed and logged.
 func (s *Store) newestCopy() content {
 	newest := s.content
 	for slot := range copies {
@@ -28,17 +29,17 @@
 	return newest
 }
 
-// setAside keeps a copy that cannot be used for people to look at.
+// setAside renames an unusable copy, so that an operator can examine it.
 func (s *Store) setAside(path string, reason error) {
 	s.mu.Lock()
 	s.stats.SetAside++
 	s.mu.Unlock()
-	renamed := os.Rename(path, path+unusableEnding)
-	s.log.Warn().Err(errors.Join(reason, renamed)).Str("file", path).
+	renameErr := os.Rename(path, path+unusableEnding)
+	s.log.Warn().Err(errors.Join(reason, renameErr)).Str("file", path).
 		Msg("a copy of the snapshot cannot be used and is put aside")
 }
 
-// readCopy reads a copy, of which no more than maxCopySize is held in memory.
+// readCopy reads and decodes a copy. It reads at most one byte more than maxCopySize.
 func readCopy(path, owner string) (content, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -52,18 +53,18 @@
 	if !info.Mode().IsRegular() || !ownedByThisUser(info) {
 		return content{}, ErrOtherUser
 	}
-	var text bytes.Buffer
-	length, err := io.Copy(&text, io.LimitReader(file, maxCopySize+1))
+	var data bytes.Buffer
+	length, err := io.Copy(&data, io.LimitReader(file, maxCopySize+1))
 	if err != nil {
 		return content{}, err
 	}
 	if length > maxCopySize {
 		return content{}, tooLarge()
 	}
-	return decode(text.Bytes(), owner)
+	return decode(data.Bytes(), owner)
 }
 
-// ownedByThisUser guards against files that others put into a folder that they may write to.
+// ownedByThisUser guards against files that other users create in a shared folder.
 func ownedByThisUser(info os.FileInfo) bool {
 	stat, known := info.Sys().(*syscall.Stat_t)
 	return known && int(stat.Uid) == os.Getuid()
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -11,37 +11,37 @@
 	"github.com/rs/zerolog"
 )
 
-// openTimeout is for the copies to be read at the start. A disk that is slower is not used at all.
+// openTimeout limits the time to read the copies at the start. A slower disk is not used at all.
 const openTimeout = time.Second
 
-// Store is one router's. Its methods may be called from any goroutine.
+// Store is the snapshot of one router. Its methods may be called from any goroutine.
 type Store struct {
-	base     string // of the copies' paths
-	owner    string
-	disabled bool // there is no folder, or it could not be read in time: nothing is kept
-	log      zerolog.Logger
-	changed  chan struct{} // something was put
-	closing  chan struct{}
-	written  chan struct{} // closed after the last copy
-	once     sync.Once     // of Close
+	base      string // common prefix of the copies' paths
+	owner     string
+	disabled  bool // there is no folder, or it could not be read in time: nothing is stored
+	log       zerolog.Logger
+	changed   chan struct{} // signals that an entry was put
+	closing   chan struct{}
+	written   chan struct{} // closed after the last write
+	closeOnce sync.Once
 
-	mu      sync.Mutex // never held while the disk is waited for
+	mu      sync.Mutex // never held during disk access
 	content content
-	onDisk  uint64 // number of the last copy that was written
+	onDisk  uint64 // number of the last copy written
 	stats   Stats
 }
 
-// Stats are figures of the store.
+// Stats holds statistics of a store.
 type Stats struct {
-	Written      uint64  // copies
-	Failed       uint64  // copies that could not be written
-	Rejected     uint64  // entries that the store was too full for
-	SlowestWrite float64 // seconds that a copy took
+	Written      uint64  // copies written
+	Failed       uint64  // failed writes of copies
+	Rejected     uint64  // entries rejected because the store was full
+	SlowestWrite float64 // longest duration of a write in seconds
 	SetAside     int     // copies that could not be used at the start
 }
 
-// Path names a router's store in a folder, by the address that its clients connect to; empty where there is no such
-// folder.
+// Path returns the path of a router's store in a folder. The router is identified by the address that its clients
+// connect to. Path returns "" if the folder doesn't exist.
 func Path(folder, listen string) string {
 	info, err := os.Stat(folder)
 	if folder == "" || err != nil || !info.IsDir() {
@@ -50,8 +50,8 @@
 	return filepath.Join(folder, fmt.Sprintf("bendtrestle-%08x", crc64.Checksum([]byte(listen), checksumTable)>>32))
 }
 
-// Open reads the store of a router at a path, as Path gives it; with an empty path nothing is kept. It never fails: a
-// copy that cannot be used is set aside, and a disk that does not answer within openTimeout is not used.
+// Open reads a router's store at a path returned by Path; with an empty path nothing is stored. It never fails: a copy
+// that cannot be used is renamed, and a disk that does not respond within openTimeout is not used.
 func Open(base, owner string, log zerolog.Logger) *Store {
 	s := &Store{
 		base:    base,
@@ -83,7 +83,7 @@
 
 func (s *Store) copyPath(slot int) string { return fmt.Sprintf("%s.store-%d", s.base, slot) }
 
-// Get returns the entry of a kind; false: there is none.
+// Get returns the entry of a kind, and whether there is one.
 func (s *Store) Get(kind string) (Entry, bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
@@ -91,9 +91,9 @@
 	return entry, found
 }
 
-// Put keeps an entry, which is on disk within about a second. One of a lower generation than the present one's does
-// not replace it, and with a store that keeps nothing Put does nothing; neither is an error. The error is a
-// CapacityError: the store would be too large with the entry, and is as before. Put never waits for the disk.
+// Put stores an entry and never waits for the disk; the entry is on disk after about a second. An entry of a lower
+// generation than the current one is ignored, and so is any entry if the store is disabled; neither is an error. If the
+// store would become too large, it stays unchanged and Put returns a CapacityError.
 func (s *Store) Put(kind string, entry Entry) error {
 	if s.disabled {
 		return nil
@@ -112,8 +112,8 @@
 func (s *Store) replace(kind string, entry Entry) (replaced bool, err error) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	present, found := s.content.Entries[kind]
-	if found && entry.Generation < present.Generation {
+	current, found := s.content.Entries[kind]
+	if found && entry.Generation < current.Generation {
 		return false, nil
 	}
 	size := s.content.sizeWith(kind, entry)
@@ -126,16 +126,16 @@
 	return true, nil
 }
 
-// Close writes what is not on disk yet, and waits for that, but not longer than the timeout.
+// Close writes a last copy if necessary, and waits for it, but no longer than the timeout.
 func (s *Store) Close(timeout time.Duration) {
-	s.once.Do(func() { close(s.closing) })
+	s.closeOnce.Do(func() { close(s.closing) })
 	select {
 	case <-s.written:
 	case <-time.After(timeout):
 	}
 }
 
-// Stats returns the figures.
+// Stats returns the current statistics.
 func (s *Store) Stats() Stats {
 	s.mu.Lock()
 	defer s.mu.Unlock()
--- a/internal/snapshot/store_test.go
+++ b/internal/snapshot/store_test.go
@@ -19,8 +19,8 @@
 
 func open(base string) *Store { return Open(base, "r", zerolog.Nop()) }
 
-// What was put is there for the next process, and nothing older replaces it.
-func TestKeepsTheNewestGeneration(t *testing.T) {
+// The next process reads the entry that was put, and an entry of a lower generation doesn't replace it.
+func TestNewestGenerationIsKept(t *testing.T) {
 	base := basePath(t)
 	store := open(base)
 	store.Put("rate", Entry{Generation: 7, StoredAt: 5, Body: []byte("seven")})
@@ -32,17 +32,17 @@
 	}
 }
 
-// A copy that is cut or changed at any byte, foreign, newer, or another router's: the other copy counts, this one is
-// set aside, and the start goes on.
-func TestCopyDamagedAtAnyByte(t *testing.T) {
+// If a copy is truncated or corrupted at any byte, is of another program, a newer build or another router, the start
+// succeeds with the other copy, and the unusable copy is renamed.
+func TestUnusableCopyIsSetAside(t *testing.T) {
 	base := basePath(t)
 	store := open(base)
 	encoded := func(owner string, number uint64, entry Entry) []byte {
-		text, err := encode(content{Owner: owner, Number: number, Entries: map[string]Entry{"k": entry}})
+		data, err := encode(content{Owner: owner, Number: number, Entries: map[string]Entry{"k": entry}})
 		if err != nil {
 			t.Fatal(err)
 		}
-		return text
+		return data
 	}
 	old := encoded("r", 2, Entry{Generation: 1, Body: []byte("old")})
 	newer := encoded("r", 3, Entry{Generation: 2, Body: []byte("new")})
@@ -59,12 +59,12 @@
 		flipped[i] ^= 0x10
 		unusable = append(unusable, newer[:i], flipped)
 	}
-	for i, text := range unusable {
+	for i, data := range unusable {
 		os.WriteFile(store.copyPath(0), old, 0o600)
-		os.WriteFile(store.copyPath(1), text, 0o600)
+		os.WriteFile(store.copyPath(1), data, 0o600)
 		next := open(base)
 		if entry, _ := next.Get("k"); string(entry.Body) != "old" || next.Stats().SetAside != 1 {
-			t.Fatalf("case %d: %q counts, %d set aside", i, entry.Body, next.Stats().SetAside)
+			t.Fatalf("case %d: got entry %q and %d copies set aside, want \"old\" and 1", i, entry.Body, next.Stats().SetAside)
 		}
 		if _, err := os.Stat(store.copyPath(1) + unusableEnding); err != nil {
 			t.Fatal(err)
@@ -73,46 +73,46 @@
 	}
 	os.WriteFile(store.copyPath(1), newer, 0o600)
 	if entry, _ := open(base).Get("k"); string(entry.Body) != "new" {
-		t.Errorf("the newer copy does not count: %q", entry.Body)
+		t.Errorf("got entry %q, want that of the newer copy", entry.Body)
 	}
 }
 
-// A caller can tell by type why a copy cannot be used, and why an entry was not taken.
+// A caller can distinguish by type why a copy cannot be used and why an entry was rejected.
 func TestErrorsAreTyped(t *testing.T) {
-	text, err := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{}})
+	data, err := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{}})
 	if err != nil {
 		t.Fatal(err)
 	}
-	newer := append([]byte(nil), text...)
+	newer := append([]byte(nil), data...)
 	newer[versionOffset+1] = 9
 	_, err = decode(newer, "r")
 	var version *VersionError
 	if !errors.As(err, &version) || version.Version != 9 || version.Newest != formatVersion {
-		t.Errorf("a newer build's copy gets %v", err)
+		t.Errorf("copy of a newer build: got error %v, want a VersionError", err)
 	}
-	_, err = decode(text[:len(text)-1], "r")
+	_, err = decode(data[:len(data)-1], "r")
 	var damaged *DamagedError
 	if !errors.As(err, &damaged) {
-		t.Errorf("a cut copy gets %v", err)
+		t.Errorf("truncated copy: got error %v, want a DamagedError", err)
 	}
-	_, err = decode(text, "q")
+	_, err = decode(data, "q")
 	var owner *OwnerError
 	if !errors.As(err, &owner) || owner.Owner != "r" || owner.Want != "q" {
-		t.Errorf("another router's copy gets %v", err)
+		t.Errorf("copy of another router: got error %v, want an OwnerError", err)
 	}
 	_, err = decode([]byte("# a file"), "r")
 	if !errors.Is(err, ErrForeign) {
-		t.Errorf("a file of something else gets %v", err)
+		t.Errorf("file of another program: got error %v, want %v", err, ErrForeign)
 	}
 	err = open(basePath(t)).Put("big", Entry{Body: make([]byte, maxStoreSize+1)})
 	var capacity *CapacityError
 	if !errors.As(err, &capacity) || capacity.Kind != "big" || capacity.Limit != maxStoreSize {
-		t.Errorf("an entry that is too large gets %v", err)
+		t.Errorf("entry that is too large: got error %v, want a CapacityError", err)
 	}
 }
 
-// A disk that takes nothing costs nothing but a figure.
-func TestDiskThatTakesNothing(t *testing.T) {
+// If no copy can be written, Put and Get still work in memory, and the failures are only counted.
+func TestFailedWritesAreOnlyCounted(t *testing.T) {
 	store := open(filepath.Join(basePath(t), "gone", "r"))
 	for i := range 5 {
 		store.Put("k", Entry{Generation: uint64(i), Body: []byte("x")})
@@ -123,11 +123,11 @@
 	store.Put("big", Entry{Body: make([]byte, maxCopySize)})
 	store.Close(3 * time.Second)
 	if stats := store.Stats(); stats.Failed == 0 || stats.Rejected != 1 {
-		t.Errorf("%+v", stats)
+		t.Errorf("got %+v, want failed writes and 1 rejected entry", stats)
 	}
 }
 
-// TestMain lets the test's own program be one that writes without end.
+// TestMain runs the test binary as a process that writes without end, if STORE_WRITES is set.
 func TestMain(m *testing.M) {
 	if base := os.Getenv("STORE_WRITES"); base != "" {
 		writeWithoutEnd(base)
@@ -135,7 +135,7 @@
 	os.Exit(m.Run())
 }
 
-// writeWithoutEnd writes two entries of one generation, again and again, whatever of it gets to the disk.
+// writeWithoutEnd repeatedly writes copies with two entries of the same generation, and ignores errors.
 func writeWithoutEnd(base string) {
 	store := open(base)
 	for i := uint64(1); ; i++ {
@@ -151,9 +151,9 @@
 	}
 }
 
-// A process killed at any moment of a write leaves the state before it or after it, never a mixture, and no start
-// fails.
-func TestKilledWhileWriting(t *testing.T) {
+// A process that is killed at any moment of a write leaves the state before or after the write, never a mixture, and
+// every later start reads it.
+func TestKillDuringWriteLeavesIntactCopy(t *testing.T) {
 	program, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -167,7 +167,7 @@
 		if err := cmd.Start(); err != nil {
 			t.Fatal(err)
 		}
-		out.Read(make([]byte, 16)) // it writes
+		out.Read(make([]byte, 16)) // the process has begun to write
 		time.Sleep(time.Duration(i%17) * 300 * time.Microsecond)
 		cmd.Process.Kill()
 		io.Copy(io.Discard, out)
@@ -183,18 +183,18 @@
 		last = number
 		store.Close(time.Second)
 	}
-	t.Logf("%d copies over 150 kills", last)
+	t.Logf("%d copies written over 150 kills", last)
 }
 
 func FuzzDecode(f *testing.F) {
-	text, _ := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{"k": {Generation: 1, Body: []byte("x")}}})
-	f.Add(text)
-	f.Fuzz(func(t *testing.T, text []byte) { decode(text, "r") })
+	data, _ := encode(content{Owner: "r", Number: 2, Entries: map[string]Entry{"k": {Generation: 1, Body: []byte("x")}}})
+	f.Add(data)
+	f.Fuzz(func(t *testing.T, data []byte) { decode(data, "r") })
 }
 
-// A disk that does not answer, here a pipe that nobody writes, holds no start up; what is no file of this user is not
-// read.
-func TestDiskThatHangs(t *testing.T) {
+// A hanging disk, simulated by a pipe without a writer, doesn't delay a start beyond openTimeout. A path that is not a
+// regular file of this user is not read.
+func TestHangingDiskDoesNotDelayStart(t *testing.T) {
 	base := basePath(t)
 	if err := syscall.Mkfifo(base+".store-0", 0o600); err != nil {
 		t.Fatal(err)
@@ -202,17 +202,17 @@
 	began := time.Now()
 	store := open(base)
 	if took := time.Since(began); took > 2*openTimeout {
-		t.Errorf("the start took %v", took)
+		t.Errorf("the start took %v, want at most %v", took, 2*openTimeout)
 	}
 	store.Put("k", Entry{Body: []byte("x")})
 	store.Close(time.Second)
-	pipe, err := os.OpenFile(base+".store-0", os.O_RDWR, 0) // lets the reader go, which sets it aside
+	pipe, err := os.OpenFile(base+".store-0", os.O_RDWR, 0) // unblocks the reader, which then renames the pipe
 	if err != nil {
 		t.Fatal(err)
 	}
 	pipe.Close()
 	os.Mkdir(base+".store-1", 0o700)
 	if entry, found := open(base).Get("k"); found {
-		t.Errorf("got %+v", entry)
+		t.Errorf("got entry %+v, want none", entry)
 	}
 }
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -7,15 +7,17 @@
 )
 
 const (
-	copies = 2 // written in turn: one is whole at any moment
+	copies = 2 // written in turn, so that one is intact at any moment
 
-	// writeInterval is between two copies. A shorter one wears the disk, and what is kept is as good a second later.
+	// writeInterval is the minimum time between two writes. A shorter interval wears the disk, and the entries are as
+	// useful a second later.
 	writeInterval = time.Second
-	// pauseFactor times as long as a copy took, no other one is begun: a slow disk is left alone for most of the time.
+	// pauseFactor is the minimum pause after a write, as a multiple of its duration. It keeps a slow disk idle for most
+	// of the time.
 	pauseFactor = 4
 )
 
-// writeCopies writes a copy whenever something was put, until Close, and then a last one.
+// writeCopies writes a copy whenever an entry was put, until Close, and then a last one.
 func (s *Store) writeCopies() {
 	defer close(s.written)
 	failing := false
@@ -27,30 +29,30 @@
 		}
 		began := time.Now()
 		err := s.writeCopy()
-		took := time.Since(began)
-		s.noteDuration(took)
+		duration := time.Since(began)
+		s.recordDuration(duration)
 		s.logChange(err, failing)
 		failing = err != nil
 		if open {
-			s.pause(took)
+			s.pause(duration)
 		}
 	}
 }
 
-func (s *Store) pause(took time.Duration) {
+func (s *Store) pause(writeDuration time.Duration) {
 	select {
-	case <-time.After(max(writeInterval, pauseFactor*took)):
+	case <-time.After(max(writeInterval, pauseFactor*writeDuration)):
 	case <-s.closing:
 	}
 }
 
-func (s *Store) noteDuration(took time.Duration) {
+func (s *Store) recordDuration(duration time.Duration) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.stats.SlowestWrite = max(s.stats.SlowestWrite, took.Seconds())
+	s.stats.SlowestWrite = max(s.stats.SlowestWrite, duration.Seconds())
 }
 
-// logChange logs the first of several failures in a row, and the end of them.
+// logChange logs the first of several consecutive failures, and the first success after them.
 func (s *Store) logChange(err error, failing bool) {
 	switch {
 	case err != nil && !failing:
@@ -60,7 +62,7 @@
 	}
 }
 
-// writeCopy replaces the older copy by the present content, unless that is on disk already.
+// writeCopy replaces the older copy by the current content, unless that is already on disk.
 func (s *Store) writeCopy() error {
 	s.mu.Lock()
 	number := s.content.Number
@@ -68,10 +70,10 @@
 		s.mu.Unlock()
 		return nil
 	}
-	text, err := encode(s.content)
+	data, err := encode(s.content)
 	s.mu.Unlock()
 	if err == nil {
-		err = renameio.WriteFile(s.copyPath(int(number%copies)), text, 0o600)
+		err = renameio.WriteFile(s.copyPath(int(number%copies)), data, 0o600)
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
