--- a/internal/disabledservers/file.go
+++ b/internal/disabledservers/file.go
@@ -10,10 +10,10 @@
 	"syscall"
 )
 
-// maxFileSize bounds what is read of the file, in bytes: an id has 256 at most, and a line break.
+// maxFileSize bounds the bytes read from the file: an id has at most 256, followed by a line break.
 const maxFileSize = maxDisabled * 257
 
-// parse returns the entries of the file, one a line.
+// parse returns the entries of the file, one on each line.
 func parse(text []byte) (ids []string) {
 	for line := range strings.Lines(string(text)) {
 		id := strings.TrimSpace(line)
@@ -24,12 +24,13 @@
 	return ids
 }
 
-// format returns the file's text, a line an entry.
+// format returns the file's text, with a line for each entry.
 func format(ids []string) []byte {
 	return []byte(strings.Join(append(slices.Clip(ids), ""), "\n"))
 }
 
-// readFile returns the file, up to a byte beyond maxFileSize. A file of another user is treated as missing.
+// readFile returns the content of the file, at most one byte more than maxFileSize. A file of another user counts as
+// missing.
 func readFile(path string) ([]byte, error) {
 	file, err := os.Open(path)
 	if err != nil {
@@ -46,15 +47,15 @@
 	return io.ReadAll(io.LimitReader(file, maxFileSize+1))
 }
 
-// ownedByThisUser guards against files that others put into a folder that they may write to: they must not disable
-// servers.
+// ownedByThisUser guards against files that other users create in a shared folder: other users must not be able to
+// disable servers.
 func ownedByThisUser(info os.FileInfo) bool {
 	stat, known := info.Sys().(*syscall.Stat_t)
 	return known && int(stat.Uid) == os.Getuid()
 }
 
-// writeFile replaces the file as a whole. The text is on the disk before it gets the name, so that a machine that
-// stops does not leave an empty file.
+// writeFile replaces the file atomically. The text is synced to disk before the rename, so that a crash of the machine
+// does not leave an empty file.
 func (r *Registry) writeFile(text []byte) error {
 	file, err := os.CreateTemp(filepath.Dir(r.path), filepath.Base(r.path)+".*")
 	if err != nil {
@@ -77,8 +78,8 @@
 	return nil
 }
 
-// syncDirectory puts the file's name on the disk. Both processes see the file whether or not this succeeds, so a
-// failure is only logged.
+// syncDirectory syncs the rename to disk. All processes see the new file even if this fails, so a failure is only
+// logged.
 func (r *Registry) syncDirectory() {
 	directory, err := os.Open(filepath.Dir(r.path))
 	if err != nil {
--- a/internal/disabledservers/golden_test.go
+++ b/internal/disabledservers/golden_test.go
@@ -12,9 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
-// golden compares a text with a file that the build of 15122f5 wrote, and returns what the file holds.
+// golden compares a text with a golden file, and returns the content of the file. Commit 15122f5 wrote the files of
+// disabled servers and of file names.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -34,7 +35,8 @@
 	return want
 }
 
-// The file of servers that are disabled is written as it was, and that of another build is read.
+// Processes of different builds share the file of disabled servers. It is written as by commit 15122f5, and the file
+// written by that build is read with the same entries.
 func TestGoldenFileOfDisabledServers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
@@ -65,11 +67,11 @@
 	registry, ids := Open(other, func([]string) {}, zerolog.Nop())
 	registry.Close()
 	if !slices.Equal(ids, []string{"s-2", "10.0.0.1:11211", "ünïcode"}) {
-		t.Errorf("read as %q", ids)
+		t.Errorf("got entries %q, want s-2, 10.0.0.1:11211 and ünïcode", ids)
 	}
 }
 
-// Why a call is not carried out is read by operators in the admin server's answer.
+// The admin server's answer shows operators the texts of Update's errors.
 func TestGoldenErrors(t *testing.T) {
 	var texts []string
 	for _, err := range []error{ErrTooMany, ErrLocalOnly, ErrUnchanged, ErrPending, ErrLockTimeout} {
--- a/internal/disabledservers/lock.go
+++ b/internal/disabledservers/lock.go
@@ -8,16 +8,16 @@
 )
 
 const (
-	lockRetryInterval = 2 * time.Millisecond // the other process writes for about a millisecond
+	lockRetryInterval = 2 * time.Millisecond // another process holds the lock for about a millisecond
 
-	// Endings of the lock files. Processes of other builds lock the same ones, so they never change.
+	// Suffixes of the lock files. Processes of other builds lock the same files, so the suffixes must not change.
 	queueFileEnding = ".turn"
 	lockFileEnding  = ".lock"
 )
 
-// lockFiles keeps other processes from writing the file at path until unlock is called. It takes the queue's file
-// first, and holds it while it waits for the lock: a process that writes again and again cannot get the lock before
-// one that waits.
+// lockFiles prevents other processes from writing the file at path until unlock is called. It locks the queue file
+// first and holds it while it waits for the lock file, so that a process that writes repeatedly can't starve a waiting
+// one.
 func lockFiles(path string, deadline time.Time) (unlock func(), err error) {
 	queue, err := lockFile(path+queueFileEnding, deadline)
 	if err != nil {
@@ -31,7 +31,8 @@
 	return func() { lock.Close() }, nil
 }
 
-// lockFile opens and locks a file; closing it unlocks it. The error is ErrLockTimeout where another process holds it.
+// lockFile opens and locks a file; closing the file unlocks it. The error is ErrLockTimeout if the file stays locked
+// until the deadline.
 func lockFile(path string, deadline time.Time) (*os.File, error) {
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
 	if err != nil {
--- a/internal/disabledservers/registry.go
+++ b/internal/disabledservers/registry.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	pollInterval = 100 * time.Millisecond // between two reads of the file; a small part of the drain grace period
-	openTimeout  = time.Second            // for the first read; a start must not hang on a disk
-	maxDisabled  = 1024                   // entries of the set; far more than operators disable at once
+	pollInterval = 100 * time.Millisecond // between two reads of the file; short compared with the drain grace period
+	openTimeout  = time.Second            // for the first read; a hanging disk must not block a start
+	maxDisabled  = 1024                   // entries of the set; far more than operators disable at the same time
 )
 
 // Registry is the set of entries that operators have disabled: ids of cache servers, or names of zones. Its methods
@@ -22,22 +22,22 @@
 	onChange func(ids []string)
 	log      zerolog.Logger
 	closed   chan struct{}
-	writer   chan struct{} // held by the one call of this process that has the files open
+	writer   chan struct{} // semaphore: held by the one call of this process that may write
 
-	mu        sync.Mutex // never held while a lock or the disk is waited for
-	text      []byte     // the file as last read or written
-	persisted []string   // the entries of that text
-	localOnly []string   // disabled in this process, and not persisted
-	writes    int        // completed writes, by which a read that began before one is recognised as stale
-	opened    bool       // changes are reported from now on
+	mu        sync.Mutex // never held while waiting for a lock file or the disk
+	text      []byte     // the file's content as last read or written
+	persisted []string   // entries of text
+	localOnly []string   // entries disabled in this process and not persisted
+	writes    int        // number of completed writes; detects a read that began before a write as stale
+	opened    bool       // Open has returned the first set, so changes are reported by onChange
 }
 
-// Open reads the file at path, if there is one, and polls it from then on; an empty path keeps the set in memory only.
-// It returns the registry and the present set.
+// Open reads the file at path, if it exists, and polls it from then on. With an empty path the set is kept in memory
+// only. Open returns the registry and the current set.
 //
-// OnChange is called with the whole set whenever it may have changed, from the goroutine of the poll or of an Update,
-// and never for two changes at once; it must not call back and must not block. A disk that does not answer within
-// openTimeout is not waited for: the set then comes by onChange.
+// onChange is called with the whole set whenever the set may have changed, from the goroutine of the poll or of an
+// Update, and never concurrently. It must not call the registry and must not block. Open waits at most openTimeout for
+// the disk; after that, onChange reports the set once it could be read.
 func Open(path string, onChange func(ids []string), log zerolog.Logger) (*Registry, []string) {
 	r := &Registry{
 		path:     path,
@@ -67,14 +67,14 @@
 	return r, r.all()
 }
 
-// IDs returns the present set of servers' ids or zones' names, also what is disabled in this process only.
+// IDs returns the current set, including the entries that are disabled in this process only.
 func (r *Registry) IDs() []string {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	return r.all()
 }
 
-// Close ends the poll. It does not wait for a read that is under way.
+// Close stops the polling of the file. It does not wait for a read in progress.
 func (r *Registry) Close() { close(r.closed) }
 
 func (r *Registry) pollUntilClosed() {
@@ -88,9 +88,9 @@
 	}
 }
 
-// poll reads the file and takes it in if it is new. The whole text is compared, because a file that replaces another
-// can have its inode number and its times. If the file is gone or cannot be read, the known set stays; so it does if
-// this process has written meanwhile, since the text read may be older than that.
+// poll reads the file and applies it if it has changed. It compares the whole text, because a file that replaces
+// another can have the same inode number and times. If the file is missing or cannot be read, the set stays as it is.
+// It also stays if this process has written during the read, because the text read may be older than that write.
 func (r *Registry) poll() {
 	r.mu.Lock()
 	writesBefore := r.writes
@@ -110,18 +110,18 @@
 	}
 }
 
-// apply takes in the text of the file, up to the bound. The caller holds mu.
+// apply sets the persisted entries to those of the text, up to maxDisabled. The caller holds mu.
 func (r *Registry) apply(text []byte) {
 	r.text = text
 	r.persisted = parse(text)
-	if len(r.persisted) > maxDisabled { // edited by hand
+	if len(r.persisted) > maxDisabled { // the file was edited manually
 		r.log.Warn().Int("most", maxDisabled).
-			Msg("more is disabled by operators than is allowed; the rest of the file is ignored")
+			Msg("the file of disabled servers or zones has too many entries; those beyond the limit are ignored")
 		r.persisted = r.persisted[:maxDisabled]
 	}
 }
 
-// all returns what is persisted, and then what is not. The caller holds mu.
+// all returns the persisted entries, followed by those disabled in this process only. The caller holds mu.
 func (r *Registry) all() []string {
 	all := slices.Clone(r.persisted)
 	for _, id := range r.localOnly {
--- a/internal/disabledservers/registry_test.go
+++ b/internal/disabledservers/registry_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// receive returns the receive value, or the zero value if none comes.
+// receive returns the next value from a channel, or the zero value if there is none within 3 s.
 func receive[T any](from chan T) (value T) {
 	select {
 	case value = <-from:
@@ -23,12 +23,13 @@
 	return value
 }
 
-// registryPath is where a test's registry has its file.
+// registryPath returns the path of the file of a test's registry.
 func registryPath(t *testing.T) string {
 	return filepath.Join(t.TempDir(), "bendtrestle-17416036.out")
 }
 
-// openRegistry returns a registry, and the sets that it reports, each as one text; the first is what Open returned.
+// openRegistry opens a registry, and returns it with a channel of the sets that it reports, each joined to one text.
+// The first is the set that Open returned.
 func openRegistry(t *testing.T, path string) (*Registry, chan string) {
 	reported := make(chan string, 1000)
 	registry, ids := Open(path, func(ids []string) { reported <- strings.Join(ids, " ") }, zerolog.Nop())
@@ -37,12 +38,12 @@
 	return registry, reported
 }
 
-// farDeadline is a deadline far beyond what a busy machine needs.
+// farDeadline returns a deadline far longer than an update takes on a busy machine.
 func farDeadline() time.Time { return time.Now().Add(time.Minute) }
 
-// An update of one process reaches the other, whichever writes, and one that starts later; of concurrent updates none
-// is lost.
-func TestRegistryOfTwoProcesses(t *testing.T) {
+// An update by one process reaches a concurrent process and one that starts later. Concurrent updates by two processes
+// don't overwrite each other.
+func TestUpdatesReachOtherProcesses(t *testing.T) {
 	path := registryPath(t)
 	first, reportedByFirst := openRegistry(t, path)
 	second, reportedBySecond := openRegistry(t, path)
@@ -51,7 +52,7 @@
 		for got := "?"; got != want; {
 			got = receive(reported)
 			if got == "" && want != "" && len(reported) == 0 {
-				t.Fatalf("%q does not come", want)
+				t.Fatalf("set %q is not reported", want)
 			}
 		}
 	}
@@ -78,20 +79,20 @@
 	<-done
 	_, reported := openRegistry(t, path)
 	if ids := strings.Fields(<-reported); len(ids) != 81 {
-		t.Errorf("%d are disabled, want 81", len(ids))
+		t.Errorf("got %d disabled entries, want 81", len(ids))
 	}
 }
 
-// Without a folder, in one that is gone, with a file that is no list or another user's: updates hold in this process,
-// up to the bound, and nothing fails.
-func TestRegistryWithoutAFile(t *testing.T) {
+// Without a usable file, because there is no folder or the file is too large or another user's, Open succeeds and
+// updates apply to this process, up to the limit on entries.
+func TestUpdatesWithoutUsableFile(t *testing.T) {
 	folder := t.TempDir()
 	large := filepath.Join(folder, "large")
 	os.WriteFile(large, slices.Repeat([]byte("x\n"), maxFileSize), 0o600)
 	otherUsers := filepath.Join(folder, "theirs")
 	os.WriteFile(otherUsers, []byte("s-2\n"), 0o600)
 	if os.Chown(otherUsers, 65534, 65534) != nil {
-		otherUsers = "" // this user may not try it
+		otherUsers = "" // this user must not change the owner
 	}
 	for _, c := range []struct {
 		name, path, first string
@@ -99,25 +100,25 @@
 		err               error
 	}{
 		{"no folder", "", "", true, nil},
-		{"a folder that is gone", filepath.Join(folder, "gone", "x"), "", false, nil},
+		{"a missing folder", filepath.Join(folder, "gone", "x"), "", false, nil},
 		{"another user's file", otherUsers, "", true, nil},
-		{"no list", large, strings.Repeat("x ", maxDisabled-1) + "x", false, ErrTooMany},
+		{"a file that is too large", large, strings.Repeat("x ", maxDisabled-1) + "x", false, ErrTooMany},
 	} {
 		registry, reported := openRegistry(t, c.path)
 		if first := receive(reported); first != c.first {
-			t.Errorf("%s: at first %.20q are disabled", c.name, first)
+			t.Errorf("%s: got first set %.20q, want %.20q", c.name, first, c.first)
 		}
 		err := registry.Update("s-1", true, farDeadline())
 		if c.persisted != (err == nil) || c.err != nil && err != c.err {
-			t.Errorf("%s: an update gets %v", c.name, err)
+			t.Errorf("%s: got error %v from an update, want persisted %t, error %v", c.name, err, c.persisted, c.err)
 		}
 		if c.err == nil && receive(reported) != "s-1" {
-			t.Errorf("%s: the update does not hold", c.name)
+			t.Errorf("%s: the update is not reported as applied", c.name)
 		}
 	}
 }
 
-// mustLock locks one of a registry's lock files, as another process does.
+// mustLock locks one of a registry's lock files, as another process would.
 func mustLock(t *testing.T, path string) *os.File {
 	t.Helper()
 	file, err := os.OpenFile(path, os.O_CREATE|os.O_RDWR, 0o600)
@@ -130,16 +131,16 @@
 	return file
 }
 
-// fileEntries returns the entries of a registry's file, as one text.
+// fileEntries returns the entries of a registry's file, joined to one text.
 func fileEntries(path string) string {
 	text, _ := os.ReadFile(path)
 	return strings.Join(strings.Fields(string(text)), " ")
 }
 
-// While another process writes, or waits to and is next, or a lock cannot be had, what it has written stays: a server
-// that is to be disabled is so in this process only and the caller is told so, one that is to be enabled stays
-// disabled. Repeated later, all is persisted.
-func TestUpdateWithoutTheLockUndoesNothing(t *testing.T) {
+// If an update can't get the lock, because another process writes or is next in the queue, or the lock file can't be
+// opened, it must not revert what the other process has written. A server to be disabled is then disabled in this
+// process only, one to be enabled stays disabled, and the error says so. The same updates succeed later.
+func TestUpdateWithoutLockDoesNotChangeFile(t *testing.T) {
 	for _, c := range []struct {
 		name   string
 		block  func(path string) (unblock func())
@@ -153,7 +154,7 @@
 			queue := mustLock(t, path+".turn")
 			return func() { queue.Close() }
 		}, ErrLockTimeout},
-		{"no lock file", func(path string) func() {
+		{"the lock file cannot be opened", func(path string) func() {
 			os.Mkdir(path+".lock", 0o700)
 			return func() { os.Remove(path + ".lock") }
 		}, unix.EISDIR},
@@ -162,33 +163,33 @@
 		os.WriteFile(path, []byte("s-1\ns-2\n"), 0o600)
 		registry, _ := openRegistry(t, path)
 		unblock := c.block(path)
-		os.WriteFile(path, []byte("s-1\ns-2\ns-3\n"), 0o600) // what the other process writes now
+		os.WriteFile(path, []byte("s-1\ns-2\ns-3\n"), 0o600) // written by the other process
 		if err := registry.Update("s-4", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, c.reason) {
-			t.Errorf("%s: disabling gets %v", c.name, err)
+			t.Errorf("%s: got error %v from disabling, want %v and %v", c.name, err, ErrLocalOnly, c.reason)
 		}
 		if err := registry.Update("s-1", false, time.Now()); !errors.Is(err, ErrUnchanged) || !errors.Is(err, c.reason) {
-			t.Errorf("%s: enabling gets %v", c.name, err)
+			t.Errorf("%s: got error %v from enabling, want %v and %v", c.name, err, ErrUnchanged, c.reason)
 		}
 		if got := fileEntries(path); got != "s-1 s-2 s-3" {
-			t.Errorf("%s: the file holds %q", c.name, got)
+			t.Errorf("%s: got file entries %q, want s-1 s-2 s-3", c.name, got)
 		}
 		if ids := registry.IDs(); !slices.Contains(ids, "s-1") || !slices.Contains(ids, "s-4") {
-			t.Errorf("%s: %q are disabled here", c.name, ids)
+			t.Errorf("%s: got entries %q in this process, want s-1 and s-4 among them", c.name, ids)
 		}
 		unblock()
 		for id, disabled := range map[string]bool{"s-4": true, "s-1": false} {
 			if err := registry.Update(id, disabled, farDeadline()); err != nil {
-				t.Errorf("%s: repeated it gets %v", c.name, err)
+				t.Errorf("%s: got error %v from the repeated update", c.name, err)
 			}
 		}
 		if got := fileEntries(path); got != "s-2 s-3 s-4" || strings.Join(registry.IDs(), " ") != got {
-			t.Errorf("%s: the file holds %q then, %q are disabled here", c.name, got, registry.IDs())
+			t.Errorf("%s: got file entries %q and %q in this process, want s-2 s-3 s-4", c.name, got, registry.IDs())
 		}
 	}
 }
 
-// An update whose lock is released while it waits is written behind what the other process wrote.
-func TestLockReleasedWhileAnUpdateWaits(t *testing.T) {
+// An update that waits for the lock while another process writes is applied to what that process wrote.
+func TestUpdateThatWaitsForLockKeepsOtherChanges(t *testing.T) {
 	path := registryPath(t)
 	registry, _ := openRegistry(t, path)
 	lock := mustLock(t, path+".lock")
@@ -198,7 +199,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	// Until the update holds the queue.
+	// Wait until the update holds the queue file.
 	for len(done) == 0 && unix.Flock(int(queue.Fd()), unix.LOCK_EX|unix.LOCK_NB) == nil {
 		unix.Flock(int(queue.Fd()), unix.LOCK_UN)
 		time.Sleep(time.Millisecond)
@@ -206,43 +207,44 @@
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
 	lock.Close()
 	if err := <-done; err != nil || fileEntries(path) != "s-1 s-2" {
-		t.Errorf("it gets %v, and the file holds %q", err, fileEntries(path))
+		t.Errorf("got error %v and file entries %q, want none and s-1 s-2", err, fileEntries(path))
 	}
 }
 
-// What the disk does not take, or returns as no list, changes nothing that was persisted. What is disabled in this
-// process only stays so whatever the other process writes, until it is updated again, and can be enabled again.
+// If the file can't be written or read, or has too many entries, an update changes nothing that was persisted. An entry
+// disabled in this process only stays disabled regardless of later writes by another process, until an update enables
+// it.
 func TestUpdateThatCannotBePersisted(t *testing.T) {
-	// Its lock file has a name, that of its next version would be too long.
+	// The name of the lock file is short enough for the file system, that of the temporary file is not.
 	long := filepath.Join(t.TempDir(), strings.Repeat("x", 250))
 	os.WriteFile(long, []byte("s-1\n"), 0o600)
 	registry, reported := openRegistry(t, long)
 	receive(reported)
 	err := registry.Update("s-2", true, farDeadline())
 	if !errors.Is(err, ErrLocalOnly) || receive(reported) != "s-1 s-2" || fileEntries(long) != "s-1" {
-		t.Errorf("disabling gets %v, and the file holds %q", err, fileEntries(long))
+		t.Errorf("got error %v from disabling and file entries %q, want %v and s-1", err, fileEntries(long), ErrLocalOnly)
 	}
 	err = registry.Update("s-1", false, farDeadline())
 	if !errors.Is(err, ErrUnchanged) || strings.Join(registry.IDs(), " ") != "s-1 s-2" {
-		t.Errorf("enabling gets %v, and %q are disabled", err, registry.IDs())
+		t.Errorf("got error %v from enabling and entries %q, want %v and s-1 s-2", err, registry.IDs(), ErrUnchanged)
 	}
 	os.WriteFile(long, []byte("s-1\ns-3\n"), 0o600)
 	for got := ""; got != "s-1 s-3 s-2"; {
 		if got = receive(reported); got == "" {
-			t.Fatalf("%q are disabled", registry.IDs())
+			t.Fatalf("got entries %q, want s-1 s-3 s-2", registry.IDs())
 		}
 	}
 	err = registry.Update("s-2", false, farDeadline())
 	if err != nil || strings.Join(registry.IDs(), " ") != "s-1 s-3" {
-		t.Errorf("enabling what is disabled here only gets %v, and %q are disabled", err, registry.IDs())
+		t.Errorf("got error %v from enabling a local entry and entries %q, want none and s-1 s-3", err, registry.IDs())
 	}
 
-	folder := filepath.Join(t.TempDir(), "folder") // can be opened, but not read
+	folder := filepath.Join(t.TempDir(), "folder") // a folder can be opened, but not read
 	os.Mkdir(folder, 0o700)
 	registry, _ = openRegistry(t, folder)
 	err = registry.Update("s-1", true, farDeadline())
 	if !errors.Is(err, ErrLocalOnly) || !errors.Is(err, unix.EISDIR) {
-		t.Errorf("with a file that cannot be read it gets %v", err)
+		t.Errorf("unreadable file: got error %v, want %v and %v", err, ErrLocalOnly, unix.EISDIR)
 	}
 
 	overfull := filepath.Join(t.TempDir(), "many")
@@ -250,12 +252,13 @@
 	registry, _ = openRegistry(t, overfull)
 	err = registry.Update("x", false, farDeadline())
 	if err != ErrTooMany || strings.Count(fileEntries(overfull), "x") != maxDisabled+1 {
-		t.Errorf("with more than the bound enabling gets %v, and %d are left", err, strings.Count(fileEntries(overfull), "x"))
+		t.Errorf("too many entries: got error %v and %d entries left, want %v and %d",
+			err, strings.Count(fileEntries(overfull), "x"), ErrTooMany, maxDisabled+1)
 	}
 }
 
-// A disk that hangs holds no caller, and an update that hangs undoes nothing when it goes on.
-func TestDiskThatHangs(t *testing.T) {
+// A hanging disk does not block callers, and a write that continues after it hung does not revert other changes.
+func TestHangingDiskDoesNotBlockUpdates(t *testing.T) {
 	path := registryPath(t)
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	registry.Close()
@@ -263,45 +266,46 @@
 		t.Fatal(err)
 	}
 	if err := registry.Update("s-1", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, ErrPending) {
-		t.Errorf("disabling gets %v", err)
+		t.Errorf("got error %v from the first update, want %v and %v", err, ErrLocalOnly, ErrPending)
 	}
 	if err := registry.Update("s-2", true, time.Now()); !errors.Is(err, ErrLocalOnly) || !errors.Is(err, ErrLockTimeout) {
-		t.Errorf("the next update gets %v", err)
+		t.Errorf("got error %v from the second update, want %v and %v", err, ErrLocalOnly, ErrLockTimeout)
 	}
 	if err := os.WriteFile(path, []byte("s-3\n"), 0); err != nil {
 		t.Fatal(err)
 	}
 	err := registry.Update("s-2", true, farDeadline())
 	if err != nil || fileEntries(path) != "s-3 s-1 s-2" || strings.Join(registry.IDs(), " ") != fileEntries(path) {
-		t.Errorf("then it gets %v, the file holds %q, and %q are disabled", err, fileEntries(path), registry.IDs())
+		t.Errorf("got error %v, file entries %q and entries %q, want none and twice s-3 s-1 s-2",
+			err, fileEntries(path), registry.IDs())
 	}
 }
 
-// A start does not wait for a disk that hangs for long; what it returns counts as soon as it does.
-func TestDiskThatHangsAtTheStart(t *testing.T) {
+// A start does not wait longer than openTimeout for a hanging disk. The set applies as soon as it could be read.
+func TestHangingDiskDoesNotBlockStart(t *testing.T) {
 	path := registryPath(t)
 	if err := unix.Mkfifo(path, 0o600); err != nil { // opening it waits for a writer
 		t.Fatal(err)
 	}
 	registry, reported := openRegistry(t, path)
 	if first := <-reported; first != "" {
-		t.Errorf("at first %q are disabled", first)
+		t.Errorf("got first set %q, want an empty one", first)
 	}
 	if err := os.WriteFile(path, []byte("s-1\n"), 0); err != nil {
 		t.Fatal(err)
 	}
 	if got := receive(reported); got != "s-1" || strings.Join(registry.IDs(), " ") != got {
-		t.Errorf("then %q are disabled, %q was reported", registry.IDs(), got)
+		t.Errorf("got entries %q and reported set %q, want s-1", registry.IDs(), got)
 	}
-	if file, err := os.OpenFile(path, os.O_RDWR, 0); err == nil { // no poll is to wait any more
+	if file, err := os.OpenFile(path, os.O_RDWR, 0); err == nil { // unblocks a waiting poll
 		os.Remove(path)
 		file.Close()
 	}
 }
 
-// A file that has the inode number and the time of the one before, as file systems give them to files that follow one
-// another at once, is read.
-func TestFileWithTheInodeAndTimeOfTheOneBefore(t *testing.T) {
+// A changed file is read even if it has the inode number and modification time of the previous one. File systems assign
+// the same values to files that replace each other within a short time.
+func TestFileWithSameInodeAndTimeIsRead(t *testing.T) {
 	path := registryPath(t)
 	modified := time.Unix(1e9, 0)
 	writeInPlace := func(text string) {
@@ -313,10 +317,10 @@
 	writeInPlace("s-1\n")
 	registry, reported := openRegistry(t, path)
 	receive(reported)
-	registry.mu.Lock() // no poll between the bytes and the time
+	registry.mu.Lock() // no poll between writing the text and setting the time
 	writeInPlace("s-2\n")
 	registry.mu.Unlock()
 	if got := receive(reported); got != "s-2" {
-		t.Errorf("it takes %q", got)
+		t.Errorf("got set %q, want s-2", got)
 	}
 }
--- a/internal/disabledservers/update.go
+++ b/internal/disabledservers/update.go
@@ -8,28 +8,29 @@
 	"time"
 )
 
-// writeTimeout is for the disk, beyond the wait for the lock: far above what a small file takes on a busy one.
+// writeTimeout limits the time for the disk, after the wait for the lock. Writing a small file takes far less, even on
+// a busy disk.
 const writeTimeout = 200 * time.Millisecond
 
-// update is one call of Update.
+// update holds the state of one Update call.
 type update struct {
 	id       string
 	disabled bool
-	deadline time.Time // for the turn among the calls of this process, and for the lock
+	deadline time.Time // for the wait for other calls of this process and for the lock
 	done     bool      // persisted; guarded by Registry.mu
 }
 
-// Update disables an entry, or enables it again, in this process and in the file. It waits until the deadline for
-// other calls and for the other process, and writeTimeout beyond it for the disk. On ErrTooMany and ErrUnchanged
-// nothing was changed, on ErrLocalOnly the entry is disabled in this process only, and on ErrPending the change may
-// still take effect. After any of them the call may be repeated.
+// Update disables or enables an entry, in this process and in the file. It waits until the deadline for other calls and
+// other processes, and up to writeTimeout longer for the disk. With ErrTooMany and ErrUnchanged nothing was changed,
+// with ErrLocalOnly the entry is disabled in this process only, and with ErrPending the change may still take effect.
+// After each of these errors the call may be repeated.
 func (r *Registry) Update(id string, disabled bool, deadline time.Time) error {
 	if r.path == "" {
 		return r.updateInMemory(id, disabled)
 	}
 	u := &update{id: id, disabled: disabled, deadline: deadline}
 	result := make(chan error, 1)
-	go func() { result <- r.persist(u) }() // a disk that hangs must not hold the caller
+	go func() { result <- r.persist(u) }() // a hanging disk must not block the caller
 	timeout := time.NewTimer(time.Until(deadline) + writeTimeout)
 	defer timeout.Stop()
 	var err error
@@ -56,7 +57,7 @@
 	return nil
 }
 
-// updated returns the set with an entry added or removed, and leaves ids as it is.
+// updated returns a set with an entry added or removed. It does not modify ids.
 func updated(ids []string, id string, disabled bool) ([]string, error) {
 	at := slices.Index(ids, id)
 	present := at >= 0
@@ -71,13 +72,13 @@
 	return ids, nil
 }
 
-// applyUnpersisted handles an update that could not be persisted, and returns what its caller gets. An entry that
-// is to be disabled is so in this process at least. One that is to be enabled stays disabled, unless it was disabled
-// in this process only: the other process, and one that starts later, would keep it disabled.
+// applyUnpersisted handles an update that could not be persisted, and returns Update's result. An entry to be disabled
+// is disabled in this process at least. An entry to be enabled stays disabled, because other and later processes would
+// keep it disabled; it is enabled only if it was disabled in this process alone.
 func (r *Registry) applyUnpersisted(u *update, reason error) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if u.done { // between the timeout and here
+	if u.done { // persisted after the timeout
 		return nil
 	}
 	localOnly, err := updated(r.localOnly, u.id, u.disabled)
@@ -101,8 +102,8 @@
 	return fmt.Errorf("%w: %w", ErrUnchanged, reason)
 }
 
-// persist reads, changes and replaces the file under a lock, or changes nothing. Without the lock, or from a file that
-// cannot be read, it could undo what the other process has written.
+// persist reads, changes and replaces the file under a lock, or changes nothing. Without the lock, or if the file
+// cannot be read, a write could revert what another process has written.
 func (r *Registry) persist(u *update) error {
 	if !r.acquireWriter(u.deadline) {
 		return ErrLockTimeout
@@ -123,24 +124,24 @@
 	r.writes++
 	r.text = text
 	r.persisted = ids
-	r.localOnly, _ = updated(r.localOnly, u.id, false) // removing never fails
+	r.localOnly, _ = updated(r.localOnly, u.id, false) // removing an entry never fails
 	r.onChange(r.all())
 	return nil
 }
 
-// rewrite applies an update to the file, and returns the file's text and set from then on. The caller holds the lock.
+// rewrite applies an update to the file, and returns the file's new text and set. The caller holds the lock.
 func (r *Registry) rewrite(u *update) (text []byte, ids []string, err error) {
 	text, err = readFile(r.path)
 	before := parse(text)
 	missing := errors.Is(err, os.ErrNotExist)
 	switch {
-	case missing: // the known set stays
+	case missing: // the update applies to the set as last read
 		r.mu.Lock()
 		before = r.persisted
 		r.mu.Unlock()
 	case err != nil:
 		return nil, nil, err
-	case len(before) > maxDisabled || len(text) > maxFileSize: // edited by hand; entries beyond the bound must not be lost
+	case len(before) > maxDisabled || len(text) > maxFileSize: // edited manually; no entry must be lost
 		return nil, nil, ErrTooMany
 	}
 	ids, err = updated(before, u.id, u.disabled)
@@ -158,7 +159,7 @@
 	return text, ids, nil
 }
 
-// acquireWriter waits for the turn among the calls of this process; false: it has not come by the deadline.
+// acquireWriter acquires r.writer and reports whether it succeeded before the deadline.
 func (r *Registry) acquireWriter(deadline time.Time) bool {
 	select {
 	case r.writer <- struct{}{}:
