--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -11,9 +11,9 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
-// golden compares a text with a file that the build of 15122f5 wrote, and gives what the file says.
+// golden compares a text with a golden file of commit 15122f5, and returns the content of the file.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -45,13 +45,13 @@
 
 const goldenNow = 100.0
 
-// goldenMessages returns a message of every kind, by its name, in a fixed order.
+// goldenMessages returns messages that cover all fields, with their names, in a fixed order.
 func goldenMessages() (names []string, messages [][]byte) {
 	servers := map[string]int{"zone-a": 4, "zone-b": 4, "zone-c": 1}
 	newRouter := func(ids map[uint16]bool) *Controller {
 		router := New(Settings{RouterIndex: 513, RouterCount: 1000, Incarnation: 0xbeef, WarmupSeconds: 6})
 		router.OnEndpoints(goldenNow, servers, ids)
-		router.peers[7] = &peer{lastHeard: goldenNow} // it hears another router, so it is not isolated
+		router.peers[7] = &peer{lastHeard: goldenNow} // it has heard from another router, so it is not isolated
 		return router
 	}
 	add := func(name string, message []byte) {
@@ -91,7 +91,7 @@
 	return names, messages
 }
 
-// Routers of other builds hear these messages: every byte stays.
+// Routers of other builds receive these messages, so no byte of them may change.
 func TestGoldenMessages(t *testing.T) {
 	text := ""
 	names, messages := goldenMessages()
@@ -101,8 +101,8 @@
 	golden(t, "messages", text)
 }
 
-// What the build of 15122f5 sends is read as that build reads it.
-func TestGoldenMessagesAreRead(t *testing.T) {
+// The messages of commit 15122f5 are decoded with the same values as by that commit.
+func TestGoldenMessagesAreDecoded(t *testing.T) {
 	names, messages := goldenMessages()
 	text, err := os.ReadFile(filepath.Join("testdata", "messages.golden"))
 	if err != nil && !*writeGolden {
@@ -116,32 +116,32 @@
 			}
 		}
 	}
-	read := ""
+	decoded := ""
 	for i, message := range messages {
 		router := New(Settings{RouterIndex: 1, RouterCount: 1000, Incarnation: 1})
 		router.OnEndpoints(200, map[string]int{"zone-a": 1, "zone-b": 1, "zone-c": 1}, nil)
 		if !router.OnMessage(200, message) {
-			t.Fatalf("%s: no message", names[i])
+			t.Fatalf("%s: not accepted as a message", names[i])
 		}
 		p := router.peers[513]
-		read += fmt.Sprintf("%s: %d %d %v %v", names[i], p.incarnation, p.sequence, p.lastHeard, p.isolated)
+		decoded += fmt.Sprintf("%s: %d %d %v %v", names[i], p.incarnation, p.sequence, p.lastHeard, p.isolated)
 		zones := []string{"zone-a", "zone-b", "zone-c"}
 		for n := range maxZonesPerMessage {
 			zones = append(zones, fmt.Sprint("z", n))
 		}
 		for _, name := range zones {
-			if s, said := p.reports[NameHash(name)]; said {
-				read += fmt.Sprintf("; %s %v %v %v %v %v %v %v", name, s.state, s.share, s.lastAnswer, s.failingSince,
-					s.operatorOverride, s.lastStep.answered, s.lastStep.degraded)
+			if r, reported := p.reports[NameHash(name)]; reported {
+				decoded += fmt.Sprintf("; %s %v %v %v %v %v %v %v", name, r.state, r.share, r.lastAnswer, r.failingSince,
+					r.operatorOverride, r.lastStep.answered, r.lastStep.degraded)
 			}
 		}
-		read += "\n"
+		decoded += "\n"
 	}
-	golden(t, "messages-read", read)
+	golden(t, "messages-read", decoded)
 }
 
-// trace runs a simulation and gives digests of all that leaves the decision: the changes, the messages in their
-// order, what is told of each zone, and the routers' own counts.
+// trace runs a simulation and returns digests of all outputs of the controllers for each second: the changes, the
+// messages in order, the statuses of all zones, and the message counts.
 func trace(t *testing.T, sim *simulation, seconds float64) string {
 	t.Helper()
 	var sent []byte
@@ -166,11 +166,12 @@
 	return hex.EncodeToString(sum[:6])
 }
 
-// Faults at fixed seeds: every change with its reason, every message and every state are those of the build of 15122f5.
-func TestGoldenCourses(t *testing.T) {
+// In simulations of faults with fixed seeds, every change with its reason, every message and every status equal those
+// of commit 15122f5.
+func TestGoldenFaultScenarios(t *testing.T) {
 	for _, c := range []struct {
-		name   string
-		course func(t *testing.T, sim *simulation) string
+		name     string
+		scenario func(t *testing.T, sim *simulation) string
 	}{
 		{"lost-and-back", func(t *testing.T, sim *simulation) string {
 			text := trace(t, sim, 3)
@@ -246,12 +247,12 @@
 		}},
 	} {
 		t.Run(c.name, func(t *testing.T) {
-			golden(t, "course-"+c.name, c.course(t, newSimulation(t, 12, "a", "b", "c", "d")))
+			golden(t, "course-"+c.name, c.scenario(t, newSimulation(t, 12, "a", "b", "c", "d")))
 		})
 	}
 }
 
-// Routers of two builds have to choose the same probing routers: the hashes are those of the build of 15122f5.
+// The hashes equal those of commit 15122f5, because routers of different builds have to select the same probers.
 func TestGoldenProberHashes(t *testing.T) {
 	for _, c := range []struct {
 		zone   string
@@ -267,7 +268,7 @@
 		{"zone-b", 4294967295, 300, 0x36cdd579},
 	} {
 		if got := proberHash(newZone(c.zone), c.round, c.router); got != c.want {
-			t.Errorf("%+v: got %#x", c, got)
+			t.Errorf("%+v: got %#x, want %#x", c, got, c.want)
 		}
 	}
 	zone, sum := newZone("a"), uint32(0)
@@ -277,6 +278,6 @@
 		}
 	}
 	if sum != 0x207a9701 {
-		t.Errorf("rounds up to 2000 of 300 routers give %#x", sum)
+		t.Errorf("got checksum %#x over 2000 rounds of 300 routers, want 0x207a9701", sum)
 	}
 }
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -6,43 +6,44 @@
 	"testing"
 )
 
+// Parameters of the simulation, times in seconds.
 const (
 	simulationStart  = 1000.0
 	simulationStep   = 0.01
-	stepsPerTick     = 5 // steps
+	stepsPerTick     = 5
 	latencyObjective = 0.15
 	answerTime       = 0.02
 	lateAnswerTime   = 0.3
 	attemptTimeout   = 0.5
 )
 
-// simulation is routers, zones and the network between them, stepped by hundredths of a second.
+// simulation simulates routers, zones and the network between them in steps of a hundredth of a second.
 type simulation struct {
 	t         *testing.T
 	now       float64
 	random    *rand.Rand
 	routers   []*Controller
-	zoneNames []string // of the zones
-	servers   int      // of each zone
-	skew      float64  // seconds by which each router's clock is ahead of the one before
-	rate      float64  // attempts a second of each router
+	zoneNames []string
+	servers   int     // servers in each zone
+	skew      float64 // seconds by which each router's clock is ahead of the previous router's
+	rate      float64 // attempts a second at each router
 
-	answered   map[string]float64 // part of the attempts in a zone that are answered
-	slow       map[string]bool    // zones whose answers are late
-	overloaded map[string]bool    // zones that reject
-	reaches    func(router int, zone string) bool
-	receives   func(from, to int) bool
-	down       map[int]bool // routers that do not run
-	suspended  map[int]bool // of these, those that stand still: messages wait for them
-	loss       float64      // part of the messages
-	delay      float64      // seconds that a message takes at least
+	answered   map[string]float64                 // fraction of the attempts in a zone that are answered
+	slow       map[string]bool                    // zones whose answers are late
+	overloaded map[string]bool                    // zones that reject attempts
+	reaches    func(router int, zone string) bool // whether a router's attempts reach a zone
+	receives   func(from, to int) bool            // whether a message from one router reaches another
+	down       map[int]bool                       // routers that do not run
+	suspended  map[int]bool                       // of these, suspended processes, whose messages are queued
+	loss       float64                            // fraction of the messages that are lost
+	delay      float64                            // minimum delay of a message in seconds
 
 	inTransit    []datagram
 	inFlight     []simulatedAttempt
-	unanswered   map[string]int // attempts by zone
+	unanswered   map[string]int // unanswered attempts by zone
 	messagesSent int
 	log          []string
-	onMessage    func(from int, message []byte) // is told of each message; nil: nobody is
+	onMessage    func(from int, message []byte) // called for each message sent, if not nil
 }
 
 type datagram struct {
@@ -87,10 +88,10 @@
 	return sim
 }
 
-// clock is a router's own time.
+// clock returns the time of a router's clock.
 func (sim *simulation) clock(index int) float64 { return sim.now + sim.skew*float64(index) }
 
-// start starts a router's process anew.
+// start starts a new process of a router.
 func (sim *simulation) start(index int, incarnation uint16, regions [][]string) {
 	router := New(Settings{
 		RouterIndex:   index,
@@ -108,7 +109,7 @@
 	delete(sim.down, index)
 }
 
-// restartAll starts all routers anew and lets them settle.
+// restartAll restarts all routers and runs them until they have exchanged evidence.
 func (sim *simulation) restartAll() {
 	for index := range sim.routers {
 		sim.start(index, 2, nil)
@@ -169,7 +170,7 @@
 	}
 	sim.messagesSent++
 	if len(message) > maxMessageBytes {
-		sim.t.Fatalf("a message of %d bytes", len(message))
+		sim.t.Fatalf("got a message of %d bytes, want at most %d", len(message), maxMessageBytes)
 	}
 	for to := range sim.routers {
 		if to != from && sim.receives(from, to) && sim.random.Float64() >= sim.loss {
@@ -178,7 +179,7 @@
 	}
 }
 
-// attempt has a router send to a zone by chance, if its share allows it.
+// attempt lets a router send an attempt to a random zone, with the zone's share as the probability.
 func (sim *simulation) attempt(index int, router *Controller) {
 	zone := sim.zoneNames[sim.random.IntN(len(sim.zoneNames))]
 	if sim.random.Float64() >= router.Share(zone) {
@@ -201,22 +202,22 @@
 	sim.inFlight = append(sim.inFlight, attempt)
 }
 
-// removeIf removes the items of a list that a condition holds for, and gives them.
-func removeIf[T any](all *[]T, which func(T) bool) (taken []T) {
+// removeIf removes the items that meet a condition from a list, and returns them.
+func removeIf[T any](all *[]T, condition func(T) bool) (removed []T) {
 	rest := (*all)[:0:0]
 	for _, item := range *all {
-		if which(item) {
-			taken = append(taken, item)
+		if condition(item) {
+			removed = append(removed, item)
 		} else {
 			rest = append(rest, item)
 		}
 	}
 	*all = rest
-	return taken
+	return removed
 }
 
-// runUntil runs runUntil something holds at all routers that run, and gives how long that took at the first and at the
-// last; it fails after a bound in seconds.
+// runUntil runs until a condition holds at all running routers, and returns the seconds that it took at the first and
+// at the last router. The test fails after a bound in seconds.
 func (sim *simulation) runUntil(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
 	sim.t.Helper()
 	began, first := sim.now, -1.0
@@ -238,7 +239,7 @@
 		}
 	}
 	sim.showLog()
-	sim.t.Fatalf("%s: not everywhere within %.1f s", what, bound)
+	sim.t.Fatalf("%s: not at all routers within %.1f s", what, bound)
 	return 0, 0
 }
 
@@ -260,13 +261,13 @@
 	return func(router *Controller) bool { return router.find(zone).state == Recovering }
 }
 
-// mustServe fails if a router that runs gives a zone less than all of its keys.
+// mustServe fails the test if a zone serves less than all of its keys at a running router.
 func (sim *simulation) mustServe(zone string) {
 	sim.t.Helper()
 	for index, router := range sim.routers {
 		if !sim.down[index] && router.Share(zone) != 1 {
 			sim.showLog()
-			sim.t.Fatalf("router %d gives %s %v of its keys", index, zone, router.Share(zone))
+			sim.t.Fatalf("router %d: got share %v of zone %s, want 1", index, router.Share(zone), zone)
 		}
 	}
 }
--- a/internal/policy/zonefailover/properties_test.go
+++ b/internal/policy/zonefailover/properties_test.go
@@ -11,8 +11,9 @@
 	"pgregory.net/rapid"
 )
 
-// The same evidence gives the same verdict, in whatever order messages come, doubled or not.
-func TestSameEvidenceSameVerdict(t *testing.T) {
+// The same evidence leads to the same decisions, regardless of the order and duplication of messages. Otherwise routers
+// with the same messages would disagree on a zone.
+func TestSameEvidenceGivesSameDecision(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		peers := rapid.IntRange(2, 12).Draw(t, "routers")
 		var messages [][]byte
@@ -30,7 +31,7 @@
 			}
 			messages = append(messages, router.message(100, []*zone{router.find("a"), router.find("b"), router.find("c")}))
 		}
-		verdicts := map[string]bool{}
+		statuses := map[string]bool{}
 		for i := range 4 {
 			router := New(Settings{RouterIndex: peers, RouterCount: peers + 1, Incarnation: 1})
 			router.OnEndpoints(100, map[string]int{"a": 1, "b": 1, "c": 1}, nil)
@@ -42,15 +43,15 @@
 			router.lastTick = 100
 			router.Tick(100.05)
 			router.Tick(100.2)
-			verdicts[fmt.Sprint(router.Statuses(100.2))] = true
+			statuses[fmt.Sprint(router.Statuses(100.2))] = true
 		}
-		if len(verdicts) > 1 {
-			t.Fatalf("%d verdicts: %v", len(verdicts), verdicts)
+		if len(statuses) > 1 {
+			t.Fatalf("got %d different statuses, want 1: %v", len(statuses), statuses)
 		}
 	})
 }
 
-// sharesOf returns the shares of all zones at all routers, by "router zone".
+// sharesOf returns the shares of all zones at all routers, by router and zone.
 func (sim *simulation) sharesOf() map[string]float64 {
 	shares := map[string]float64{}
 	for index, router := range sim.routers {
@@ -61,9 +62,9 @@
 	return shares
 }
 
-// Whatever is answered and whatever is lost, every router uses some zone; and a recovery that has begun grows only by
-// doublings.
-func TestSomeZoneIsUsedAndSharesOnlyDouble(t *testing.T) {
+// Regardless of which attempts are answered and which messages are lost, each router always has a zone that serves all
+// of its keys, and the share of a recovering zone at most doubles in a step.
+func TestSomeZoneServesAndSharesAtMostDouble(t *testing.T) {
 	rapid.Check(t, func(r *rapid.T) {
 		sim := newSimulation(t, rapid.IntRange(1, 5).Draw(r, "routers"), "a", "b", "c")
 		sim.rate = 60
@@ -78,16 +79,16 @@
 				for index, router := range sim.routers {
 					used := 0.0
 					for _, name := range sim.zoneNames {
-						share, was := router.Share(name), before[fmt.Sprint(index, name)]
+						share, previous := router.Share(name), before[fmt.Sprint(index, name)]
 						used = max(used, share)
 						z := router.find(name)
-						grows := z.state == Recovering && was > 0 && was < 1 && z.reason != "others are ahead"
-						if grows && share > 2*was {
-							r.Fatalf("router %d gives %s %v after %v: %s", index, name, share, was, z.reason)
+						grows := z.state == Recovering && previous > 0 && previous < 1 && z.reason != "others are ahead"
+						if grows && share > 2*previous {
+							r.Fatalf("router %d, zone %s: got share %v after %v (%s)", index, name, share, previous, z.reason)
 						}
 					}
 					if used < 1 {
-						r.Fatalf("router %d gives no zone all of its keys", index)
+						r.Fatalf("router %d: no zone serves all of its keys", index)
 					}
 				}
 			}
@@ -95,12 +96,12 @@
 	})
 }
 
-// model is a small fleet that can be copied: three routers, two zones, the newest message between each two routers.
+// model is a small fleet that can be cloned: three routers, two zones, and the newest message between each two routers.
 type model struct {
 	now       float64
 	routers   []*Controller
 	inTransit map[[2]int][]byte // by sender and receiver
-	failing   int               // routers that have had no answer in zone b, as bits
+	failing   int               // bit mask of the routers that had an attempt without an answer in zone b
 }
 
 func (m *model) clone() *model {
@@ -128,7 +129,7 @@
 	return &c
 }
 
-// key tells models apart by what decides on: ages to a hundredth of a second.
+// key returns a text that identifies the state on which decisions depend, with ages in hundredths of a second.
 func (m *model) key() string {
 	age := func(at float64) int { return int(math.Round((m.now - at) * 100)) }
 	text := ""
@@ -155,8 +156,8 @@
 	return text
 }
 
-// next returns every way on: an answer or none in zone b at a router, a message that comes or is lost, a tenth of a
-// second.
+// next returns the models after each possible event: an answered or unanswered attempt in zone b at a router, a message
+// that arrives or is lost, or about a tenth of a second passing.
 func (m *model) next() (all []*model) {
 	for index := range m.routers {
 		for _, outcome := range []Outcome{Answered, NoAnswer} {
@@ -169,12 +170,12 @@
 			all = append(all, c)
 		}
 	}
-	for way, message := range m.inTransit {
+	for route, message := range m.inTransit {
 		for _, arrives := range []bool{true, false} {
 			c := m.clone()
-			delete(c.inTransit, way)
+			delete(c.inTransit, route)
 			if arrives {
-				c.routers[way[1]].OnMessage(c.now, message)
+				c.routers[route[1]].OnMessage(c.now, message)
 			}
 			all = append(all, c)
 		}
@@ -184,7 +185,7 @@
 	return append(all, c)
 }
 
-// tick lets a tenth of a second pass at all routers.
+// tick advances the time at all routers by about a tenth of a second.
 func (m *model) tick() {
 	m.now += 0.11
 	for from, router := range m.routers {
@@ -201,10 +202,10 @@
 	}
 }
 
-// A small fleet explored whole: every order of answers, messages, losses and times to a depth. What one router alone
-// has seen evacuates no zone, no router evacuates all, and a zone of which two have had no answer can be evacuated:
-// the depth reaches that far.
-func TestEveryOrder(t *testing.T) {
+// Explores every order of answers, messages, losses and ticks in a small fleet, to a depth. The observations of one
+// router evacuate no zone, no router evacuates all zones, and a zone where two routers got no answer can be evacuated,
+// which shows that the depth is sufficient.
+func TestEveryOrderOfEventsInSmallFleet(t *testing.T) {
 	const depth = 6
 	sim := newSimulation(t, 3, "a", "b")
 	sim.rate = 50
@@ -233,9 +234,9 @@
 						continue
 					}
 					evacuations++
-					oneAlone := c.failing&(c.failing-1) == 0
-					if oneAlone || router.Share("a") < 1 {
-						t.Fatalf("router %d evacuated b, seen without an answer by routers %03b, and gives a %v",
+					atMostOneFailing := c.failing&(c.failing-1) == 0
+					if atMostOneFailing || router.Share("a") < 1 {
+						t.Fatalf("router %d evacuated b with unanswered attempts at routers %03b and share %v of a",
 							index, c.failing, router.Share("a"))
 					}
 				}
@@ -244,8 +245,8 @@
 		}
 		level = next
 	}
-	t.Logf("%d states to a depth of %d, b was evacuated in %d", len(known), depth, evacuations)
+	t.Logf("%d states to a depth of %d, b was evacuated %d times", len(known), depth, evacuations)
 	if evacuations == 0 {
-		t.Error("no order evacuates the zone: the depth shows nothing")
+		t.Error("no order of events evacuates the zone: the depth is too small")
 	}
 }
--- a/internal/policy/zonefailover/quorum.go
+++ b/internal/policy/zonefailover/quorum.go
@@ -32,15 +32,15 @@
 			failingSince = min(failingSince, z.evidence.failingSince)
 		}
 	}
-	heardLately, heardSince := 1, 1
+	heardRecently, heardSince := 1, 1
 	for _, p := range c.peers {
 		if c.heardRecently(now, p) {
-			heardLately++
+			heardRecently++
 		}
 		if p.lastHeard > failingSince {
 			heardSince++
 		}
 	}
 	mostFail := 2*failing > inUse
-	return heardLately == 1 || mostFail && 2*heardSince < c.settings.RouterCount
+	return heardRecently == 1 || mostFail && 2*heardSince < c.settings.RouterCount
 }
--- a/internal/policy/zonefailover/recovery_test.go
+++ b/internal/policy/zonefailover/recovery_test.go
@@ -2,9 +2,9 @@
 
 import "testing"
 
-// Where the recovery strains the zone, all routers hold it back together; the zones of one region recover one after
-// another.
-func TestRecoveryIsHeldBackByStrainAndRegion(t *testing.T) {
+// While a recovering zone is overloaded, all routers limit its share, so that it can recover. The zones of a region
+// recover one at a time.
+func TestRecoveryIsLimitedByOverloadAndRegion(t *testing.T) {
 	sim := newSimulation(t, 12, "a", "b", "c", "d")
 	for n := range sim.routers {
 		sim.start(n, 2, [][]string{{"b", "c"}})
@@ -20,26 +20,27 @@
 		sim.run(0.01)
 		for _, router := range sim.routers {
 			if router.find("b").state == Recovering && router.find("c").state == Recovering {
-				t.Fatal("two zones of a region recover at once")
+				t.Fatal("two zones of a region recover at the same time")
 			}
 			most = max(most, router.Share("b"))
 		}
 	}
 	if most > 0.5 {
-		t.Errorf("a zone that rejects all was given %v of its keys", most)
+		t.Errorf("got share %v of a zone that rejects all attempts, want at most 0.5", most)
 	}
 	sim.overloaded["b"] = false
 	sim.runUntil("b serving", 12, serving("b"))
 	sim.runUntil("c serving", 12, serving("c"))
 }
 
-// An operator's override goes before evidence, at this router alone, and the last zone is not evacuated.
-func TestOperatorOverride(t *testing.T) {
+// An operator's override takes precedence over evidence, at this router only. The last zone in service can't be
+// evacuated.
+func TestOperatorOverrideEvacuatesAtOneRouter(t *testing.T) {
 	sim := newSimulation(t, 4, "a", "b")
 	sim.run(3)
 	router := sim.routers[0]
 	if !router.SetOperatorOverride(sim.now, "b", true) || router.SetOperatorOverride(sim.now, "a", true) {
-		t.Fatal("b is evacuated by the override, and a, the last, is not")
+		t.Fatal("want the override of b to succeed, and that of a, the last zone, to be refused")
 	}
 	sim.run(5)
 	if router.Share("b") != 0 || sim.routers[1].Share("b") != 1 {
@@ -49,23 +50,23 @@
 	sim.runUntil("serving", 4, serving("b"))
 }
 
-// Where the endpoint list takes away the zones that serve, those that were evacuated serve again: some zone always
-// serves all of its keys.
-func TestSomeZoneAlwaysServes(t *testing.T) {
+// If an endpoint list drops all zones that serve all of their keys, the evacuated zones serve again, so that requests
+// always have a zone.
+func TestEvacuatedZoneServesIfListDropsOthers(t *testing.T) {
 	sim := newSimulation(t, 6, "a", "b")
 	sim.run(3)
 	sim.answered["b"] = 0
 	sim.runUntil("evacuated", 1, evacuated("b"))
 	for _, router := range sim.routers {
-		router.OnAttemptStart(sim.now, "a", 9) // an attempt is open there
+		router.OnAttemptStart(sim.now, "a", 9) // an attempt is in flight there
 		router.OnEndpoints(sim.now, map[string]int{"b": 4}, nil)
 	}
-	sim.runUntil("b serves all", 0.2, serving("b"))
+	sim.runUntil("b serves all of its keys", 0.2, serving("b"))
 }
 
-// What others reported before a zone began its recovery does not have it evacuated again: they have not come to say
-// that they let it recover, too.
-func TestEvidenceFromBeforeTheRecoveryIsOver(t *testing.T) {
+// Reports of peers from before a zone began its recovery must not evacuate it again. Peers may not have reported yet
+// that the zone is recovering at them, too.
+func TestEvidenceFromBeforeRecoveryIsIgnored(t *testing.T) {
 	sim := newSimulation(t, 12, "a", "b", "c")
 	sim.run(3)
 	sim.answered["b"] = 0
@@ -76,13 +77,14 @@
 	for now := sim.now + 0.05; now < sim.now+0.4; now += 0.05 {
 		router.Tick(now)
 		if b := router.find("b"); b.state != Recovering {
-			t.Fatalf("it is %v again: %s", b.state, b.reason)
+			t.Fatalf("got state %v (%s), want %v", b.state, b.reason, Recovering)
 		}
 	}
 }
 
-// A router that heard nothing while the zone recovered elsewhere catches up at once.
-func TestCatchesUpWithARecovery(t *testing.T) {
+// A router that received no messages while a zone recovered at its peers adopts their share as soon as it receives
+// them.
+func TestRouterCatchesUpWithRecoveryOfPeers(t *testing.T) {
 	sim := newSimulation(t, 12, "a", "b", "c")
 	sim.run(3)
 	sim.answered["b"] = 0
@@ -95,16 +97,16 @@
 	sim.runUntil("serving", 1.8, serving("b"))
 }
 
-// A zone that fails again while it recovers is evacuated by two votes, not by a quarter of the routers.
-func TestFailsAgainWhileRecovering(t *testing.T) {
+// A zone that fails again during its recovery is evacuated by two votes, without a quorum of a quarter of the routers.
+func TestZoneFailingInRecoveryIsEvacuatedByTwoVotes(t *testing.T) {
 	sim := newSimulation(t, 24, "a", "b", "c", "d")
 	sim.run(3)
 	sim.answered["b"] = 0
 	sim.runUntil("evacuated", 1, evacuated("b"))
 	sim.answered["b"] = 1
-	sim.runUntil("its recovery begins", 2, recovering("b"))
+	sim.runUntil("recovery begins", 2, recovering("b"))
 	sim.reaches = func(n int, z string) bool { return n >= 3 || z != "b" }
-	for _, router := range sim.routers[:3] { // three of 24 miss answers, nobody else had one since
+	for _, router := range sim.routers[:3] { // three of 24 have no answers, no other router had one since
 		router.find("b").evidence.lastAnswer = 0
 		router.find("b").evidence.failingSince = sim.now + 0.01
 	}
