--- a/internal/policy/pollschedule/poller.go
+++ b/internal/policy/pollschedule/poller.go
@@ -18,7 +18,7 @@
 	Number       int     // counts from 1
 	LongPollWait float64 // how long the service may hold the poll until the list changes
 	Timeout      float64 // when to call OnTimeout, unless a later call returns another time
-	Lifetime     float64 // when to end the poll; needed if all other polls are rejected at once, so that none replaces it
+	Lifetime     float64 // when to end the poll; nothing else would end it while all others are rejected immediately
 }
 
 // TimeoutAction says what to do at a timeout.
--- a/internal/policy/startup/records.go
+++ b/internal/policy/startup/records.go
@@ -56,9 +56,9 @@
 	},
 }
 
-// Usable reports whether a record of a kind, stored at a time of the machine's clock, may still be used. A record
-// stored in the future is not used: the clock was set back, so its age is unknown. A record of an unknown kind is not
-// used.
+// Usable reports whether a record of a kind, stored at a time of the machine's clock, may still be used. A hint
+// stored in the future is not used, because the clock was set back and its age is unknown. A record of an unknown kind
+// is not used.
 func Usable(kind string, storedAt, now float64) bool {
 	i := slices.IndexFunc(RecordKinds, func(k RecordKind) bool { return k.Name == kind })
 	if i < 0 {
--- a/internal/policy/zonefailover/attempts.go
+++ b/internal/policy/zonefailover/attempts.go
@@ -32,8 +32,7 @@
 	return c.lastToken
 }
 
-// OnAttemptEnd handles the outcome of an attempt. It ignores tokens of attempts that are not in flight, and the token
-// 0.
+// OnAttemptEnd handles the outcome of an attempt. It ignores the token 0 and tokens of attempts that are not in flight.
 func (c *Controller) OnAttemptEnd(now float64, name string, token uint64, outcome Outcome) {
 	z := c.find(name)
 	if z == nil || token == 0 {
--- a/internal/policy/zonefailover/config.go
+++ b/internal/policy/zonefailover/config.go
@@ -44,7 +44,8 @@
 	// quorumDivisor makes a quorum a quarter of the routers heard from, rounded up (Controller.quorum). A larger
 	// quorum is slower; with a smaller one, faults of a few routers decide.
 	quorumDivisor = 4
-	// ownAnswerWindow is how long after an answer in a zone a router doesn't follow its peers in evacuating it.
+	// ownAnswerWindow is how long after an answer of its own in a zone a router doesn't follow peers that have evacuated
+	// the zone or let it recover.
 	ownAnswerWindow = 1.0
 	// historyRetention is how long a zone has to serve until its earlier evacuations are discarded: about the longest
 	// hold time.
@@ -70,8 +71,8 @@
 	probeRound = 0.5
 	// probesPerRound is how many attempts a probing router sends in a round, by its attempt rate before the evacuation.
 	probesPerRound = 2
-	// minProbers is how many routers probe at once, if the fleet has as many; in a large fleet one in proberDivisor
-	// does.
+	// minProbers is how many routers probe at once, if the fleet has as many. In a large fleet one router in
+	// proberDivisor probes.
 	minProbers    = 3
 	proberDivisor = 8
 	// maxProbeShare bounds the share of a zone at a probing router.
--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -14,10 +14,10 @@
 type Controller struct {
 	settings Settings
 	zones    map[uint32]*zone // by the hash of their names
-	names    []string         // of the zones, sorted: loops use it where their order matters
+	names    []string         // of the zones, sorted; loops use them where the order matters
 	regions  map[string][]string
 	peers    map[int]*peer // by their router index
-	changes  []Change      // not taken yet
+	changes  []Change      // not returned by TakeChanges yet
 
 	lastTick        float64
 	lastToken       uint64 // of an attempt
--- a/internal/policy/zonefailover/gossip.go
+++ b/internal/policy/zonefailover/gossip.go
@@ -31,8 +31,7 @@
 // addTokens adds tokens for messages sent before the end of the period.
 func (g *gossip) addTokens(earned float64) { g.tokens = min(g.tokens+earned, maxGossipTokens) }
 
-// chooseMarker sets the first marker that equals the end of no server's id. If there is none, the marker stays as it
-// is.
+// chooseMarker sets the first marker that equals the end of no server's id. If there is none, the marker stays.
 func (g *gossip) chooseMarker(ids map[uint16]bool) {
 	for _, marker := range markers {
 		if !ids[binary.LittleEndian.Uint16(marker[:])] {
--- a/internal/policy/zonefailover/probing.go
+++ b/internal/policy/zonefailover/probing.go
@@ -93,9 +93,9 @@
 }
 
 // proberHash returns the hash by which routers are ordered in a round of probes. CRC-32 alone is affine: the same
-// routers would be the first in every round. It is therefore followed by seedhash.Avalanche without the last step, hash
-// ^ hash>>16, which is its own inverse and is undone here. Routers of all builds have to compute the same hashes, so
-// the omission of the last step is permanent.
+// routers would be the first in every round. Therefore seedhash.Avalanche is applied to it, but without its last step,
+// hash ^ hash>>16. That step is its own inverse, so repeating it undoes it. Routers of all builds have to compute the
+// same hashes, so the last step must stay omitted.
 func proberHash(z *zone, round uint32, router int) uint32 {
 	input := [...]byte{
 		byte(z.hash), byte(z.hash >> 8), byte(z.hash >> 16),
--- a/internal/snapshot/codec.go
+++ b/internal/snapshot/codec.go
@@ -12,7 +12,7 @@
 // version (2 bytes), the checksum of the body (8) and its length (4). The body is CBOR.
 const (
 	magic         = "bts\x00"
-	formatVersion = 1 // each older version needs its own reader
+	formatVersion = 1 // a version that is no longer written needs its own reader
 
 	versionOffset  = len(magic)
 	checksumOffset = versionOffset + 2
--- a/internal/snapshot/errors.go
+++ b/internal/snapshot/errors.go
@@ -18,7 +18,7 @@
 }
 
 func (e *VersionError) Error() string {
-	return fmt.Sprintf("the snapshot was written by a newer build in format version %d; this build reads versions up to %d",
+	return fmt.Sprintf("the snapshot has format version %d of a newer build; this build reads versions up to %d",
 		e.Version, e.Newest)
 }
 
--- a/internal/snapshot/golden_test.go
+++ b/internal/snapshot/golden_test.go
@@ -19,8 +19,8 @@
 
 const goldenOwner = "127.0.0.1:11211"
 
-// golden compares a text with a golden file, and returns the content of the file. Commit 15122f5 wrote the files of copies
-// and of the path.
+// golden compares a text with a golden file, and returns the content of the file. Commit 15122f5 wrote the files of
+// copies and of the path.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
