--- a/internal/policy/pollschedule/schedule.go
+++ b/internal/policy/pollschedule/schedule.go
@@ -60,8 +60,8 @@
 // cost. A draining server must get no new requests after the grace period in seconds, so a hanging or failed poll or an
 // outdated list must not delay a change that the agent already has by that long. Therefore further polls start while an
 // answer is late, and the next poll starts in time also after a failure. The oldest poll is kept for MinLifetime,
-// however short the grace period. Once the agent is reachable, the oldest of the polls started since then is therefore
-// kept long enough for a slow answer.
+// however short the grace period: if it hangs, the poll that is the oldest after it was started when the agent was
+// reachable again, and is kept long enough for a slow answer.
 func ForLocalAgent(grace float64, seed uint32) Schedule {
 	grace = min(max(grace, minAgentGrace), maxAgentGrace)
 	return Schedule{
