--- a/internal/disabledservers/registry_test.go
+++ b/internal/disabledservers/registry_test.go
@@ -207,7 +207,7 @@
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
 	lock.Close()
 	if err := <-done; err != nil || fileEntries(path) != "s-1 s-2" {
-		t.Errorf("got error %v and file entries %q, want none and s-1 s-2", err, fileEntries(path))
+		t.Errorf("got error %v and file entries %q, want no error and s-1 s-2", err, fileEntries(path))
 	}
 }
 
@@ -236,7 +236,7 @@
 	}
 	err = registry.Update("s-2", false, farDeadline())
 	if err != nil || strings.Join(registry.IDs(), " ") != "s-1 s-3" {
-		t.Errorf("got error %v from enabling a local entry and entries %q, want none and s-1 s-3", err, registry.IDs())
+		t.Errorf("got error %v from enabling a local entry and entries %q, want no error and s-1 s-3", err, registry.IDs())
 	}
 
 	folder := filepath.Join(t.TempDir(), "folder") // a folder can be opened, but not read
@@ -276,7 +276,7 @@
 	}
 	err := registry.Update("s-2", true, farDeadline())
 	if err != nil || fileEntries(path) != "s-3 s-1 s-2" || strings.Join(registry.IDs(), " ") != fileEntries(path) {
-		t.Errorf("got error %v, file entries %q and entries %q, want none and twice s-3 s-1 s-2",
+		t.Errorf("got error %v, file entries %q and entries %q, want no error and s-3 s-1 s-2 in both",
 			err, fileEntries(path), registry.IDs())
 	}
 }
