--- a/internal/disabledservers/golden_test.go
+++ b/internal/disabledservers/golden_test.go
@@ -12,9 +12,10 @@
 	"github.com/rs/zerolog"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
-// golden compares a text with a file that the build of 15122f5 wrote, and returns what the file holds.
+// golden compares a text with a golden file, and returns the content of the file. Commit 15122f5 wrote the files of
+// disabled servers and of file names.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -34,16 +35,17 @@
 	return want
 }
 
-// The file of servers that are disabled is written as it was, and that of another build is read.
+// Processes of different builds share the file of disabled servers. It is written as by commit 15122f5, and the file
+// written by that build is read with the same entries.
 func TestGoldenFileOfDisabledServers(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "out")
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	for _, id := range []string{"s-1", "s-2", "10.0.0.1:11211", "ünïcode"} {
-		if err := registry.Update(id, true, soon()); err != nil {
+		if err := registry.Update(id, true, farDeadline()); err != nil {
 			t.Fatal(err)
 		}
 	}
-	if err := registry.Update("s-1", false, soon()); err != nil {
+	if err := registry.Update("s-1", false, farDeadline()); err != nil {
 		t.Fatal(err)
 	}
 	registry.Close()
@@ -65,11 +67,11 @@
 	registry, ids := Open(other, func([]string) {}, zerolog.Nop())
 	registry.Close()
 	if !slices.Equal(ids, []string{"s-2", "10.0.0.1:11211", "ünïcode"}) {
-		t.Errorf("read as %q", ids)
+		t.Errorf("got entries %q, want s-2, 10.0.0.1:11211 and ünïcode", ids)
 	}
 }
 
-// Why a call is not carried out is read by operators in the admin server's answer.
+// The admin server's answer shows operators the texts of Update's errors.
 func TestGoldenErrors(t *testing.T) {
 	var texts []string
 	for _, err := range []error{ErrTooMany, ErrLocalOnly, ErrUnchanged, ErrPending, ErrLockTimeout} {
@@ -79,7 +81,7 @@
 	os.WriteFile(path, []byte("s-1\n"), 0o600)
 	registry, _ := Open(path, func([]string) {}, zerolog.Nop())
 	defer registry.Close()
-	lock := held(t, path+".lock")
+	lock := mustLock(t, path+".lock")
 	defer lock.Close()
 	texts = append(texts, registry.Update("s-2", true, time.Now()).Error())
 	texts = append(texts, registry.Update("s-1", false, time.Now()).Error())
--- a/internal/policy/zonefailover/helpers_test.go
+++ b/internal/policy/zonefailover/helpers_test.go
@@ -6,43 +6,44 @@
 	"testing"
 )
 
+// Parameters of the simulation, times in seconds.
 const (
-	simulationStart = 1000.0
-	simulationStep  = 0.01
-	ticksEvery      = 5 // steps
-	objective       = 0.15
-	answerTime      = 0.02
-	lateAnswerTime  = 0.3
-	timeout         = 0.5
+	simulationStart  = 1000.0
+	simulationStep   = 0.01
+	stepsPerTick     = 5
+	latencyObjective = 0.15
+	answerTime       = 0.02
+	lateAnswerTime   = 0.3
+	attemptTimeout   = 0.5
 )
 
-// simulation is routers, zones and the network between them, stepped by hundredths of a second.
+// simulation simulates routers, zones and the network between them in steps of a hundredth of a second.
 type simulation struct {
-	t       *testing.T
-	now     float64
-	chance  *rand.Rand
-	routers []*Controller
-	names   []string // of the zones
-	servers int      // of each zone
-	skew    float64  // seconds by which each router's clock is ahead of the one before
-	rate    float64  // attempts a second of each router
+	t         *testing.T
+	now       float64
+	random    *rand.Rand
+	routers   []*Controller
+	zoneNames []string
+	servers   int     // servers in each zone
+	skew      float64 // seconds by which each router's clock is ahead of the previous router's
+	rate      float64 // attempts a second at each router
 
-	answered   map[string]float64 // part of the attempts in a zone that are answered
-	slow       map[string]bool    // zones whose answers are late
-	overloaded map[string]bool    // zones that reject
-	reaches    func(router int, zone string) bool
-	hears      func(from, to int) bool
-	down       map[int]bool // routers that do not run
-	stopped    map[int]bool // of these, those that stand still: messages wait for them
-	loss       float64      // part of the messages
-	delay      float64      // seconds that a message takes at least
+	answered   map[string]float64                 // fraction of the attempts in a zone that are answered
+	slow       map[string]bool                    // zones whose answers are late
+	overloaded map[string]bool                    // zones that reject attempts
+	reaches    func(router int, zone string) bool // whether a router's attempts reach a zone
+	receives   func(from, to int) bool            // whether a message from one router reaches another
+	down       map[int]bool                       // routers that do not run
+	suspended  map[int]bool                       // of these, suspended processes, whose messages are queued
+	loss       float64                            // fraction of the messages that are lost
+	delay      float64                            // minimum delay of a message in seconds
 
 	inTransit    []datagram
-	open         []simulatedAttempt
-	unanswered   map[string]int // attempts by zone
+	inFlight     []simulatedAttempt
+	unanswered   map[string]int // unanswered attempts by zone
 	messagesSent int
 	log          []string
-	onMessage    func(from int, message []byte) // is told of each message; nil: nobody is
+	onMessage    func(from int, message []byte) // called for each message sent, if not nil
 }
 
 type datagram struct {
@@ -59,38 +60,38 @@
 	outcome Outcome
 }
 
-func newSimulation(t *testing.T, routers int, names ...string) *simulation {
+func newSimulation(t *testing.T, routers int, zoneNames ...string) *simulation {
 	sim := &simulation{
 		t:          t,
 		now:        simulationStart,
-		chance:     rand.New(rand.NewPCG(1, 2)),
+		random:     rand.New(rand.NewPCG(1, 2)),
 		routers:    make([]*Controller, routers),
-		names:      names,
+		zoneNames:  zoneNames,
 		servers:    4,
 		rate:       27,
 		answered:   map[string]float64{},
 		slow:       map[string]bool{},
 		overloaded: map[string]bool{},
 		reaches:    func(int, string) bool { return true },
-		hears:      func(int, int) bool { return true },
+		receives:   func(int, int) bool { return true },
 		down:       map[int]bool{},
-		stopped:    map[int]bool{},
+		suspended:  map[int]bool{},
 		delay:      0.002,
 		unanswered: map[string]int{},
 	}
 	for index := range routers {
 		sim.start(index, 1, nil)
 	}
-	for _, name := range names {
+	for _, name := range zoneNames {
 		sim.answered[name] = 1
 	}
 	return sim
 }
 
-// clock is a router's own time.
+// clock returns the time of a router's clock.
 func (sim *simulation) clock(index int) float64 { return sim.now + sim.skew*float64(index) }
 
-// start starts a router's process anew.
+// start starts a new process of a router.
 func (sim *simulation) start(index int, incarnation uint16, regions [][]string) {
 	router := New(Settings{
 		RouterIndex:   index,
@@ -100,7 +101,7 @@
 		Regions:       regions,
 	})
 	servers := map[string]int{}
-	for _, name := range sim.names {
+	for _, name := range sim.zoneNames {
 		servers[name] = sim.servers
 	}
 	router.OnEndpoints(sim.clock(index), servers, nil)
@@ -108,7 +109,7 @@
 	delete(sim.down, index)
 }
 
-// restartAll starts all routers anew and lets them settle.
+// restartAll restarts all routers and runs them until they have exchanged evidence.
 func (sim *simulation) restartAll() {
 	for index := range sim.routers {
 		sim.start(index, 2, nil)
@@ -129,7 +130,7 @@
 }
 
 func (sim *simulation) endAttempts() {
-	ended := take(&sim.open, func(attempt simulatedAttempt) bool { return attempt.at <= sim.now })
+	ended := removeIf(&sim.inFlight, func(attempt simulatedAttempt) bool { return attempt.at <= sim.now })
 	for _, attempt := range ended {
 		if !sim.down[attempt.router] {
 			sim.routers[attempt.router].OnAttemptEnd(sim.clock(attempt.router), attempt.zone, attempt.token, attempt.outcome)
@@ -138,7 +139,7 @@
 }
 
 func (sim *simulation) deliver() {
-	arrived := take(&sim.inTransit, func(d datagram) bool { return d.at <= sim.now && !sim.stopped[d.to] })
+	arrived := removeIf(&sim.inTransit, func(d datagram) bool { return d.at <= sim.now && !sim.suspended[d.to] })
 	for _, d := range arrived {
 		if !sim.down[d.to] {
 			sim.routers[d.to].OnMessage(sim.clock(d.to), d.message)
@@ -147,10 +148,10 @@
 }
 
 func (sim *simulation) step(index int, router *Controller) {
-	if sim.chance.Float64() < sim.rate*simulationStep {
+	if sim.random.Float64() < sim.rate*simulationStep {
 		sim.attempt(index, router)
 	}
-	if int(sim.now*100+0.5)%ticksEvery == 0 {
+	if int(sim.now*100+0.5)%stepsPerTick == 0 {
 		router.Tick(sim.clock(index))
 	}
 	for _, c := range router.TakeChanges() {
@@ -169,22 +170,22 @@
 	}
 	sim.messagesSent++
 	if len(message) > maxMessageBytes {
-		sim.t.Fatalf("a message of %d bytes", len(message))
+		sim.t.Fatalf("got a message of %d bytes, want at most 256", len(message))
 	}
 	for to := range sim.routers {
-		if to != from && sim.hears(from, to) && sim.chance.Float64() >= sim.loss {
-			sim.inTransit = append(sim.inTransit, datagram{sim.now + sim.delay*(1+sim.chance.Float64()), to, message})
+		if to != from && sim.receives(from, to) && sim.random.Float64() >= sim.loss {
+			sim.inTransit = append(sim.inTransit, datagram{sim.now + sim.delay*(1+sim.random.Float64()), to, message})
 		}
 	}
 }
 
-// attempt has a router send to a zone by chance, if its share allows it.
+// attempt lets a router send an attempt to a random zone, with the zone's share as the probability.
 func (sim *simulation) attempt(index int, router *Controller) {
-	zone := sim.names[sim.chance.IntN(len(sim.names))]
-	if sim.chance.Float64() >= router.Share(zone) {
+	zone := sim.zoneNames[sim.random.IntN(len(sim.zoneNames))]
+	if sim.random.Float64() >= router.Share(zone) {
 		return
 	}
-	token := router.OnAttemptStart(sim.clock(index), zone, objective)
+	token := router.OnAttemptStart(sim.clock(index), zone, latencyObjective)
 	attempt := simulatedAttempt{at: sim.now + answerTime, router: index, zone: zone, token: token}
 	if sim.slow[zone] {
 		attempt.at = sim.now + lateAnswerTime
@@ -193,31 +194,31 @@
 	if sim.overloaded[zone] {
 		attempt.outcome = Overloaded
 	}
-	if sim.chance.Float64() >= sim.answered[zone] || !sim.reaches(index, zone) {
-		attempt.at = sim.now + timeout
+	if sim.random.Float64() >= sim.answered[zone] || !sim.reaches(index, zone) {
+		attempt.at = sim.now + attemptTimeout
 		attempt.outcome = NoAnswer
 		sim.unanswered[zone]++
 	}
-	sim.open = append(sim.open, attempt)
+	sim.inFlight = append(sim.inFlight, attempt)
 }
 
-// take removes the items of a list that a condition holds for, and gives them.
-func take[T any](all *[]T, which func(T) bool) (taken []T) {
+// removeIf removes the items that meet a condition from a list, and returns them.
+func removeIf[T any](all *[]T, condition func(T) bool) (removed []T) {
 	rest := (*all)[:0:0]
 	for _, item := range *all {
-		if which(item) {
-			taken = append(taken, item)
+		if condition(item) {
+			removed = append(removed, item)
 		} else {
 			rest = append(rest, item)
 		}
 	}
 	*all = rest
-	return taken
+	return removed
 }
 
-// until runs until something holds at all routers that run, and gives how long that took at the first and at the
-// last; it fails after a bound in seconds.
-func (sim *simulation) until(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
+// runUntil runs until a condition holds at all running routers, and returns the seconds that it took at the first and
+// at the last router. The test fails after a bound in seconds.
+func (sim *simulation) runUntil(what string, bound float64, holds func(router *Controller) bool) (first, last float64) {
 	sim.t.Helper()
 	began, first := sim.now, -1.0
 	for sim.now-began < bound {
@@ -238,7 +239,7 @@
 		}
 	}
 	sim.showLog()
-	sim.t.Fatalf("%s: not everywhere within %.1f s", what, bound)
+	sim.t.Fatalf("%s: not at all routers within %.1f s", what, bound)
 	return 0, 0
 }
 
@@ -260,13 +261,13 @@
 	return func(router *Controller) bool { return router.find(zone).state == Recovering }
 }
 
-// mustServe fails if a router that runs gives a zone less than all of its keys.
+// mustServe fails the test if a zone serves less than all of its keys at a running router.
 func (sim *simulation) mustServe(zone string) {
 	sim.t.Helper()
 	for index, router := range sim.routers {
 		if !sim.down[index] && router.Share(zone) != 1 {
 			sim.showLog()
-			sim.t.Fatalf("router %d gives %s %v of its keys", index, zone, router.Share(zone))
+			sim.t.Fatalf("router %d, zone %s: got share %v, want 1", index, zone, router.Share(zone))
 		}
 	}
 }
