--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -26,12 +26,12 @@
 	mux.HandleFunc("GET /metrics", metricsRoute(h))
 	mux.HandleFunc("GET /status", statusRoute(h))
 	mux.HandleFunc("GET /zones", zonesRoute(h))
-	mux.HandleFunc("POST /cache-servers/disable", actOnName("id of a cache server", h.DisableServer))
-	mux.HandleFunc("POST /cache-servers/enable", actOnName("id of a cache server", h.EnableServer))
-	mux.HandleFunc("POST /zones/leave", actOnName("name of a zone", h.EvacuateZone))
-	mux.HandleFunc("POST /zones/return", actOnName("name of a zone", h.RestoreZone))
-	mux.HandleFunc("POST /drain", act(h.Drain))
-	mux.HandleFunc("POST /undrain", act(h.Undrain))
+	mux.HandleFunc("POST /cache-servers/disable", nameActionRoute("id of a cache server", h.DisableServer))
+	mux.HandleFunc("POST /cache-servers/enable", nameActionRoute("id of a cache server", h.EnableServer))
+	mux.HandleFunc("POST /zones/leave", nameActionRoute("name of a zone", h.EvacuateZone))
+	mux.HandleFunc("POST /zones/return", nameActionRoute("name of a zone", h.RestoreZone))
+	mux.HandleFunc("POST /drain", actionRoute(h.Drain))
+	mux.HandleFunc("POST /undrain", actionRoute(h.Undrain))
 	return mux
 }
 
@@ -95,8 +95,8 @@
 	table.Flush()
 }
 
-// actOnName serves a request whose body names something; what says to the caller what that is.
-func actOnName(what string, do func(name string) error) http.HandlerFunc {
+// nameActionRoute serves a request whose body names something; what says to the caller what that is.
+func nameActionRoute(what string, do func(name string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
 		markRequestRead(request)
@@ -118,8 +118,8 @@
 	return name != "" && !strings.ContainsFunc(name, invalid)
 }
 
-// act serves a request without a body; one that comes is not read.
-func act(do func() error) http.HandlerFunc {
+// actionRoute serves a request without a body; one that comes is not read.
+func actionRoute(do func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
 		writeResult(w, do())
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -46,15 +46,15 @@
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
 		log.Warn().Err(err).Str("ops", addr).Msg("the admin server cannot listen yet; it is tried again")
-		go s.listenLater()
+		go s.retryListen()
 		return s
 	}
 	go s.serve(listener)
 	return s
 }
 
-// listenLater tries to listen until it succeeds or the server is closed.
-func (s *Server) listenLater() {
+// retryListen tries to listen until it succeeds or the server is closed.
+func (s *Server) retryListen() {
 	for {
 		select {
 		case <-s.closed:
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -61,7 +61,7 @@
 // Requests are answered within a second, beside more connections than there may be that say nothing or stop midway,
 // and more of them in a row than there may be connections; what is no request of the server's is declined clearly. The
 // address may be another process's at first.
-func TestRequests(t *testing.T) {
+func TestRequestsBesideStalledConnections(t *testing.T) {
 	for _, c := range []struct {
 		err              error
 		call, body, want string
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -70,7 +70,7 @@
 	failures := ""
 	go func() {
 		defer close(done)
-		Watch(ctx, ln.Addr().String(), WatchStart{Schedule: patient(onePoll)}, func(list EndpointList) error {
+		Watch(ctx, ln.Addr().String(), WatchStart{Schedule: tolerant(onePoll)}, func(list EndpointList) error {
 			if list.Generation == 39 {
 				return fmt.Errorf("%w: 39, 41", ErrOutdated)
 			}
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -27,8 +27,8 @@
 	Backoff:         pollschedule.Backoff{Initial: 0.1, Max: 0.1},
 }
 
-// patient returns a schedule by which no answer of a test is late, however busy the machine.
-func patient(schedule pollschedule.Schedule) pollschedule.Schedule {
+// tolerant returns a schedule by which no answer of a test is late, however busy the machine.
+func tolerant(schedule pollschedule.Schedule) pollschedule.Schedule {
 	schedule.AnswerTolerance = 1e3
 	return schedule
 }
@@ -42,8 +42,8 @@
 	return stop
 }
 
-// takeInto is an onList that takes all lists.
-func takeInto(lists chan EndpointList) func(EndpointList) error {
+// acceptInto is an onList that takes all lists.
+func acceptInto(lists chan EndpointList) func(EndpointList) error {
 	return func(list EndpointList) error {
 		lists <- list
 		return nil
@@ -52,7 +52,7 @@
 
 func ignoreFailure(error) {}
 
-func next[T any](t *testing.T, what string, from chan T) (value T) {
+func receive[T any](t *testing.T, what string, from chan T) (value T) {
 	t.Helper()
 	select {
 	case value = <-from:
@@ -72,45 +72,45 @@
 	return server.Listener.Addr().String()
 }
 
-// change is the text of a list without instances that says what has changed.
-func change(generation int) string {
+// emptyDelta is the text of a list without instances that says what has changed.
+func emptyDelta(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, generation)
 }
 
-// complete is the text of a complete list without instances.
-func complete(generation int) string {
+// emptyFullList is the text of a emptyFullList list without instances.
+func emptyFullList(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, generation)
 }
 
-// oneInstance is the text of a complete list of one instance.
-func oneInstance(generation int) string {
+// oneInstanceList is the text of a complete list of one instance.
+func oneInstanceList(generation int) string {
 	const instance = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"draining","weight":1}`
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, instance)
 }
 
-// heldService is a list service whose polls are answered only as a test says.
-type heldService struct {
+// manualService is a list service whose polls are answered only as a test says.
+type manualService struct {
 	t     *testing.T
-	polls chan *heldPoll
+	polls chan *manualPoll
 	lists chan EndpointList // that the watch has taken
 }
 
-type heldPoll struct {
+type manualPoll struct {
 	query     string
 	answer    chan string     // "": the poll is rejected
 	abandoned <-chan struct{} // closed once the watch gives the poll up
 }
 
-// watchHeldService watches a service whose polls are held.
-func watchHeldService(t *testing.T, start WatchStart) heldService {
-	service := heldService{t: t, polls: make(chan *heldPoll, 100), lists: make(chan EndpointList, 100)}
+// watchManualService watches a service whose polls are held.
+func watchManualService(t *testing.T, start WatchStart) manualService {
+	service := manualService{t: t, polls: make(chan *manualPoll, 100), lists: make(chan EndpointList, 100)}
 	addr := newServer(t, service.serve)
-	watchUntil(t, addr, start, takeInto(service.lists), ignoreFailure)
+	watchUntil(t, addr, start, acceptInto(service.lists), ignoreFailure)
 	return service
 }
 
-func (service heldService) serve(w http.ResponseWriter, r *http.Request) {
-	poll := &heldPoll{r.URL.RawQuery, make(chan string, 1), r.Context().Done()}
+func (service manualService) serve(w http.ResponseWriter, r *http.Request) {
+	poll := &manualPoll{r.URL.RawQuery, make(chan string, 1), r.Context().Done()}
 	select {
 	case service.polls <- poll:
 	case <-r.Context().Done():
@@ -126,8 +126,8 @@
 	}
 }
 
-// mustCount fails if a poll was given up.
-func (service heldService) mustCount(poll *heldPoll) {
+// mustBeInFlight fails if a poll was given up.
+func (service manualService) mustBeInFlight(poll *manualPoll) {
 	service.t.Helper()
 	select {
 	case <-poll.abandoned:
@@ -185,21 +185,21 @@
 	fmt.Fprintf(poll, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, length, body)
 }
 
-// pieceService is a list service whose answers are written as they are, in pieces, by the number of the poll. An
+// fragmentService is a list service whose answers are written as they are, in pieces, by the number of the poll. An
 // answer that does not say where it ends is ended with its connection, and so is one that is cut, by a reset.
-type pieceService struct {
+type fragmentService struct {
 	numbers chan int // of the polls, from 0 on
 	done    chan bool
 	answer  func(poll int) (pieces []string, reset bool)
 }
 
-func newPieceService(t *testing.T, answer func(poll int) (pieces []string, reset bool)) (addr string) {
+func newFragmentService(t *testing.T, answer func(poll int) (pieces []string, reset bool)) (addr string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { listener.Close() })
-	service := &pieceService{make(chan int), make(chan bool), answer}
+	service := &fragmentService{make(chan int), make(chan bool), answer}
 	t.Cleanup(func() { close(service.done) })
 	go service.count()
 	go func() {
@@ -210,7 +210,7 @@
 	return listener.Addr().String()
 }
 
-func (service *pieceService) count() {
+func (service *fragmentService) count() {
 	for number := 0; ; number++ {
 		select {
 		case service.numbers <- number:
@@ -220,7 +220,7 @@
 	}
 }
 
-func (service *pieceService) serve(conn net.Conn) {
+func (service *fragmentService) serve(conn net.Conn) {
 	defer conn.Close()
 	in := bufio.NewReader(conn)
 	for {
@@ -230,7 +230,7 @@
 		select {
 		case number := <-service.numbers:
 			pieces, reset := service.answer(number)
-			if !writePieces(conn, pieces, reset) {
+			if !writeFragments(conn, pieces, reset) {
 				return
 			}
 		case <-service.done:
@@ -239,8 +239,8 @@
 	}
 }
 
-// writePieces writes an answer, and reports whether its connection goes on.
-func writePieces(conn net.Conn, pieces []string, reset bool) bool {
+// writeFragments writes an answer, and reports whether its connection goes on.
+func writeFragments(conn net.Conn, pieces []string, reset bool) bool {
 	for i, piece := range pieces {
 		if i > 0 {
 			time.Sleep(100 * time.Microsecond) // so that most pieces come apart; it is read alike if they do not
@@ -256,8 +256,8 @@
 	return strings.Contains(all, "Length") || strings.Contains(all, "chunked")
 }
 
-// layouts word a list as JSON may.
-var layouts = map[string]func(text string) string{
+// jsonLayouts word a list as JSON may.
+var jsonLayouts = map[string]func(text string) string{
 	"in a line": func(text string) string { return text },
 	"indented": func(text string) string {
 		var all any
@@ -267,8 +267,8 @@
 	},
 }
 
-// forms word an answer as HTTP may.
-var forms = map[string]func(body string) string{
+// httpFramings word an answer as HTTP may.
+var httpFramings = map[string]func(body string) string{
 	"with a length": func(body string) string {
 		const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
 		return fmt.Sprintf(head, len(body), body)
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -12,7 +12,7 @@
 // The names of a list's fields on the wire.
 const (
 	fieldGeneration  = "generation"
-	fieldComplete    = "reset"
+	fieldFull        = "reset"
 	fieldInstances   = "instances"
 	fieldName        = "instanceId"
 	fieldAddress     = "hostPort"
@@ -65,7 +65,7 @@
 
 // FromObject reads a list from an object, which keeps the faults.
 func FromObject(object *settings.Object) EndpointList {
-	list := EndpointList{Generation: object.ID(fieldGeneration), Complete: object.Flag(fieldComplete)}
+	list := EndpointList{Generation: object.ID(fieldGeneration), Complete: object.Flag(fieldFull)}
 	for _, member := range object.List(fieldInstances) {
 		instance, name := instanceFromObject(object, member)
 		if name != "" {
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -54,7 +54,7 @@
 
 // What is wrong with one instance must not hide the drain beside it, nor may its server be sent to by half of what it
 // says.
-func TestAMalformedInstanceHidesNoDrain(t *testing.T) {
+func TestMalformedInstanceDoesNotHideDrain(t *testing.T) {
 	malformed := strings.Repeat(`{"instanceId":"s-9","hostPort":"10.1.0.9:1","lifecycle":"ready","cell":"x"},`, 150)
 	list, err := Parse([]byte(`{"generation":43,"reset":false,"instances":[7,` + malformed + `
 		{"instanceId":3,"lifecycle":"ready"},
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -7,12 +7,12 @@
 )
 
 // An answer is taken whatever the form and the pieces in which it comes: each byte by itself, and cut in two anywhere.
-func TestAListInAnyFormAndPieces(t *testing.T) {
-	for form, inForm := range forms {
-		for layout, laidOut := range layouts {
-			text := func(poll int) string { return inForm(laidOut(oneInstance(1000 + poll))) }
+func TestListInAnyEncodingAndFragmentation(t *testing.T) {
+	for form, inForm := range httpFramings {
+		for layout, laidOut := range jsonLayouts {
+			text := func(poll int) string { return inForm(laidOut(oneInstanceList(1000 + poll))) }
 			polls := len(text(0))
-			addr := newPieceService(t, func(poll int) ([]string, bool) {
+			addr := newFragmentService(t, func(poll int) ([]string, bool) {
 				text := text(poll)
 				if poll == 0 {
 					return strings.Split(text, ""), false
@@ -49,14 +49,14 @@
 }
 
 // An answer that is cut by a reset is none, wherever that is and also where it says no length: a reset is no end.
-func TestAListCutByAResetIsNone(t *testing.T) {
-	for form, inForm := range forms {
-		text := inForm(oneInstance(1000) + "  ") // of which JSON alone would not miss the end
-		addr := newPieceService(t, func(poll int) ([]string, bool) {
+func TestListCutByResetIsNotAccepted(t *testing.T) {
+	for form, inForm := range httpFramings {
+		text := inForm(oneInstanceList(1000) + "  ") // of which JSON alone would not miss the end
+		addr := newFragmentService(t, func(poll int) ([]string, bool) {
 			return []string{text[:max(0, len(text)-1-poll%4*30)]}, true
 		})
 		lists, failures := make(chan EndpointList, 10), make(chan error, 10)
-		stop := watchUntil(t, addr, WatchStart{Schedule: onePoll}, takeInto(lists), func(err error) { failures <- err })
+		stop := watchUntil(t, addr, WatchStart{Schedule: onePoll}, acceptInto(lists), func(err error) { failures <- err })
 		select {
 		case list := <-lists:
 			t.Errorf("%s: it is taken, %+v", form, list)
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -20,11 +20,11 @@
 
 // poll is one poll, and how it ended.
 type poll struct {
-	number   int
-	complete bool   // it asks for the complete list
-	since    uint64 // else for what is newer than this generation
-	list     EndpointList
-	err      error
+	number          int
+	full            bool   // it asks for the complete list
+	sinceGeneration uint64 // else for what is newer than this generation
+	list            EndpointList
+	err             error
 }
 
 // newClient makes the client of one watch. Its connections are those of the standard library, for netpoll's tell a
@@ -38,22 +38,22 @@
 // url is what a poll asks for, held by the service for so long until there is news.
 func (p *poll) url(addr string, longPollWait time.Duration) string {
 	url := "http://" + addr + listPath
-	if p.complete {
+	if p.full {
 		return url
 	}
-	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, p.since, longPollWait.Milliseconds())
+	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, p.sinceGeneration, longPollWait.Milliseconds())
 }
 
 // check returns why the answer cannot be used; nil: it can.
 func (p *poll) check() error {
 	if errors.Is(p.err, context.DeadlineExceeded) { // its lifetime is over
-		return ErrNoAnswer
+		return ErrPollTimeout
 	}
 	if p.err != nil {
 		return p.err
 	}
-	if !p.complete && p.list.Generation < p.since {
-		return &GenerationError{Got: p.list.Generation, Asked: p.since}
+	if !p.full && p.list.Generation < p.sinceGeneration {
+		return &GenerationError{Got: p.list.Generation, Requested: p.sinceGeneration}
 	}
 	return nil
 }
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -25,15 +25,15 @@
 	addr   string
 	log    zerolog.Logger
 
-	poller  *pollschedule.Poller
-	began   time.Time
-	timer   *time.Timer                // for the last poll's answer, or for a wait
-	ended   chan *poll                 // from the polls' goroutines
-	cancels map[int]context.CancelFunc // of the polls in flight
+	poller     *pollschedule.Poller
+	startedAt  time.Time
+	timer      *time.Timer                // for the last poll's answer, or for a wait
+	endedPolls chan *poll                 // from the polls' goroutines
+	cancels    map[int]context.CancelFunc // of the polls in flight
 
-	needsComplete bool   // the complete list is to be asked for
-	generation    uint64 // else what is newer than this one
-	lastFailure   string // "": the last poll that counted brought a list
+	needsFull   bool   // the complete list is to be asked for
+	generation  uint64 // else what is newer than this one
+	lastFailure string // "": the last poll that counted brought a list
 
 	onList    func(EndpointList) error
 	onFailure func(error)
@@ -52,25 +52,25 @@
 	client := newClient()
 	defer client.CloseIdleConnections()
 	w := &watcher{
-		ctx:           ctx,
-		client:        client,
-		addr:          addr,
-		log:           log,
-		poller:        pollschedule.NewPoller(start.Schedule),
-		began:         time.Now(),
-		timer:         time.NewTimer(0),
-		ended:         make(chan *poll),
-		cancels:       map[int]context.CancelFunc{},
-		needsComplete: !start.SameService,
-		generation:    start.Generation,
-		onList:        onList,
-		onFailure:     onFailure,
+		ctx:        ctx,
+		client:     client,
+		addr:       addr,
+		log:        log,
+		poller:     pollschedule.NewPoller(start.Schedule),
+		startedAt:  time.Now(),
+		timer:      time.NewTimer(0),
+		endedPolls: make(chan *poll),
+		cancels:    map[int]context.CancelFunc{},
+		needsFull:  !start.SameService,
+		generation: start.Generation,
+		onList:     onList,
+		onFailure:  onFailure,
 	}
 	for {
 		select {
 		case <-ctx.Done():
 			return
-		case p := <-w.ended:
+		case p := <-w.endedPolls:
 			w.onPollEnd(p)
 		case <-w.timer.C:
 			w.onTimeout()
@@ -81,20 +81,20 @@
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
 // now is how long the watch has gone on, in seconds.
-func (w *watcher) now() float64 { return time.Since(w.began).Seconds() }
+func (w *watcher) now() float64 { return time.Since(w.startedAt).Seconds() }
 
 // startPoll sends a poll from a goroutine of its own.
 func (w *watcher) startPoll() {
 	next := w.poller.Start(w.now())
 	ctx, cancel := context.WithTimeout(w.ctx, seconds(next.Lifetime))
 	w.cancels[next.Number] = cancel
-	p := &poll{number: next.Number, complete: w.needsComplete, since: w.generation}
+	p := &poll{number: next.Number, full: w.needsFull, sinceGeneration: w.generation}
 	url := p.url(w.addr, seconds(next.LongPollWait))
 	go func() {
 		defer cancel()
 		p.list, p.err = fetch(ctx, w.client, url)
 		select {
-		case w.ended <- p:
+		case w.endedPolls <- p:
 		case <-w.ctx.Done():
 		}
 	}()
@@ -105,7 +105,7 @@
 func (w *watcher) onTimeout() {
 	verdict := w.poller.OnTimeout(w.now())
 	if verdict.Late {
-		w.fail(ErrNoAnswer)
+		w.reportFailure(ErrPollTimeout)
 	}
 	w.abandon(verdict.Abandon)
 	if verdict.Wait > 0 {
@@ -125,10 +125,10 @@
 	delete(w.cancels, number)
 }
 
-// fail reports a failure, once as long as it stays the same. The next poll goes on a connection of its own: one that
+// reportFailure reports a failure, once as long as it stays the same. The next poll goes on a connection of its own: one that
 // has stood idle since a poll on it failed may be silent by then, and would hide a service that can be reached for as
 // long as a poll that hangs.
-func (w *watcher) fail(err error) {
+func (w *watcher) reportFailure(err error) {
 	w.client.CloseIdleConnections()
 	text := err.Error()
 	if text == w.lastFailure || w.ctx.Err() != nil {
@@ -145,9 +145,9 @@
 	if !w.poller.OnEnd(p.number) {
 		return
 	}
-	err := w.take(p)
+	err := w.deliver(p)
 	if err != nil {
-		w.fail(err)
+		w.reportFailure(err)
 		wait := w.poller.OnFailure(w.now(), errors.Is(err, ErrOutdated))
 		w.timer.Reset(seconds(wait))
 		return
@@ -162,12 +162,12 @@
 	w.startPoll()
 }
 
-// take hands a poll's list on, or reports why not.
-func (w *watcher) take(p *poll) error {
+// deliver hands a poll's list on, or reports why not.
+func (w *watcher) deliver(p *poll) error {
 	err := p.check()
 	var older *GenerationError
 	if errors.As(err, &older) {
-		w.needsComplete = true
+		w.needsFull = true
 	}
 	if err != nil {
 		return err
@@ -176,10 +176,10 @@
 		w.log.Warn().Str("fault", p.list.FirstFault).Msg("entries of the list cannot be used; these servers get nothing new")
 	}
 	if err := w.onList(p.list); err != nil {
-		w.needsComplete = true
+		w.needsFull = true
 		return err
 	}
-	w.needsComplete = false
+	w.needsFull = false
 	w.generation = p.list.Generation
 	return nil
 }
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -49,7 +49,7 @@
 // What a process that serves says to one of another build: the line with the sockets' addresses, which has the sockets
 // with it, and the state behind its length.
 func TestGoldenServingProcess(t *testing.T) {
-	process := running{[]byte(`{"some":"state"}`), make(chan string, 10)}
+	process := fakeHandler{[]byte(`{"some":"state"}`), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
 	successors, err := Listen(path, process, zerolog.Nop())
 	if err != nil {
@@ -88,15 +88,15 @@
 		said += string(next)
 	}
 	golden(t, "serving-process", said)
-	if got := next(process.calls); got != "started" {
+	if got := receive(process.calls); got != "started" {
 		t.Errorf("the handler's call is %q", got)
 	}
 	fmt.Fprint(conn, "serving\n")
-	if got := next(process.calls); got != "serving" {
+	if got := receive(process.calls); got != "serving" {
 		t.Errorf("the handler's call is %q", got)
 	}
 	conn.Close()
-	if got := next(process.calls); got != "ended true" {
+	if got := receive(process.calls); got != "ended true" {
 		t.Errorf("the handler's call is %q", got)
 	}
 }
@@ -144,5 +144,5 @@
 		}
 	}
 	predecessor.NotifyServing()
-	golden(t, "starting-process", next(said))
+	golden(t, "starting-process", receive(said))
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -14,8 +14,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// next returns the next value, or the zero value if none comes.
-func next[T any](from chan T) (value T) {
+// receive returns the receive value, or the zero value if none comes.
+func receive[T any](from chan T) (value T) {
 	select {
 	case value = <-from:
 	case <-time.After(3 * time.Second):
@@ -24,31 +24,31 @@
 }
 
 // A folder that is not there gives no path.
-func TestPathWithoutAFolder(t *testing.T) {
+func TestPathWithoutDirectory(t *testing.T) {
 	if Path("", "a", "out") != "" || Path("/nowhere", "a", "out") != "" {
 		t.Error("a folder that is not there gives a path")
 	}
 }
 
-// running is a process that serves.
-type running struct {
+// fakeHandler is a process that serves.
+type fakeHandler struct {
 	state []byte
 	calls chan string // those of the successors, in order
 }
 
-func (r running) Sockets() map[string]int {
+func (r fakeHandler) Sockets() map[string]int {
 	descriptor, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	return map[string]int{"127.0.0.1:11211": descriptor}
 }
-func (r running) State() []byte     { return r.state }
-func (r running) Started()          { r.calls <- "started" }
-func (r running) Serving()          { r.calls <- "serving" }
-func (r running) Ended(served bool) { r.calls <- fmt.Sprint("ended ", served) }
+func (r fakeHandler) State() []byte     { return r.state }
+func (r fakeHandler) Started()          { r.calls <- "started" }
+func (r fakeHandler) Serving()          { r.calls <- "serving" }
+func (r fakeHandler) Ended(served bool) { r.calls <- fmt.Sprint("ended ", served) }
 
 // Sockets and a state larger than any buffer go over, and what becomes of the successor is told, whenever it ends.
 // What is no process of a router is not answered and holds nobody up; a path that was left over is no predecessor.
 func TestTakeover(t *testing.T) {
-	process := running{bytes.Repeat([]byte("state"), 200000), make(chan string, 10)}
+	process := fakeHandler{bytes.Repeat([]byte("state"), 200000), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
 	os.WriteFile(path, nil, 0o600)
 	if _, _, err := Takeover(path); err == nil {
@@ -83,7 +83,7 @@
 		time.Sleep(20 * time.Millisecond)
 		predecessor.Close()
 		for _, call := range want {
-			if got := next(process.calls); got != call {
+			if got := receive(process.calls); got != call {
 				t.Errorf("the handler's call is %q, want %q", got, call)
 			}
 		}
@@ -100,7 +100,7 @@
 // A file system may give the inode number of a file that is gone to the next one. A listener that is closed a second
 // time must then not take the file that another process has put at the path for its own. Here the other's has the
 // number that its own had.
-func TestSecondCloseRemovesNobodysPath(t *testing.T) {
+func TestSecondCloseKeepsOtherProcessSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sock")
 	first, err := Listen(path, nil, zerolog.Nop())
 	if err != nil {
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -17,9 +17,9 @@
 const (
 	// maxSuccessors bounds the processes that may ask at once: one takes over, others may try.
 	maxSuccessors = 3
-	// followerPollInterval is between two looks for a process that has followed the successor.
-	followerPollInterval = 100 * time.Millisecond
-	maxHelloLine         = 64 // bytes
+	// otherListenerPollInterval is between two looks for a process that has followed the successor.
+	otherListenerPollInterval = 100 * time.Millisecond
+	maxHelloLine              = 64 // bytes
 )
 
 // SuccessorHandler gives successors what they need and is notified of what becomes of them. The methods are called
@@ -56,7 +56,7 @@
 // Listen takes the path over from the process that listened there, and calls the handler from then on.
 func Listen(path string, handler SuccessorHandler, log zerolog.Logger) (*Listener, error) {
 	if path == "" {
-		return nil, ErrNoFolder
+		return nil, ErrNoDirectory
 	}
 	temporary := fmt.Sprint(path, ".", os.Getpid()%1000)
 	os.Remove(temporary)
@@ -116,7 +116,7 @@
 			l.release(conn)
 			continue
 		}
-		go l.follow(conn)
+		go l.serveSuccessor(conn)
 	}
 }
 
@@ -138,8 +138,8 @@
 	conn.Close()
 }
 
-// follow serves one successor until it ends.
-func (l *Listener) follow(conn *net.UnixConn) {
+// serveSuccessor serves one successor until it ends.
+func (l *Listener) serveSuccessor(conn *net.UnixConn) {
 	defer l.release(conn)
 	conn.SetDeadline(time.Now().Add(replyTimeout))
 	in := bufio.NewReaderSize(conn, maxHelloLine)
@@ -147,7 +147,7 @@
 		return
 	}
 	sockets := l.handler.Sockets()
-	defer closeAll(sockets)
+	defer closeSockets(sockets)
 	if !sendSockets(conn, sockets) {
 		return
 	}
@@ -158,7 +158,7 @@
 	if served {
 		l.handler.Serving()
 		in.ReadByte() // returns at its end
-		l.waitWhileFollowed()
+		l.waitWhileOtherListens()
 	}
 	l.handler.Ended(served)
 }
@@ -185,7 +185,7 @@
 	return err == nil
 }
 
-func closeAll(sockets map[string]int) {
+func closeSockets(sockets map[string]int) {
 	for _, descriptor := range sockets {
 		unix.Close(descriptor)
 	}
@@ -198,15 +198,15 @@
 	}
 }
 
-// waitWhileFollowed returns once no other process listens at the path: as long as one does, it has the clients.
-func (l *Listener) waitWhileFollowed() {
-	for l.followed() {
-		time.Sleep(followerPollInterval)
+// waitWhileOtherListens returns once no other process listens at the path: as long as one does, it has the clients.
+func (l *Listener) waitWhileOtherListens() {
+	for l.otherProcessListens() {
+		time.Sleep(otherListenerPollInterval)
 	}
 }
 
-// followed reports whether another process listens at the path.
-func (l *Listener) followed() bool {
+// otherProcessListens reports whether another process listens at the path.
+func (l *Listener) otherProcessListens() bool {
 	present, err := os.Stat(l.path)
 	if err != nil || os.SameFile(present, l.file) {
 		return false
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -24,14 +24,14 @@
 // from: no process listens at the path, or one of another user (ErrOtherUser) or another protocol (ErrProtocol).
 func Takeover(path string) (*Predecessor, map[string]int, error) {
 	if path == "" {
-		return nil, nil, ErrNoFolder
+		return nil, nil, ErrNoDirectory
 	}
 	dialed, err := net.DialTimeout("unix", path, replyTimeout)
 	if err != nil {
 		return nil, nil, err
 	}
 	conn := dialed.(*net.UnixConn)
-	sockets, state, err := requestSockets(conn)
+	sockets, state, err := handshake(conn)
 	if err != nil {
 		conn.Close()
 		return nil, nil, err
@@ -39,8 +39,8 @@
 	return &Predecessor{State: state, conn: conn}, sockets, nil
 }
 
-// requestSockets says hello and reads the sockets and the state.
-func requestSockets(conn *net.UnixConn) (sockets map[string]int, state []byte, err error) {
+// handshake says hello and reads the sockets and the state.
+func handshake(conn *net.UnixConn) (sockets map[string]int, state []byte, err error) {
 	if !ownedByThisUser(conn) {
 		return nil, nil, ErrOtherUser
 	}
--- a/internal/hotrestart/protocol.go
+++ b/internal/hotrestart/protocol.go
@@ -28,8 +28,8 @@
 
 // Errors of Takeover and Listen.
 var (
-	ErrNoFolder  = errors.New("there is no folder for a socket")
-	ErrOtherUser = errors.New("the process before is another user's")
+	ErrNoDirectory = errors.New("there is no folder for a socket")
+	ErrOtherUser   = errors.New("the process before is another user's")
 	// ErrProtocol: the predecessor is of a build that speaks another version.
 	ErrProtocol = errors.New("the process before speaks otherwise")
 )
--- a/internal/requestcore/attempt.go
+++ b/internal/requestcore/attempt.go
@@ -9,7 +9,7 @@
 	startedAt float64
 	pending   PendingAttempt // nil once it has ended, or if it was never sent
 	zone      string
-	zoneMark  uint64 // the zone observer's; 0: it is not observed
+	zoneToken uint64 // the zone observer's; 0: it is not observed
 }
 
 // OnAttemptEnd handles the end of the attempt. A result is passed on before anything else.
@@ -20,13 +20,13 @@
 	took := now - a.startedAt
 	r.outstanding--
 	a.pending = nil
-	if a.zoneMark > 0 {
-		c.deps.ZoneObserver.AttemptEnded(a.zone, a.zoneMark, outcome, took, c.objectives[r.Class])
+	if a.zoneToken > 0 {
+		c.deps.ZoneObserver.AttemptEnded(a.zone, a.zoneToken, outcome, took, c.objectives[r.Class])
 	}
 	answered := outcome == balancer.Succeeded && r.client != nil
 	if answered {
 		c.Counts.Succeeded++
-		r.takeClient().Succeeded(result)
+		r.detachClient().Succeeded(result)
 		r.reportEnd(Succeeded, NoReason)
 	} else if result.Body != nil {
 		result.Body.Discard()
@@ -34,8 +34,8 @@
 	if r.Usage != nil {
 		r.Usage.AttemptEnded(took)
 	}
-	c.guard(r, func() { c.balancer.OnAttemptEnd(now, r.id, a.number, outcome, took, answered) })
-	r.forgetIfDone()
+	c.callBalancer(r, func() { c.balancer.OnAttemptEnd(now, r.id, a.number, outcome, took, answered) })
+	r.removeIfDone()
 }
 
 // StillWanted reports whether the request has no answer and its client is there.
--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -35,12 +35,12 @@
 // New makes a core, and a balancer for it.
 func New(settings balancer.Settings, deps Dependencies, newBalancer NewBalancer) *Core {
 	c := &Core{deps: deps, requests: map[uint64]*openRequest{}, zones: map[uint64]string{}}
-	c.learnClasses(settings.TrafficClasses)
+	c.indexClasses(settings.TrafficClasses)
 	c.balancer = newBalancer(deps.Clock.Now(), settings, c)
 	return c
 }
 
-func (c *Core) learnClasses(classes []balancer.TrafficClass) {
+func (c *Core) indexClasses(classes []balancer.TrafficClass) {
 	c.objectives = map[string]float64{}
 	c.idempotent = map[string]bool{}
 	for _, class := range classes {
@@ -60,7 +60,7 @@
 	request.NotIdempotent = !c.idempotent[request.Class]
 	r := &openRequest{Request: request, core: c, id: c.lastID, client: client}
 	c.requests[r.id] = r
-	c.guard(r, func() {
+	c.callBalancer(r, func() {
 		c.balancer.OnRequest(c.deps.Clock.Now(), r.id, request.Class, request.Tenant, request.Key, request.TimeLeft)
 	})
 	return r.id
@@ -75,8 +75,8 @@
 	c.Counts.ClientsGone++
 	r.client = nil
 	r.reportEnd(ClientGone, NoReason)
-	c.guard(r, func() { c.balancer.OnClientGone(c.deps.Clock.Now(), id) })
-	r.forgetIfDone()
+	c.callBalancer(r, func() { c.balancer.OnClientGone(c.deps.Clock.Now(), id) })
+	r.removeIfDone()
 }
 
 // FailAll answers all requests that have no answer, in the order in which they came: the process ends.
@@ -98,44 +98,44 @@
 			c.zones[endpoint.ID] = endpoint.Zone
 		}
 	}
-	c.guard(nil, func() { c.balancer.OnEndpoints(c.deps.Clock.Now(), kind, endpoints) })
+	c.callBalancer(nil, func() { c.balancer.OnEndpoints(c.deps.Clock.Now(), kind, endpoints) })
 }
 
 // OnGossip is called with a peer's message.
 func (c *Core) OnGossip(message []byte) {
-	c.guard(nil, func() { c.balancer.OnGossip(c.deps.Clock.Now(), message) })
+	c.callBalancer(nil, func() { c.balancer.OnGossip(c.deps.Clock.Now(), message) })
 }
 
 // SetDisabled disables a server by order of operators, or enables it again.
 func (c *Core) SetDisabled(server uint64, disabled bool) {
-	c.guard(nil, func() { c.balancer.SetDisabled(c.deps.Clock.Now(), server, disabled) })
+	c.callBalancer(nil, func() { c.balancer.SetDisabled(c.deps.Clock.Now(), server, disabled) })
 }
 
 // SetZoneShare sets the part of its keys, 0 to 1, that a zone serves from now on.
 func (c *Core) SetZoneShare(zone string, share float64) {
-	c.guard(nil, func() { c.balancer.SetZoneShare(c.deps.Clock.Now(), zone, share) })
+	c.callBalancer(nil, func() { c.balancer.SetZoneShare(c.deps.Clock.Now(), zone, share) })
 }
 
 // SetTrafficClasses sets the classes that requests may have from now on.
 func (c *Core) SetTrafficClasses(classes []balancer.TrafficClass) {
-	c.learnClasses(classes)
-	c.guard(nil, func() { c.balancer.SetTrafficClasses(classes) })
+	c.indexClasses(classes)
+	c.callBalancer(nil, func() { c.balancer.SetTrafficClasses(classes) })
 }
 
 // SetFleetSize sets the number of routers, by those that are heard.
 func (c *Core) SetFleetSize(routers int) {
-	c.guard(nil, func() { c.balancer.SetFleetSize(c.deps.Clock.Now(), routers) })
+	c.callBalancer(nil, func() { c.balancer.SetFleetSize(c.deps.Clock.Now(), routers) })
 }
 
 // Avoids reports whether the balancer sends nothing new to a server now.
 func (c *Core) Avoids(server uint64) (avoided bool) {
-	c.guard(nil, func() { avoided = c.balancer.Avoids(server) })
+	c.callBalancer(nil, func() { avoided = c.balancer.Avoids(server) })
 	return avoided
 }
 
-// guard calls the balancer. A panic is counted and logged, and the request at hand, which may be nil, fails; the router
+// callBalancer calls the balancer. A panic is counted and logged, and the request at hand, which may be nil, fails; the router
 // serves on, for the other requests have their answers to get.
-func (c *Core) guard(request *openRequest, call func()) {
+func (c *Core) callBalancer(request *openRequest, call func()) {
 	defer func() {
 		fault := recover()
 		if fault == nil {
--- a/internal/requestcore/core_test.go
+++ b/internal/requestcore/core_test.go
@@ -75,7 +75,7 @@
 }
 
 // Each request has one answer and is forgotten; an at-most-once one is retried only if it was never executed.
-func TestOneAnswer(t *testing.T) {
+func TestEachRequestHasOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		idempotency balancer.Idempotency
 		outcomes    []balancer.Outcome // of its attempts, one after another
@@ -108,7 +108,7 @@
 
 // A client that has disconnected is told nothing; its attempt is cancelled, and its request forgotten once that has
 // ended.
-func TestClientGone(t *testing.T) {
+func TestDisconnectedClientGetsNoAnswer(t *testing.T) {
 	core, upstream := newCore(balancer.Idempotent)
 	var got answers
 	id := submit(core, &got)
@@ -121,7 +121,7 @@
 	}
 }
 
-func TestWithoutEndpointsRejected(t *testing.T) {
+func TestRequestWithoutEndpointsIsRejected(t *testing.T) {
 	core, _ := newCore(balancer.Idempotent)
 	core.OnEndpoints(balancer.UpdateFull, nil)
 	var got answers
@@ -130,11 +130,11 @@
 }
 
 // A panic of the balancer fails the request at hand, does not end the router, and nothing more is sent for the request.
-func TestPanicOfTheBalancer(t *testing.T) {
+func TestBalancerPanicFailsOneRequest(t *testing.T) {
 	core, upstream := newCore(balancer.Idempotent)
 	var got answers
 	id := submit(core, &got)
-	core.guard(core.requests[id], func() { panic("an index") })
+	core.callBalancer(core.requests[id], func() { panic("an index") })
 	check(t, core, got, answers{failed: 1}, 1)
 	core.StartAttempt(id, 1, 0.1, 0.1)
 	if len(upstream.attempts) != 1 {
@@ -149,7 +149,7 @@
 }
 
 // The upstream is told whether a request may simply be repeated, and by when a retry is to be written.
-func TestUpstreamIsToldOfRetries(t *testing.T) {
+func TestUpstreamGetsIdempotencyAndSendDeadline(t *testing.T) {
 	for idempotency, notIdempotent := range map[balancer.Idempotency]bool{
 		balancer.Idempotent: false, balancer.IdempotencyKeyed: true, balancer.AtMostOnce: true,
 	} {
--- a/internal/requestcore/host.go
+++ b/internal/requestcore/host.go
@@ -20,7 +20,7 @@
 	c.Counts.Attempts++
 	a.zone = c.zones[server]
 	if c.deps.ZoneObserver != nil && a.zone != "" {
-		a.zoneMark = c.deps.ZoneObserver.AttemptStarted(a.zone, c.objectives[r.Class])
+		a.zoneToken = c.deps.ZoneObserver.AttemptStarted(a.zone, c.objectives[r.Class])
 	}
 	a.pending = c.deps.Upstream.StartAttempt(server, r.Request, timeout, sendWithin, a)
 }
@@ -42,9 +42,9 @@
 	reason := rejectReasons[why]
 	c.Counts.Rejected++
 	c.Counts.Reasons[reason]++
-	r.takeClient().Rejected(retryAfter)
+	r.detachClient().Rejected(retryAfter)
 	r.reportEnd(Rejected, reason)
-	r.forgetIfDone()
+	r.removeIfDone()
 }
 
 // Fail answers a request of which nobody knows whether it was executed; it has no effect on one that was answered.
@@ -54,9 +54,9 @@
 		return
 	}
 	c.Counts.Failed++
-	r.takeClient().Failed()
+	r.detachClient().Failed()
 	r.reportEnd(Failed, NoReason)
-	r.forgetIfDone()
+	r.removeIfDone()
 }
 
 // Gossip sends a message to peers.
@@ -65,14 +65,14 @@
 // Probe checks the health of a server; the balancer gets the outcome.
 func (c *Core) Probe(server uint64) {
 	c.deps.Upstream.Probe(server, func(outcome balancer.Outcome) {
-		c.guard(nil, func() { c.balancer.OnProbeResult(c.deps.Clock.Now(), server, outcome) })
+		c.callBalancer(nil, func() { c.balancer.OnProbeResult(c.deps.Clock.Now(), server, outcome) })
 	})
 }
 
 // SetTimer calls the balancer's OnTimer after so many seconds.
 func (c *Core) SetTimer(delay float64, name string) {
 	c.deps.Clock.After(delay, func() {
-		c.guard(nil, func() { c.balancer.OnTimer(c.deps.Clock.Now(), name) })
+		c.callBalancer(nil, func() { c.balancer.OnTimer(c.deps.Clock.Now(), name) })
 	})
 }
 
--- a/internal/requestcore/openrequest.go
+++ b/internal/requestcore/openrequest.go
@@ -10,8 +10,8 @@
 	outstanding int // attempts that have not ended
 }
 
-// takeClient returns the client, which is answered once: from now on the request has none.
-func (r *openRequest) takeClient() Client {
+// detachClient returns the client, which is answered once: from now on the request has none.
+func (r *openRequest) detachClient() Client {
 	client := r.client
 	r.client = nil
 	return client
@@ -24,10 +24,10 @@
 	}
 }
 
-// forgetIfDone drops a request that is answered and has no attempt outstanding. Once it is answered nothing more is
+// removeIfDone drops a request that is answered and has no attempt outstanding. Once it is answered nothing more is
 // sent for it: an attempt that still waits for its connection is given up, also where the balancer may not cancel
 // attempts.
-func (r *openRequest) forgetIfDone() {
+func (r *openRequest) removeIfDone() {
 	if r.client != nil {
 		return
 	}
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -91,7 +91,7 @@
 	if a.fullyWritten() {
 		return
 	}
-	if a.partlyWritten() && a.connection.awaitedBesides(a) {
+	if a.partlyWritten() && a.connection.hasPendingExcept(a) {
 		return
 	}
 	a.abandon(balancer.NotAttempted)
@@ -122,7 +122,7 @@
 	if withdrawn || c.body != nil {
 		return
 	}
-	if outcome == balancer.Cancelled && c.awaitedBesides(a) {
+	if outcome == balancer.Cancelled && c.hasPendingExcept(a) {
 		return
 	}
 	c.fail(AttemptAbandoned)
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -12,12 +12,12 @@
 	"bendtrestle/internal/requestcore"
 )
 
-func TestCommandTellsTimeLeft(t *testing.T) {
+func TestCommandCarriesTimeLeft(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	outcome, _ := pools.startAttempt(2)
+	outcome, _ := pools.startRead(2)
 	outcome.want(t, balancer.Succeeded)
 	pools.wantLine("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
-	outcome, _ = pools.startAttempt(2)
+	outcome, _ = pools.startRead(2)
 	outcome.want(t, balancer.Succeeded)
 	pools.wantLine("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
 	pools.onLoop(pools.loop, func() {
@@ -29,7 +29,7 @@
 
 func TestTimeoutClosesConnection(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
-	outcome, _ := pools.startAttempt(0.05)
+	outcome, _ := pools.startRead(0.05)
 	outcome.want(t, balancer.TimedOut)
 	pools.wantLine("mg")
 	pools.wantLine("end")
@@ -37,7 +37,7 @@
 
 func TestCancelClosesConnection(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
-	outcome, p := pools.startAttempt(5)
+	outcome, p := pools.startRead(5)
 	pools.wantLine("mg")
 	pools.onLoop(pools.loop, p.Cancel)
 	outcome.want(t, balancer.Cancelled)
@@ -45,7 +45,7 @@
 }
 
 // The greatest value is longer than a connection's buffer: it must go out whole.
-func TestGreatestValueIsWrittenWhole(t *testing.T) {
+func TestLargestValueIsWrittenCompletely(t *testing.T) {
 	value := []byte(strings.Repeat("0123456789abcde\n", 4<<10))
 	n := 0
 	pools := startServer(t, defaultLimits, func(conn net.Conn, line string) {
@@ -82,16 +82,16 @@
 		<-answer
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	})
-	first, p := pools.startAttempt(5)
+	first, p := pools.startRead(5)
 	pools.wantLine("mg")
-	second, _ := pools.startAttempt(5)
+	second, _ := pools.startRead(5)
 	pools.onLoop(pools.loop, p.Cancel)
 	first.want(t, balancer.Cancelled)
 	answer <- true
 	answer <- true
 	second.want(t, balancer.Succeeded)
-	third, p := pools.startAttempt(5)
-	fourth, _ := pools.startAttempt(5)
+	third, p := pools.startRead(5)
+	fourth, _ := pools.startRead(5)
 	pools.onLoop(pools.loop, p.(*attempt).onTimer)
 	third.want(t, balancer.TimedOut)
 	fourth.want(t, balancer.ConnectionLost)
@@ -101,7 +101,7 @@
 // What is not written whole when the connection breaks never ran: it may be made again whatever it does. The server
 // breaks it once all are on their way; by a clock it might break it sooner, and what it had not been given yet would
 // go whole by the next connection.
-func TestConnectionBreaksBeforeLastByte(t *testing.T) {
+func TestConnectionResetBeforeLastByte(t *testing.T) {
 	all := make(chan bool)
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		<-all
@@ -135,7 +135,7 @@
 	at, accept := listenWithFullBacklog(t)
 	pools.onLoop(pools.loop, func() { pools.SetEndpoint(2, at) })
 	outcome := make(outcomeRecorder, 1)
-	pools.begin(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, outcome)
+	pools.startAttemptAt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, outcome)
 	outcome.want(t, balancer.NotAttempted)
 	pools.onLoop(pools.loop, func() {
 		if pools.servers[2].connecting != 1 {
@@ -186,7 +186,7 @@
 
 // What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was
 // told to drain, or its window is over; and what is before it goes on.
-func TestUnwrittenAttemptIsWithdrawnBehindBlockedWrite(t *testing.T) {
+func TestUnwrittenAttemptBehindBlockedWriteIsWithdrawn(t *testing.T) {
 	for name, cross := range map[string]func(pools testPools, b requestcore.PendingAttempt){
 		"its client leaves": func(_ testPools, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
 		"it is withdrawn":   func(_ testPools, b requestcore.PendingAttempt) { b.Cancel() },
@@ -235,7 +235,7 @@
 }
 
 // One that has begun to leave when its client does ends its connection, where no other is on it, and never comes whole.
-func TestPartlyWrittenAttemptEndsItsConnection(t *testing.T) {
+func TestPartlyWrittenAttemptClosesItsConnection(t *testing.T) {
 	pools, l, a, hear := startBlockedServer(t)
 	pools.onLoop(pools.loop, func() { l.inFlight[0].CancelIfUnsent() })
 	a.want(t, balancer.NotAttempted)
@@ -244,10 +244,10 @@
 	}
 }
 
-// unwantedRecorder is an attempt whose client has left, which is not heard of yet.
-type unwantedRecorder struct{ outcomeRecorder }
+// disconnectedRecorder is an attempt whose client has left, which is not heard of yet.
+type disconnectedRecorder struct{ outcomeRecorder }
 
-func (unwantedRecorder) StillWanted() bool { return false }
+func (disconnectedRecorder) StillWanted() bool { return false }
 
 // The loop was stopped for longer than an attempt may wait to be written, or its client left meanwhile, and in the
 // round in which it goes on there is a connection for it: it is not written, for its repeats are not dropped any
@@ -263,7 +263,7 @@
 			return pools.StartAttempt(1, late, within, within, outcome).(*attempt)
 		},
 		"its client left": func(pools testPools, outcome outcomeRecorder) *attempt {
-			return pools.StartAttempt(1, late, 60, 60, unwantedRecorder{outcome}).(*attempt)
+			return pools.StartAttempt(1, late, 60, 60, disconnectedRecorder{outcome}).(*attempt)
 		},
 	} {
 		for which, cross := range map[string]func(testPools, chan net.Conn, func(outcomeRecorder)) net.Conn{
@@ -279,7 +279,7 @@
 			"is free": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) net.Conn {
 				pools.limits.MaxConnections, pools.limits.MaxInFlightPerConnection = 1, 1
 				first, outcome := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-				pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first)
+				pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first)
 				conn := <-conns
 				readCommand(t, conn)
 				pools.onLoop(pools.loop, func() {
@@ -325,7 +325,7 @@
 
 // A write has begun to leave behind a long value that is on its way back, which must not be cut off: given up, its
 // rest goes on to leave, so that it may run, and it is not told as one that never did.
-func TestPartlyWrittenAttemptBehindBodyMayRun(t *testing.T) {
+func TestPartlyWrittenAttemptBehindBodyEndsAsCancelled(t *testing.T) {
 	for name, giveUp := range map[string]func(b *attempt){
 		"at its limit":      (*attempt).onTimer,
 		"its client leaves": (*attempt).CancelIfUnsent,
@@ -334,7 +334,7 @@
 		limits.MaxConnections = 1
 		pools, conns := startListener(t, limits)
 		a, b := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-		pools.begin(1, &requestcore.Request{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a)
+		pools.startAttemptAt(1, &requestcore.Request{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a)
 		conn := <-conns
 		readCommand(t, conn)
 		const length = 32 << 20 // beyond what the kernel holds
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -10,7 +10,7 @@
 	connection *connection // nil once the body is complete or broken
 	length     int         // bytes
 	sink       requestcore.BodySink
-	ending     func(requestcore.BodySink) // what to call on a sink that comes after the end; nil: it has not ended
+	onEnd      func(requestcore.BodySink) // what to call on a sink that comes after the end; nil: it has not ended
 }
 
 // Length is how many bytes the body has.
@@ -19,8 +19,8 @@
 // StartReading hands the body to a sink from now on.
 func (b *bodyStream) StartReading(sink requestcore.BodySink) {
 	b.sink = sink
-	if b.ending != nil {
-		b.finish(b.ending)
+	if b.onEnd != nil {
+		b.finish(b.onEnd)
 		return
 	}
 	b.ResumeReading()
@@ -42,7 +42,7 @@
 // dropped instead: a client that leaves does not end the attempts of others.
 func (b *bodyStream) Discard() {
 	c := b.connection
-	if c != nil && c.awaitedBesides(nil) {
+	if c != nil && c.hasPendingExcept(nil) {
 		b.sink = discardSink{}
 		c.pool.pools.loop.Later(b.ResumeReading)
 		return
@@ -51,15 +51,15 @@
 		c.fail(ClientDisconnected)
 	}
 	b.sink = nil
-	b.ending = func(requestcore.BodySink) {}
+	b.onEnd = func(requestcore.BodySink) {}
 }
 
-// awaited tells whether somebody waits for the rest.
-func (b *bodyStream) awaited() bool { return b.sink != discardSink{} && b.ending == nil }
+// wanted tells whether somebody waits for the rest.
+func (b *bodyStream) wanted() bool { return b.sink != discardSink{} && b.onEnd == nil }
 
 // finish tells the sink how the body ended, now or once there is a sink.
 func (b *bodyStream) finish(ending func(requestcore.BodySink)) {
-	b.ending = ending
+	b.onEnd = ending
 	if b.sink == nil {
 		return
 	}
@@ -115,13 +115,13 @@
 		c.pool.release(c)
 		return
 	}
-	if !c.awaitedBesides(nil) {
+	if !c.hasPendingExcept(nil) {
 		c.fail(AttemptAbandoned)
 	}
 }
 
-// breakBody tells that the rest of a body will not come, if one is being passed on.
-func (c *connection) breakBody() {
+// abortBody tells that the rest of a body will not come, if one is being passed on.
+func (c *connection) abortBody() {
 	body := c.body
 	if body == nil {
 		return
--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -60,12 +60,12 @@
 			pools.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, resultRecorder(settled))
 		})
 		behind := make(outcomeRecorder, 1)
-		pools.begin(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind)
+		pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind)
 		part <- c.gives
 		long := (<-settled).Body
 		behind.want(t, balancer.TimedOut)
 		late := make(outcomeRecorder, 1) // is not sent behind it
-		pools.begin(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late)
+		pools.startAttemptAt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late)
 		late.want(t, balancer.NotAttempted)
 		pools.onLoop(pools.loop, func() {
 			l := pools.servers[1].connections[0]
@@ -156,7 +156,7 @@
 // A server ends its connection right behind a long answer, and what takes the value does so late, in parts: it gets
 // all of it, whether the end is heard while nothing is read, while the rest is held here, or with the bytes in one
 // round, as a close or as a reset.
-func TestCloseBehindBodyThatIsReadLate(t *testing.T) {
+func TestCloseBehindSlowlyReadBody(t *testing.T) {
 	for name, c := range map[string]struct {
 		length, taken int // bytes in all, and of them those that are taken before the end comes
 		end           func(conn *net.TCPConn)
@@ -230,7 +230,7 @@
 	})
 	conn := <-conns
 	readCommand(t, conn)
-	pools.begin(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	readCommand(t, conn)
 	conn.Write(append([]byte("VA 200000 Oa\r\n"), longValue(90000)...))
 	long, sink := (<-settled).Body, &fakeSink{ending: make(chan string, 1), room: 50000}
--- a/internal/upstream/closereason_test.go
+++ b/internal/upstream/closereason_test.go
@@ -52,7 +52,7 @@
 			conn := <-conns
 			readCommand(t, conn)
 			if c.why == AttemptAbandoned {
-				pools.begin(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind)
+				pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind)
 			}
 			conn.Write([]byte(c.answer))
 			var long requestcore.BodyStream
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -171,24 +171,24 @@
 	}
 }
 
-// awaitedBesides tells whether somebody waits for another attempt's reply on the connection; with nil, for any
+// hasPendingExcept tells whether somebody waits for another attempt's reply on the connection; with nil, for any
 // attempt's.
-func (c *connection) awaitedBesides(except *attempt) bool {
+func (c *connection) hasPendingExcept(except *attempt) bool {
 	return slices.ContainsFunc(c.inFlight, func(a *attempt) bool { return a != except && !a.settled })
 }
 
-// owesReply tells whether somebody waits for a reply on the connection, or for the rest of a body.
-func (c *connection) owesReply() bool {
-	return c.awaitedBesides(nil) || c.body != nil && c.body.awaited()
+// expectsReply tells whether somebody waits for a reply on the connection, or for the rest of a body.
+func (c *connection) expectsReply() bool {
+	return c.hasPendingExcept(nil) || c.body != nil && c.body.wanted()
 }
 
 // fail settles all that is in flight on the connection and closes it. Where a reply is owed on it the reason is
 // counted, and a body that is cut off is logged.
 func (c *connection) fail(reason CloseReason) {
-	if c.owesReply() {
+	if c.expectsReply() {
 		c.pool.pools.closeCounts[reason]++
 	}
-	if c.body != nil && c.body.awaited() && reason != ClientDisconnected {
+	if c.body != nil && c.body.wanted() && reason != ClientDisconnected {
 		c.pool.pools.log.Warn().Stringer("server", c.addr).Str("why", CloseReasons[reason]).
 			Int("length", c.body.length).Msg("a value is cut off")
 	}
@@ -200,7 +200,7 @@
 		a.settle(outcome, requestcore.Result{})
 	}
 	c.inFlight = nil
-	c.breakBody()
+	c.abortBody()
 	if c.socket != nil {
 		// What was given up must not reach a machine that is cut off for seconds, when its request has long ended.
 		c.socket.Forget()
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -161,15 +161,15 @@
 	<-done
 }
 
-// begin starts an attempt on the loop.
-func (pools testPools) begin(
+// startAttemptAt starts an attempt on the loop.
+func (pools testPools) startAttemptAt(
 	id uint64, request *requestcore.Request, timeout, sendWithin float64, observer requestcore.AttemptObserver,
 ) {
 	pools.onLoop(pools.loop, func() { pools.StartAttempt(id, request, timeout, sendWithin, observer) })
 }
 
-// startAttempt starts a read of a key at server 1, and gives what it ends as.
-func (pools testPools) startAttempt(limit float64) (outcome outcomeRecorder, p requestcore.PendingAttempt) {
+// startRead starts a read of a key at server 1, and gives what it ends as.
+func (pools testPools) startRead(limit float64) (outcome outcomeRecorder, p requestcore.PendingAttempt) {
 	outcome = make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
 		request := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -25,7 +25,7 @@
 		<-answer
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	})
-	outcome, _ := pools.startAttempt(5)
+	outcome, _ := pools.startRead(5)
 	pools.wantLine("mg")
 	pools.onLoop(pools.loop, func() {
 		pools.RemoveEndpoint(1)
@@ -66,7 +66,7 @@
 func (c releaseCounter) Release() { *c.released++ }
 
 // Whatever ends a connection, its codec is told, and lets go of what has come: here an attempt is given up midway.
-func TestCodecIsReleasedWithItsConnection(t *testing.T) {
+func TestCodecIsReleasedWithConnection(t *testing.T) {
 	limits := Limits{
 		MaxConnections:           4,
 		MaxInFlightPerConnection: 1,
@@ -79,7 +79,7 @@
 	pools.onLoop(pools.loop, func() {
 		pools.newCodec = func(l ReplyHandler) Codec { return releaseCounter{NewMemcacheCodec(l), &released} }
 	})
-	outcome, _ := pools.startAttempt(0.05)
+	outcome, _ := pools.startRead(0.05)
 	<-outcome
 	pools.onLoop(pools.loop, func() {
 		if released != 1 {
@@ -134,7 +134,7 @@
 	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 1
 	pools, conns := startListener(t, limits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	conn := <-conns
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
@@ -155,7 +155,7 @@
 
 // A server is gone and back, elsewhere, in one list: what waited for it is told that it was not sent, what comes next
 // goes where it is now.
-func TestServerRemovedAndListedInOneRound(t *testing.T) {
+func TestServerRemovedAndAddedInOneIteration(t *testing.T) {
 	pools, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
--- a/internal/upstream/replies_test.go
+++ b/internal/upstream/replies_test.go
@@ -31,19 +31,19 @@
 				conn.Close()
 			}
 		})
-		outcome, _ := pools.startAttempt(3)
+		outcome, _ := pools.startRead(3)
 		outcome.want(t, want)
 	}
 }
 
 // A spoilt answer leaves its connection open and of no use: it must be ended, lest the rest be taken for the next
 // attempt's answer, and told at once, not when the attempt's limit is over.
-func TestMalformedReplyEndsConnection(t *testing.T) {
+func TestMalformedReplyClosesConnection(t *testing.T) {
 	for _, reply := range []string{"CLIENT_ERROR bad\r\n", "SERVER_ERROR odd\r\n", "\x93\x00\xff", "no end of a line",
 		"VA 9 Oa\r\nhi\r\n", "VA 3000000000 Oa\r\nhi", "VA 2 O", "VA 1 Oa\r\nhi\r\n", "VA 2 Ob\r\nhi\r\n"} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
 		began := time.Now()
-		outcome, _ := pools.startAttempt(3)
+		outcome, _ := pools.startRead(3)
 		outcome.want(t, balancer.ConnectionLost)
 		if took := time.Since(began); took > time.Second {
 			t.Errorf("%q: told after %v", reply, took)
@@ -58,7 +58,7 @@
 	for _, more := range []string{"VA 0 Oa\r\n\r\n", "\x93noise", "END\r\n"} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
 		for range 2 {
-			outcome, _ := pools.startAttempt(3)
+			outcome, _ := pools.startRead(3)
 			outcome.want(t, balancer.Succeeded)
 			pools.wantLine("mg")
 			pools.wantLine("end")
@@ -76,7 +76,7 @@
 			conn.Close()
 		}
 	})
-	first, _ := pools.startAttempt(5)
+	first, _ := pools.startRead(5)
 	first.want(t, balancer.Succeeded)
 	request, next := &requestcore.Request{ID: "a"}, make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
@@ -150,7 +150,7 @@
 	}{{true, -1, balancer.OutcomeUnknown}, {false, -1, balancer.Overloaded}, {true, 1, balancer.Overloaded}} {
 		pools, conns := startListener(t, defaultLimits)
 		first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-		pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+		pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 		conn := <-conns
 		answerCommand(t, conn, "VA 0 Oa\r\n\r\n")
 		first.want(t, balancer.Succeeded)
@@ -164,10 +164,10 @@
 }
 
 // An answer has come as its limit ends, and the loop hears of both in one round: it ends once, either way.
-func TestReplyAndTimeoutInOneRound(t *testing.T) {
+func TestReplyAndTimeoutInOneIteration(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	outcome := make(outcomeRecorder, 2)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, outcome)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, outcome)
 	conn := <-conns
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
@@ -213,7 +213,7 @@
 	limits.MaxConnections = 1
 	pools, conns := startListener(t, limits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	conn := (<-conns).(*net.TCPConn)
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
--- a/internal/upstream/serverpool_test.go
+++ b/internal/upstream/serverpool_test.go
@@ -40,7 +40,7 @@
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	pools.onLoop(pools.loop, func() { pools.SetEndpoint(1, netip.MustParseAddrPort(free.Addr().String())) })
 	free.Close()
-	outcome, _ := pools.startAttempt(5)
+	outcome, _ := pools.startRead(5)
 	outcome.want(t, balancer.ConnectFailed)
 }
 
@@ -48,7 +48,7 @@
 func TestServerWithoutAddress(t *testing.T) {
 	pools := startServer(t, defaultLimits, nil)
 	outcome := make(outcomeRecorder, 1)
-	pools.begin(9, &requestcore.Request{ID: "a"}, 5, 5, outcome) // it has no address
+	pools.startAttemptAt(9, &requestcore.Request{ID: "a"}, 5, 5, outcome) // it has no address
 	outcome.want(t, balancer.NotAttempted)
 }
 
@@ -95,7 +95,7 @@
 				t.Errorf("%s: %d idle connections are kept", name, n)
 			}
 		})
-		pools.begin(1, request, 5, 5, next)
+		pools.startAttemptAt(1, request, 5, 5, next)
 		next.want(t, balancer.Succeeded)
 	}
 }
@@ -107,9 +107,9 @@
 			conn.Write([]byte("VA 0 Ob\r\n\r\n"))
 		}
 	})
-	pools.startAttempt(5)
+	pools.startRead(5)
 	outcome := make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, outcome)
+	pools.startAttemptAt(1, &requestcore.Request{Key: "k", ID: "b", Flags: "v Ob"}, 5, 5, outcome)
 	outcome.want(t, balancer.Succeeded)
 }
 
@@ -118,7 +118,7 @@
 	limits := defaultLimits
 	limits.IdleTimeout = 0.1
 	pools := startServer(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
-	outcome, _ := pools.startAttempt(5)
+	outcome, _ := pools.startRead(5)
 	outcome.want(t, balancer.Succeeded)
 	pools.wantLine("mg")
 	pools.wantLine("end")
@@ -154,12 +154,12 @@
 	pools, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	old := <-before
 	pools.onLoop(pools.loop, func() { pools.SetEndpoint(1, other.servers[1].addr) })
 	answerCommand(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
-	pools.begin(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	answerCommand(t, <-after, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
 }
@@ -169,7 +169,7 @@
 func TestExpiredIdleConnectionIsNotUsed(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	old := <-conns
 	answerCommand(t, old, "VA 0 Oa\r\n\r\n")
 	first.want(t, balancer.Succeeded)
@@ -201,12 +201,12 @@
 }
 
 // Nothing is pipelined on a connection that its server has ended, though that is not heard of yet.
-func TestNoPipeliningOnEndedConnection(t *testing.T) {
+func TestNoPipeliningOnClosedConnection(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	pools, conns := startListener(t, limits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	pools.begin(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	old := <-conns
 	readCommand(t, old)
 	pools.onLoop(pools.loop, func() { // the loop is held until the end has come
@@ -226,7 +226,7 @@
 
 // A server ends each connection right as it comes up: that is no connection, and none is made anew as fast as that
 // goes.
-func TestServerThatEndsEachConnectionIsNotRedialled(t *testing.T) {
+func TestServerThatClosesEachConnectionIsNotRedialled(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	for range 20 {
 		outcome := make(outcomeRecorder, 1)
@@ -264,7 +264,7 @@
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
 		pools.onLoop(pools.loop, func() { idle = len(pools.servers[1].idle) })
 	}
-	pools.begin(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 5, 5, second)
+	pools.startAttemptAt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 5, 5, second)
 	line := make([]byte, len("mg second"))
 	if io.ReadFull(conn, line); string(line) != "mg second" {
 		t.Errorf("it was sent %q", line)
