--- a/internal/requestcore/attempt.go
+++ b/internal/requestcore/attempt.go
@@ -2,26 +2,27 @@
 
 import "bendtrestle/balancer"
 
-// attempt is one attempt of a request. It is the upstream's AttemptObserver.
+// attempt is one attempt of a request. It implements AttemptObserver.
 type attempt struct {
 	request   *openRequest
-	number    int // among the attempts of its request, from 0
+	number    int // index among the attempts of its request, from 0
 	startedAt float64
 	pending   PendingAttempt // nil once it has ended, or if it was never sent
 	zone      string
-	zoneToken uint64 // the zone observer's; 0: it is not observed
+	zoneToken uint64 // from ZoneObserver.AttemptStarted; 0: the attempt is not observed
 }
 
-// OnAttemptEnd handles the end of the attempt. A result is passed on before anything else.
+// OnAttemptEnd handles the end of the attempt. The client gets a successful result before the usage observer and the
+// balancer are notified.
 func (a *attempt) OnAttemptEnd(outcome balancer.Outcome, result Result) {
 	r := a.request
 	c := r.core
 	now := c.deps.Clock.Now()
-	took := now - a.startedAt
+	elapsed := now - a.startedAt
 	r.outstanding--
 	a.pending = nil
 	if a.zoneToken > 0 {
-		c.deps.ZoneObserver.AttemptEnded(a.zone, a.zoneToken, outcome, took, c.objectives[r.Class])
+		c.deps.ZoneObserver.AttemptEnded(a.zone, a.zoneToken, outcome, elapsed, c.objectives[r.Class])
 	}
 	answered := outcome == balancer.Succeeded && r.client != nil
 	if answered {
@@ -32,13 +33,13 @@
 		result.Body.Discard()
 	}
 	if r.Usage != nil {
-		r.Usage.AttemptEnded(took)
+		r.Usage.AttemptEnded(elapsed)
 	}
-	c.callBalancer(r, func() { c.balancer.OnAttemptEnd(now, r.id, a.number, outcome, took, answered) })
+	c.callBalancer(r, func() { c.balancer.OnAttemptEnd(now, r.id, a.number, outcome, elapsed, answered) })
 	r.removeIfDone()
 }
 
-// StillWanted reports whether the request has no answer and its client is there.
+// StillWanted reports whether the request has no answer yet and its client is still connected.
 func (a *attempt) StillWanted() bool {
 	client := a.request.client
 	return client != nil && !client.Disconnected()
--- a/internal/requestcore/balancer.go
+++ b/internal/requestcore/balancer.go
@@ -2,12 +2,13 @@
 
 import "bendtrestle/balancer"
 
-// Balancer makes the decisions, and acts through the balancer.Host that it was made with. The product's is
-// balancer.Balancer, whose documentation says what the calls mean; experiments put others in its place, to see what the
-// decisions alone are worth. All calls are made on the loop's goroutine, with the seconds of the loop's clock.
+// Balancer decides which servers get attempts, and acts through the balancer.Host that it was created with. The router
+// uses balancer.Balancer, whose documentation defines the calls. Experiments use other implementations, to measure the
+// effect of the decisions alone. All calls are made on the event loop's goroutine, with times in seconds of the loop's
+// clock.
 type Balancer interface {
 	OnRequest(now float64, id uint64, class, tenant, key string, timeLeft float64)
-	OnAttemptEnd(now float64, id uint64, attempt int, outcome balancer.Outcome, took float64, answered bool)
+	OnAttemptEnd(now float64, id uint64, attempt int, outcome balancer.Outcome, elapsed float64, answered bool)
 	OnClientGone(now float64, id uint64)
 	OnEndpoints(now float64, kind balancer.EndpointUpdate, endpoints []balancer.Endpoint)
 	OnGossip(now float64, message []byte)
@@ -20,10 +21,10 @@
 	Avoids(server uint64) bool
 }
 
-// NewBalancer makes a Balancer that acts on a host.
+// NewBalancer returns a Balancer that acts through a host.
 type NewBalancer func(now float64, settings balancer.Settings, host balancer.Host) Balancer
 
-// DefaultBalancer makes the product's balancer.
+// DefaultBalancer returns the router's own balancer, a balancer.Balancer.
 func DefaultBalancer(now float64, settings balancer.Settings, host balancer.Host) Balancer {
 	return balancer.New(now, settings, host)
 }
--- a/internal/requestcore/body.go
+++ b/internal/requestcore/body.go
@@ -1,23 +1,23 @@
 package requestcore
 
-// BodyStream is a value that is still coming from a cache server. Whoever gets one calls StartReading or Discard, on
-// the loop's goroutine.
+// BodyStream is a value that is still being received from a cache server. Its receiver must call StartReading or
+// Discard, on the event loop's goroutine.
 type BodyStream interface {
-	Length() int // bytes of the whole value
-	// StartReading passes the value on to a sink from now on.
+	Length() int // of the whole value, in bytes
+	// StartReading passes the value to a sink from now on.
 	StartReading(sink BodySink)
-	// ResumeReading is called when the sink has room again, after it took less than it was given.
+	// ResumeReading is called when the sink has room again, after OnPart accepted fewer bytes than it was given.
 	ResumeReading()
-	// Discard gives the rest up.
+	// Discard drops the rest of the value.
 	Discard()
 }
 
-// BodySink takes a value from a BodyStream. OnComplete or OnBroken is called once: from StartReading if the value had
-// ended by then, else later, but never from within ResumeReading.
+// BodySink receives a value from a BodyStream. Either OnComplete or OnBroken is called, once: from within StartReading
+// if the value has ended by then, otherwise later, but never from within ResumeReading.
 type BodySink interface {
-	// OnPart takes as much as there is room for, and returns how many bytes that is.
+	// OnPart accepts as many bytes as the sink has room for, and returns their number.
 	OnPart(part []byte) int
 	OnComplete()
-	// OnBroken: the rest will not come.
+	// OnBroken is called when the rest of the value cannot be received.
 	OnBroken()
 }
--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -9,7 +9,7 @@
 	"bendtrestle/balancer"
 )
 
-// Core is a balancer and the requests that it was given.
+// Core is a balancer together with the requests that are submitted to it.
 type Core struct {
 	Counts Counts
 
@@ -18,21 +18,21 @@
 	requests map[uint64]*openRequest
 	lastID   uint64
 
-	zones      map[uint64]string  // of servers that the list names a zone for
+	zones      map[uint64]string  // zones by server id, of the servers for which the endpoint list names one
 	objectives map[string]float64 // latency objectives in seconds, by traffic class
-	idempotent map[string]bool    // traffic classes whose requests may simply be repeated
+	idempotent map[string]bool    // by traffic class: whether repeating a request has no further effect
 }
 
-// Counts is what has happened since the start.
+// Counts holds event counts since the process started.
 type Counts struct {
 	Taken, Succeeded, Rejected, Failed, ClientsGone uint64 // requests
 
 	Attempts uint64
 	Faults   uint64                   // panics of the balancer
-	Reasons  [len(ReasonNames)]uint64 // of the rejected requests
+	Reasons  [len(ReasonNames)]uint64 // rejected requests by RejectReason
 }
 
-// New makes a core, and a balancer for it.
+// New returns a core with a balancer of its own.
 func New(settings balancer.Settings, deps Dependencies, newBalancer NewBalancer) *Core {
 	c := &Core{deps: deps, requests: map[uint64]*openRequest{}, zones: map[uint64]string{}}
 	c.indexClasses(settings.TrafficClasses)
@@ -49,11 +49,11 @@
 	}
 }
 
-// OpenRequests returns how many requests have no answer or have attempts outstanding.
+// OpenRequests returns the number of requests that have no answer or have attempts outstanding.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Submit takes a request, and returns the id by which OnClientGone names it. The client may be answered before Submit
-// returns.
+// Submit passes a request to the balancer, and returns the request's id for OnClientGone. The client may be answered
+// before Submit returns.
 func (c *Core) Submit(request *Request, client Client) uint64 {
 	c.lastID++
 	c.Counts.Taken++
@@ -66,7 +66,7 @@
 	return r.id
 }
 
-// OnClientGone is called when a client has disconnected. It has no effect on a request that was answered.
+// OnClientGone is called when the client of a request has disconnected. It has no effect once the request is answered.
 func (c *Core) OnClientGone(id uint64) {
 	r := c.requests[id]
 	if r == nil || r.client == nil {
@@ -79,14 +79,14 @@
 	r.removeIfDone()
 }
 
-// FailAll answers all requests that have no answer, in the order in which they came: the process ends.
+// FailAll fails all requests that have no answer, in the order in which they were submitted, before the process exits.
 func (c *Core) FailAll() {
 	for _, id := range slices.Sorted(maps.Keys(c.requests)) {
 		c.Fail(id)
 	}
 }
 
-// OnEndpoints is called with an update of the endpoint list.
+// OnEndpoints applies an update of the endpoint list.
 func (c *Core) OnEndpoints(kind balancer.EndpointUpdate, endpoints []balancer.Endpoint) {
 	if kind == balancer.UpdateFull || kind == balancer.UpdateSaved {
 		clear(c.zones)
@@ -101,40 +101,40 @@
 	c.callBalancer(nil, func() { c.balancer.OnEndpoints(c.deps.Clock.Now(), kind, endpoints) })
 }
 
-// OnGossip is called with a peer's message.
+// OnGossip is called with a gossip message from a peer router.
 func (c *Core) OnGossip(message []byte) {
 	c.callBalancer(nil, func() { c.balancer.OnGossip(c.deps.Clock.Now(), message) })
 }
 
-// SetDisabled disables a server by order of operators, or enables it again.
+// SetDisabled disables a server on an operator's request, or enables it again.
 func (c *Core) SetDisabled(server uint64, disabled bool) {
 	c.callBalancer(nil, func() { c.balancer.SetDisabled(c.deps.Clock.Now(), server, disabled) })
 }
 
-// SetZoneShare sets the part of its keys, 0 to 1, that a zone serves from now on.
+// SetZoneShare sets the fraction of its keys, 0 to 1, that a zone serves from now on.
 func (c *Core) SetZoneShare(zone string, share float64) {
 	c.callBalancer(nil, func() { c.balancer.SetZoneShare(c.deps.Clock.Now(), zone, share) })
 }
 
-// SetTrafficClasses sets the classes that requests may have from now on.
+// SetTrafficClasses replaces the traffic classes that requests may belong to.
 func (c *Core) SetTrafficClasses(classes []balancer.TrafficClass) {
 	c.indexClasses(classes)
 	c.callBalancer(nil, func() { c.balancer.SetTrafficClasses(classes) })
 }
 
-// SetFleetSize sets the number of routers, by those that are heard.
+// SetFleetSize sets the number of routers in the fleet, as counted from the peers whose gossip arrives.
 func (c *Core) SetFleetSize(routers int) {
 	c.callBalancer(nil, func() { c.balancer.SetFleetSize(c.deps.Clock.Now(), routers) })
 }
 
-// Avoids reports whether the balancer sends nothing new to a server now.
+// Avoids reports whether the balancer currently sends no new requests to a server.
 func (c *Core) Avoids(server uint64) (avoided bool) {
 	c.callBalancer(nil, func() { avoided = c.balancer.Avoids(server) })
 	return avoided
 }
 
-// callBalancer calls the balancer. A panic is counted and logged, and the request at hand, which may be nil, fails; the router
-// serves on, for the other requests have their answers to get.
+// callBalancer runs a call of the balancer. If it panics, the panic is counted and logged, and the request that the
+// call is for, which may be nil, fails. The process continues, so that the other requests still get their answers.
 func (c *Core) callBalancer(request *openRequest, call func()) {
 	defer func() {
 		fault := recover()
--- a/internal/requestcore/core_test.go
+++ b/internal/requestcore/core_test.go
@@ -8,7 +8,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeUpstream stands for clock and upstream: it notes what is started and ends it when told.
+// fakeUpstream is a fake clock and upstream. It records the attempts that are started; the test ends them.
 type fakeUpstream struct {
 	now             float64
 	timers          []func()
@@ -35,12 +35,12 @@
 	return u
 }
 
-// endLast ends the attempt that was started last.
+// endLast ends the most recently started attempt.
 func (u *fakeUpstream) endLast(outcome balancer.Outcome) {
 	u.attempts[len(u.attempts)-1].OnAttemptEnd(outcome, Result{})
 }
 
-// answers counts what a client was told.
+// answers counts the answers that a client got.
 type answers struct{ succeeded, rejected, failed int }
 
 func (a *answers) Succeeded(Result)   { a.succeeded++ }
@@ -70,11 +70,12 @@
 func check(t *testing.T, core *Core, got, want answers, open int) {
 	t.Helper()
 	if got != want || core.OpenRequests() != open {
-		t.Errorf("the client was told %+v, want %+v; %d are open, want %d", got, want, core.OpenRequests(), open)
+		t.Errorf("client got %+v, want %+v; %d requests are open, want %d", got, want, core.OpenRequests(), open)
 	}
 }
 
-// Each request has one answer and is forgotten; an at-most-once one is retried only if it was never executed.
+// Each request gets exactly one answer and is then removed. An at-most-once request is retried only if it cannot have
+// been executed; a retry after an unknown outcome might execute it twice.
 func TestEachRequestHasOneAnswer(t *testing.T) {
 	for name, c := range map[string]struct {
 		idempotency balancer.Idempotency
@@ -86,12 +87,12 @@
 			answers{succeeded: 1}},
 		"overloaded everywhere": {balancer.AtMostOnce, []balancer.Outcome{balancer.Overloaded, balancer.Overloaded},
 			answers{rejected: 1}},
-		"perhaps executed": {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectionLost}, answers{failed: 1}},
-		"perhaps executed, idempotent": {balancer.Idempotent, []balancer.Outcome{balancer.ServerError, balancer.Succeeded},
+		"possibly executed": {balancer.AtMostOnce, []balancer.Outcome{balancer.ConnectionLost}, answers{failed: 1}},
+		"possibly executed, idempotent": {balancer.Idempotent, []balancer.Outcome{balancer.ServerError, balancer.Succeeded},
 			answers{succeeded: 1}},
 	} {
 		core, upstream := newCore(c.idempotency)
-		for range 20 { // requests, which earn retry tokens
+		for range 20 { // successful requests fill the retry budget
 			submit(core, &answers{})
 			upstream.endLast(balancer.Succeeded)
 		}
@@ -101,13 +102,13 @@
 			upstream.endLast(outcome)
 		}
 		if got != c.want || core.OpenRequests() != 0 {
-			t.Errorf("%s: the client was told %+v, want %+v; %d are open", name, got, c.want, core.OpenRequests())
+			t.Errorf("%s: client got %+v, want %+v; %d requests are open, want 0", name, got, c.want, core.OpenRequests())
 		}
 	}
 }
 
-// A client that has disconnected is told nothing; its attempt is cancelled, and its request forgotten once that has
-// ended.
+// A client that has disconnected gets no answer. Its attempt is cancelled, and its request is removed once that attempt
+// has ended.
 func TestDisconnectedClientGetsNoAnswer(t *testing.T) {
 	core, upstream := newCore(balancer.Idempotent)
 	var got answers
@@ -117,7 +118,7 @@
 	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, core, got, answers{}, 0)
 	if upstream.cancelled != 1 || upstream.unsentCancelled != 1 {
-		t.Errorf("%d attempts were cancelled, %d if unsent, want 1 of each", upstream.cancelled, upstream.unsentCancelled)
+		t.Errorf("got %d Cancel and %d CancelIfUnsent calls, want 1 of each", upstream.cancelled, upstream.unsentCancelled)
 	}
 }
 
@@ -129,7 +130,8 @@
 	check(t, core, got, answers{rejected: 1}, 0)
 }
 
-// A panic of the balancer fails the request at hand, does not end the router, and nothing more is sent for the request.
+// A panic of the balancer fails the request that the call was for. It does not end the process, and nothing more is
+// sent for that request.
 func TestBalancerPanicFailsOneRequest(t *testing.T) {
 	core, upstream := newCore(balancer.Idempotent)
 	var got answers
@@ -138,17 +140,18 @@
 	check(t, core, got, answers{failed: 1}, 1)
 	core.StartAttempt(id, 1, 0.1, 0.1)
 	if len(upstream.attempts) != 1 {
-		t.Errorf("an attempt was started after the final answer")
+		t.Errorf("got %d attempts, want 1: one was started after the final answer", len(upstream.attempts))
 	}
 	upstream.timers[len(upstream.timers)-1]()
 	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, core, got, answers{failed: 1}, 0)
 	if core.Counts.Faults != 1 {
-		t.Errorf("%d faults are counted, want 1", core.Counts.Faults)
+		t.Errorf("got %d counted panics, want 1", core.Counts.Faults)
 	}
 }
 
-// The upstream is told whether a request may simply be repeated, and by when a retry is to be written.
+// The upstream gets whether a request is idempotent, and the time within which a retry must be written: a retry that is
+// written after the deduplication window might execute the request twice.
 func TestUpstreamGetsIdempotencyAndSendDeadline(t *testing.T) {
 	for idempotency, notIdempotent := range map[balancer.Idempotency]bool{
 		balancer.Idempotent: false, balancer.IdempotencyKeyed: true, balancer.AtMostOnce: true,
@@ -156,7 +159,7 @@
 		core, upstream := newCore(idempotency)
 		submit(core, &answers{})
 		if upstream.requests[0].NotIdempotent != notIdempotent {
-			t.Errorf("idempotency %d: NotIdempotent is %v", idempotency, !notIdempotent)
+			t.Errorf("idempotency %d: got NotIdempotent %v, want %v", idempotency, !notIdempotent, notIdempotent)
 		}
 		upstream.now += 0.1
 		if idempotency != balancer.IdempotencyKeyed {
@@ -164,8 +167,8 @@
 		}
 		upstream.attempts[0].OnAttemptEnd(balancer.Cancelled, Result{})
 		within := upstream.sendWithin
-		if len(within) != 2 || within[1] < 0.19 || within[1] > 0.21 { // of a window of 0.3 s
-			t.Errorf("attempts are to be written within %v", within)
+		if len(within) != 2 || within[1] < 0.19 || within[1] > 0.21 { // the window is 0.3 s and 0.1 s of it are over
+			t.Errorf("got sendWithin %v, want 2 attempts and 0.2 s for the second", within)
 		}
 	}
 }
--- a/internal/requestcore/dependencies.go
+++ b/internal/requestcore/dependencies.go
@@ -6,54 +6,54 @@
 	"github.com/rs/zerolog"
 )
 
-// Dependencies is all that a Core acts on. All of it is called on the loop's goroutine.
+// Dependencies are what a Core acts through. All of them are called on the event loop's goroutine.
 type Dependencies struct {
 	Clock          Clock
 	Upstream       Upstream
-	Gossip         func(message []byte) // sends a message to peers
-	WatchEndpoints func(on bool)        // asks the list service for changes, or no longer
+	Gossip         func(message []byte) // sends a gossip message to the peer routers
+	WatchEndpoints func(on bool)        // starts or stops watching the list service for changes
 	Log            zerolog.Logger
-	ZoneObserver   ZoneObserver // nil: nobody wants to know
+	ZoneObserver   ZoneObserver // nil: attempts are not observed by zone
 }
 
-// Clock is the loop's time and timers.
+// Clock is the time and the timers of the event loop.
 type Clock interface {
-	// Now returns seconds since the Unix epoch.
+	// Now returns the seconds since the Unix epoch.
 	Now() float64
-	// After calls a function so many seconds later.
+	// After calls a function after a delay in seconds.
 	After(delay float64, call func())
 }
 
-// Upstream makes attempts and health checks at cache servers, which are named by their ids.
+// Upstream makes attempts and health checks at cache servers, which are identified by their ids.
 type Upstream interface {
-	// StartAttempt sends a request to a server. After timeout seconds the attempt is given up; so it is if it could not be
-	// written within sendWithin seconds. The observer is called exactly once, after StartAttempt has returned.
+	// StartAttempt sends a request to a server. The attempt is abandoned after timeout seconds, or after sendWithin
+	// seconds if it is not written by then. The observer is called exactly once, after StartAttempt has returned.
 	StartAttempt(server uint64, request *Request, timeout, sendWithin float64, observer AttemptObserver) PendingAttempt
-	// Probe checks a server's health, and calls done once with the outcome.
+	// Probe checks a server's health and calls done once with the outcome.
 	Probe(server uint64, done func(balancer.Outcome))
 }
 
 // AttemptObserver is notified of how an attempt ended.
 type AttemptObserver interface {
 	OnAttemptEnd(outcome balancer.Outcome, result Result)
-	// StillWanted reports whether somebody waits for the attempt, as far as can be told now. The upstream asks before it
-	// writes an attempt later than it was started.
+	// StillWanted reports whether a client still waits for the result, as far as is known now. The upstream checks this
+	// before it writes an attempt that could not be written when it was started.
 	StillWanted() bool
 }
 
 // PendingAttempt is an attempt that has not ended.
 type PendingAttempt interface {
-	// Cancel gives it up; it ends as balancer.Cancelled.
+	// Cancel abandons the attempt, which ends as balancer.Cancelled.
 	Cancel()
-	// CancelIfUnsent gives it up if it was not sent; it then ends as balancer.NotAttempted.
+	// CancelIfUnsent abandons the attempt if it has not been sent; it then ends as balancer.NotAttempted.
 	CancelIfUnsent()
 }
 
-// ZoneObserver is notified of how attempts go in the zones that the endpoint list names.
+// ZoneObserver is notified of the start and the outcome of each attempt in the zones that the endpoint list names.
 type ZoneObserver interface {
-	// AttemptStarted returns a mark by which AttemptEnded recognises the attempt; 0: it is not observed. The objective is
-	// the seconds within which the request's class is to be answered.
-	AttemptStarted(zone string, objective float64) (mark uint64)
-	// AttemptEnded is called for an observed attempt, with the seconds that it took.
-	AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, objective float64)
+	// AttemptStarted returns a token that identifies the attempt to AttemptEnded; 0: the attempt is not observed. The
+	// objective is the latency objective of the request's class, in seconds.
+	AttemptStarted(zone string, objective float64) (token uint64)
+	// AttemptEnded is called when an observed attempt has ended, after elapsed seconds.
+	AttemptEnded(zone string, token uint64, outcome balancer.Outcome, elapsed, objective float64)
 }
--- a/internal/requestcore/dispatcher.go
+++ b/internal/requestcore/dispatcher.go
@@ -1,25 +1,26 @@
 package requestcore
 
-// Dispatcher decides which Core takes a request, by the listener where it came in and by what its client says. Front
-// ends call it on the loop's goroutine.
+// Dispatcher selects the Core for a request, by the listener at which it arrived and by the tenant and key that it
+// carries. Front ends call it on the event loop's goroutine.
 type Dispatcher interface {
-	// Route returns who takes requests of this kind; nil: nobody does.
+	// Route returns the route for requests with these properties; nil: there is none.
 	Route(listener, tenant, key string) Route
-	// AdmitConnection reports whether another connection may come in at a listener, and reserves a place for it, which
-	// ReleaseConnection gives back.
+	// AdmitConnection reports whether a listener may accept another connection. If so, it reserves a slot for the
+	// connection, which ReleaseConnection frees.
 	AdmitConnection(listener string) bool
 	ReleaseConnection(listener string)
 }
 
-// Route takes the requests of one kind.
+// Route accepts the requests that a Dispatcher assigns to it.
 type Route interface {
-	// MaxDeadline returns the seconds that clients wait at most for a request of a class; false: the class is unknown.
+	// MaxDeadline returns the longest time, in seconds, for which clients wait for a request of a traffic class; known is
+	// false if there is no such class.
 	MaxDeadline(class string) (seconds float64, known bool)
-	// HasCapacity reports whether one more request may be submitted. If not, a rejected request is counted.
+	// HasCapacity reports whether one more request may be submitted. If not, it counts a rejected request.
 	HasCapacity() bool
-	// Submit takes a request. The core is nil if the client has its answer already; otherwise OnClientGone of the core is
-	// told by this id that the client has disconnected.
+	// Submit submits a request. The core is nil if the client has been answered already; otherwise the caller passes the
+	// id to the core's OnClientGone when the client disconnects.
 	Submit(request *Request, client Client) (core *Core, id uint64)
-	// AddHeldBytes notes that so many bytes more, or less, are held in memory for its clients.
+	// AddHeldBytes adds n, which may be negative, to the number of bytes that are buffered in memory for its clients.
 	AddHeldBytes(n int)
 }
--- a/internal/requestcore/openrequest.go
+++ b/internal/requestcore/openrequest.go
@@ -1,16 +1,16 @@
 package requestcore
 
-// openRequest is a request that is not answered, or that has attempts outstanding.
+// openRequest is a request that has no answer or has attempts outstanding.
 type openRequest struct {
 	*Request
 	core        *Core
 	id          uint64
-	client      Client // nil once it is answered or the client has disconnected
+	client      Client // nil once the request is answered or the client has disconnected
 	attempts    []*attempt
 	outstanding int // attempts that have not ended
 }
 
-// detachClient returns the client, which is answered once: from now on the request has none.
+// detachClient returns the client and removes it from the request, so that it is answered only once.
 func (r *openRequest) detachClient() Client {
 	client := r.client
 	r.client = nil
@@ -18,15 +18,15 @@
 }
 
 // reportEnd notifies the usage observer of how the request ended.
-func (r *openRequest) reportEnd(end RequestEnd, why RejectReason) {
+func (r *openRequest) reportEnd(end RequestEnd, reason RejectReason) {
 	if r.Usage != nil {
-		r.Usage.Answered(end, why)
+		r.Usage.Answered(end, reason)
 	}
 }
 
-// removeIfDone drops a request that is answered and has no attempt outstanding. Once it is answered nothing more is
-// sent for it: an attempt that still waits for its connection is given up, also where the balancer may not cancel
-// attempts.
+// removeIfDone removes a request that is answered and has no attempt outstanding. Once the request is answered nothing
+// more is sent for it: an attempt that still waits for a connection is abandoned, even if the balancer is not allowed
+// to cancel attempts.
 func (r *openRequest) removeIfDone() {
 	if r.client != nil {
 		return
--- a/internal/requestcore/request.go
+++ b/internal/requestcore/request.go
@@ -2,87 +2,90 @@
 
 import "bendtrestle/balancer"
 
-// Request is what a front end has read from a client.
+// Request is a request that a front end has read from a client.
 type Request struct {
 	Class, Tenant, Key string
-	ID                 string // its name at the front end, by which a result is recognised as its own
-	Flags, Figures     string // passed on as they are; not looked at here
+	ID                 string // chosen by the front end; a reply must carry the same id
+	Flags, Figures     string // passed to the upstream; not interpreted by this package
 	Write              bool
 	Value              []byte        // of a write
-	TimeLeft           float64       // seconds until the client gives up
-	NotIdempotent      bool          // a repeated attempt may have an effect; set by Core.Submit
-	Usage              UsageObserver // nil: nobody wants to know
+	TimeLeft           float64       // seconds until the client's deadline
+	NotIdempotent      bool          // a repeated attempt may have a further effect; set by Core.Submit
+	Usage              UsageObserver // nil: its usage is not recorded
 }
 
-// UsageObserver is notified of what a request costs and how it ends, on the loop's goroutine, after its client.
+// UsageObserver is notified of the resource usage and the end of a request, on the event loop's goroutine. If an event
+// also answers the client, the client is called first.
 type UsageObserver interface {
-	// AttemptEnded is called for each attempt, also after the answer, with the seconds that it was outstanding.
+	// AttemptEnded is called for each attempt, including those that end after the answer, with the seconds for which the
+	// attempt was outstanding.
 	AttemptEnded(seconds float64)
 	// Answered is called once. The reason is NoReason unless the request was rejected.
-	Answered(end RequestEnd, why RejectReason)
-	// RequestDone is called once, last: no attempt is outstanding any more.
+	Answered(end RequestEnd, reason RejectReason)
+	// RequestDone is called once, as the last call, when no attempt is outstanding any more.
 	RequestDone()
 }
 
 // RequestEnd is how a request ended.
 type RequestEnd int
 
-// The ends. All but ClientGone are the client's answer.
+// The ways in which a request ends. All but ClientGone are answers to the client.
 const (
 	Succeeded  RequestEnd = iota
-	Rejected              // it was not executed: a retry is safe
-	Failed                // whether it was executed is unknown
-	ClientGone            // the client disconnected before an answer
+	Rejected              // the request was not executed; a retry is safe
+	Failed                // whether the request was executed is unknown
+	ClientGone            // the client disconnected before it was answered
 )
 
-// RejectReason says why a request was rejected.
+// RejectReason is why a request was rejected.
 type RejectReason int
 
-// The reasons, all that there are on the way of a request.
+// The reasons of all components that can reject a request.
 const (
 	NoReason         RejectReason = iota
-	ReasonOverloaded              // the balancer: load is shed, see balancer.ReasonOverloaded
-	ReasonNoEndpoint              // the balancer: no endpoint may execute it, or once more; see balancer.ReasonNoEndpoint
-	ReasonNoTime                  // the balancer: too little time or no retry budget is left for a retry
-	ReasonQuota                   // its team is beyond its quota
-	ReasonNoCapacity              // its bulkhead is full: as many requests are open as may be
+	ReasonOverloaded              // from the balancer: load is shed, see balancer.ReasonOverloaded
+	ReasonNoEndpoint              // from the balancer: no endpoint for an attempt or retry, see balancer.ReasonNoEndpoint
+	ReasonNoTime                  // from the balancer: too little time or no retry budget is left for a retry
+	ReasonQuota                   // the team has exceeded its quota
+	ReasonNoCapacity              // the bulkhead is full: its maximum number of requests is open
 )
 
-// ReasonNames are the reasons' names in logs, which operators and dashboards read. They stay as they have always been.
+// ReasonNames are the names of the reasons in logs. They must not change, because operators and dashboards rely on
+// them.
 var ReasonNames = [...]string{
 	NoReason:         "none",
 	ReasonOverloaded: "strain",    // overloaded
-	ReasonNoEndpoint: "no server", // no endpoint, or none for a repeat
-	ReasonNoTime:     "no time",   // also: no retry budget
+	ReasonNoEndpoint: "no server", // no endpoint for an attempt or a retry
+	ReasonNoTime:     "no time",   // or no retry budget
 	ReasonQuota:      "budget",    // the team's quota, not the retry budget
-	ReasonNoCapacity: "place",     // no capacity of a bulkhead
+	ReasonNoCapacity: "place",     // the bulkhead is full
 }
 
-// rejectReasons gives the balancer's reasons their place among all.
+// rejectReasons maps the balancer's reasons to those of this package.
 var rejectReasons = map[balancer.RejectReason]RejectReason{
 	balancer.ReasonOverloaded: ReasonOverloaded,
 	balancer.ReasonNoEndpoint: ReasonNoEndpoint,
 	balancer.ReasonNoTime:     ReasonNoTime,
 }
 
-// Client takes the one final answer to a request: one of Succeeded, Rejected and Failed is called, once, on the loop's
-// goroutine. None is called after Core.OnClientGone.
+// Client receives the final answer to a request: exactly one of Succeeded, Rejected and Failed is called, once, on the
+// event loop's goroutine. None is called after Core.OnClientGone.
 type Client interface {
 	Succeeded(Result)
-	// Rejected: the request was not executed; a retry makes sense after so many seconds.
+	// Rejected is called when the request was not executed. A retry is reasonable after retryAfter seconds.
 	Rejected(retryAfter float64)
 	Failed()
 
-	// Disconnected asks the connection whether the client has gone away. The core may not have heard of that yet, as after
-	// the loop was stopped for a while; if so, Core.OnClientGone follows after the present callback.
+	// Disconnected reports whether the client's connection has ended. The core may not have been notified yet, for example
+	// after the event loop was stopped for a while; Core.OnClientGone then follows after the current callback.
 	Disconnected() bool
 }
 
-// Result is what a cache server made of an attempt that succeeded.
+// Result is the result of an attempt that succeeded at a cache server.
 type Result struct {
 	Value   []byte
-	Receipt string     // passed on as it is
-	Status  int        // where the protocol has one
-	Head    string     // passed on beside the value, as the protocol writes it
-	Body    BodyStream // in place of a value that is too long to be held in memory; nil: the value is whole
+	Receipt string     // of a write; forwarded unchanged
+	Status  int        // if the protocol has status codes
+	Head    string     // header lines that are forwarded with the value, in the protocol's format
+	Body    BodyStream // replaces Value if the value is too long to be held in memory; nil: Value is complete
 }
