--- a/internal/requestcore/core_test.go
+++ b/internal/requestcore/core_test.go
@@ -140,7 +140,7 @@
 	check(t, core, got, answers{failed: 1}, 1)
 	core.StartAttempt(id, 1, 0.1, 0.1)
 	if len(upstream.attempts) != 1 {
-		t.Errorf("got %d attempts, want 1: one was started after the final answer", len(upstream.attempts))
+		t.Errorf("an attempt was started after the final answer, want none")
 	}
 	upstream.timers[len(upstream.timers)-1]()
 	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -6,9 +6,9 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// attempt is one attempt at a server, or a probe where request is nil. It waits for a connection, is buffered there,
-// is written, and is settled once. Offsets count the bytes that its connection was given to send since it was
-// established.
+// attempt is one attempt at a server, or a probe if request is nil. It waits for a connection, its command is buffered
+// and then written there, and it is settled once. Offsets count the bytes that were passed to the connection for
+// sending since it was established.
 type attempt struct {
 	pool     *serverPool
 	request  *requestcore.Request
@@ -16,20 +16,20 @@
 	deadline float64 // on the loop's clock
 	timer    *eventloop.Timer
 
-	awaitsSendDeadline bool        // the timer is for sendDeadline, which is before deadline
-	sendDeadline       float64     // it is not written from then on
-	stillWanted        func() bool // its request still waits for it; nil: a probe
+	awaitsSendDeadline bool        // the timer is set to sendDeadline, which is before deadline
+	sendDeadline       float64     // on the loop's clock; writing must not begin at or after it
+	stillWanted        func() bool // whether a client still waits for the result; nil: a probe
 
-	connection  *connection // nil while it waits for one
-	unbuffered  [][]byte    // parts of its command that are not in the connection's buffer yet
-	buffered    bool        // some of its command is, or was, in the buffer
-	startOffset uint64      // of its first byte
-	endOffset   uint64      // behind its last byte; the greatest number until that is buffered
-	countedSent bool        // it is in SentAttempts
+	connection  *connection // nil while the attempt waits for one
+	unbuffered  [][]byte    // parts of the command that are not in the connection's buffer yet
+	buffered    bool        // a part of the command is, or was, in the buffer
+	startOffset uint64      // of the first byte of the command
+	endOffset   uint64      // one past the last byte of the command; the largest uint64 until that byte is buffered
+	countedSent bool        // included in SentAttempts
 	settled     bool
 }
 
-// settle tells how the attempt ended, after the present callback. Only the first call counts.
+// settle reports the outcome of the attempt, after the current callback. Only the first call has an effect.
 func (a *attempt) settle(outcome balancer.Outcome, result requestcore.Result) {
 	if a.settled {
 		return
@@ -40,17 +40,18 @@
 	a.pool.pools.loop.Later(func() { a.onEnd(outcome, result) })
 }
 
-// fullyWritten tells whether the kernel took its last byte; else it never ran.
+// fullyWritten reports whether the kernel has accepted the last byte of the command. If not, the server cannot have
+// executed it.
 func (a *attempt) fullyWritten() bool {
 	return a.connection != nil && a.connection.socket.Sent() >= a.endOffset
 }
 
-// partlyWritten tells whether the kernel took any byte of it.
+// partlyWritten reports whether the kernel has accepted any byte of the command.
 func (a *attempt) partlyWritten() bool {
 	return a.connection != nil && a.buffered && a.connection.socket.Sent() > a.startOffset
 }
 
-// countIfSent counts it among the sent attempts, once it is written.
+// countIfSent adds the attempt to the sent attempts once it is fully written.
 func (a *attempt) countIfSent() {
 	if !a.countedSent && a.request != nil && a.fullyWritten() {
 		a.countedSent = true
@@ -58,7 +59,7 @@
 	}
 }
 
-// onTimer gives it up at its deadline, or at its send deadline where it is not written by then.
+// onTimer abandons the attempt at its deadline, or at its send deadline if it is not fully written by then.
 func (a *attempt) onTimer() {
 	if !a.fullyWritten() {
 		a.abandon(balancer.NotAttempted)
@@ -70,11 +71,13 @@
 		return
 	}
 	a.abandon(balancer.TimedOut)
-	a.pool.closeIdle() // a machine that is cut off would be silent there too; a new connection tells within its timeout
+	// If the server's machine is unreachable, its idle connections would time out as well. A new connection shows that
+	// within the connect timeout.
+	a.pool.closeIdle()
 }
 
-// expired tells that it must not be written any more: its send deadline is over, or its client has left. The loop,
-// which may have been stopped, need not have called its timer yet.
+// expired reports whether the attempt must not be written any more, because its send deadline has passed or its client
+// has disconnected. The timer may not have fired yet if the loop was stopped for a while.
 func (a *attempt) expired() bool {
 	if a.pool.pools.loop.Now() >= a.sendDeadline {
 		return true
@@ -82,11 +85,11 @@
 	return a.stillWanted != nil && !a.stillWanted()
 }
 
-// Cancel gives it up; it ends as balancer.Cancelled.
+// Cancel abandons the attempt, which ends as balancer.Cancelled.
 func (a *attempt) Cancel() { a.abandon(balancer.Cancelled) }
 
-// CancelIfUnsent gives it up if it waits for a connection, or on one whose kernel takes no more. One that is written
-// in part goes on where giving it up would end attempts of others.
+// CancelIfUnsent abandons the attempt if it waits for a connection, or for the kernel to accept its bytes. An attempt
+// that is partly written continues if abandoning it would end other attempts on the connection.
 func (a *attempt) CancelIfUnsent() {
 	if a.fullyWritten() {
 		return
@@ -97,20 +100,20 @@
 	a.abandon(balancer.NotAttempted)
 }
 
-// abandon settles it. What becomes of its connection:
+// abandon settles the attempt before its reply has arrived. The effect on its connection is:
 //
-//	nothing of it is written     it is taken back, the connection goes on
-//	a body is being passed on    the connection goes on: the body of another attempt must not be cut off
-//	its client has left, and     the connection goes on; the answer is discarded when it comes
-//	another attempt waits there
-//	else                         the connection ends, which tells the server, and with it all that is pipelined
-//	                             there: those attempts end as ConnectionLost, or ConnectFailed if not written
+//	nothing of it is written      it is withdrawn; the connection stays open
+//	a body is being forwarded     the connection stays open, so that the other attempt's body is not cut off
+//	it is cancelled, and another  the connection stays open; the reply is discarded when it arrives
+//	attempt waits there
+//	otherwise                     the connection is closed, which the server notices; all attempts that are pipelined
+//	                              there end as ConnectionLost, or as ConnectFailed if they are not fully written
 func (a *attempt) abandon(outcome balancer.Outcome) {
 	if a.settled {
 		return
 	}
 	if outcome == balancer.NotAttempted && a.partlyWritten() && a.connection.body != nil {
-		outcome = balancer.Cancelled // its rest is still written, and it may run
+		outcome = balancer.Cancelled // the rest of it is still written, so the server may execute it
 	}
 	a.settle(outcome, requestcore.Result{})
 	c := a.connection
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -16,13 +16,13 @@
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	outcome, _ := pools.startRead(2)
 	outcome.want(t, balancer.Succeeded)
-	pools.wantLine("mg k v Oa Pc=x,d=") // then 2000 or, after the connection came up, a little less
+	pools.wantLine("mg k v Oa Pc=x,d=") // followed by 2000, or slightly less after the time to connect
 	outcome, _ = pools.startRead(2)
 	outcome.want(t, balancer.Succeeded)
-	pools.wantLine("mg k v Oa Pc=x,d=2000\r\n") // on the connection that is there
+	pools.wantLine("mg k v Oa Pc=x,d=2000\r\n") // on the established connection
 	pools.onLoop(pools.loop, func() {
 		if pools.connectionCount != 1 {
-			t.Errorf("%d connections, one is enough", pools.connectionCount)
+			t.Errorf("got %d connections, want 1", pools.connectionCount)
 		}
 	})
 }
@@ -37,19 +37,19 @@
 
 func TestCancelClosesConnection(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
-	outcome, p := pools.startRead(5)
+	outcome, pending := pools.startRead(5)
 	pools.wantLine("mg")
-	pools.onLoop(pools.loop, p.Cancel)
+	pools.onLoop(pools.loop, pending.Cancel)
 	outcome.want(t, balancer.Cancelled)
 	pools.wantLine("end")
 }
 
-// The greatest value is longer than a connection's buffer: it must go out whole.
+// The largest value is longer than a connection's buffer. All of it must be written.
 func TestLargestValueIsWrittenCompletely(t *testing.T) {
 	value := []byte(strings.Repeat("0123456789abcde\n", 4<<10))
-	n := 0
+	lines := 0
 	pools := startServer(t, defaultLimits, func(conn net.Conn, line string) {
-		if n++; n == 1+len(value)/16+1 { // the command, the value's lines, the end
+		if lines++; lines == 1+len(value)/16+1 { // the command, the 16-byte lines of the value, the final line
 			conn.Write([]byte("HD Oa c1\r\n"))
 		}
 	})
@@ -60,7 +60,8 @@
 	outcome.want(t, balancer.Succeeded)
 }
 
-// Its own time over before the connection is up says nothing against the server.
+// An attempt whose time is over before the connection is established ends as NotAttempted, which is no evidence against
+// the server.
 func TestTimeoutWhileConnecting(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
 	outcome := make(outcomeRecorder, 1)
@@ -71,9 +72,10 @@
 	outcome.want(t, balancer.NotAttempted)
 }
 
-// At the bound attempts are pipelined. Where nobody waits for one any more the others on its connection go on, each
-// with its own answer: it was ended for all, so that a client who left cost another its operation, and its server a
-// failure. One that has no answer in time still ends it, and what was pipelined there may have run.
+// At the connection limit attempts are pipelined. If one of them is cancelled, the others on the connection continue,
+// and each gets its own reply. Closing the connection, as was done before, made a client that disconnected fail another
+// client's request and count as a failure of the server. An attempt that times out still closes the connection, and the
+// outcome of the attempts pipelined there is unknown.
 func TestPipelinedBehindCancelledAttempt(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
@@ -82,29 +84,29 @@
 		<-answer
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	})
-	first, p := pools.startRead(5)
+	first, pending := pools.startRead(5)
 	pools.wantLine("mg")
 	second, _ := pools.startRead(5)
-	pools.onLoop(pools.loop, p.Cancel)
+	pools.onLoop(pools.loop, pending.Cancel)
 	first.want(t, balancer.Cancelled)
 	answer <- true
 	answer <- true
 	second.want(t, balancer.Succeeded)
-	third, p := pools.startRead(5)
+	third, pending := pools.startRead(5)
 	fourth, _ := pools.startRead(5)
-	pools.onLoop(pools.loop, p.(*attempt).onTimer)
+	pools.onLoop(pools.loop, pending.(*attempt).onTimer)
 	third.want(t, balancer.TimedOut)
 	fourth.want(t, balancer.ConnectionLost)
 	close(answer)
 }
 
-// What is not written whole when the connection breaks never ran: it may be made again whatever it does. The server
-// breaks it once all are on their way; by a clock it might break it sooner, and what it had not been given yet would
-// go whole by the next connection.
+// An attempt that is not fully written when the connection is reset cannot have been executed, so any request may be
+// retried. The server resets the connection after all attempts were started. After a fixed time it might do so earlier,
+// and the attempts that were not assigned to the connection yet would be sent on the next one.
 func TestConnectionResetBeforeLastByte(t *testing.T) {
-	all := make(chan bool)
+	allStarted := make(chan bool)
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
-		<-all
+		<-allStarted
 		conn.(*net.TCPConn).SetLinger(0)
 		conn.Close()
 	})
@@ -115,168 +117,170 @@
 		pools.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: value}, 5, 5, first)
 	})
 	pools.wantLine("ms")
-	pools.onLoop(pools.loop, func() { // more than the kernel's buffers hold, since the server reads none of it
+	pools.onLoop(pools.loop, func() { // more than the kernel's buffers hold, since the server reads none of them
 		for range 200 {
 			pools.StartAttempt(1, &requestcore.Request{ID: "b", Write: true, Value: value}, 5, 5, make(outcomeRecorder, 1))
 		}
 		pools.StartAttempt(1, &requestcore.Request{ID: "c", Write: true, Value: value}, 5, 5, outcome)
 	})
-	close(all)
+	close(allStarted)
 	first.want(t, balancer.ConnectionLost)
 	outcome.want(t, balancer.ConnectFailed)
 }
 
-// A connection takes longer to come up than a repeat's window is: the repeat is told as not sent as that ends, and
-// nothing is written for it when the connection is there.
+// A connection takes longer to be established than a retry may wait to be written. The retry ends as NotAttempted at
+// its send deadline, and nothing is written for it once the connection is established.
 func TestSendDeadlineWhileConnecting(t *testing.T) {
 	limits := defaultLimits
 	limits.ConnectTimeout = 60
 	pools, _ := startListener(t, limits)
-	at, accept := listenWithFullBacklog(t)
-	pools.onLoop(pools.loop, func() { pools.SetEndpoint(2, at) })
+	addr, accept := listenWithFullBacklog(t)
+	pools.onLoop(pools.loop, func() { pools.SetEndpoint(2, addr) })
 	outcome := make(outcomeRecorder, 1)
 	pools.startAttemptAt(2, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 60, 0.02, outcome)
 	outcome.want(t, balancer.NotAttempted)
 	pools.onLoop(pools.loop, func() {
 		if pools.servers[2].connecting != 1 {
-			t.Error("the connection is up already")
+			t.Error("the connection is established, want it still being dialled")
 		}
 	})
-	conn := accept() // the kernel tries again after a second
+	conn := accept() // the kernel retries the connect after 1 s
 	for idle := 0; idle == 0; time.Sleep(time.Millisecond) {
 		pools.onLoop(pools.loop, func() { idle = len(pools.servers[2].idle) })
 	}
 	pools.onLoop(pools.loop, func() { pools.RemoveEndpoint(2) })
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
-		t.Errorf("the server read %q, %v", heard, err)
+	if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
+		t.Errorf("the server read %q, %v; want nothing", received, err)
 	}
 }
 
-// startBlockedServer is the pools of a server that reads nothing of the one connection to it, until it is told: it is
-// full of a write.
-func startBlockedServer(t *testing.T) (pools testPools, l *connection, a outcomeRecorder, hear func() []byte) {
+// startBlockedServer starts a server that reads nothing from its only connection until readAll is called. It returns
+// when a write of 32 MiB has filled the kernel's buffers; a records the outcome of that write.
+func startBlockedServer(t *testing.T) (pools testPools, blocked *connection, a outcomeRecorder, readAll func() []byte) {
 	limits := defaultLimits
 	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 10
 	pools, conns := startListener(t, limits)
 	a = make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
-		beyondKernelBuffers := make([]byte, 32<<20)
-		pools.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: beyondKernelBuffers}, 60, 60, a)
+		value := make([]byte, 32<<20) // more than the kernel's buffers hold
+		pools.StartAttempt(1, &requestcore.Request{ID: "a", Write: true, Value: value}, 60, 60, a)
 	})
 	conn := <-conns
-	for held := -1; ; { // until the kernel takes no more
-		now := 0
+	for before := -1; ; { // until the kernel accepts no more
+		sent := 0
 		pools.onLoop(pools.loop, func() {
-			if l = pools.servers[1].connections[0]; l.socket.Unsent() > 0 {
-				now = int(l.socket.Sent())
+			if blocked = pools.servers[1].connections[0]; blocked.socket.Unsent() > 0 {
+				sent = int(blocked.socket.Sent())
 			}
 		})
-		if now > 0 && now == held {
+		if sent > 0 && sent == before {
 			break
 		}
-		held = now
+		before = sent
 		time.Sleep(20 * time.Millisecond)
 	}
-	return pools, l, a, func() []byte {
-		all, _ := io.ReadAll(conn)
-		return all
+	return pools, blocked, a, func() []byte {
+		received, _ := io.ReadAll(conn)
+		return received
 	}
 }
 
-// What stands behind a write that the kernel takes no more of is not sent once its client has left, its server was
-// told to drain, or its window is over; and what is before it goes on.
+// An attempt behind a blocked write is not sent once its client has disconnected, its server drains, or its send
+// deadline has passed. The write before it continues.
 func TestUnwrittenAttemptBehindBlockedWriteIsWithdrawn(t *testing.T) {
-	for name, cross := range map[string]func(pools testPools, b requestcore.PendingAttempt){
-		"its client leaves": func(_ testPools, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
-		"it is withdrawn":   func(_ testPools, b requestcore.PendingAttempt) { b.Cancel() },
-		"a drain is told":   func(pools testPools, _ requestcore.PendingAttempt) { pools.RemoveEndpoint(1) },
-		"out by hand":       func(pools testPools, _ requestcore.PendingAttempt) { pools.CancelUnsent(1) },
-		"its window ends":   func(_ testPools, b requestcore.PendingAttempt) { b.(*attempt).onTimer() },
-		"its window has ended, and the kernel takes more before that is heard": func(_ testPools, b requestcore.PendingAttempt) {
+	for name, withdraw := range map[string]func(pools testPools, b requestcore.PendingAttempt){
+		"client disconnects":   func(_ testPools, b requestcore.PendingAttempt) { b.CancelIfUnsent() },
+		"attempt is cancelled": func(_ testPools, b requestcore.PendingAttempt) { b.Cancel() },
+		"server drains":        func(pools testPools, _ requestcore.PendingAttempt) { pools.RemoveEndpoint(1) },
+		"server is disabled":   func(pools testPools, _ requestcore.PendingAttempt) { pools.CancelUnsent(1) },
+		"send deadline passes": func(_ testPools, b requestcore.PendingAttempt) { b.(*attempt).onTimer() },
+		"kernel accepts more after the send deadline": func(_ testPools, b requestcore.PendingAttempt) {
 			b.(*attempt).sendDeadline = 0
 			b.(*attempt).connection.Flushed()
 		},
-		"its client has left, and the kernel takes more before that is heard": func(_ testPools, b requestcore.PendingAttempt) {
+		"kernel accepts more after the client disconnected": func(_ testPools, b requestcore.PendingAttempt) {
 			b.(*attempt).stillWanted = func() bool { return false }
 			b.(*attempt).connection.Flushed()
 		},
 	} {
-		pools, l, a, hear := startBlockedServer(t)
+		pools, blocked, a, readAll := startBlockedServer(t)
 		b, c := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 		pools.onLoop(pools.loop, func() {
-			p := pools.StartAttempt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 60, 30, b)
+			pending := pools.StartAttempt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 60, 30, b)
 			pools.StartAttempt(1, &requestcore.Request{Key: "third", ID: "c", Flags: "Oc"}, 60, 60, c).CancelIfUnsent()
-			cross(pools, p)
+			withdraw(pools, pending)
 		})
 		want := balancer.NotAttempted
-		if name == "it is withdrawn" {
+		if name == "attempt is cancelled" {
 			want = balancer.Cancelled
 		}
 		b.want(t, want)
 		c.want(t, balancer.NotAttempted)
-		go func() { // the write goes on, and ends with its connection
-			for whole := false; !whole; time.Sleep(10 * time.Millisecond) {
+		go func() { // the first write continues, and then its connection is closed
+			for written := false; !written; time.Sleep(10 * time.Millisecond) {
 				pools.onLoop(pools.loop, func() {
-					if whole = l.inFlight[0].fullyWritten() && l.socket.Unsent() == 0; whole {
-						l.socket.Close()
-						l.Closed()
+					if written = blocked.inFlight[0].fullyWritten() && blocked.socket.Unsent() == 0; written {
+						blocked.socket.Close()
+						blocked.Closed()
 					}
 				})
 			}
 		}()
-		heard := hear()
+		received := readAll()
 		a.want(t, balancer.ConnectionLost)
-		sentLater := bytes.Contains(heard, []byte("second")) || bytes.Contains(heard, []byte("third"))
-		if len(heard) < 32<<20 || sentLater {
-			t.Errorf("%s: the server read %d bytes, up to %q", name, len(heard), heard[max(0, len(heard)-60):])
+		sentLater := bytes.Contains(received, []byte("second")) || bytes.Contains(received, []byte("third"))
+		if len(received) < 32<<20 || sentLater {
+			t.Errorf("%s: the server read %d bytes that end with %q, want at least 32 MiB, of the first write alone",
+				name, len(received), received[max(0, len(received)-60):])
 		}
 	}
 }
 
-// One that has begun to leave when its client does ends its connection, where no other is on it, and never comes whole.
+// An attempt that is partly written when its client disconnects closes its connection if no other attempt is in flight
+// there. The server never receives the whole command.
 func TestPartlyWrittenAttemptClosesItsConnection(t *testing.T) {
-	pools, l, a, hear := startBlockedServer(t)
-	pools.onLoop(pools.loop, func() { l.inFlight[0].CancelIfUnsent() })
+	pools, blocked, a, readAll := startBlockedServer(t)
+	pools.onLoop(pools.loop, func() { blocked.inFlight[0].CancelIfUnsent() })
 	a.want(t, balancer.NotAttempted)
-	if heard := hear(); len(heard) >= 32<<20 {
-		t.Errorf("the server read all %d bytes", len(heard))
+	if received := readAll(); len(received) >= 32<<20 {
+		t.Errorf("the server read %d bytes, want less than 32 MiB", len(received))
 	}
 }
 
-// disconnectedRecorder is an attempt whose client has left, which is not heard of yet.
+// disconnectedRecorder is an observer whose client has disconnected, of which the core is not notified yet.
 type disconnectedRecorder struct{ outcomeRecorder }
 
 func (disconnectedRecorder) StillWanted() bool { return false }
 
-// The loop was stopped for longer than an attempt may wait to be written, or its client left meanwhile, and in the
-// round in which it goes on there is a connection for it: it is not written, for its repeats are not dropped any
-// more, or nobody waits for it.
+// The loop is stopped until an attempt's send deadline has passed or its client has disconnected. When the loop
+// continues, a connection is available in the same iteration. The attempt must not be written: the server may not
+// recognise it as a duplicate any more, or no client waits for it.
 func TestExpiredAttemptIsNotWritten(t *testing.T) {
 	const within = 0.02
 	late := &requestcore.Request{Key: "late", ID: "b", Flags: "Ob"}
-	for name, begin := range map[string]func(pools testPools, outcome outcomeRecorder) *attempt{
-		"its window ended": func(pools testPools, outcome outcomeRecorder) *attempt {
+	for name, start := range map[string]func(pools testPools, outcome outcomeRecorder) *attempt{
+		"send deadline passed": func(pools testPools, outcome outcomeRecorder) *attempt {
 			return pools.StartAttempt(1, late, 60, within, outcome).(*attempt)
 		},
-		"its limit ended": func(pools testPools, outcome outcomeRecorder) *attempt {
+		"deadline passed": func(pools testPools, outcome outcomeRecorder) *attempt {
 			return pools.StartAttempt(1, late, within, within, outcome).(*attempt)
 		},
-		"its client left": func(pools testPools, outcome outcomeRecorder) *attempt {
+		"client disconnected": func(pools testPools, outcome outcomeRecorder) *attempt {
 			return pools.StartAttempt(1, late, 60, 60, disconnectedRecorder{outcome}).(*attempt)
 		},
 	} {
-		for which, cross := range map[string]func(testPools, chan net.Conn, func(outcomeRecorder)) net.Conn{
-			"comes up": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) (conn net.Conn) {
+		for which, runCase := range map[string]func(testPools, chan net.Conn, func(outcomeRecorder)) net.Conn{
+			"is established": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) (conn net.Conn) {
 				outcome := make(outcomeRecorder, 1)
 				pools.onLoop(pools.loop, func() {
 					wait(outcome)
-					conn = <-conns // the kernel has it, and the loop has not heard of it
+					conn = <-conns // established in the kernel, but the loop has not processed it
 				})
 				outcome.want(t, balancer.NotAttempted)
 				return conn
 			},
-			"is free": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) net.Conn {
+			"becomes idle": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) net.Conn {
 				pools.limits.MaxConnections, pools.limits.MaxInFlightPerConnection = 1, 1
 				first, outcome := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 				pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, first)
@@ -293,7 +297,7 @@
 				outcome.want(t, balancer.NotAttempted)
 				return conn
 			},
-			"is to be shared": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) net.Conn {
+			"can be pipelined": func(pools testPools, conns chan net.Conn, wait func(outcome outcomeRecorder)) net.Conn {
 				pools.limits.MaxConnections = 1
 				first, outcome := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
 				var conn net.Conn
@@ -309,26 +313,27 @@
 			},
 		} {
 			pools, conns := startListener(t, defaultLimits)
-			conn := cross(pools, conns, func(outcome outcomeRecorder) {
-				for a := begin(pools, outcome); a.stillWanted() && pools.loop.Now() < a.sendDeadline; {
+			conn := runCase(pools, conns, func(outcome outcomeRecorder) {
+				for a := start(pools, outcome); a.stillWanted() && pools.loop.Now() < a.sendDeadline; {
 					time.Sleep(time.Millisecond)
 				}
 			})
 			pools.onLoop(pools.loop, func() { pools.RemoveEndpoint(1) })
 			conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-			if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
-				t.Errorf("%s, a connection %s: the server read %q, %v", name, which, heard, err)
+			if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
+				t.Errorf("%s, a connection %s: the server read %q, %v; want nothing", name, which, received, err)
 			}
 		}
 	}
 }
 
-// A write has begun to leave behind a long value that is on its way back, which must not be cut off: given up, its
-// rest goes on to leave, so that it may run, and it is not told as one that never did.
+// A write is partly written while the long value of an earlier read is being received on the same connection. That
+// value must not be cut off, so the rest of the write is still sent after it is abandoned. The server may execute it,
+// so it must not end as NotAttempted.
 func TestPartlyWrittenAttemptBehindBodyEndsAsCancelled(t *testing.T) {
-	for name, giveUp := range map[string]func(b *attempt){
-		"at its limit":      (*attempt).onTimer,
-		"its client leaves": (*attempt).CancelIfUnsent,
+	for name, abandon := range map[string]func(b *attempt){
+		"deadline passes":    (*attempt).onTimer,
+		"client disconnects": (*attempt).CancelIfUnsent,
 	} {
 		limits := defaultLimits
 		limits.MaxConnections = 1
@@ -337,7 +342,7 @@
 		pools.startAttemptAt(1, &requestcore.Request{Key: "long", ID: "a", Flags: "Oa"}, 60, 60, a)
 		conn := <-conns
 		readCommand(t, conn)
-		const length = 32 << 20 // beyond what the kernel holds
+		const length = 32 << 20 // more than the kernel's buffers hold
 		var second *attempt
 		pools.onLoop(pools.loop, func() {
 			write := &requestcore.Request{ID: "b", Write: true, Value: make([]byte, length)}
@@ -347,16 +352,16 @@
 		a.want(t, balancer.Succeeded)
 		pools.onLoop(pools.loop, func() {
 			if second.fullyWritten() || !second.partlyWritten() {
-				t.Error("the write is not on its way")
+				t.Error("the write is fully written or not begun, want it partly written")
 			}
-			giveUp(second)
+			abandon(second)
 		})
-		if how := <-b; how != balancer.Cancelled {
-			t.Errorf("%s: it ended as %d", name, how)
+		if got := <-b; got != balancer.Cancelled {
+			t.Errorf("%s: got outcome %d, want balancer.Cancelled", name, got)
 		}
 		conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 		if n, err := io.CopyN(io.Discard, conn, length); err != nil {
-			t.Errorf("%s: the rest does not come: %d bytes, %v", name, n, err)
+			t.Errorf("%s: the server read %d bytes, %v; want 32 MiB", name, n, err)
 		}
 	}
 }
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -5,18 +5,18 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// bodyStream is a body on its way from a connection to its sink. It is a requestcore.BodyStream.
+// bodyStream forwards a body from a connection to a sink. It implements requestcore.BodyStream.
 type bodyStream struct {
 	connection *connection // nil once the body is complete or broken
 	length     int         // bytes
 	sink       requestcore.BodySink
-	onEnd      func(requestcore.BodySink) // what to call on a sink that comes after the end; nil: it has not ended
+	onEnd      func(requestcore.BodySink) // the sink's method for the way in which the body ended; nil: not ended
 }
 
-// Length is how many bytes the body has.
+// Length returns the length of the body in bytes.
 func (b *bodyStream) Length() int { return b.length }
 
-// StartReading hands the body to a sink from now on.
+// StartReading forwards the body to a sink from now on.
 func (b *bodyStream) StartReading(sink requestcore.BodySink) {
 	b.sink = sink
 	if b.onEnd != nil {
@@ -26,7 +26,7 @@
 	b.ResumeReading()
 }
 
-// ResumeReading goes on reading; the sink calls it when it has room again.
+// ResumeReading continues to read. It is called when the sink has room again.
 func (b *bodyStream) ResumeReading() {
 	c := b.connection
 	if c == nil || b.sink == nil {
@@ -38,8 +38,8 @@
 	}
 }
 
-// Discard gives the rest up, and its connection ends. Where others wait for replies behind it, the rest is read and
-// dropped instead: a client that leaves does not end the attempts of others.
+// Discard drops the rest of the body and closes its connection. If other attempts wait for replies behind the body, the
+// rest is read and dropped instead, so that a client that disconnects does not end the attempts of other clients.
 func (b *bodyStream) Discard() {
 	c := b.connection
 	if c != nil && c.hasPendingExcept(nil) {
@@ -54,29 +54,29 @@
 	b.onEnd = func(requestcore.BodySink) {}
 }
 
-// wanted tells whether somebody waits for the rest.
+// wanted reports whether a client still waits for the rest.
 func (b *bodyStream) wanted() bool { return b.sink != discardSink{} && b.onEnd == nil }
 
-// finish tells the sink how the body ended, now or once there is a sink.
-func (b *bodyStream) finish(ending func(requestcore.BodySink)) {
-	b.onEnd = ending
+// finish notifies the sink of the end of the body, now or as soon as there is a sink.
+func (b *bodyStream) finish(onEnd func(requestcore.BodySink)) {
+	b.onEnd = onEnd
 	if b.sink == nil {
 		return
 	}
 	sink := b.sink
 	b.sink = nil
-	ending(sink)
+	onEnd(sink)
 }
 
-// discardSink takes a body that nobody waits for.
+// discardSink drops a body that no client waits for.
 type discardSink struct{}
 
 func (discardSink) OnPart(part []byte) int { return len(part) }
 func (discardSink) OnComplete()            {}
 func (discardSink) OnBroken()              {}
 
-// OnBodyStart settles the attempt whose turn it is with a body that follows. The attempt stays the first in flight
-// until all of the body has come.
+// OnBodyStart settles the first attempt in flight with a body that follows. The attempt stays the first in flight until
+// the whole body has been received.
 func (c *connection) OnBodyStart(length int) {
 	if len(c.inFlight) == 0 || !c.inFlight[0].fullyWritten() {
 		c.fail(UnexpectedReply)
@@ -84,24 +84,26 @@
 	}
 	first := c.inFlight[0]
 	c.body = &bodyStream{connection: c, length: length}
-	if first.settled { // nobody waits for it, but for what is behind it
+	if first.settled { // no client waits for this body, but replies behind it may be expected
 		c.body.sink = discardSink{}
 	}
 	first.settle(balancer.Succeeded, requestcore.Result{Body: c.body})
 }
 
-// OnBodyPart hands the next bytes of a body on, and returns how many were taken. The rest is held: a server may end
-// the connection right behind a reply, and the sink is told of the end after all bytes.
+// OnBodyPart forwards the next bytes of a body, and returns how many the sink accepted. While bytes remain, the end of
+// the connection is held back: a server may close it right behind a reply, and the sink must get all bytes before it is
+// notified of the end.
 func (c *connection) OnBodyPart(part []byte) int {
-	taken := 0
+	accepted := 0
 	if c.body != nil && c.body.sink != nil {
-		taken = c.body.sink.OnPart(part)
+		accepted = c.body.sink.OnPart(part)
 	}
-	c.socket.Hold(taken < len(part))
-	return taken
+	c.socket.Hold(accepted < len(part))
+	return accepted
 }
 
-// OnBodyEnd takes the end of a body. If nobody waits for a reply behind it the connection is of no use any more.
+// OnBodyEnd handles the end of a body. If all attempts in flight behind it are settled, no client waits for their
+// replies, and the connection is closed.
 func (c *connection) OnBodyEnd() {
 	body := c.body
 	if body == nil {
@@ -120,7 +122,7 @@
 	}
 }
 
-// abortBody tells that the rest of a body will not come, if one is being passed on.
+// abortBody notifies the sink that the rest of the body cannot be received, if a body is being forwarded.
 func (c *connection) abortBody() {
 	body := c.body
 	if body == nil {
--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -15,10 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-// fakeSink counts what it takes of a long value, and how that ended.
+// fakeSink is a sink that accepts as many bytes as it has room for. It records how many it got and how the value ended.
 type fakeSink struct {
 	room, got int
-	sum       uint32 // of the bytes
+	sum       uint32 // CRC-32 of the accepted bytes
 	ending    chan string
 }
 
@@ -26,34 +26,34 @@
 
 func (sink *fakeSink) OnBroken() { sink.ending <- "broken" }
 
-func (sink *fakeSink) OnPart(p []byte) int {
-	n := min(len(p), sink.room)
-	sink.room, sink.got = sink.room-n, sink.got+n
-	sink.sum = crc32.Update(sink.sum, crc32.IEEETable, p[:n])
-	return n
+func (sink *fakeSink) OnPart(part []byte) int {
+	accepted := min(len(part), sink.room)
+	sink.room, sink.got = sink.room-accepted, sink.got+accepted
+	sink.sum = crc32.Update(sink.sum, crc32.IEEETable, part[:accepted])
+	return accepted
 }
 
-// A long value settles its attempt at the first bytes, is read no faster than it is taken, and is not cut off by
-// what is given up behind it, nor by a stall while it is not taken. One whose server gives nothing more is broken.
-// Each counts as sent once, a probe never.
+// A long value settles its attempt with its first bytes and is read no faster than the sink accepts it. It is not cut
+// off when an attempt behind it is abandoned, nor by the stall timeout while the sink has no room. A value of which the
+// server sends nothing more ends as broken. Each attempt is counted as sent once, a probe never.
 func TestBodyStreams(t *testing.T) {
 	const length = 1 << 20
-	part := make(chan int)
+	valueBytes := make(chan int) // how many bytes of the value the server sends in reply to a command; 0: no reply
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	pools := startServer(t, limits, func(conn net.Conn, line string) {
 		if line == "mn\r\n" {
 			conn.Write([]byte("MN\r\n"))
-		} else if n := <-part; n > 0 {
+		} else if n := <-valueBytes; n > 0 {
 			conn.Write([]byte("VA 1048576 Oa\r\n" + strings.Repeat("x", n) + strings.Repeat("\r\n", n/length)))
 		}
 	})
 	probed := make(outcomeRecorder, 1)
-	pools.onLoop(pools.loop, func() { pools.Probe(1, func(how balancer.Outcome) { probed <- how }) })
+	pools.onLoop(pools.loop, func() { pools.Probe(1, func(outcome balancer.Outcome) { probed <- outcome }) })
 	probed.want(t, balancer.Succeeded)
 	for _, c := range []struct {
-		gives int
-		ends  string
+		sent int
+		ends string
 	}{{length, "whole"}, {length / 2, "broken"}} {
 		settled, sink := make(chan requestcore.Result, 1), &fakeSink{ending: make(chan string, 1)}
 		pools.onLoop(pools.loop, func() {
@@ -61,19 +61,20 @@
 		})
 		behind := make(outcomeRecorder, 1)
 		pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind)
-		part <- c.gives
+		valueBytes <- c.sent
 		long := (<-settled).Body
 		behind.want(t, balancer.TimedOut)
-		late := make(outcomeRecorder, 1) // is not sent behind it
+		late := make(outcomeRecorder, 1) // nothing is pipelined behind a body that is being forwarded
 		pools.startAttemptAt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late)
 		late.want(t, balancer.NotAttempted)
 		pools.onLoop(pools.loop, func() {
-			l := pools.servers[1].connections[0]
-			l.onStallTimeout()
+			poolConn := pools.servers[1].connections[0]
+			poolConn.onStallTimeout()
 			sink.room = 1000
 			long.StartReading(sink)
-			if sink.got != 1000 || l.socket.In.Len()+sink.got > 20<<10 || pools.sentAttempts == 0 {
-				t.Errorf("%d bytes were taken, %d are held", sink.got, l.socket.In.Len())
+			if sink.got != 1000 || poolConn.socket.In.Len()+sink.got > 20<<10 || pools.sentAttempts == 0 {
+				t.Errorf("the sink has %d bytes and %d are buffered, want 1000, at most 20 KiB in total, and an attempt counted",
+					sink.got, poolConn.socket.In.Len())
 			}
 			sink.room = 2 * length
 			long.ResumeReading()
@@ -81,46 +82,48 @@
 		for i := 0; sink.ending != nil && len(sink.ending) == 0 && i < 200; i++ {
 			time.Sleep(10 * time.Millisecond)
 			pools.onLoop(pools.loop, func() {
-				if i == 100 && len(pools.servers[1].connections) > 0 { // by now nothing more comes
+				if i == 100 && len(pools.servers[1].connections) > 0 { // by now the server has stopped sending
 					pools.servers[1].connections[0].onStallTimeout()
 				}
 			})
 		}
-		if got := <-sink.ending; got != c.ends || sink.got != c.gives {
-			t.Errorf("it ended %s with %d bytes, want %s with %d", got, sink.got, c.ends, c.gives)
+		if got := <-sink.ending; got != c.ends || sink.got != c.sent {
+			t.Errorf("the value ended %s with %d bytes, want %s with %d", got, sink.got, c.ends, c.sent)
 		}
 		released := make(chan bool)
-		go func() { part <- 0; close(released) }() // to the one behind
+		go func() { valueBytes <- 0; close(released) }() // for the attempt behind
 		if c.ends == "whole" {
-			// Else the old connection's server, which waits for this, could take what the next case gives.
+			// Otherwise the server of the old connection, which waits for this, could receive the next case's number.
 			select {
 			case <-released:
 			case <-time.After(5 * time.Second):
-				t.Fatal("the server has not read the attempt behind")
+				t.Fatal("the server has not read the attempt behind the value within 5 s")
 			}
 		}
 	}
 	pools.onLoop(pools.loop, func() {
 		if pools.SentAttempts() != 4 {
-			t.Errorf("%d are counted as sent, want 4", pools.SentAttempts())
+			t.Errorf("got %d attempts counted as sent, want 4", pools.SentAttempts())
 		}
 	})
 }
 
-// A long value that nobody waits for any more is let go of as it comes; the one pipelined behind it gets its own
-// answer.
+// A long value whose attempt was cancelled is dropped as it arrives. The attempt that is pipelined behind it gets its
+// own reply.
 func TestUnwantedBodyIsDiscarded(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	pools, conns := startListener(t, limits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
-	var p requestcore.PendingAttempt
-	pools.onLoop(pools.loop, func() { p = pools.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first) })
+	var pending requestcore.PendingAttempt
+	pools.onLoop(pools.loop, func() {
+		pending = pools.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
+	})
 	conn := <-conns
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
 		pools.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
-		p.Cancel()
+		pending.Cancel()
 	})
 	readCommand(t, conn)
 	first.want(t, balancer.Cancelled)
@@ -128,20 +131,20 @@
 	second.want(t, balancer.Succeeded)
 }
 
-// longValue is a long one, no two lines of which are alike.
+// longValue returns a value of which no two lines are the same.
 func longValue(length int) []byte {
-	var all bytes.Buffer
-	for i := 0; all.Len() < length; i++ {
-		fmt.Fprintf(&all, "line %d\n", i)
+	var value bytes.Buffer
+	for i := 0; value.Len() < length; i++ {
+		fmt.Fprintf(&value, "line %d\n", i)
 	}
-	return all.Bytes()[:length]
+	return value.Bytes()[:length]
 }
 
-// waitDelivered waits until the other side's kernel has all that was written.
+// waitDelivered waits until the peer's kernel has received everything that was written.
 func waitDelivered(conn *net.TCPConn) {
 	raw, _ := conn.SyscallConn()
-	for left := 1; left > 0; time.Sleep(time.Millisecond) {
-		raw.Control(func(fd uintptr) { left, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
+	for unacknowledged := 1; unacknowledged > 0; time.Sleep(time.Millisecond) {
+		raw.Control(func(fd uintptr) { unacknowledged, _ = unix.IoctlGetInt(int(fd), unix.SIOCOUTQ) })
 	}
 }
 
@@ -153,73 +156,74 @@
 	conn.Close()
 }
 
-// A server ends its connection right behind a long answer, and what takes the value does so late, in parts: it gets
-// all of it, whether the end is heard while nothing is read, while the rest is held here, or with the bytes in one
-// round, as a close or as a reset.
+// A server ends its connection right behind a long value, and the sink reads the value late and in parts. The sink must
+// get the whole value, whether the end is a close or a reset, and whether it is noticed while nothing is read, while
+// the rest is buffered in the router, or in the same loop iteration as the bytes.
 func TestCloseBehindSlowlyReadBody(t *testing.T) {
 	for name, c := range map[string]struct {
-		length, taken int // bytes in all, and of them those that are taken before the end comes
-		end           func(conn *net.TCPConn)
-		held          bool // the loop is, until the rest and the end have come
+		length, accepted int // bytes of the value, and how many of them the sink accepts before the end arrives
+		end              func(conn *net.TCPConn)
+		loopStopped      bool // until the rest and the end have arrived
 	}{
-		"closed while nothing is read":          {170000, 0, closeConn, false},
-		"closed while no more is taken":         {170000, 90000, closeConn, false},
-		"closed while the rest is held here":    {80000, 79000, closeConn, false},
-		"its sending ended":                     {170000, 0, func(conn *net.TCPConn) { conn.CloseWrite() }, false},
-		"closed, with the rest in one round":    {100000, 50000, closeConn, true},
-		"reset while nothing is read":           {70000, 0, resetConn, false},
-		"reset while the rest is held here":     {80000, 79000, resetConn, false},
-		"reset, with the rest in one round":     {100000, 60000, resetConn, true},
-		"closed before its first byte is taken": {66000, 0, closeConn, true},
+		"closed while nothing is read":           {170000, 0, closeConn, false},
+		"closed while the sink has no room":      {170000, 90000, closeConn, false},
+		"closed while the rest is buffered":      {80000, 79000, closeConn, false},
+		"half-closed":                            {170000, 0, func(conn *net.TCPConn) { conn.CloseWrite() }, false},
+		"closed, in one iteration with the rest": {100000, 50000, closeConn, true},
+		"reset while nothing is read":            {70000, 0, resetConn, false},
+		"reset while the rest is buffered":       {80000, 79000, resetConn, false},
+		"reset, in one iteration with the rest":  {100000, 60000, resetConn, true},
+		"closed before the first byte is read":   {66000, 0, closeConn, true},
 	} {
 		t.Run(name, func(t *testing.T) {
 			pools, conns := startListener(t, defaultLimits)
-			settled, sink := make(chan requestcore.Result, 1), &fakeSink{ending: make(chan string, 1), room: c.taken}
+			settled, sink := make(chan requestcore.Result, 1), &fakeSink{ending: make(chan string, 1), room: c.accepted}
 			pools.onLoop(pools.loop, func() {
 				pools.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 60, 60, resultRecorder(settled))
 			})
-			conn, all := (<-conns).(*net.TCPConn), longValue(c.length)
+			conn, value := (<-conns).(*net.TCPConn), longValue(c.length)
 			readCommand(t, conn)
-			text := append(fmt.Appendf(nil, "VA %d Oa\r\n", c.length), append(all, "\r\n"...)...)
-			early := c.taken + 100 // the first line and more
-			conn.Write(text[:early])
+			reply := append(fmt.Appendf(nil, "VA %d Oa\r\n", c.length), append(value, "\r\n"...)...)
+			early := c.accepted + 100 // the first line and more
+			conn.Write(reply[:early])
 			long := (<-settled).Body
 			pools.onLoop(pools.loop, func() { long.StartReading(sink) })
-			for got := -1; got < c.taken; time.Sleep(time.Millisecond) {
+			for got := -1; got < c.accepted; time.Sleep(time.Millisecond) {
 				pools.onLoop(pools.loop, func() { got = sink.got })
 			}
-			rest := func() {
-				conn.Write(text[early:])
+			sendRest := func() {
+				conn.Write(reply[early:])
 				c.end(conn)
-				time.Sleep(50 * time.Millisecond) // it has been told by then
+				time.Sleep(50 * time.Millisecond) // the end has arrived by then
 			}
-			if c.held {
-				pools.onLoop(pools.loop, rest)
+			if c.loopStopped {
+				pools.onLoop(pools.loop, sendRest)
 			} else {
-				rest()
+				sendRest()
 			}
 			for i := 0; len(sink.ending) == 0 && i < 1000; i++ {
 				pools.onLoop(pools.loop, func() { sink.room = 1000; long.ResumeReading() })
 				time.Sleep(time.Millisecond)
 			}
 			if len(sink.ending) == 0 {
-				t.Fatalf("it did not end with %d bytes of %d", sink.got, c.length)
+				t.Fatalf("the value did not end; the sink has %d bytes, want %d", sink.got, c.length)
 			}
-			if how := <-sink.ending; how != "whole" || sink.got != c.length || sink.sum != crc32.ChecksumIEEE(all) {
-				t.Errorf("it ended %s with %d bytes of %d", how, sink.got, c.length)
+			if endedAs := <-sink.ending; endedAs != "whole" || sink.got != c.length || sink.sum != crc32.ChecksumIEEE(value) {
+				t.Errorf("the value ended %s with %d bytes, want whole with %d bytes and the CRC-32 of the value",
+					endedAs, sink.got, c.length)
 			}
 			pools.onLoop(pools.loop, func() {})
 			pools.onLoop(pools.loop, func() {
 				if len(pools.servers[1].connections) > 0 {
-					t.Error("the ended connection is kept")
+					t.Error("the closed connection is kept, want no connection")
 				}
 			})
 		})
 	}
 }
 
-// A client leaves while its long value is on its way, and another's attempt is out behind it: that gets its own
-// answer, and the rest of the value is let go of.
+// A client disconnects while its long value is being received, and another client's attempt is in flight behind it.
+// That attempt gets its own reply, and the rest of the value is dropped.
 func TestBodyDiscardedWithAttemptBehindIt(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
@@ -240,7 +244,8 @@
 	second.want(t, balancer.Succeeded)
 	pools.onLoop(pools.loop, func() {
 		if pools.closeCounts != [closeReasonCount]uint64{} || len(sink.ending) > 0 || sink.got > 50000 {
-			t.Errorf("%v are counted as cut, %d bytes were taken", pools.closeCounts, sink.got)
+			t.Errorf("got close counts %v, want none; the sink has %d bytes, want at most 50000 and no end",
+				pools.closeCounts, sink.got)
 		}
 	})
 }
--- a/internal/upstream/closereason.go
+++ b/internal/upstream/closereason.go
@@ -1,19 +1,19 @@
 package upstream
 
-// CloseReason is why a connection to a server ended while a reply, or the rest of a body, was owed on it.
+// CloseReason is why a connection to a server ended while a reply, or the rest of a body, was still expected on it.
 type CloseReason int
 
 const (
-	ServerClosed       CloseReason = iota // the server closed or reset it
-	ReplyStalled                          // a reply that had begun did not go on
-	UnexpectedReply                       // what came was no reply to what was asked
-	AttemptAbandoned                      // an attempt before the others was given up, and nothing else ends it
-	ClientDisconnected                    // the client that a body was for has left, or was disconnected
-	PrematureReply                        // a reply came before its command was written, or said that it is the last
+	ServerClosed       CloseReason = iota // the server closed or reset the connection
+	ReplyStalled                          // a reply had begun and no further bytes arrived
+	UnexpectedReply                       // the bytes received are no reply to the pending request
+	AttemptAbandoned                      // another attempt on the connection was abandoned, and no other reason applies
+	ClientDisconnected                    // the client that a body was for disconnected, or was disconnected
+	PrematureReply                        // a reply arrived before its command was written, or announced a close
 	closeReasonCount
 )
 
-// CloseReasons are the names of the reasons in the admin server's figures and in the log.
+// CloseReasons are the names of the reasons in the metrics and in the log.
 var CloseReasons = [closeReasonCount]string{
 	ServerClosed:       "server_ended",
 	ReplyStalled:       "silent",
@@ -23,5 +23,5 @@
 	PrematureReply:     "unwhole",
 }
 
-// CloseCounts counts the connections that ended with a reply owed, by the reason, since the start.
+// CloseCounts returns the number of connections that ended while a reply was expected, by reason, since the start.
 func (p *ConnectionPools) CloseCounts() [closeReasonCount]uint64 { return p.closeCounts }
--- a/internal/upstream/closereason_test.go
+++ b/internal/upstream/closereason_test.go
@@ -10,33 +10,34 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Each end of a connection on which something is owed is counted by its reason, one on which nothing is owed is not.
+// The end of a connection on which a reply is expected is counted by its reason. The end of one without an expected
+// reply is not counted.
 func TestCloseCountsByReason(t *testing.T) {
-	nothing := func(testPools, net.Conn, requestcore.BodyStream) {}
+	doNothing := func(testPools, net.Conn, requestcore.BodyStream) {}
 	for name, c := range map[string]struct {
-		answer string
-		end    func(pools testPools, conn net.Conn, long requestcore.BodyStream)
-		why    CloseReason
-		none   bool
+		reply      string
+		end        func(pools testPools, conn net.Conn, long requestcore.BodyStream)
+		reason     CloseReason
+		notCounted bool
 	}{
-		"a reset in place of an answer": {"", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
+		"reset instead of a reply": {"", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
 			resetConn(conn.(*net.TCPConn))
 		}, ServerClosed, false},
-		"an end within a long value": {"VA 70000 Oa\r\nxx", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
+		"close within a long value": {"VA 70000 Oa\r\nxx", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
 			conn.Close()
 		}, ServerClosed, false},
-		"noise in place of an answer":   {"noise\r\n", nothing, UnexpectedReply, false},
-		"an answer that does not go on": {"VA 100 Oa\r\nxx", nothing, ReplyStalled, false},
-		"a client that leaves its value": {"VA 70000 Oa\r\nxx", func(_ testPools, _ net.Conn, long requestcore.BodyStream) {
+		"malformed reply":   {"noise\r\n", doNothing, UnexpectedReply, false},
+		"reply that stalls": {"VA 100 Oa\r\nxx", doNothing, ReplyStalled, false},
+		"client disconnects in a value": {"VA 70000 Oa\r\nxx", func(_ testPools, _ net.Conn, long requestcore.BodyStream) {
 			long.Discard()
 		}, ClientDisconnected, false},
-		"an attempt given up before it": {"", func(pools testPools, _ net.Conn, _ requestcore.BodyStream) {
+		"attempt before it abandoned": {"", func(pools testPools, _ net.Conn, _ requestcore.BodyStream) {
 			pools.servers[1].connections[0].inFlight[0].abandon(balancer.TimedOut)
 		}, AttemptAbandoned, false},
-		"an end after the answer": {"VA 0 Oa\r\n\r\n", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
+		"close after the reply": {"VA 0 Oa\r\n\r\n", func(_ testPools, conn net.Conn, _ requestcore.BodyStream) {
 			conn.Close()
 		}, 0, true},
-		"an end on which nobody waits": {"", func(pools testPools, conn net.Conn, _ requestcore.BodyStream) {
+		"close after the attempt was cancelled": {"", func(pools testPools, conn net.Conn, _ requestcore.BodyStream) {
 			pools.servers[1].connections[0].inFlight[0].Cancel()
 			conn.Close()
 		}, 0, true},
@@ -51,35 +52,35 @@
 			})
 			conn := <-conns
 			readCommand(t, conn)
-			if c.why == AttemptAbandoned {
+			if c.reason == AttemptAbandoned {
 				pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind)
 			}
-			conn.Write([]byte(c.answer))
+			conn.Write([]byte(c.reply))
 			var long requestcore.BodyStream
-			if strings.Contains(c.answer, "70000") || c.why == 0 && c.none && c.answer != "" {
+			if strings.Contains(c.reply, "70000") || c.reason == 0 && c.notCounted && c.reply != "" {
 				if long = (<-settled).Body; long != nil {
 					pools.onLoop(pools.loop, func() { long.StartReading(&fakeSink{ending: make(chan string, 1), room: 9}) })
 				}
 			}
 			pools.onLoop(pools.loop, func() { c.end(pools, conn, long) })
 			want := [closeReasonCount]uint64{}
-			if want[c.why]++; c.none {
-				want[c.why] = 0
+			if want[c.reason]++; c.notCounted {
+				want[c.reason] = 0
 			}
 			var got [closeReasonCount]uint64
 			for i := 0; i < 500; i++ {
-				over := false
+				closed := false
 				pools.onLoop(pools.loop, func() {
 					got = pools.closeCounts
-					over = len(pools.servers[1].connections) == 0
+					closed = len(pools.servers[1].connections) == 0
 				})
-				if over {
+				if closed {
 					break
 				}
 				time.Sleep(10 * time.Millisecond)
 			}
 			if got != want {
-				t.Errorf("%v are counted, want %v of %v", got, want, CloseReasons)
+				t.Errorf("got close counts %v, want %v, of the reasons %v", got, want, CloseReasons)
 			}
 		})
 	}
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -10,21 +10,21 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// connection is one connection to a server. It is being dialled until established is set, then idle or with attempts
-// in flight, and closed once it is out of its pool's connections. It is its socket's eventloop.Handler and its
-// codec's ReplyHandler.
+// connection is one connection to a server. It is being dialled until established is set; then it is idle or has
+// attempts in flight. It is closed once it is not among its pool's connections any more. It is the eventloop.Handler of
+// its socket and the ReplyHandler of its codec.
 type connection struct {
 	pool          *serverPool
-	addr          netip.AddrPort // where it leads
+	addr          netip.AddrPort // of the server
 	socket        *eventloop.Conn
-	timer         *eventloop.Timer // the connect timeout; once it is established, that a reply that has begun goes on
+	timer         *eventloop.Timer // the connect timeout; the stall timeout once the connection is established
 	established   bool
 	codec         Codec
-	inFlight      []*attempt  // given to it and not answered, in the order of their replies
-	body          *bodyStream // of the first of them; nil: none is being passed on
-	bufferedBytes uint64      // of all that its buffer was given
+	inFlight      []*attempt  // sent or being sent here and not answered, in the order of their replies
+	body          *bodyStream // of the first attempt in flight; nil: no body is being forwarded
+	bufferedBytes uint64      // bytes that were passed to the socket's buffer since the connection was established
 	idleSince     float64     // on the loop's clock
-	lastReplyAt   float64     // when the last whole reply was read, on the loop's clock
+	lastReplyAt   float64     // when the last complete reply was read, on the loop's clock
 }
 
 // Opened is called once the connection is established.
@@ -34,8 +34,8 @@
 	c.established = true
 	c.pool.connecting--
 	if !c.socket.Quiet() && c.addr == c.pool.addr && len(c.pool.waiting) > 0 {
-		// It ended, or something was sent unasked, at once: another would fare no better, nor would all that follow,
-		// as fast as they can be dialled.
+		// The server closed the connection, or sent unrequested bytes, as soon as it was established. Without a failed
+		// attempt the pool would dial again and again, as fast as it can, with the same result.
 		c.pool.failFirstWaiting(balancer.ConnectFailed)
 		c.fail(ServerClosed)
 		return
@@ -44,31 +44,32 @@
 	c.pool.assignWaiting()
 }
 
-// onConnectTimeout takes that the connection was not established in time.
+// onConnectTimeout handles a connection that was not established in time.
 func (c *connection) onConnectTimeout() {
 	c.socket.Close()
-	c.pool.closeIdle() // they lead to the same machine, and would be silent for an attempt's whole timeout
+	c.pool.closeIdle() // these lead to the same machine: an attempt there would wait for its whole timeout
 	c.Closed()
 }
 
-// Closed is called when the connection has ended, or was not established: then the longest waiting attempt failed.
+// Closed is called when the connection has ended or could not be established. In the latter case the attempt that has
+// waited longest fails.
 func (c *connection) Closed() {
 	if !c.established && len(c.pool.waiting) > 0 {
 		c.pool.failFirstWaiting(balancer.ConnectFailed)
 	}
 	if c.established && !c.socket.ByReset() {
-		c.codec.OnServerClose() // it may be the proper end of a reply; a reset is not
+		c.codec.OnServerClose() // a close may complete a reply; a reset does not
 	}
 	c.fail(ServerClosed)
 }
 
-// acceptsPipelined tells whether one more attempt may be put behind those in flight.
+// acceptsPipelined reports whether one more attempt may be pipelined behind those in flight.
 func (c *connection) acceptsPipelined() bool {
 	return c.established && c.addr == c.pool.addr && c.body == nil &&
 		len(c.inFlight) < c.pool.pools.limits.MaxInFlightPerConnection
 }
 
-// send puts an attempt on the connection and writes its command, as far as the kernel takes it.
+// send assigns an attempt to the connection and writes as much of its command as the kernel accepts.
 func (c *connection) send(a *attempt) {
 	c.pool.removeIdle(c)
 	a.connection = c
@@ -79,19 +80,19 @@
 	a.countIfSent()
 }
 
-// Flushed is called when the kernel has taken more bytes: what waits to be written goes on.
+// Flushed is called when the kernel has accepted more bytes. It continues with the commands that wait to be written.
 func (c *connection) Flushed() {
-	c.dropExpired() // before writePending, which would begin the next of them
+	c.dropExpired() // before writePending, which could begin to write an expired attempt
 	c.writePending()
 	for _, a := range c.inFlight {
 		a.countIfSent()
 		if !a.countedSent && a.request != nil {
-			break // nor are those behind it
+			break // attempts behind it cannot be written either
 		}
 	}
 }
 
-// dropExpired settles and takes out what has not begun to be written and must not be any more.
+// dropExpired settles and removes the expired attempts whose commands have not begun to be written.
 func (c *connection) dropExpired() {
 	c.inFlight = slices.DeleteFunc(c.inFlight, func(a *attempt) bool {
 		expired := len(a.unbuffered) > 0 && !a.buffered && a.expired()
@@ -102,8 +103,8 @@
 	})
 }
 
-// writePending gives the socket's buffer what is not buffered yet, one command at a time: while none of it is written
-// it can still be taken back.
+// writePending passes the commands that are not buffered yet to the socket, one at a time. The buffer never holds the
+// beginning of a second command, so that a command of which nothing is written can still be withdrawn.
 func (c *connection) writePending() {
 	for _, a := range c.inFlight {
 		if len(a.unbuffered) == 0 {
@@ -124,7 +125,8 @@
 	}
 }
 
-// bufferCommand gives the socket's buffer the rest of a command, as far as there is room; true once that was all of it.
+// bufferCommand passes as much of the rest of a command to the socket as its buffer has room for, and reports whether
+// that was all of it.
 func (c *connection) bufferCommand(a *attempt) bool {
 	for len(a.unbuffered) > 0 {
 		n := c.socket.Write(a.unbuffered[0])
@@ -138,13 +140,13 @@
 	return true
 }
 
-// withdraw takes an attempt of which nothing is written out of what is to be sent; false if some of it is written.
+// withdraw removes an attempt of which nothing is written from the connection. It returns false if a part is written.
 func (c *connection) withdraw(a *attempt) bool {
 	i := slices.Index(c.inFlight, a)
 	if i < 0 || a.partlyWritten() {
 		return false
 	}
-	if a.buffered { // then the buffer holds nothing else, see writePending
+	if a.buffered { // the buffer holds nothing else then, see writePending
 		c.socket.TakeBack()
 		c.bufferedBytes = a.startOffset
 	}
@@ -158,7 +160,7 @@
 	return true
 }
 
-// cancelUnsent gives up what is on the connection and has not begun to be written.
+// cancelUnsent withdraws and settles the attempts on the connection of which nothing is written.
 func (c *connection) cancelUnsent() {
 	for _, a := range slices.Clone(c.inFlight) {
 		if a.settled {
@@ -171,19 +173,19 @@
 	}
 }
 
-// hasPendingExcept tells whether somebody waits for another attempt's reply on the connection; with nil, for any
-// attempt's.
+// hasPendingExcept reports whether an attempt other than except is in flight on the connection and not settled. If
+// except is nil, any attempt counts.
 func (c *connection) hasPendingExcept(except *attempt) bool {
 	return slices.ContainsFunc(c.inFlight, func(a *attempt) bool { return a != except && !a.settled })
 }
 
-// expectsReply tells whether somebody waits for a reply on the connection, or for the rest of a body.
+// expectsReply reports whether a client or a probe waits for a reply on the connection, or for the rest of a body.
 func (c *connection) expectsReply() bool {
 	return c.hasPendingExcept(nil) || c.body != nil && c.body.wanted()
 }
 
-// fail settles all that is in flight on the connection and closes it. Where a reply is owed on it the reason is
-// counted, and a body that is cut off is logged.
+// fail settles all attempts in flight on the connection and closes it. If a reply is expected there, the reason is
+// counted; a body that is cut off is logged.
 func (c *connection) fail(reason CloseReason) {
 	if c.expectsReply() {
 		c.pool.pools.closeCounts[reason]++
@@ -202,17 +204,18 @@
 	c.inFlight = nil
 	c.abortBody()
 	if c.socket != nil {
-		// What was given up must not reach a machine that is cut off for seconds, when its request has long ended.
+		// The kernel must not deliver the abandoned commands when a machine becomes reachable again seconds later: their
+		// requests have ended by then.
 		c.socket.Forget()
 	}
 	c.close()
 	c.pool.assignWaiting()
 }
 
-// isOpen tells that the connection was not closed.
+// isOpen reports whether the connection has not been closed.
 func (c *connection) isOpen() bool { return slices.Contains(c.pool.connections, c) }
 
-// close closes the connection and takes it out of its pool. A further call does nothing.
+// close closes the connection and removes it from its pool. Further calls have no effect.
 func (c *connection) close() {
 	pool := c.pool
 	i := slices.Index(pool.connections, c)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -10,11 +10,11 @@
 	"bendtrestle/internal/requestcore"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write the golden files anew")
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files")
 
 const commandsGolden = "testdata/memcache_commands.golden"
 
-// TestMemcacheCommandsGolden holds the exact bytes that cache servers are sent.
+// TestMemcacheCommandsGolden checks the exact bytes of the commands that are sent to cache servers.
 func TestMemcacheCommandsGolden(t *testing.T) {
 	var written bytes.Buffer
 	read := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
@@ -50,14 +50,14 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), want) {
-		t.Errorf("the commands are %q, want %q", written.Bytes(), want)
+		t.Errorf("got commands %q, want %q", written.Bytes(), want)
 	}
 }
 
-// TestCloseReasonTexts holds the texts that stand in the figures' names and in the log.
+// TestCloseReasonTexts checks the names of close reasons, which are a part of metric names and of log lines.
 func TestCloseReasonTexts(t *testing.T) {
 	const want = "server_ended silent out_of_order given_up client_gone unwhole"
 	if got := strings.Join(CloseReasons[:], " "); got != want {
-		t.Errorf("the reasons are %q, want %q", got, want)
+		t.Errorf("got reasons %q, want %q", got, want)
 	}
 }
--- a/internal/upstream/healthlog.go
+++ b/internal/upstream/healthlog.go
@@ -2,7 +2,7 @@
 
 import "bendtrestle/balancer"
 
-// failureTexts tell in the log how an attempt failed, for the outcomes that speak against the server.
+// failureTexts describe in the log how an attempt failed, for the outcomes that indicate a failing server.
 var failureTexts = map[balancer.Outcome]string{
 	balancer.ConnectFailed:  "no connection",
 	balancer.ConnectionLost: "connection lost",
@@ -10,7 +10,7 @@
 	balancer.ServerError:    "an error",
 }
 
-// logHealthChange logs that a server begins to fail, or answers again. It is called with the outcome of each attempt.
+// logHealthChange logs that a server begins to fail or answers again. It is called with the outcome of each attempt.
 func (s *serverPool) logHealthChange(outcome balancer.Outcome) {
 	failure := failureTexts[outcome]
 	if failure != "" && !s.loggedFailing {
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -17,32 +17,33 @@
 	"golang.org/x/sys/unix"
 )
 
-// outcomeRecorder notes how an attempt ended.
+// outcomeRecorder is an observer that records the outcome of an attempt.
 type outcomeRecorder chan balancer.Outcome
 
-func (outcome outcomeRecorder) OnAttemptEnd(how balancer.Outcome, _ requestcore.Result) {
-	outcome <- how
+func (r outcomeRecorder) OnAttemptEnd(outcome balancer.Outcome, _ requestcore.Result) {
+	r <- outcome
 }
 
-func (outcome outcomeRecorder) StillWanted() bool { return true }
+func (r outcomeRecorder) StillWanted() bool { return true }
 
-func (outcome outcomeRecorder) want(t *testing.T, want balancer.Outcome) {
+func (r outcomeRecorder) want(t *testing.T, want balancer.Outcome) {
 	t.Helper()
 	select {
-	case got := <-outcome:
+	case got := <-r:
 		if got != want {
-			t.Errorf("it ended as %d, want %d", got, want)
+			t.Errorf("got outcome %d, want %d", got, want)
 		}
 	case <-time.After(5 * time.Second):
-		t.Errorf("it did not end")
+		t.Errorf("the attempt did not end within 5 s")
 	}
 }
 
-// testPools is one cache server, known as 1, that serves each connection by a function of the lines it reads.
+// testPools are the connection pools under test, with one cache server whose id is 1. The server passes each line that
+// it reads from a connection to a function, which may reply.
 type testPools struct {
 	*ConnectionPools
 	t     *testing.T
-	lines chan string // all that the server read
+	lines chan string // all lines that the server has read, and "end" for each closed connection
 }
 
 func startServer(t *testing.T, limits Limits, serve func(conn net.Conn, line string)) testPools {
@@ -67,10 +68,10 @@
 	return pools
 }
 
-// startListener is one cache server, known as 1, that does nothing with its connections.
+// startListener starts a cache server that only accepts connections, and returns them by conns.
 func startListener(t *testing.T, limits Limits) (pools testPools, conns chan net.Conn) {
 	conns = make(chan net.Conn, 1000)
-	l, err := eventloop.New()
+	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -83,19 +84,19 @@
 			conns <- conn
 		}
 	}()
-	go l.Run()
-	t.Cleanup(func() { l.Post(l.Stop); ln.Close() })
+	go loop.Run()
+	t.Cleanup(func() { loop.Post(loop.Stop); ln.Close() })
 	pools = testPools{t: t}
-	pools.onLoop(l, func() {
-		pools.ConnectionPools = New(l, limits, NewMemcacheCodec, zerolog.Nop())
+	pools.onLoop(loop, func() {
+		pools.ConnectionPools = New(loop, limits, NewMemcacheCodec, zerolog.Nop())
 		pools.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
 	})
 	return pools, conns
 }
 
-// listenWithFullBacklog is an address whose backlog is full, so that connections do not come up there, until they are
-// accepted: accept gives the last.
-func listenWithFullBacklog(t *testing.T) (at netip.AddrPort, accept func() net.Conn) {
+// listenWithFullBacklog returns an address at which the listen backlog is full, so that connections are not established
+// until others are accepted. accept accepts all of them and returns the last.
+func listenWithFullBacklog(t *testing.T) (addr netip.AddrPort, accept func() net.Conn) {
 	t.Helper()
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
@@ -114,8 +115,8 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	n := 0
-	for ; ; n++ { // until one does not come up
+	established := 0
+	for ; ; established++ { // until a connection is not established
 		conn, err := net.DialTimeout("tcp", ln.Addr().String(), 500*time.Millisecond)
 		if err != nil {
 			break
@@ -123,12 +124,12 @@
 		t.Cleanup(func() { conn.Close() })
 	}
 	return netip.MustParseAddrPort(ln.Addr().String()), func() net.Conn {
-		for ; ; n-- {
+		for ; ; established-- {
 			conn, err := ln.Accept()
 			if err != nil {
 				t.Fatal(err)
 			}
-			if n == 0 {
+			if established == 0 {
 				return conn
 			}
 			conn.Close()
@@ -136,44 +137,44 @@
 	}
 }
 
-// readCommand reads a command.
+// readCommand reads a line.
 func readCommand(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
 	for one := make([]byte, 1); one[0] != '\n'; {
 		if _, err := conn.Read(one); err != nil {
-			t.Fatalf("no command: %v", err)
+			t.Fatalf("no command was received: %v", err)
 		}
 	}
 }
 
-// answerCommand reads a command and answers it.
-func answerCommand(t *testing.T, conn net.Conn, text string) {
+// answerCommand reads a line and writes a reply.
+func answerCommand(t *testing.T, conn net.Conn, reply string) {
 	t.Helper()
 	readCommand(t, conn)
-	conn.Write([]byte(text))
+	conn.Write([]byte(reply))
 }
 
-// onLoop calls on the loop and waits for it.
-func (pools testPools) onLoop(l *eventloop.Loop, call func()) {
+// onLoop runs a function on the event loop and waits until it returns.
+func (pools testPools) onLoop(loop *eventloop.Loop, call func()) {
 	done := make(chan bool)
-	l.Post(func() { call(); close(done) })
+	loop.Post(func() { call(); close(done) })
 	<-done
 }
 
-// startAttemptAt starts an attempt on the loop.
+// startAttemptAt starts an attempt at a server, on the event loop.
 func (pools testPools) startAttemptAt(
 	id uint64, request *requestcore.Request, timeout, sendWithin float64, observer requestcore.AttemptObserver,
 ) {
 	pools.onLoop(pools.loop, func() { pools.StartAttempt(id, request, timeout, sendWithin, observer) })
 }
 
-// startRead starts a read of a key at server 1, and gives what it ends as.
-func (pools testPools) startRead(limit float64) (outcome outcomeRecorder, p requestcore.PendingAttempt) {
+// startRead starts a read of a key at server 1, with a timeout in seconds.
+func (pools testPools) startRead(timeout float64) (outcome outcomeRecorder, p requestcore.PendingAttempt) {
 	outcome = make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
 		request := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
-		p = pools.StartAttempt(1, request, limit, limit, outcome)
+		p = pools.StartAttempt(1, request, timeout, timeout, outcome)
 	})
 	return outcome, p
 }
@@ -183,10 +184,10 @@
 	select {
 	case got := <-pools.lines:
 		if !strings.HasPrefix(got, want) {
-			pools.t.Errorf("the server read %q, want %q", got, want)
+			pools.t.Errorf("the server read %q, want a line that begins with %q", got, want)
 		}
 	case <-time.After(5 * time.Second):
-		pools.t.Errorf("the server read no %q", want)
+		pools.t.Errorf("the server read no line within 5 s, want %q", want)
 	}
 }
 
@@ -198,16 +199,16 @@
 	IdleTimeout:              60,
 }
 
-// endFunc does something as soon as an attempt has ended.
+// endFunc is an observer that calls a function when an attempt has ended.
 type endFunc func()
 
-func (pools endFunc) OnAttemptEnd(balancer.Outcome, requestcore.Result) { pools() }
+func (f endFunc) OnAttemptEnd(balancer.Outcome, requestcore.Result) { f() }
 
-func (pools endFunc) StillWanted() bool { return true }
+func (f endFunc) StillWanted() bool { return true }
 
-// resultRecorder takes what an attempt settles with.
+// resultRecorder is an observer that records the result of an attempt.
 type resultRecorder chan requestcore.Result
 
-func (r resultRecorder) OnAttemptEnd(_ balancer.Outcome, with requestcore.Result) { r <- with }
+func (r resultRecorder) OnAttemptEnd(_ balancer.Outcome, result requestcore.Result) { r <- result }
 
 func (r resultRecorder) StillWanted() bool { return true }
--- a/internal/upstream/limits.go
+++ b/internal/upstream/limits.go
@@ -1,41 +1,42 @@
 package upstream
 
-// Limits bound the connections. Times are in seconds.
+// Limits are the limits and timeouts of connections. Times are in seconds.
 type Limits struct {
-	MaxConnections           int     // to all servers together; each server may have an equal part, at least one
-	MaxInFlightPerConnection int     // attempts that a connection carries at once, when no more connections may be opened
-	ConnectTimeout           float64 // a connection that is not established by then is given up
-	StallTimeout             float64 // a reply that has begun and gets no further byte for so long will not go on
-	IdleTimeout              float64 // servers close a connection that stood idle for so long
+	MaxConnections           int     // to all servers together; each server may have an equal fraction, at least one
+	MaxInFlightPerConnection int     // attempts pipelined on one connection, once no more connections may be opened
+	ConnectTimeout           float64 // a connection that is not established by then is closed
+	StallTimeout             float64 // a reply that has begun and gets no further byte for this long has failed
+	IdleTimeout              float64 // servers close a connection that has been idle for this long
 }
 
 const (
-	// probeRoundTripSeconds is how long a probe may take beyond the connect timeout: far above a round trip in a fleet.
+	// probeRoundTripSeconds is the time for a probe in addition to the connect timeout. It is far above a network round
+	// trip within a fleet.
 	probeRoundTripSeconds = 0.1
 
-	// minIdleSeconds is how long a connection is to be idle before it is preferred for another attempt. A server that
-	// ends a connection with or right after a reply is heard of by then.
+	// minIdleSeconds is how long a connection must have been idle to be preferred for another attempt. By then it is known
+	// whether the server has closed the connection with or right after its last reply.
 	minIdleSeconds = 0.005
 
-	// duplicateReplySeconds is how long after a reply the same one may come again, which is the slack that the protocol
-	// allows to all that is late.
+	// duplicateReplySeconds is the time after a reply within which a duplicate of it may arrive. The protocol allows the
+	// same tolerance for everything that is late.
 	duplicateReplySeconds = 0.05
 
-	// bodyStallSeconds is how long a server may send nothing of a body that is passed on.
+	// bodyStallSeconds is how long a server may send nothing of a body that is being forwarded.
 	bodyStallSeconds = 5
 
-	// minSweepSeconds is the least time between two looks for connections that are idle for too long.
+	// minSweepSeconds is the minimum interval between two sweeps for connections that have been idle for too long.
 	minSweepSeconds = 0.1
 
-	// sweepsPerIdleTimeout is how often in an idle timeout such connections are looked for.
+	// sweepsPerIdleTimeout is the number of such sweeps per idle timeout.
 	sweepsPerIdleTimeout = 8
 )
 
-// maxIdleSeconds is how long a connection may stay idle here. It is below the servers' own timeout: a command that is
-// written to a connection that the server is just closing may have run.
+// maxIdleSeconds is how long the router keeps an idle connection. It is below the servers' own timeout: if the server
+// closes a connection while a command is being written to it, it is unknown whether the command was executed.
 func (l Limits) maxIdleSeconds() float64 { return l.IdleTimeout * 3 / 4 }
 
-// sweepSeconds is how long it takes from one look for idle connections to the next.
+// sweepSeconds is the interval between two sweeps for idle connections.
 func (l Limits) sweepSeconds() float64 {
 	return max(l.IdleTimeout/sweepsPerIdleTimeout, minSweepSeconds)
 }
--- a/internal/upstream/memcachecodec.go
+++ b/internal/upstream/memcachecodec.go
@@ -10,21 +10,21 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// minSecondsLeft is the least time that a server is told a request has: it is told whole milliseconds, and at least
-// one.
+// minSecondsLeft is the minimum time left that a command carries. The command carries it in whole milliseconds, and at
+// least one.
 const minSecondsLeft = 1e-3
 
-// memcacheCodec is a Codec for the meta commands of the memcache text protocol, which the platform's cache servers
-// speak. It is its reader's meta.Replies.
+// memcacheCodec is a Codec for the meta commands of the memcache text protocol, which the platform's cache servers use.
+// It implements meta.Replies for its reader.
 type memcacheCodec struct {
 	replies ReplyHandler
 	reader  meta.ReplyReader
 }
 
-// NewMemcacheCodec makes the codec of a connection to a cache server.
+// NewMemcacheCodec returns the codec of a connection to a cache server.
 func NewMemcacheCodec(replies ReplyHandler) Codec { return &memcacheCodec{replies: replies} }
 
-// Encode writes a request's command, or a probe's.
+// Encode returns the command for a request, or for a probe.
 func (m *memcacheCodec) Encode(request *requestcore.Request, secondsLeft float64) [][]byte {
 	if request == nil {
 		return [][]byte{[]byte("mn\r\n")}
@@ -38,19 +38,20 @@
 	return [][]byte{meta.AppendGet(nil, request.Key, request.Flags, figures)}
 }
 
-// Decode reads the next reply, or a part of a long one.
+// Decode reads the next reply, or a part of a long reply.
 func (m *memcacheCodec) Decode(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 
-// ReplyBegun tells that a reply has begun and is not complete.
+// ReplyBegun reports whether a reply has begun and is not complete.
 func (m *memcacheCodec) ReplyBegun() bool { return m.reader.Begun() }
 
-// OnServerClose does nothing: no reply of this protocol ends with the connection.
+// OnServerClose does nothing: in this protocol the end of a connection does not complete a reply.
 func (m *memcacheCodec) OnServerClose() {}
 
-// Release does nothing: the codec holds nothing beyond its connection.
+// Release does nothing: the codec has no buffers of its own.
 func (m *memcacheCodec) Release() {}
 
-// isDue tells whether the reply that is due is that to a read, or a write, of this id.
+// isDue reports whether the reply that is due is to a request with this id, and to a write if write is true or else to
+// a read.
 func (m *memcacheCodec) isDue(id string, write bool) bool {
 	request, due := m.replies.PendingRequest()
 	if !due || request == nil || id == "" {
@@ -59,7 +60,7 @@
 	return request.ID == id && request.Write == write
 }
 
-// Value takes a read's reply.
+// Value handles the reply to a read.
 func (m *memcacheCodec) Value(id string, value []byte) {
 	if !m.isDue(id, false) {
 		m.replies.OnUnexpectedReply("VA " + id)
@@ -68,7 +69,7 @@
 	m.replies.OnReply(balancer.Succeeded, requestcore.Result{Value: value}, true)
 }
 
-// Long takes the beginning of a read's long reply.
+// Long handles the beginning of a long reply to a read.
 func (m *memcacheCodec) Long(id string, length int) {
 	if !m.isDue(id, false) {
 		m.replies.OnUnexpectedReply("VA " + id)
@@ -77,13 +78,13 @@
 	m.replies.OnBodyStart(length)
 }
 
-// Part takes the next bytes of a long reply and returns how many were taken.
+// Part handles the next bytes of a long reply and returns how many were accepted.
 func (m *memcacheCodec) Part(part []byte) int { return m.replies.OnBodyPart(part) }
 
-// LongEnd takes the end of a long reply.
+// LongEnd handles the end of a long reply.
 func (m *memcacheCodec) LongEnd() { m.replies.OnBodyEnd() }
 
-// Stored takes a write's reply.
+// Stored handles the reply to a write.
 func (m *memcacheCodec) Stored(id, receipt string) {
 	if !m.isDue(id, true) {
 		m.replies.OnUnexpectedReply("HD " + id)
@@ -92,17 +93,17 @@
 	m.replies.OnReply(balancer.Succeeded, requestcore.Result{Receipt: receipt}, true)
 }
 
-// Busy takes a rejection: the server is overloaded, and nothing ran.
+// Busy handles a rejection: the server is overloaded and did not execute the request.
 func (m *memcacheCodec) Busy(int) {
 	m.replies.OnReply(balancer.Overloaded, requestcore.Result{}, true)
 }
 
-// Failed takes an error.
+// Failed handles an error reply.
 func (m *memcacheCodec) Failed() {
 	m.replies.OnReply(balancer.ServerError, requestcore.Result{}, true)
 }
 
-// Ready takes a probe's reply.
+// Ready handles the reply to a probe.
 func (m *memcacheCodec) Ready() {
 	request, due := m.replies.PendingRequest()
 	if !due || request != nil {
@@ -112,5 +113,6 @@
 	m.replies.OnReply(balancer.Succeeded, requestcore.Result{}, true)
 }
 
-// Other takes a line that the protocol does not name. What may follow it would be taken for another request's reply.
+// Other handles a line that the protocol does not define. The connection is closed, because bytes that follow the line
+// could be mistaken for the reply to another request.
 func (m *memcacheCodec) Other(line string) { m.replies.OnUnexpectedReply(line) }
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -11,22 +11,22 @@
 	"github.com/rs/zerolog"
 )
 
-// ConnectionPools are the connections to all servers, a pool for each. All methods are called on the event loop's
-// goroutine.
+// ConnectionPools holds the connections to all servers, one pool for each. All methods must be called on the event
+// loop's goroutine.
 type ConnectionPools struct {
 	loop            *eventloop.Loop
 	limits          Limits
 	log             zerolog.Logger
 	newCodec        func(ReplyHandler) Codec
-	servers         map[uint64]*serverPool   // by the id that the endpoint list gives them
-	connectionCount int                      // of all servers, also of removed ones
+	servers         map[uint64]*serverPool   // by endpoint id
+	connectionCount int                      // connections to all servers, including removed ones
 	sentAttempts    uint64                   // see SentAttempts
 	closeCounts     [closeReasonCount]uint64 // see CloseCounts
 	closed          bool
 }
 
-// New makes pools without servers. newCodec is called for each connection that is dialled, with the handler that its
-// codec calls.
+// New returns pools without servers. newCodec is called for each connection that is dialled, with the ReplyHandler for
+// its codec.
 func New(loop *eventloop.Loop, limits Limits, newCodec func(ReplyHandler) Codec, log zerolog.Logger) *ConnectionPools {
 	p := &ConnectionPools{
 		loop:     loop,
@@ -39,10 +39,10 @@
 	return p
 }
 
-// SentAttempts counts the attempts whose last byte the kernel has taken, since the start; probes are not counted.
+// SentAttempts returns the number of attempts whose last byte the kernel has accepted since the start, without probes.
 func (p *ConnectionPools) SentAttempts() uint64 { return p.sentAttempts }
 
-// IdleConnections counts the connections that are idle now.
+// IdleConnections returns the number of connections that are idle.
 func (p *ConnectionPools) IdleConnections() int {
 	count := 0
 	for _, server := range p.servers {
@@ -51,7 +51,7 @@
 	return count
 }
 
-// SetMaxConnections sets how many connections there may be from now on. Of those beyond it the idle ones are closed.
+// SetMaxConnections sets the maximum number of connections. If there are more, idle ones are closed.
 func (p *ConnectionPools) SetMaxConnections(connections int) {
 	p.limits.MaxConnections = connections
 	for p.connectionCount > connections {
@@ -62,7 +62,7 @@
 	}
 }
 
-// SetEndpoint adds a server, or takes the address that it has now. An address that is not valid leaves the one before.
+// SetEndpoint adds a server, or changes its address. An invalid address is ignored.
 func (p *ConnectionPools) SetEndpoint(id uint64, addr netip.AddrPort) {
 	server := p.servers[id]
 	if server == nil {
@@ -76,8 +76,8 @@
 	}
 }
 
-// RemoveEndpoint takes a server out: what waits there is not sent, no connection is kept open, and what is in flight
-// goes on.
+// RemoveEndpoint removes a server: attempts that wait there are not sent, its connections are closed as soon as they
+// are idle, and attempts in flight continue.
 func (p *ConnectionPools) RemoveEndpoint(id uint64) {
 	server := p.servers[id]
 	if server == nil {
@@ -88,8 +88,8 @@
 	delete(p.servers, id)
 }
 
-// CancelUnsent ends as balancer.NotAttempted what waits for a connection to a server or to be written there, and
-// closes its idle connections. What is in flight goes on.
+// CancelUnsent ends the attempts that wait for a connection to a server, or to be written there, as
+// balancer.NotAttempted, and closes its idle connections. Attempts that are written, even in part, continue.
 func (p *ConnectionPools) CancelUnsent(id uint64) {
 	server := p.servers[id]
 	if server == nil {
@@ -105,7 +105,7 @@
 	server.closeIdle()
 }
 
-// Close closes all connections and ends the timers. Nothing may be in flight.
+// Close closes all connections and stops the timers. No attempt may be in flight.
 func (p *ConnectionPools) Close() {
 	p.closed = true
 	for id := range p.servers {
@@ -113,8 +113,8 @@
 	}
 }
 
-// StartAttempt begins an attempt at a server and returns at once; the observer is told of its end. It ends as
-// balancer.TimedOut after timeout seconds, or as balancer.NotAttempted where it is not written within sendWithin
+// StartAttempt starts an attempt at a server and returns immediately; the observer is notified of its end. The attempt
+// ends as balancer.TimedOut after timeout seconds, or as balancer.NotAttempted if it is not written within sendWithin
 // seconds.
 func (p *ConnectionPools) StartAttempt(
 	id uint64, request *requestcore.Request, timeout, sendWithin float64, observer requestcore.AttemptObserver,
@@ -124,15 +124,15 @@
 	return a
 }
 
-// Probe makes a health check of a server; ended is called once.
-func (p *ConnectionPools) Probe(id uint64, ended func(balancer.Outcome)) {
-	a := &attempt{onEnd: func(outcome balancer.Outcome, _ requestcore.Result) { ended(outcome) }}
+// Probe makes a health check of a server and calls done once with the outcome.
+func (p *ConnectionPools) Probe(id uint64, done func(balancer.Outcome)) {
+	a := &attempt{onEnd: func(outcome balancer.Outcome, _ requestcore.Result) { done(outcome) }}
 	timeout := p.limits.ConnectTimeout + probeRoundTripSeconds
 	p.start(id, a, timeout, timeout)
 }
 
-// start sets an attempt's timer and gives it to its server's pool. A server that is not known gets a pool of its own
-// without an address, where the attempt ends as not attempted.
+// start sets the timer of an attempt and passes it to the pool of its server. For an unknown server it creates a
+// temporary pool without an address, where the attempt ends as balancer.NotAttempted.
 func (p *ConnectionPools) start(id uint64, a *attempt, timeout, sendWithin float64) {
 	server := p.servers[id]
 	if server == nil {
@@ -147,7 +147,7 @@
 	server.dispatch(a)
 }
 
-// closeExpiredIdle closes what has been idle for too long, again and again until Close.
+// closeExpiredIdle closes the connections that have been idle for too long, and schedules the next sweep until Close.
 func (p *ConnectionPools) closeExpiredIdle() {
 	if p.closed {
 		return
@@ -158,14 +158,14 @@
 	p.loop.After(p.limits.sweepSeconds(), p.closeExpiredIdle)
 }
 
-// maxPerServer is how many connections one server may have: an equal part of all.
+// maxPerServer returns the maximum number of connections to one server, an equal fraction of all.
 func (p *ConnectionPools) maxPerServer() int {
 	return max(1, p.limits.MaxConnections/max(1, len(p.servers)))
 }
 
-// makeCapacity tells whether one more connection may be opened. At the bound it closes the one that has been idle
-// longest: with more servers than connections, those that were asked first would keep the others from ever being
-// asked.
+// makeCapacity reports whether one more connection may be opened. At the limit it first closes the connection that has
+// been idle longest. Otherwise, with more servers than connections, the servers used first would keep all connections
+// and the others would never get an attempt.
 func (p *ConnectionPools) makeCapacity() bool {
 	if p.connectionCount >= p.limits.MaxConnections {
 		p.closeOldestIdle()
@@ -173,7 +173,7 @@
 	return p.connectionCount < p.limits.MaxConnections
 }
 
-// closeOldestIdle closes the connection that has been idle longest; false if none is idle.
+// closeOldestIdle closes the connection that has been idle longest. It returns false if none is idle.
 func (p *ConnectionPools) closeOldestIdle() bool {
 	var oldest *connection
 	for _, server := range p.servers {
--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -13,12 +13,13 @@
 func TestProbe(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("MN\r\n")) })
 	outcome := make(outcomeRecorder, 1)
-	pools.onLoop(pools.loop, func() { pools.Probe(1, func(how balancer.Outcome) { outcome <- how }) })
+	pools.onLoop(pools.loop, func() { pools.Probe(1, func(probed balancer.Outcome) { outcome <- probed }) })
 	outcome.want(t, balancer.Succeeded)
 	pools.wantLine("mn")
 }
 
-// A server that wants nothing new keeps no idle connection and shares in no bound, and what is out there goes on.
+// A removed server keeps no idle connection and is not counted in the limit per server, and an attempt in flight there
+// continues.
 func TestRemoveEndpoint(t *testing.T) {
 	answer := make(chan bool)
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
@@ -30,7 +31,7 @@
 	pools.onLoop(pools.loop, func() {
 		pools.RemoveEndpoint(1)
 		if len(pools.servers) != 0 {
-			t.Errorf("%d servers share in the bound of connections", len(pools.servers))
+			t.Errorf("got %d servers that share the connection limit, want 0", len(pools.servers))
 		}
 	})
 	answer <- true
@@ -38,7 +39,8 @@
 	pools.wantLine("end")
 }
 
-// What waits for a connection when its server is told to drain, or when its operation is answered, is never sent.
+// An attempt that waits for a connection is never sent if its server begins to drain or its request is answered
+// meanwhile.
 func TestWaitingAttemptsAreNotSentAfterRemoval(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -52,12 +54,12 @@
 	time.Sleep(20 * time.Millisecond)
 	pools.onLoop(pools.loop, func() {
 		if len(pools.lines) > 0 && <-pools.lines != "end" || pools.connectionCount != 0 {
-			t.Errorf("a command was sent, or one of %d connections kept", pools.connectionCount)
+			t.Errorf("got %d connections, want 0, and no command sent", pools.connectionCount)
 		}
 	})
 }
 
-// releaseCounter counts how often it is told that its connection is closed.
+// releaseCounter is a codec that counts the calls of Release.
 type releaseCounter struct {
 	Codec
 	released *int
@@ -65,7 +67,8 @@
 
 func (c releaseCounter) Release() { *c.released++ }
 
-// Whatever ends a connection, its codec is told, and lets go of what has come: here an attempt is given up midway.
+// The codec of a connection is released however the connection ends, or its buffered bytes would leak. Here an attempt
+// is abandoned in the middle of its reply.
 func TestCodecIsReleasedWithConnection(t *testing.T) {
 	limits := Limits{
 		MaxConnections:           4,
@@ -77,18 +80,21 @@
 	released := 0
 	pools := startServer(t, limits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 9 Oa\r\nhal")) })
 	pools.onLoop(pools.loop, func() {
-		pools.newCodec = func(l ReplyHandler) Codec { return releaseCounter{NewMemcacheCodec(l), &released} }
+		pools.newCodec = func(replies ReplyHandler) Codec {
+			return releaseCounter{NewMemcacheCodec(replies), &released}
+		}
 	})
 	outcome, _ := pools.startRead(0.05)
 	<-outcome
 	pools.onLoop(pools.loop, func() {
 		if released != 1 {
-			t.Errorf("it was told %d times", released)
+			t.Errorf("got %d calls of Release, want 1", released)
 		}
 	})
 }
 
-// With more servers than connections, those that were asked first kept the rest from ever being asked.
+// With more servers than connections, the servers that were used first kept all connections, and the others never got
+// an attempt.
 func TestMoreServersThanConnections(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 20
@@ -105,30 +111,32 @@
 	}
 	pools.onLoop(pools.loop, func() {
 		if pools.connectionCount > limits.MaxConnections || pools.connectionCount < limits.MaxConnections/2 {
-			t.Errorf("%d connections are kept, of %d", pools.connectionCount, limits.MaxConnections)
+			t.Errorf("got %d connections, want at least half of the limit of %d and no more than it",
+				pools.connectionCount, limits.MaxConnections)
 		}
 	})
 }
 
-// A drain is told in the round in which a connection to the server has come up: nothing is written there, and it is
-// not kept.
+// A server is removed in the loop iteration in which a connection to it is established: nothing is written there, and
+// the connection is closed.
 func TestRemovalAsConnectionIsEstablished(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	outcome := make(outcomeRecorder, 1)
 	var conn net.Conn
 	pools.onLoop(pools.loop, func() {
 		pools.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, outcome)
-		conn = <-conns // the kernel has it, and the loop has not heard of it
+		conn = <-conns // established in the kernel, but the loop has not processed it
 		pools.RemoveEndpoint(1)
 	})
 	outcome.want(t, balancer.NotAttempted)
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
-		t.Errorf("it was sent %q, %v", heard, err)
+	if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
+		t.Errorf("the server read %q, %v; want nothing", received, err)
 	}
 }
 
-// The same for an answer, whose connection is free in that round: what waits for it is not sent.
+// A server is removed in the loop iteration in which a reply makes a connection to it idle: an attempt that waits for
+// the connection is not sent.
 func TestRemovalAsReplyFreesConnection(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections, limits.MaxInFlightPerConnection = 1, 1
@@ -139,9 +147,9 @@
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
 		pools.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
-		l := pools.servers[1].connections[0]
+		poolConn := pools.servers[1].connections[0]
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-		for !l.socket.Unread() {
+		for !poolConn.socket.Unread() {
 			time.Sleep(time.Millisecond)
 		}
 		pools.RemoveEndpoint(1)
@@ -149,12 +157,12 @@
 	first.want(t, balancer.Succeeded)
 	second.want(t, balancer.NotAttempted)
 	if more, _ := io.ReadAll(conn); len(more) > 0 {
-		t.Errorf("it was sent %q", more)
+		t.Errorf("the server read %q after the first command, want nothing", more)
 	}
 }
 
-// A server is gone and back, elsewhere, in one list: what waited for it is told that it was not sent, what comes next
-// goes where it is now.
+// A server is removed and added with another address by the same endpoint list. An attempt that waited for it ends as
+// NotAttempted, and the next attempt goes to the new address.
 func TestServerRemovedAndAddedInOneIteration(t *testing.T) {
 	pools, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
@@ -170,7 +178,7 @@
 	second.want(t, balancer.Succeeded)
 	conn := <-before
 	conn.SetReadDeadline(time.Now().Add(5 * time.Second))
-	if heard, err := io.ReadAll(conn); len(heard) > 0 || err != nil {
-		t.Errorf("where it was, it was sent %q, %v", heard, err)
+	if received, err := io.ReadAll(conn); len(received) > 0 || err != nil {
+		t.Errorf("the server at the previous address read %q, %v; want nothing", received, err)
 	}
 }
--- a/internal/upstream/replies.go
+++ b/internal/upstream/replies.go
@@ -5,7 +5,8 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Input is called when more bytes have come: it decodes replies until the bytes give no further one.
+// Input is called when more bytes have been received. It decodes replies until the bytes contain no further complete
+// one.
 func (c *connection) Input() {
 	in := c.socket.In
 	for in.Len() > 0 {
@@ -16,16 +17,16 @@
 			return
 		}
 		if in.Len() == before {
-			break // a body whose taker has no room now
+			break // the sink of a body has no room
 		}
 		if !c.isOpen() {
-			return // a reply ended it
+			return // a reply closed the connection
 		}
 	}
 	c.setReplyTimer()
 }
 
-// setReplyTimer sets by when a reply that has begun must go on.
+// setReplyTimer sets the time by which further bytes of a reply that has begun must arrive.
 func (c *connection) setReplyTimer() {
 	switch {
 	case c.body != nil:
@@ -37,13 +38,14 @@
 	}
 }
 
-// setTimer lets the timer end so many seconds from now.
+// setTimer sets the timer to fire after the given number of seconds.
 func (c *connection) setTimer(seconds float64) {
 	c.timer.Set(c.pool.pools.loop.Now() + seconds)
 }
 
-// onStallTimeout takes that a reply does not go on: one that announces more bytes than it has would be waited for
-// until the deadline. What its taker has no room for, and what the loop has not come to read, is no stall.
+// onStallTimeout closes the connection if the rest of a reply does not arrive. Otherwise a reply that announces more
+// bytes than it has would occupy the connection until the deadline. Bytes that the sink has no room for, or that the
+// loop has not read yet, are no stall.
 func (c *connection) onStallTimeout() {
 	switch {
 	case c.body != nil && c.socket.In.Len() > 0:
@@ -55,7 +57,8 @@
 	}
 }
 
-// OnUnexpectedReply takes what no server should have sent: the connection cannot be relied on any more.
+// OnUnexpectedReply handles bytes that no server should have sent. The state of the connection is unknown, so it is
+// closed.
 func (c *connection) OnUnexpectedReply(reply string) { c.failOnReply(reply, UnexpectedReply) }
 
 func (c *connection) failOnReply(reply string, reason CloseReason) {
@@ -63,8 +66,8 @@
 	c.fail(reason)
 }
 
-// OnReply settles the attempt whose turn it is. A reply with none in flight, or to one that is not written yet,
-// leaves the connection in no known state, and it ends.
+// OnReply settles the first attempt in flight. A reply that arrives with no attempt in flight, or before its command is
+// fully written, leaves the connection in an unknown state, so it is closed.
 func (c *connection) OnReply(outcome balancer.Outcome, result requestcore.Result, reusable bool) {
 	if len(c.inFlight) == 0 {
 		c.fail(UnexpectedReply)
@@ -88,14 +91,15 @@
 	}
 }
 
-// mayBeDuplicate tells whether a rejection may be the reply before, sent twice: it names no request, and right behind
-// another reply it does not prove that an attempt that must not run twice never ran.
+// mayBeDuplicate reports whether a rejection may be a duplicate of the previous reply. A rejection carries no request
+// id, so right behind another reply it does not prove that the attempt was not executed. That matters only for requests
+// that must not be executed twice.
 func (c *connection) mayBeDuplicate(outcome balancer.Outcome, a *attempt, now float64) bool {
 	return outcome == balancer.Overloaded && a.request != nil && a.request.NotIdempotent &&
 		now-c.lastReplyAt < duplicateReplySeconds
 }
 
-// PendingRequest gives the request whose reply is due, nil for a probe; false if none is due.
+// PendingRequest returns the request whose reply is due, nil for a probe; due is false if no reply is due.
 func (c *connection) PendingRequest() (request *requestcore.Request, due bool) {
 	if len(c.inFlight) == 0 {
 		return nil, false
--- a/internal/upstream/replies_test.go
+++ b/internal/upstream/replies_test.go
@@ -11,7 +11,7 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// The protocol's table: what came back, and what that proves.
+// The outcome of an attempt for each kind of reply of the protocol.
 func TestOutcomes(t *testing.T) {
 	for reply, want := range map[string]balancer.Outcome{
 		"VA 2 Oa h0 Z\r\nhi\r\n":  balancer.Succeeded,
@@ -19,11 +19,11 @@
 		"SERVER_ERROR failed\r\n": balancer.ServerError,
 		"CLIENT_ERROR bad\r\n":    balancer.ConnectionLost,
 		"SERVER_ERROR odd\r\n":    balancer.ConnectionLost,
-		"VA 2 Ob\r\nhi\r\n":       balancer.ConnectionLost, // made for another: not to be passed on
-		"HD Oa c1\r\n":            balancer.ConnectionLost, // no answer to a read
-		"VA 2 Oa\r\nhi":           balancer.ConnectionLost, // cut short
+		"VA 2 Ob\r\nhi\r\n":       balancer.ConnectionLost, // the reply to another request must not be forwarded
+		"HD Oa c1\r\n":            balancer.ConnectionLost, // a write's reply to a read
+		"VA 2 Oa\r\nhi":           balancer.ConnectionLost, // truncated
 		"VA 99999 Oa\r\n":         balancer.ConnectionLost,
-		"":                        balancer.ConnectionLost, // the server ends the connection
+		"":                        balancer.ConnectionLost, // the server closes the connection
 	} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 			conn.Write([]byte(reply))
@@ -36,24 +36,24 @@
 	}
 }
 
-// A spoilt answer leaves its connection open and of no use: it must be ended, lest the rest be taken for the next
-// attempt's answer, and told at once, not when the attempt's limit is over.
+// After a malformed reply the connection must be closed, or its remaining bytes could be taken for the reply to the
+// next attempt. The attempt must end at once, not at its deadline.
 func TestMalformedReplyClosesConnection(t *testing.T) {
 	for _, reply := range []string{"CLIENT_ERROR bad\r\n", "SERVER_ERROR odd\r\n", "\x93\x00\xff", "no end of a line",
 		"VA 9 Oa\r\nhi\r\n", "VA 3000000000 Oa\r\nhi", "VA 2 O", "VA 1 Oa\r\nhi\r\n", "VA 2 Ob\r\nhi\r\n"} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte(reply)) })
-		began := time.Now()
+		startedAt := time.Now()
 		outcome, _ := pools.startRead(3)
 		outcome.want(t, balancer.ConnectionLost)
-		if took := time.Since(began); took > time.Second {
-			t.Errorf("%q: told after %v", reply, took)
+		if elapsed := time.Since(startedAt); elapsed > time.Second {
+			t.Errorf("%q: the attempt ended after %v, want at most 1 s", reply, elapsed)
 		}
 		pools.wantLine("mg")
 		pools.wantLine("end")
 	}
 }
 
-// A good answer stands, whatever comes behind it; the next attempt gets a connection of its own.
+// A valid reply is used, whatever bytes follow it. The next attempt gets a new connection.
 func TestBytesBehindReply(t *testing.T) {
 	for _, more := range []string{"VA 0 Oa\r\n\r\n", "\x93noise", "END\r\n"} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n" + more)) })
@@ -66,13 +66,13 @@
 	}
 }
 
-// A server that answers and ends the connection in one go: the next attempt must not be written there, where
-// it would count as one that may have run.
+// A server replies and closes the connection at once. The next attempt must not be written there: its outcome would be
+// unknown.
 func TestReplyAndCloseTogether(t *testing.T) {
-	var n atomic.Int32
+	var commands atomic.Int32
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) {
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-		if n.Add(1) == 2 {
+		if commands.Add(1) == 2 {
 			conn.Close()
 		}
 	})
@@ -81,13 +81,13 @@
 	request, next := &requestcore.Request{ID: "a"}, make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
 		pools.StartAttempt(1, request, 5, 5, endFunc(func() { pools.StartAttempt(1, request, 5, 5, next) }))
-		time.Sleep(50 * time.Millisecond) // answer and end are both there when the loop goes on
+		time.Sleep(50 * time.Millisecond) // the reply and the close have arrived when the loop continues
 	})
 	next.want(t, balancer.Succeeded)
 }
 
-// A reply comes in two pieces, cut anywhere, and so does the next on that connection: each is its own operation's,
-// whole.
+// A reply that arrives in two fragments, split at any byte, is decoded completely and belongs to its own request, and
+// so is the next one on the same connection.
 func TestReplyInTwoPieces(t *testing.T) {
 	for form, c := range map[string]struct {
 		reply string
@@ -97,13 +97,13 @@
 		"a hit":               {"VA 4 Oa h1\r\nV\r\n\r\r\n", false, balancer.Succeeded},
 		"a miss":              {"VA 0 h0 Z Oa\r\n\r\n", false, balancer.Succeeded},
 		"a receipt":           {"HD Oa c77\r\n", true, balancer.Succeeded},
-		"flags the other way": {"HD c77 Oa\r\n", true, balancer.Succeeded},
+		"flags reordered":     {"HD c77 Oa\r\n", true, balancer.Succeeded},
 		"a rejection":         {"SERVER_ERROR busy\r\n", false, balancer.Overloaded},
-		"and until when":      {"SERVER_ERROR busy 20\r\n", false, balancer.Overloaded},
+		"rejection with time": {"SERVER_ERROR busy 20\r\n", false, balancer.Overloaded},
 		"an error":            {"SERVER_ERROR failed\r\n", false, balancer.ServerError},
 	} {
 		limits := defaultLimits
-		limits.StallTimeout = 60 // a busy machine may take its time between two pieces
+		limits.StallTimeout = 60 // on a busy machine there may be a long pause between the two fragments
 		pools, conns := startListener(t, limits)
 		var conn net.Conn
 		for cut := range c.reply {
@@ -114,39 +114,39 @@
 			if conn == nil {
 				conn = <-conns
 			}
-			if readCommand(t, conn); c.write { // and the end of the empty value
+			if readCommand(t, conn); c.write { // the line end of the empty value
 				readCommand(t, conn)
 			}
 			conn.Write([]byte(c.reply[:cut]))
-			for begun := cut == 0; !begun; { // until the piece has been read
+			for begun := cut == 0; !begun; { // until the fragment has been read
 				pools.onLoop(pools.loop, func() {
-					l := pools.servers[1].connections[0]
-					begun = l.codec.ReplyBegun() && l.socket.Quiet()
+					poolConn := pools.servers[1].connections[0]
+					begun = poolConn.codec.ReplyBegun() && poolConn.socket.Quiet()
 				})
 			}
 			if len(outcome) > 0 {
-				t.Fatalf("%s: %q is taken for a reply", form, c.reply[:cut])
+				t.Fatalf("%s: the attempt ended with the incomplete reply %q", form, c.reply[:cut])
 			}
 			conn.Write([]byte(c.reply[cut:]))
 			if outcome.want(t, c.want); t.Failed() {
-				t.Fatalf("%s, cut at %d", form, cut)
+				t.Fatalf("%s, split at byte %d", form, cut)
 			}
 		}
 		pools.onLoop(pools.loop, func() {
 			if pools.connectionCount != 1 {
-				t.Errorf("%s: %d connections are left", form, pools.connectionCount)
+				t.Errorf("%s: got %d connections, want 1", form, pools.connectionCount)
 			}
 		})
 	}
 }
 
-// A reply that is said twice names no operation where it is a refusal. Right behind another reply it proves nothing
-// to one that must not run twice.
+// A rejection carries no request id, so right behind another reply it may be a duplicate of that reply. It then does
+// not prove that a request that must not be executed twice was not executed.
 func TestRejectionRightBehindReplyIsOutcomeUnknown(t *testing.T) {
 	for _, c := range []struct {
-		once   bool
-		behind float64
-		want   balancer.Outcome
+		notIdempotent     bool
+		secondsSinceReply float64
+		want              balancer.Outcome
 	}{{true, -1, balancer.OutcomeUnknown}, {false, -1, balancer.Overloaded}, {true, 1, balancer.Overloaded}} {
 		pools, conns := startListener(t, defaultLimits)
 		first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -155,15 +155,16 @@
 		answerCommand(t, conn, "VA 0 Oa\r\n\r\n")
 		first.want(t, balancer.Succeeded)
 		pools.onLoop(pools.loop, func() {
-			pools.servers[1].connections[0].lastReplyAt = pools.loop.Now() - c.behind
-			pools.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob", NotIdempotent: c.once}, 5, 5, second)
+			pools.servers[1].connections[0].lastReplyAt = pools.loop.Now() - c.secondsSinceReply
+			pools.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob", NotIdempotent: c.notIdempotent}, 5, 5, second)
 		})
 		answerCommand(t, conn, "SERVER_ERROR busy\r\n")
 		second.want(t, c.want)
 	}
 }
 
-// An answer has come as its limit ends, and the loop hears of both in one round: it ends once, either way.
+// A reply has arrived when the attempt's deadline passes, and the loop handles both in one iteration. The attempt must
+// end exactly once, as one or the other.
 func TestReplyAndTimeoutInOneIteration(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	outcome := make(outcomeRecorder, 2)
@@ -171,27 +172,28 @@
 	conn := <-conns
 	readCommand(t, conn)
 	pools.onLoop(pools.loop, func() {
-		l := pools.servers[1].connections[0]
-		a := l.inFlight[0]
+		poolConn := pools.servers[1].connections[0]
+		a := poolConn.inFlight[0]
 		conn.Write([]byte("VA 0 Oa\r\n\r\n"))
-		for !l.socket.Unread() {
+		for !poolConn.socket.Unread() {
 			time.Sleep(time.Millisecond)
 		}
 		a.deadline = pools.loop.Now()
 		a.timer.Set(a.deadline)
 	})
-	if how := <-outcome; how != balancer.Succeeded && how != balancer.TimedOut {
-		t.Errorf("it ended as %d", how)
+	if got := <-outcome; got != balancer.Succeeded && got != balancer.TimedOut {
+		t.Errorf("got outcome %d, want balancer.Succeeded or balancer.TimedOut", got)
 	}
 	pools.onLoop(pools.loop, func() {})
 	pools.onLoop(pools.loop, func() {
 		if len(outcome) > 0 || len(pools.servers[1].connections) > 1 {
-			t.Errorf("it ended %d times more, %d connections are kept", len(outcome), len(pools.servers[1].connections))
+			t.Errorf("got %d further outcomes, want 0; got %d connections, want at most 1",
+				len(outcome), len(pools.servers[1].connections))
 		}
 	})
 }
 
-// What was written in time is waited for beyond the time in which it was to be written.
+// An attempt that was written before its send deadline still gets its reply after it.
 func TestReplyAfterSendDeadline(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	outcome := make(outcomeRecorder, 1)
@@ -201,13 +203,13 @@
 	})
 	conn := <-conns
 	readCommand(t, conn)
-	pools.onLoop(pools.loop, a.onTimer) // the window ends
+	pools.onLoop(pools.loop, a.onTimer) // the send deadline passes
 	conn.Write([]byte("VA 0 Oa\r\n\r\n"))
 	outcome.want(t, balancer.Succeeded)
 }
 
-// A server answers and its connection is reset; what is written behind that in the same round fails. The answer is
-// read all the same, and what could not be written never ran.
+// A server replies and resets the connection, and a write in the same loop iteration fails. The reply must still be
+// read, and the attempt that could not be written must end as not executed.
 func TestReplyBeforeFailedWrite(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
--- a/internal/upstream/serverpool.go
+++ b/internal/upstream/serverpool.go
@@ -9,20 +9,20 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// serverPool is the connections to one server, and the attempts that wait for one.
+// serverPool holds the connections to one server and the attempts that wait for a connection.
 type serverPool struct {
 	pools         *ConnectionPools
-	addr          netip.AddrPort // not valid: not known
-	listed        bool           // the endpoint list names it
-	connections   []*connection  // established, or being dialled
-	idle          []*connection  // of these, established with nothing in flight; the last was used last
-	connecting    int            // how many of them are being dialled
-	waiting       []*attempt     // the longest waiting first
-	loggedFailing bool           // the log last said that it fails
+	addr          netip.AddrPort // invalid: unknown
+	listed        bool           // the endpoint list contains the server
+	connections   []*connection  // established or being dialled
+	idle          []*connection  // the established ones with no attempt in flight, least recently used first
+	connecting    int            // number of connections that are being dialled
+	waiting       []*attempt     // in the order in which they started to wait
+	loggedFailing bool           // the last logged state of the server is failing
 }
 
-// onAddressChange leaves the connections to the address before: another server may be there by now. What is in flight
-// on them goes on, what is not written is not, and what waits for one gets a new one.
+// onAddressChange stops the use of connections to the previous address, where another server may be by now. Attempts in
+// flight there continue, unwritten ones are cancelled, and attempts that wait for a connection get a new one.
 func (s *serverPool) onAddressChange() {
 	s.closeIdle()
 	for _, c := range slices.Clone(s.connections) {
@@ -34,35 +34,35 @@
 	s.assignWaiting()
 }
 
-// dispatch puts an attempt on an idle connection, else on the first that becomes free or is established.
+// dispatch sends an attempt on an idle connection, or else on the first connection that becomes idle or is established.
 func (s *serverPool) dispatch(a *attempt) {
-	s.closeExpiredIdle() // here too: the loop may have been stopped since the last sweep
+	s.closeExpiredIdle() // the sweep may be late if the loop was stopped for a while
 	for len(s.idle) > 0 {
 		c := s.pickIdle()
 		if c.socket.Quiet() {
 			c.send(a)
 			return
 		}
-		c.close() // it has ended, or something was sent unasked: what would be written now might be lost
+		c.close() // it has ended, or unrequested bytes have arrived: a command written now might be lost
 	}
 	s.waiting = append(s.waiting, a)
 	s.assignWaiting()
 }
 
-// assignWaiting finds connections for what waits: new ones, and where no more may be opened the ones in use, by
+// assignWaiting finds connections for the attempts that wait: new ones or, if no more may be opened, those in use, by
 // pipelining.
 func (s *serverPool) assignWaiting() {
 	s.dial()
 	for len(s.waiting) > s.connecting {
 		target := s.leastLoaded()
-		first := s.waiting[s.connecting] // those before it get the connections that are being dialled
+		first := s.waiting[s.connecting] // the attempts before it get the connections that are being dialled
 		switch {
 		case first.expired():
 			first.abandon(balancer.NotAttempted)
 		case target != nil:
 			s.removeWaiting(first)
 			target.send(first)
-		case len(s.connections) == 0: // no descriptor is to be had
+		case len(s.connections) == 0: // no file descriptor is available
 			s.removeWaiting(first)
 			first.settle(balancer.NotAttempted, requestcore.Result{})
 		default:
@@ -71,7 +71,7 @@
 	}
 }
 
-// leastLoaded gives the connection with the fewest attempts in flight that can carry another; nil if there is none.
+// leastLoaded returns the connection with the fewest attempts in flight of those that accept another; nil if none does.
 func (s *serverPool) leastLoaded() *connection {
 	var least *connection
 	for _, c := range s.connections {
@@ -86,8 +86,8 @@
 	return least
 }
 
-// pickIdle gives the idle connection that was used last, but not just now, see minIdleSeconds; else the one that was
-// used last.
+// pickIdle returns the most recently used of the connections that have been idle for more than minIdleSeconds. If there
+// is none, it returns the most recently used idle connection.
 func (s *serverPool) pickIdle() *connection {
 	now := s.pools.loop.Now()
 	for _, c := range slices.Backward(s.idle) {
@@ -98,7 +98,7 @@
 	return s.idle[len(s.idle)-1]
 }
 
-// removeWaiting takes an attempt out of those that wait for a connection, if it is among them.
+// removeWaiting removes an attempt from those that wait for a connection, if it is among them.
 func (s *serverPool) removeWaiting(a *attempt) {
 	i := slices.Index(s.waiting, a)
 	if i >= 0 {
@@ -106,7 +106,7 @@
 	}
 }
 
-// removeIdle takes a connection out of the idle ones, if it is among them.
+// removeIdle removes a connection from the idle ones, if it is among them.
 func (s *serverPool) removeIdle(c *connection) {
 	i := slices.Index(s.idle, c)
 	if i >= 0 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// dial opens a connection for each attempt that waits, as far as the limits allow.
+// dial opens a connection for each waiting attempt, as far as the limits allow.
 func (s *serverPool) dial() {
 	for s.connecting < len(s.waiting) && len(s.connections) < s.pools.maxPerServer() {
 		hasCapacity := s.pools.makeCapacity()
@@ -125,7 +125,7 @@
 	}
 }
 
-// dialOne opens a connection. If that fails at once, the longest waiting attempt is settled.
+// dialOne opens a connection. If that fails immediately, the attempt that has waited longest is settled.
 func (s *serverPool) dialOne() {
 	pools := s.pools
 	c := &connection{pool: s, addr: s.addr}
@@ -143,10 +143,11 @@
 	pools.connectionCount++
 }
 
-// onDialError settles the longest waiting attempt. Only a refusal tells of the server; a lack of descriptors here
-// does not.
+// onDialError settles the attempt that has waited longest. Only a refused connection is evidence against the server; a
+// lack of file descriptors in this process is not.
 func (s *serverPool) onDialError(err error) {
-	s.pools.log.Warn().Err(err).Stringer("server", s.addr).Msg("no connection")
+	s.pools.log.Warn().Err(err).Stringer("server", s.addr).
+		Msg("cannot dial the cache server; the longest waiting attempt ends")
 	outcome := balancer.NotAttempted
 	if eventloop.Refused(err) {
 		outcome = balancer.ConnectFailed
@@ -154,14 +155,15 @@
 	s.failFirstWaiting(outcome)
 }
 
-// failFirstWaiting settles the longest waiting attempt; there must be one.
+// failFirstWaiting settles the attempt that has waited longest. There must be one.
 func (s *serverPool) failFirstWaiting(outcome balancer.Outcome) {
 	first := s.waiting[0]
 	s.removeWaiting(first)
 	first.settle(outcome, requestcore.Result{})
 }
 
-// release takes an established connection with nothing in flight: it gets the longest waiting attempt, or becomes idle.
+// release assigns the attempt that has waited longest to an established connection with no attempt in flight. If no
+// attempt waits, the connection becomes idle.
 func (s *serverPool) release(c *connection) {
 	for len(s.waiting) > 0 && s.waiting[0].expired() {
 		s.waiting[0].abandon(balancer.NotAttempted)
@@ -170,7 +172,7 @@
 		s.addIdle(c)
 		return
 	}
-	if !c.socket.Quiet() { // what would be written now might be lost
+	if !c.socket.Quiet() { // a command written now might be lost
 		c.fail(ServerClosed)
 		return
 	}
@@ -179,7 +181,7 @@
 	c.send(first)
 }
 
-// addIdle keeps a connection for later, unless its server is not listed any more, or is elsewhere.
+// addIdle keeps a connection for later attempts, unless its server is not listed any more or has another address now.
 func (s *serverPool) addIdle(c *connection) {
 	c.idleSince = s.pools.loop.Now()
 	s.idle = append(s.idle, c)
@@ -188,15 +190,15 @@
 	}
 }
 
-// closeExpiredIdle closes what has been idle for too long.
+// closeExpiredIdle closes the connections that have been idle for too long.
 func (s *serverPool) closeExpiredIdle() {
-	oldest := s.pools.loop.Now() - s.pools.limits.maxIdleSeconds()
-	for len(s.idle) > 0 && s.idle[0].idleSince < oldest {
+	cutoff := s.pools.loop.Now() - s.pools.limits.maxIdleSeconds()
+	for len(s.idle) > 0 && s.idle[0].idleSince < cutoff {
 		s.idle[0].close()
 	}
 }
 
-// closeIdle closes all that is idle.
+// closeIdle closes all idle connections.
 func (s *serverPool) closeIdle() {
 	for len(s.idle) > 0 {
 		s.idle[0].close()
--- a/internal/upstream/serverpool_test.go
+++ b/internal/upstream/serverpool_test.go
@@ -12,8 +12,8 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// A server may end a connection right after its answer, which is heard of only a little later: a connection that has
-// rested is used before one that was answered on just now.
+// A server may close a connection right after its reply, and the router notices that only slightly later. So a
+// connection that has been idle for a while is used before one that got a reply just now.
 func TestIdleConnectionReuseOrder(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(conn net.Conn, _ string) { conn.Write([]byte("VA 0 Oa\r\n\r\n")) })
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -29,7 +29,7 @@
 		for _, c := range []struct{ old, young, want float64 }{{9, 0, 9}, {9, 1, 1}, {0, 0, 0}} {
 			idle[0].idleSince, idle[1].idleSince = now-c.old, now-c.young
 			if got := now - pools.servers[1].pickIdle().idleSince; got != c.want {
-				t.Errorf("of %v and %v s of rest %v was taken", c.old, c.young, got)
+				t.Errorf("idle for %v and %v s: got the connection idle for %v s, want %v s", c.old, c.young, got, c.want)
 			}
 		}
 	})
@@ -44,15 +44,17 @@
 	outcome.want(t, balancer.ConnectFailed)
 }
 
-// What hinders a dial on this side says nothing against the server, which must not be passed over for it.
+// A dial that fails for a reason on the router's side is no evidence against the server, which must not be avoided for
+// it.
 func TestServerWithoutAddress(t *testing.T) {
 	pools := startServer(t, defaultLimits, nil)
 	outcome := make(outcomeRecorder, 1)
-	pools.startAttemptAt(9, &requestcore.Request{ID: "a"}, 5, 5, outcome) // it has no address
+	pools.startAttemptAt(9, &requestcore.Request{ID: "a"}, 5, 5, outcome) // server 9 has no address
 	outcome.want(t, balancer.NotAttempted)
 }
 
-// A machine that is cut off says nothing: what waits for a connection there never ran.
+// An unreachable machine does not respond to a connect. The attempt that waits for the connection cannot have been
+// executed.
 func TestConnectTimeout(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(net.Conn, string) {})
 	outcome := make(outcomeRecorder, 1)
@@ -63,12 +65,14 @@
 	outcome.want(t, balancer.ConnectFailed)
 }
 
-// A machine that is cut off is silent on every connection: after one silence, or a connection that never came up,
-// the idle ones are not tried one by one.
+// An unreachable machine does not respond on any connection. After one attempt has timed out, or one connection was not
+// established, the idle connections must not be tried one by one.
 func TestTimeoutClosesIdleConnections(t *testing.T) {
-	for name, silence := range map[string]func(pools *ConnectionPools, a *attempt){
-		"no answer": func(_ *ConnectionPools, a *attempt) { a.onTimer() },
-		"never up":  func(pools *ConnectionPools, _ *attempt) { pools.servers[1].connections[2].onConnectTimeout() },
+	for name, timeOut := range map[string]func(pools *ConnectionPools, a *attempt){
+		"attempt times out": func(_ *ConnectionPools, a *attempt) { a.onTimer() },
+		"connect times out": func(pools *ConnectionPools, _ *attempt) {
+			pools.servers[1].connections[2].onConnectTimeout()
+		},
 	} {
 		pools := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 			if strings.Contains(line, "Oa") {
@@ -86,13 +90,13 @@
 		second.want(t, balancer.Succeeded)
 		pools.onLoop(pools.loop, func() {
 			a := pools.StartAttempt(1, slow, 5, 5, silent).(*attempt)
-			if name == "never up" {
+			if name == "connect times out" {
 				pools.servers[1].waiting = append(pools.servers[1].waiting, &attempt{pool: a.pool, settled: true})
 				pools.servers[1].dial()
 			}
-			silence(pools.ConnectionPools, a)
-			if n := len(pools.servers[1].idle); n != 0 {
-				t.Errorf("%s: %d idle connections are kept", name, n)
+			timeOut(pools.ConnectionPools, a)
+			if kept := len(pools.servers[1].idle); kept != 0 {
+				t.Errorf("%s: got %d idle connections, want 0", name, kept)
 			}
 		})
 		pools.startAttemptAt(1, request, 5, 5, next)
@@ -100,7 +104,7 @@
 	}
 }
 
-// Behind a slow answer a quick one would wait: while connections may be opened, none is pipelined.
+// No attempt is pipelined while another connection may be opened, because a fast reply would wait behind a slow one.
 func TestNoPipeliningBelowConnectionLimit(t *testing.T) {
 	pools := startServer(t, defaultLimits, func(conn net.Conn, line string) {
 		if strings.Contains(line, "Ob") {
@@ -113,7 +117,8 @@
 	outcome.want(t, balancer.Succeeded)
 }
 
-// Cache servers close what stood idle for long; what is written just then may be lost.
+// The router closes idle connections before the cache server does, because a command that is written while the server
+// closes the connection may be lost.
 func TestIdleTimeout(t *testing.T) {
 	limits := defaultLimits
 	limits.IdleTimeout = 0.1
@@ -124,32 +129,32 @@
 	pools.wantLine("end")
 }
 
-// A server that moves while a connection to where it was comes up must not be sent to there: another may be there by
-// now.
+// The address of a server changes while a connection to the previous address is being established. Nothing must be sent
+// there, because another server may have that address by now.
 func TestAddressChangeWhileConnecting(t *testing.T) {
 	pools, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
 	outcome := make(outcomeRecorder, 1)
-	pools.onLoop(pools.loop, func() { // in one round, so that the connection is not up yet
+	pools.onLoop(pools.loop, func() { // in one iteration, so that the connection is not established yet
 		pools.StartAttempt(1, &requestcore.Request{Key: "k", ID: "a", Flags: "Oa"}, 5, 5, outcome)
 		pools.SetEndpoint(1, other.servers[1].addr)
-		connections := pools.servers[1].connections // the one before might never come up
+		connections := pools.servers[1].connections // the previous connection might never be established
 		if len(connections) != 1 || connections[0].addr != pools.servers[1].addr {
-			t.Errorf("%d connections come up", len(connections))
+			t.Errorf("got %d connections, want 1 to the new address", len(connections))
 		}
 	})
 	answerCommand(t, <-after, "VA 0 Oa\r\n\r\n")
 	outcome.want(t, balancer.Succeeded)
 	select {
 	case conn := <-before:
-		if heard, _ := io.ReadAll(conn); len(heard) > 0 {
-			t.Errorf("the address before was sent %q", heard)
+		if received, _ := io.ReadAll(conn); len(received) > 0 {
+			t.Errorf("the server at the previous address read %q, want nothing", received)
 		}
 	default:
 	}
 }
 
-// A connection that is in use when its server moves is not used again.
+// A connection that is in use when the address of its server changes is not used again.
 func TestAddressChangeWhileReplyIsPending(t *testing.T) {
 	pools, before := startListener(t, defaultLimits)
 	other, after := startListener(t, defaultLimits)
@@ -164,8 +169,8 @@
 	second.want(t, balancer.Succeeded)
 }
 
-// The sweep of idle connections comes late where the loop was stopped: an old one is not written to, for its server
-// may be closing it, and what it was sent may have run.
+// The sweep of idle connections is late if the loop was stopped. An expired connection must not be written to: its
+// server may be closing it, and the outcome of the attempt would be unknown.
 func TestExpiredIdleConnectionIsNotUsed(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -180,27 +185,27 @@
 	answerCommand(t, <-conns, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
 	if n, err := old.Read(make([]byte, 1)); err != io.EOF {
-		t.Errorf("the old connection was sent %d bytes, %v", n, err)
+		t.Errorf("the server read %d bytes, %v from the expired connection; want 0, EOF", n, err)
 	}
 }
 
-// At the bound, what waited for a connection is pipelined once it is up: it waited for the answers before it, or its
-// own end.
+// At the connection limit, the attempts that wait for a connection are pipelined as soon as it is established. They
+// used to wait for the replies before them, or until their own deadlines.
 func TestWaitingAttemptsArePipelinedOnceConnected(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
 	pools := startServer(t, limits, func(net.Conn, string) {})
-	pools.onLoop(pools.loop, func() { // in one round, so that all wait for the one connection
+	pools.onLoop(pools.loop, func() { // in one iteration, so that all wait for the same connection
 		for _, key := range []string{"k1", "k2", "k3"} {
 			pools.StartAttempt(1, &requestcore.Request{Key: key, ID: "a", Flags: "Oa"}, 5, 5, make(outcomeRecorder, 1))
 		}
 	})
-	for _, key := range []string{"k1", "k2", "k3"} { // the longest waiting first
+	for _, key := range []string{"k1", "k2", "k3"} { // in the order in which they began to wait
 		pools.wantLine("mg " + key)
 	}
 }
 
-// Nothing is pipelined on a connection that its server has ended, though that is not heard of yet.
+// No attempt is pipelined on a connection that the server has closed, even before the loop has processed the close.
 func TestNoPipeliningOnClosedConnection(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
@@ -209,9 +214,9 @@
 	pools.startAttemptAt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, first)
 	old := <-conns
 	readCommand(t, old)
-	pools.onLoop(pools.loop, func() { // the loop is held until the end has come
+	pools.onLoop(pools.loop, func() { // the loop is stopped until the close has arrived
 		old.(*net.TCPConn).CloseWrite()
-		for l := pools.servers[1].connections[0]; !l.socket.Ended(); {
+		for poolConn := pools.servers[1].connections[0]; !poolConn.socket.Ended(); {
 			time.Sleep(time.Millisecond)
 		}
 		pools.StartAttempt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
@@ -220,39 +225,39 @@
 	answerCommand(t, <-conns, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
 	if more, _ := io.ReadAll(old); len(more) > 0 {
-		t.Errorf("the ended connection was sent %q", more)
+		t.Errorf("the server read %q from the closed connection, want nothing", more)
 	}
 }
 
-// A server ends each connection right as it comes up: that is no connection, and none is made anew as fast as that
-// goes.
+// A server closes each connection as soon as it is established. The attempt must fail with that connection: otherwise
+// the pool would dial again and again, as fast as it can.
 func TestServerThatClosesEachConnectionIsNotRedialled(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	for range 20 {
 		outcome := make(outcomeRecorder, 1)
 		pools.onLoop(pools.loop, func() {
-			var l *connection
-			pools.loop.Post(func() { // in the round in which it is up, and before that is heard
+			var poolConn *connection
+			pools.loop.Post(func() { // in the iteration in which it is established, and before the loop processes that
 				(<-conns).Close()
-				for !l.socket.Ended() {
+				for !poolConn.socket.Ended() {
 					time.Sleep(time.Millisecond)
 				}
 			})
 			pools.StartAttempt(1, &requestcore.Request{ID: "a", Flags: "Oa"}, 5, 5, outcome)
-			l = pools.servers[1].connections[0]
+			poolConn = pools.servers[1].connections[0]
 			for len(conns) == 0 {
 				time.Sleep(time.Millisecond)
 			}
 		})
 		outcome.want(t, balancer.ConnectFailed)
 		if len(conns) > 0 {
-			t.Fatal("another connection is made for nothing")
+			t.Fatal("a further connection was dialled, want none")
 		}
 	}
 }
 
-// A connection comes up after what it was made for has settled: it is kept for the next, and nothing is written on it
-// before that.
+// A connection is established after the attempt that it was dialled for was settled. It is kept for the next attempt,
+// and nothing is written to it before that.
 func TestConnectionEstablishedAfterAttemptSettled(t *testing.T) {
 	pools, conns := startListener(t, defaultLimits)
 	first, second := make(outcomeRecorder, 1), make(outcomeRecorder, 1)
@@ -267,7 +272,7 @@
 	pools.startAttemptAt(1, &requestcore.Request{Key: "second", ID: "b", Flags: "Ob"}, 5, 5, second)
 	line := make([]byte, len("mg second"))
 	if io.ReadFull(conn, line); string(line) != "mg second" {
-		t.Errorf("it was sent %q", line)
+		t.Errorf("the server read %q, want mg second", line)
 	}
 	answerCommand(t, conn, "VA 0 Ob\r\n\r\n")
 	second.want(t, balancer.Succeeded)
--- a/internal/upstream/tileclient/client.go
+++ b/internal/upstream/tileclient/client.go
@@ -5,26 +5,27 @@
 	"bendtrestle/internal/upstream"
 )
 
-// Client is what the connections to one pool's tile servers share. Its fields are set before NewCodec is called.
+// Client is the state that the connections to the tile servers of one pool share. Its exported fields must be set
+// before NewCodec is called.
 type Client struct {
-	Scheme           tiles.Scheme // how the servers' paths name a tile
-	Host             string       // of the requests' Host header
-	ProbePath        string       // answers with 2xx when a server is ready
-	MaxBodyBytes     int          // a larger body is refused at its header
-	MaxBufferedBytes int          // of bodies that are being received, over all connections
+	Scheme           tiles.Scheme // how the paths of the servers identify a tile
+	Host             string       // value of the Host header in requests
+	ProbePath        string       // path that a ready server answers with 2xx
+	MaxBodyBytes     int          // a reply with a larger Content-Length fails before its body is read
+	MaxBufferedBytes int          // of incomplete bodies, over all connections
 	bufferedBytes    int
 }
 
-// NewCodec makes the codec of a connection.
+// NewCodec returns the codec of a connection.
 func (c *Client) NewCodec(replies upstream.ReplyHandler) upstream.Codec {
 	return &codec{client: c, replies: replies}
 }
 
-// BufferedBytes is how many bytes of bodies are buffered because they are not complete.
+// BufferedBytes returns the number of buffered bytes of incomplete bodies.
 func (c *Client) BufferedBytes() int { return c.bufferedBytes }
 
-// ForwardedHeaders are the headers of a reply that clients get as they are: by their names in lower case, as they are
-// written.
+// ForwardedHeaders are the reply headers that are forwarded unchanged to clients: their canonical names by their names
+// in lower case.
 var ForwardedHeaders = map[string]string{
 	"content-type":     "Content-Type",
 	"content-encoding": "Content-Encoding",
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -14,32 +14,32 @@
 	"bendtrestle/internal/upstream"
 )
 
-// minSecondsLeft is the least time that a server is told a request has: it is told whole milliseconds, and at least
-// one.
+// minSecondsLeft is the minimum time left that a request carries. The request carries it in whole milliseconds, and at
+// least one.
 const minSecondsLeft = 1e-3
 
-// codec is the upstream.Codec of one connection, and its reader's http1.Replies.
+// codec is the upstream.Codec of one connection. It implements http1.Replies for its reader.
 type codec struct {
 	client  *Client
 	replies upstream.ReplyHandler
 	reader  http1.ResponseReader
-	status  int             // of the reply at hand
-	head    strings.Builder // its forwarded headers
-	body    []byte          // as far as it has come
+	status  int             // of the current reply
+	head    strings.Builder // header lines of the current reply that are forwarded
+	body    []byte          // received part of the current body
 }
 
-// Encode writes a request, or a probe.
+// Encode returns the HTTP request for a request, or for a probe.
 func (c *codec) Encode(request *requestcore.Request, secondsLeft float64) [][]byte {
 	if request == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.client.ProbePath, c.client.Host)}
 	}
-	tile, _ := tiles.Named(request.Key) // the tile frontend made the key
+	tile, _ := tiles.Named(request.Key) // the key is valid: the tile frontend generated it
 	milliseconds := int(math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3))
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n",
 		c.client.Scheme.Address(tile), c.client.Host, request.Flags, milliseconds)}
 }
 
-// Decode reads the next reply; after an error what came of its body is released.
+// Decode reads the next reply. After an error the received part of its body is released.
 func (c *codec) Decode(in *ringbuffer.Buffer) (bool, error) {
 	complete, err := c.reader.Read(in, c)
 	if err != nil {
@@ -48,10 +48,10 @@
 	return complete, err
 }
 
-// ReplyBegun tells that a reply has begun and is not complete.
+// ReplyBegun reports whether a reply has begun and is not complete.
 func (c *codec) ReplyBegun() bool { return c.reader.Begun() }
 
-// OnServerClose takes the connection's end, which may be the end of a body without a length.
+// OnServerClose handles the close of the connection, which may be the end of a body without a length.
 func (c *codec) OnServerClose() {
 	complete := c.reader.Closed(c)
 	if !complete {
@@ -59,7 +59,7 @@
 	}
 }
 
-// Release lets go of what came of a body: one that is given up midway must not count as buffered for ever.
+// Release releases the received part of a body: the body of an abandoned attempt must not count as buffered forever.
 func (c *codec) Release() { c.releaseBody() }
 
 func (c *codec) releaseBody() {
@@ -67,22 +67,22 @@
 	c.body = nil
 }
 
-// Status begins a reply.
+// Status handles the status of a reply, which is the beginning of the reply.
 func (c *codec) Status(code int) {
 	c.status = code
 	c.head.Reset()
 	c.releaseBody()
 }
 
-// Header takes a header, its name in lower case.
+// Header handles a header, whose name is in lower case.
 func (c *codec) Header(name, value string) {
-	written, forwarded := ForwardedHeaders[name]
+	canonical, forwarded := ForwardedHeaders[name]
 	if forwarded {
-		fmt.Fprintf(&c.head, "%s: %s\r\n", written, value)
+		fmt.Fprintf(&c.head, "%s: %s\r\n", canonical, value)
 	}
 }
 
-// Length refuses a body that is too large before any of it is taken in.
+// Length returns an error for a body that is too large, before any of it is buffered.
 func (c *codec) Length(bytes int64) error {
 	if bytes > int64(c.client.MaxBodyBytes) {
 		return fmt.Errorf("a body of %d bytes, more than %d", bytes, c.client.MaxBodyBytes)
@@ -90,7 +90,7 @@
 	return nil
 }
 
-// Body takes a part of a body.
+// Body buffers a part of a body.
 func (c *codec) Body(part []byte) error {
 	if len(c.body)+len(part) > c.client.MaxBodyBytes {
 		return fmt.Errorf("a body of more than %d bytes", c.client.MaxBodyBytes)
@@ -103,10 +103,10 @@
 	return nil
 }
 
-// End takes the end of a reply. The connection can be used on if it is reusable.
+// End handles the end of a reply. If reusable is true the connection can carry another request.
 func (c *codec) End(reusable bool) {
 	request, due := c.replies.PendingRequest()
-	reply := requestcore.Result{Status: c.status, Head: c.head.String(), Value: c.body}
+	result := requestcore.Result{Status: c.status, Head: c.head.String(), Value: c.body}
 	c.releaseBody()
 	if !due {
 		c.replies.OnUnexpectedReply("an answer that nobody asked for")
@@ -114,13 +114,13 @@
 	}
 	outcome := outcomeOf(c.status, request)
 	if request == nil || outcome != balancer.Succeeded {
-		reply = requestcore.Result{}
+		result = requestcore.Result{}
 	}
-	c.replies.OnReply(outcome, reply, reusable)
+	c.replies.OnReply(outcome, result, reusable)
 }
 
-// outcomeOf tells what a status says of the request's fate, by the table in docs/operators/tiles.md. A nil request is
-// a probe.
+// outcomeOf returns the outcome of an attempt for the status of its reply, by the table in docs/operators/tiles.md. A
+// nil request is a probe.
 func outcomeOf(status int, request *requestcore.Request) balancer.Outcome {
 	if status == http.StatusTooManyRequests || status == http.StatusServiceUnavailable {
 		return balancer.Overloaded
@@ -135,7 +135,8 @@
 	return balancer.ServerError
 }
 
-// isTileAnswer tells whether a status answers a request for a tile, be it that there is none.
+// isTileAnswer reports whether a status is a valid answer to a request for a tile, which includes that there is no such
+// tile.
 func isTileAnswer(status int, request *requestcore.Request) bool {
 	switch status {
 	case http.StatusOK, http.StatusNonAuthoritativeInfo, http.StatusNoContent, http.StatusNotFound, http.StatusGone:
--- a/internal/upstream/tileclient/codec_test.go
+++ b/internal/upstream/tileclient/codec_test.go
@@ -18,9 +18,9 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeReplies notes how what was asked for ended.
+// fakeReplies is a ReplyHandler that records the outcomes of replies.
 type fakeReplies struct {
-	upstream.ReplyHandler // for what tiles have no use for
+	upstream.ReplyHandler // nil; its other methods are not called for tiles
 	request               *requestcore.Request
 	outcomes              []balancer.Outcome
 	unexpected            int
@@ -29,20 +29,21 @@
 func (r *fakeReplies) PendingRequest() (*requestcore.Request, bool) {
 	return r.request, r.request != nil
 }
-func (r *fakeReplies) OnReply(how balancer.Outcome, _ requestcore.Result, _ bool) {
-	r.outcomes = append(r.outcomes, how)
+func (r *fakeReplies) OnReply(outcome balancer.Outcome, _ requestcore.Result, _ bool) {
+	r.outcomes = append(r.outcomes, outcome)
 }
 func (r *fakeReplies) OnUnexpectedReply(string) { r.unexpected++ }
 
 func decode(client *Client, replies *fakeReplies, text string) (*codec, error) {
-	w := client.NewCodec(replies).(*codec)
+	decoder := client.NewCodec(replies).(*codec)
 	in := ringbuffer.New(4096)
 	in.Write([]byte(text))
-	_, err := w.Decode(in)
-	return w, err
+	_, err := decoder.Decode(in)
+	return decoder, err
 }
 
-// A body that is given up midway, too large or never ends is let go: else all tiles would be refused after a while.
+// The buffered bytes of a body that is abandoned, too large or endless are released. Otherwise MaxBufferedBytes would
+// be reached after a while, and all tiles would fail.
 func TestBodiesAreReleased(t *testing.T) {
 	client := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 	for _, text := range []string{
@@ -50,19 +51,20 @@
 		"HTTP/1.1 200 OK\r\nContent-Length: 99\r\n\r\n",
 		"HTTP/1.1 200 OK\r\n\r\n" + "0123456789012345678901234567890",
 	} {
-		w, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, text)
-		if w.Release(); client.BufferedBytes() != 0 {
-			t.Errorf("after %q %d bytes are held", text, client.BufferedBytes())
+		decoder, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, text)
+		if decoder.Release(); client.BufferedBytes() != 0 {
+			t.Errorf("after %q: got %d buffered bytes, want 0", text, client.BufferedBytes())
 		}
 	}
 	const incomplete = "HTTP/1.1 200 OK\r\nContent-Length: 20\r\n\r\n0123456789012345678"
-	one, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, incomplete)
+	first, _ := decode(client, &fakeReplies{request: &requestcore.Request{}}, incomplete)
 	_, err := decode(client, &fakeReplies{request: &requestcore.Request{}}, incomplete)
 	if err == nil || client.BufferedBytes() != 19 {
-		t.Errorf("more than all may hold was taken: %d bytes, %v", client.BufferedBytes(), err)
+		t.Errorf("beyond MaxBufferedBytes: got %d buffered bytes and error %v, want 19 bytes and an error",
+			client.BufferedBytes(), err)
 	}
-	if one.Release(); client.BufferedBytes() != 0 {
-		t.Errorf("%d bytes are held", client.BufferedBytes())
+	if first.Release(); client.BufferedBytes() != 0 {
+		t.Errorf("got %d buffered bytes after the release, want 0", client.BufferedBytes())
 	}
 }
 
@@ -83,42 +85,42 @@
 		client := &Client{MaxBodyBytes: 9, MaxBufferedBytes: 9}
 		decode(client, replies, "HTTP/1.1 "+status+" X\r\nContent-Length: 0\r\n\r\n")
 		if len(replies.outcomes) != 1 || replies.outcomes[0] != want {
-			t.Errorf("%s ends as %v, want %v", status, replies.outcomes, want)
+			t.Errorf("status %s: got outcomes %v, want %v", status, replies.outcomes, want)
 		}
 	}
 	replies := &fakeReplies{request: &requestcore.Request{Flags: "If-None-Match: x\r\n"}}
 	if decode(&Client{}, replies, "HTTP/1.1 304 X\r\n\r\n"); replies.outcomes[0] != balancer.Succeeded {
-		t.Error("what was not modified is no answer")
+		t.Error("status 304 to a conditional request: got no success, want balancer.Succeeded")
 	}
 	replies = &fakeReplies{}
 	if decode(&Client{}, replies, "HTTP/1.1 200 X\r\nContent-Length: 0\r\n\r\n"); replies.unexpected != 1 {
-		t.Error("an answer that nobody asked for is taken")
+		t.Error("a reply without a request is not reported as unexpected")
 	}
 }
 
-// outcomeRecorder notes how an attempt ended, and with what.
+// outcomeRecorder is an observer that records the outcome and the value of an attempt.
 type outcomeRecorder chan string
 
-func (o outcomeRecorder) OnAttemptEnd(how balancer.Outcome, with requestcore.Result) {
-	o <- fmt.Sprintf("%d %s", how, with.Value)
+func (r outcomeRecorder) OnAttemptEnd(outcome balancer.Outcome, result requestcore.Result) {
+	r <- fmt.Sprintf("%d %s", outcome, result.Value)
 }
-func (o outcomeRecorder) StillWanted() bool { return true }
+func (r outcomeRecorder) StillWanted() bool { return true }
 
-// A body that says no length ends with its connection's end. A reset is none: what came before it is a part, and
-// nobody's tile.
+// A body without a length ends with the close of its connection. A reset does not complete it: the bytes received
+// before a reset may be only a part of the tile and must not be forwarded.
 func TestBodyWithoutLength(t *testing.T) {
 	for name, c := range map[string]struct {
-		leave func(conn *net.TCPConn)
-		want  string
+		end  func(conn *net.TCPConn)
+		want string
 	}{
-		"an end":       {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Succeeded, " a tile")},
+		"a close":      {func(conn *net.TCPConn) { conn.Close() }, fmt.Sprint(balancer.Succeeded, " a tile")},
 		"a half-close": {func(conn *net.TCPConn) { conn.CloseWrite() }, fmt.Sprint(balancer.Succeeded, " a tile")},
 		"a reset": {func(conn *net.TCPConn) {
 			time.Sleep(20 * time.Millisecond)
 			conn.SetLinger(0)
 			conn.Close()
 		}, fmt.Sprint(balancer.ConnectionLost, " ")},
-		"a reset right behind": {func(conn *net.TCPConn) {
+		"a reset right behind the body": {func(conn *net.TCPConn) {
 			conn.SetLinger(0)
 			conn.Close()
 		}, fmt.Sprint(balancer.ConnectionLost, " ")},
@@ -135,16 +137,16 @@
 			}
 			conn.Read(make([]byte, 1000))
 			io.WriteString(conn, "HTTP/1.1 200 OK\r\n\r\na tile")
-			c.leave(conn.(*net.TCPConn))
+			c.end(conn.(*net.TCPConn))
 		}()
-		l, err := eventloop.New()
+		loop, err := eventloop.New()
 		if err != nil {
 			t.Fatal(err)
 		}
-		go l.Run()
-		t.Cleanup(func() { l.Post(l.Stop) })
-		o := make(outcomeRecorder, 1)
-		l.Post(func() {
+		go loop.Run()
+		t.Cleanup(func() { loop.Post(loop.Stop) })
+		outcome := make(outcomeRecorder, 1)
+		loop.Post(func() {
 			client := &Client{Scheme: tiles.XYZ, MaxBodyBytes: 20, MaxBufferedBytes: 30}
 			limits := upstream.Limits{
 				MaxConnections:           8,
@@ -153,17 +155,17 @@
 				StallTimeout:             60,
 				IdleTimeout:              60,
 			}
-			pools := upstream.New(l, limits, client.NewCodec, zerolog.Nop())
+			pools := upstream.New(loop, limits, client.NewCodec, zerolog.Nop())
 			pools.SetEndpoint(1, netip.MustParseAddrPort(ln.Addr().String()))
-			pools.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, o)
+			pools.StartAttempt(1, &requestcore.Request{Key: "roads/1/0/0.png"}, 60, 60, outcome)
 		})
 		select {
-		case got := <-o:
+		case got := <-outcome:
 			if got != c.want {
-				t.Errorf("behind %s it ends as %q, want %q", name, got, c.want)
+				t.Errorf("%s: got %q, want %q", name, got, c.want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Errorf("%s is not heard", name)
+			t.Errorf("%s: the attempt did not end within 5 s", name)
 		}
 	}
 }
--- a/internal/upstream/tileclient/doc.go
+++ b/internal/upstream/tileclient/doc.go
@@ -1,4 +1,4 @@
-// Package tileclient speaks HTTP/1.1 to tile servers: its Client makes the codec of each connection, and package
-// upstream does all else. In go requests whose keys name tiles, out come replies with a status, the headers that are
-// forwarded and a whole body. All of it runs on the event loop's goroutine.
+// Package tileclient implements the HTTP/1.1 protocol to tile servers. Its Client creates the codec of each connection;
+// package upstream manages the connections. Inputs are requests whose keys identify tiles. Outputs are replies with a
+// status, the forwarded headers and a complete body. All code runs on the event loop's goroutine.
 package tileclient
--- a/internal/upstream/tileclient/golden_test.go
+++ b/internal/upstream/tileclient/golden_test.go
@@ -10,14 +10,14 @@
 	"bendtrestle/internal/tiles"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write the golden files anew")
+var writeGolden = flag.Bool("write-golden", false, "rewrite the golden files")
 
 const commandsGolden = "testdata/tile_commands.golden"
 
-// TestTileCommandsGolden holds the exact bytes that tile servers are sent.
+// TestTileCommandsGolden checks the exact bytes of the requests that are sent to tile servers.
 func TestTileCommandsGolden(t *testing.T) {
 	var written bytes.Buffer
-	servers := &Client{Scheme: tiles.XYZ, Host: "tiles.example", ProbePath: "/ready"}
+	client := &Client{Scheme: tiles.XYZ, Host: "tiles.example", ProbePath: "/ready"}
 	for _, c := range []struct {
 		name        string
 		request     *requestcore.Request
@@ -30,7 +30,7 @@
 		{"conditional read", &requestcore.Request{Key: "roads/day/grid/1/0/0.png", Flags: "If-None-Match: x\r\n"}, 0.5},
 	} {
 		written.WriteString("# " + c.name + "\n")
-		for _, part := range servers.NewCodec(nil).Encode(c.request, c.secondsLeft) {
+		for _, part := range client.NewCodec(nil).Encode(c.request, c.secondsLeft) {
 			written.Write(part)
 		}
 		written.WriteString("\n")
@@ -45,6 +45,6 @@
 		t.Fatal(err)
 	}
 	if !bytes.Equal(written.Bytes(), want) {
-		t.Errorf("the commands are %q, want %q", written.Bytes(), want)
+		t.Errorf("got requests %q, want %q", written.Bytes(), want)
 	}
 }
