--- a/internal/discovery/doc.go
+++ b/internal/discovery/doc.go
@@ -1,10 +1,10 @@
-// Package discovery follows the list of cache servers that a list service tells: it reads lists, and polls for what
-// has changed. When to poll is decided by package pollschedule, what a list means by its receivers.
+// Package discovery watches the endpoint list of a list service: it polls for changes and parses the lists. Package
+// pollschedule decides when to poll; the receivers of a list decide what follows from it.
 //
-// Watch runs on its caller's goroutine until its context ends, and calls back on that goroutine alone. Each poll has
-// a goroutine of its own, which ends with the poll, at the latest when its lifetime or the context is over. Lists go
-// out by the callback, failures by another; nothing is kept between two calls of Watch.
+// Watch runs on its caller's goroutine until its context ends, and makes its callbacks only on that goroutine. Each
+// poll runs on a goroutine of its own, which ends with the poll, at the latest when the poll's lifetime or the context
+// is over. One callback receives the lists, another the failures. No state is kept between two calls of Watch.
 //
-// Files: list.go the list, parse.go its form on the wire, watch.go the loop, poll.go one poll, errors.go what may go
-// wrong.
+// Files: list.go the list, parse.go its format on the wire, watch.go the polling loop, poll.go one poll, errors.go the
+// errors.
 package discovery
--- a/internal/discovery/golden_test.go
+++ b/internal/discovery/golden_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// readRequest reads the bytes of a request up to its empty line.
+// readRequest reads a request up to and including its empty line.
 func readRequest(in *bufio.Reader) (string, error) {
 	text := ""
 	for !strings.HasSuffix(text, "\r\n\r\n") {
@@ -25,7 +25,8 @@
 	return text, nil
 }
 
-// The list service gets these bytes and operators read these lines: all are as the build of 15122f5 wrote them.
+// The list service parses these requests, and operators read these log lines. The requests are as the build of commit
+// 15122f5 sent them.
 func TestGoldenRequestsAndLog(t *testing.T) {
 	ln, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -116,13 +117,13 @@
 User-Agent: Go-http-client/1.1
 
 {"level":"warn","fault":"instances: cell: not a whole number","message":"entries of the list cannot be used; these servers get nothing new"}
-{"level":"warn","error":"the list service answers 503 Service Unavailable","message":"the list service fails; the last list stays"}
-{"level":"warn","error":"generation 40 is older than what was asked for, 41","message":"the list service fails; the last list stays"}
-{"level":"warn","error":"the list is older than the one that is known: 39, 41","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"the list service answered 503 Service Unavailable","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"generation 40 is older than the requested generation 41","message":"the list service fails; the last list stays"}
+{"level":"warn","error":"the list is older than the known list: 39, 41","message":"the list service fails; the last list stays"}
 {"level":"warn","error":"malformed list: not an object","message":"the list service fails; the last list stays"}
 {"level":"info","message":"the list service answers again"}
-the list service answers 503 Service Unavailable
-generation 40 is older than what was asked for, 41
-the list is older than the one that is known: 39, 41
+the list service answered 503 Service Unavailable
+generation 40 is older than the requested generation 41
+the list is older than the known list: 39, 41
 malformed list: not an object
 `
--- a/internal/discovery/helpers_test.go
+++ b/internal/discovery/helpers_test.go
@@ -17,7 +17,7 @@
 	"github.com/rs/zerolog"
 )
 
-// onePoll is a schedule with one poll at a time and short waits.
+// onePoll is a schedule with one poll in flight and short waits.
 var onePoll = pollschedule.Schedule{
 	LongPollWait:    2,
 	AnswerTolerance: 0.5,
@@ -27,13 +27,13 @@
 	Backoff:         pollschedule.Backoff{Initial: 0.1, Max: 0.1},
 }
 
-// tolerant returns a schedule by which no answer of a test is late, however busy the machine.
+// tolerant returns a copy of a schedule for which no answer in a test is late, however busy the machine is.
 func tolerant(schedule pollschedule.Schedule) pollschedule.Schedule {
 	schedule.AnswerTolerance = 1e3
 	return schedule
 }
 
-// watchUntil watches in the background until the test or stop ends it.
+// watchUntil runs a watch in the background until stop is called or the test ends.
 func watchUntil(t *testing.T, addr string, start WatchStart, onList func(EndpointList) error,
 	onFailure func(error)) (stop func()) {
 	ctx, stop := context.WithCancel(context.Background())
@@ -42,7 +42,7 @@
 	return stop
 }
 
-// acceptInto is an onList that takes all lists.
+// acceptInto returns an onList callback that accepts all lists and sends them to a channel.
 func acceptInto(lists chan EndpointList) func(EndpointList) error {
 	return func(list EndpointList) error {
 		lists <- list
@@ -57,12 +57,13 @@
 	select {
 	case value = <-from:
 	case <-time.After(10 * time.Second):
-		t.Fatalf("no %s", what)
+		t.Fatalf("got no %s within 10 s", what)
 	}
 	return value
 }
 
-// newServer makes a list service of a handler. It and its connections are closed after the test's watches have ended.
+// newServer starts a list service with a handler. It and its connections are closed after the watches of the test have
+// ended.
 func newServer(t *testing.T, handler http.HandlerFunc) (addr string) {
 	server := httptest.NewServer(handler)
 	t.Cleanup(func() {
@@ -72,36 +73,36 @@
 	return server.Listener.Addr().String()
 }
 
-// emptyDelta is the text of a list without instances that says what has changed.
+// emptyDelta returns the text of a delta without instances.
 func emptyDelta(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":false,"instances":[]}`, generation)
 }
 
-// emptyFullList is the text of a emptyFullList list without instances.
+// emptyFullList returns the text of a full list without instances.
 func emptyFullList(generation int) string {
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[]}`, generation)
 }
 
-// oneInstanceList is the text of a complete list of one instance.
+// oneInstanceList returns the text of a full list with one instance.
 func oneInstanceList(generation int) string {
 	const instance = `{"instanceId":"s-1","hostPort":"127.0.0.1:1","lifecycle":"draining","weight":1}`
 	return fmt.Sprintf(`{"generation":%d,"reset":true,"instances":[%s]}`, generation, instance)
 }
 
-// manualService is a list service whose polls are answered only as a test says.
+// manualService is a list service whose polls are answered by the test.
 type manualService struct {
 	t     *testing.T
 	polls chan *manualPoll
-	lists chan EndpointList // that the watch has taken
+	lists chan EndpointList // that the watch has delivered
 }
 
 type manualPoll struct {
 	query     string
 	answer    chan string     // "": the poll is rejected
-	abandoned <-chan struct{} // closed once the watch gives the poll up
+	abandoned <-chan struct{} // closed when the watch abandons the poll
 }
 
-// watchManualService watches a service whose polls are held.
+// watchManualService starts a manualService and a watch of it.
 func watchManualService(t *testing.T, start WatchStart) manualService {
 	service := manualService{t: t, polls: make(chan *manualPoll, 100), lists: make(chan EndpointList, 100)}
 	addr := newServer(t, service.serve)
@@ -126,23 +127,23 @@
 	}
 }
 
-// mustBeInFlight fails if a poll was given up.
+// mustBeInFlight fails the test if a poll was abandoned.
 func (service manualService) mustBeInFlight(poll *manualPoll) {
 	service.t.Helper()
 	select {
 	case <-poll.abandoned:
-		service.t.Error("a poll was given up that may still be answered")
+		service.t.Error("a poll was abandoned, want it in flight")
 	default:
 	}
 }
 
-// rawService is a list service of whose connections a test writes the bytes.
+// rawService is a list service on whose connections the test writes raw bytes.
 type rawService struct {
 	addr  string
 	polls chan rawPoll
 }
 
-// rawPoll is a poll with its connection, by the connection's number from 1 on.
+// rawPoll is a poll and its connection. Connections are numbered from 1.
 type rawPoll struct {
 	conn  int
 	query string
@@ -180,20 +181,21 @@
 	}
 }
 
-// answer writes a response that states a length.
+// answer writes a response with a Content-Length, which may differ from the length of the body.
 func (poll rawPoll) answer(status, body string, length int) {
 	fmt.Fprintf(poll, "HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, length, body)
 }
 
-// fragmentService is a list service whose answers are written as they are, in pieces, by the number of the poll. An
-// answer that does not say where it ends is ended with its connection, and so is one that is cut, by a reset.
+// fragmentService is a list service that writes the raw bytes of its answers in fragments, by the number of the poll.
+// The connection is closed after an answer that has no length and no chunks, and is reset after an answer that is to be
+// cut.
 type fragmentService struct {
-	numbers chan int // of the polls, from 0 on
+	numbers chan int // of the polls, from 0
 	done    chan bool
-	answer  func(poll int) (pieces []string, reset bool)
+	answer  func(poll int) (fragments []string, reset bool)
 }
 
-func newFragmentService(t *testing.T, answer func(poll int) (pieces []string, reset bool)) (addr string) {
+func newFragmentService(t *testing.T, answer func(poll int) (fragments []string, reset bool)) (addr string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -229,8 +231,8 @@
 		}
 		select {
 		case number := <-service.numbers:
-			pieces, reset := service.answer(number)
-			if !writeFragments(conn, pieces, reset) {
+			fragments, reset := service.answer(number)
+			if !writeFragments(conn, fragments, reset) {
 				return
 			}
 		case <-service.done:
@@ -239,26 +241,26 @@
 	}
 }
 
-// writeFragments writes an answer, and reports whether its connection goes on.
-func writeFragments(conn net.Conn, pieces []string, reset bool) bool {
-	for i, piece := range pieces {
+// writeFragments writes an answer and reports whether its connection stays open.
+func writeFragments(conn net.Conn, fragments []string, reset bool) bool {
+	for i, fragment := range fragments {
 		if i > 0 {
-			time.Sleep(100 * time.Microsecond) // so that most pieces come apart; it is read alike if they do not
+			time.Sleep(100 * time.Microsecond) // so that most fragments arrive separately; the result is the same if not
 		}
-		conn.Write([]byte(piece))
+		conn.Write([]byte(fragment))
 	}
 	if reset {
-		time.Sleep(10 * time.Millisecond) // so that what is before the reset is read
+		time.Sleep(10 * time.Millisecond) // so that the bytes before the reset are read
 		conn.(*net.TCPConn).SetLinger(0)
 		return false
 	}
-	all := strings.Join(pieces, "")
-	return strings.Contains(all, "Length") || strings.Contains(all, "chunked")
+	answer := strings.Join(fragments, "")
+	return strings.Contains(answer, "Length") || strings.Contains(answer, "chunked")
 }
 
-// jsonLayouts word a list as JSON may.
+// jsonLayouts format the JSON of a list.
 var jsonLayouts = map[string]func(text string) string{
-	"in a line": func(text string) string { return text },
+	"on one line": func(text string) string { return text },
 	"indented": func(text string) string {
 		var all any
 		json.Unmarshal([]byte(text), &all)
@@ -267,7 +269,7 @@
 	},
 }
 
-// httpFramings word an answer as HTTP may.
+// httpFramings return an HTTP response with a body, in each framing that HTTP has.
 var httpFramings = map[string]func(body string) string{
 	"with a length": func(body string) string {
 		const head = "HTTP/1.1 200 OK\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%s"
@@ -279,5 +281,5 @@
 		return head + fmt.Sprintf("%x\r\n%s\r\n%x;x=y\r\n%s\r\n0\r\n\r\n", half, body[:half], len(body)-half, body[half:])
 	},
 	"without a length": func(body string) string { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + body },
-	"by HTTP/1.0":      func(body string) string { return "HTTP/1.0 200 OK\r\n\r\n" + body },
+	"as HTTP/1.0":      func(body string) string { return "HTTP/1.0 200 OK\r\n\r\n" + body },
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -7,26 +7,28 @@
 	"bendtrestle/balancer"
 )
 
-// Instance is one cache server of a list.
+// Instance is one cache server in a list.
 type Instance struct {
 	balancer.Endpoint
-	Addr netip.AddrPort // invalid: it cannot be reached, and its State is not Ready
+	Addr netip.AddrPort // invalid: the server cannot be reached, and its State is not Ready
 
-	faulty bool // a field cannot be read
+	faulty bool // a field is malformed
 }
 
-// EndpointList is a complete list, or what has changed since an earlier one.
+// EndpointList is a full list, or a delta to an earlier list.
 type EndpointList struct {
-	Generation uint64 // grows with each change, as long as one service counts
-	Complete   bool   // all servers are in it; else only those that changed
+	Generation uint64 // increases with each change, as long as the same service assigns it
+	Complete   bool   // a full list with all servers; else a delta with the changed ones
 	Instances  []Instance
-	FirstFault string // what is wrong with the first instance that cannot be used; "": nothing with any
+	FirstFault string // first fault of an instance that cannot be used; "": all can be used
 }
 
-// ID makes a server's id of its instance's name, the same at every router. It fits into 32 bits, as gossip has it.
+// ID returns the id of a server for the name of its instance. It is the same at every router, and fits into the 32 bits
+// that gossip messages have for it.
 func ID(instance string) uint64 { return uint64(crc32.ChecksumIEEE([]byte(instance))) }
 
-// drainFaulty has the instances that cannot be read completely get nothing new, and counts them.
+// drainFaulty marks the instances with malformed fields as draining, so that they get no new requests, and returns
+// their number.
 func (l *EndpointList) drainFaulty() int {
 	count := 0
 	for i := range l.Instances {
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -9,7 +9,7 @@
 	"bendtrestle/internal/settings"
 )
 
-// The names of a list's fields on the wire.
+// Names of the fields of a list on the wire.
 const (
 	fieldGeneration  = "generation"
 	fieldFull        = "reset"
@@ -24,20 +24,20 @@
 	fieldStarted     = "startedAtMs"
 )
 
-// instancesPath begins the path of a fault in an instance.
+// instancesPath is the prefix of the path of a fault in an instance.
 const instancesPath = "/" + fieldInstances
 
 const millisecondsPerSecond = 1e3
 
-// states are the states of instances on the wire. One of no known name is as one that is gone.
+// states maps the states of instances on the wire. An instance with an unknown state is treated as removed.
 var states = map[string]balancer.EndpointState{
 	"ready":    balancer.Ready,
 	"draining": balancer.Draining,
 }
 
-// Parse reads a list that a list service sent, in JSON. What is wrong with an instance costs that server alone: it
-// gets nothing new, and the rest of the list, with the drains that it tells, still counts. A list without any
-// instance that can be used is an error.
+// Parse parses a list in the JSON format of a list service. A fault in one instance affects only that server, which
+// gets no new requests; the rest of the list, including its drains, is still used. If a list has faults and none of its
+// instances can be used, Parse returns an error.
 func Parse(text []byte) (EndpointList, error) {
 	object, err := settings.Parse(text, "malformed list")
 	if err != nil {
@@ -56,14 +56,14 @@
 	return list, object.Err()
 }
 
-// allInInstances reports whether nothing is wrong with the list itself.
+// allInInstances reports whether all faults are in instances, none in the list itself.
 func allInInstances(faults []settings.Fault) bool {
 	return !slices.ContainsFunc(faults, func(fault settings.Fault) bool {
 		return !strings.HasPrefix(fault.Path, instancesPath)
 	})
 }
 
-// FromObject reads a list from an object, which keeps the faults.
+// FromObject reads a list from a parsed object. Faults are recorded in the object.
 func FromObject(object *settings.Object) EndpointList {
 	list := EndpointList{Generation: object.ID(fieldGeneration), Complete: object.Flag(fieldFull)}
 	for _, member := range object.List(fieldInstances) {
@@ -75,7 +75,7 @@
 	return list
 }
 
-// instanceFromObject reads a member of a list. All faults of the list are counted together, at the list.
+// instanceFromObject reads a member of a list. The list records the faults of all its members.
 func instanceFromObject(list, member *settings.Object) (instance Instance, name string) {
 	before := list.FaultCount()
 	name = member.Text(fieldName)
@@ -83,7 +83,7 @@
 	state := states[member.Text(fieldState)]
 	addr, err := netip.ParseAddrPort(address)
 	if err != nil && state == balancer.Ready {
-		state = balancer.Draining // nowhere to send to; the rest of the list still counts
+		state = balancer.Draining // there is no address to send to; the rest of the list is still used
 	}
 	instance = Instance{
 		Addr: addr,
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -25,12 +25,12 @@
 	if list.Instances[0] != first {
 		t.Errorf("got %+v, want %+v", list.Instances[0], first)
 	}
-	// One that cannot be reached, or is in no known state, gets nothing new.
+	// A server without a valid address is draining, and one with an unknown state is removed: neither gets new requests.
 	for i, want := range []balancer.EndpointState{
 		balancer.Ready, balancer.Draining, balancer.Removed, balancer.Draining, balancer.Removed,
 	} {
 		if got := list.Instances[i].State; got != want {
-			t.Errorf("instance %d is %d, want %d", i, got, want)
+			t.Errorf("instance %d: got state %d, want %d", i, got, want)
 		}
 	}
 }
@@ -47,13 +47,13 @@
 		`{"generation":1,"reset":3,"instances":[{"instanceId":"s","lifecycle":"ready"}]}`: "reset: not true or false",
 	} {
 		if _, err := Parse([]byte(text)); err == nil || err.Error() != want {
-			t.Errorf("%s: got %v, want %s", text, err, want)
+			t.Errorf("%s: got error %v, want %s", text, err, want)
 		}
 	}
 }
 
-// What is wrong with one instance must not hide the drain beside it, nor may its server be sent to by half of what it
-// says.
+// A malformed instance must not hide the drain of another instance in the same list. Its own server must not get
+// requests on the basis of incomplete data.
 func TestMalformedInstanceDoesNotHideDrain(t *testing.T) {
 	malformed := strings.Repeat(`{"instanceId":"s-9","hostPort":"10.1.0.9:1","lifecycle":"ready","cell":"x"},`, 150)
 	list, err := Parse([]byte(`{"generation":43,"reset":false,"instances":[7,` + malformed + `
@@ -63,7 +63,7 @@
 		{"instanceId":"s-3","hostPort":"10.1.0.20:1","lifecycle":"gone","weight":"-"},
 		{"instanceId":"s-4","hostPort":"10.1.0.21:1","lifecycle":"ready"}]}`))
 	if err != nil || list.FirstFault == "" {
-		t.Fatalf("got %v, told %q", err, list.FirstFault)
+		t.Fatalf("got error %v and first fault %q, want no error and a fault", err, list.FirstFault)
 	}
 	got := map[uint64]balancer.EndpointState{}
 	for _, instance := range list.Instances {
@@ -81,7 +81,7 @@
 	}
 }
 
-// Whatever a list service answers, a server that is to be used has an address, and the parser does not panic.
+// For any answer of a list service the parser does not panic, and a ready server has a valid address and no fault.
 func FuzzParse(f *testing.F) {
 	f.Add([]byte(`{"generation":43,"reset":true,"instances":[{"instanceId":"s-1","hostPort":"10.1.0.18:11211",` +
 		`"zone":"a","lifecycle":"ready","weight":0.6}]}`))
@@ -91,7 +91,7 @@
 		list, err := Parse(text)
 		for _, instance := range list.Instances {
 			if err == nil && instance.State == balancer.Ready && (instance.faulty || !instance.Addr.IsValid()) {
-				t.Errorf("%q: %+v may be used", text, instance)
+				t.Errorf("%q: %+v is ready, want draining or removed", text, instance)
 			}
 		}
 	})
--- a/internal/discovery/pieces_test.go
+++ b/internal/discovery/pieces_test.go
@@ -6,11 +6,12 @@
 	"time"
 )
 
-// An answer is taken whatever the form and the pieces in which it comes: each byte by itself, and cut in two anywhere.
+// A list is accepted in any HTTP framing and JSON layout, and in any fragmentation: byte by byte, and split in two at
+// each byte.
 func TestListInAnyEncodingAndFragmentation(t *testing.T) {
-	for form, inForm := range httpFramings {
-		for layout, laidOut := range jsonLayouts {
-			text := func(poll int) string { return inForm(laidOut(oneInstanceList(1000 + poll))) }
+	for framing, frame := range httpFramings {
+		for layout, format := range jsonLayouts {
+			text := func(poll int) string { return frame(format(oneInstanceList(1000 + poll))) }
 			polls := len(text(0))
 			addr := newFragmentService(t, func(poll int) ([]string, bool) {
 				text := text(poll)
@@ -32,13 +33,13 @@
 				select {
 				case list := <-lists:
 					if list.Generation != uint64(1000+poll) || len(list.Instances) != 1 || list.FirstFault != "" {
-						t.Fatalf("%s, %s, poll %d: got %+v", form, layout, poll, list)
+						t.Fatalf("%s, %s, poll %d: got %+v, want one instance without a fault", framing, layout, poll, list)
 					}
 					continue
 				case err := <-failures:
-					t.Errorf("%s, %s, poll %d of %d: %v", form, layout, poll, polls, err)
+					t.Errorf("%s, %s, poll %d of %d: %v", framing, layout, poll, polls, err)
 				case <-time.After(10 * time.Second):
-					t.Errorf("%s, %s, poll %d of %d: no list", form, layout, poll, polls)
+					t.Errorf("%s, %s, poll %d of %d: no list within 10 s", framing, layout, poll, polls)
 				}
 				break
 			}
@@ -48,10 +49,11 @@
 	}
 }
 
-// An answer that is cut by a reset is none, wherever that is and also where it says no length: a reset is no end.
+// An answer that is cut by a reset must not be accepted, at whatever byte it is cut and even if it has no length:
+// unlike a close, a reset does not complete an answer.
 func TestListCutByResetIsNotAccepted(t *testing.T) {
-	for form, inForm := range httpFramings {
-		text := inForm(oneInstanceList(1000) + "  ") // of which JSON alone would not miss the end
+	for framing, frame := range httpFramings {
+		text := frame(oneInstanceList(1000) + "  ") // the JSON is complete even without the last bytes
 		addr := newFragmentService(t, func(poll int) ([]string, bool) {
 			return []string{text[:max(0, len(text)-1-poll%4*30)]}, true
 		})
@@ -59,10 +61,10 @@
 		stop := watchUntil(t, addr, WatchStart{Schedule: onePoll}, acceptInto(lists), func(err error) { failures <- err })
 		select {
 		case list := <-lists:
-			t.Errorf("%s: it is taken, %+v", form, list)
+			t.Errorf("%s: got %+v, want a failure", framing, list)
 		case <-failures:
 		case <-time.After(10 * time.Second):
-			t.Errorf("%s: no end", form)
+			t.Errorf("%s: got no failure within 10 s", framing)
 		}
 		stop()
 	}
--- a/internal/discovery/poll.go
+++ b/internal/discovery/poll.go
@@ -11,31 +11,31 @@
 )
 
 const (
-	// connectTimeout is for an agent on the same machine.
+	// connectTimeout suits an agent on the same machine.
 	connectTimeout = 500 * time.Millisecond
-	// maxBodyBytes holds tens of thousands of instances.
+	// maxBodyBytes is enough for tens of thousands of instances.
 	maxBodyBytes = 8 << 20
 	listPath     = "/catalog/members"
 )
 
-// poll is one poll, and how it ended.
+// poll is one poll and its result.
 type poll struct {
 	number          int
-	full            bool   // it asks for the complete list
-	sinceGeneration uint64 // else for what is newer than this generation
+	full            bool   // polls for the full list
+	sinceGeneration uint64 // otherwise polls for changes since this generation
 	list            EndpointList
 	err             error
 }
 
-// newClient makes the client of one watch. Its connections are those of the standard library, for netpoll's tell a
-// reset as an end, and no end as net/http knows it: an answer without a length was never complete. Polls have ends of
-// their own, so no connection is kept alive.
+// newClient returns the HTTP client of one watch. It uses connections of the standard library, because those of netpoll
+// report a reset as a close, and report a close in a way that net/http does not recognise, so that a response without a
+// length was never complete. TCP keep-alive is off, because each poll has a timeout of its own.
 func newClient() *http.Client {
 	dialer := &net.Dialer{Timeout: connectTimeout, KeepAlive: -1}
 	return &http.Client{Transport: &http.Transport{DialContext: dialer.DialContext, DisableCompression: true}}
 }
 
-// url is what a poll asks for, held by the service for so long until there is news.
+// url returns the URL of a poll. A poll for changes asks the service to hold it for longPollWait until there are any.
 func (p *poll) url(addr string, longPollWait time.Duration) string {
 	url := "http://" + addr + listPath
 	if p.full {
@@ -44,9 +44,9 @@
 	return fmt.Sprintf("%s?from=%d&hold_ms=%d", url, p.sinceGeneration, longPollWait.Milliseconds())
 }
 
-// check returns why the answer cannot be used; nil: it can.
+// check returns an error if the answer cannot be used.
 func (p *poll) check() error {
-	if errors.Is(p.err, context.DeadlineExceeded) { // its lifetime is over
+	if errors.Is(p.err, context.DeadlineExceeded) { // the poll's lifetime is over
 		return ErrPollTimeout
 	}
 	if p.err != nil {
@@ -58,7 +58,7 @@
 	return nil
 }
 
-// fetch gets a list. It returns when the answer is read, or ctx ends.
+// fetch requests a list. It returns when the answer has been read or ctx ends.
 func fetch(ctx context.Context, client *http.Client, url string) (EndpointList, error) {
 	request, err := http.NewRequestWithContext(ctx, http.MethodGet, url, nil)
 	if err != nil {
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -11,14 +11,14 @@
 	"github.com/rs/zerolog"
 )
 
-// WatchStart is what a watch begins with.
+// WatchStart is the initial state of a watch.
 type WatchStart struct {
-	Generation  uint64 // of the last list
-	SameService bool   // the list service is the one that told it: changes since then will do
+	Generation  uint64 // of the last known list
+	SameService bool   // that list is from the same list service, so that changes since then are sufficient
 	Schedule    pollschedule.Schedule
 }
 
-// watcher is what Watch knows. All of it belongs to Watch's goroutine.
+// watcher is the state of a watch. It is used only on Watch's goroutine.
 type watcher struct {
 	ctx    context.Context
 	client *http.Client
@@ -27,26 +27,26 @@
 
 	poller     *pollschedule.Poller
 	startedAt  time.Time
-	timer      *time.Timer                // for the last poll's answer, or for a wait
-	endedPolls chan *poll                 // from the polls' goroutines
+	timer      *time.Timer                // for the answer to the last poll, or for a wait
+	endedPolls chan *poll                 // sent by the goroutines of the polls
 	cancels    map[int]context.CancelFunc // of the polls in flight
 
-	needsFull   bool   // the complete list is to be asked for
-	generation  uint64 // else what is newer than this one
-	lastFailure string // "": the last poll that counted brought a list
+	needsFull   bool   // the next poll is for the full list
+	generation  uint64 // otherwise for changes since this generation
+	lastFailure string // "": the last poll that was not abandoned succeeded
 
 	onList    func(EndpointList) error
 	onFailure func(error)
 }
 
-// Watch polls the list service at addr until ctx ends. Each list goes to onList, which gives an error if it does not
-// take it, ErrOutdated if it is older than what is known; then the complete list is asked for again. Each failure
-// goes to onFailure, once as long as it stays the same. Both are called on Watch's own goroutine; while they run
-// nothing is polled anew.
+// Watch polls the list service at addr until ctx ends. Each list is passed to onList, which returns an error to refuse
+// it, ErrOutdated if it is older than the known list; then the full list is polled for. Each failure is passed to
+// onFailure, once as long as its text stays the same. Both callbacks run on Watch's goroutine, and no poll starts while
+// they run.
 //
-// A service that lags behind the one before it must not take back what that one told of drains. A service that
-// rejects polls has to do with all routers together: their waits grow, for as long as all poll again at once it stays
-// full and no router ever has the list.
+// ErrOutdated is for a service that lags behind the one used before it, whose list must not undo the drains known from
+// that one. After rejected polls the backoff grows, because all routers share the service: if all of them repeated
+// their polls at once, the service would stay overloaded and no router would get the list.
 func Watch(ctx context.Context, addr string, start WatchStart, onList func(EndpointList) error, onFailure func(error),
 	log zerolog.Logger) {
 	client := newClient()
@@ -80,10 +80,10 @@
 
 func seconds(s float64) time.Duration { return time.Duration(s * float64(time.Second)) }
 
-// now is how long the watch has gone on, in seconds.
+// now returns the seconds since the watch started.
 func (w *watcher) now() float64 { return time.Since(w.startedAt).Seconds() }
 
-// startPoll sends a poll from a goroutine of its own.
+// startPoll starts a poll on a goroutine of its own.
 func (w *watcher) startPoll() {
 	next := w.poller.Start(w.now())
 	ctx, cancel := context.WithTimeout(w.ctx, seconds(next.Lifetime))
@@ -101,7 +101,7 @@
 	w.timer.Reset(seconds(next.Timeout))
 }
 
-// onTimeout handles the end of the time for the last poll's answer, or of a wait.
+// onTimeout handles the end of the time for the answer to the last poll, or the end of a wait.
 func (w *watcher) onTimeout() {
 	verdict := w.poller.OnTimeout(w.now())
 	if verdict.Late {
@@ -115,7 +115,7 @@
 	w.startPoll()
 }
 
-// abandon ends a poll. A number that is not in flight, 0 among them, is ignored.
+// abandon ends a poll. Numbers that are not in flight, such as 0, are ignored.
 func (w *watcher) abandon(number int) {
 	cancel, inFlight := w.cancels[number]
 	if !inFlight {
@@ -125,9 +125,9 @@
 	delete(w.cancels, number)
 }
 
-// reportFailure reports a failure, once as long as it stays the same. The next poll goes on a connection of its own: one that
-// has stood idle since a poll on it failed may be silent by then, and would hide a service that can be reached for as
-// long as a poll that hangs.
+// reportFailure reports a failure, once as long as its text stays the same. The next poll uses a new connection: one
+// that has been idle since a failed poll may be dead, and a poll that hangs there would hide for its whole lifetime
+// that the service can be reached.
 func (w *watcher) reportFailure(err error) {
 	w.client.CloseIdleConnections()
 	text := err.Error()
@@ -139,7 +139,7 @@
 	w.onFailure(err)
 }
 
-// onPollEnd takes how a poll ended, if it still counts.
+// onPollEnd handles the end of a poll. It ignores polls that were abandoned.
 func (w *watcher) onPollEnd(p *poll) {
 	w.abandon(p.number)
 	if !w.poller.OnEnd(p.number) {
@@ -162,7 +162,7 @@
 	w.startPoll()
 }
 
-// deliver hands a poll's list on, or reports why not.
+// deliver passes the list of a poll to onList. It returns an error if the list cannot be used or is refused.
 func (w *watcher) deliver(p *poll) error {
 	err := p.check()
 	var older *GenerationError
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -12,16 +12,16 @@
 	"bendtrestle/internal/policy/pollschedule"
 )
 
-// longBackoff is a wait beyond the end of any test.
+// longBackoff is a backoff that does not end during a test.
 var longBackoff = pollschedule.Backoff{Initial: 1e6, Max: 1e6}
 
-// watchSince41 begins a watch that knows generation 41 from the same service.
+// watchSince41 returns the start of a watch with a known list of generation 41 from the same service.
 func watchSince41(schedule pollschedule.Schedule) WatchStart {
 	return WatchStart{Generation: 41, SameService: true, Schedule: schedule}
 }
 
-// The first poll asks for the complete list, the next for what is newer, and a failure leaves the list and is tried
-// again from where it was, by a poll that does not wait for news.
+// The first poll is for the full list and the next one for changes since it. A failure keeps the list; the poll is
+// repeated for the same generation, without a long-poll wait.
 func TestWatch(t *testing.T) {
 	queries := make(chan string, 100)
 	polls := 0
@@ -45,24 +45,25 @@
 		select {
 		case got := <-queries:
 			if got != want {
-				t.Errorf("poll %d asks for %q, want %q", i, got, want)
+				t.Errorf("poll %d: got query %q, want %q", i, got, want)
 			}
 		case <-time.After(5 * time.Second):
-			t.Fatalf("no poll %d", i)
+			t.Fatalf("got no poll %d within 5 s", i)
 		}
 	}
 	if list := <-lists; !list.Complete || list.Generation != 41 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want the full list of generation 41", list)
 	}
 	if list := <-lists; list.Complete || len(list.Instances) != 1 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want a delta with one instance", list)
 	}
 	if err := <-failures; err == nil || errors.Is(err, context.Canceled) {
-		t.Errorf("got %v", err)
+		t.Errorf("got %v, want an error other than context.Canceled", err)
 	}
 }
 
-// A service that lags behind the one before it must not take back a drain: its list is waited for.
+// A list service that lags behind the one used before must not undo a drain. Its lists are refused until one has the
+// known generation.
 func TestOlderListIsNotAccepted(t *testing.T) {
 	polls := 0
 	addr := newServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -81,11 +82,12 @@
 		return nil
 	}, ignoreFailure)
 	if list := <-lists; list.Generation != 43 {
-		t.Errorf("list %d was taken, though 43 was known", list.Generation)
+		t.Errorf("got list of generation %d, want 43", list.Generation)
 	}
 }
 
-// A service that has not all changes since the list that is known, for it counts anew, is asked for the complete list.
+// A service that has restarted its generations does not have all changes since the known list. It is polled for the
+// full list.
 func TestLowerGenerationCausesFullListPoll(t *testing.T) {
 	queries := make(chan string, 100)
 	addr := newServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -94,25 +96,26 @@
 	})
 	watchUntil(t, addr, watchSince41(onePoll), func(EndpointList) error { return nil }, ignoreFailure)
 	if first, second := <-queries, <-queries; first != "from=41&hold_ms=2000" || second != "" {
-		t.Errorf("it asks for %q, then for %q", first, second)
+		t.Errorf("got query %q, then %q; want a poll since 41, then one for the full list", first, second)
 	}
 }
 
-// An agent is silent while discovery is down, and what it gets at the return counts as known at once: the polls that
-// hang from before must not hide it. So others are sent beside them, and the first that is answered tells.
+// An agent does not answer while discovery is down. As soon as it is back it has the current list, and the polls that
+// have been hanging since before must not delay that list. So further polls are sent beside them, and the first answer
+// is used.
 func TestHangingPollDoesNotDelayNewList(t *testing.T) {
 	service := watchManualService(t, watchSince41(pollschedule.ForLocalAgent(0.5, 1)))
 	first := receive(t, "poll", service.polls)
-	second := receive(t, "poll beside the one that hangs", service.polls)
+	second := receive(t, "poll beside the hanging one", service.polls)
 	third := receive(t, "third poll", service.polls)
 	service.mustBeInFlight(first)
 	service.mustBeInFlight(second)
 	if first.query != "from=41&hold_ms=300" || second.query != "from=41&hold_ms=0" {
-		t.Errorf("it asks for %q, then for %q", first.query, second.query)
+		t.Errorf("got query %q, then %q; want a long poll since 41, then one without a wait", first.query, second.query)
 	}
 	third.answer <- emptyDelta(43)
 	if list := receive(t, "list", service.lists); list.Generation != 43 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want generation 43", list)
 	}
 	<-first.abandoned
 	<-second.abandoned
@@ -121,18 +124,18 @@
 		fourth = receive(t, "poll after the list", service.polls)
 	}
 	if fourth.query != "from=43&hold_ms=300" {
-		t.Errorf("then it asks for %q", fourth.query)
+		t.Errorf("got query %q after the list, want a long poll since 43", fourth.query)
 	}
 }
 
-// An agent that is only slow is heard, though others were polled beside that poll; what those tell later is not taken
-// for news.
+// A late answer of a slow agent is used, even if further polls were sent beside that poll. Later answers to those polls
+// are ignored.
 func TestSlowAnswerIsUsedAndLaterOlderOneIgnored(t *testing.T) {
 	service := watchManualService(t, watchSince41(pollschedule.ForLocalAgent(0.5, 1)))
 	first, second := receive(t, "poll", service.polls), receive(t, "poll beside it", service.polls)
 	first.answer <- emptyDelta(44)
 	if list := receive(t, "list", service.lists); list.Generation != 44 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want generation 44", list)
 	}
 	second.answer <- emptyDelta(43)
 	for {
@@ -143,12 +146,12 @@
 		}
 	}
 	if list := receive(t, "list", service.lists); list.Generation != 45 {
-		t.Errorf("then it takes %+v", list)
+		t.Errorf("got %+v, want generation 45", list)
 	}
 }
 
-// A service that answers all routers has one poll of each at a time. One that falls silent is polled anew at once,
-// one that is silent again or rejects the poll only after a wait.
+// A list service that all routers share gets one poll at a time from each. After one unanswered poll it is polled again
+// at once; after a second one, or a rejected poll, only after the backoff.
 func TestSilentServiceIsRepolledAtOnceAndFullOneAfterBackoff(t *testing.T) {
 	silent := watchManualService(t, watchSince41(pollschedule.Schedule{
 		LongPollWait:    0.05,
@@ -159,11 +162,11 @@
 	}))
 	first := receive(t, "poll", silent.polls)
 	<-first.abandoned
-	second := receive(t, "poll after the silent one", silent.polls)
+	second := receive(t, "poll after the unanswered one", silent.polls)
 	<-second.abandoned
 	select {
 	case <-silent.polls:
-		t.Error("a service that is silent again is polled at once")
+		t.Error("got a poll at once after two unanswered polls, want a backoff")
 	case <-time.After(300 * time.Millisecond):
 	}
 	full := watchManualService(t, watchSince41(pollschedule.Schedule{
@@ -176,13 +179,13 @@
 	receive(t, "poll", full.polls).answer <- ""
 	select {
 	case <-full.polls:
-		t.Error("a service that rejected the poll is polled at once")
+		t.Error("got a poll at once after a rejected poll, want a backoff")
 	case <-time.After(300 * time.Millisecond):
 	}
 }
 
-// A list that is older than what is known is not taken, and the complete one is polled for again soon, without a
-// failure's backoff.
+// After a list that is older than the known one, the full list is polled for soon, without the backoff that follows
+// other failures.
 func TestOutdatedListIsRetriedWithoutBackoff(t *testing.T) {
 	queries := make(chan string, 100)
 	addr := newServer(t, func(w http.ResponseWriter, r *http.Request) {
@@ -200,13 +203,14 @@
 	watchUntil(t, addr, start, func(EndpointList) error { return ErrOutdated }, ignoreFailure)
 	for range 2 {
 		if query := receive(t, "poll", queries); query != "" {
-			t.Errorf("it asks for %q", query)
+			t.Errorf("got query %q, want a poll for the full list", query)
 		}
 	}
 }
 
-// An agent that is only slow is heard, though more polls were started beside the first than may be in flight: on a
-// busy machine one that takes longer than a short grace allows for all of them would never be.
+// A late answer of a slow agent is used even if more than MaxInFlight polls were started after that poll. If the oldest
+// poll were abandoned, an agent on a busy machine that takes longer than all polls of a short grace period would never
+// be read.
 func TestSlowAnswerIsUsedAfterMoreThanMaxInFlightPolls(t *testing.T) {
 	schedule := pollschedule.ForLocalAgent(0.1, 1)
 	schedule.MinLifetime = 1e6
@@ -218,12 +222,12 @@
 	service.mustBeInFlight(first)
 	first.answer <- emptyDelta(44)
 	if list := receive(t, "list", service.lists); list.Generation != 44 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want generation 44", list)
 	}
 }
 
-// Whatever is wrong with an answer, it is a failure, and the next poll goes on a connection of its own: the one that
-// stood idle meanwhile may be silent by then, which nothing would tell. A list's connection is used on.
+// Each kind of invalid answer is a failure, and the next poll uses a new connection: a connection that was idle since
+// then may be dead without a sign of it. After a valid list its connection is reused.
 func TestIdleConnectionIsNotReusedAfterFailure(t *testing.T) {
 	service := newRawService(t)
 	lists := make(chan EndpointList, 10)
@@ -240,24 +244,24 @@
 	} {
 		poll := receive(t, "poll", service.polls)
 		if poll.conn != i+1 {
-			t.Errorf("poll %d is made on connection %d", i+1, poll.conn)
+			t.Errorf("poll %d: got connection %d, want a new one", i+1, poll.conn)
 		}
 		if len(lists) > 0 {
-			t.Errorf("before poll %d it has %+v", i+1, <-lists)
+			t.Errorf("before poll %d: got %+v, want no list", i+1, <-lists)
 		}
 		answer(poll)
 	}
 	if list := receive(t, "list", lists); list.Generation != 43 {
-		t.Errorf("got %+v", list)
+		t.Errorf("got %+v, want generation 43", list)
 	}
 	if poll := receive(t, "poll", service.polls); poll.conn != 7 || poll.query != "from=43&hold_ms=2000" {
-		t.Errorf("the watch goes on by %q on connection %d", poll.query, poll.conn)
+		t.Errorf("got query %q on connection %d, want a long poll since 43 on connection 7", poll.query, poll.conn)
 	}
 }
 
-// What hangs is given up wherever it stands: before the first byte, in the middle of a body, or with a connection
-// that never comes up; what had come of it tells nothing. A long poll that falls silent, on a connection that stays
-// open, is no other.
+// A poll that hangs is followed by the next one at whatever stage it hangs: before the first byte, in the middle of a
+// body, or with a connection that is never established. The bytes received until then are ignored. The same holds for a
+// long poll without an answer on a connection that stays open.
 func TestPollAfterHangAtAnyStage(t *testing.T) {
 	for _, schedule := range []pollschedule.Schedule{
 		pollschedule.ForLocalAgent(0.5, 1),
@@ -272,24 +276,26 @@
 		for strings.HasPrefix(silent.query, "from=41&") { // sent before the list was read
 			silent = receive(t, "long poll", service.polls)
 		}
-		half := receive(t, "poll after the silent one", service.polls)
+		half := receive(t, "poll after the unanswered one", service.polls)
 		want := fmt.Sprintf("from=42&hold_ms=%d", int(1000*schedule.LongPollWait))
 		if silent.query != want || half.query != "from=42&hold_ms=0" || half.conn == silent.conn {
-			t.Errorf("it asks for %q, then for %q", silent.query, half.query)
+			t.Errorf("got query %q, then %q; want a long poll since 42, then one without a wait on a new connection",
+				silent.query, half.query)
 		}
 		half.answer("200 OK", emptyDelta(43)[:30], len(emptyDelta(43)))
 		last := receive(t, "poll after half a list", service.polls)
 		if last.conn == half.conn || len(lists) > 0 {
-			t.Errorf("on connection %d, with %d lists", last.conn, len(lists))
+			t.Errorf("got connection %d and %d lists, want a new connection and no list", last.conn, len(lists))
 		}
 		last.answer("200 OK", emptyDelta(44), len(emptyDelta(44)))
 		if list := receive(t, "list", lists); list.Generation != 44 {
-			t.Errorf("got %+v", list)
+			t.Errorf("got %+v, want generation 44", list)
 		}
 	}
 }
 
-// A poll that hangs while all others are rejected at once ends by itself.
+// A hanging poll ends with its lifetime while all other polls are rejected at once, which would otherwise never abandon
+// it.
 func TestHangingPollEndsWhileOthersAreRejected(t *testing.T) {
 	service := watchManualService(t, watchSince41(pollschedule.ForLocalAgent(0.1, 1)))
 	first := receive(t, "poll", service.polls)
@@ -301,7 +307,7 @@
 		case <-first.abandoned:
 			return
 		case <-tooLate:
-			t.Fatal("it hangs for ever")
+			t.Fatal("the hanging poll did not end within 10 s")
 		}
 	}
 }
