--- a/internal/admin/golden_test.go
+++ b/internal/admin/golden_test.go
@@ -16,9 +16,9 @@
 	"github.com/rs/zerolog"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
-// golden compares a text with a file that the build of 15122f5 wrote.
+// golden compares a text with a golden file. The golden files were recorded with the build of commit 15122f5.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -32,11 +32,11 @@
 		t.Fatal(err)
 	}
 	if got != string(want) {
-		t.Errorf("%s:\n got %s\nwant %s", name, got, want)
+		t.Errorf("%s: got\n%s\nwant\n%s", name, got, want)
 	}
 }
 
-// goldenHandler answers with values in every field.
+// goldenHandler returns values with all fields set.
 type goldenHandler struct{ fixedHandler }
 
 func (goldenHandler) Metrics() []byte { return []byte("gw.current=1\ngw.sends=22\n") }
@@ -55,8 +55,8 @@
 	return status, h.err
 }
 
-// answered makes a call and gives the whole answer, with its headers in order and without its date.
-func answered(t *testing.T, addr, call, accept, body string) string {
+// sendRequest sends a request and returns the complete response, with its headers sorted and without the Date header.
+func sendRequest(t *testing.T, addr, call, accept, body string) string {
 	t.Helper()
 	method, path, _ := strings.Cut(call, " ")
 	request, err := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
@@ -67,26 +67,26 @@
 		request.Header.Set("Accept", accept)
 	}
 	transport := &http.Transport{DisableKeepAlives: true}
-	answer, err := transport.RoundTrip(request)
+	response, err := transport.RoundTrip(request)
 	if err != nil {
 		t.Fatal(err)
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		t.Fatal(err)
 	}
 	var lines []string
-	for name, values := range answer.Header {
+	for name, values := range response.Header {
 		if name != "Date" {
 			lines = append(lines, name+": "+strings.Join(values, "; ")+"\n")
 		}
 	}
 	slices.Sort(lines)
-	return answer.Proto + " " + answer.Status + "\n" + strings.Join(lines, "") + "\n" + string(text) + "\n"
+	return response.Proto + " " + response.Status + "\n" + strings.Join(lines, "") + "\n" + string(text) + "\n"
 }
 
-// Dashboards, scripts and people read these answers: path, status, headers and body stay as they were.
+// Dashboards, scripts and operators rely on these responses: path, status, headers and body must not change.
 func TestGoldenAnswers(t *testing.T) {
 	paths := []string{"/ready", "/metrics", "/cache-servers/disable", "/cache-servers/enable", "/zones", "/status",
 		"/zones/leave", "/zones/return", "/drain", "/undrain", "/", "/other", "/zones/", "/ready/"}
@@ -108,9 +108,9 @@
 		{"other-error", fmt.Errorf("some reason: %w", io.EOF)},
 	} {
 		server := Start(addr, 24, goldenHandler{fixedHandler{c.err}}, zerolog.Nop())
-		var all strings.Builder
-		ask := func(call, accept, body string) {
-			fmt.Fprintf(&all, "=== %s accept %q body %q\n%s", call, accept, body, answered(t, addr, call, accept, body))
+		var responses strings.Builder
+		send := func(call, accept, body string) {
+			fmt.Fprintf(&responses, "=== %s accept %q body %q\n%s", call, accept, body, sendRequest(t, addr, call, accept, body))
 		}
 		for i := 0; i < 100; i++ {
 			if conn, err := net.Dial("tcp", addr); err == nil {
@@ -124,27 +124,27 @@
 				if c.err != nil && method != "GET" && method != "POST" {
 					continue
 				}
-				ask(method+" "+path, "", "")
+				send(method+" "+path, "", "")
 			}
 		}
-		ask("GET /zones", "application/json", "")
-		ask("GET /zones", "text/html, application/json;q=0.9", "")
+		send("GET /zones", "application/json", "")
+		send("GET /zones", "text/html, application/json;q=0.9", "")
 		for _, path := range []string{"/cache-servers/disable", "/cache-servers/enable", "/zones/leave", "/zones/return"} {
-			ask("POST "+path, "", " s-1\r\n")
+			send("POST "+path, "", " s-1\r\n")
 		}
-		ask("POST /drain", "", "ignored")
-		ask("POST /zones/leave", "", "a b")
-		ask("POST /zones/leave", "", strings.Repeat("z", 256))
-		ask("POST /zones/leave", "", strings.Repeat("z", 257))
-		ask("POST /cache-servers/disable", "", "s\x00")
-		ask("POST /cache-servers/disable", "", "\xff")
-		ask("POST /cache-servers/enable", "", strings.Repeat("s", 1025))
-		golden(t, "answers-"+c.name, all.String())
+		send("POST /drain", "", "ignored")
+		send("POST /zones/leave", "", "a b")
+		send("POST /zones/leave", "", strings.Repeat("z", 256))
+		send("POST /zones/leave", "", strings.Repeat("z", 257))
+		send("POST /cache-servers/disable", "", "s\x00")
+		send("POST /cache-servers/disable", "", "\xff")
+		send("POST /cache-servers/enable", "", strings.Repeat("s", 1025))
+		golden(t, "answers-"+c.name, responses.String())
 		server.Close()
 	}
 }
 
-// Errors that reach the operator through an answer.
+// The texts of these errors are sent to operators in responses and must not change.
 func TestGoldenErrors(t *testing.T) {
 	golden(t, "errors", fmt.Sprintf("%v\n%v\n%v\n", ErrUnknownServer, ErrUnknownZone, ErrBusy))
 }
--- a/internal/admin/listener.go
+++ b/internal/admin/listener.go
@@ -8,9 +8,9 @@
 	"sync/atomic"
 )
 
-// boundedListener bounds the connections. One that is beyond the bound takes the place of one whose response was
-// written, or else of the one that has gone without a whole request for longest, so that callers that say nothing keep
-// nobody out.
+// boundedListener limits the number of connections. A connection beyond the limit replaces one whose response has been
+// written, or else the oldest one whose request has not been read completely, so that clients that send nothing do not
+// block other clients.
 type boundedListener struct {
 	net.Listener
 	maxConnections int
@@ -18,18 +18,19 @@
 	connections    []*connection // in the order in which they were accepted
 }
 
-// connection is one caller's.
+// connection is the connection of one client.
 type connection struct {
 	net.Conn
 	listener    *boundedListener
-	requestRead atomic.Bool // the whole request was read
-	answered    atomic.Bool // the whole response was written
+	requestRead atomic.Bool // the request has been read completely
+	answered    atomic.Bool // the response has been written completely
 }
 
-// connectionKey finds a request's connection in its context.
+// connectionKey is the context key of a request's connection.
 type connectionKey struct{}
 
-// markRequestRead notes that a request was read whole: from now on its connection gives way to no other.
+// markRequestRead records that a request has been read completely. Its connection is not evicted any more until the
+// response has been written.
 func markRequestRead(request *http.Request) {
 	c, ok := request.Context().Value(connectionKey{}).(*connection)
 	if ok {
@@ -52,8 +53,9 @@
 	}
 }
 
-// admit takes a connection in, if there is room for it. Beyond the bound there is room where another gives way, or
-// while fewer than twice as many are open: those whose request was read are answered within a second.
+// admit adds a connection if there is capacity for it. At or above the limit there is capacity if another connection
+// can be evicted, or while less than twice the limit are open: those whose request has been read are answered within a
+// second.
 func (l *boundedListener) admit(c *connection) bool {
 	l.mu.Lock()
 	var evicted *connection
@@ -66,13 +68,14 @@
 	}
 	l.mu.Unlock()
 	if evicted != nil {
-		evicted.Close() // takes the lock
+		evicted.Close() // acquires the lock
 	}
 	return admitted
 }
 
-// evictable returns the oldest connection that was answered (the HTTP server holds it open for half a second, lest a
-// reset cut the response), else the oldest without a whole request; nil: there is neither. The caller holds mu.
+// evictable returns the oldest answered connection, which the HTTP server keeps open for half a second so that a reset
+// does not cut off the response. If there is none, it returns the oldest connection whose request has not been read
+// completely, or nil. The caller must hold mu.
 func (l *boundedListener) evictable() *connection {
 	var waiting *connection
 	for _, c := range l.connections {
@@ -86,7 +89,7 @@
 	return waiting
 }
 
-// CloseWrite is called by the HTTP server once a response was written.
+// CloseWrite is called by the HTTP server when a response has been written.
 func (c *connection) CloseWrite() error {
 	c.answered.Store(true)
 	conn, ok := c.Conn.(*net.TCPConn)
@@ -96,7 +99,7 @@
 	return conn.CloseWrite()
 }
 
-// Close releases the connection's place. It may be called more than once.
+// Close closes the connection and frees its slot. It may be called more than once.
 func (c *connection) Close() error {
 	l := c.listener
 	l.mu.Lock()
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -12,14 +12,14 @@
 )
 
 const (
-	maxBodyBytes = 1 << 10 // a name, and white space around it
-	maxNameBytes = 256     // of a server's id or a zone's name
+	maxBodyBytes = 1 << 10 // a name with white space around it
+	maxNameBytes = 256     // of the id of a server or the name of a zone
 
 	plainText = "text/plain; charset=utf-8"
 	jsonText  = "application/json"
 )
 
-// routes maps the admin server's paths to the handler's methods.
+// routes returns a mux that maps the paths of the admin server to the methods of the handler.
 func routes(h Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", readyRoute(h))
@@ -66,7 +66,7 @@
 	}
 }
 
-// zonesRoute shows all zones: as JSON to a caller that accepts it, else as a table for people.
+// zonesRoute returns all zones: as JSON to a client that accepts it, otherwise as a text table.
 func zonesRoute(h Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
@@ -95,38 +95,40 @@
 	table.Flush()
 }
 
-// nameActionRoute serves a request whose body names something; what says to the caller what that is.
-func nameActionRoute(what string, do func(name string) error) http.HandlerFunc {
+// nameActionRoute handles a request whose body is a name, by an action on it. In error texts subject is what the name
+// identifies.
+func nameActionRoute(subject string, action func(name string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
 		markRequestRead(request)
 		name := strings.TrimSpace(string(body))
 		switch {
 		case err != nil || len(name) > maxNameBytes:
-			writeText(w, http.StatusBadRequest, "the body is too long for the "+what+", or did not come")
+			writeText(w, http.StatusBadRequest, "the body is too long for the "+subject+", or did not come")
 		case !validName(name):
-			writeText(w, http.StatusBadRequest, "the body is to be the "+what+", as the list has it")
+			writeText(w, http.StatusBadRequest, "the body is to be the "+subject+", as the list has it")
 		default:
-			writeResult(w, do(name))
+			writeResult(w, action(name))
 		}
 	}
 }
 
-// validName reports whether a text can be a name of the list: one word of UTF-8 without control characters.
+// validName reports whether a text can be a name in the endpoint list: one word of valid UTF-8 without control
+// characters.
 func validName(name string) bool {
 	invalid := func(c rune) bool { return c <= ' ' || c == 0x7f || c == utf8.RuneError }
 	return name != "" && !strings.ContainsFunc(name, invalid)
 }
 
-// actionRoute serves a request without a body; one that comes is not read.
-func actionRoute(do func() error) http.HandlerFunc {
+// actionRoute handles a request by an action. The body of the request is not read.
+func actionRoute(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
-		writeResult(w, do())
+		writeResult(w, action())
 	}
 }
 
-// writeResult answers with how an action went.
+// writeResult writes the result of an action.
 func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -14,7 +14,7 @@
 
 const (
 	maxHeaderBytes      = 4 << 10
-	requestTimeout      = 5 * time.Second // for a request to be read, and for its response to be written
+	requestTimeout      = 5 * time.Second // for reading a request, and for writing its response
 	listenRetryInterval = 200 * time.Millisecond
 )
 
@@ -28,8 +28,8 @@
 	once           sync.Once // of Close
 }
 
-// Start listens at an address, and calls the handler for at most maxConnections connections at once. If another process
-// holds the address, as during a hot restart, it is tried until it is free, and Start returns meanwhile.
+// Start listens at an address and serves at most maxConnections connections at a time by calls of the handler. If the
+// address is in use, as during a hot restart, Start returns and the server retries in the background until it is free.
 func Start(addr string, maxConnections int, handler Handler, log zerolog.Logger) *Server {
 	s := &Server{addr: addr, maxConnections: maxConnections, log: log, closed: make(chan struct{})}
 	s.http = &http.Server{
@@ -53,7 +53,7 @@
 	return s
 }
 
-// retryListen tries to listen until it succeeds or the server is closed.
+// retryListen retries to listen until it succeeds or the server is closed.
 func (s *Server) retryListen() {
 	for {
 		select {
@@ -79,7 +79,7 @@
 	}
 }
 
-// Close stops listening and closes all connections, also those whose request is being handled.
+// Close stops listening and closes all connections, including those whose request is being handled.
 func (s *Server) Close() {
 	s.once.Do(func() { close(s.closed) })
 	s.http.Close()
--- a/internal/admin/server_test.go
+++ b/internal/admin/server_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fixedHandler answers every action with the same error.
+// fixedHandler returns the same error for every action.
 type fixedHandler struct{ err error }
 
 func (h fixedHandler) Ready() bool     { return h.err == nil }
@@ -30,26 +30,27 @@
 func (h fixedHandler) Drain() error               { return h.err }
 func (h fixedHandler) Undrain() error             { return h.err }
 
-// ask sends a request and returns the answer with its status; one that is not answered within a second is an error.
-func ask(addr, call, body string) string {
+// statusAndBody sends a request and returns the status, the Allow header and the body of the response. If there is none
+// within a second, it returns the error.
+func statusAndBody(addr, call, body string) string {
 	method, path, _ := strings.Cut(call, " ")
 	request, _ := http.NewRequest(method, "http://"+addr+path, strings.NewReader(body))
-	answer, err := (&http.Client{Timeout: time.Second}).Do(request)
+	response, err := (&http.Client{Timeout: time.Second}).Do(request)
 	if err != nil {
 		return err.Error()
 	}
-	defer answer.Body.Close()
-	text, _ := io.ReadAll(answer.Body)
-	return fmt.Sprint(answer.StatusCode, " ", answer.Header.Get("Allow"), string(text))
+	defer response.Body.Close()
+	text, _ := io.ReadAll(response.Body)
+	return fmt.Sprint(response.StatusCode, " ", response.Header.Get("Allow"), string(text))
 }
 
-// fillConnections opens 60 connections, more than there may be, that say nothing or stop midway.
+// fillConnections opens 60 connections, more than the limit, that send nothing or an incomplete request.
 func fillConnections(addr string) (connections []net.Conn) {
 	unfinished := []string{"", "GET /rea", "POST /drain HTTP/1.1\r\nHost: x\r\nContent-Length: 9\r\n\r\nab"}
 	for i := 0; len(connections) < 60 && i < 200; i++ {
 		conn, err := net.Dial("tcp", addr)
 		if err != nil {
-			time.Sleep(20 * time.Millisecond) // the server listens once the address is free
+			time.Sleep(20 * time.Millisecond) // the server does not listen until the address is free
 			continue
 		}
 		fmt.Fprint(conn, unfinished[i%3])
@@ -58,9 +59,9 @@
 	return connections
 }
 
-// Requests are answered within a second, beside more connections than there may be that say nothing or stop midway,
-// and more of them in a row than there may be connections; what is no request of the server's is declined clearly. The
-// address may be another process's at first.
+// Requests are answered within a second, even if clients hold more connections than the limit and send nothing or an
+// incomplete request there, and even if more requests follow each other than the limit allows connections. Invalid
+// requests are rejected with a clear text. Another process may hold the address at first.
 func TestRequestsBesideStalledConnections(t *testing.T) {
 	for _, c := range []struct {
 		err              error
@@ -97,7 +98,7 @@
 		held.Close()
 		connections := fillConnections(addr)
 		for range 30 {
-			if got := ask(addr, c.call, c.body); !strings.HasPrefix(got, c.want) {
+			if got := statusAndBody(addr, c.call, c.body); !strings.HasPrefix(got, c.want) {
 				t.Errorf("%s %.20q: got %q, want %q", c.call, c.body, got, c.want)
 				break
 			}
--- a/internal/hotrestart/doc.go
+++ b/internal/hotrestart/doc.go
@@ -1,25 +1,25 @@
-// Package hotrestart lets one process of a router follow another without refusing a client: the successor gets the
-// sockets that clients connect to, and the state that the predecessor knows, over a Unix socket in a folder that both
-// can reach.
+// Package hotrestart replaces a process of a router by another without refusing a client. The successor process gets
+// the listening sockets and the state of the predecessor process over a Unix socket in a directory that both can
+// access.
 //
-// The protocol, version 1, a connection for each successor, lines that end in a line feed:
+// The protocol, version 1, uses one connection for each successor, and lines that end with a line feed:
 //
 //	successor:   bendtrestle 1 listens
 //	predecessor: sockets ADDRESS...       with a descriptor for each address, in this order, in the same message
-//	predecessor: state LENGTH             and so many bytes; left out where the state is too long
-//	successor:   serving                  once it accepts clients; the predecessor then accepts no more
+//	predecessor: state LENGTH             followed by LENGTH bytes; omitted if the state is too long
+//	successor:   serving                  when it accepts clients; the predecessor then stops accepting
 //
-// The end of the connection tells either side that the other process has ended. A predecessor whose successor ends
-// accepts clients again, unless another process has followed. A process of another build or another user is no
-// predecessor: the new process then shares the address as if there were none.
+// When the connection ends, the other process has ended. A predecessor whose successor has ended accepts clients again,
+// unless another process has taken over meanwhile. A process with another protocol version or of another user is not
+// used as a predecessor: the new process then shares the address as if there were no other process.
 //
-// Takeover is called by the process that starts, Listen by one that serves. Both processes may be of different builds:
-// the words above and the files' names never change.
+// Takeover is called by a process that starts, Listen by a process that serves. The two processes may be of different
+// builds, so the words above and the names of the files must never change.
 //
 // Files:
 //
-//	path.go         names of the files that a router's processes share
-//	protocol.go     the words and bounds of the protocol, and who may speak it
+//	path.go         names of the files that the processes of a router share
+//	protocol.go     words, limits and errors of the protocol, and the check of the peer's user
 //	predecessor.go  the successor's side
 //	listener.go     the predecessor's side
 package hotrestart
--- a/internal/hotrestart/golden_test.go
+++ b/internal/hotrestart/golden_test.go
@@ -15,9 +15,10 @@
 	"golang.org/x/sys/unix"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden with the output of the current code")
 
-// golden compares a text with a file that the build of 15122f5 wrote, and returns what the file holds.
+// golden compares a text with a golden file and returns the text of the file. The golden files were recorded with the
+// build of commit 15122f5.
 func golden(t *testing.T, name, got string) string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -32,12 +33,12 @@
 	}
 	want := strings.TrimSuffix(string(text), "\n")
 	if got != want {
-		t.Errorf("%s:\n got %q\nwant %q", name, got, want)
+		t.Errorf("%s: got\n%q\nwant\n%q", name, got, want)
 	}
 	return want
 }
 
-// Both processes find the router's files by the address that clients connect to.
+// A predecessor and a successor of different builds must find the same files by the address that clients connect to.
 func TestGoldenPaths(t *testing.T) {
 	var names []string
 	for _, ending := range []string{"out", "zones", "sock"} {
@@ -46,8 +47,8 @@
 	golden(t, "paths", strings.Join(names, "\n"))
 }
 
-// What a process that serves says to one of another build: the line with the sockets' addresses, which has the sockets
-// with it, and the state behind its length.
+// The bytes that a serving process sends to a successor of another build must not change: the line with the addresses
+// of the sockets, sent with the sockets, and the state behind its length.
 func TestGoldenServingProcess(t *testing.T) {
 	process := fakeHandler{[]byte(`{"some":"state"}`), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
@@ -65,43 +66,44 @@
 	fmt.Fprint(conn, "bendtrestle 1 listens\n")
 	line := make([]byte, 4096)
 	rights := make([]byte, unix.CmsgSpace(4*64))
-	n, m, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(line, rights)
+	lineLength, rightsLength, _, _, err := conn.(*net.UnixConn).ReadMsgUnix(line, rights)
 	if err != nil {
 		t.Fatal(err)
 	}
-	messages, err := unix.ParseSocketControlMessage(rights[:m])
+	messages, err := unix.ParseSocketControlMessage(rights[:rightsLength])
 	if err != nil || len(messages) != 1 {
-		t.Fatalf("%d messages, %v", len(messages), err)
+		t.Fatalf("got %d control messages, %v; want 1", len(messages), err)
 	}
 	descriptors, err := unix.ParseUnixRights(&messages[0])
 	if err != nil || len(descriptors) != 1 {
-		t.Fatalf("sockets %v, %v", descriptors, err)
+		t.Fatalf("got descriptors %v, %v; want 1", descriptors, err)
 	}
 	unix.Close(descriptors[0])
-	said := string(line[:n])
+	sent := string(line[:lineLength])
 	reader := bufio.NewReader(conn)
-	for !strings.HasSuffix(said, "}") {
+	for !strings.HasSuffix(sent, "}") {
 		next, err := reader.ReadByte()
 		if err != nil {
-			t.Fatalf("%q: %v", said, err)
+			t.Fatalf("after %q: %v, want the complete state", sent, err)
 		}
-		said += string(next)
+		sent += string(next)
 	}
-	golden(t, "serving-process", said)
+	golden(t, "serving-process", sent)
 	if got := receive(process.calls); got != "started" {
-		t.Errorf("the handler's call is %q", got)
+		t.Errorf("got handler call %q, want started", got)
 	}
 	fmt.Fprint(conn, "serving\n")
 	if got := receive(process.calls); got != "serving" {
-		t.Errorf("the handler's call is %q", got)
+		t.Errorf("got handler call %q, want serving", got)
 	}
 	conn.Close()
 	if got := receive(process.calls); got != "ended true" {
-		t.Errorf("the handler's call is %q", got)
+		t.Errorf("got handler call %q, want ended true", got)
 	}
 }
 
-// What a process that starts says to one of another build, and how it takes what that one says.
+// The bytes that a starting process sends to a predecessor of another build must not change, and it must accept the
+// bytes that such a predecessor sends.
 func TestGoldenStartingProcess(t *testing.T) {
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
 	listener, err := net.ListenUnix("unix", &net.UnixAddr{Name: path, Net: "unix"})
@@ -109,11 +111,11 @@
 		t.Fatal(err)
 	}
 	defer listener.Close()
-	said := make(chan string, 1)
+	sent := make(chan string, 1)
 	go func() {
 		conn, err := listener.AcceptUnix()
 		if err != nil {
-			said <- err.Error()
+			sent <- err.Error()
 			return
 		}
 		defer conn.Close()
@@ -128,7 +130,7 @@
 		conn.WriteMsgUnix([]byte("sockets 127.0.0.1:11211 127.0.0.1:11212\n"), unix.UnixRights(descriptors...), nil)
 		fmt.Fprint(conn, "state 16\n{\"some\":\"state\"}")
 		serving, _ := in.ReadString('\n')
-		said <- hello + serving
+		sent <- hello + serving
 	}()
 	predecessor, sockets, err := Takeover(path)
 	if err != nil {
@@ -136,13 +138,13 @@
 	}
 	defer predecessor.Close()
 	if len(sockets) != 2 || string(predecessor.State) != `{"some":"state"}` {
-		t.Errorf("took %v with %q", sockets, predecessor.State)
+		t.Errorf("got sockets %v and state %q, want 2 sockets and the complete state", sockets, predecessor.State)
 	}
 	for _, addr := range []string{"127.0.0.1:11211", "127.0.0.1:11212"} {
-		if descriptor, there := sockets[addr]; !there || unix.Close(descriptor) != nil {
-			t.Errorf("no socket of %s", addr)
+		if descriptor, found := sockets[addr]; !found || unix.Close(descriptor) != nil {
+			t.Errorf("got no open socket of %s", addr)
 		}
 	}
 	predecessor.NotifyServing()
-	golden(t, "starting-process", receive(said))
+	golden(t, "starting-process", receive(sent))
 }
--- a/internal/hotrestart/hotrestart_test.go
+++ b/internal/hotrestart/hotrestart_test.go
@@ -14,7 +14,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// receive returns the receive value, or the zero value if none comes.
+// receive returns the next value from a channel, or the zero value if there is none within 3 s.
 func receive[T any](from chan T) (value T) {
 	select {
 	case value = <-from:
@@ -23,36 +23,37 @@
 	return value
 }
 
-// A folder that is not there gives no path.
+// There is no path in a directory that does not exist.
 func TestPathWithoutDirectory(t *testing.T) {
 	if Path("", "a", "out") != "" || Path("/nowhere", "a", "out") != "" {
-		t.Error("a folder that is not there gives a path")
+		t.Error("got a path in a missing directory, want none")
 	}
 }
 
-// fakeHandler is a process that serves.
+// fakeHandler is the SuccessorHandler of a serving process.
 type fakeHandler struct {
 	state []byte
-	calls chan string // those of the successors, in order
+	calls chan string // calls for successors, in order
 }
 
-func (r fakeHandler) Sockets() map[string]int {
+func (h fakeHandler) Sockets() map[string]int {
 	descriptor, _ := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_CLOEXEC, 0)
 	return map[string]int{"127.0.0.1:11211": descriptor}
 }
-func (r fakeHandler) State() []byte     { return r.state }
-func (r fakeHandler) Started()          { r.calls <- "started" }
-func (r fakeHandler) Serving()          { r.calls <- "serving" }
-func (r fakeHandler) Ended(served bool) { r.calls <- fmt.Sprint("ended ", served) }
+func (h fakeHandler) State() []byte     { return h.state }
+func (h fakeHandler) Started()          { h.calls <- "started" }
+func (h fakeHandler) Serving()          { h.calls <- "serving" }
+func (h fakeHandler) Ended(served bool) { h.calls <- fmt.Sprint("ended ", served) }
 
-// Sockets and a state larger than any buffer go over, and what becomes of the successor is told, whenever it ends.
-// What is no process of a router is not answered and holds nobody up; a path that was left over is no predecessor.
+// The sockets and a state larger than any buffer are transferred, and the handler is notified of the successor's
+// progress, whether it ends before or after it serves. A client that is not a router process gets no reply and does not
+// block others. A file left over at the path is not a predecessor.
 func TestTakeover(t *testing.T) {
 	process := fakeHandler{bytes.Repeat([]byte("state"), 200000), make(chan string, 10)}
 	path := Path(t.TempDir(), "127.0.0.1:11211", "sock")
 	os.WriteFile(path, nil, 0o600)
 	if _, _, err := Takeover(path); err == nil {
-		t.Error("a file that is no socket is taken for a process")
+		t.Error("got no error for a file that is not a socket, want one")
 	}
 	listener, err := Listen(path, process, zerolog.Nop())
 	if err != nil {
@@ -63,7 +64,7 @@
 		conn.SetDeadline(time.Now().Add(3 * time.Second))
 		conn.Write([]byte(text))
 		if n, err := conn.Read(make([]byte, 1)); n > 0 || os.IsTimeout(err) {
-			t.Errorf("%.20q is answered, or held: %v", text, err)
+			t.Errorf("%.20q: got a reply or a timeout, %v; want the connection closed", text, err)
 		}
 	}
 	for _, serves := range []bool{false, true} {
@@ -73,7 +74,8 @@
 		}
 		descriptor, found := sockets["127.0.0.1:11211"]
 		if !found || unix.Close(descriptor) != nil || !bytes.Equal(predecessor.State, process.state) {
-			t.Errorf("sockets %v and %d bytes of state came", sockets, len(predecessor.State))
+			t.Errorf("got sockets %v and %d bytes of state, want one open socket and the handler's state",
+				sockets, len(predecessor.State))
 		}
 		want := []string{"started", "ended false"}
 		if serves {
@@ -84,22 +86,22 @@
 		predecessor.Close()
 		for _, call := range want {
 			if got := receive(process.calls); got != call {
-				t.Errorf("the handler's call is %q, want %q", got, call)
+				t.Errorf("got handler call %q, want %q", got, call)
 			}
 		}
 	}
 	listener.Close()
 	if _, err := os.Stat(path); err == nil {
-		t.Error("the path stays")
+		t.Error("the socket is still at the path after Close")
 	}
 	if _, err := Listen("/tmp/"+strings.Repeat("d", 100), process, zerolog.Nop()); err == nil {
-		t.Error("a path that is too long is no error")
+		t.Error("got no error for a path that is too long, want one")
 	}
 }
 
-// A file system may give the inode number of a file that is gone to the next one. A listener that is closed a second
-// time must then not take the file that another process has put at the path for its own. Here the other's has the
-// number that its own had.
+// A file system may reuse the inode number of a removed file for the next one. A listener that is closed a second time
+// must then not remove the socket that another process has created at the path. Here that socket has the inode number
+// that the listener's own one had.
 func TestSecondCloseKeepsOtherProcessSocket(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "sock")
 	first, err := Listen(path, nil, zerolog.Nop())
@@ -115,6 +117,6 @@
 	first.file = second.file
 	first.Close()
 	if _, err := os.Stat(path); err != nil {
-		t.Errorf("the other's path is gone: %v", err)
+		t.Errorf("the socket of the other process was removed: %v", err)
 	}
 }
--- a/internal/hotrestart/listener.go
+++ b/internal/hotrestart/listener.go
@@ -15,36 +15,38 @@
 )
 
 const (
-	// maxSuccessors bounds the processes that may ask at once: one takes over, others may try.
+	// maxSuccessors is the maximum number of concurrent successor connections: one process takes over, others may try.
 	maxSuccessors = 3
-	// otherListenerPollInterval is between two looks for a process that has followed the successor.
+	// otherListenerPollInterval is the interval between two checks whether another process listens in place of the
+	// successor.
 	otherListenerPollInterval = 100 * time.Millisecond
 	maxHelloLine              = 64 // bytes
 )
 
-// SuccessorHandler gives successors what they need and is notified of what becomes of them. The methods are called
-// from a goroutine for each successor, in the order Sockets, State, Started, Serving where it comes to that, Ended.
-// They may wait.
+// SuccessorHandler provides the sockets and the state for successors, and is notified of their progress. The methods
+// are called from one goroutine for each successor, in the order Sockets, State, Started, Serving (only if the
+// successor reaches it), Ended. They may block.
 type SuccessorHandler interface {
-	// Sockets returns the descriptors of the listening sockets, by address. The listener owns them, and closes them once
-	// the successor has ended. With none of them the successor is not answered.
+	// Sockets returns the descriptors of the listening sockets, by address. The Listener owns them, and closes them when
+	// the successor has ended. If there are none, the successor gets no reply.
 	Sockets() map[string]int
-	// State returns what this process knows, in a form of the service's; it is left out where it is longer than
+	// State returns the state of this process, in the format of package service. It is not sent if it is longer than
 	// maxStateSize.
 	State() []byte
-	// Started: the successor has the sockets, and runs beside this process.
+	// Started is called when the successor has the sockets. It runs beside this process from now on.
 	Started()
-	// Serving: the successor accepts clients from now on.
+	// Serving is called when the successor accepts clients.
 	Serving()
-	// Ended: the successor has ended, and no other process has followed it. Served reports whether Serving was called.
+	// Ended is called when the successor has ended and no other process listens in its place. served reports whether
+	// Serving was called.
 	Ended(served bool)
 }
 
-// Listener waits at a path for successors of this process.
+// Listener listens at a path for successors of this process.
 type Listener struct {
 	listener *net.UnixListener
 	path     string
-	file     os.FileInfo // of the path, as long as it is this process's
+	file     os.FileInfo // of the socket that this process created at the path
 	handler  SuccessorHandler
 	log      zerolog.Logger
 
@@ -53,7 +55,8 @@
 	closed      bool
 }
 
-// Listen takes the path over from the process that listened there, and calls the handler from then on.
+// Listen replaces the socket of the process that has listened at the path, and calls the handler for successors that
+// connect there from then on.
 func Listen(path string, handler SuccessorHandler, log zerolog.Logger) (*Listener, error) {
 	if path == "" {
 		return nil, ErrNoDirectory
@@ -85,13 +88,14 @@
 	return l, nil
 }
 
-// Close ends the listening and the successors' connections. The path stays if another process has taken it over.
+// Close stops listening and closes the connections of successors. It does not remove the socket at the path if that is
+// another process's.
 func (l *Listener) Close() {
 	l.mu.Lock()
-	again := l.closed
+	alreadyClosed := l.closed
 	l.closed = true
 	l.mu.Unlock()
-	if again { // the file at the path is another's by now, even if it has the inode number that this one's had
+	if alreadyClosed { // a file at the path is another process's, even if it has the inode number that this one's had
 		return
 	}
 	present, err := os.Stat(l.path)
@@ -120,7 +124,7 @@
 	}
 }
 
-// register takes a connection in; false: there are too many.
+// register adds a connection. It returns false if there are too many.
 func (l *Listener) register(conn net.Conn) bool {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -138,7 +142,7 @@
 	conn.Close()
 }
 
-// serveSuccessor serves one successor until it ends.
+// serveSuccessor handles one successor until it ends.
 func (l *Listener) serveSuccessor(conn *net.UnixConn) {
 	defer l.release(conn)
 	conn.SetDeadline(time.Now().Add(replyTimeout))
@@ -157,20 +161,20 @@
 	served := readLine(in, servingLine)
 	if served {
 		l.handler.Serving()
-		in.ReadByte() // returns at its end
+		in.ReadByte() // returns when the successor ends
 		l.waitWhileOtherListens()
 	}
 	l.handler.Ended(served)
 }
 
-// readLine reads a line, and reports whether it is the one that is wanted.
+// readLine reads a line and reports whether it is the expected one.
 func readLine(in *bufio.Reader, want string) bool {
 	line, err := in.ReadSlice('\n')
 	return err == nil && strings.TrimSpace(string(line)) == want
 }
 
-// sendSockets sends the addresses and the sockets; false: there are none or too many, or the successor does not take
-// them.
+// sendSockets sends the addresses and the sockets. It returns false if there are none or too many, or if they cannot be
+// sent.
 func sendSockets(conn *net.UnixConn, sockets map[string]int) bool {
 	line := socketsWord
 	var descriptors []int
@@ -198,7 +202,8 @@
 	}
 }
 
-// waitWhileOtherListens returns once no other process listens at the path: as long as one does, it has the clients.
+// waitWhileOtherListens returns when no other process listens at the path. While one does, that process accepts the
+// clients.
 func (l *Listener) waitWhileOtherListens() {
 	for l.otherProcessListens() {
 		time.Sleep(otherListenerPollInterval)
--- a/internal/hotrestart/path.go
+++ b/internal/hotrestart/path.go
@@ -7,12 +7,13 @@
 	"path/filepath"
 )
 
-// Path names a file that the processes of a router share, in a folder that all of them can reach: by the address that
-// the router's clients connect to, and an ending for the file's use. It is empty where there is no such folder.
-func Path(folder, listen, ending string) string {
-	info, err := os.Stat(folder)
-	if folder == "" || err != nil || !info.IsDir() {
+// Path returns the path of a file that the processes of a router share, in a directory that all of them can access. The
+// name of the file depends on the address that clients connect to; its extension is for the use of the file. Path
+// returns "" if the directory does not exist.
+func Path(dir, listenAddr, extension string) string {
+	info, err := os.Stat(dir)
+	if dir == "" || err != nil || !info.IsDir() {
 		return ""
 	}
-	return filepath.Join(folder, fmt.Sprintf("bendtrestle-%08x.%s", crc32.ChecksumIEEE([]byte(listen)), ending))
+	return filepath.Join(dir, fmt.Sprintf("bendtrestle-%08x.%s", crc32.ChecksumIEEE([]byte(listenAddr)), extension))
 }
--- a/internal/hotrestart/predecessor.go
+++ b/internal/hotrestart/predecessor.go
@@ -13,15 +13,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// Predecessor is the process that serves so far, as its successor sees it.
+// Predecessor is the connection of a successor to its predecessor process.
 type Predecessor struct {
-	State []byte // what it knows, in the service's form; empty: it sent none
+	State []byte // the predecessor's state, in the format of package service; empty: it sent none
 	conn  *net.UnixConn
 }
 
-// Takeover asks the process that serves, if there is one, for its listening sockets, and returns their descriptors by
-// address. The caller owns the descriptors and closes the Predecessor. An error means that there is none to take over
-// from: no process listens at the path, or one of another user (ErrOtherUser) or another protocol (ErrProtocol).
+// Takeover requests the listening sockets of the process that serves, and returns their descriptors by address. The
+// caller owns the descriptors and must close the Predecessor. An error means that there is no process to take over
+// from: none listens at the path, or the one that does belongs to another user (ErrOtherUser) or uses another protocol
+// (ErrProtocol).
 func Takeover(path string) (*Predecessor, map[string]int, error) {
 	if path == "" {
 		return nil, nil, ErrNoDirectory
@@ -39,7 +40,7 @@
 	return &Predecessor{State: state, conn: conn}, sockets, nil
 }
 
-// handshake says hello and reads the sockets and the state.
+// handshake sends the hello line and receives the sockets and the state.
 func handshake(conn *net.UnixConn) (sockets map[string]int, state []byte, err error) {
 	if !ownedByThisUser(conn) {
 		return nil, nil, ErrOtherUser
@@ -64,8 +65,8 @@
 	return sockets, readState(bufio.NewReader(io.MultiReader(bytes.NewReader(rest), conn))), nil
 }
 
-// receiveSockets pairs the addresses of the line with the descriptors that came with it. On an error it closes them
-// all.
+// receiveSockets returns the descriptors that were received with a line by the addresses in that line. On an error it
+// closes all of them.
 func receiveSockets(line string, rights []byte) (map[string]int, error) {
 	descriptors, err := receiveDescriptors(rights)
 	words := strings.Fields(line)
@@ -87,7 +88,7 @@
 	return sockets, nil
 }
 
-// receiveDescriptors returns all descriptors of a message, also where it has an error beside.
+// receiveDescriptors returns all descriptors of a message, even those of a message that also has an error.
 func receiveDescriptors(rights []byte) (descriptors []int, err error) {
 	messages, err := unix.ParseSocketControlMessage(rights)
 	for _, message := range messages {
@@ -98,7 +99,7 @@
 	return descriptors, err
 }
 
-// readState reads the predecessor's state; nil where it does not come whole.
+// readState reads the predecessor's state. It returns nil if the state is missing, too long or incomplete.
 func readState(in *bufio.Reader) []byte {
 	var length int
 	_, err := fmt.Fscanf(in, stateWord+" %d\n", &length)
@@ -113,11 +114,11 @@
 	return state
 }
 
-// NotifyServing tells the predecessor that this process accepts clients from now on.
+// NotifyServing notifies the predecessor that this process accepts clients from now on.
 func (p *Predecessor) NotifyServing() { fmt.Fprintln(p.conn, servingLine) }
 
-// WaitForExit returns once the predecessor has ended, or after Close.
+// WaitForExit returns when the predecessor has ended, or after Close.
 func (p *Predecessor) WaitForExit() { p.conn.Read(make([]byte, 1)) }
 
-// Close ends the connection; the predecessor takes it for the end of this process.
+// Close closes the connection. The predecessor treats that as the end of this process.
 func (p *Predecessor) Close() { p.conn.Close() }
--- a/internal/hotrestart/protocol.go
+++ b/internal/hotrestart/protocol.go
@@ -13,28 +13,28 @@
 const (
 	helloLine   = "bendtrestle 1 listens"
 	servingLine = "serving"
-	socketsWord = "sockets" // before the addresses of the sockets that come with the line
-	stateWord   = "state"   // before the length of the state
+	socketsWord = "sockets" // followed by the addresses of the sockets that are sent with the line
+	stateWord   = "state"   // followed by the length of the state
 )
 
 const (
-	replyTimeout = time.Second // for the other process, on the same machine, to reply
-	maxStateSize = 4 << 20     // bytes; the list of ten thousand servers
-	maxSockets   = 64          // that are passed on
+	replyTimeout = time.Second // for a reply of the other process, which is on the same machine
+	maxStateSize = 4 << 20     // bytes; enough for the endpoint list of ten thousand servers
+	maxSockets   = 64          // sockets that are passed to a successor
 
-	// maxSocketsLine bounds the line with the sockets' addresses, in bytes.
+	// maxSocketsLine is the maximum length of the line with the addresses of the sockets, in bytes.
 	maxSocketsLine = maxSockets*64 + 256
 )
 
 // Errors of Takeover and Listen.
 var (
-	ErrNoDirectory = errors.New("there is no folder for a socket")
-	ErrOtherUser   = errors.New("the process before is another user's")
-	// ErrProtocol: the predecessor is of a build that speaks another version.
-	ErrProtocol = errors.New("the process before speaks otherwise")
+	ErrNoDirectory = errors.New("the directory for the hot restart socket is missing or not configured")
+	ErrOtherUser   = errors.New("the predecessor process belongs to another user")
+	// ErrProtocol means that the predecessor is of a build with another version of the protocol.
+	ErrProtocol = errors.New("the predecessor process uses another hot restart protocol")
 )
 
-// ownedByThisUser reports whether the process at the other side is this user's.
+// ownedByThisUser reports whether the peer process runs as the same user as this process.
 func ownedByThisUser(conn *net.UnixConn) bool {
 	raw, err := conn.SyscallConn()
 	if err != nil {
--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -168,7 +168,7 @@
 		"closed while nothing is read":           {170000, 0, closeConn, false},
 		"closed while the sink has no room":      {170000, 90000, closeConn, false},
 		"closed while the rest is buffered":      {80000, 79000, closeConn, false},
-		"half-closed":                            {170000, 0, func(conn *net.TCPConn) { conn.CloseWrite() }, false},
+		"half-closed by the server":              {170000, 0, func(conn *net.TCPConn) { conn.CloseWrite() }, false},
 		"closed, in one iteration with the rest": {100000, 50000, closeConn, true},
 		"reset while nothing is read":            {70000, 0, resetConn, false},
 		"reset while the rest is buffered":       {80000, 79000, resetConn, false},
