--- a/internal/admin/handler.go
+++ b/internal/admin/handler.go
@@ -14,7 +14,7 @@
 	// DisableServer stops requests to a cache server until EnableServer.
 	DisableServer(id string) error
 	EnableServer(id string) error
-	// Drain makes the router refuse clients until Undrain.
+	// Drain makes the router close the connections of its clients, until Undrain.
 	Drain() error
 	Undrain() error
 	// Status returns the progress of the router's start.
--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -19,7 +19,7 @@
 	jsonText  = "application/json"
 )
 
-// routes returns a mux that maps the paths of the admin server to the methods of the handler.
+// routes returns an HTTP handler that maps the paths of the admin server to the methods of h.
 func routes(h Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", readyRoute(h))
@@ -95,8 +95,8 @@
 	table.Flush()
 }
 
-// nameActionRoute handles a request whose body is a name, by an action on it. In error texts subject is what the name
-// identifies.
+// nameActionRoute returns an HTTP handler that runs an action on the name in the body of a request. subject is what the
+// name identifies, for error texts.
 func nameActionRoute(subject string, action func(name string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
@@ -120,7 +120,7 @@
 	return name != "" && !strings.ContainsFunc(name, invalid)
 }
 
-// actionRoute handles a request by an action. The body of the request is not read.
+// actionRoute returns an HTTP handler that runs an action. It does not read the body of the request.
 func actionRoute(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -14,7 +14,7 @@
 // WatchStart is the initial state of a watch.
 type WatchStart struct {
 	Generation  uint64 // of the last known list
-	SameService bool   // that list is from the same list service, so that changes since then are sufficient
+	SameService bool   // the last list is from the watched service, so that a delta to it is sufficient
 	Schedule    pollschedule.Schedule
 }
 
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -294,8 +294,7 @@
 	}
 }
 
-// A hanging poll ends with its lifetime while all other polls are rejected at once, which would otherwise never abandon
-// it.
+// A hanging poll ends with its lifetime. While all other polls are rejected at once, nothing else would end it.
 func TestHangingPollEndsWhileOthersAreRejected(t *testing.T) {
 	service := watchManualService(t, watchSince41(pollschedule.ForLocalAgent(0.1, 1)))
 	first := receive(t, "poll", service.polls)
--- a/internal/hotrestart/path.go
+++ b/internal/hotrestart/path.go
@@ -8,8 +8,8 @@
 )
 
 // Path returns the path of a file that the processes of a router share, in a directory that all of them can access. The
-// name of the file depends on the address that clients connect to; its extension is for the use of the file. Path
-// returns "" if the directory does not exist.
+// name of the file is derived from the address that clients connect to; its extension tells the files of a router
+// apart. Path returns "" if the directory does not exist.
 func Path(dir, listenAddr, extension string) string {
 	info, err := os.Stat(dir)
 	if dir == "" || err != nil || !info.IsDir() {
--- a/internal/requestcore/dependencies.go
+++ b/internal/requestcore/dependencies.go
@@ -33,7 +33,7 @@
 	Probe(server uint64, done func(balancer.Outcome))
 }
 
-// AttemptObserver is notified of how an attempt ended.
+// AttemptObserver is notified of the end of an attempt.
 type AttemptObserver interface {
 	OnAttemptEnd(outcome balancer.Outcome, result Result)
 	// StillWanted reports whether a client still waits for the result, as far as is known now. The upstream checks this
--- a/internal/requestcore/host.go
+++ b/internal/requestcore/host.go
@@ -11,9 +11,9 @@
 	a := &attempt{request: r, number: len(r.attempts), startedAt: c.deps.Clock.Now()}
 	r.attempts = append(r.attempts, a)
 	r.outstanding++
-	// Nothing is sent for a request that is answered already, which the balancer may do after a panic, nor is a retry sent
-	// for a client that has disconnected meanwhile. The first attempt starts as soon as the request is read, which shows
-	// that the client is connected.
+	// After a panic the balancer may start an attempt for a request that is answered already: nothing is sent for it. Nor
+	// is a retry sent for a client that has disconnected meanwhile. The first attempt needs no check, because it starts as
+	// soon as the request is read, which shows that the client is connected.
 	if r.client == nil || a.number > 0 && r.client.Disconnected() {
 		c.deps.Clock.After(0, func() { a.OnAttemptEnd(balancer.NotAttempted, Result{}) })
 		return
--- a/internal/upstream/attempt_test.go
+++ b/internal/upstream/attempt_test.go
@@ -73,8 +73,8 @@
 }
 
 // At the connection limit attempts are pipelined. If one of them is cancelled, the others on the connection continue,
-// and each gets its own reply. Closing the connection, as was done before, made a client that disconnected fail another
-// client's request and count as a failure of the server. An attempt that times out still closes the connection, and the
+// and each gets its own reply. If the connection were closed, one client's disconnect would fail another client's
+// request and would count as a failure of the server. An attempt that times out does close the connection, and the
 // outcome of the attempts pipelined there is unknown.
 func TestPipelinedBehindCancelledAttempt(t *testing.T) {
 	limits := defaultLimits
--- a/internal/upstream/pools.go
+++ b/internal/upstream/pools.go
@@ -62,7 +62,7 @@
 	}
 }
 
-// SetEndpoint adds a server, or changes its address. An invalid address is ignored.
+// SetEndpoint adds a server, or changes its address. If the new address is invalid, the previous one stays.
 func (p *ConnectionPools) SetEndpoint(id uint64, addr netip.AddrPort) {
 	server := p.servers[id]
 	if server == nil {
--- a/internal/upstream/pools_test.go
+++ b/internal/upstream/pools_test.go
@@ -93,8 +93,8 @@
 	})
 }
 
-// With more servers than connections, the servers that were used first kept all connections, and the others never got
-// an attempt.
+// With more servers than connections, the servers that are used first must not keep all connections, because the others
+// would never get an attempt.
 func TestMoreServersThanConnections(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 20
@@ -106,7 +106,7 @@
 			pools.StartAttempt(id, &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa"}, 5, 5, outcome)
 		})
 		if outcome.want(t, balancer.Succeeded); t.Failed() {
-			t.Fatalf("at server %d", id)
+			t.Fatalf("the attempt at server %d failed", id)
 		}
 	}
 	pools.onLoop(pools.loop, func() {
--- a/internal/upstream/replies.go
+++ b/internal/upstream/replies.go
@@ -5,8 +5,7 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Input is called when more bytes have been received. It decodes replies until the bytes contain no further complete
-// one.
+// Input is called when more bytes have been received. It decodes replies until no further one can be decoded.
 func (c *connection) Input() {
 	in := c.socket.In
 	for in.Len() > 0 {
@@ -43,9 +42,9 @@
 	c.timer.Set(c.pool.pools.loop.Now() + seconds)
 }
 
-// onStallTimeout closes the connection if the rest of a reply does not arrive. Otherwise a reply that announces more
-// bytes than it has would occupy the connection until the deadline. Bytes that the sink has no room for, or that the
-// loop has not read yet, are no stall.
+// onStallTimeout closes the connection if the rest of a reply does not arrive. Otherwise the attempt would wait until
+// its deadline for a reply that announces more bytes than it has. Bytes that the sink has no room for, or that the loop
+// has not read yet, are no stall.
 func (c *connection) onStallTimeout() {
 	switch {
 	case c.body != nil && c.socket.In.Len() > 0:
--- a/internal/upstream/serverpool_test.go
+++ b/internal/upstream/serverpool_test.go
@@ -189,8 +189,8 @@
 	}
 }
 
-// At the connection limit, the attempts that wait for a connection are pipelined as soon as it is established. They
-// used to wait for the replies before them, or until their own deadlines.
+// At the connection limit, the attempts that wait for a connection are pipelined as soon as it is established.
+// Otherwise each would wait for the replies to those before it, or until its own deadline.
 func TestWaitingAttemptsArePipelinedOnceConnected(t *testing.T) {
 	limits := defaultLimits
 	limits.MaxConnections = 1
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -28,7 +28,7 @@
 	body    []byte          // received part of the current body
 }
 
-// Encode returns the HTTP request for a request, or for a probe.
+// Encode returns the HTTP request for an attempt, or for a probe.
 func (c *codec) Encode(request *requestcore.Request, secondsLeft float64) [][]byte {
 	if request == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.client.ProbePath, c.client.Host)}
@@ -135,8 +135,8 @@
 	return balancer.ServerError
 }
 
-// isTileAnswer reports whether a status is a valid answer to a request for a tile, which includes that there is no such
-// tile.
+// isTileAnswer reports whether a status is a valid answer to a request for a tile. That there is no such tile is a valid
+// answer.
 func isTileAnswer(status int, request *requestcore.Request) bool {
 	switch status {
 	case http.StatusOK, http.StatusNonAuthoritativeInfo, http.StatusNoContent, http.StatusNotFound, http.StatusGone:
