--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -62,7 +62,7 @@
 		behind := make(outcomeRecorder, 1)
 		pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 0.2, 0.2, behind)
 		valueBytes <- c.sent
-		long := (<-settled).Body
+		body := (<-settled).Body
 		behind.want(t, balancer.TimedOut)
 		late := make(outcomeRecorder, 1) // nothing is pipelined behind a body that is being forwarded
 		pools.startAttemptAt(1, &requestcore.Request{ID: "c", Flags: "Oc"}, 0.05, 0.05, late)
@@ -71,13 +71,13 @@
 			poolConn := pools.servers[1].connections[0]
 			poolConn.onStallTimeout()
 			sink.room = 1000
-			long.StartReading(sink)
+			body.StartReading(sink)
 			if sink.got != 1000 || poolConn.socket.In.Len()+sink.got > 20<<10 || pools.sentAttempts == 0 {
 				t.Errorf("the sink has %d bytes and %d are buffered, want 1000, at most 20 KiB in total, and an attempt counted",
 					sink.got, poolConn.socket.In.Len())
 			}
 			sink.room = 2 * length
-			long.ResumeReading()
+			body.ResumeReading()
 		})
 		for i := 0; sink.ending != nil && len(sink.ending) == 0 && i < 200; i++ {
 			time.Sleep(10 * time.Millisecond)
@@ -186,8 +186,8 @@
 			reply := append(fmt.Appendf(nil, "VA %d Oa\r\n", c.length), append(value, "\r\n"...)...)
 			early := c.accepted + 100 // the first line and more
 			conn.Write(reply[:early])
-			long := (<-settled).Body
-			pools.onLoop(pools.loop, func() { long.StartReading(sink) })
+			body := (<-settled).Body
+			pools.onLoop(pools.loop, func() { body.StartReading(sink) })
 			for got := -1; got < c.accepted; time.Sleep(time.Millisecond) {
 				pools.onLoop(pools.loop, func() { got = sink.got })
 			}
@@ -202,7 +202,7 @@
 				sendRest()
 			}
 			for i := 0; len(sink.ending) == 0 && i < 1000; i++ {
-				pools.onLoop(pools.loop, func() { sink.room = 1000; long.ResumeReading() })
+				pools.onLoop(pools.loop, func() { sink.room = 1000; body.ResumeReading() })
 				time.Sleep(time.Millisecond)
 			}
 			if len(sink.ending) == 0 {
@@ -237,9 +237,9 @@
 	pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 5, 5, second)
 	readCommand(t, conn)
 	conn.Write(append([]byte("VA 200000 Oa\r\n"), longValue(90000)...))
-	long, sink := (<-settled).Body, &fakeSink{ending: make(chan string, 1), room: 50000}
-	pools.onLoop(pools.loop, func() { long.StartReading(sink) })
-	pools.onLoop(pools.loop, long.Discard)
+	body, sink := (<-settled).Body, &fakeSink{ending: make(chan string, 1), room: 50000}
+	pools.onLoop(pools.loop, func() { body.StartReading(sink) })
+	pools.onLoop(pools.loop, body.Discard)
 	conn.Write(append(longValue(110000), "\r\nVA 0 Ob\r\n\r\n"...))
 	second.want(t, balancer.Succeeded)
 	pools.onLoop(pools.loop, func() {
--- a/internal/upstream/closereason_test.go
+++ b/internal/upstream/closereason_test.go
@@ -16,7 +16,7 @@
 	doNothing := func(testPools, net.Conn, requestcore.BodyStream) {}
 	for name, c := range map[string]struct {
 		reply      string
-		end        func(pools testPools, conn net.Conn, long requestcore.BodyStream)
+		end        func(pools testPools, conn net.Conn, body requestcore.BodyStream)
 		reason     CloseReason
 		notCounted bool
 	}{
@@ -28,8 +28,8 @@
 		}, ServerClosed, false},
 		"malformed reply":   {"noise\r\n", doNothing, UnexpectedReply, false},
 		"reply that stalls": {"VA 100 Oa\r\nxx", doNothing, ReplyStalled, false},
-		"client disconnects in a value": {"VA 70000 Oa\r\nxx", func(_ testPools, _ net.Conn, long requestcore.BodyStream) {
-			long.Discard()
+		"client disconnects in a value": {"VA 70000 Oa\r\nxx", func(_ testPools, _ net.Conn, body requestcore.BodyStream) {
+			body.Discard()
 		}, ClientDisconnected, false},
 		"attempt before it abandoned": {"", func(pools testPools, _ net.Conn, _ requestcore.BodyStream) {
 			pools.servers[1].connections[0].inFlight[0].abandon(balancer.TimedOut)
@@ -56,13 +56,13 @@
 				pools.startAttemptAt(1, &requestcore.Request{ID: "b", Flags: "Ob"}, 60, 60, behind)
 			}
 			conn.Write([]byte(c.reply))
-			var long requestcore.BodyStream
+			var body requestcore.BodyStream
 			if strings.Contains(c.reply, "70000") || c.reason == 0 && c.notCounted && c.reply != "" {
-				if long = (<-settled).Body; long != nil {
-					pools.onLoop(pools.loop, func() { long.StartReading(&fakeSink{ending: make(chan string, 1), room: 9}) })
+				if body = (<-settled).Body; body != nil {
+					pools.onLoop(pools.loop, func() { body.StartReading(&fakeSink{ending: make(chan string, 1), room: 9}) })
 				}
 			}
-			pools.onLoop(pools.loop, func() { c.end(pools, conn, long) })
+			pools.onLoop(pools.loop, func() { c.end(pools, conn, body) })
 			want := [closeReasonCount]uint64{}
 			if want[c.reason]++; c.notCounted {
 				want[c.reason] = 0
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -129,9 +129,9 @@
 // that was all of it.
 func (c *connection) bufferCommand(a *attempt) bool {
 	for len(a.unbuffered) > 0 {
-		n := c.socket.Write(a.unbuffered[0])
-		c.bufferedBytes += uint64(n)
-		a.unbuffered[0] = a.unbuffered[0][n:]
+		written := c.socket.Write(a.unbuffered[0])
+		c.bufferedBytes += uint64(written)
+		a.unbuffered[0] = a.unbuffered[0][written:]
 		if len(a.unbuffered[0]) > 0 {
 			return false
 		}
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -170,13 +170,13 @@
 }
 
 // startRead starts a read of a key at server 1, with a timeout in seconds.
-func (pools testPools) startRead(timeout float64) (outcome outcomeRecorder, p requestcore.PendingAttempt) {
+func (pools testPools) startRead(timeout float64) (outcome outcomeRecorder, pending requestcore.PendingAttempt) {
 	outcome = make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
 		request := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
-		p = pools.StartAttempt(1, request, timeout, timeout, outcome)
+		pending = pools.StartAttempt(1, request, timeout, timeout, outcome)
 	})
-	return outcome, p
+	return outcome, pending
 }
 
 func (pools testPools) wantLine(want string) {
