--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -135,8 +135,8 @@
 	return balancer.ServerError
 }
 
-// isTileAnswer reports whether a status is a valid answer to a request for a tile. That there is no such tile is a valid
-// answer.
+// isTileAnswer reports whether a status is a valid answer to a request for a tile. An answer that there is no such tile
+// is valid.
 func isTileAnswer(status int, request *requestcore.Request) bool {
 	switch status {
 	case http.StatusOK, http.StatusNonAuthoritativeInfo, http.StatusNoContent, http.StatusNotFound, http.StatusGone:
