--- a/internal/admin/routes.go
+++ b/internal/admin/routes.go
@@ -12,26 +12,26 @@
 )
 
 const (
-	maxBodyBytes = 1 << 10 // a name, and white space around it
-	maxNameBytes = 256     // of a server's id or a zone's name
+	maxBodyBytes = 1 << 10 // a name with white space around it
+	maxNameBytes = 256     // of the id of a server or the name of a zone
 
 	plainText = "text/plain; charset=utf-8"
 	jsonText  = "application/json"
 )
 
-// routes maps the admin server's paths to the handler's methods.
+// routes returns an HTTP handler that maps the paths of the admin server to the methods of h.
 func routes(h Handler) http.Handler {
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /ready", readyRoute(h))
 	mux.HandleFunc("GET /metrics", metricsRoute(h))
 	mux.HandleFunc("GET /status", statusRoute(h))
 	mux.HandleFunc("GET /zones", zonesRoute(h))
-	mux.HandleFunc("POST /cache-servers/disable", actOnName("id of a cache server", h.DisableServer))
-	mux.HandleFunc("POST /cache-servers/enable", actOnName("id of a cache server", h.EnableServer))
-	mux.HandleFunc("POST /zones/leave", actOnName("name of a zone", h.EvacuateZone))
-	mux.HandleFunc("POST /zones/return", actOnName("name of a zone", h.RestoreZone))
-	mux.HandleFunc("POST /drain", act(h.Drain))
-	mux.HandleFunc("POST /undrain", act(h.Undrain))
+	mux.HandleFunc("POST /cache-servers/disable", nameActionRoute("id of a cache server", h.DisableServer))
+	mux.HandleFunc("POST /cache-servers/enable", nameActionRoute("id of a cache server", h.EnableServer))
+	mux.HandleFunc("POST /zones/leave", nameActionRoute("name of a zone", h.EvacuateZone))
+	mux.HandleFunc("POST /zones/return", nameActionRoute("name of a zone", h.RestoreZone))
+	mux.HandleFunc("POST /drain", actionRoute(h.Drain))
+	mux.HandleFunc("POST /undrain", actionRoute(h.Undrain))
 	return mux
 }
 
@@ -66,7 +66,7 @@
 	}
 }
 
-// zonesRoute shows all zones: as JSON to a caller that accepts it, else as a table for people.
+// zonesRoute returns all zones: as JSON to a client that accepts it, otherwise as a text table.
 func zonesRoute(h Handler) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
@@ -95,38 +95,40 @@
 	table.Flush()
 }
 
-// actOnName serves a request whose body names something; what says to the caller what that is.
-func actOnName(what string, do func(name string) error) http.HandlerFunc {
+// nameActionRoute returns an HTTP handler that runs an action on the name in the body of a request. subject is what the
+// name identifies, for error texts.
+func nameActionRoute(subject string, action func(name string) error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		body, err := io.ReadAll(http.MaxBytesReader(w, request.Body, maxBodyBytes))
 		markRequestRead(request)
 		name := strings.TrimSpace(string(body))
 		switch {
 		case err != nil || len(name) > maxNameBytes:
-			writeText(w, http.StatusBadRequest, "the body is too long for the "+what+", or did not come")
+			writeText(w, http.StatusBadRequest, "the body is too long for the "+subject+", or did not come")
 		case !validName(name):
-			writeText(w, http.StatusBadRequest, "the body is to be the "+what+", as the list has it")
+			writeText(w, http.StatusBadRequest, "the body is to be the "+subject+", as the list has it")
 		default:
-			writeResult(w, do(name))
+			writeResult(w, action(name))
 		}
 	}
 }
 
-// validName reports whether a text can be a name of the list: one word of UTF-8 without control characters.
+// validName reports whether a text can be a name in the endpoint list: one word of valid UTF-8 without control
+// characters.
 func validName(name string) bool {
 	invalid := func(c rune) bool { return c <= ' ' || c == 0x7f || c == utf8.RuneError }
 	return name != "" && !strings.ContainsFunc(name, invalid)
 }
 
-// act serves a request without a body; one that comes is not read.
-func act(do func() error) http.HandlerFunc {
+// actionRoute returns an HTTP handler that runs an action. It does not read the body of the request.
+func actionRoute(action func() error) http.HandlerFunc {
 	return func(w http.ResponseWriter, request *http.Request) {
 		markRequestRead(request)
-		writeResult(w, do())
+		writeResult(w, action())
 	}
 }
 
-// writeResult answers with how an action went.
+// writeResult writes the result of an action.
 func writeResult(w http.ResponseWriter, err error) {
 	switch {
 	case err == nil:
