--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -30,8 +30,8 @@
 	b.setTeams(teams)
 	b.unmatched = unmatched
 	for _, terms := range teams { // in a fixed order, on which sums of floats depend
-		was := before[terms.Team]
-		if was != nil && was.Pool != terms.Pool {
+		previous := before[terms.Team]
+		if previous != nil && previous.Pool != terms.Pool {
 			b.teams[terms.Team].pool.limiter.AdoptBalance(now, terms.Team, balances[terms.Team])
 		}
 	}
--- a/internal/broker/settings.go
+++ b/internal/broker/settings.go
@@ -48,8 +48,8 @@
 // idempotencyNames are the operators' words.
 var idempotencyNames = [...]string{"at-most-once", "numbered", "reissuable"}
 
-// text tells the terms in a line of the operators' words.
-func (t TeamTerms) text() string {
+// describe tells the terms in a line of the operators' words.
+func (t TeamTerms) describe() string {
 	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q",
 		t.Pool, t.GuaranteedRate, t.Burst, t.BorrowRate, t.Weight, t.Listen, t.Tenant, t.Prefix)
 	for _, class := range t.TrafficClasses {
@@ -76,17 +76,17 @@
 		named[terms.Team] = true
 		before := b.teams[terms.Team]
 		if before == nil {
-			lines = append(lines, fmt.Sprintf("team %s comes: %s", terms.Team, terms.text()))
+			lines = append(lines, fmt.Sprintf("team %s comes: %s", terms.Team, terms.describe()))
 			continue
 		}
-		from, to := before.TeamTerms.text(), terms.text()
+		from, to := before.TeamTerms.describe(), terms.describe()
 		if from != to {
 			lines = append(lines, fmt.Sprintf("team %s changes from: %s, to: %s", terms.Team, from, to))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		if !named[name] {
-			lines = append(lines, fmt.Sprintf("team %s goes: %s", name, b.teams[name].TeamTerms.text()))
+			lines = append(lines, fmt.Sprintf("team %s goes: %s", name, b.teams[name].TeamTerms.describe()))
 		}
 	}
 	return lines
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -5,9 +5,9 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// firstEstimatePart is the part of a traffic class's latency objective that a request is taken to cost until some
+// initialEstimateFraction is the part of a traffic class's latency objective that a request is taken to cost until some
 // have ended, as the balancer takes it.
-const firstEstimatePart = 1.0 / 4
+const initialEstimateFraction = 1.0 / 4
 
 // team is the route of a team's requests, under the terms as they are now.
 type team struct {
@@ -49,7 +49,7 @@
 		t.classes[class.Name] = teamClass{
 			name:     qualifiedName(terms.Team, class.Name),
 			deadline: class.Deadline,
-			estimate: class.LatencyObjective * firstEstimatePart,
+			estimate: class.LatencyObjective * initialEstimateFraction,
 		}
 	}
 	if t.tally == nil {
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -23,11 +23,11 @@
 
 // Transport is the way to the other routers. A nil Transport sends nothing.
 type Transport struct {
-	conn       *net.UDPConn
-	routers    []netip.AddrPort       // all, in the order of their list
-	indexOf    map[netip.AddrPort]int // in that list; the first, where an address stands in it twice
-	broadcasts []netip.AddrPort       // where a broadcast goes
-	log        zerolog.Logger
+	conn             *net.UDPConn
+	routers          []netip.AddrPort       // all, in the order of their list
+	indexOf          map[netip.AddrPort]int // in that list; the first, where an address stands in it twice
+	broadcastTargets []netip.AddrPort       // where a broadcast goes
+	log              zerolog.Logger
 }
 
 // Open listens at an address. Broadcasts go to the address broadcast, or if that is empty, to each router of the list
@@ -40,7 +40,7 @@
 	if err := t.setRouters(routers); err != nil {
 		return nil, err
 	}
-	if err := t.setBroadcasts(broadcast, self); err != nil {
+	if err := t.setBroadcastTargets(broadcast, self); err != nil {
 		return nil, err
 	}
 	address, err := netip.ParseAddrPort(listen)
@@ -70,19 +70,19 @@
 	return nil
 }
 
-// setBroadcasts takes the one address that reaches all, or goes by the list.
-func (t *Transport) setBroadcasts(broadcast string, self int) error {
+// setBroadcastTargets takes the one address that reaches all, or goes by the list.
+func (t *Transport) setBroadcastTargets(broadcast string, self int) error {
 	if broadcast != "" {
 		address, err := netip.ParseAddrPort(broadcast)
 		if err != nil {
 			return err
 		}
-		t.broadcasts = []netip.AddrPort{address}
+		t.broadcastTargets = []netip.AddrPort{address}
 		return nil
 	}
 	for i, address := range t.routers {
 		if i != self {
-			t.broadcasts = append(t.broadcasts, address)
+			t.broadcastTargets = append(t.broadcastTargets, address)
 		}
 	}
 	return nil
@@ -128,7 +128,7 @@
 	if t == nil || len(datagram) > maxDatagramBytes {
 		return
 	}
-	for _, address := range t.broadcasts {
+	for _, address := range t.broadcastTargets {
 		t.conn.WriteToUDPAddrPort(datagram, address)
 	}
 }
--- a/internal/policy/bulkhead/bulkhead.go
+++ b/internal/policy/bulkhead/bulkhead.go
@@ -31,7 +31,7 @@
 // least, as long as there are enough.
 func (b *Bulkhead) Repartition(capacity int, weights map[string]float64) {
 	b.capacity = max(0, capacity)
-	b.endUnnamed(weights)
+	b.endUnlisted(weights)
 	sum := 0.0
 	for _, weight := range weights {
 		sum += max(0, weight)
@@ -57,8 +57,8 @@
 	}
 }
 
-// endUnnamed ends the partitions of teams without a weight.
-func (b *Bulkhead) endUnnamed(weights map[string]float64) {
+// endUnlisted ends the partitions of teams without a weight.
+func (b *Bulkhead) endUnlisted(weights map[string]float64) {
 	for team, p := range b.partitions {
 		if _, named := weights[team]; !named {
 			p.reserved = 0
--- a/internal/policy/quota/borrow.go
+++ b/internal/policy/quota/borrow.go
@@ -8,21 +8,21 @@
 
 // borrowing is a team's part in what is unused.
 type borrowing struct {
-	active      bool    // it is among the borrowers
-	askedAt     float64 // when it last asked for more
-	unused      float64 // kept for this team
-	perWeight   float64 // of the borrowers, when unused was computed
-	allowance   float64 // that its borrow rate lets it take now
-	allowanceAt float64 // when that was computed
-	previous    *Bucket // among the borrowers
-	next        *Bucket
+	active             bool    // it is among the borrowers
+	requestedAt        float64 // when it last asked for more
+	unused             float64 // kept for this team
+	collectedPerWeight float64 // of the borrowers, when unused was computed
+	allowance          float64 // that its borrow rate lets it take now
+	allowanceAt        float64 // when that was computed
+	previous           *Bucket // among the borrowers
+	next               *Bucket
 }
 
 // borrowers are the teams that share in what is unused, the one that asked longest ago first.
 type borrowers struct {
-	first, last *Bucket
-	weights     float64 // their sum
-	perWeight   float64 // unused load for a weight of 1, since the start
+	first, last     *Bucket
+	weights         float64 // their sum
+	unusedPerWeight float64 // unused load for a weight of 1, since the start
 }
 
 // borrow takes load from what is unused, if the quota allows it and there is some for this team.
@@ -89,19 +89,19 @@
 		l.borrowers.remove(b)
 	} else {
 		b.borrowing.active = true
-		b.borrowing.perWeight = l.borrowers.perWeight
+		b.borrowing.collectedPerWeight = l.borrowers.unusedPerWeight
 		l.borrowers.weights += b.weight()
 	}
 	l.borrowers.add(b)
-	b.borrowing.askedAt = l.clock.now
+	b.borrowing.requestedAt = l.clock.now
 	l.collectUnused(b)
 }
 
 // collectUnused gives a borrower its part; what it cannot keep is for any other.
 func (l *Limiter) collectUnused(b *Bucket) {
 	state := &b.borrowing
-	state.unused += (l.borrowers.perWeight - state.perWeight) * b.weight()
-	state.perWeight = l.borrowers.perWeight
+	state.unused += (l.borrowers.unusedPerWeight - state.collectedPerWeight) * b.weight()
+	state.collectedPerWeight = l.borrowers.unusedPerWeight
 	bound := l.unused.rate * unusedWindow * b.weight() / l.borrowers.weights
 	if state.unused > bound {
 		l.keepUnused(state.unused - bound)
@@ -120,7 +120,7 @@
 	l.borrowers.weights -= b.weight()
 	if l.borrowers.first == nil { // exactly 0, free of rounding errors
 		l.borrowers.weights = 0
-		l.borrowers.perWeight = 0
+		l.borrowers.unusedPerWeight = 0
 	}
 	if b.borrowing.unused > 0 {
 		l.keepUnused(b.borrowing.unused)
--- a/internal/policy/quota/bucket.go
+++ b/internal/policy/quota/bucket.go
@@ -115,9 +115,9 @@
 		}
 		l.unused.updateRate()
 	}
-	l.filling.remove(b)
+	l.refilling.remove(b)
 	if !full && !b.ended && b.fillRate() > 0 {
 		b.fullAt = l.clock.now + (b.capacity()-b.balance)/b.fillRate()
-		l.filling.add(b)
+		l.refilling.add(b)
 	}
 }
--- a/internal/policy/quota/cost.go
+++ b/internal/policy/quota/cost.go
@@ -9,18 +9,18 @@
 // The undisturbed time of a traffic class: the quartile of its attempts' times, which they take where they do not
 // wait.
 const (
-	undisturbedQuantile = 0.25
-	undisturbedStep     = 1.0 / 16 // of its value, by which it follows an attempt: some 150 attempts for ten times as much
+	baselineQuantile = 0.25
+	baselineStep     = 1.0 / 16 // of its value, by which it follows an attempt: some 150 attempts for ten times as much
 
-	// maxWaitFactor is how many times the undisturbed time an attempt counts at most. It leaves room for cache
+	// maxBaselineFactor is how many times the undisturbed time an attempt counts at most. It leaves room for cache
 	// misses; what is beyond is waiting for others' work.
-	maxWaitFactor = 6.0
+	maxBaselineFactor = 6.0
 )
 
 // ClassCost is what requests of one traffic class cost a team.
 type ClassCost struct {
-	mean        float64 // seconds of load
-	undisturbed float64 // seconds; 0: no attempt has ended
+	mean     float64 // seconds of load
+	baseline float64 // seconds; 0: no attempt has ended
 }
 
 // cost gives what a request of a traffic class costs, at first the estimate.
@@ -36,8 +36,8 @@
 	return cost
 }
 
-// learn takes what a request has cost.
-func (c *ClassCost) learn(load float64) {
+// record takes what a request has cost.
+func (c *ClassCost) record(load float64) {
 	c.mean += (load - c.mean) / estimateWindow
 	c.mean = max(c.mean, minCost)
 }
@@ -48,13 +48,13 @@
 func (l *Limiter) ChargeableTime(r *Reservation, seconds float64) float64 {
 	cost := r.cost
 	switch {
-	case cost.undisturbed == 0:
-		cost.undisturbed = seconds
-	case seconds < cost.undisturbed:
-		cost.undisturbed *= 1 - (1-undisturbedQuantile)*undisturbedStep
+	case cost.baseline == 0:
+		cost.baseline = seconds
+	case seconds < cost.baseline:
+		cost.baseline *= 1 - (1-baselineQuantile)*baselineStep
 	default:
-		cost.undisturbed *= 1 + undisturbedQuantile*undisturbedStep
+		cost.baseline *= 1 + baselineQuantile*baselineStep
 	}
-	cost.undisturbed = max(cost.undisturbed, minCost)
-	return min(seconds, maxWaitFactor*cost.undisturbed)
+	cost.baseline = max(cost.baseline, minCost)
+	return min(seconds, maxBaselineFactor*cost.baseline)
 }
--- a/internal/policy/quota/golden_test.go
+++ b/internal/policy/quota/golden_test.go
@@ -233,9 +233,9 @@
 	line("at the start")
 	run("skewed", "a", 800, []float64{0.8, 0.1, 0.1})
 	run("at one", "b", 300, []float64{0, 0, 1})
-	routers.talking = false
+	routers.broadcasting = false
 	run("silent", "a", 800, []float64{0.25, 0.25, 0.5})
-	routers.talking = true
+	routers.broadcasting = true
 	run("they talk again", "b", 100, []float64{0.5, 0.5, 0})
 	for i, datagram := range [][]byte{
 		nil,
--- a/internal/policy/quota/helpers_test.go
+++ b/internal/policy/quota/helpers_test.go
@@ -79,7 +79,7 @@
 		}
 		unused += b.borrowing.unused
 		if b.borrowing.active {
-			unused += (l.borrowers.perWeight - b.borrowing.perWeight) * b.weight()
+			unused += (l.borrowers.unusedPerWeight - b.borrowing.collectedPerWeight) * b.weight()
 		}
 	}
 	totals := l.Totals
--- a/internal/policy/quota/limiter.go
+++ b/internal/policy/quota/limiter.go
@@ -13,16 +13,16 @@
 // Retry-After of rejected requests: the wait that was reckoned, up to maxRetryAfter seconds, times a random factor
 // from 0.75 to 1.25, so that rejected clients do not return at once. The longest is thus 6.25 s.
 const (
-	maxRetryAfter      = 5.0  // seconds, before the random factor: clients that get more have left
-	minRetryAfterPart  = 0.75 // the least random factor
-	retryAfterSpreadBy = 2    // the random factor is the least one and up to 1 divided by this
+	maxRetryAfter           = 5.0  // seconds, before the random factor: clients that get more have left
+	minRetryAfterFactor     = 0.75 // the least random factor
+	retryAfterSpreadDivisor = 2    // the random factor is the least one and up to 1 divided by this
 )
 
 // Limiter is the buckets of one pool at one router. It belongs to one goroutine.
 type Limiter struct {
 	clock     boundedClock
 	buckets   map[string]*Bucket // by team
-	filling   fillHeap           // buckets that are not full, by when they will be
+	refilling fillHeap           // buckets that are not full, by when they will be
 	unused    unusedLoad
 	borrowers borrowers
 	random    seedhash.Sequence
@@ -37,8 +37,8 @@
 	started    bool
 }
 
-// next gives the time after a step to the caller's time, and notes that.
-func (c *boundedClock) next(callerTime float64) float64 {
+// timeAt gives the time after a step to the caller's time, and notes that.
+func (c *boundedClock) timeAt(callerTime float64) float64 {
 	step := 0.0
 	if c.started {
 		step = min(max(callerTime-c.callerTime, 0), maxClockStep)
@@ -79,14 +79,14 @@
 
 // advance lets time pass. What a bucket gains once it is full is unused from then on.
 func (l *Limiter) advance(now float64) {
-	to := l.clock.next(now)
-	for len(l.filling) > 0 && l.filling[0].fullAt <= to {
-		b := l.filling[0]
+	to := l.clock.timeAt(now)
+	for len(l.refilling) > 0 && l.refilling[0].fullAt <= to {
+		b := l.refilling[0]
 		l.accrueUnused(b.fullAt)
 		l.refill(b)
 	}
 	l.accrueUnused(to)
-	for l.borrowers.first != nil && l.clock.now-l.borrowers.first.borrowing.askedAt > borrowerLifetime {
+	for l.borrowers.first != nil && l.clock.now-l.borrowers.first.borrowing.requestedAt > borrowerLifetime {
 		l.removeBorrower(l.borrowers.first)
 	}
 }
@@ -132,13 +132,13 @@
 	if b.fillRate() <= 0 {
 		return 0 // no time will do
 	}
-	paidOff := l.clock.now - min(0, b.balance)/b.fillRate()
-	b.retryAt = max(b.retryAt, paidOff) + load/b.fillRate()
+	debtPaidAt := l.clock.now - min(0, b.balance)/b.fillRate()
+	b.retryAt = max(b.retryAt, debtPaidAt) + load/b.fillRate()
 	wait := b.retryAt - l.clock.now
 	if wait > maxRetryAfter {
 		b.retryAt = l.clock.now + maxRetryAfter // more come than there are different times
 	}
-	return min(wait, maxRetryAfter) * (minRetryAfterPart + l.random.Float64()/retryAfterSpreadBy)
+	return min(wait, maxRetryAfter) * (minRetryAfterFactor + l.random.Float64()/retryAfterSpreadDivisor)
 }
 
 // Settle takes a request's end: the load that all its attempts really took, in seconds, takes the place of the
@@ -155,7 +155,7 @@
 	if b.FlatCost > 0 {
 		load = b.FlatCost
 	}
-	r.cost.learn(load)
+	r.cost.record(load)
 	if b.ended {
 		return
 	}
@@ -183,7 +183,7 @@
 	}
 	for team, b := range l.buckets {
 		if !named[team] {
-			l.end(b)
+			l.endQuota(b)
 			delete(l.buckets, team)
 		}
 	}
@@ -204,7 +204,7 @@
 	}
 }
 
-func (l *Limiter) end(b *Bucket) {
+func (l *Limiter) endQuota(b *Bucket) {
 	l.refill(b)
 	l.removeBorrower(b)
 	b.ended = true
--- a/internal/policy/quota/limiter_test.go
+++ b/internal/policy/quota/limiter_test.go
@@ -164,8 +164,8 @@
 	}
 	checkBetween(t, "the mean Retry-After", sum/20, 0.4, 0.7)
 	checkBetween(t, "the last one", last, 0.7, 1.3)
-	nothing := newTestLimiter(0, Quota{Team: "a"})
-	if verdict := nothing.Admit(100, "a", "t", 1); verdict.RetryAfter != 0 {
+	zeroRate := newTestLimiter(0, Quota{Team: "a"})
+	if verdict := zeroRate.Admit(100, "a", "t", 1); verdict.RetryAfter != 0 {
 		t.Errorf("a team without a guaranteed rate is told to come back in %v s", verdict.RetryAfter)
 	}
 }
@@ -238,9 +238,9 @@
 		l := NewLimiter(100, capacity, 3)
 		l.SetQuotas(100, capacity, quotas)
 		now := 100.0
-		free, spent, largest := 0.0, 0.0, 0.0 // seconds of load
+		available, spent, largest := 0.0, 0.0, 0.0 // seconds of load
 		for _, quota := range quotas {
-			free += quota.Burst
+			available += quota.Burst
 		}
 		var open []*Reservation
 		for range rapid.IntRange(10, 400).Draw(t, "steps") {
@@ -271,7 +271,7 @@
 				if rapid.IntRange(0, 9).Draw(t, "change") == 0 {
 					i := rapid.IntRange(0, len(quotas)-1).Draw(t, "whose")
 					quotas[i] = drawQuota(i)
-					free += quotas[i].Burst
+					available += quotas[i].Burst
 					l.SetQuotas(now, capacity, quotas)
 				}
 			}
@@ -280,9 +280,9 @@
 			for _, quota := range quotas {
 				guaranteed += quota.GuaranteedRate
 			}
-			free += (l.clock.now - before) * max(capacity, guaranteed)
+			available += (l.clock.now - before) * max(capacity, guaranteed)
 			// A team may be one request below zero, as may what is unused; a change lets what was saved stand.
-			allowed := free + largest*float64(2*len(quotas)+2) + 10*float64(len(quotas))
+			allowed := available + largest*float64(2*len(quotas)+2) + 10*float64(len(quotas))
 			if spent > allowed {
 				t.Fatalf("%v of load was admitted where %v was free", spent, allowed)
 			}
--- a/internal/policy/quota/message.go
+++ b/internal/policy/quota/message.go
@@ -10,12 +10,12 @@
 // (4 bytes) and its packed demand (2 bytes). Numbers are little-endian. Its length is never a multiple of 3, as that
 // of the balancer's messages is; a byte 0 is added where it would be.
 const (
-	messageTag       = 0xc7
-	messageHeader    = 4   // bytes
-	entryBytes       = 6   // hash of the team's name, demand
-	maxMessageBytes  = 256 // by the platform
-	maxEntries       = (maxMessageBytes - messageHeader - 1) / entryBytes
-	observationBytes = 3 // of an entry in the balancer's messages
+	messageTag         = 0xc7
+	messageHeaderBytes = 4   // bytes
+	entryBytes         = 6   // hash of the team's name, demand
+	maxMessageBytes    = 256 // by the platform
+	maxEntries         = (maxMessageBytes - messageHeaderBytes - 1) / entryBytes
+	observationBytes   = 3 // of an entry in the balancer's messages
 )
 
 // teamHash names a team in messages.
@@ -42,7 +42,7 @@
 }
 
 func isDemandMessage(datagram []byte) bool {
-	return len(datagram) >= messageHeader && datagram[0] == messageTag && len(datagram)%observationBytes != 0
+	return len(datagram) >= messageHeaderBytes && datagram[0] == messageTag && len(datagram)%observationBytes != 0
 }
 
 // demandMessage is one that was received. Its entries are part of the datagram.
@@ -56,7 +56,7 @@
 	return demandMessage{
 		from:    int(binary.LittleEndian.Uint16(datagram[1:])),
 		count:   int(datagram[3]),
-		entries: datagram[messageHeader:],
+		entries: datagram[messageHeaderBytes:],
 	}
 }
 
--- a/internal/policy/quota/shares.go
+++ b/internal/policy/quota/shares.go
@@ -10,9 +10,9 @@
 	messageInterval = 0.5 // seconds between two messages: several within the decay of the demand
 	peerLifetime    = 2.0 // seconds after which a router's demand is forgotten: four messages were lost, or it has gone
 
-	// evenPart is the part of a quota that is split evenly whatever the demand: a team whose clients turn to another
+	// evenFraction is the part of a quota that is split evenly whatever the demand: a team whose clients turn to another
 	// router is served there until the others have heard of it.
-	evenPart = 0.1
+	evenFraction = 0.1
 
 	// minDemand is the least demand, in seconds of load a second, that is told and shared by.
 	minDemand = 1e-6
@@ -21,29 +21,29 @@
 // Shares decides which share of each quota this router has, so that the sum over all routers stays within it. Each
 // router has the share that its own demand has of all routers' demand. It belongs to the goroutine of its Limiter.
 type Shares struct {
-	limiter     *Limiter
-	self        int
-	routers     int
-	sentAt      float64                       // caller's time
-	peerDemands map[teamHash]map[int]peerRate // by team and router
-	lastHeard   map[int]float64               // by router
-	nextTeam    int                           // the first of the next message, where not all fit
+	limiter        *Limiter
+	self           int
+	routers        int
+	sentAt         float64                         // caller's time
+	peerDemands    map[teamHash]map[int]peerDemand // by team and router
+	lastReceivedAt map[int]float64                 // by router
+	nextEntry      int                             // the first of the next message, where not all fit
 }
 
-// peerRate is the demand that a router told.
-type peerRate struct {
-	rate    float64
-	heardAt float64
+// peerDemand is the demand that a router told.
+type peerDemand struct {
+	rate       float64
+	receivedAt float64
 }
 
 // NewShares makes them for one of so many routers; each has an equal share until it has heard the others.
 func NewShares(l *Limiter, self, routers int) *Shares {
 	return &Shares{
-		limiter:     l,
-		self:        self,
-		routers:     max(1, routers),
-		peerDemands: map[teamHash]map[int]peerRate{},
-		lastHeard:   map[int]float64{},
+		limiter:        l,
+		self:           self,
+		routers:        max(1, routers),
+		peerDemands:    map[teamHash]map[int]peerDemand{},
+		lastReceivedAt: map[int]float64{},
 	}
 }
 
@@ -62,24 +62,24 @@
 func (s *Shares) shareOf(now float64, b *Bucket) float64 {
 	own := b.Demand.Rate(s.limiter.clock.now)
 	others := 0.0
-	heard := false
+	reported := false
 	for _, told := range s.peerDemands[hashOfTeam(b.Team)] {
-		if now-told.heardAt < peerLifetime {
+		if now-told.receivedAt < peerLifetime {
 			others += told.rate
-			heard = true
+			reported = true
 		}
 	}
-	if !heard || others+own < minDemand {
-		return s.shareUnheard(now)
+	if !reported || others+own < minDemand {
+		return s.shareWithoutReports(now)
 	}
-	return evenPart*s.equalShare() + (1-evenPart)*own/(others+own)
+	return evenFraction*s.equalShare() + (1-evenFraction)*own/(others+own)
 }
 
-// shareUnheard is the share where no other router told of a team: nearly all, if all others are known not to have
+// shareWithoutReports is the share where no other router told of a team: nearly all, if all others are known not to have
 // demand for it, else an equal one.
-func (s *Shares) shareUnheard(now float64) float64 {
+func (s *Shares) shareWithoutReports(now float64) float64 {
 	live := 0
-	for _, at := range s.lastHeard {
+	for _, at := range s.lastReceivedAt {
 		if now-at < peerLifetime {
 			live++
 		}
@@ -87,7 +87,7 @@
 	if live < s.routers-1 || s.routers == 1 {
 		return s.equalShare()
 	}
-	return evenPart*s.equalShare() + (1 - evenPart)
+	return evenFraction*s.equalShare() + (1 - evenFraction)
 }
 
 // Message gives what is to be broadcast to all other routers now; nil if it is not time. It recomputes the shares as
@@ -98,7 +98,7 @@
 		return nil
 	}
 	s.sentAt = now
-	s.forgetStale(now)
+	s.dropExpired(now)
 	s.Recompute(now)
 	var active []*Bucket
 	for _, b := range s.limiter.Buckets() {
@@ -109,11 +109,11 @@
 	count := min(maxEntries, len(active))
 	message := newDemandMessage(s.self, count)
 	for i := range count {
-		b := active[(s.nextTeam+i)%len(active)]
+		b := active[(s.nextEntry+i)%len(active)]
 		message = appendDemand(message, b.Team, b.Demand.Rate(s.limiter.clock.now))
 	}
 	if len(active) > maxEntries {
-		s.nextTeam = (s.nextTeam + maxEntries) % len(active)
+		s.nextEntry = (s.nextEntry + maxEntries) % len(active)
 	}
 	return padDemandMessage(message)
 }
@@ -128,15 +128,15 @@
 	if received.from == s.self || received.from >= s.routers || !received.complete() {
 		return true
 	}
-	s.lastHeard[received.from] = now
+	s.lastReceivedAt[received.from] = now
 	for team, rate := range received.demands() {
 		if s.peerDemands[team] == nil {
 			if len(s.peerDemands) >= s.maxTeams() {
 				return true // it names teams that have no quota here: other pools' messages come here, too
 			}
-			s.peerDemands[team] = map[int]peerRate{}
+			s.peerDemands[team] = map[int]peerDemand{}
 		}
-		s.peerDemands[team][received.from] = peerRate{rate: rate, heardAt: now}
+		s.peerDemands[team][received.from] = peerDemand{rate: rate, receivedAt: now}
 	}
 	return true
 }
@@ -145,11 +145,11 @@
 // the messages, and some more while configurations differ.
 func (s *Shares) maxTeams() int { return 4*len(s.limiter.buckets) + 64 }
 
-// forgetStale drops what was told too long ago.
-func (s *Shares) forgetStale(now float64) {
+// dropExpired drops what was told too long ago.
+func (s *Shares) dropExpired(now float64) {
 	for team, told := range s.peerDemands {
 		for from, demand := range told {
-			if now-demand.heardAt >= peerLifetime {
+			if now-demand.receivedAt >= peerLifetime {
 				delete(told, from)
 			}
 		}
@@ -157,16 +157,16 @@
 			delete(s.peerDemands, team)
 		}
 	}
-	for from, at := range s.lastHeard {
+	for from, at := range s.lastReceivedAt {
 		if now-at >= peerLifetime {
-			delete(s.lastHeard, from)
+			delete(s.lastReceivedAt, from)
 		}
 	}
 }
 
 // LivePeers gives the routers that were heard lately, for who wants to see why a share is what it is.
 func (s *Shares) LivePeers(now float64) (routers []int) {
-	for from, at := range s.lastHeard {
+	for from, at := range s.lastReceivedAt {
 		if now-at < peerLifetime {
 			routers = append(routers, from)
 		}
--- a/internal/policy/quota/shares_test.go
+++ b/internal/policy/quota/shares_test.go
@@ -7,13 +7,13 @@
 
 // fleet is routers that share quotas, and the messages between them.
 type fleet struct {
-	limiters []*Limiter
-	shares   []*Shares
-	talking  bool
+	limiters     []*Limiter
+	shares       []*Shares
+	broadcasting bool
 }
 
 func newFleet(n int, talking bool, capacity float64, quotas ...Quota) *fleet {
-	routers := &fleet{talking: talking}
+	routers := &fleet{broadcasting: talking}
 	for i := range n {
 		l := NewLimiter(100, capacity, uint32(i))
 		l.SetQuotas(100, capacity, quotas)
@@ -41,7 +41,7 @@
 				}
 			}
 			message := f.shares[router].Message(now)
-			if message != nil && f.talking {
+			if message != nil && f.broadcasting {
 				f.broadcast(now+0.01, router, message)
 			}
 		}
@@ -112,7 +112,7 @@
 	if share := routers.limiters[0].Bucket("a").Share(); share < 0.9 {
 		t.Errorf("where all come to one router, it has %.3f of the quota", share)
 	}
-	routers.talking = false
+	routers.broadcasting = false
 	routers.run(104, 108, "a", 400, []float64{1, 0, 0, 0})
 	if share := routers.limiters[0].Bucket("a").Share(); share != 0.25 {
 		t.Errorf("when all are silent, it has %.3f", share)
--- a/internal/policy/quota/unused.go
+++ b/internal/policy/quota/unused.go
@@ -50,7 +50,7 @@
 	}
 	l.Totals.Filled += load
 	if l.borrowers.weights > 0 {
-		l.borrowers.perWeight += load / l.borrowers.weights
+		l.borrowers.unusedPerWeight += load / l.borrowers.weights
 		return
 	}
 	l.keepUnused(load)
