--- a/internal/policy/gossip/budget.go
+++ b/internal/policy/gossip/budget.go
@@ -2,8 +2,8 @@
 
 import "math"
 
-// Parts of the budget. A rate is BytesPerSecond divided by its number, a burst as many bytes as BytesPerSecond divided
-// by its number: how much may go out at once after a pause.
+// Divisors of the budget. A rate in bytes per second is BytesPerSecond divided by its rate divisor. A burst, the number
+// of bytes that may be sent without a delay after a pause, is BytesPerSecond divided by its burst divisor.
 const (
 	urgentRateDivisor     = 7 // for urgent summaries
 	urgentBurstDivisor    = 4
@@ -12,20 +12,22 @@
 	groupSumRateDivisor   = 5 // for group sums
 	groupSumBurstDivisor  = 2
 
-	// maxDebtDivisor bounds what may be owed: with more a router that was flooded would be silent for long.
+	// maxDebtDivisor bounds the debt of the total budget. With a larger debt, a flooded router would stop sending for
+	// a long time.
 	maxDebtDivisor = 4
 )
 
-// summaryBurstBytes bounds the summaries that are sent at once.
+// summaryBurstBytes is the largest burst of summaries, including headers.
 const summaryBurstBytes = 6 * (maxDatagramBytes + datagramOverhead)
 
-// tokenBucket is an allowance that fills with time.
+// tokenBucket is a token bucket whose rate and capacity are arguments of take.
 type tokenBucket struct {
 	tokens    float64
 	updatedAt float64
 }
 
-// take takes tokens if there are enough. The bucket fills at a rate a second up to its capacity.
+// take refills the bucket at the given rate per second, up to its capacity, and removes tokens if there are enough. It
+// reports whether it did.
 func (b *tokenBucket) take(now, rate, capacity, tokens float64) bool {
 	b.tokens = min(capacity, b.tokens+rate*max(0, now-b.updatedAt))
 	b.updatedAt = now
@@ -36,35 +38,36 @@
 	return true
 }
 
-// budgets bound what a router sends, in bytes.
+// budgets limit what a router sends, in bytes.
 type budgets struct {
-	total       tokenBucket // all that is sent and received; summaries that are not urgent wait for it
+	total       tokenBucket // everything sent and received; only summaries that are not urgent wait for it
 	urgent      tokenBucket
 	pullReplies tokenBucket
 	groupSums   tokenBucket
 }
 
-// newBudgets starts with empty buckets: a router that starts has much to receive.
+// newBudgets returns empty buckets, because a router that starts has much to receive.
 func newBudgets(now float64) budgets {
 	empty := tokenBucket{updatedAt: now}
 	return budgets{total: empty, urgent: empty, pullReplies: empty, groupSums: empty}
 }
 
-// takeTotal takes what a datagram of summaries costs from the budget, which everything else is charged to as well: an
-// owner with much to do passes on less.
+// takeTotal takes the cost of a datagram of summaries from the total budget and reports whether it sufficed. All other
+// traffic is charged to the same budget, so an owner with much other traffic forwards fewer summaries.
 func (g *Gossiper) takeTotal(bytes float64) bool {
-	return g.budgets.total.take(g.now, plannedBudgetPart*g.settings.BytesPerSecond, summaryBurstBytes, bytes)
+	return g.budgets.total.take(g.now, plannedBudgetFraction*g.settings.BytesPerSecond, summaryBurstBytes, bytes)
 }
 
-// charge takes from the budget what is sent or received in any case.
+// charge deducts bytes that are sent or received regardless of the budget. The balance may become negative.
 func (g *Gossiper) charge(bytes int) {
-	g.takeTotal(math.Inf(1)) // fills the bucket, and takes nothing
+	g.takeTotal(math.Inf(1)) // refills the bucket without taking anything
 	total := &g.budgets.total
 	total.tokens = max(total.tokens-float64(bytes), -g.settings.BytesPerSecond/maxDebtDivisor)
 }
 
-// takePart takes from a bucket for a part of the budget.
-func (g *Gossiper) takePart(bucket *tokenBucket, rateDivisor, burstDivisor, bytes float64) bool {
+// takeFromBucket takes bytes from a bucket whose rate and burst are fractions of the budget, and reports whether there
+// were enough.
+func (g *Gossiper) takeFromBucket(bucket *tokenBucket, rateDivisor, burstDivisor, bytes float64) bool {
 	budget := g.settings.BytesPerSecond
 	return bucket.take(g.now, budget/rateDivisor, budget/burstDivisor, bytes)
 }
--- a/internal/policy/gossip/codec.go
+++ b/internal/policy/gossip/codec.go
@@ -7,10 +7,11 @@
 	"math"
 )
 
-// Datagrams differ from all else that routers send by their length and first byte: the balancer's messages
-// and those of zones have a length that is a multiple of three, and no other message begins with messageTag. Builds
-// that do not know this package would take them for observations: so they are sent to those routers alone that have
-// sent a probe or an acknowledgement, one byte each, which holds no observation.
+// Gossip datagrams are distinguished from all other datagrams between routers by their length and first byte: the
+// messages of the balancer and of zone failover have a length that is a multiple of three, and no other message begins
+// with messageTag. Builds without this package would misread gossip messages as observations. Messages are therefore
+// sent only to routers that have sent a probe or an acknowledgement, which are one byte long and too short for an
+// observation.
 //
 //	probe            probeByte
 //	acknowledgement  probeAckByte
@@ -19,8 +20,8 @@
 // All numbers are little-endian.
 const (
 	messageTag   = 0x67
-	probeByte    = 0x68 // this router understands the protocol; does the receiver?
-	probeAckByte = 0x69 // this router understands the protocol
+	probeByte    = 0x68 // the sender supports the protocol and asks whether the receiver does
+	probeAckByte = 0x69 // the sender supports the protocol
 
 	kindObservations = 1 // to an owner: observations
 	kindGroupSums    = 2 // from owner to owner: group sums
@@ -32,14 +33,14 @@
 	minMessageBytes    = messageHeaderBytes + checksumBytes
 
 	observationBytes = 3 // server, relative time
-	pullEntryBytes   = 3 // server, a byte without meaning
+	pullEntryBytes   = 3 // server, an unused byte
 	summaryBytes     = 9 // server, flags, incarnation, version, age, load, mean
 	maxSummaries     = (maxDatagramBytes - minMessageBytes) / summaryBytes
 
-	refusalByte = 255 // in the place of a relative time; the balancer has the same
+	refusalByte = 255 // a refusal instead of a relative time; the same in the balancer
 )
 
-// Units and bounds of the numbers in a summary.
+// Units, bounds and flags of the fields of a summary.
 const (
 	rankMask      = 15
 	refusingFlag  = 16
@@ -48,45 +49,46 @@
 
 	ageUnit  = 0.05 // seconds, rounded up
 	maxAge   = math.MaxUint8
-	loadUnit = 16 // of a relative time of 1
+	loadUnit = 16 // encoded value of a relative time of 1
 	maxLoad  = math.MaxUint16
 	maxMean  = refusalByte - 1
 
 	maxRelativeTime = 8 // of one observation
 )
 
-// form is what kind of datagram one is.
-type form int
+// datagramType classifies a received datagram.
+type datagramType int
 
 const (
-	formForeign form = iota // of no kind of this package
-	formProbe
-	formProbeAck
-	formMessage
+	foreignDatagram datagramType = iota // not of this package
+	probeDatagram
+	probeAckDatagram
+	messageDatagram
 )
 
-func formOf(datagram []byte) form {
+func datagramTypeOf(datagram []byte) datagramType {
 	if len(datagram) == 1 {
 		switch datagram[0] {
 		case probeByte:
-			return formProbe
+			return probeDatagram
 		case probeAckByte:
-			return formProbeAck
+			return probeAckDatagram
 		}
 	}
 	if len(datagram)%observationBytes == 0 || len(datagram) < minMessageBytes || datagram[0] != messageTag {
-		return formForeign
+		return foreignDatagram
 	}
-	return formMessage
+	return messageDatagram
 }
 
-// receivedMessage is one whose checksum is right.
+// receivedMessage is a message with a valid checksum.
 type receivedMessage struct {
 	kind byte
 	body []byte
 }
 
-// parseMessage reads the header of a message; false if its checksum is wrong. The body is part of the datagram.
+// parseMessage decodes the header of a message. intact is false if the checksum is wrong. The body aliases the
+// datagram.
 func parseMessage(datagram []byte) (received receivedMessage, intact bool) {
 	end := len(datagram) - checksumBytes
 	checksum := binary.LittleEndian.Uint16(datagram[end:])
@@ -96,18 +98,18 @@
 	return receivedMessage{kind: datagram[1], body: datagram[messageHeaderBytes:end]}, true
 }
 
-// newMessage begins a message.
+// newMessage returns the header of a message.
 func newMessage(kind byte) []byte { return []byte{messageTag, kind} }
 
-// appendChecksum ends a message.
+// appendChecksum completes a message with its checksum.
 func appendChecksum(message []byte) []byte {
 	return binary.LittleEndian.AppendUint16(message, checksumOf(message))
 }
 
 func checksumOf(message []byte) uint16 { return uint16(crc32.ChecksumIEEE(message)) }
 
-// observation is what a router saw of a server: the time of an attempt over the mean of its traffic class, times
-// timeUnit, or a refusal.
+// observation is one measurement of a server by a router: the duration of an attempt divided by the mean of its traffic
+// class and multiplied by timeUnit, or a refusal.
 type observation struct {
 	server       uint16 // the low 16 bits of its identifier
 	relativeTime byte
@@ -124,7 +126,7 @@
 	return appendChecksum(append(message, o.relativeTime))
 }
 
-// observations reads the body of a message of kindObservations.
+// observations decodes the body of a message of kindObservations.
 func (m receivedMessage) observations() iter.Seq[observation] {
 	return func(yield func(observation) bool) {
 		for body := m.body; len(body) >= observationBytes; body = body[observationBytes:] {
@@ -139,7 +141,7 @@
 	return append(binary.LittleEndian.AppendUint16(message, server), 0)
 }
 
-// pulledServers reads the body of a message of kindPull.
+// pulledServers decodes the body of a message of kindPull.
 func (m receivedMessage) pulledServers() iter.Seq[uint16] {
 	return func(yield func(uint16) bool) {
 		for body := m.body; len(body) >= pullEntryBytes; body = body[pullEntryBytes:] {
@@ -154,7 +156,7 @@
 	return appendChecksum(appendSummary(newMessage(kindGroupSums), server, sum, now))
 }
 
-// summaries reads the body of a message of kindGroupSums or kindSummaries.
+// summaries decodes the body of a message of kindGroupSums or kindSummaries.
 func (m receivedMessage) summaries(now float64) iter.Seq2[uint16, summary] {
 	return func(yield func(uint16, summary) bool) {
 		for body := m.body; len(body) >= summaryBytes; body = body[summaryBytes:] {
@@ -165,13 +167,14 @@
 	}
 }
 
-// summariesDatagramBytes is what a datagram with so many summaries costs, with headers.
+// summariesDatagramBytes returns the size of a datagram with the given number of summaries, including UDP and IP
+// headers.
 func summariesDatagramBytes(summaries int) int {
 	return summaries*summaryBytes + minMessageBytes + datagramOverhead
 }
 
-// appendSummary adds a summary or group sum to a message. It carries the age, not the time: routers have clocks of
-// their own.
+// appendSummary appends a summary or group sum to a message. It encodes the age instead of the time, because the clocks
+// of routers differ.
 func appendSummary(message []byte, server uint16, s summary, now float64) []byte {
 	flags := s.rank & rankMask
 	if s.refusing {
@@ -192,7 +195,7 @@
 	return append(message, mean)
 }
 
-// parseSummary reads a summary or group sum.
+// parseSummary decodes a summary or group sum.
 func parseSummary(b []byte, now float64) (server uint16, s summary) {
 	flags := b[2]
 	return binary.LittleEndian.Uint16(b), summary{
--- a/internal/policy/gossip/config.go
+++ b/internal/policy/gossip/config.go
@@ -1,135 +1,139 @@
 package gossip
 
-// Settings is what a router knows when it starts.
+// Settings configures a Gossiper.
 type Settings struct {
 	// Self is the index of this router in the view.
 	Self int
 
-	// Seed of the router's random choices. Routers should have different ones, or they choose the same peers at the
+	// Seed initializes the random choices. Routers should have different seeds, or they choose the same peers at the
 	// same time.
 	Seed uint32
 
-	// Incarnation tells this process from an earlier one of the same router: another number for each process.
+	// Incarnation distinguishes this process from earlier processes of the same router. It must differ in each process.
 	Incarnation uint32
 
-	// BytesPerSecond bounds what is sent and received together, with the headers of UDP and IP; 7000 or more. A
-	// larger budget lets summaries spread sooner, a smaller one delays those that are not urgent.
+	// BytesPerSecond limits the traffic sent and received together, including UDP and IP headers. It must be 7000 or
+	// more. With a larger budget summaries spread sooner; a smaller one delays summaries that are not urgent.
 	BytesPerSecond float64
 
-	// LongestObjective is the longest latency objective of a traffic class, in seconds. For so long after an answer a
-	// server is taken to answer, whatever refusals are reported.
+	// LongestObjective is the longest latency objective of a traffic class, in seconds. A server that has answered
+	// counts as answering for this long, even if refusals are reported.
 	LongestObjective float64
 }
 
 // Sizes and counts.
 const (
 	datagramOverhead = 28  // bytes of the headers of UDP and IP
-	maxDatagramBytes = 256 // of a datagram's payload, a limit of the platform
+	maxDatagramBytes = 256 // limit of the platform for a datagram's payload
 
-	// maxGroupRouters bounds a group. Larger groups need more transmissions of each summary, more groups need more
-	// group sums.
+	// maxGroupRouters is the largest size of a group. Larger groups need more transmissions of each summary; smaller
+	// groups are more numerous and need more group sums.
 	maxGroupRouters = 512
 
-	// groupEdgeRouters is how many routers beside a group may take themselves to be in it, going by an older list.
+	// groupEdgeRouters is the number of routers on each side of a group that may assign themselves to it because their
+	// list of routers is older.
 	groupEdgeRouters = 32
 
-	// ownersPerGroup is how many routers of a group are ranked as owners of a server. More of them survive more
-	// failures at once.
+	// ownersPerGroup is the number of routers of a group that are ranked as owners of a server. With more owners, more
+	// simultaneous failures are tolerated.
 	ownersPerGroup = 16
 
-	// ownerLoadFactor is how many times the mean number of servers a router may be the first owner of.
+	// ownerLoadFactor limits the number of servers that a router is the first owner of, as a multiple of the mean.
 	ownerLoadFactor = 1.15
 
-	// maxServers bounds the servers that are tracked; observations of others are ignored.
+	// maxServers is the largest number of tracked servers; observations of other servers are ignored.
 	maxServers = 1024
 )
 
-// Time constants, in seconds. The balancer has the same.
+// Time constants of exponential decay, in seconds. They are the same in the balancer.
 const (
-	loadDecay = 3.0 // of the decayed sum of relative times
-	meanDecay = 1.0 // of the mean relative time
+	loadDecay = 3.0 // for the sum of relative times
+	meanDecay = 1.0 // for the mean relative time
 )
 
 // Intervals and ages of summaries and group sums, in seconds.
 const (
-	refreshInterval = 5.0 // between two summaries of a server of which nothing has changed
-	changeInterval  = 1.0 // between two summaries that differ
+	refreshInterval        = 5.0 // between two summaries of a server whose load has not changed
+	changedSummaryInterval = 1.0 // between two summaries that differ
 
-	// groupSumInterval is the time between two group sums to the first owners in other groups; the second owners
-	// receive each third one.
+	// groupSumInterval is the time between two group sums to the first owners in other groups. The second owners
+	// receive every third one.
 	groupSumInterval = 2.0
 
-	// summaryLifetime is how long a summary counts: longer than one missed refresh and the spread of the next.
+	// summaryLifetime is the age at which a summary expires: longer than one missed refresh and the spread of the next.
 	summaryLifetime = 8.0
 
-	// ownerTimeout is how long an owner waits for a group sum of the owner before it until it publishes itself.
+	// ownerTimeout is the time without a group sum from the owners before it after which an owner publishes itself.
 	ownerTimeout = 4.5
 
-	pullAfter       = refreshInterval + 0.75*changeInterval // age from which on a router pulls a summary
-	overdueInterval = refreshInterval + 1.5*changeInterval  // age from which on a later owner's summary counts
-	freshAge        = 0.25                                  // age up to which a summary is passed on at once
+	pullAfter       = refreshInterval + 0.75*changedSummaryInterval // age above which a router pulls a summary
+	overdueInterval = refreshInterval + 1.5*changedSummaryInterval  // age at which a later owner's summary replaces it
+	freshAge        = 0.25                                          // largest age at which it is forwarded without delay
 
-	// incarnationAgeMargin is by how much a summary of another incarnation has to be newer: ages are rounded up.
+	// incarnationAgeMargin is how much newer a summary of another incarnation of the same owner must be to replace the
+	// held one. A margin is needed because encoded ages are rounded up.
 	incarnationAgeMargin = 0.3
 
-	refusalLifetime = 1.6 // for which an owner reports a refusal
+	refusalLifetime = 1.6 // time for which an owner reports a refusal
 
 	// secondaryRefusalDelay is how long an owner waits for the owner before it to publish a refusal.
 	secondaryRefusalDelay = 0.4
 
-	// batchDelay is how long summaries that are not urgent wait for others to fill their datagram.
+	// batchDelay is how long summaries that are not urgent wait for others to fill the datagram.
 	batchDelay = 0.25
 )
 
-// Probes and pulls: seconds, and rates a second.
+// Probes and pulls: intervals in seconds, and rates per second.
 const (
-	stallThreshold  = 0.5 // between two calls, from which on this process is taken to have stood still
-	startupDuration = 5.0 // for which a router pulls more often after its start or a stall
-
-	peerLifetime       = 400.0 // for which a router understands the protocol after a sign of it: two rounds of probes
-	probeRound         = 150.0 // within which every router of the group is probed
-	probeRetryInterval = 0.5   // between two probes of an owner that has given no sign
-	probeTimeout       = 2.0   // without an answer, after which a router that was probed is unresponsive
-	maxProbeBacklog    = 0.5   // of probes that are made up for after a stall
+	stallThreshold  = 0.5 // time between two calls above which this process counts as having stalled
+	startupDuration = 5.0 // time after a start or a stall in which a router pulls more often
+
+	peerLifetime       = 400.0 // validity of evidence that a router supports the protocol: over two rounds of probes
+	probeRound         = 150.0 // time in which every router of the group is probed once
+	probeRetryInterval = 0.5   // between two probes of an owner that has not answered
+	probeTimeout       = 2.0   // time without an answer after which a probed router is unresponsive
+	maxProbeBacklog    = 0.5   // largest delay of probes that is made up for after a stall
 	pullInterval       = 1.0   // between two pulls
 
 	startupProbesPerSecond = 6.0 // until every router of the group was probed once
 	startupPullsPerSecond  = 2.0 // during startupDuration
 )
 
-// Rates a second, and bursts, of what one router may send.
+// Limits on what one router may send: rates per second, and a burst. Receivers ignore what exceeds them.
 const (
-	observationsPerSecond = 12.0 // that count
+	observationsPerSecond = 12.0 // that are counted
 	observationBurst      = 36.0
-	datagramsPerSecond    = 40.0 // that are read: three times what one sends to all
+	datagramsPerSecond    = 40.0 // that one receiver reads: three times what a router sends to all receivers together
 )
 
-// plannedBudgetPart is the part of BytesPerSecond that this router plans with: what it receives is up to others.
-const plannedBudgetPart = 0.88
+// plannedBudgetFraction is the fraction of BytesPerSecond that this router uses. The rest is a margin, because other
+// routers decide how much it receives.
+const plannedBudgetFraction = 0.88
 
-// Transmissions of a summary by one router, less those in which it receives the same version again.
+// Numbers of transmissions of a summary by one router. Each duplicate that the router receives reduces the number by
+// one, unless the summary is urgent.
 const (
 	summaryTransmits = 4
-	ownerTransmits   = 6 // by the owner that publishes it, at once
-	urgentTransmits  = 8 // of an urgent one, at once
-	freshTransmits   = 2 // of one that is not older than freshAge, at once
+	ownerTransmits   = 6 // without delay, by the owner that publishes the summary
+	urgentTransmits  = 8 // without delay, of an urgent summary
+	freshTransmits   = 2 // without delay, of a summary up to freshAge old
 )
 
-// Thresholds for a summary to be urgent, and to differ from the one before.
+// Thresholds from which a summary is urgent, or differs from the one before.
 const (
-	slowMean         = 2.5 // mean relative time from which on the balancer moves keys away from a server
-	urgentLoadChange = 8.0 // least urgent change of the load, if the load is smaller
-	loadChange       = 2.0 // least change of the load that is published, if its part below is smaller
-	loadChangePart   = 0.25
-	meanChangePart   = 0.3
-	smallMean        = 0.2 // the change of a smaller mean is compared with a part of this
+	slowMean           = 2.5 // mean relative time above which the balancer moves keys away from a server
+	urgentLoadChange   = 8.0 // smallest urgent change of the load, unless the held load is larger
+	loadChange         = 2.0 // smallest significant change of the load, unless the fraction of the held load is larger
+	loadChangeFraction = 0.25
+	meanChangeFraction = 0.3
+	smallMean          = 0.2 // a smaller held mean counts as this when the change of the mean is judged
 )
 
-// minMean bounds the number of attempts that a load stands for.
+// minMean is the smallest mean by which a load is divided; it bounds the number of attempts computed from a load.
 const minMean = 1.0 / 32
 
-// CheaperThanBroadcast reports whether gossip within this budget costs fewer bytes than if each router sent a message
-// of five observations a second to every other.
+// CheaperThanBroadcast reports whether gossip within this budget costs a router fewer bytes than a broadcast, in which
+// each router sends one message of five observations per second to every other router.
 func CheaperThanBroadcast(routers int, bytesPerSecond float64) bool {
 	const broadcastMessageBytes = 15
 	return float64(routers-1)*2*(datagramOverhead+broadcastMessageBytes) > bytesPerSecond
--- a/internal/policy/gossip/doc.go
+++ b/internal/policy/gossip/doc.go
@@ -1,57 +1,58 @@
-// Package gossip spreads what routers observe of servers through a fleet of thousands of routers, at a cost for one
-// router that does not grow with the fleet. It decides whom to send what and when, and which of two summaries counts.
-// It owns no socket, goroutine, clock or source of true randomness: datagrams, ticks and the time in seconds come in,
-// datagrams to send come out.
+// Package gossip distributes server load observations through a fleet of thousands of routers. The cost for one router
+// does not grow with the fleet size. The package decides what to send to which router and when, and which of two
+// summaries takes precedence. It owns no socket, goroutine, clock or source of true randomness: its inputs are
+// datagrams, ticks and the time in seconds, its outputs are datagrams to send.
 //
 // # How it works
 //
-// The list of routers is cut into groups of up to 512 neighbours (View). For each server, each group has owners:
-// routers chosen by rendezvous hashing with bounded loads, in a ranked order, the same at every router that has the
-// same view.
-//
-//   - An observation is what this router saw of a server: how long an attempt took, relative to the mean of its traffic
-//     class, or a refusal. It is sent to the first owner of the server in the group; a refusal also to the second.
-//   - A group sum is what has been reported to an owner of a server, decayed over time. Owners send it to the owners in all
-//     other groups, which keep the newest of each group: so nothing is counted twice, in whatever order and however
-//     often it arrives.
-//   - A summary is the sum over all groups, published by an owner to its own group with a version. Routers pass it on
-//     to random routers of the group a few times, urgent ones first and at once (rumor mongering).
-//   - A pull asks for summaries that a router should have received and has not (anti-entropy).
-//   - A probe asks whether a router understands this protocol. Builds that do not would take its datagrams for
-//     something else: nothing but probes is sent to a router that has given no sign.
-//
-// A summary counts by the rank of its owner, the owner's incarnation and its version (compare). If an owner falls
-// silent the next one publishes in its place; if all owners that a router sends to fall silent it turns to the next
-// ones. After a network partition, the group sums of the other side are merged as soon as they arrive, and pulls fill
-// in the summaries that were missed.
+// The list of routers is divided into gossip groups of up to 512 consecutive routers (View). For each server, each
+// group has owners: routers chosen by rendezvous hashing with bounded loads and ranked. Every router with the same view
+// computes the same owners.
+//
+//   - An observation is the outcome of one attempt at a server as this router measured it: the duration of the attempt
+//     relative to the mean of its traffic class, or a refusal. It is sent to the first owner of the server in the
+//     group; a refusal is also sent to the second owner.
+//   - A group sum is the sum of the observations reported to an owner of a server, decayed over time. Owners send it
+//     to the owners in all other groups, which keep only the newest sum of each group. No observation is thus counted
+//     twice, even if group sums are duplicated or arrive out of order.
+//   - A summary is the sum over all groups. An owner publishes it to its own group with a version. Routers forward it
+//     to random routers of the group a few times; urgent summaries are sent first and without delay (rumor mongering).
+//   - A pull requests summaries that a router should have received but has not (anti-entropy).
+//   - A probe asks whether a router supports this protocol. Builds without it would misread its datagrams as balancer
+//     observations, so a router receives nothing but probes until it has shown that it supports the protocol.
+//
+// Precedence between summaries is decided by the rank of the owner, the owner's incarnation and the version (compare).
+// If an owner stops sending, the next one publishes in its place. If all owners that a router sends observations to
+// stop publishing, the router switches to the next ones. After a network partition, the group sums of the other side
+// are merged as soon as they arrive, and pulls fetch the summaries that were missed.
 //
 // # Use
 //
 //	g := gossip.New(now, settings, gossip.NewView(hashes))
 //	g.SetServers(ids)              // on each change of the endpoint list
-//	g.Report(now, observations)    // what the balancer has to tell
+//	g.Report(now, observations)    // observations from the balancer for other routers
 //	g.OnDatagram(now, from, bytes) // for each datagram of another router
-//	for _, d := range g.Tick(now) { send(d.To, d.Bytes) } // each 50 ms
-//	balancer.OnGossip(g.SynthesizeObservations(now))      // each 100 ms
+//	for _, d := range g.Tick(now) { send(d.To, d.Bytes) } // every 50 ms
+//	balancer.OnGossip(g.SynthesizeObservations(now))      // every 100 ms
 //
-// The service calls all of it from its event loop, the goroutine that a Gossiper belongs to; a View may be shared by
-// Gossipers of one goroutine. Nothing is kept across a restart: a new process starts with another incarnation and
-// learns by pulls.
+// The service calls all of it from its event loop, the goroutine that a Gossiper belongs to. Gossipers of one goroutine
+// may share a View. Nothing is kept across a restart: a new process starts with another incarnation and fetches the
+// summaries by pulls.
 //
 // # Where to look
 //
 //	config.go         settings and the constants of the protocol
 //	view.go           groups, and owners by rendezvous hashing
-//	gossiper.go       the state of a router, and the order of a tick
-//	peer.go           which routers understand the protocol: probes and their answers
-//	observations.go   from this router's observations to the owners
+//	gossiper.go       the state of a router, and the order of steps in a tick
+//	peer.go           which routers support the protocol: probes and acknowledgements
+//	observations.go   sending this router's observations to the owners
 //	owner.go          the duties of an owner: sums, group sums, summaries
-//	merge.go          the summary of all groups, also after a partition
-//	summary.go        which of two summaries counts
-//	spread.go         passing summaries on
+//	merge.go          merging the sums of all groups, also after a partition
+//	summary.go        which of two summaries takes precedence
+//	spread.go         forwarding summaries
 //	pull.go           anti-entropy
-//	receive.go        what becomes of a datagram that arrives
-//	codec.go          the bytes of each message
-//	budget.go         limits in bytes and messages a second
-//	synthesize.go     the observations for the balancer
+//	receive.go        handling of received datagrams
+//	codec.go          the encoding of each message
+//	budget.go         limits in bytes and messages per second
+//	synthesize.go     synthesized observations for the balancer
 package gossip
--- a/internal/policy/gossip/fleetsize_test.go
+++ b/internal/policy/gossip/fleetsize_test.go
@@ -8,12 +8,12 @@
 	"time"
 )
 
-const tableHead = "| routers | | bytes/s mean | most of one | in a second | messages/s | half, s | 99% | last " +
-	"| load off, middle | 95% | mean |"
+const tableHead = "| routers | | mean bytes/s | max bytes/s | peak of 1 s | messages/s | half, s | 99% | last " +
+	"| load error, median | 95% | mean |"
 
-// At each size the cost of a router stays within the budget, and a refusal reaches all in time: undisturbed, with a
-// tenth of the datagrams lost, with routers that restart, and after a partition. The sizes come from GOSSIP_SIZES;
-// without it only the smallest is run.
+// For each fleet size, checks that the traffic of a router stays within the budget and that a refusal reaches all
+// routers in time: without disturbance, with a tenth of the datagrams lost, with restarting routers, and after a
+// partition. GOSSIP_SIZES lists the sizes; without it only a fleet of 100 routers is tested.
 func TestFleetSizes(t *testing.T) {
 	sizes := "100"
 	if named := os.Getenv("GOSSIP_SIZES"); named != "" {
@@ -35,43 +35,44 @@
 	for _, server := range []int{5, 6, 7, 8} {
 		net.unobserved[server] = true
 	}
-	net.run(35) // until all have probed each other
+	net.run(35) // until all routers have probed each other
 	check := func(what string, half, most, last, seconds float64) {
 		t.Helper()
 		mean, top, _, _ := net.traffic(seconds)
 		t.Log(net.tableRow(what, half, most, last, seconds))
 		if top > 7000 || mean > 7000 {
-			t.Errorf("%d routers, %s: %v bytes a second, %v at most", routers, what, mean, top)
+			t.Errorf("%d routers, %s: bytes per second: mean %v, largest %v, want at most 7000", routers, what, mean, top)
 		}
-		if last > inTime {
-			t.Errorf("%d routers, %s: the last knew after %v s", routers, what, last)
+		if last > maxSpreadTime {
+			t.Errorf("%d routers, %s: the refusal reached the last router after %v s, want at most maxSpreadTime",
+				routers, what, last)
 		}
 	}
 	measure := func(what string, reporter, server int) {
 		net.resetCounters()
 		from := net.step
 		net.observe(reporter, server, refusalByte)
-		half, most, last := net.measureSpread(5, believesRefusing(server))
+		half, most, last := net.measureSpread(5, holdsRefusal(server))
 		net.run(max(0, 5-float64(net.step-from)/100))
 		check(what, half, most, last, float64(net.step-from)/100)
 	}
 	reporter := net.running()[len(net.running())/3]
-	measure("calm", reporter, 5)
+	measure("no disturbance", reporter, 5)
 	net.lossRate = 0.1
 	net.duplicateRate = 0.05
-	measure("a tenth lost", reporter, 6)
+	measure("a tenth lost", reporter, 6) // and a twentieth duplicated
 	net.lossRate = 0
 	net.duplicateRate = 0
-	// 820 restarts a day are one in 105 s; here a hundredth of all restart at once.
+	// 820 restarts a day are one per 105 s; here a hundredth of the routers restart at the same time.
 	for n := 3; n < routers; n += 100 {
 		net.start(n)
 	}
 	measure("a hundredth restarted", reporter, 7)
-	// An eighth of the list is cut off for 30 s; then a router there reports what the others do not know.
-	cutOff := func(n int) bool { return n < routers/8 }
-	net.partitioned = func(a, b int) bool { return cutOff(a) != cutOff(b) }
+	// An eighth of the routers is partitioned from the others for 30 s; then one of them reports a refusal.
+	isolated := func(n int) bool { return n < routers/8 }
+	net.partitioned = func(a, b int) bool { return isolated(a) != isolated(b) }
 	net.run(30)
 	net.partitioned = func(int, int) bool { return false }
-	measure("after a cut of 30 s", 1, 8)
+	measure("after a 30 s partition", 1, 8)
 	t.Logf("%d routers: %.1f s", routers, time.Since(began).Seconds())
 }
--- a/internal/policy/gossip/golden_test.go
+++ b/internal/policy/gossip/golden_test.go
@@ -11,9 +11,10 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current code")
 
-// golden compares lines with a file that the build of 15122f5 wrote, and returns the file's lines.
+// golden compares lines with testdata/NAME.golden, whose values the build of commit 15122f5 wrote, and returns the
+// file's lines.
 func golden(t *testing.T, name string, lines []string) []string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -32,7 +33,7 @@
 		case i >= len(lines):
 			t.Fatalf("%s: line %d is missing: want %s", name, i+1, want[i])
 		case i >= len(want):
-			t.Fatalf("%s: line %d is more than was written: %s", name, i+1, lines[i])
+			t.Fatalf("%s: line %d is not in the golden file: %s", name, i+1, lines[i])
 		case lines[i] != want[i]:
 			t.Fatalf("%s: line %d:\n got %s\nwant %s", name, i+1, lines[i], want[i])
 		}
@@ -40,7 +41,7 @@
 	return want
 }
 
-// goldenSummaries are summaries with each flag, and values at and beyond the bounds of the form.
+// goldenSummaries returns summaries with each flag, and with values at and beyond the bounds of the encoding.
 func goldenSummaries() []summary {
 	return []summary{
 		{originatedAt: 1000},
@@ -55,13 +56,15 @@
 	}
 }
 
-// goldenSummary tells what was read.
+// goldenSummary formats a decoded summary.
 func goldenSummary(id uint16, s summary) string {
-	return fmt.Sprintf("id=%d rank=%d refused=%t well=%t news=%t life=%d number=%d born=%v load=%v joint=%v",
+	return fmt.Sprintf(
+		"id=%d rank=%d refusing=%t answering=%t urgent=%t incarnation=%d version=%d originated=%v load=%v mean=%v",
 		id, s.rank, s.refusing, s.answering, s.urgent, s.incarnation, s.version, s.originatedAt, s.load, s.mean)
 }
 
-// What a summary or group sum looks like in a datagram, and what is read from it by a router whose clock is another.
+// Summaries keep their encoding, and the bytes in the golden file are decoded to the same values by a router with
+// another clock.
 func TestGoldenSummaries(t *testing.T) {
 	var lines []string
 	for i, written := range goldenSummaries() {
@@ -78,15 +81,16 @@
 		}
 		id, read := parseSummary(b, 50)
 		if got := goldenSummary(id, read); got != want[i+1] {
-			t.Errorf("%s is read as %s, want %s", want[i], got, want[i+1])
+			t.Errorf("%s is decoded as %s, want %s", want[i], got, want[i+1])
 		}
 	}
 }
 
-// goldenRouter is router 0 of a quiet group of four, which knows that all others understand the protocol.
+// goldenRouter returns router 0 of a group of four, to which all others have acknowledged that they support the
+// protocol.
 func goldenRouter() *Gossiper {
 	settings := Settings{Self: 0, Seed: 9, Incarnation: 77, BytesPerSecond: 7000, LongestObjective: 0.6}
-	router := New(1000, settings, NewView(names(4)))
+	router := New(1000, settings, NewView(nameHashes(4)))
 	router.SetServers(serverIDs(5))
 	router.Tick(1000)
 	for from := 1; from < 4; from++ {
@@ -95,7 +99,8 @@
 	return router
 }
 
-// goldenTicks steps a router for some time and gives what it sends and tells its balancer, a line each.
+// goldenTicks runs a router for a time and returns a line for each datagram that it sends and for each batch of
+// observations that it synthesizes.
 func goldenTicks(router *Gossiper, from, to float64) (lines []string) {
 	for i := 0; from+float64(i)*0.05 < to; i++ {
 		now := from + float64(i)*0.05
@@ -103,39 +108,39 @@
 			lines = append(lines, fmt.Sprintf("%.2f to %d: %s", now-1000, d.To, hex.EncodeToString(d.Bytes)))
 		}
 		if b := router.SynthesizeObservations(now); len(b) > 0 {
-			lines = append(lines, fmt.Sprintf("%.2f feeds %s", now-1000, hex.EncodeToString(b)))
+			lines = append(lines, fmt.Sprintf("%.2f synthesizes %s", now-1000, hex.EncodeToString(b)))
 		}
 	}
 	return lines
 }
 
-// Each kind of datagram, byte for byte, as one router makes it: probes and their acknowledgements, observations,
-// group sums, summaries, a pull and what answers it. What is read shows in what is sent next.
+// One router encodes each kind of datagram byte for byte as in the golden file: probes and acknowledgements,
+// observations, group sums, summaries, a pull and the reply to one. What it decodes shows in what it sends next.
 func TestGoldenDatagrams(t *testing.T) {
 	router := goldenRouter()
 	var lines []string
-	say := func(what string) { lines = append(lines, "# "+what) }
-	say("words of this router")
+	heading := func(text string) { lines = append(lines, "# "+text) }
+	heading("observations of this router")
 	router.Report(1000.05, []byte{7, 0, 32, 157, 0, 64, 51, 1, 255, 201, 1, 96, 95, 2, 16})
 	lines = append(lines, goldenTicks(router, 1000.05, 1003)...)
-	say("words of another")
+	heading("observations of other routers")
 	for from := 1; from < 4; from++ {
 		b, err := hex.DecodeString([]string{"6701070020", "67019d00fe", "67013301ff"}[from-1])
 		if err != nil {
 			t.Fatal(err)
 		}
 		if !router.OnDatagram(1003, from, appendChecksum(b)) {
-			t.Errorf("%x was not taken", b)
+			t.Errorf("OnDatagram(%x) = false, want true", b)
 		}
 	}
 	lines = append(lines, goldenTicks(router, 1003, 1006)...)
-	say("a pull")
+	heading("a pull")
 	router.OnDatagram(1006, 2, appendChecksum([]byte{messageTag, kindPull, 7, 0, 0, 157, 0, 0, 51, 1, 0}))
 	lines = append(lines, goldenTicks(router, 1006, 1006.1)...)
-	say("a call")
+	heading("a probe")
 	router.OnDatagram(1006.1, 3, []byte{probeByte})
 	lines = append(lines, goldenTicks(router, 1006.1, 1006.2)...)
-	say("totals of others")
+	heading("summaries of other routers")
 	b := []byte{messageTag, kindSummaries}
 	for i, e := range goldenSummaries() {
 		e.originatedAt += 6.2
@@ -144,14 +149,15 @@
 	router.OnDatagram(1006.2, 1, appendChecksum(b))
 	lines = append(lines, goldenTicks(router, 1006.2, 1020)...)
 	counters := router.Counters
-	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; heard %d bytes; dropped %d; bounded %d; missed %d",
+	lines = append(lines, fmt.Sprintf("sent %d, %d bytes; received %d bytes; dropped %d; limited %d; unsent %d",
 		counters.DatagramsSent, counters.BytesSent, counters.BytesReceived,
 		counters.DatagramsDropped, counters.ObservationsLimited, counters.ObservationsUnsent))
 	golden(t, "datagrams", lines)
 }
 
-// goldenStream hashes all that a simulated fleet sends and tells its balancers, with a line each half second. A
-// change of one byte, of one receiver or of one random choice shows from there on.
+// goldenStream hashes all datagrams and synthesized observations of a simulated fleet, and records a line every half
+// second. A change of one byte, one receiver or one random choice changes all later hashes. The formats passed to add
+// are part of the hashes.
 type goldenStream struct {
 	net   *network
 	lines []string
@@ -176,14 +182,14 @@
 	s.sum = h.Sum(nil)
 }
 
-func (s *goldenStream) run(what string, seconds float64) {
+func (s *goldenStream) run(phase string, seconds float64) {
 	for ; seconds > 0; seconds -= 0.5 {
 		s.net.run(0.5)
-		s.line(what)
+		s.line(phase)
 	}
 }
 
-func (s *goldenStream) line(what string) {
+func (s *goldenStream) line(phase string) {
 	var all Counters
 	for n, f := range s.net.gossipers {
 		all.DatagramsSent += f.Counters.DatagramsSent
@@ -197,14 +203,14 @@
 			s.add("%v %v %v %t\n", load, mean, age, ok)
 		}
 	}
-	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", what, s.net.now(),
+	s.lines = append(s.lines, fmt.Sprintf("%s %.1f: %d %d %d %d %d %d %x", phase, s.net.now(),
 		all.DatagramsSent, all.BytesSent, all.BytesReceived,
 		all.DatagramsDropped, all.ObservationsLimited, all.ObservationsUnsent, s.sum[:8]))
 }
 
-// All that a group of a hundred routers sends, to the byte, while servers refuse, datagrams are lost and duplicated,
-// owners die and come back, a process stands still, one floods, one has an older build, another an older list, and
-// servers come and go. The lines keep the words of the build that wrote the file.
+// A group of a hundred routers sends the same bytes as the build that wrote the golden file, while a server refuses,
+// datagrams are lost and duplicated, owners fail and restart, a process stalls, one router runs an older build, one
+// sends a flood of forged messages, the list of servers changes, and some routers replace their view.
 func TestGoldenFleetOfOneGroup(t *testing.T) {
 	s := newGoldenStream(t, 100, 40)
 	net := s.net
@@ -216,27 +222,27 @@
 	net.observe(3, 6, refusalByte)
 	net.lossRate = 0.1
 	net.duplicateRate = 0.05
-	s.run("a tenth is lost", 6)
+	s.run("a tenth of the datagrams is lost", 6)
 	net.lossRate = 0
 	net.duplicateRate = 0
 	first, second := int(net.ownersOf(0, 3)[0]), int(net.ownersOf(0, 3)[1])
 	net.down[first], net.down[second] = true, true
-	s.run("two homes are gone", 24)
+	s.run("two owners are down", 24)
 	net.start(first)
 	net.start(second)
 	net.stalled[20] = true
 	net.oldBuild[21] = true
-	s.run("they are back, one stands still", 8)
+	s.run("owners restarted, one router stalls", 8)
 	net.resume(20)
 	delete(net.oldBuild, 21)
 	net.start(21)
 	net.observationRate = 40
-	s.run("all tell more than counts", 4)
+	s.run("all exceed the observation rate", 4)
 	net.observationRate = 5
 	owner := int(net.ownersOf(0, 4)[0])
-	liar := (owner + 1) % 100
+	forger := (owner + 1) % 100
 	id := serverID(4)
-	forged := net.gossipers[liar].serverByID[id].held
+	forged := net.gossipers[forger].serverByID[id].held
 	forged.version += 100
 	forged.load = 4000
 	forged.urgent = true
@@ -248,11 +254,11 @@
 			appendSummary(newMessage(kindGroupSums), id, forgedSum, now),
 			appendSummary(newMessage(kindSummaries), id, forged, now),
 		} {
-			net.gossipers[owner].OnDatagram(now, liar, appendChecksum(message))
+			net.gossipers[owner].OnDatagram(now, forger, appendChecksum(message))
 		}
-		net.gossipers[owner].OnDatagram(now, liar, []byte{messageTag, kindSummaries, byte(i), 9, 1})
+		net.gossipers[owner].OnDatagram(now, forger, []byte{messageTag, kindSummaries, byte(i), 9, 1})
 	}
-	s.run("one floods", 6)
+	s.run("one router floods", 6)
 	var ids []uint16
 	for i := range 40 {
 		if i != 8 {
@@ -262,34 +268,34 @@
 	for n, f := range net.gossipers {
 		f.SetServers(append(ids, 9999))
 		if n%3 == 0 {
-			f.SetView(NewView(names(100)))
+			f.SetView(NewView(nameHashes(100)))
 		}
 	}
 	s.run("another list of servers, another view", 10)
 	golden(t, "fleet-one-block", s.lines)
 }
 
-// The same with two groups, of which one is cut off for a while, with a router at the edge that takes itself to be of
-// the other group.
+// Two groups send the same bytes as the build that wrote the golden file, while they are partitioned from each other
+// for a time. A router at the edge of its group has an old list and assigns itself to the other group.
 func TestGoldenFleetOfTwoGroups(t *testing.T) {
 	s := newGoldenStream(t, 520, 12)
 	net := s.net
 	s.run("starts", 8)
-	foreign, view := newForeignView(520, 20, 30, 40)
+	mapping, view := newShorterView(520, 20, 30, 40)
 	from, to := net.view.groupBounds(1)
-	net.views[from] = foreign
+	net.indexMappings[from] = mapping
 	net.startWith(from, view)
-	net.gossipers[from].settings.Self = foreign.from[from]
+	net.gossipers[from].settings.Self = mapping.toOwn[from]
 	net.gossipers[from].SetView(view)
 	net.refusing[2] = true
-	s.run("one has an old list, a server refuses", 5)
-	part := func(n int) bool { return n >= from && n < to }
-	net.partitioned = func(a, b int) bool { return part(a) != part(b) }
+	s.run("one router has an old list, a server refuses", 5)
+	inGroup := func(n int) bool { return n >= from && n < to }
+	net.partitioned = func(a, b int) bool { return inGroup(a) != inGroup(b) }
 	net.refusing[2] = false
-	s.run("cut", 12)
+	s.run("partitioned", 12)
 	net.partitioned = func(int, int) bool { return false }
 	net.down[int(net.ownersOf(0, 1)[0])] = true
 	net.down[int(net.ownersOf(from, 4)[0])] = true
-	s.run("healed, homes are gone", 14)
+	s.run("healed, owners are down", 14)
 	golden(t, "fleet-two-blocks", s.lines)
 }
--- a/internal/policy/gossip/gossiper.go
+++ b/internal/policy/gossip/gossiper.go
@@ -8,49 +8,49 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// Datagram is to be sent to a router of the view.
+// Datagram is a datagram to be sent to a router of the view.
 type Datagram struct {
 	To    int // index in the view
 	Bytes []byte
 }
 
-// Counters count what happened since the start.
+// Counters count events since the start.
 type Counters struct {
 	DatagramsSent       uint64
-	BytesSent           uint64 // with headers
-	BytesReceived       uint64 // with headers
-	DatagramsDropped    uint64 // damaged, implausible, or more than one router may send
-	ObservationsLimited uint64 // received, and more than counts of one router
-	ObservationsUnsent  uint64 // of this router, and more than it may send
+	BytesSent           uint64 // including UDP and IP headers
+	BytesReceived       uint64 // including UDP and IP headers
+	DatagramsDropped    uint64 // damaged, implausible, or beyond the rate limit of their sender
+	ObservationsLimited uint64 // received, but beyond the rate limit of their sender
+	ObservationsUnsent  uint64 // of this router, dropped because it may not send more
 }
 
-// Gossiper is one router's part of the protocol. It belongs to one goroutine.
+// Gossiper runs the gossip protocol for one router. It belongs to one goroutine.
 type Gossiper struct {
 	settings Settings
-	now      float64 // seconds, as given last
+	now      float64 // seconds, from the most recent call
 	random   seedhash.Sequence
 
-	view                 *View
-	group                int // of this router
-	groupFrom, groupTo   int // first router of the group, and the first one after it
-	startedAt, deafUntil float64
+	view                           *View
+	group                          int // of this router
+	groupFrom, groupTo             int // first router of the group, and the first one after it
+	startedAt, ignoreMessagesUntil float64
 
 	serverByID map[uint16]*serverState
 	servers    []*serverState // sorted by identifier
 
 	peerByRouter map[int]*peerState
-	responsive   []int // routers of the group that understood the protocol when they were last seen
+	responsive   []int // routers of the group that supported the protocol when last checked
 	probes       probeSchedule
 	pulledAt     float64
 
 	unsentObservations []pendingObservation
 	reportRate         tokenBucket
 
-	spreading   []*serverState // whose summaries are still to be passed on
+	spreading   []*serverState // servers whose summaries still have to be forwarded
 	batchSentAt float64        // when summaries that are not urgent were last sent
 
-	synthesizedAt float64
-	feedFraction  float64 // of the loads, that is passed to the balancer
+	synthesizedAt       float64
+	synthesizedFraction float64 // fraction of the loads that is passed to the balancer
 
 	budgets  budgets
 	outgoing []Datagram
@@ -58,16 +58,16 @@
 	Counters Counters
 }
 
-// serverState is what is known of a server.
+// serverState is the state kept for one server.
 type serverState struct {
-	id     uint16
-	held   summary // the newest of the group
-	spread spreadState
-	owner  ownerState
-	feed   feedState
-
-	baseRank     int     // rank of the first of the owners that observations are sent to
-	missingSince float64 // since when no summary has come from these
+	id          uint16
+	held        summary // the summary that currently takes precedence
+	spread      spreadState
+	owner       ownerState
+	synthesized synthesizedState
+
+	baseRank     int     // rank of the first owner that observations are sent to
+	missingSince float64 // time since which the owners from baseRank on have published no summary
 }
 
 func newServerState(id uint16) *serverState {
@@ -80,31 +80,31 @@
 			publishedAt: never,
 			groupSumAt:  never,
 		},
-		feed: feedState{refusalAt: never},
+		synthesized: synthesizedState{refusalAt: never},
 	}
 }
 
-// New starts a router's part of the protocol. The view must contain the router.
+// New returns a Gossiper for the router settings.Self, which the view must contain.
 func New(now float64, settings Settings, view *View) *Gossiper {
 	g := &Gossiper{
-		settings:      settings,
-		now:           now,
-		random:        seedhash.NewSequence(settings.Seed),
-		serverByID:    map[uint16]*serverState{},
-		peerByRouter:  map[int]*peerState{},
-		probes:        probeSchedule{at: now},
-		pulledAt:      now,
-		batchSentAt:   now,
-		synthesizedAt: now,
-		feedFraction:  1,
-		budgets:       newBudgets(now),
+		settings:            settings,
+		now:                 now,
+		random:              seedhash.NewSequence(settings.Seed),
+		serverByID:          map[uint16]*serverState{},
+		peerByRouter:        map[int]*peerState{},
+		probes:              probeSchedule{dueAt: now},
+		pulledAt:            now,
+		batchSentAt:         now,
+		synthesizedAt:       now,
+		synthesizedFraction: 1,
+		budgets:             newBudgets(now),
 	}
 	g.SetView(view)
 	return g
 }
 
-// SetView takes another view. What is known of servers stays; which routers understand the protocol has to be found
-// out again, as their indexes may differ.
+// SetView replaces the view. The state of servers is kept. Which routers support the protocol has to be probed again,
+// because their indexes may differ.
 func (g *Gossiper) SetView(view *View) {
 	g.view = view
 	g.group = view.groupOf(g.settings.Self)
@@ -116,12 +116,12 @@
 	view.setServers(g.serverIDs())
 	for _, s := range g.servers {
 		s.owner.groupSums = nil
-		s.owner.heardAt = [ownersPerGroup]float64{}
+		s.owner.groupSumReceivedAt = [ownersPerGroup]float64{}
 	}
 }
 
-// SetServers sets the low 16 bits of the identifiers of all servers; observations of others are ignored. Beyond
-// maxServers none is added.
+// SetServers sets the low 16 bits of the identifiers of all servers. Observations of other servers are ignored. At most
+// maxServers are tracked; further ones are not added.
 func (g *Gossiper) SetServers(ids []uint16) {
 	listed := map[uint16]bool{}
 	for _, id := range ids {
@@ -134,7 +134,7 @@
 	for id, s := range g.serverByID {
 		if !listed[id] {
 			delete(g.serverByID, id)
-			s.spread.left = 0
+			s.spread.transmitsLeft = 0
 			continue
 		}
 		g.servers = append(g.servers, s)
@@ -150,7 +150,7 @@
 	return ids
 }
 
-// Tick returns the datagrams that are to be sent now. It is called each 50 ms.
+// Tick returns the datagrams that are to be sent now. It is called every 50 ms.
 func (g *Gossiper) Tick(now float64) []Datagram {
 	g.observeTime(now)
 	g.sendObservations()
@@ -166,18 +166,18 @@
 	return datagrams
 }
 
-// observeTime notes the time. After a stall the datagrams that waited in the socket are old, and do not say so: they
-// are ignored.
+// observeTime records the time. After a stall, messages that were buffered in the socket are outdated, but the ages in
+// them do not include the time in the buffer. They are ignored, and unsent observations are dropped.
 func (g *Gossiper) observeTime(now float64) {
 	if now-g.now > stallThreshold {
-		g.deafUntil = now + stallThreshold
+		g.ignoreMessagesUntil = now + stallThreshold
 		g.unsentObservations = g.unsentObservations[:0]
 	}
 	g.now = now
 }
 
-// Summary returns what is held of a server: the decayed sum of relative times over the fleet, their mean, and the age
-// of the summary in seconds; false where there is none that counts.
+// Summary returns the held summary of a server: the decayed sum of relative times over the fleet, their mean, and the
+// age of the summary in seconds. ok is false if there is none or it has expired.
 func (g *Gossiper) Summary(now float64, id uint16) (load, mean, age float64, ok bool) {
 	s := g.serverByID[id]
 	if s == nil || s.held.expired(now) {
@@ -186,7 +186,7 @@
 	return s.held.load, s.held.mean, now - s.held.originatedAt, true
 }
 
-// ownIncarnation is this process's incarnation as summaries carry it.
+// ownIncarnation returns this process's incarnation as encoded in summaries.
 func (g *Gossiper) ownIncarnation() uint8 {
 	return byte(seedhash.Mix(g.view.hashes[g.settings.Self], uint64(g.settings.Incarnation)))
 }
--- a/internal/policy/gossip/merge.go
+++ b/internal/policy/gossip/merge.go
@@ -2,9 +2,9 @@
 
 import "math"
 
-// mergeGroupSums adds the newest sums of the other groups to this group's own. Each decays as if its observations had
-// been sent here. Sums older than summaryLifetime do not count, so during a partition each side goes by its own
-// groups, and after it the others count again with their first sum.
+// mergeGroupSums adds the newest sums of the other groups to this group's own sum. Each sum decays as if its
+// observations had been sent here. Sums older than summaryLifetime are left out: during a partition each side uses only
+// its own groups, and after it the other groups are included as soon as their first sum arrives.
 func (g *Gossiper) mergeGroupSums(s *serverState, own summary) summary {
 	total := own
 	attempts := own.attempts()
@@ -26,8 +26,8 @@
 	return total
 }
 
-// onGroupSum takes a group sum from an owner of that server in its group, as large as the observations that its
-// routers may send.
+// onGroupSum handles a group sum. It drops sums whose sender does not own the server in its group, and limits the load
+// to what the observation rate limit allows for the routers of that group.
 func (g *Gossiper) onGroupSum(from int, id uint16, sum summary) {
 	s := g.serverByID[id]
 	group := g.view.groupOf(from)
@@ -47,15 +47,16 @@
 	}
 	held, known := s.owner.groupSums[group]
 	if known && sum.rank > held.rank && g.now-held.originatedAt < ownerTimeout {
-		return // the owner before it acts
+		return // a lower-ranked owner of that group is still active
 	}
 	s.owner.groupSums[group] = sum
 }
 
-// onOwnGroupSum handles the sum of an owner before this one in its own group, which keeps it in case that one dies:
-// observations other than refusals are sent to that one alone.
+// onOwnGroupSum handles the sum of another owner in this router's own group. If that owner ranks before this one, its
+// sum replaces the local one, because observations other than refusals are sent only to the first owner: this owner
+// needs them to take over if the first one fails.
 func (g *Gossiper) onOwnGroupSum(s *serverState, received summary) {
-	s.owner.heardAt[received.rank] = g.now
+	s.owner.groupSumReceivedAt[received.rank] = g.now
 	if g.ownRank(s) <= int(received.rank) {
 		return
 	}
--- a/internal/policy/gossip/network_test.go
+++ b/internal/policy/gossip/network_test.go
@@ -11,39 +11,39 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// network is routers and the datagrams between them, in steps of 10 ms; each router ticks every fifth step, by a
-// clock of its own.
+// network simulates routers and the datagrams between them in steps of 10 ms. Each router ticks every fifth step, and
+// has its own clock.
 type network struct {
-	t           *testing.T
-	step        int
-	random      *rand.Rand
-	view        *View
-	views       map[int]*foreignView // of routers with another list
-	serverCount int
+	t             *testing.T
+	step          int
+	random        *rand.Rand
+	view          *View
+	indexMappings map[int]*indexMapping // of routers with another list
+	serverCount   int
 
 	gossipers    []*Gossiper
 	incarnations []uint32
 	down         map[int]bool
 	stalled      map[int]bool
-	oldBuild     map[int]bool // builds that do not know the protocol
+	oldBuild     map[int]bool // routers that run a build without the protocol
 
 	inTransit     [400][]packet    // by the step of their arrival
 	socketBuffer  map[int][]packet // of stalled routers
 	lossRate      float64
-	duplicateRate float64 // of datagrams that arrive again, later
+	duplicateRate float64 // fraction of datagrams that arrive a second time, up to 1 s later
 	delay         func(from, to int) int
 	partitioned   func(from, to int) bool
-	misdirected   [][2]int // messages that old builds received and take for observations: from, to
+	misdirected   [][2]int // sender and receiver of messages that a build without the protocol misreads as observations
 
-	observationRate float64          // observations a second of each router
-	relativeTimes   []float64        // of each server: the time of an attempt over the mean of its traffic class
+	observationRate float64          // observations per second of each router
+	relativeTimes   []float64        // mean relative time of attempts at each server
 	unobserved      map[int]bool     // servers that no router uses
 	refusing        map[int]bool     // servers that refuse
-	broadcast       []observationSum // of each server: the load if every observation reached every router
+	broadcast       []observationSum // load of each server if every observation reached every router
 
 	bytesIn, bytesOut []int // of each router, with headers
 	datagramsIn       []int
-	peakBytes         []int // most bytes of a router in a second, both ways
+	peakBytes         []int // most bytes of each router in one second, in both directions
 	bytesThisSecond   []int
 
 	onSend        func(p packet)
@@ -51,34 +51,35 @@
 	onSynthesized func(router int, observations []byte)
 }
 
-// foreignView translates between the indexes of a router's own list and those of the network.
-type foreignView struct {
-	to   []int       // by its own index: the router
-	from map[int]int // by router: its own index
+// indexMapping translates between the indexes of a router's own list and those of the network.
+type indexMapping struct {
+	toNetwork []int       // network index by own index
+	toOwn     map[int]int // own index by network index
 }
 
-// newForeignView leaves some routers out of the list of a network. It gives the view by that list, too.
-func newForeignView(routers int, missing ...int) (*foreignView, *View) {
-	foreign := &foreignView{from: map[int]int{}}
+// newShorterView returns the view of a list of routers from which some are missing, and the mapping between its indexes
+// and those of the network.
+func newShorterView(routers int, missing ...int) (*indexMapping, *View) {
+	mapping := &indexMapping{toOwn: map[int]int{}}
 	var hashes []uint32
-	for n, hash := range names(routers) {
+	for n, hash := range nameHashes(routers) {
 		if slices.Contains(missing, n) {
 			continue
 		}
-		foreign.from[n] = len(foreign.to)
-		foreign.to = append(foreign.to, n)
+		mapping.toOwn[n] = len(mapping.toNetwork)
+		mapping.toNetwork = append(mapping.toNetwork, n)
 		hashes = append(hashes, hash)
 	}
-	return foreign, NewView(hashes)
+	return mapping, NewView(hashes)
 }
 
-// packet is a datagram on its way.
+// packet is a datagram in transit.
 type packet struct {
 	from, to int
 	bytes    []byte
 }
 
-// serverID is the identifier of a server by its index.
+// serverID returns the identifier of a server by its index.
 func serverID(server int) uint16 { return uint16(server*150 + 7) }
 
 func serverIDs(n int) (ids []uint16) {
@@ -88,8 +89,8 @@
 	return ids
 }
 
-// names returns the hashes of so many routers' names.
-func names(n int) (all []uint32) {
+// nameHashes returns the hashes of the names of n routers.
+func nameHashes(n int) (all []uint32) {
 	for i := range n {
 		all = append(all, seedhash.Mix(77, uint64(i)))
 	}
@@ -101,8 +102,8 @@
 		t:               t,
 		step:            100000,
 		random:          rand.New(rand.NewPCG(1, uint64(routers))),
-		view:            NewView(names(routers)),
-		views:           map[int]*foreignView{},
+		view:            NewView(nameHashes(routers)),
+		indexMappings:   map[int]*indexMapping{},
 		serverCount:     servers,
 		gossipers:       make([]*Gossiper, routers),
 		incarnations:    make([]uint32, routers),
@@ -138,13 +139,13 @@
 
 func (net *network) now() float64 { return float64(net.step) / 100 }
 
-// start starts a router's process, with nothing known.
+// start starts a new process of a router, without state.
 func (net *network) start(n int) {
 	net.incarnations[n]++
 	net.startWith(n, net.view)
 }
 
-// startWith does so with another view.
+// startWith starts a process of a router with the given view.
 func (net *network) startWith(n int, view *View) {
 	settings := Settings{
 		Self:             n,
@@ -159,20 +160,21 @@
 	delete(net.down, n)
 }
 
-// clock is a router's own clock; those of others differ.
+// clock returns the time of a router's own clock, which differs from those of other routers.
 func (net *network) clock(n int) float64 { return net.now() + float64(n%7) }
 
-// send lets datagrams of a router go their way.
+// send puts the datagrams of a router in transit, unless they are lost.
 func (net *network) send(from int, all []Datagram) {
 	for _, d := range all {
-		if v := net.views[from]; v != nil {
-			d.To = v.to[d.To]
+		if v := net.indexMappings[from]; v != nil {
+			d.To = v.toNetwork[d.To]
 		}
 		p := packet{from, d.To, d.Bytes}
 		net.bytesOut[from] += len(d.Bytes) + datagramOverhead
 		net.bytesThisSecond[from] += len(d.Bytes) + datagramOverhead
 		if len(d.Bytes) > maxDatagramBytes || d.To == from || d.To < 0 {
-			net.t.Fatalf("%d sends %d bytes to %d", from, len(d.Bytes), d.To)
+			net.t.Fatalf("router %d sends %d bytes to router %d, want at most maxDatagramBytes to another router",
+				from, len(d.Bytes), d.To)
 		}
 		if net.onSend != nil {
 			net.onSend(p)
@@ -194,13 +196,13 @@
 	net.inTransit[slot] = append(net.inTransit[slot], p)
 }
 
-// deliver lets a datagram arrive.
+// deliver hands a datagram to its receiver, or buffers it if the receiver is stalled.
 func (net *network) deliver(p packet) {
 	switch {
 	case net.down[p.to]:
 		return
 	case net.stalled[p.to]:
-		if len(net.socketBuffer[p.to]) < 270 { // what arrives when it is full is lost
+		if len(net.socketBuffer[p.to]) < 270 { // datagrams that do not fit are lost
 			net.socketBuffer[p.to] = append(net.socketBuffer[p.to], p)
 		}
 		return
@@ -215,8 +217,8 @@
 		return
 	}
 	from := p.from
-	if v := net.views[p.to]; v != nil {
-		index, listed := v.from[from]
+	if v := net.indexMappings[p.to]; v != nil {
+		index, listed := v.toOwn[from]
 		if !listed {
 			index = -1
 		}
@@ -225,7 +227,7 @@
 	net.gossipers[p.to].OnDatagram(net.clock(p.to), from, p.bytes)
 }
 
-// resume ends a stall: what waited is read first, then the process goes on.
+// resume ends a stall. The process first reads the buffered datagrams.
 func (net *network) resume(n int) {
 	delete(net.stalled, n)
 	for _, p := range net.socketBuffer[n] {
@@ -234,7 +236,7 @@
 	delete(net.socketBuffer, n)
 }
 
-// observe lets a router report one observation.
+// observe makes a router report one observation.
 func (net *network) observe(n, server int, relativeTime byte) {
 	id := serverID(server)
 	if !net.oldBuild[n] {
@@ -242,7 +244,7 @@
 	}
 }
 
-// run lets time pass.
+// run simulates the given number of seconds.
 func (net *network) run(seconds float64) {
 	for end := net.step + int(math.Round(seconds*100)); net.step < end; net.step++ {
 		slot := net.step % len(net.inTransit)
@@ -265,10 +267,10 @@
 	}
 }
 
-// tick lets a router observe servers and take its step.
+// tick makes a router observe servers, tick, and synthesize observations at every second tick.
 func (net *network) tick(n int) {
 	for range poisson(net.random, net.observationRate/20) {
-		net.observeSome(n)
+		net.observeRandomServer(n)
 	}
 	net.send(n, net.gossipers[n].Tick(net.clock(n)))
 	if net.step%10 < 5 {
@@ -279,8 +281,8 @@
 	}
 }
 
-// observeSome lets a router observe a random server.
-func (net *network) observeSome(n int) {
+// observeRandomServer makes a router observe a random server.
+func (net *network) observeRandomServer(n int) {
 	server := net.random.IntN(net.serverCount)
 	if net.unobserved[server] {
 		return
@@ -300,7 +302,7 @@
 	net.observe(n, server, relativeTime)
 }
 
-// poisson draws a number of events.
+// poisson draws a number of events from a Poisson distribution.
 func poisson(c *rand.Rand, mean float64) (n int) {
 	for p := c.Float64(); p > math.Exp(-mean); p *= c.Float64() {
 		n++
@@ -308,7 +310,7 @@
 	return n
 }
 
-// resetCounters starts the counts of bytes and datagrams anew.
+// resetCounters resets the counts of bytes and datagrams.
 func (net *network) resetCounters() {
 	clear(net.bytesIn)
 	clear(net.bytesOut)
@@ -320,7 +322,7 @@
 	}
 }
 
-// running returns the routers that run and know the protocol.
+// running returns the routers that run and support the protocol.
 func (net *network) running() (all []int) {
 	for n := range net.gossipers {
 		if !net.down[n] && !net.stalled[n] && !net.oldBuild[n] {
@@ -330,8 +332,8 @@
 	return all
 }
 
-// measureSpread runs until a condition holds at all running routers, and gives after how many seconds it held at half
-// of them, at 99 of 100 and at the last.
+// measureSpread runs until a condition holds at all running routers. It returns the seconds until the condition held at
+// half of them, at 99 of 100 and at the last.
 func (net *network) measureSpread(
 	limit float64, holds func(g *Gossiper, now float64) bool,
 ) (half, most, last float64) {
@@ -356,22 +358,22 @@
 			return times[len(times)/2], times[len(times)*99/100], times[len(times)-1]
 		}
 		if float64(net.step-start)/100 > limit {
-			net.t.Errorf("after %v s %d of %d know", limit, len(times), len(all))
+			net.t.Errorf("after %v s the condition holds at %d of %d routers, want all", limit, len(times), len(all))
 			return math.Inf(1), math.Inf(1), math.Inf(1)
 		}
 	}
 }
 
-// believesRefusing reports whether a router holds that a server refuses.
-func believesRefusing(server int) func(g *Gossiper, now float64) bool {
+// holdsRefusal reports whether a router holds that a server refuses.
+func holdsRefusal(server int) func(g *Gossiper, now float64) bool {
 	return func(g *Gossiper, now float64) bool {
 		held := g.serverByID[serverID(server)].held
 		return held.unavailable() && !held.expired(now)
 	}
 }
 
-// loadErrors returns how far the loads that routers tell their balancers are from those of a broadcast, as a part of
-// these: the median, the 95th percentile, and the mean.
+// loadErrors compares the synthesized loads of all running routers with those of a broadcast. It returns the relative
+// errors: the median and the 95th percentile of their absolute values, and their mean.
 func (net *network) loadErrors() (median, most, mean float64) {
 	var all []float64
 	total := 0.0
@@ -382,8 +384,8 @@
 				continue
 			}
 			sum := net.broadcast[id]
-			want := sum.load * math.Exp((sum.updatedAt-net.now())/loadDecay) * g.feedFraction
-			got := s.feed.load * math.Exp((s.feed.updatedAt-net.clock(n))/loadDecay)
+			want := sum.load * math.Exp((sum.updatedAt-net.now())/loadDecay) * g.synthesizedFraction
+			got := s.synthesized.load * math.Exp((s.synthesized.updatedAt-net.clock(n))/loadDecay)
 			all = append(all, math.Abs(got-want)/max(want, 1))
 			total += (got - want) / max(want, 1)
 		}
@@ -392,8 +394,8 @@
 	return all[len(all)/2], all[len(all)*95/100], total / float64(len(all))
 }
 
-// traffic returns the bytes a second of the mean router and of the one with the most, the most bytes of a router in one
-// second, and the datagrams a second of the mean router; all of both directions.
+// traffic returns the bytes per second of the mean router and of the one with the most, the most bytes of a router in
+// one second, and the datagrams per second of the mean router. All include both directions.
 func (net *network) traffic(seconds float64) (mean, most, peak, messages float64) {
 	running := net.running()
 	for _, n := range running {
@@ -407,7 +409,7 @@
 	return mean, most, peak, messages
 }
 
-// tableRow is a row of the table of TestFleetSizes.
+// tableRow formats a row of the table of TestFleetSizes.
 func (net *network) tableRow(what string, half, most, last, seconds float64) string {
 	mean, top, peak, messages := net.traffic(seconds)
 	median, highError, meanError := net.loadErrors()
@@ -416,15 +418,16 @@
 		median, highError, meanError)
 }
 
-// inTime is the seconds within which the last router has to learn of a refusal.
-const inTime = 2.9
+// maxSpreadTime is the longest time, in seconds, in which a refusal may reach the last router.
+const maxSpreadTime = 2.9
 
 // ownersOf returns the owners of a server in the group of a router.
 func (net *network) ownersOf(router, server int) owners {
 	return net.view.ownersOf(net.view.groupOf(router), serverID(server))
 }
 
-// newSettledNetwork is a fleet in which all know each other, and in which no router uses server 5.
+// newSettledNetwork returns a network with 40 servers in which the routers have probed each other for 12 s, and no
+// router uses server 5.
 func newSettledNetwork(t *testing.T, routers int) *network {
 	net := newNetwork(t, routers, 40)
 	net.unobserved[5] = true
@@ -432,7 +435,7 @@
 	return net
 }
 
-// nonOwner returns a router that is none of the first two owners of a server.
+// nonOwner returns a router that is not one of the first two owners of a server.
 func (net *network) nonOwner(server int) int {
 	owners := net.ownersOf(0, server)
 	n := 1
--- a/internal/policy/gossip/observations.go
+++ b/internal/policy/gossip/observations.go
@@ -2,15 +2,15 @@
 
 import "slices"
 
-// pendingObservation is an observation of this router that not all owners have been sent.
+// pendingObservation is an observation of this router that has not yet been sent to all target owners.
 type pendingObservation struct {
 	observation
 	reportedAt float64
-	sentTo     [3]int // by the owner's place in targetOwners: the router that was sent it, plus one; 0: none
+	sentTo     [3]int // by position in targetOwners: index of the router it was sent to, plus one; 0 if not sent
 }
 
-// Report handles the observations that the balancer has for other routers, three bytes each: the low 16 bits of a
-// server's identifier, and a relative time or refusalByte, as the balancer's messages have it.
+// Report queues the balancer's observations for other routers. Each has three bytes, as in the balancer's messages: the
+// low 16 bits of a server's identifier, and a relative time or refusalByte.
 func (g *Gossiper) Report(now float64, observations []byte) {
 	g.observeTime(now)
 	for ; len(observations) >= observationBytes; observations = observations[observationBytes:] {
@@ -24,8 +24,8 @@
 	}
 }
 
-// sendObservations sends this router's observations to the servers' owners. An owner that has given no sign is
-// probed, and the observation waits for its answer.
+// sendObservations sends this router's observations to the servers' owners. If an owner has not shown that it supports
+// the protocol, it is probed and the observation waits up to probeTimeout for its acknowledgement.
 func (g *Gossiper) sendObservations() {
 	waiting := g.unsentObservations[:0]
 	for _, pending := range g.unsentObservations {
@@ -41,7 +41,8 @@
 	g.unsentObservations = waiting
 }
 
-// complete reports whether the owners that have to know it were sent the observation.
+// complete reports whether the observation was sent to all owners that need it: the first one, and for a refusal also
+// the second.
 func (p *pendingObservation) complete() bool {
 	if p.sentTo[0] == 0 {
 		return false
@@ -49,8 +50,8 @@
 	return p.sentTo[1] != 0 || !p.refusal()
 }
 
-// sendToOwners sends an observation to those owners that have not been sent it. The second owner receives the group
-// sum of the first; only a refusal is sent to it directly.
+// sendToOwners sends an observation to those target owners that it has not been sent to. Only a refusal is sent to the
+// second owner directly; other observations reach it in the group sum of the first.
 func (g *Gossiper) sendToOwners(s *serverState, pending *pendingObservation) {
 	for i, owner := range g.targetOwners(s) {
 		if pending.sentTo[i] == owner+1 {
@@ -62,7 +63,7 @@
 		switch {
 		case owner == g.settings.Self:
 			g.addObservation(s, pending.relativeTime)
-		case g.understands(owner):
+		case g.supportsProtocol(owner):
 			g.send(owner, newObservationMessage(pending.observation))
 		default:
 			if g.now-g.peer(owner).probedAt > probeRetryInterval {
@@ -74,9 +75,9 @@
 	}
 }
 
-// targetOwners returns the owners that observations of a server are sent to: two from its base rank on that are not
-// unresponsive; where the first of these is not the first of all, also that one, which so learns of the server once
-// it is back.
+// targetOwners returns the owners that observations of a server are sent to: the first two from its base rank on that
+// are not unresponsive. The first responsive owner of all is added if it is not among them, so that a recovered owner
+// receives observations again.
 func (g *Gossiper) targetOwners(s *serverState) []int {
 	all := g.view.ownersOf(g.group, s.id)
 	targets := make([]int, 0, 3)
@@ -99,8 +100,8 @@
 	return targets
 }
 
-// replaceSilentOwners turns to the next two owners of a server once no summary comes from those that observations are
-// sent to.
+// replaceSilentOwners switches to the next two owners of a server if the owners that observations are sent to have
+// published no summary for longer than summaryLifetime.
 func (g *Gossiper) replaceSilentOwners(s *serverState) {
 	starting := g.now-g.startedAt < startupDuration+summaryLifetime
 	if !s.held.expired(g.now) || starting {
--- a/internal/policy/gossip/peer.go
+++ b/internal/policy/gossip/peer.go
@@ -1,22 +1,22 @@
 package gossip
 
-// peerState is what is known of a router of the view.
+// peerState is the state kept for another router of the view.
 type peerState struct {
-	aliveUntil      float64 // it is taken to understand the protocol until then
-	probedSince     float64 // since when it has given no sign; 0: it was not probed, or it has answered
-	probedAt        float64 // when it was last probed
-	responsive      bool    // it is in Gossiper.responsive
+	supportedUntil  float64 // time until which the router is assumed to support the protocol
+	unansweredSince float64 // time of the first unanswered probe; 0 if not probed or answered
+	probedAt        float64 // time of the last probe
+	responsive      bool    // whether the router is in Gossiper.responsive
 	observationRate tokenBucket
 	datagramRate    tokenBucket
 }
 
-// probeSchedule says which router of the group is probed next.
+// probeSchedule determines when the next router of the group is probed, and which one.
 type probeSchedule struct {
-	at   float64 // when the last one was due
-	next int     // how many were due since the view was set
+	dueAt float64 // when the last probe was due
+	next  int     // number of probes that were due since the view was set
 }
 
-// peer returns what is known of a router, from now on.
+// peer returns the state of a router, which it creates if there is none.
 func (g *Gossiper) peer(router int) *peerState {
 	p := g.peerByRouter[router]
 	if p == nil {
@@ -29,30 +29,31 @@
 	return p
 }
 
-// understands reports whether a router has shown lately that it understands the protocol.
-func (g *Gossiper) understands(router int) bool {
+// supportsProtocol reports whether a router has shown within peerLifetime that it supports the protocol.
+func (g *Gossiper) supportsProtocol(router int) bool {
 	if router == g.settings.Self {
 		return true
 	}
 	p := g.peerByRouter[router]
-	return p != nil && g.now < p.aliveUntil
+	return p != nil && g.now < p.supportedUntil
 }
 
-// unresponsive reports whether a router was probed and gave no sign: it is of an older build, or down. Of one that
-// was never probed nothing is known, and passing over it would make too many routers owners.
+// unresponsive reports whether a router was probed and has not answered within probeTimeout, because it runs an older
+// build or is down. A router that was never probed does not count as unresponsive: if such routers were skipped, too
+// many others would have to act as owners.
 func (g *Gossiper) unresponsive(router int) bool {
-	if g.understands(router) {
+	if g.supportsProtocol(router) {
 		return false
 	}
 	p := g.peerByRouter[router]
-	return p != nil && p.probedSince > 0 && g.now-p.probedSince > probeTimeout
+	return p != nil && p.unansweredSince > 0 && g.now-p.unansweredSince > probeTimeout
 }
 
-// onSign takes a sign that a router understands the protocol.
-func (g *Gossiper) onSign(from int) {
+// markSupported records that a datagram has shown that a router supports the protocol.
+func (g *Gossiper) markSupported(from int) {
 	p := g.peer(from)
-	p.aliveUntil = g.now + peerLifetime
-	p.probedSince = 0
+	p.supportedUntil = g.now + peerLifetime
+	p.unansweredSince = 0
 	inGroup := from >= g.groupFrom && from < g.groupTo
 	if !p.responsive && inGroup {
 		p.responsive = true
@@ -60,26 +61,26 @@
 	}
 }
 
-// noteProbe notes that a router is probed.
-func (g *Gossiper) noteProbe(router int) {
+// recordProbe records that a router is probed.
+func (g *Gossiper) recordProbe(router int) {
 	p := g.peer(router)
 	p.probedAt = g.now
-	if !g.understands(router) && p.probedSince == 0 {
-		p.probedSince = g.now
+	if !g.supportsProtocol(router) && p.unansweredSince == 0 {
+		p.unansweredSince = g.now
 	}
 }
 
-// probe asks a router whether it understands the protocol.
+// probe sends a probe to a router, to find out whether it supports the protocol.
 func (g *Gossiper) probe(router int) {
-	g.noteProbe(router)
+	g.recordProbe(router)
 	g.charge(datagramOverhead + 1)
 	g.enqueue(router, []byte{probeByte})
 }
 
-// send sends a message, or probes a router that has given no sign: a build that does not know the protocol would take
-// the message for something else. False: it was probed.
+// send sends a message to a router. If the router has not shown that it supports the protocol, send probes it instead
+// and returns false, because a build without the protocol would misread the message.
 func (g *Gossiper) send(to int, message []byte) bool {
-	if !g.understands(to) {
+	if !g.supportsProtocol(to) {
 		g.probe(to)
 		return false
 	}
@@ -91,19 +92,19 @@
 	return true
 }
 
-// enqueue adds a datagram to what the next tick gives out.
+// enqueue adds a datagram to those that the next tick returns.
 func (g *Gossiper) enqueue(to int, bytes []byte) {
 	g.Counters.DatagramsSent++
 	g.Counters.BytesSent += uint64(len(bytes) + datagramOverhead)
 	g.outgoing = append(g.outgoing, Datagram{To: to, Bytes: bytes})
 }
 
-// randomPeer returns a random router of the group that understands the protocol; -1: there is none.
+// randomPeer returns a random router of the group that supports the protocol, or -1 if there is none.
 func (g *Gossiper) randomPeer() int {
 	for len(g.responsive) > 0 {
 		i := g.random.Intn(len(g.responsive))
 		router := g.responsive[i]
-		if g.understands(router) {
+		if g.supportsProtocol(router) {
 			return router
 		}
 		last := len(g.responsive) - 1
@@ -114,24 +115,24 @@
 	return -1
 }
 
-// probeGroup sends probes to the routers of the group in turn, so that each learns which others understand the
-// protocol. In later rounds those that are known to are sent an acknowledgement, which renews what they know of this
-// router and asks for no answer.
+// probeGroup probes the routers of the group in turn, so that each router learns which others support the protocol. In
+// later rounds a router that supports it is sent an acknowledgement instead, which renews its record of this router
+// and requires no answer.
 func (g *Gossiper) probeGroup() {
 	routers := g.groupTo - g.groupFrom
 	rate := float64(routers) / probeRound
 	if g.probes.next < routers {
 		rate = startupProbesPerSecond
 	}
-	for ; g.probes.at+1/rate <= g.now; g.probes.at += 1 / rate {
-		g.probes.at = max(g.probes.at, g.now-maxProbeBacklog)
+	for ; g.probes.dueAt+1/rate <= g.now; g.probes.dueAt += 1 / rate {
+		g.probes.dueAt = max(g.probes.dueAt, g.now-maxProbeBacklog)
 		router := g.groupFrom + (g.settings.Self-g.groupFrom+g.probes.next+1)%routers
 		g.probes.next++
 		if router == g.settings.Self {
 			continue
 		}
 		firstRound := g.probes.next <= routers
-		if firstRound || !g.understands(router) {
+		if firstRound || !g.supportsProtocol(router) {
 			g.probe(router)
 			continue
 		}
--- a/internal/policy/gossip/pull.go
+++ b/internal/policy/gossip/pull.go
@@ -1,6 +1,6 @@
 package gossip
 
-// pullMissing asks a random router of the group for the summaries that are overdue here.
+// pullMissing sends a pull for the summaries that are overdue here to a random router of the group.
 func (g *Gossiper) pullMissing() {
 	if g.now-g.pulledAt < g.pullPause() || len(g.servers) == 0 {
 		return
@@ -20,20 +20,20 @@
 	}
 }
 
-// pullPause is the time between two pulls: shorter after a start or a stall.
+// pullPause returns the seconds between two pulls, which are fewer after a start or a stall.
 func (g *Gossiper) pullPause() float64 {
 	started := g.now-g.startedAt < startupDuration
-	resumed := g.deafUntil > 0 && g.now-g.deafUntil < startupDuration
+	resumed := g.ignoreMessagesUntil > 0 && g.now-g.ignoreMessagesUntil < startupDuration
 	if started || resumed {
 		return 1 / startupPullsPerSecond
 	}
 	return pullInterval
 }
 
-// onPull replies with those of the wanted summaries that are held and are not overdue here.
+// onPull replies with those of the wanted summaries that are held here and are not overdue.
 func (g *Gossiper) onPull(from int, wanted receivedMessage) {
 	const maxCost = maxDatagramBytes + datagramOverhead
-	if !g.takePart(&g.budgets.pullReplies, pullReplyRateDivisor, pullReplyBurstDivisor, maxCost) {
+	if !g.takeFromBucket(&g.budgets.pullReplies, pullReplyRateDivisor, pullReplyBurstDivisor, maxCost) {
 		return
 	}
 	reply := newMessage(kindSummaries)
--- a/internal/policy/gossip/receive.go
+++ b/internal/policy/gossip/receive.go
@@ -2,11 +2,12 @@
 
 import "math"
 
-// balancerMessageBytes is the largest message that the balancer of a build without this package sends to all.
+// balancerMessageBytes is the size of the largest message that the balancer broadcasts in a build without this package.
 const balancerMessageBytes = 15
 
-// OnDatagram takes a datagram of a router of the view. False: it is none of this package, and is to be read as what
-// builds without it send; its sender is taken for such a build.
+// OnDatagram handles a datagram from a router of the view. It returns false if the datagram does not belong to this
+// package; the caller should then handle it as a message of a build without gossip. If it has the form of such a
+// build's observations, its sender counts as not supporting the protocol.
 func (g *Gossiper) OnDatagram(now float64, from int, datagram []byte) bool {
 	g.observeTime(now)
 	g.charge(len(datagram) + datagramOverhead)
@@ -14,13 +15,13 @@
 	if from < 0 || from >= len(g.view.hashes) || from == g.settings.Self {
 		return true
 	}
-	switch formOf(datagram) {
-	case formProbe:
+	switch datagramTypeOf(datagram) {
+	case probeDatagram:
 		g.onProbe(from)
-	case formProbeAck:
-		g.onSign(from)
-	case formMessage:
-		g.onSealedMessage(from, datagram)
+	case probeAckDatagram:
+		g.markSupported(from)
+	case messageDatagram:
+		g.onEncodedMessage(from, datagram)
 	default:
 		g.onForeignDatagram(from, datagram)
 		return false
@@ -30,42 +31,43 @@
 
 // onProbe answers a probe.
 func (g *Gossiper) onProbe(from int) {
-	g.onSign(from)
-	if !g.takeDatagram(g.peerByRouter[from]) {
+	g.markSupported(from)
+	if !g.allowDatagram(g.peerByRouter[from]) {
 		return
 	}
 	g.charge(datagramOverhead + 1)
 	g.enqueue(from, []byte{probeAckByte})
 }
 
-// takeDatagram bounds the datagrams of one router that are read.
-func (g *Gossiper) takeDatagram(p *peerState) bool {
+// allowDatagram reports whether the rate limit allows another datagram of a router to be read.
+func (g *Gossiper) allowDatagram(p *peerState) bool {
 	return p.datagramRate.take(g.now, datagramsPerSecond, 2*datagramsPerSecond, 1)
 }
 
-// onForeignDatagram takes note of a router whose balancer sends its observations to all: it was put back to a build
-// without this package.
+// onForeignDatagram detects a router whose balancer broadcasts its observations: it was downgraded to a build without
+// this package and no longer supports the protocol.
 func (g *Gossiper) onForeignDatagram(from int, datagram []byte) {
 	p := g.peerByRouter[from]
 	fromBalancer := len(datagram)%observationBytes == 0 && len(datagram) <= balancerMessageBytes
 	if p != nil && fromBalancer {
-		p.aliveUntil = 0
+		p.supportedUntil = 0
 	}
 }
 
-// onSealedMessage takes a message, unless it is damaged, old, or more than its sender may send.
-func (g *Gossiper) onSealedMessage(from int, datagram []byte) {
+// onEncodedMessage decodes and handles a message. It drops messages that are damaged, arrive shortly after a stall, or
+// exceed the rate limit of their sender.
+func (g *Gossiper) onEncodedMessage(from int, datagram []byte) {
 	received, intact := parseMessage(datagram)
 	if !intact {
 		g.Counters.DatagramsDropped++
 		return
 	}
-	g.onSign(from)
-	if g.now < g.deafUntil {
+	g.markSupported(from)
+	if g.now < g.ignoreMessagesUntil {
 		return
 	}
 	p := g.peerByRouter[from]
-	if !g.takeDatagram(p) {
+	if !g.allowDatagram(p) {
 		g.Counters.DatagramsDropped++
 		return
 	}
@@ -77,7 +79,7 @@
 	case kindObservations:
 		g.onObservations(from, p, received)
 	case kindPull:
-		if g.mayBeOfGroup(from) {
+		if g.mayBelongToGroup(from) {
 			g.onPull(from, received)
 		}
 	case kindGroupSums:
@@ -94,11 +96,12 @@
 	}
 }
 
-// onObservations takes observations that this router is sent as an owner, as many as count of one router.
+// onObservations adds the observations that another router sends to this one as an owner, up to the sender's rate
+// limit.
 func (g *Gossiper) onObservations(from int, p *peerState, received receivedMessage) {
 	for o := range received.observations() {
 		s := g.serverByID[o.server]
-		if s == nil || !g.mayBeOfGroup(from) {
+		if s == nil || !g.mayBelongToGroup(from) {
 			continue
 		}
 		if !p.observationRate.take(g.now, observationsPerSecond, observationBurst, 1) {
@@ -109,15 +112,15 @@
 	}
 }
 
-// mayBeOfGroup reports whether a router is of this group, or may believe to be by a list with a few routers more or
-// fewer before it. Its observations count here, as it sends them nowhere else, and it may pull. Summaries are taken
-// from the group alone, or those of two groups would spread in both.
-func (g *Gossiper) mayBeOfGroup(router int) bool {
+// mayBelongToGroup reports whether a router is in this group, or may assign itself to it because its list has a few
+// routers more or fewer before it. Such a router's observations are accepted, as it sends them to no other group, and
+// it may pull. Summaries are accepted only from the group itself; otherwise those of two groups would spread in both.
+func (g *Gossiper) mayBelongToGroup(router int) bool {
 	return router >= g.groupFrom-groupEdgeRouters && router < g.groupTo+groupEdgeRouters
 }
 
-// onSummary takes a summary, which any router of the group may pass on. An owner that receives a version of its own
-// that it has not published publishes one beyond it, which takes it back.
+// onSummary handles a summary, which any router of the group may forward. An owner that receives a later version of its
+// own summary than it has published publishes a version beyond that one, which replaces it everywhere.
 func (g *Gossiper) onSummary(id uint16, total summary) {
 	s := g.serverByID[id]
 	if s == nil || g.now-total.originatedAt > summaryLifetime {
--- a/internal/policy/gossip/spread.go
+++ b/internal/policy/gossip/spread.go
@@ -2,60 +2,62 @@
 
 import "slices"
 
-// spreadState says how often a router still passes the held summary of a server on.
+// spreadState counts how often a router still forwards the held summary of a server.
 type spreadState struct {
-	left       int  // transmissions
-	urgentLeft int  // those of them that are due at once
-	queued     bool // the server is in Gossiper.spreading
+	transmitsLeft       int  // transmissions left
+	urgentTransmitsLeft int  // those of them that are sent without delay
+	queued              bool // whether the server is in Gossiper.spreading
 }
 
 // numPriorities is one more than the highest priority of a summary.
 const numPriorities = 2 * (urgentTransmits + 1)
 
-// firstUrgentPriority is the least priority of summaries that are due at once.
+// firstUrgentPriority is the lowest priority of summaries that are sent without delay.
 const firstUrgentPriority = urgentTransmits + 1
 
-// begin counts the transmissions of a summary that was just accepted.
-func (p *spreadState) begin(held *summary, now float64) {
-	p.left = summaryTransmits
-	p.urgentLeft = 0
+// start sets the numbers of transmissions of a summary that was just accepted.
+func (p *spreadState) start(held *summary, now float64) {
+	p.transmitsLeft = summaryTransmits
+	p.urgentTransmitsLeft = 0
 	switch {
 	case held.urgent:
-		p.left = urgentTransmits
-		p.urgentLeft = urgentTransmits
+		p.transmitsLeft = urgentTransmits
+		p.urgentTransmitsLeft = urgentTransmits
 	case held.originatedAt == now: // published by this router
-		p.left = ownerTransmits
-		p.urgentLeft = ownerTransmits
+		p.transmitsLeft = ownerTransmits
+		p.urgentTransmitsLeft = ownerTransmits
 	case now-held.originatedAt <= freshAge:
-		p.urgentLeft = freshTransmits
+		p.urgentTransmitsLeft = freshTransmits
 	}
 }
 
-// onDuplicate takes note that another router has the version: feedback that makes the spread end.
+// onDuplicate handles the receipt of the held version from another router. It reduces the transmissions left, so that
+// the spread ends once many routers have the version. Those of an urgent summary are not reduced.
 func (p *spreadState) onDuplicate(urgent bool) {
-	if p.left > 0 && !urgent {
-		p.left--
+	if p.transmitsLeft > 0 && !urgent {
+		p.transmitsLeft--
 	}
 }
 
 // onTransmit counts a transmission.
 func (p *spreadState) onTransmit() {
-	p.left--
-	p.urgentLeft = max(0, p.urgentLeft-1)
+	p.transmitsLeft--
+	p.urgentTransmitsLeft = max(0, p.urgentTransmitsLeft-1)
 }
 
 // stop ends the spread.
 func (p *spreadState) stop() { *p = spreadState{} }
 
-// priority says which summaries are passed on first: those due at once, then those that were passed on least.
+// priority returns the priority by which summaries are forwarded, highest first: those to be sent without delay, then
+// those with the most transmissions left.
 func (p *spreadState) priority() int {
-	if p.urgentLeft > 0 {
-		return firstUrgentPriority + min(p.urgentLeft, urgentTransmits)
+	if p.urgentTransmitsLeft > 0 {
+		return firstUrgentPriority + min(p.urgentTransmitsLeft, urgentTransmits)
 	}
-	return min(p.left, urgentTransmits)
+	return min(p.transmitsLeft, urgentTransmits)
 }
 
-// priorityCounts is how many summaries of each priority wait.
+// priorityCounts is the number of waiting summaries of each priority.
 type priorityCounts [numPriorities]int
 
 func (c *priorityCounts) urgent() (n int) {
@@ -65,8 +67,8 @@
 	return n
 }
 
-// lowest returns the lowest priority among the n summaries with the highest ones, and how many of that priority are
-// among them.
+// lowest returns the lowest priority among the n summaries with the highest priorities, and how many of these n have
+// that priority.
 func (c *priorityCounts) lowest(n int) (priority, count int) {
 	priority = len(c) - 1
 	sum := c[priority]
@@ -77,8 +79,8 @@
 	return priority, n - (sum - c[priority])
 }
 
-// spreadSummaries passes summaries on to random routers of the group, datagram by datagram, as far as the budget
-// goes.
+// spreadSummaries forwards summaries to random routers of the group, one datagram after another, until the budget is
+// used up.
 func (g *Gossiper) spreadSummaries() {
 	g.dropExpiredSpreads()
 	for len(g.spreading) > 0 {
@@ -96,42 +98,43 @@
 		}
 		g.send(to, g.nextBatch(&waiting, size))
 		g.spreading = slices.DeleteFunc(g.spreading, func(s *serverState) bool {
-			s.spread.queued = s.spread.left > 0
+			s.spread.queued = s.spread.transmitsLeft > 0
 			return !s.spread.queued
 		})
 	}
 }
 
-// dropExpiredSpreads ends the spread of summaries that no longer count.
+// dropExpiredSpreads stops forwarding summaries that have expired or have no transmissions left.
 func (g *Gossiper) dropExpiredSpreads() {
 	g.spreading = slices.DeleteFunc(g.spreading, func(s *serverState) bool {
-		if s.spread.left <= 0 || s.held.expired(g.now) {
+		if s.spread.transmitsLeft <= 0 || s.held.expired(g.now) {
 			s.spread.stop()
 		}
-		return s.spread.left <= 0
+		return s.spread.transmitsLeft <= 0
 	})
 }
 
-// batchSize says how many summaries go into the next datagram, and takes its cost from the budget; 0: none is sent
-// now. Urgent ones go by themselves, at once; others wait for a while until they fill a datagram.
+// batchSize returns the number of summaries in the next datagram and takes its cost from the budget; 0 if none is sent
+// now. Urgent summaries are sent in datagrams of their own without delay; others wait up to batchDelay until they fill
+// a datagram.
 func (g *Gossiper) batchSize(waiting *priorityCounts) int {
 	urgent := min(waiting.urgent(), maxSummaries)
 	urgentBytes := summariesDatagramBytes(urgent)
-	if urgent > 0 && g.takePart(&g.budgets.urgent, urgentRateDivisor, urgentBurstDivisor, float64(urgentBytes)) {
+	if urgent > 0 && g.takeFromBucket(&g.budgets.urgent, urgentRateDivisor, urgentBurstDivisor, float64(urgentBytes)) {
 		g.charge(urgentBytes)
 		return urgent
 	}
 	size := min(len(g.spreading), maxSummaries)
-	mayWait := urgent == 0 && size < maxSummaries && g.now-g.batchSentAt < batchDelay
-	if mayWait || !g.takeTotal(float64(summariesDatagramBytes(size))) {
+	waitForMore := urgent == 0 && size < maxSummaries && g.now-g.batchSentAt < batchDelay
+	if waitForMore || !g.takeTotal(float64(summariesDatagramBytes(size))) {
 		return 0
 	}
 	g.batchSentAt = g.now
 	return size
 }
 
-// nextBatch makes a message of the summaries with the highest priorities; among those with the lowest of these, by
-// turns from a random one on.
+// nextBatch encodes a message with the summaries of the highest priorities. If not all summaries of the lowest included
+// priority fit, it selects them in list order from a random position on.
 func (g *Gossiper) nextBatch(waiting *priorityCounts, size int) []byte {
 	lowest, lowestLeft := waiting.lowest(size)
 	message := newMessage(kindSummaries)
--- a/internal/policy/gossip/summary.go
+++ b/internal/policy/gossip/summary.go
@@ -1,38 +1,38 @@
 package gossip
 
-// summary is the load of a server as one owner has it: of its group (a group sum), or of all groups.
+// summary is the load of a server as computed by one owner, of its group (a group sum) or of all groups.
 type summary struct {
 	rank                uint8   // of the owner
 	incarnation         uint8   // of the owner's process
 	version             uint8   // counted by the owner, modulo 256
-	refusing, answering bool    // refusals were reported lately; answers were
-	urgent              bool    // it is to be passed on at once
-	load                float64 // relative times of attempts, their sum decayed with loadDecay
+	refusing, answering bool    // whether refusals and answers were reported recently
+	urgent              bool    // whether the summary is forwarded without delay
+	load                float64 // sum of the relative times of attempts, decayed with loadDecay
 	mean                float64 // mean relative time
 	originatedAt        float64 // seconds by this router's clock
 }
 
-// unavailable reports whether the server refuses and nobody has had an answer of it.
+// unavailable reports whether the server refuses attempts and no router has reported an answer.
 func (s *summary) unavailable() bool { return s.refusing && !s.answering }
 
-// expired reports whether a summary no longer counts.
+// expired reports whether a summary has reached summaryLifetime and is no longer used.
 func (s *summary) expired(now float64) bool { return now-s.originatedAt >= summaryLifetime }
 
-// attempts is how many attempts a second and time constant of the load stand for.
+// attempts returns the number of attempts that the load stands for: their rate per second times loadDecay.
 func (s *summary) attempts() float64 { return s.load / max(s.mean, minMean) }
 
-// freshness says how a summary that arrives compares with the one that is held.
+// freshness is the result of comparing a received summary with the held one.
 type freshness int
 
 const (
-	newer     freshness = iota // it takes the place of the held one
-	duplicate                  // the held one is the same version
-	older                      // the held one is a later version, or an equally good one that is not older
-	outranked                  // the owner before its owner publishes, and is in time
+	newer     freshness = iota // the received summary replaces the held one
+	duplicate                  // the held summary is the same version
+	older                      // the held summary is a later version, or of the same rank and not clearly older
+	outranked                  // the held summary is of a lower rank and not overdue
 )
 
-// compare reports whether a received summary takes the place of the held one. It does not depend on the order in
-// which versions arrive.
+// compare decides whether a received summary replaces the held one. The result does not depend on the order in which
+// versions arrive.
 func compare(held, received *summary, now float64) freshness {
 	sameOwner := held.rank == received.rank && held.incarnation == received.incarnation
 	if sameOwner && held.version == received.version {
@@ -55,12 +55,12 @@
 		return outranked
 	}
 	if received.rank == held.rank && received.originatedAt < held.originatedAt+incarnationAgeMargin {
-		return older // of another process or view of the owner; only the age tells which
+		return older // of another process or view of the owner; only the age decides which is newer
 	}
 	return newer
 }
 
-// accept takes a summary of a server, and has it passed on if it is newer than the held one.
+// accept replaces the held summary of a server with a received one if that is newer, and starts forwarding it.
 func (g *Gossiper) accept(s *serverState, received summary) {
 	switch compare(&s.held, &received, g.now) {
 	case duplicate:
@@ -71,7 +71,7 @@
 	}
 	s.held = received
 	s.baseRank = int(received.rank)
-	s.spread.begin(&received, g.now)
+	s.spread.start(&received, g.now)
 	if !s.spread.queued {
 		s.spread.queued = true
 		g.spreading = append(g.spreading, s)
--- a/internal/policy/gossip/synthesize.go
+++ b/internal/policy/gossip/synthesize.go
@@ -3,39 +3,39 @@
 import "math"
 
 const (
-	maxSynthesizedPerSecond = 6000.0 // observations to the balancer, at the cost of a microsecond each
-	maxSynthesisPause       = 1.0    // seconds since the last call that count for the limit
+	maxSynthesizedPerSecond = 6000.0 // observations for the balancer, which spends a microsecond on each
+	maxSynthesisPause       = 1.0    // largest time in seconds since the last call that is used for the limit
 
-	// refusalRepeatInterval is the time in seconds between two refusals of a server: the balancer forgets one after
-	// its longest latency objective.
+	// refusalRepeatInterval is the time in seconds between two synthesized refusals of a server. They are repeated
+	// because the balancer drops a refusal after its longest latency objective.
 	refusalRepeatInterval = 0.25
 
-	refusalFeedAge = 1.5 * changeInterval // seconds of age up to which a summary stands for refusals
+	refusalSynthesisAge = 1.5 * changedSummaryInterval // largest age in seconds at which a summary yields refusals
 )
 
-// feedState is what was passed to the balancer about a server.
-type feedState struct {
+// synthesizedState is the state of a server that the observations passed to the balancer add up to.
+type synthesizedState struct {
 	load      float64 // sum of relative times, decayed as the balancer does
 	updatedAt float64
 	refusalAt float64
 }
 
-// SynthesizeObservations returns observations, three bytes each as in Report, by which the balancer arrives at the
-// loads, means and refusals that it would have if every router sent its observations to every other. Where all would
-// send more than that limit, all loads are the same part of what they would be: the balancer compares them. Loads are
-// held until the next summary, and decay once none comes.
+// SynthesizeObservations returns observations, three bytes each as in Report, from which the balancer computes the
+// loads, means and refusals that it would have if every router broadcast its observations. If the held summaries stand
+// for more than maxSynthesizedPerSecond observations per second, all loads are reduced by the same factor, since the
+// balancer only compares them. Loads are held until the next summary, and decay if none arrives.
 func (g *Gossiper) SynthesizeObservations(now float64) (observations []byte) {
 	g.observeTime(now)
-	g.feedFraction = min(1, maxSynthesizedPerSecond/max(g.heldObservationRate(now), 1))
+	g.synthesizedFraction = min(1, maxSynthesizedPerSecond/max(g.heldObservationRate(now), 1))
 	room := int(maxSynthesizedPerSecond * min(now-g.synthesizedAt, maxSynthesisPause) * 2)
 	g.synthesizedAt = now
 	for _, s := range g.servers {
 		if s.held.expired(now) {
 			continue
 		}
-		if s.held.unavailable() && now-s.held.originatedAt < refusalFeedAge {
-			if now-s.feed.refusalAt >= refusalRepeatInterval && room > 0 {
-				s.feed.refusalAt = now
+		if s.held.unavailable() && now-s.held.originatedAt < refusalSynthesisAge {
+			if now-s.synthesized.refusalAt >= refusalRepeatInterval && room > 0 {
+				s.synthesized.refusalAt = now
 				room--
 				observations = append(observations, byte(s.id), byte(s.id>>8), refusalByte)
 			}
@@ -43,10 +43,10 @@
 		}
 		relativeTime := math.Round(min(maxMean, max(1, s.held.mean*timeUnit)))
 		step := relativeTime / timeUnit
-		s.feed.load *= math.Exp((s.feed.updatedAt - now) / loadDecay)
-		s.feed.updatedAt = now
-		for s.feed.load+step/2 <= s.held.load*g.feedFraction && room > 0 {
-			s.feed.load += step
+		s.synthesized.load *= math.Exp((s.synthesized.updatedAt - now) / loadDecay)
+		s.synthesized.updatedAt = now
+		for s.synthesized.load+step/2 <= s.held.load*g.synthesizedFraction && room > 0 {
+			s.synthesized.load += step
 			room--
 			observations = append(observations, byte(s.id), byte(s.id>>8), byte(relativeTime))
 		}
@@ -54,7 +54,7 @@
 	return observations
 }
 
-// heldObservationRate is how many observations a second the held summaries stand for.
+// heldObservationRate returns the number of observations per second that the held summaries stand for.
 func (g *Gossiper) heldObservationRate(now float64) float64 {
 	rate := 0.0
 	for _, s := range g.servers {
--- a/internal/policy/gossip/synthesize_test.go
+++ b/internal/policy/gossip/synthesize_test.go
@@ -7,7 +7,7 @@
 	"bendtrestle/balancer"
 )
 
-// balancerLoad is what a balancer computes of a server from observations.
+// balancerLoad is the load of a server as a balancer computes it from observations.
 type balancerLoad struct{ load, updatedAt, mean float64 }
 
 func (l *balancerLoad) add(now, relativeTime float64) {
@@ -20,8 +20,9 @@
 	return l.load * math.Exp((l.updatedAt-now)/loadDecay)
 }
 
-// A balancer that is told what this package synthesizes arrives at the loads and means of one that receives every
-// observation: averaged over some time, the sum of the loads, the load of each server, and which servers are slow.
+// A balancer that receives synthesized observations computes the same loads and means as one that receives every
+// observation. Averages over 20 s are compared: the sum of the loads, the load and mean of each server, and which
+// servers count as slow.
 func TestSynthesizedLoadsMatchBroadcast(t *testing.T) {
 	net := newNetwork(t, 100, 40)
 	net.relativeTimes[9] = 4
@@ -64,16 +65,16 @@
 			t.Errorf("server %d: mean %.2f, want %.2f", id, mean[id], wantMean[id])
 		}
 		if (mean[id] > 2.5) != (wantMean[id] > 2.5) {
-			t.Errorf("server %d is slow to one of them alone", id)
+			t.Errorf("server %d counts as slow by only one of the two means", id)
 		}
 	}
-	t.Logf("loads %.1f, want %.1f", sum, wantSum)
+	t.Logf("sum of loads %.1f, want %.1f", sum, wantSum)
 	if math.Abs(sum/wantSum-1) > 0.1 {
-		t.Errorf("loads %.1f, want %.1f", sum, wantSum)
+		t.Errorf("sum of loads %.1f, want %.1f within 10%%", sum, wantSum)
 	}
 }
 
-// noHost takes a balancer's commands and does nothing.
+// noHost is a balancer's host that ignores all commands.
 type noHost struct{}
 
 func (noHost) StartAttempt(uint64, uint64, float64, float64) {}
@@ -85,8 +86,8 @@
 func (noHost) SetTimer(float64, string)                      {}
 func (noHost) WatchEndpoints(bool)                           {}
 
-// A server that refuses all routers is avoided by the balancer of a router that never used it; one that refuses one
-// router while others have answers of it is not.
+// A server that refuses all routers is avoided by the balancer of a router that never used it. A server that refuses
+// one router and answers others is not avoided.
 func TestBalancerAvoidsRefusingServer(t *testing.T) {
 	for refusesAll, want := range map[bool]bool{true: true, false: false} {
 		net := newNetwork(t, 100, 40)
@@ -109,7 +110,7 @@
 		net.run(20)
 		refusing := uint64(serverID(5))
 		if b.Avoids(refusing) {
-			t.Fatal("it is avoided before anything happens")
+			t.Fatal("the server is avoided before it refuses")
 		}
 		net.refusing[5] = refusesAll
 		avoided := 0.0 // seconds
@@ -120,9 +121,9 @@
 				avoided += 0.05
 			}
 		}
-		// Answers among the synthesized observations would end it after 1.0 s.
+		// If answers were among the synthesized observations, the server would be avoided for only 1.0 s.
 		if want && avoided < 1.3 || !want && avoided > 0 {
-			t.Errorf("refuses all: %t: avoided for %.2f s", refusesAll, avoided)
+			t.Errorf("refuses all: %t: avoided for %.2f s, want 1.3 s or more if it refuses all, else 0", refusesAll, avoided)
 		}
 	}
 }
--- a/internal/policy/gossip/view.go
+++ b/internal/policy/gossip/view.go
@@ -7,11 +7,11 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// owners are the routers that own a server in a group, the first one first; -1 where there are fewer.
+// owners are the routers that own a server in a group, in order of rank; -1 where there are fewer.
 type owners [ownersPerGroup]int16
 
-// View is the routers that may be there, in groups, and who owns which server. Gossipers of one goroutine may share a
-// view: it keeps what it has computed.
+// View is the list of routers, divided into groups, and the assignment of servers to owners. Gossipers of one goroutine
+// may share a view, which caches computed assignments.
 type View struct {
 	hashes   []uint32 // of the routers' names
 	groups   int
@@ -27,8 +27,8 @@
 	return ownerKey(uint32(group)<<16 | uint32(server))
 }
 
-// NewView takes a hash of each router's name, in the order of the list of routers; every router has to have the same
-// hashes.
+// NewView returns a view of the routers with the given hashes of their names, in the order of the list of routers. All
+// routers must use the same hashes in the same order.
 func NewView(hashes []uint32) *View {
 	return &View{
 		hashes:   hashes,
@@ -38,7 +38,7 @@
 	}
 }
 
-// groupOf is the group of a router.
+// groupOf returns the group of a router.
 func (v *View) groupOf(router int) int { return router * v.groups / len(v.hashes) }
 
 // groupBounds returns the first router of a group and the first one after it.
@@ -58,8 +58,8 @@
 	clear(v.balanced)
 }
 
-// ownersOf returns a server's owners in a group: rendezvous hashing with bounded loads. By weight alone one router
-// would be the first owner of five servers, at half a kilobyte a second each.
+// ownersOf returns a server's owners in a group, chosen by rendezvous hashing with bounded loads. Without the bound,
+// some router would be the first owner of five servers, at half a kilobyte per second each.
 func (v *View) ownersOf(group int, server uint16) owners {
 	key := newOwnerKey(group, server)
 	if chosen, ok := v.balanced[key]; ok {
@@ -73,11 +73,12 @@
 	return v.balanced[key]
 }
 
-// balance chooses the owners of all servers in a group. The first owner is the heaviest one that is not first owner
-// of its part of the servers before, in the order of their identifiers; so a server more or less moves few.
+// balance chooses the owners of all servers in a group, in the order of the servers' identifiers. The first owner of a
+// server is the router with the largest weight that is not yet the first owner of as many servers as the limit allows.
+// Adding or removing a server therefore moves few others.
 func (v *View) balance(group int) {
 	from, to := v.groupBounds(group)
-	firstOwnerOf := make([]int, to-from)
+	firstOwnerCounts := make([]int, to-from)
 	limit := int(math.Ceil(ownerLoadFactor * float64(len(v.servers)) / float64(to-from)))
 	for _, server := range v.servers {
 		chosen := v.ownersByWeight(group, server)
@@ -85,7 +86,7 @@
 			if router < 0 {
 				break
 			}
-			load := &firstOwnerOf[int(router)-from]
+			load := &firstOwnerCounts[int(router)-from]
 			if *load < limit {
 				*load++
 				copy(chosen[1:i+1], chosen[:i])
@@ -97,7 +98,7 @@
 	}
 }
 
-// ownersByWeight returns the routers of a group by the weight of each for a server, the heaviest first.
+// ownersByWeight returns the routers of a group with the largest weights for a server, in descending order.
 func (v *View) ownersByWeight(group int, server uint16) owners {
 	key := newOwnerKey(group, server)
 	if chosen, ok := v.byWeight[key]; ok {
