--- a/internal/policy/quota/borrow.go
+++ b/internal/policy/quota/borrow.go
@@ -1,31 +1,32 @@
 package quota
 
-// borrowerLifetime is the seconds for which a team that asked for more shares in what is unused.
+// borrowerLifetime is the time in seconds for which a team counts as a borrower after it last tried to borrow.
 const borrowerLifetime = 1.0
 
-// borrowAllowanceWindow is the seconds of its borrow rate that a team may borrow at once.
+// borrowAllowanceWindow limits what a team may borrow at once: the load of this many seconds at its borrow rate.
 const borrowAllowanceWindow = 1.0
 
-// borrowing is a team's part in what is unused.
+// borrowing is a team's state as a borrower of unused load.
 type borrowing struct {
-	active             bool    // it is among the borrowers
-	requestedAt        float64 // when it last asked for more
-	unused             float64 // kept for this team
-	collectedPerWeight float64 // of the borrowers, when unused was computed
-	allowance          float64 // that its borrow rate lets it take now
-	allowanceAt        float64 // when that was computed
-	previous           *Bucket // among the borrowers
+	active             bool    // whether the team is among the borrowers
+	requestedAt        float64 // when the team last tried to borrow
+	unused             float64 // unused load assigned to this team; negative if it is in debt
+	collectedPerWeight float64 // borrowers.unusedPerWeight when unused was last computed
+	allowance          float64 // load that the borrow rate allows the team to take now
+	allowanceAt        float64 // when allowance was computed
+	previous           *Bucket // in the list of borrowers
 	next               *Bucket
 }
 
-// borrowers are the teams that share in what is unused, the one that asked longest ago first.
+// borrowers is the list of teams that borrow unused load, in the order of their last attempts to borrow, oldest first.
 type borrowers struct {
 	first, last     *Bucket
-	weights         float64 // their sum
-	unusedPerWeight float64 // unused load for a weight of 1, since the start
+	weights         float64 // sum of the borrowers' weights
+	unusedPerWeight float64 // cumulative unused load per weight of 1, since the list was last empty
 }
 
-// borrow takes load from what is unused, if the quota allows it and there is some for this team.
+// borrow takes load from the unused load, if the team's quota allows it and some is available to the team. It reports
+// whether it did.
 func (l *Limiter) borrow(b *Bucket, load float64) bool {
 	if b.BorrowRate <= 0 {
 		return false
@@ -48,7 +49,7 @@
 	return true
 }
 
-// refillAllowance tells whether a team's borrow rate lets it take anything now.
+// refillAllowance adds what has accrued to a team's borrow allowance and reports whether the team may borrow now.
 func (b *Bucket) refillAllowance(now float64) bool {
 	rate := b.BorrowRate * b.share
 	state := &b.borrowing
@@ -57,7 +58,7 @@
 	return state.allowance > 0
 }
 
-// settleBorrowed corrects what a request was charged that was admitted from unused load.
+// settleBorrowed replaces the charge of a request that was admitted from unused load by its measured load.
 func (l *Limiter) settleBorrowed(b *Bucket, estimate, load float64) {
 	l.Totals.Charged += load - estimate
 	surplus := estimate - load
@@ -71,7 +72,7 @@
 	l.forgiveDebt(b)
 }
 
-// forgiveDebt bounds what is owed to the unused load of others.
+// forgiveDebt limits the debt of a borrower, and that of the load for any borrower. Debt beyond the limit is forgiven.
 func (l *Limiter) forgiveDebt(b *Bucket) {
 	maxDebt := max(l.unused.rate, l.unused.capacity*l.unused.share)*unusedWindow + roundingError
 	for _, load := range []*float64{&b.borrowing.unused, &l.unused.available} {
@@ -83,7 +84,7 @@
 	}
 }
 
-// addBorrower counts a team among those that share in what is unused, as the last that asked.
+// addBorrower makes a team a borrower, or renews its time as one, and moves it to the end of the list.
 func (l *Limiter) addBorrower(b *Bucket) {
 	if b.borrowing.active {
 		l.borrowers.remove(b)
@@ -97,7 +98,8 @@
 	l.collectUnused(b)
 }
 
-// collectUnused gives a borrower its part; what it cannot keep is for any other.
+// collectUnused assigns a borrower the unused load that has accrued for its weight. What exceeds its bound goes to the
+// load for any borrower.
 func (l *Limiter) collectUnused(b *Bucket) {
 	state := &b.borrowing
 	state.unused += (l.borrowers.unusedPerWeight - state.collectedPerWeight) * b.weight()
@@ -109,7 +111,7 @@
 	}
 }
 
-// removeBorrower takes a team from the borrowers. What it had, or owed, is any other's.
+// removeBorrower removes a team from the borrowers. Its unused load or debt goes to the load for any borrower.
 func (l *Limiter) removeBorrower(b *Bucket) {
 	if !b.borrowing.active {
 		return
@@ -118,7 +120,7 @@
 	l.borrowers.remove(b)
 	b.borrowing.active = false
 	l.borrowers.weights -= b.weight()
-	if l.borrowers.first == nil { // exactly 0, free of rounding errors
+	if l.borrowers.first == nil { // resets the sums to exactly 0, without rounding errors
 		l.borrowers.weights = 0
 		l.borrowers.unusedPerWeight = 0
 	}
@@ -130,7 +132,7 @@
 	b.borrowing.unused = 0
 }
 
-// add adds a team at the end of the list.
+// add appends a team to the list.
 func (l *borrowers) add(b *Bucket) {
 	b.borrowing.previous = l.last
 	b.borrowing.next = nil
@@ -142,7 +144,7 @@
 	l.last = b
 }
 
-// remove takes a team from the list.
+// remove removes a team from the list.
 func (l *borrowers) remove(b *Bucket) {
 	previous, next := b.borrowing.previous, b.borrowing.next
 	if previous == nil {
--- a/internal/policy/quota/bucket.go
+++ b/internal/policy/quota/bucket.go
@@ -2,10 +2,11 @@
 
 import "cmp"
 
-// roundingError is the seconds of load below which a bucket that is not full is a matter of rounding.
+// roundingError is the difference from a full bucket, in seconds of load, that is attributed to rounding.
 const roundingError = 1e-9
 
-// minWeight bounds a team's weight: what is left for a weight of 1 must not outgrow what a float64 can tell apart.
+// minWeight is the smallest weight of a team. With smaller weights, the cumulative unused load per weight of 1 could
+// grow beyond the precision of a float64.
 const minWeight = 1e-3
 
 // Bucket is one team's token bucket at one router.
@@ -13,26 +14,26 @@
 	Quota
 	limiter   *Limiter
 	ended     bool
-	share     float64 // of the quota that this router has
-	balance   float64 // seconds of load; below 0 the team owes
+	share     float64 // this router's share of the quota
+	balance   float64 // seconds of load; negative if the team is in debt
 	updatedAt float64 // by the limiter's clock
 	full      bool
 	fullAt    float64 // when it will be full
-	fillIndex int     // in the limiter's heap; -1: not there
+	fillIndex int     // in the limiter's heap; notFilling if not in it
 	borrowing borrowing
-	retryAt   float64 // when the last of the clients that got a Retry-After will come back
+	retryAt   float64 // latest retry time given to a rejected client, without the random factor
 	costs     map[string]*ClassCost
 	Demand    Demand
 	Totals    BucketTotals
 }
 
-// BucketTotals tell what a team was given, in seconds of load.
-// It always holds that balance = Start + Filled - Spilled - Charged + Forgiven.
+// BucketTotals are the totals of a team's bucket, in seconds of load unless stated otherwise.
+// Invariant: balance = Start + Filled - Spilled - Charged + Forgiven.
 type BucketTotals struct {
 	Start, Filled, Spilled, Charged, Forgiven float64
 
 	WithinQuota, Borrowed, Rejected uint64  // requests
-	LoadUsed                        float64 // by requests that have ended
+	LoadUsed                        float64 // load of requests that have ended
 	InFlight                        int     // requests
 }
 
@@ -51,23 +52,24 @@
 	return b
 }
 
-// Balance is what a team may spend of its own now, in seconds of load; below 0 it owes.
+// Balance returns the load that the team may use from its own bucket, in seconds; negative if the team is in debt.
 func (b *Bucket) Balance() float64 { return b.balance }
 
-// Share is the share of the team's quota that this router has.
+// Share returns this router's share of the team's quota.
 func (b *Bucket) Share() float64 { return b.share }
 
-// fillRate is seconds of load a second.
+// fillRate returns the rate at which the bucket fills, in seconds of load per second.
 func (b *Bucket) fillRate() float64 { return b.GuaranteedRate * b.share }
 
-// capacity is the largest balance.
+// capacity returns the largest balance, in seconds of load.
 func (b *Bucket) capacity() float64 { return b.Burst * b.share }
 
-// weight is the team's part of what is left unused.
+// weight returns the weight by which unused load is divided among borrowers.
 func (b *Bucket) weight() float64 { return max(cmp.Or(b.Weight, b.GuaranteedRate, 1), minWeight) }
 
-// charge takes load from the balance, or gives some back. A team owes no more than its burst: what a service that
-// hung for a moment cost beyond that is forgiven, or the team would be shut out for long after.
+// charge takes load from the balance, or returns some if load is negative. The debt is limited to the burst, or to a
+// single charge if that is larger. Debt beyond the limit is forgiven: otherwise a team whose service hung for a short
+// time would be rejected for a long time afterwards.
 func (b *Bucket) charge(load float64) {
 	b.balance -= load
 	b.Totals.Charged += load
@@ -80,12 +82,12 @@
 	b.limiter.scheduleFull(b)
 }
 
-// refill adds to a balance what it has gained up to now, and notes whether it is full.
+// refill adds to a balance what has accrued since the last update, and updates whether the bucket is full.
 func (l *Limiter) refill(b *Bucket) {
 	gain := b.fillRate() * (l.clock.now - b.updatedAt)
 	b.updatedAt = l.clock.now
 	if b.full || gain < 0 {
-		return // what a full bucket would gain is part of the rate of what is unused
+		return // the gain of a full bucket is part of the rate of unused load
 	}
 	b.Totals.Filled += gain
 	b.balance += gain
@@ -93,7 +95,7 @@
 	l.scheduleFull(b)
 }
 
-// capBalance lets go of what a bucket cannot take: it is unused.
+// capBalance limits a balance to the bucket's capacity. The excess becomes unused load.
 func (l *Limiter) capBalance(b *Bucket) {
 	excess := b.balance - b.capacity()
 	if excess > 0 {
@@ -103,7 +105,7 @@
 	}
 }
 
-// scheduleFull notes whether a bucket is full, and if not, when it will be.
+// scheduleFull updates whether a bucket is full and, if it is not, when it will be.
 func (l *Limiter) scheduleFull(b *Bucket) {
 	full := b.balance >= b.capacity()-roundingError && !b.ended
 	if full != b.full {
--- a/internal/policy/quota/cost.go
+++ b/internal/policy/quota/cost.go
@@ -1,29 +1,29 @@
 package quota
 
-// estimateWindow is the number of requests over which an estimate is the mean.
+// estimateWindow is the number of requests over which an estimate is averaged.
 const estimateWindow = 16.0
 
-// minCost is the least estimate, in seconds of load.
+// minCost is the smallest estimate, in seconds of load.
 const minCost = 1e-6
 
-// The undisturbed time of a traffic class: the quartile of its attempts' times, which they take where they do not
-// wait.
+// The baseline of a traffic class is the lower quartile of the durations of its attempts, an estimate of the time that
+// an attempt takes at a server without waiting.
 const (
 	baselineQuantile = 0.25
-	baselineStep     = 1.0 / 16 // of its value, by which it follows an attempt: some 150 attempts for ten times as much
+	baselineStep     = 1.0 / 16 // relative step size; about 150 attempts raise the baseline to ten times its value
 
-	// maxBaselineFactor is how many times the undisturbed time an attempt counts at most. It leaves room for cache
-	// misses; what is beyond is waiting for others' work.
+	// maxBaselineFactor is the largest multiple of the baseline that an attempt is charged. It leaves room for cache
+	// misses; time beyond it counts as waiting for the work of others.
 	maxBaselineFactor = 6.0
 )
 
-// ClassCost is what requests of one traffic class cost a team.
+// ClassCost tracks the cost of a team's requests of one traffic class.
 type ClassCost struct {
 	mean     float64 // seconds of load
-	baseline float64 // seconds; 0: no attempt has ended
+	baseline float64 // seconds; 0 if no attempt has ended
 }
 
-// cost gives what a request of a traffic class costs, at first the estimate.
+// cost returns the cost of a team's requests of a traffic class, which starts with the given estimate.
 func (b *Bucket) cost(class string, estimate float64) *ClassCost {
 	cost := b.costs[class]
 	if cost == nil {
@@ -36,15 +36,15 @@
 	return cost
 }
 
-// record takes what a request has cost.
+// record updates the mean with the load of a request that has ended.
 func (c *ClassCost) record(load float64) {
 	c.mean += (load - c.mean) / estimateWindow
 	c.mean = max(c.mean, minCost)
 }
 
-// ChargeableTime gives the seconds of load that an attempt counts that took so many seconds: all of it, but for
-// waiting beyond what attempts of its traffic class usually need. Else a team would pay for the queues that another's
-// costly requests make at shared servers.
+// ChargeableTime returns the seconds of load that are charged for an attempt with the given duration: the duration, but
+// at most maxBaselineFactor times the baseline of its traffic class. Otherwise a team would be charged for waiting in
+// queues that the costly requests of another team cause at shared servers.
 func (l *Limiter) ChargeableTime(r *Reservation, seconds float64) float64 {
 	cost := r.cost
 	switch {
--- a/internal/policy/quota/demand.go
+++ b/internal/policy/quota/demand.go
@@ -5,7 +5,8 @@
 // demandDecay is the time constant of the demand, in seconds.
 const demandDecay = 1.0
 
-// Demand is the load that a team asked for lately, admitted or not, a second.
+// Demand is the rate of load that a team requests, whether admitted or not, averaged with the time constant
+// demandDecay.
 type Demand struct {
 	rate      float64
 	updatedAt float64
@@ -16,5 +17,5 @@
 	d.updatedAt = now
 }
 
-// Rate is the demand at a time of the limiter's clock, in seconds of load a second.
+// Rate returns the demand at a time of the limiter's clock, in seconds of load per second.
 func (d *Demand) Rate(now float64) float64 { return d.rate * math.Exp(-(now-d.updatedAt)/demandDecay) }
--- a/internal/policy/quota/fillheap.go
+++ b/internal/policy/quota/fillheap.go
@@ -3,7 +3,8 @@
 // notFilling is the index of a bucket that is not in the heap.
 const notFilling = -1
 
-// fillHeap is a binary heap of buckets, by when they will be full. Each bucket knows its index.
+// fillHeap is a binary min-heap of buckets, ordered by the time at which they will be full. Bucket.fillIndex is the
+// position of each bucket.
 type fillHeap []*Bucket
 
 func (h *fillHeap) add(b *Bucket) {
@@ -12,7 +13,7 @@
 	h.up(b.fillIndex)
 }
 
-// remove takes a bucket out, if it is in the heap.
+// remove removes a bucket, if it is in the heap.
 func (h *fillHeap) remove(b *Bucket) {
 	index := b.fillIndex
 	if index == notFilling {
--- a/internal/policy/quota/golden_test.go
+++ b/internal/policy/quota/golden_test.go
@@ -12,9 +12,10 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current code")
 
-// golden compares lines with a file that the build of 15122f5 wrote, and returns the file's lines.
+// golden compares lines with testdata/NAME.golden, whose values the build of commit 15122f5 wrote, and returns the
+// file's lines.
 func golden(t *testing.T, name string, lines []string) []string {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -33,7 +34,7 @@
 		case i >= len(lines):
 			t.Fatalf("%s: line %d is missing: want %s", name, i+1, want[i])
 		case i >= len(want):
-			t.Fatalf("%s: line %d is more than was written: %s", name, i+1, lines[i])
+			t.Fatalf("%s: line %d is not in the golden file: %s", name, i+1, lines[i])
 		case lines[i] != want[i]:
 			t.Fatalf("%s: line %d:\n got %s\nwant %s", name, i+1, lines[i], want[i])
 		}
@@ -41,7 +42,7 @@
 	return want
 }
 
-// The demands that routers tell each other: what is written, and what it is read as.
+// Demands keep their encoding in messages and are decoded to the same values.
 func TestGoldenDemandScale(t *testing.T) {
 	var lines []string
 	for _, rate := range []float64{0, 9.99e-7, 1e-6, 2e-6, 0.001, 0.0137, 0.5, 1, 37.5, 1e6, 1e23, 1e40} {
@@ -51,8 +52,9 @@
 	golden(t, "demand-scale", lines)
 }
 
-// The messages between routers, byte for byte: of no team, of a few, of so many that they do not fit into one
-// message. The file's bytes are read by another router, whose shares of the quotas show what it understood.
+// Messages between routers are encoded byte for byte as in the golden file: with no team, with a few, and with more
+// than fit into one message. Another router reads the bytes in the file, and its shares of the quotas show how it
+// decoded them.
 func TestGoldenMessages(t *testing.T) {
 	for _, n := range []int{0, 1, 2, 3, 41, 100} {
 		routers := newFleet(3, true, 1000, manyQuotas(n)...)
@@ -85,15 +87,15 @@
 			lines = append(lines, fmt.Sprintf("read: %t", reader.OnMessage(102.8+float64(i)*0.1, message)))
 		}
 		reader.Recompute(103.3)
-		lines = append(lines, fmt.Sprintf("known: %v", reader.LivePeers(103.3)))
+		lines = append(lines, fmt.Sprintf("live peers: %v", reader.LivePeers(103.3)))
 		for _, b := range routers.limiters[0].Buckets() {
-			lines = append(lines, fmt.Sprintf("%s: part %v", b.Team, b.Share()))
+			lines = append(lines, fmt.Sprintf("%s: share %v", b.Team, b.Share()))
 		}
 		golden(t, name, lines)
 	}
 }
 
-// goldenDecisions hashes all decisions of a limiter, and tells how it stands.
+// goldenDecisions hashes all decisions of a limiter and formats its state. The formats are part of the hashes.
 type goldenDecisions struct {
 	limiter *Limiter
 	counts  map[Reason]int
@@ -123,8 +125,8 @@
 	return line
 }
 
-// What is decided, charged, lent and forgiven, to the last bit, over a minute with borrowers, changes of quotas,
-// shares that move, clock steps, a service that hangs and teams that are not known.
+// A limiter decides, charges, lends and forgives exactly as the build that wrote the golden file, over a minute with
+// borrowers, changes of quotas and shares, clock steps, a service that hangs, and unknown teams.
 func TestGoldenDecisions(t *testing.T) {
 	random := rand.New(rand.NewPCG(5, 50))
 	quotas := []Quota{
@@ -159,7 +161,7 @@
 			i := random.IntN(len(open))
 			load := l.ChargeableTime(open[i], 0.001+0.1*random.Float64()*random.Float64())
 			if step > 5000 && random.IntN(50) == 0 {
-				load = 7 // a service that hung
+				load = 7 // the service hangs
 			}
 			decisions.add("%v\n", load)
 			l.Settle(now, open[i], load)
@@ -204,17 +206,17 @@
 	golden(t, "decisions", lines)
 }
 
-// The shares of the quotas that routers have come to, to the last bit, while they talk, fall silent, and send what
-// cannot be used. Of three routers: the demands of more others are added up in the order of a map, and the last bit
-// of their sum is not always the same.
+// Routers compute exactly the same shares of the quotas as the build that wrote the golden file, while they exchange
+// messages, stop sending, and send malformed messages. There are only three routers, because the demands of the others
+// are added in the order of a map: with more of them, the last bit of the sum would vary.
 func TestGoldenShares(t *testing.T) {
 	routers := newFleet(3, true, 8,
 		Quota{Team: "a", GuaranteedRate: 4, Burst: 1},
 		Quota{Team: "b", GuaranteedRate: 1, Burst: 1, BorrowRate: 2})
 	var lines []string
 	now := 100.0
-	line := func(what string) {
-		text := what
+	line := func(label string) {
+		text := label
 		for i, l := range routers.limiters {
 			text += fmt.Sprintf("; %v", routers.shares[i].LivePeers(now))
 			for _, b := range l.Buckets() {
@@ -223,20 +225,20 @@
 		}
 		lines = append(lines, text)
 	}
-	run := func(what, team string, rate float64, split []float64) {
+	run := func(label, team string, rate float64, split []float64) {
 		for range 3 {
 			got := routers.run(now, now+1, team, rate, split)
 			now++
-			line(fmt.Sprintf("%s, %s got %v", what, team, got))
+			line(fmt.Sprintf("%s, %s got %v", label, team, got))
 		}
 	}
 	line("at the start")
 	run("skewed", "a", 800, []float64{0.8, 0.1, 0.1})
-	run("at one", "b", 300, []float64{0, 0, 1})
+	run("at one router", "b", 300, []float64{0, 0, 1})
 	routers.broadcasting = false
 	run("silent", "a", 800, []float64{0.25, 0.25, 0.5})
 	routers.broadcasting = true
-	run("they talk again", "b", 100, []float64{0.5, 0.5, 0})
+	run("messages are exchanged again", "b", 100, []float64{0.5, 0.5, 0})
 	for i, datagram := range [][]byte{
 		nil,
 		{0xc7},
@@ -251,11 +253,11 @@
 	} {
 		line(fmt.Sprintf("message %d is read: %t", i, routers.shares[0].OnMessage(now, datagram)))
 	}
-	run("on they go", "a", 400, []float64{0.5, 0, 0.5})
+	run("after malformed messages", "a", 400, []float64{0.5, 0, 0.5})
 	golden(t, "shares", lines)
 }
 
-// What the operators' page calls each reason.
+// The names of the reasons, as shown on the operators' page, stay the same.
 func TestGoldenReasons(t *testing.T) {
 	var lines []string
 	for _, reason := range []Reason{WithinQuota, Borrowed, OverQuota, UnknownTeam} {
--- a/internal/policy/quota/helpers_test.go
+++ b/internal/policy/quota/helpers_test.go
@@ -6,18 +6,18 @@
 	"testing"
 )
 
-// newTestLimiter is a limiter at the time 100.
+// newTestLimiter returns a limiter created at the time 100.
 func newTestLimiter(capacity float64, quotas ...Quota) *Limiter {
 	l := NewLimiter(100, capacity, 7)
 	l.SetQuotas(100, capacity, quotas)
 	return l
 }
 
-// flow is requests of a team that come evenly.
+// flow is a constant rate of requests of a team.
 type flow struct {
 	team string
 	rate float64 // requests a second
-	load float64 // seconds of load that each takes
+	load float64 // seconds of load of each request
 }
 
 // inFlight is an admitted request.
@@ -27,8 +27,8 @@
 	load        float64
 }
 
-// run plays flows from one time to another in steps of a millisecond; every request ends 20 ms after its arrival. It
-// gives the load of admitted requests by team.
+// run simulates flows from one time to another in steps of a millisecond. Every request ends 20 ms after its arrival.
+// It returns the load of admitted requests by team.
 func run(l *Limiter, from, to float64, flows ...flow) map[string]float64 {
 	admitted := map[string]float64{}
 	due := make([]float64, len(flows))
@@ -54,13 +54,13 @@
 	return admitted
 }
 
-// reporter is a test, or one of a property.
+// reporter is a *testing.T or a *rapid.T.
 type reporter interface {
 	Helper()
 	Errorf(string, ...any)
 }
 
-// checkBalances checks that no load was lost or invented.
+// checkBalances checks that balances agree with the totals, so that no load was lost or created.
 func checkBalances(t reporter, l *Limiter) {
 	t.Helper()
 	near := func(a, b float64) bool { return math.Abs(a-b) <= 1e-6*(1+math.Abs(a)+math.Abs(b)) }
@@ -69,13 +69,13 @@
 		totals := b.Totals
 		want := totals.Start + totals.Filled - totals.Spilled - totals.Charged + totals.Forgiven
 		if !near(b.balance, want) {
-			t.Errorf("%s has %v, its totals say %v", b.Team, b.balance, want)
+			t.Errorf("%s: balance %v, want %v by its totals", b.Team, b.balance, want)
 		}
 		if b.balance > b.capacity()+1e-6 {
-			t.Errorf("%s has %v, more than its burst %v", b.Team, b.balance, b.capacity())
+			t.Errorf("%s: balance %v, want at most its burst %v", b.Team, b.balance, b.capacity())
 		}
 		if b.full != (b.fillIndex < 0) && b.fillRate() > 0 {
-			t.Errorf("%s: full is %v, its index among those that fill is %d", b.Team, b.full, b.fillIndex)
+			t.Errorf("%s: full is %v, but its index in the heap of buckets that are not full is %d", b.Team, b.full, b.fillIndex)
 		}
 		unused += b.borrowing.unused
 		if b.borrowing.active {
@@ -85,18 +85,18 @@
 	totals := l.Totals
 	want := totals.Filled - totals.Dropped - totals.Charged + totals.Forgiven
 	if !near(unused, want) {
-		t.Errorf("%v is unused, the totals say %v", unused, want)
+		t.Errorf("unused load %v, want %v by the totals", unused, want)
 	}
 }
 
-func checkBetween(t *testing.T, what string, got, from, to float64) {
+func checkBetween(t *testing.T, subject string, got, from, to float64) {
 	t.Helper()
 	if !(got >= from && got <= to) {
-		t.Errorf("%s is %.4f, not between %v and %v", what, got, from, to)
+		t.Errorf("%s: got %.4f, want between %v and %v", subject, got, from, to)
 	}
 }
 
-// manyQuotas are those of team-0, team-1 and so on.
+// manyQuotas returns quotas of n teams named team-0, team-1 and so on.
 func manyQuotas(n int) (quotas []Quota) {
 	for i := range n {
 		quotas = append(quotas, Quota{Team: fmt.Sprintf("team-%d", i), GuaranteedRate: 1, Burst: 1, BorrowRate: 1})
--- a/internal/policy/quota/limiter.go
+++ b/internal/policy/quota/limiter.go
@@ -7,22 +7,23 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// maxClockStep bounds the seconds that one step of the caller's clock counts: a clock that jumps creates no balance.
+// maxClockStep is the largest step of the caller's clock that counts, in seconds: a clock that jumps forward must not
+// fill the buckets.
 const maxClockStep = 10.0
 
-// Retry-After of rejected requests: the wait that was reckoned, up to maxRetryAfter seconds, times a random factor
-// from 0.75 to 1.25, so that rejected clients do not return at once. The longest is thus 6.25 s.
+// Retry-After of rejected requests is the computed wait, at most maxRetryAfter seconds, times a random factor from 0.75
+// to 1.25. The factor keeps rejected clients from retrying at the same time. The largest Retry-After is 6.25 s.
 const (
-	maxRetryAfter           = 5.0  // seconds, before the random factor: clients that get more have left
-	minRetryAfterFactor     = 0.75 // the least random factor
-	retryAfterSpreadDivisor = 2    // the random factor is the least one and up to 1 divided by this
+	maxRetryAfter           = 5.0  // seconds, before the random factor; clients do not wait longer than this
+	minRetryAfterFactor     = 0.75 // the smallest random factor
+	retryAfterSpreadDivisor = 2    // the random factor exceeds the smallest one by up to 1 divided by this
 )
 
-// Limiter is the buckets of one pool at one router. It belongs to one goroutine.
+// Limiter holds the buckets of one pool at one router. It belongs to one goroutine.
 type Limiter struct {
 	clock     boundedClock
 	buckets   map[string]*Bucket // by team
-	refilling fillHeap           // buckets that are not full, by when they will be
+	refilling fillHeap           // buckets that are not full, ordered by the time at which they will be
 	unused    unusedLoad
 	borrowers borrowers
 	random    seedhash.Sequence
@@ -30,14 +31,15 @@
 	Totals UnusedTotals
 }
 
-// boundedClock is the seconds that have passed, in bounded steps of the caller's clock.
+// boundedClock measures elapsed seconds by the caller's clock. It limits forward steps to maxClockStep and ignores
+// backward steps.
 type boundedClock struct {
 	now        float64
 	callerTime float64
 	started    bool
 }
 
-// timeAt gives the time after a step to the caller's time, and notes that.
+// timeAt records the caller's time and returns the corresponding time of this clock. It does not set now.
 func (c *boundedClock) timeAt(callerTime float64) float64 {
 	step := 0.0
 	if c.started {
@@ -48,8 +50,8 @@
 	return c.now + step
 }
 
-// NewLimiter makes one without teams. The capacity of the pool, in seconds of load a second over all routers, is
-// stated by the operators, or 0. The seed is of the random part of Retry-After.
+// NewLimiter returns a limiter without teams. The capacity of the pool is in seconds of load per second over all
+// routers, or 0 if the operators do not state it. The seed is for the random factor of Retry-After.
 func NewLimiter(now, capacity float64, seed uint32) *Limiter {
 	l := &Limiter{
 		buckets: map[string]*Bucket{},
@@ -61,10 +63,10 @@
 	return l
 }
 
-// Bucket gives a team's; nil if there is none.
+// Bucket returns the bucket of a team, or nil if there is none.
 func (l *Limiter) Bucket(team string) *Bucket { return l.buckets[team] }
 
-// Buckets gives all, by the names of their teams.
+// Buckets returns all buckets, sorted by the names of their teams.
 func (l *Limiter) Buckets() []*Bucket {
 	var all []*Bucket
 	for _, b := range l.buckets {
@@ -74,10 +76,11 @@
 	return all
 }
 
-// Unused is the load that is left unused now, for any team that borrows.
+// Unused returns the unused load that is available to any borrower, in seconds.
 func (l *Limiter) Unused() float64 { return l.unused.available }
 
-// advance lets time pass. What a bucket gains once it is full is unused from then on.
+// advance advances the clock to the caller's time. From the time at which a bucket becomes full, its fill rate counts
+// as unused load. Borrowers that have not tried to borrow for longer than borrowerLifetime are removed.
 func (l *Limiter) advance(now float64) {
 	to := l.clock.timeAt(now)
 	for len(l.refilling) > 0 && l.refilling[0].fullAt <= to {
@@ -91,8 +94,8 @@
 	}
 }
 
-// Admit decides on a request of a team. The estimate is what a request of the traffic class is taken to cost, in
-// seconds of load, until some have ended.
+// Admit decides whether a request of a team is admitted. The estimate is the assumed cost of a request of the traffic
+// class, in seconds of load, until some have ended.
 func (l *Limiter) Admit(now float64, team, class string, estimate float64) Verdict {
 	l.advance(now)
 	b := l.buckets[team]
@@ -112,7 +115,7 @@
 	return Verdict{Reason: reason, Reservation: reservation}
 }
 
-// charge takes load from a team's own bucket, else from what is unused.
+// charge takes load from a team's own bucket or, if that is empty, from unused load.
 func (l *Limiter) charge(b *Bucket, load float64) Reason {
 	if b.balance > 0 {
 		b.charge(load)
@@ -126,23 +129,24 @@
 	return OverQuota
 }
 
-// retryAfter tells how long the client of a rejected request is to stay away: until the bucket has room for it behind
-// those that got one before, with a random part so that they do not come back at once.
+// retryAfter returns the seconds after which the client of a rejected request may retry: the time until the bucket has
+// filled enough for this request and those rejected before it, times a random factor so that the clients do not retry
+// at the same time.
 func (l *Limiter) retryAfter(b *Bucket, load float64) float64 {
 	if b.fillRate() <= 0 {
-		return 0 // no time will do
+		return 0 // the bucket never fills
 	}
 	debtPaidAt := l.clock.now - min(0, b.balance)/b.fillRate()
 	b.retryAt = max(b.retryAt, debtPaidAt) + load/b.fillRate()
 	wait := b.retryAt - l.clock.now
 	if wait > maxRetryAfter {
-		b.retryAt = l.clock.now + maxRetryAfter // more come than there are different times
+		b.retryAt = l.clock.now + maxRetryAfter // all further clients get the same wait
 	}
 	return min(wait, maxRetryAfter) * (minRetryAfterFactor + l.random.Float64()/retryAfterSpreadDivisor)
 }
 
-// Settle takes a request's end: the load that all its attempts really took, in seconds, takes the place of the
-// estimate. A nil reservation, or one that was settled before, is ignored.
+// Settle ends a request: the measured load of all its attempts, in seconds, replaces the charged estimate. A nil
+// reservation, or one that was settled before, is ignored.
 func (l *Limiter) Settle(now float64, r *Reservation, load float64) {
 	if r == nil || r.settled {
 		return
@@ -167,8 +171,8 @@
 	l.settleBorrowed(b, r.estimate, load)
 }
 
-// SetQuotas takes new quotas, all of the pool's. Balances carry over. The quota of a team that is no longer named
-// ends; its requests in flight end under it.
+// SetQuotas replaces all quotas of the pool. Balances carry over. The quota of a team that is not in the list ends; its
+// requests in flight are still settled under it.
 func (l *Limiter) SetQuotas(now, capacity float64, quotas []Quota) {
 	l.advance(now)
 	l.unused.capacity = max(0, capacity)
@@ -211,7 +215,7 @@
 	l.scheduleFull(b)
 }
 
-// Balance is what a team may spend of its own at a time, in seconds of load; 0 if there is no such team.
+// Balance returns the load that a team may use from its own bucket, in seconds; 0 if there is no such team.
 func (l *Limiter) Balance(now float64, team string) float64 {
 	l.advance(now)
 	b := l.buckets[team]
@@ -222,7 +226,7 @@
 	return b.balance
 }
 
-// AdoptBalance gives a team the balance that it had in another pool, as far as its burst here allows.
+// AdoptBalance sets a team's balance to the one that it had in another pool, limited by its burst here.
 func (l *Limiter) AdoptBalance(now float64, team string, balance float64) {
 	l.advance(now)
 	b := l.buckets[team]
@@ -236,7 +240,7 @@
 	l.scheduleFull(b)
 }
 
-// SetShare sets the share of a team's quota that this router has, from 0 to 1.
+// SetShare sets this router's share of a team's quota, from 0 to 1.
 func (l *Limiter) SetShare(now float64, b *Bucket, share float64) {
 	l.advance(now)
 	if b.ended || share == b.share {
@@ -245,7 +249,7 @@
 	l.refill(b)
 	before := b.fillRate()
 	b.share = max(0, share)
-	if b.full { // the difference of its burst was not spent
+	if b.full { // a full bucket stays full at its new capacity
 		b.Totals.Start += b.capacity() - b.balance
 		b.balance = b.capacity()
 		l.unused.overflow += b.fillRate() - before
@@ -255,8 +259,7 @@
 	l.scheduleFull(b)
 }
 
-// SetUnreservedShare sets the share of the capacity beyond all guaranteed rates that this router may lend, from 0 to
-// 1.
+// SetUnreservedShare sets this router's share of the pool's capacity beyond all guaranteed rates, from 0 to 1.
 func (l *Limiter) SetUnreservedShare(now, share float64) {
 	l.advance(now)
 	l.unused.share = max(0, share)
--- a/internal/policy/quota/message.go
+++ b/internal/policy/quota/message.go
@@ -6,9 +6,9 @@
 	"iter"
 )
 
-// A demand message has messageTag, the router's index (2 bytes), the number of entries, and entries of a team's hash
-// (4 bytes) and its packed demand (2 bytes). Numbers are little-endian. Its length is never a multiple of 3, as that
-// of the balancer's messages is; a byte 0 is added where it would be.
+// A demand message consists of messageTag, the router's index (2 bytes), the number of entries (1 byte), and the
+// entries: the hash of a team's name (4 bytes) and its packed demand (2 bytes). Numbers are little-endian. A zero byte
+// is appended if the length would be a multiple of 3, because the balancer's messages have such lengths.
 const (
 	messageTag         = 0xc7
 	messageHeaderBytes = 4   // bytes
@@ -18,7 +18,7 @@
 	observationBytes   = 3 // of an entry in the balancer's messages
 )
 
-// teamHash names a team in messages.
+// teamHash identifies a team in messages.
 type teamHash uint32
 
 func hashOfTeam(team string) teamHash { return teamHash(crc32.ChecksumIEEE([]byte(team))) }
@@ -33,7 +33,7 @@
 	return binary.LittleEndian.AppendUint16(message, packDemand(rate))
 }
 
-// padDemandMessage ends a message.
+// padDemandMessage completes a message: it appends a zero byte if the length is a multiple of 3.
 func padDemandMessage(message []byte) []byte {
 	if len(message)%observationBytes == 0 {
 		message = append(message, 0)
@@ -45,7 +45,7 @@
 	return len(datagram) >= messageHeaderBytes && datagram[0] == messageTag && len(datagram)%observationBytes != 0
 }
 
-// demandMessage is one that was received. Its entries are part of the datagram.
+// demandMessage is a received demand message. Its entries alias the datagram.
 type demandMessage struct {
 	from    int // index of the router
 	count   int
@@ -60,13 +60,13 @@
 	}
 }
 
-// complete tells whether as many entries follow as the header says, with at most one byte more.
+// complete reports whether the message has as many entries as its header states, with at most one padding byte.
 func (m demandMessage) complete() bool {
 	surplus := len(m.entries) - m.count*entryBytes
 	return surplus == 0 || surplus == 1
 }
 
-// demands reads the entries: a team, and its demand in seconds of load a second.
+// demands decodes the entries: a team, and its demand in seconds of load per second.
 func (m demandMessage) demands() iter.Seq2[teamHash, float64] {
 	return func(yield func(teamHash, float64) bool) {
 		rest := m.entries
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -1,38 +1,39 @@
 package quota
 
-// Quota is what a team and the operators have agreed on.
+// Quota is the quota of one team, as configured by the operators.
 type Quota struct {
 	Team           string
-	GuaranteedRate float64 // seconds of load a second, over all routers
-	Burst          float64 // seconds of load that may come at once, over all routers
+	GuaranteedRate float64 // seconds of load per second, over all routers
+	Burst          float64 // seconds of load that may be used at once after a pause, over all routers
 
-	// BorrowRate is the seconds of load a second, beyond the guaranteed rate, that the team may take of what others
-	// leave unused; 0: none.
+	// BorrowRate is the largest rate at which the team may borrow unused load beyond its guaranteed rate, in seconds of
+	// load per second. With 0 it may not borrow.
 	BorrowRate float64
 
-	// Weight is the team's part of what is left unused, against others' weights; 0: its guaranteed rate.
+	// Weight determines the team's fraction of unused load relative to other borrowers. 0 stands for its guaranteed
+	// rate.
 	Weight float64
 
-	// FlatCost is what every request is charged, whatever it takes: a plain rate limit, to compare with; 0: what it
-	// takes.
+	// FlatCost is the load that every request is charged regardless of the load it causes. The quota is then a plain
+	// rate limit, which serves for comparison. With 0 the measured load is charged.
 	FlatCost float64
 }
 
-// Reason says why a request was admitted or rejected.
+// Reason is why a request was admitted or rejected.
 type Reason int
 
 // The reasons.
 const (
 	WithinQuota Reason = iota // admitted within the guaranteed rate
-	Borrowed                  // admitted from what others leave unused
-	OverQuota                 // rejected: beyond the guaranteed rate, and nothing is left unused for this team
-	UnknownTeam               // rejected: there is no such team, or its quota was ended
+	Borrowed                  // admitted from unused load of others
+	OverQuota                 // rejected: beyond the guaranteed rate, and no unused load is available to this team
+	UnknownTeam               // rejected: the team has no quota, or no longer has one
 )
 
-// Admitted tells whether the request goes on.
+// Admitted reports whether the request is admitted.
 func (r Reason) Admitted() bool { return r == WithinQuota || r == Borrowed }
 
-// String is the reason as operators read it.
+// String returns the reason as it is shown to operators.
 func (r Reason) String() string {
 	return [...]string{"own budget", "borrowed", "budget", "no contract"}[r]
 }
@@ -41,21 +42,22 @@
 type Verdict struct {
 	Reason Reason
 
-	// Reservation is the admitted request's, to be settled at its end; nil if it was rejected.
+	// Reservation is to be passed to Settle when the admitted request ends; nil if the request was rejected.
 	Reservation *Reservation
 
-	// RetryAfter is the seconds for which the client of a rejected request is to stay away; 0: none.
+	// RetryAfter is the time in seconds after which the client of a rejected request may retry; 0 if not stated.
 	RetryAfter float64
 }
 
-// Admitted tells whether the request goes on.
+// Admitted reports whether the request is admitted.
 func (v Verdict) Admitted() bool { return v.Reason.Admitted() }
 
-// Reservation is an admitted request. It belongs to the quota it began with, whatever becomes of that.
+// Reservation is the charge of an admitted request. It stays with the bucket that it was taken from, even if the quota
+// changes or ends.
 type Reservation struct {
 	bucket   *Bucket
 	cost     *ClassCost
-	estimate float64 // seconds of load that were charged at once
+	estimate float64 // seconds of load charged on admission
 	reason   Reason
 	settled  bool
 }
--- a/internal/policy/quota/shares.go
+++ b/internal/policy/quota/shares.go
@@ -8,18 +8,18 @@
 
 const (
 	messageInterval = 0.5 // seconds between two messages: several within the decay of the demand
-	peerLifetime    = 2.0 // seconds after which a router's demand is forgotten: four messages were lost, or it has gone
+	peerLifetime    = 2.0 // seconds after which a router's demand expires: four messages were lost, or it has stopped
 
-	// evenFraction is the part of a quota that is split evenly whatever the demand: a team whose clients turn to another
-	// router is served there until the others have heard of it.
+	// evenFraction is the fraction of a quota that is divided equally among the routers regardless of demand. It serves
+	// a team whose clients switch to another router until the other routers have received the new demand.
 	evenFraction = 0.1
 
-	// minDemand is the least demand, in seconds of load a second, that is told and shared by.
+	// minDemand is the smallest demand, in seconds of load per second, that is broadcast and that determines shares.
 	minDemand = 1e-6
 )
 
-// Shares decides which share of each quota this router has, so that the sum over all routers stays within it. Each
-// router has the share that its own demand has of all routers' demand. It belongs to the goroutine of its Limiter.
+// Shares computes this router's share of each quota, so that the sum over all routers stays within the quota. The share
+// is this router's fraction of the demand of all routers. It belongs to the goroutine of its Limiter.
 type Shares struct {
 	limiter        *Limiter
 	self           int
@@ -27,16 +27,17 @@
 	sentAt         float64                         // caller's time
 	peerDemands    map[teamHash]map[int]peerDemand // by team and router
 	lastReceivedAt map[int]float64                 // by router
-	nextEntry      int                             // the first of the next message, where not all fit
+	nextEntry      int                             // index of the first team in the next message, if not all fit
 }
 
-// peerDemand is the demand that a router told.
+// peerDemand is a team's demand as received from another router.
 type peerDemand struct {
 	rate       float64
 	receivedAt float64
 }
 
-// NewShares makes them for one of so many routers; each has an equal share until it has heard the others.
+// NewShares returns the shares of the router with index self among the given number of routers. Shares are equal until
+// messages from the other routers have been received.
 func NewShares(l *Limiter, self, routers int) *Shares {
 	return &Shares{
 		limiter:        l,
@@ -47,8 +48,8 @@
 	}
 }
 
-// Recompute sets this router's share of all quotas, by what is known of the others' demand. It is called after a
-// change of quotas; Message does so as well.
+// Recompute sets this router's share of all quotas from the received demands of the others. The caller must call it
+// after a change of quotas; Message calls it as well.
 func (s *Shares) Recompute(now float64) {
 	for _, b := range s.limiter.Buckets() {
 		s.limiter.SetShare(now, b, s.shareOf(now, b))
@@ -58,14 +59,14 @@
 
 func (s *Shares) equalShare() float64 { return 1 / float64(s.routers) }
 
-// shareOf is this router's share of a team's quota.
+// shareOf returns this router's share of a team's quota.
 func (s *Shares) shareOf(now float64, b *Bucket) float64 {
 	own := b.Demand.Rate(s.limiter.clock.now)
 	others := 0.0
 	reported := false
-	for _, told := range s.peerDemands[hashOfTeam(b.Team)] {
-		if now-told.receivedAt < peerLifetime {
-			others += told.rate
+	for _, demand := range s.peerDemands[hashOfTeam(b.Team)] {
+		if now-demand.receivedAt < peerLifetime {
+			others += demand.rate
 			reported = true
 		}
 	}
@@ -75,8 +76,9 @@
 	return evenFraction*s.equalShare() + (1-evenFraction)*own/(others+own)
 }
 
-// shareWithoutReports is the share where no other router told of a team: nearly all, if all others are known not to have
-// demand for it, else an equal one.
+// shareWithoutReports returns this router's share of a team's quota if no other router has reported demand for the
+// team. If messages from all other routers were received, they have no demand, and this router gets all but their even
+// fractions. Otherwise the share is equal.
 func (s *Shares) shareWithoutReports(now float64) float64 {
 	live := 0
 	for _, at := range s.lastReceivedAt {
@@ -90,8 +92,8 @@
 	return evenFraction*s.equalShare() + (1 - evenFraction)
 }
 
-// Message gives what is to be broadcast to all other routers now; nil if it is not time. It recomputes the shares as
-// well.
+// Message returns the message that is to be broadcast to all other routers now, or nil if none is due. It also
+// recomputes the shares.
 func (s *Shares) Message(now float64) []byte {
 	tooSoon := now-s.sentAt < messageInterval && now >= s.sentAt
 	if s.routers == 1 || tooSoon {
@@ -118,8 +120,8 @@
 	return padDemandMessage(message)
 }
 
-// OnMessage takes a datagram of another router; false if it is no message of this package. One that is, and cannot be
-// used, is ignored.
+// OnMessage handles a datagram of another router. It returns false if the datagram is not a message of this package.
+// Messages with invalid contents are ignored.
 func (s *Shares) OnMessage(now float64, datagram []byte) bool {
 	if !isDemandMessage(datagram) {
 		return false
@@ -132,7 +134,7 @@
 	for team, rate := range received.demands() {
 		if s.peerDemands[team] == nil {
 			if len(s.peerDemands) >= s.maxTeams() {
-				return true // it names teams that have no quota here: other pools' messages come here, too
+				return true // too many teams without a quota here, possibly of other pools, whose messages arrive here too
 			}
 			s.peerDemands[team] = map[int]peerDemand{}
 		}
@@ -141,19 +143,19 @@
 	return true
 }
 
-// maxTeams bounds the teams of which demands are kept: those with a quota here, several times over, for pools share
-// the messages, and some more while configurations differ.
+// maxTeams returns the largest number of teams whose demands are kept. It is a multiple of the teams with a quota here,
+// because messages of all pools arrive here, plus some for the time while configurations of routers differ.
 func (s *Shares) maxTeams() int { return 4*len(s.limiter.buckets) + 64 }
 
-// dropExpired drops what was told too long ago.
+// dropExpired removes demands and routers that were last received longer than peerLifetime ago.
 func (s *Shares) dropExpired(now float64) {
-	for team, told := range s.peerDemands {
-		for from, demand := range told {
+	for team, demands := range s.peerDemands {
+		for from, demand := range demands {
 			if now-demand.receivedAt >= peerLifetime {
-				delete(told, from)
+				delete(demands, from)
 			}
 		}
-		if len(told) == 0 {
+		if len(demands) == 0 {
 			delete(s.peerDemands, team)
 		}
 	}
@@ -164,7 +166,7 @@
 	}
 }
 
-// LivePeers gives the routers that were heard lately, for who wants to see why a share is what it is.
+// LivePeers returns the routers from which a message was received within peerLifetime. It helps to explain a share.
 func (s *Shares) LivePeers(now float64) (routers []int) {
 	for from, at := range s.lastReceivedAt {
 		if now-at < peerLifetime {
@@ -175,13 +177,13 @@
 	return routers
 }
 
-// Demands are packed into 16 bits as logarithms, exact to a thousandth.
+// Demands are packed into 16 bits as logarithms, with a relative precision of a thousandth.
 const (
 	demandLogScale  = 1000
 	demandLogOffset = 14
 )
 
-// packDemand packs a demand, from a millionth of a second a second to beyond a million.
+// packDemand packs a demand. The range is from a millionth to more than a million seconds of load per second.
 func packDemand(rate float64) uint16 {
 	if rate < minDemand {
 		return 0
--- a/internal/policy/quota/unused.go
+++ b/internal/policy/quota/unused.go
@@ -1,29 +1,30 @@
 package quota
 
-// unusedWindow is the seconds of unused load that are kept: it is for now, not for later.
+// unusedWindow is the time in seconds over which unused load is kept. It is short, because capacity that was not used
+// in the past is not available later.
 const unusedWindow = 0.25
 
 // unusedLoad is the load of a pool that its teams leave unused.
 type unusedLoad struct {
-	capacity   float64 // of the pool, seconds of load a second over all routers; 0: not stated
-	share      float64 // of the capacity beyond all guaranteed rates, that this router may lend
+	capacity   float64 // of the pool, in seconds of load per second over all routers; 0 if not configured
+	share      float64 // this router's share of the capacity beyond all guaranteed rates
 	guaranteed float64 // sum of all guaranteed rates, over all routers
-	overflow   float64 // what full buckets cannot take, a second
-	rate       float64 // of all that is unused, a second
-	available  float64 // for any borrower: what nobody asked for lately
+	overflow   float64 // load per second that full buckets cannot take
+	rate       float64 // total unused load per second
+	available  float64 // unused load that is not assigned to a borrower
 }
 
-// UnusedTotals tell where unused load went, in seconds of load.
-// It always holds that what is available to any and to each borrower = Filled - Dropped - Charged + Forgiven.
+// UnusedTotals are the totals of a pool's unused load at one router, in seconds of load.
+// Invariant: the load available to any borrower and to each of them = Filled - Dropped - Charged + Forgiven.
 type UnusedTotals struct{ Filled, Dropped, Charged, Forgiven float64 }
 
-// updateRate computes what is unused a second: the capacity beyond all guaranteed rates, and what full buckets cannot
-// take.
+// updateRate computes the unused load per second: the capacity beyond all guaranteed rates, plus what full buckets
+// cannot take.
 func (u *unusedLoad) updateRate() {
 	u.rate = max(0, u.capacity-u.guaranteed)*u.share + max(0, u.overflow)
 }
 
-// recountUnused computes the sums anew, free of rounding errors.
+// recountUnused recomputes the sums over all buckets, which removes accumulated rounding errors.
 func (l *Limiter) recountUnused() {
 	l.unused.guaranteed = 0
 	l.unused.overflow = 0
@@ -36,14 +37,14 @@
 	l.unused.updateRate()
 }
 
-// accrueUnused adds what is unused up to a time of the limiter's clock.
+// accrueUnused advances the limiter's clock to the given time and adds the load that is unused until then.
 func (l *Limiter) accrueUnused(to float64) {
 	gain := l.unused.rate * max(0, to-l.clock.now)
 	l.clock.now = max(l.clock.now, to)
 	l.addUnused(gain)
 }
 
-// addUnused takes load that is unused: for the borrowers, by weight, or if there is none, for who comes first.
+// addUnused adds unused load: to the borrowers by weight, or if there are none, to the load for any borrower.
 func (l *Limiter) addUnused(load float64) {
 	if load <= 0 {
 		return
@@ -56,7 +57,7 @@
 	l.keepUnused(load)
 }
 
-// keepUnused adds to what any borrower may take, up to its bound.
+// keepUnused adds to the load that any borrower may take, up to what accrues in unusedWindow. The rest is dropped.
 func (l *Limiter) keepUnused(load float64) {
 	room := max(0, l.unused.rate*unusedWindow-l.unused.available)
 	l.unused.available += min(room, load)
