--- a/internal/policy/bulkhead/bulkhead.go
+++ b/internal/policy/bulkhead/bulkhead.go
@@ -2,33 +2,34 @@
 
 import "math"
 
-// ReservedFraction is the part of all slots that is reserved for teams. The rest serves whoever needs more, so that a
-// team alone may still use most of what there is.
+// ReservedFraction is the fraction of all slots that is reserved for teams. The rest is available to all, so that a
+// single busy team can still use most of the slots.
 const ReservedFraction = 0.5
 
-// Bulkhead is all slots of one kind. It belongs to one goroutine.
+// Bulkhead manages the slots of one kind. It belongs to one goroutine.
 type Bulkhead struct {
 	capacity      int
 	inUse         int
-	unusedReserve int // reserved slots that their teams do not use
+	unusedReserve int // reserved slots that their teams do not use now
 	partitions    map[string]*Partition
 }
 
-// Partition is one team's part. A team that is no longer named keeps its partition until it has released its slots.
+// Partition is one team's slots. A team that Repartition no longer lists keeps its partition until it has released its
+// slots.
 type Partition struct {
 	reserved int
 	inUse    int
-	ended    bool // it counts no more for the reserve
+	ended    bool // the team is no longer listed; unusedReserve does not include this partition
 }
 
-// New makes one with so many slots, none of them reserved.
+// New returns a bulkhead with the given number of slots, none of them reserved.
 func New(capacity int) *Bulkhead {
 	return &Bulkhead{capacity: max(0, capacity), partitions: map[string]*Partition{}}
 }
 
-// Repartition sets the capacity, and reserves slots for each of these teams by weight. Teams that are no longer named
-// keep the slots that they use until they release them. A team with a weight above 0 has one reserved slot at the
-// least, as long as there are enough.
+// Repartition sets the capacity, and reserves slots for the listed teams by weight. Teams that are no longer listed
+// keep the slots that they use until they release them. Each team with a weight above 0 has at least one reserved slot,
+// if there are enough reserved slots for all teams.
 func (b *Bulkhead) Repartition(capacity int, weights map[string]float64) {
 	b.capacity = max(0, capacity)
 	b.endUnlisted(weights)
@@ -57,7 +58,7 @@
 	}
 }
 
-// endUnlisted ends the partitions of teams without a weight.
+// endUnlisted ends the partitions of teams that are not in weights.
 func (b *Bulkhead) endUnlisted(weights map[string]float64) {
 	for team, p := range b.partitions {
 		if _, named := weights[team]; !named {
@@ -68,30 +69,30 @@
 	}
 }
 
-// Partition gives a team's; nil if it has none.
+// Partition returns the partition of a team, or nil if it has none.
 func (b *Bulkhead) Partition(team string) *Partition { return b.partitions[team] }
 
-// InUse is how many slots are taken, by teams and others.
+// InUse returns the number of slots in use, with or without a partition.
 func (b *Bulkhead) InUse() int { return b.inUse }
 
-// Capacity is how many slots there are.
+// Capacity returns the number of slots.
 func (b *Bulkhead) Capacity() int { return b.capacity }
 
-// CanAcquire tells whether n slots may be taken for a team without touching what is reserved for others. A nil
-// partition takes of what is not reserved.
+// CanAcquire reports whether n slots can be acquired for a partition without using slots that are reserved for others.
+// With a nil partition, only unreserved slots can be acquired.
 func (b *Bulkhead) CanAcquire(p *Partition, n int) bool {
 	fromReserve := 0
 	if p != nil {
 		fromReserve = min(n, p.unused())
 	}
 	if fromReserve == n {
-		return true // reserved slots are the team's own, even where others have forced theirs beyond the capacity
+		return true // reserved slots are available even if ForceAcquire has exceeded the capacity
 	}
 	unreserved := b.capacity - b.inUse - b.unusedReserve
 	return n-fromReserve <= unreserved
 }
 
-// TryAcquire takes n slots if it can; false: it took none.
+// TryAcquire acquires n slots if CanAcquire allows it, and reports whether it did.
 func (b *Bulkhead) TryAcquire(p *Partition, n int) bool {
 	if !b.CanAcquire(p, n) {
 		return false
@@ -100,13 +101,13 @@
 	return true
 }
 
-// ForceAcquire takes n slots whether there are any or not: for what cannot be rejected any more.
+// ForceAcquire acquires n slots even if none are free, for work that can no longer be rejected.
 func (b *Bulkhead) ForceAcquire(p *Partition, n int) { b.adjust(p, n) }
 
-// Release gives n slots back.
+// Release releases n slots.
 func (b *Bulkhead) Release(p *Partition, n int) { b.adjust(p, -n) }
 
-// adjust changes the slots in use.
+// adjust adds n, which may be negative, to the slots in use.
 func (b *Bulkhead) adjust(p *Partition, n int) {
 	b.inUse += n
 	if p == nil {
@@ -119,11 +120,11 @@
 	}
 }
 
-// Reserved is how many slots wait for a team.
+// Reserved returns the number of slots that are reserved for the team.
 func (p *Partition) Reserved() int { return p.reserved }
 
-// InUse is how many slots a team has taken.
+// InUse returns the number of slots that the team uses.
 func (p *Partition) InUse() int { return p.inUse }
 
-// unused is how many reserved slots the team does not use.
+// unused returns the number of reserved slots that the team does not use.
 func (p *Partition) unused() int { return max(0, p.reserved-p.inUse) }
--- a/internal/policy/bulkhead/golden_test.go
+++ b/internal/policy/bulkhead/golden_test.go
@@ -10,10 +10,10 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current code")
 
-// What is given and what is refused, over some thousands of acquisitions, releases and repartitions, is as in the
-// build of 15122f5.
+// Over some thousands of acquisitions, releases and repartitions, the same slots are granted and denied as in the build
+// of commit 15122f5. The formatted texts, such as "take", are part of the hashes.
 func TestGoldenDecisions(t *testing.T) {
 	const file = "testdata/decisions.golden"
 	random := rand.New(rand.NewPCG(5, 51))
@@ -25,15 +25,15 @@
 	for step := range 4000 {
 		partition := bulkhead.Partition(names[random.IntN(4)])
 		n := 1 + random.IntN(3)
-		what := ""
+		decision := ""
 		switch random.IntN(8) {
 		case 0, 1, 2:
-			what = fmt.Sprint("take ", bulkhead.CanAcquire(partition, n))
-			took := bulkhead.TryAcquire(partition, n)
-			if took {
+			decision = fmt.Sprint("take ", bulkhead.CanAcquire(partition, n))
+			acquired := bulkhead.TryAcquire(partition, n)
+			if acquired {
 				used[partition] += n
 			}
-			what += fmt.Sprint(" ", took)
+			decision += fmt.Sprint(" ", acquired)
 		case 3:
 			if random.IntN(4) == 0 {
 				bulkhead.ForceAcquire(partition, n)
@@ -56,7 +56,7 @@
 			}
 		}
 		h := sha256.New()
-		fmt.Fprintf(h, "%x %s %d %d\n", sum, what, bulkhead.InUse(), bulkhead.Capacity())
+		fmt.Fprintf(h, "%x %s %d %d\n", sum, decision, bulkhead.InUse(), bulkhead.Capacity())
 		for _, name := range names {
 			if partition := bulkhead.Partition(name); partition != nil {
 				fmt.Fprintf(h, "%s %d %d\n", name, partition.Reserved(), partition.InUse())
