--- a/internal/peertransport/doc.go
+++ b/internal/peertransport/doc.go
@@ -1,9 +1,10 @@
-// Package peertransport carries short datagrams between routers, by UDP. It owns the socket and the addresses of the
-// other routers; it does not read what it carries. Each protocol between routers tells its own datagrams apart by their
-// first byte and length (see policy/gossip/codec.go for the rule), and the service offers a datagram to each in turn.
+// Package peertransport sends and receives short UDP datagrams between routers. It owns the socket and the addresses of
+// the other routers, and does not interpret payloads. Each protocol between routers recognizes its own datagrams by
+// their first byte and length (see policy/gossip/codec.go for the rule); the service passes a datagram to each protocol
+// in turn.
 //
-// A datagram goes either to all other routers (Broadcast) or to one of them by its index in the list (Send). Nothing is
-// retried: a datagram that cannot be sent at once counts as lost on the way. Both methods may be called from any
-// goroutine. What arrives is handed to a Handler on the transport's own goroutine, which ends with the
-// socket; the service posts it to its event loop.
+// A datagram is sent either to all other routers (Broadcast) or to one of them by its index in the list (Send). There
+// are no retries: a datagram that cannot be sent immediately is lost, like one lost in the network. Both methods may be
+// called from any goroutine. Received datagrams are passed to a Handler on the transport's own goroutine, which ends
+// when reading from the socket fails; the service posts them to its event loop.
 package peertransport
--- a/internal/peertransport/transport.go
+++ b/internal/peertransport/transport.go
@@ -11,28 +11,29 @@
 	"golang.org/x/sys/unix"
 )
 
-// maxDatagramBytes bounds a datagram's payload, a limit of the platform.
+// maxDatagramBytes is the largest payload of a datagram, a limit of the platform.
 const maxDatagramBytes = 256
 
-// UnknownSender is the index of a sender where there is no list of routers.
+// UnknownSender is the index of senders if there is no list of routers.
 const UnknownSender = -1
 
-// Handler takes a datagram that has arrived: the address of its sender, the sender's index in the list of routers or
-// UnknownSender, and the payload, which it may keep. It is called on the transport's goroutine.
+// Handler handles a received datagram. Its arguments are the sender's address, the sender's index in the list of
+// routers or UnknownSender, and the payload, which it may keep. It is called on the transport's goroutine.
 type Handler func(from netip.AddrPort, sender int, datagram []byte)
 
-// Transport is the way to the other routers. A nil Transport sends nothing.
+// Transport sends datagrams to the other routers and receives theirs. A nil Transport sends nothing.
 type Transport struct {
 	conn             *net.UDPConn
-	routers          []netip.AddrPort       // all, in the order of their list
-	indexOf          map[netip.AddrPort]int // in that list; the first, where an address stands in it twice
-	broadcastTargets []netip.AddrPort       // where a broadcast goes
+	routers          []netip.AddrPort       // all routers, in the order of the list
+	indexOf          map[netip.AddrPort]int // index in the list; the first one if an address is listed twice
+	broadcastTargets []netip.AddrPort       // addresses that a broadcast is sent to
 	log              zerolog.Logger
 }
 
-// Open listens at an address. Broadcasts go to the address broadcast, or if that is empty, to each router of the list
-// but this one, the one with the index self. With a list, datagrams of other senders are dropped; with an empty one all
-// are handled. The next process of this router may listen at the same address.
+// Open opens a socket at the address listen and starts to receive. Broadcasts are sent to the address broadcast or, if
+// that is empty, to each router of the list except this one, which has the index self. Datagrams from senders that are
+// not in the list are dropped; with an empty list all datagrams are handled. The successor process of this router can
+// listen at the same address.
 func Open(
 	listen, broadcast string, routers []string, self int, handle Handler, log zerolog.Logger,
 ) (*Transport, error) {
@@ -55,7 +56,7 @@
 	return t, nil
 }
 
-// setRouters takes the list of all routers.
+// setRouters sets the list of all routers.
 func (t *Transport) setRouters(routers []string) error {
 	for i, text := range routers {
 		address, err := netip.ParseAddrPort(text)
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// setBroadcastTargets takes the one address that reaches all, or goes by the list.
+// setBroadcastTargets sets the targets of broadcasts: the broadcast address if there is one, else all other routers.
 func (t *Transport) setBroadcastTargets(broadcast string, self int) error {
 	if broadcast != "" {
 		address, err := netip.ParseAddrPort(broadcast)
@@ -88,7 +89,7 @@
 	return nil
 }
 
-// listenShared opens a socket at an address that another process may use as well, during a hot restart.
+// listenShared opens a socket at an address that another process may use at the same time, during a hot restart.
 func listenShared(address netip.AddrPort) (*net.UDPConn, error) {
 	config := net.ListenConfig{Control: func(_, _ string, conn syscall.RawConn) error {
 		return conn.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_REUSEPORT, 1) })
@@ -100,13 +101,13 @@
 	return conn.(*net.UDPConn), nil
 }
 
-// receive hands on what arrives, until the socket ends.
+// receive passes received datagrams to the handler until reading from the socket fails.
 func (t *Transport) receive(handle Handler) {
-	buffer := make([]byte, maxDatagramBytes+1) // one byte more shows that a datagram is too long
+	buffer := make([]byte, maxDatagramBytes+1) // the extra byte reveals datagrams that are too long
 	for {
 		n, from, err := t.conn.ReadFromUDPAddrPort(buffer)
 		if err != nil {
-			t.log.Warn().Err(err).Msg("no more messages from peers")
+			t.log.Warn().Err(err).Msg("reading from the peer socket failed; no more messages of other routers are received")
 			return
 		}
 		if n > maxDatagramBytes {
@@ -123,7 +124,7 @@
 	}
 }
 
-// Broadcast sends a datagram to all other routers. One that is too long is not sent.
+// Broadcast sends a datagram to all other routers. A datagram that is too long is not sent.
 func (t *Transport) Broadcast(datagram []byte) {
 	if t == nil || len(datagram) > maxDatagramBytes {
 		return
@@ -133,7 +134,8 @@
 	}
 }
 
-// Send sends a datagram to the router with an index in the list. One that is too long, or to no router, is not sent.
+// Send sends a datagram to the router with the given index in the list. A datagram that is too long, or whose index is
+// not in the list, is not sent.
 func (t *Transport) Send(to int, datagram []byte) {
 	if t == nil || len(datagram) > maxDatagramBytes || to < 0 || to >= len(t.routers) {
 		return
--- a/internal/peertransport/transport_test.go
+++ b/internal/peertransport/transport_test.go
@@ -12,7 +12,7 @@
 	"github.com/rs/zerolog"
 )
 
-// freeAddresses gives so many addresses that nothing listens at.
+// freeAddresses returns n loopback addresses at which nothing listens.
 func freeAddresses(t *testing.T, n int) (addresses []string) {
 	for range n {
 		conn, err := net.ListenPacket("udp", "127.0.0.1:0")
@@ -38,7 +38,8 @@
 
 var tooLong = []byte(strings.Repeat("x", maxDatagramBytes+1))
 
-// A broadcast reaches the other routers and not its sender. Datagrams of a stranger and too long ones are not handled.
+// A broadcast reaches the other routers and not its sender. Datagrams that are too long, or whose sender is not in the
+// list, are not handled.
 func TestBroadcast(t *testing.T) {
 	addresses := freeAddresses(t, 3)
 	routers := addresses[:2]
@@ -50,24 +51,25 @@
 		}
 		transports = append(transports, open(t, listen, "", routers, i, handle))
 	}
-	stranger := open(t, addresses[2], addresses[1], nil, 0, nil)
-	stranger.Broadcast([]byte("psst"))
+	unlisted := open(t, addresses[2], addresses[1], nil, 0, nil)
+	unlisted.Broadcast([]byte("unlisted"))
 	transports[0].Broadcast(tooLong)
-	transports[0].Broadcast([]byte("news"))
+	transports[0].Broadcast([]byte("payload"))
 	select {
 	case got := <-received:
-		if want := addresses[0] + " at 0 to " + addresses[1] + " news"; got != want {
+		if want := addresses[0] + " at 0 to " + addresses[1] + " payload"; got != want {
 			t.Errorf("received %q, want %q", got, want)
 		}
 	case <-time.After(5 * time.Second):
-		t.Error("nothing was received")
+		t.Error("no datagram was received within 5 s")
 	}
 	if len(received) > 0 {
-		t.Errorf("received also %q", <-received)
+		t.Errorf("received also %q, want one datagram", <-received)
 	}
 }
 
-// A datagram to one router reaches it alone, and one to an index that is no router's goes nowhere.
+// A datagram to one router reaches only that router. Datagrams to an index that is not in the list, and too long ones,
+// are not sent.
 func TestSend(t *testing.T) {
 	routers := freeAddresses(t, 3)
 	received := make(chan string, 10)
@@ -81,41 +83,41 @@
 	transports[2].Send(3, []byte("b"))
 	transports[2].Send(1, tooLong)
 	transports[2].Send(1, []byte("c"))
-	transports[0].Send(1, []byte("d")) // both are on the way to one socket
+	transports[0].Send(1, []byte("d")) // both are sent to the same socket
 	got := []string{<-received, <-received}
 	slices.Sort(got)
 	if want := []string{"1 0 d", "1 2 c"}; !slices.Equal(got, want) {
 		t.Errorf("received %q, want %q", got, want)
 	}
 	if len(received) > 0 {
-		t.Errorf("received also %q", <-received)
+		t.Errorf("received also %q, want two datagrams", <-received)
 	}
 }
 
-// Without a list of routers the datagrams of all senders are handled, with no index.
-func TestNoList(t *testing.T) {
+// Without a list of routers the datagrams of all senders are handled, with UnknownSender as their index.
+func TestAllSendersAreHandledWithoutList(t *testing.T) {
 	addresses := freeAddresses(t, 2)
 	received := make(chan int, 1)
 	open(t, addresses[0], "", nil, 0, func(_ netip.AddrPort, sender int, _ []byte) { received <- sender })
-	one := open(t, addresses[1], addresses[0], nil, 0, ignore)
-	one.Broadcast([]byte("news"))
+	sending := open(t, addresses[1], addresses[0], nil, 0, ignore)
+	sending.Broadcast([]byte("payload"))
 	if sender := <-received; sender != UnknownSender {
-		t.Errorf("received from %d", sender)
+		t.Errorf("the sender's index is %d, want UnknownSender", sender)
 	}
 }
 
-// Without a transport nothing is sent and nothing breaks.
-func TestNoTransport(t *testing.T) {
+// Broadcast and Send on a nil Transport do nothing. Open returns an error for an invalid address.
+func TestNilTransportAndInvalidAddress(t *testing.T) {
 	var none *Transport
-	none.Broadcast([]byte("news"))
-	none.Send(0, []byte("news"))
+	none.Broadcast([]byte("payload"))
+	none.Send(0, []byte("payload"))
 	if _, err := Open("nowhere", "", nil, 0, nil, zerolog.Nop()); err == nil {
-		t.Error("an address that is none was taken")
+		t.Error(`Open("nowhere") succeeded, want an error`)
 	}
 }
 
-// The process that follows another at a hot restart listens at the same address.
-func TestAddressIsShared(t *testing.T) {
+// During a hot restart the predecessor and the successor process listen at the same address.
+func TestAddressIsSharedWithSuccessor(t *testing.T) {
 	address := freeAddresses(t, 1)[0]
 	for range 2 {
 		if _, err := Open(address, "", nil, 0, ignore, zerolog.Nop()); err != nil {
