--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -9,14 +9,14 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Broker is all teams and pools of one router. It belongs to the event loop.
+// Broker manages all teams and pools of one router. It belongs to the event loop.
 type Broker struct {
-	now     func() float64 // the loop's clock, in seconds
+	now     func() float64 // the event loop's clock, in seconds
 	self    int            // index of this router
 	routers int
 	seed    uint32
 
-	revision  int // of the operators' settings
+	revision  int // number of configurations applied
 	platform  *platform
 	unmatched UnmatchedTraffic
 	teams     map[string]*team
@@ -28,27 +28,27 @@
 	slots   slots
 	weights slotWeights
 
-	longestDeadline float64 // seconds, of all teams there ever were
+	longestDeadline float64 // in seconds, of all teams since the start, including removed ones
 }
 
-// matchers say which team a request is of.
+// matchers are the indexes by which the team of a request is found.
 type matchers struct {
 	byListener map[string]*team
 	byTenant   map[string]*team
 	byPrefix   []*team // the longest prefix first
 }
 
-// slots are what the teams share.
+// slots are the bulkheads that all teams share.
 type slots struct {
-	requests    *bulkhead.Bulkhead
-	bytes       *bulkhead.Bulkhead // of values
+	requests    *bulkhead.Bulkhead // in flight
+	bytes       *bulkhead.Bulkhead // of buffered values
 	connections *bulkhead.Bulkhead // of clients
 }
 
-// slotWeights are the weights of teams by which slots are reserved.
+// slotWeights are the teams' weights for reserving slots.
 type slotWeights struct {
-	requests    map[string]float64 // and bytes
-	connections map[string]float64 // of teams with a listener
+	requests    map[string]float64 // for requests and bytes
+	connections map[string]float64 // only teams with a listener
 }
 
 // pool is one pool with its quotas.
@@ -56,10 +56,10 @@
 	Pool
 	limiter  *quota.Limiter
 	shares   *quota.Shares
-	requests *bulkhead.Bulkhead // as many as there are connections to its servers
+	requests *bulkhead.Bulkhead // with one slot for each connection to the pool's servers
 }
 
-// New makes a broker without teams: all requests go to the platform's core, within the limits.
+// New returns a broker without teams: all requests are routed to the platform's core, within the limits.
 func New(now func() float64, settings balancer.Settings, core *requestcore.Core, limits Limits) *Broker {
 	b := &Broker{
 		now:     now,
@@ -78,20 +78,21 @@
 	return b
 }
 
-// Route tells who takes a request: the team whose listener it came in at, else the one that its client names, else
-// the one whose keys begin so; nil: nobody does.
+// Route returns the route of a request: the team with the listener at which it arrived, else the team of the tenant
+// that its client names, else the team with the longest matching key prefix, else the platform. It returns nil if the
+// request is to be rejected.
 func (b *Broker) Route(listener, tenant, key string) requestcore.Route {
 	if t := b.match(listener, tenant, key); t != nil {
 		return t
 	}
-	listenerEnded := listener != "" // its team is gone
+	listenerEnded := listener != "" // the listener's team was removed
 	if listenerEnded || b.unmatched == UnmatchedRejected {
 		return nil
 	}
 	return b.platform
 }
 
-// match tells which team a request is of; nil: of none.
+// match returns the team of a request, or nil if it matches none.
 func (b *Broker) match(listener, tenant, key string) *team {
 	if len(b.teams) == 0 {
 		return nil
@@ -110,8 +111,8 @@
 	return nil
 }
 
-// AdmitConnection tells whether another connection may come in, and takes a slot for it. Those at the platform's
-// listener are bounded by the front end, all together.
+// AdmitConnection reports whether another connection is admitted at a listener, and acquires a slot for it. At the
+// platform's listener all connections are admitted, because the front end limits their number.
 func (b *Broker) AdmitConnection(listener string) bool {
 	if listener == "" {
 		b.slots.connections.ForceAcquire(nil, 1)
@@ -124,7 +125,7 @@
 	return b.slots.connections.TryAcquire(t.connections, 1)
 }
 
-// ReleaseConnection takes the end of a connection.
+// ReleaseConnection releases the slot of a connection that has ended.
 func (b *Broker) ReleaseConnection(listener string) {
 	t := b.matchers.byListener[listener]
 	if t != nil && t.connections.InUse() > 0 {
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -8,6 +8,8 @@
 	"bendtrestle/internal/requestcore"
 )
 
+// A request is routed by its listener first, then by its tenant, then by the longest matching key prefix. Unmatched
+// requests are routed to the platform or rejected.
 func TestRoutes(t *testing.T) {
 	a := testTerms("a", "", 1)
 	a.Listen = "127.0.0.1:1"
@@ -27,92 +29,95 @@
 		case *platform:
 			return "platform"
 		}
-		return "nobody"
+		return "none"
 	}
 	check := func(listener, tenant, key, want string) {
 		t.Helper()
 		if got := team(listener, tenant, key); got != want {
-			t.Errorf("%q %q %q goes to %s, want %s", listener, tenant, key, got, want)
+			t.Errorf("Route(%q, %q, %q) is %s, want %s", listener, tenant, key, got, want)
 		}
 	}
-	check("127.0.0.1:1", "c", "lab:1", "a") // a listener of its own says it all
+	check("127.0.0.1:1", "c", "lab:1", "a") // the listener takes precedence
 	check("", "c", "lab:1", "c")
 	check("", "", "lab:1", "d")
 	check("", "", "lab:x:1", "e") // the longest prefix
 	check("", "who", "k", "platform")
 	b.Configure(pools, []TeamTerms{c}, UnmatchedRejected)
-	check("", "who", "k", "nobody")
-	check("127.0.0.1:1", "", "k", "nobody") // its team is gone
+	check("", "who", "k", "none")
+	check("127.0.0.1:1", "", "k", "none") // the listener's team was removed
 	if len(b.tallies) != 1 {
-		t.Errorf("%d tallies are kept", len(b.tallies))
+		t.Errorf("%d tallies are kept, want 1", len(b.tallies))
 	}
 }
 
-// A team's own traffic class goes to its pool under the team's name, and only what its terms name.
+// A request of a team is submitted to its pool with the team as tenant and the qualified name of its traffic class.
+// Only traffic classes in the team's terms are known.
 func TestTrafficClasses(t *testing.T) {
 	b, upstream, _ := newTestBroker(t, ample, testTerms("a", "own", 10))
 	b.submit("a", "k")
 	if len(upstream.requests) != 1 || upstream.requests[0].Class != "a/view" || upstream.requests[0].Tenant != "a" {
-		t.Fatalf("it was sent as %+v", upstream.requests)
+		t.Fatalf("requests at the upstream are %+v, want one of class a/view and tenant a", upstream.requests)
 	}
 	if _, known := b.Route("", "a", "k").MaxDeadline("other"); known {
-		t.Error("a traffic class that no terms name is known")
+		t.Error("a traffic class that is not in the team's terms is known")
 	}
 }
 
-// Beyond its quota a request is rejected at once, with a Retry-After; what was charged as an estimate is settled.
+// Requests beyond the quota are rejected immediately with a Retry-After. When the others end, their measured load
+// replaces the charged estimates.
 func TestQuota(t *testing.T) {
 	b, upstream, _ := newTestBroker(t, ample, testTerms("a", "own", 1), testTerms("b", "own", 1))
 	var last *client
-	for range 10 { // at a quarter of the latency objective each, the burst of a second holds four
+	for range 10 { // a burst of 1 s admits four requests, each estimated at a quarter of the latency objective of 1 s
 		last, _ = b.submit("a", "k")
 	}
 	s := b.teamState("a")
-	toldToWait := last.rejected == 1 && last.retryAfter > 0
-	if s.Reasons[requestcore.ReasonQuota] != 6 || s.OpenRequests != 4 || !toldToWait {
-		t.Fatalf("the team stands at %+v, the last was told %+v", s, last)
+	hasRetryAfter := last.rejected == 1 && last.retryAfter > 0
+	if s.Reasons[requestcore.ReasonQuota] != 6 || s.OpenRequests != 4 || !hasRetryAfter {
+		t.Fatalf("state %+v, want 6 rejected by quota and 4 open; last client %+v, want rejected with a Retry-After", s, last)
 	}
-	if c, room := b.submit("b", "k"); !room || c.rejected > 0 {
-		t.Error("another team was rejected")
+	if c, accepted := b.submit("b", "k"); !accepted || c.rejected > 0 {
+		t.Error("a request of another team was rejected")
 	}
 	upstream.finish(0.01)
 	s = b.teamState("a")
 	loadUsed := s.LoadUsed >= 0.039 && s.LoadUsed <= 0.041
 	if s.OpenRequests != 0 || s.Succeeded != 4 || s.Balance < 0.9 || !loadUsed {
-		t.Errorf("once all has ended the team stands at %+v", s)
+		t.Errorf("state after all requests have ended: %+v, want 4 succeeded, none open, a load of 0.04 s", s)
 	}
 }
 
-// A team whose service hangs takes its reserved slots and the unreserved ones, never another team's last one.
+// A team whose service hangs uses its reserved slots and the unreserved ones, but not the reserved slots of another
+// team. The platform's pool is not affected.
 func TestBulkheads(t *testing.T) {
 	hung, other := testTerms("hung", "own", 1000), testTerms("other", "own", 1000)
 	b, upstream, _ := newTestBroker(t, Limits{Requests: 100, BufferedBytes: 1 << 20, Connections: 100}, hung, other)
 	n := 0
 	for {
-		if _, room := b.submit("hung", "k"); !room {
+		if _, accepted := b.submit("hung", "k"); !accepted {
 			break
 		}
 		n++
 	}
-	if n < 5 || n > 8 { // of the ten connections to its pool's servers, two or three wait for the other team
-		t.Errorf("it has %d slots", n)
+	if n < 5 || n > 8 { // of the ten connections to its pool's servers, two or three are reserved for the other team
+		t.Errorf("the hung team has %d slots, want 5 to 8", n)
 	}
 	if s := b.teamState("hung"); s.Reasons[requestcore.ReasonNoCapacity] != 1 || s.OpenRequests != n {
-		t.Errorf("the team stands at %+v", s)
+		t.Errorf("state of the hung team: %+v, want one rejected for capacity, all others open", s)
 	}
-	if c, room := b.submit("other", "k"); !room || c.rejected > 0 {
+	if c, accepted := b.submit("other", "k"); !accepted || c.rejected > 0 {
 		t.Error("the other team has no slot")
 	}
-	if c, room := b.submit("", "k"); !room || c.rejected > 0 {
+	if c, accepted := b.submit("", "k"); !accepted || c.rejected > 0 {
 		t.Error("the platform's pool has no slot")
 	}
 	upstream.finish(0.01)
 	if b.OpenRequests() != 0 {
-		t.Errorf("%d slots are taken by nothing", b.OpenRequests())
+		t.Errorf("%d slots are in use after all requests have ended, want 0", b.OpenRequests())
 	}
 }
 
-// Buffered bytes and connections are partitioned alike.
+// Buffered bytes and connections are partitioned between teams like requests.
 func TestBytesAndConnections(t *testing.T) {
 	const listenA, listenC, unknown = "127.0.0.1:1", "127.0.0.1:2", "127.0.0.1:9"
 	a, c := testTerms("a", "", 1), testTerms("c", "", 1)
@@ -121,29 +126,29 @@
 	b, _, _ := newTestBroker(t, Limits{Requests: 100, BufferedBytes: 1000, Connections: 8}, a, c)
 	b.Route("", "a", "k").AddHeldBytes(800)
 	if b.Route("", "a", "k").HasCapacity() || !b.Route("", "c", "k").HasCapacity() {
-		t.Error("a team that buffers much is admitted, or another is not")
+		t.Error("a team that buffers too many bytes has capacity, or another team has none")
 	}
 	b.Route("", "a", "k").AddHeldBytes(-800)
 	n := 0
 	for b.AdmitConnection(listenA) {
 		n++
 	}
-	forC := 0
+	admittedC := 0
 	for b.AdmitConnection(listenC) {
-		forC++
+		admittedC++
 	}
-	if n != 6 || forC != 2 || b.AdmitConnection(unknown) {
-		t.Errorf("one team's clients have %d of 8 connections", n)
+	if n != 6 || admittedC != 2 || b.AdmitConnection(unknown) {
+		t.Errorf("of 8 connections a has %d, want 6, and c has %d, want 2; no other listener may have one", n, admittedC)
 	}
 	b.ReleaseConnection(listenA)
 	if !b.AdmitConnection(listenC) {
-		t.Error("a connection that ended left no slot")
+		t.Error("no connection was admitted after another was released")
 	}
 }
 
-// While requests are in flight a quota is lowered, moved to another pool, and ended: each ends under what it began
-// with.
-func TestChangesUnderLoad(t *testing.T) {
+// While requests are in flight, a team's quota is lowered and moved to another pool, and then all teams are removed.
+// Each request ends under the terms under which it started, and balances carry over.
+func TestConfigureWithRequestsInFlight(t *testing.T) {
 	b, upstream, pools := newTestBroker(t, ample, testTerms("a", "own", 2), testTerms("b", "own", 1))
 	var open []*client
 	for range 3 {
@@ -156,32 +161,32 @@
 	class.Deadline = 2
 	once.TrafficClasses = []balancer.TrafficClass{class}
 	lines := strings.Join(b.Configure(pools, []TeamTerms{once}, UnmatchedToPlatform), "\n")
-	for _, want := range []string{`team a changes from: pool "own", budget 2`, `to: pool "", budget 1`, "team b goes"} {
+	for _, want := range []string{`team a changed from: pool "own", budget 2`, `to: pool "", budget 1`, "team b removed"} {
 		if !strings.Contains(lines, want) {
-			t.Errorf("%q is not told in\n%s", want, lines)
+			t.Errorf("the change lines do not contain %q:\n%s", want, lines)
 		}
 	}
-	if s := b.teamState("a"); s.Balance > 1.01 || s.Balance < 0.99 { // 1.25 of 2 were left, its burst is 1 now
-		t.Errorf("moved, its balance is %v", s.Balance)
+	if s := b.teamState("a"); s.Balance > 1.01 || s.Balance < 0.99 { // 1.25 of 2 were left, the burst is now 1
+		t.Errorf("balance after the move is %v, want 1", s.Balance)
 	}
 	c, _ := b.submit("a", "k")
 	open = append(open, c)
-	if stop, _ := b.Route("", "a", "k").MaxDeadline("view"); stop != 2 {
-		t.Errorf("its deadline is %v", stop)
+	if deadline, _ := b.Route("", "a", "k").MaxDeadline("view"); deadline != 2 {
+		t.Errorf("deadline is %v, want 2", deadline)
 	}
 	b.Configure(pools, nil, UnmatchedToPlatform)
 	upstream.finish(0.1)
 	for i, c := range open {
 		if c.succeeded != 1 || c.rejected+c.failed > 0 {
-			t.Errorf("request %d ended as %+v", i, c)
+			t.Errorf("request %d ended as %+v, want succeeded", i, c)
 		}
 	}
 	if b.OpenRequests() != 0 || len(b.TeamStates()) != 0 {
-		t.Errorf("%d slots and %d teams are left", b.OpenRequests(), len(b.TeamStates()))
+		t.Errorf("%d open requests and %d teams are left, want none", b.OpenRequests(), len(b.TeamStates()))
 	}
 }
 
-// A client that disconnects while an attempt is in flight: its end still releases the slots and settles the
+// A client disconnects while an attempt is in flight. The end of the attempt still releases the slots and settles the
 // reservation.
 func TestDisconnectedClients(t *testing.T) {
 	b, upstream, _ := newTestBroker(t, ample, testTerms("a", "own", 2))
@@ -190,26 +195,26 @@
 	core, id := r.Submit(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
 	core.OnClientGone(id)
 	if s := b.teamState("a"); s.Disconnected != 1 || s.OpenRequests != 1 {
-		t.Errorf("while its attempt is in flight it stands at %+v", s)
+		t.Errorf("state while the attempt is in flight: %+v, want 1 disconnected and 1 open", s)
 	}
 	upstream.finish(0.3)
 	if s := b.teamState("a"); s.OpenRequests != 0 || s.LoadUsed < 0.29 || c.succeeded > 0 {
-		t.Errorf("then at %+v", s)
+		t.Errorf("state after the attempt has ended: %+v, want none open, a load of 0.3 s and no answer", s)
 	}
 }
 
-// Quota messages of other routers are told apart from the balancer's observations.
+// Quota messages of other routers are distinguished from the balancer's observations. A single router sends none.
 func TestQuotaMessages(t *testing.T) {
 	b, _, _ := newTestBroker(t, ample, testTerms("a", "own", 2))
 	if b.OnQuotaMessage([]byte{1, 2, 3, 4, 5}) || !b.OnQuotaMessage([]byte{0xc7, 1, 0, 0}) {
-		t.Error("a balancer's message is taken for a quota message, or the other way round")
+		t.Error("OnQuotaMessage recognizes a balancer's message, or does not recognize a quota message")
 	}
 	if b.QuotaMessages() != nil {
-		t.Error("a router alone has a message to send")
+		t.Error("a fleet of one router has a quota message to send, want none")
 	}
 }
 
-// A decision costs as much with a thousand teams as with three.
+// Measures the cost of a request with three and with a thousand teams, which should not differ.
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range []int{3, 1000} {
 		b.Run(string(rune('0'+n%10))+"-of", func(b *testing.B) {
@@ -235,21 +240,22 @@
 	}
 }
 
-// Clients that make up tenants leave nothing behind in the balancer of the platform's pool.
-func TestMadeUpTenants(t *testing.T) {
+// Tenants that are not in the settings are not passed to the balancer of the platform's pool. Otherwise clients that
+// make up tenants could fill its state.
+func TestUnknownTenantsAreNotPassedToBalancer(t *testing.T) {
 	b, upstream, _ := newTestBroker(t, ample, testTerms("a", "own", 1))
 	b.submit("made-up", "k")
 	if len(upstream.requests) != 1 || upstream.requests[0].Tenant != "" {
-		t.Errorf("the balancer is told of tenant %q", upstream.requests[0].Tenant)
+		t.Errorf("tenant passed to the balancer is %q, want none", upstream.requests[0].Tenant)
 	}
 }
 
-// A router that ends waits as long as the longest deadline under which a request may be in flight, also of a team
-// that is gone.
-func TestLongestDeadlineOutlivesItsTeam(t *testing.T) {
+// LongestDeadline includes removed teams. A graceful shutdown waits that long, because requests may still be in flight
+// under the deadline of a removed team.
+func TestLongestDeadlineIncludesRemovedTeams(t *testing.T) {
 	b, _, pools := newTestBroker(t, ample, testTerms("a", "own", 1))
 	b.Configure(pools, nil, UnmatchedToPlatform)
 	if b.LongestDeadline() != view.Deadline {
-		t.Errorf("it waits %v", b.LongestDeadline())
+		t.Errorf("LongestDeadline is %v, want that of the removed team", b.LongestDeadline())
 	}
 }
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -10,11 +10,11 @@
 	"bendtrestle/internal/policy/quota"
 )
 
-// minSlotWeight is the weight of a team without a guaranteed rate: it has a reserved slot as well.
+// minSlotWeight is the weight of a team without a guaranteed rate. It is above 0, so that the team has a reserved slot.
 const minSlotWeight = 1e-6
 
-// Configure takes new teams and pools, and gives a line for each change. Requests in flight end under the old terms;
-// balances carry over, also into another pool.
+// Configure replaces the teams and pools, and returns a line for each change. Requests in flight end under the old
+// terms. Balances carry over, also to another pool.
 func (b *Broker) Configure(pools []Pool, teams []TeamTerms, unmatched UnmatchedTraffic) []string {
 	now := b.now()
 	b.revision++
@@ -29,7 +29,7 @@
 	b.SetLimits(b.limits)
 	b.setTeams(teams)
 	b.unmatched = unmatched
-	for _, terms := range teams { // in a fixed order, on which sums of floats depend
+	for _, terms := range teams { // in a fixed order, because sums of floats depend on it
 		previous := before[terms.Team]
 		if previous != nil && previous.Pool != terms.Pool {
 			b.teams[terms.Team].pool.limiter.AdoptBalance(now, terms.Team, balances[terms.Team])
@@ -39,7 +39,7 @@
 	return lines
 }
 
-// SetLimits sets what may be open and held from now on; what is beyond it ends as it would.
+// SetLimits sets new limits. Requests, bytes and connections in excess of them are not ended.
 func (b *Broker) SetLimits(limits Limits) {
 	b.limits = limits
 	b.slots.requests.Repartition(limits.Requests, b.weights.requests)
@@ -60,7 +60,7 @@
 
 func (t TeamTerms) slotWeight() float64 { return cmp.Or(t.GuaranteedRate, minSlotWeight) }
 
-// setTeams makes the routes of all teams, and how their requests are known.
+// setTeams creates the routes of all teams and the matchers for their requests.
 func (b *Broker) setTeams(teams []TeamTerms) {
 	b.teams = map[string]*team{}
 	b.matchers = matchers{byListener: map[string]*team{}, byTenant: map[string]*team{}}
@@ -80,7 +80,7 @@
 	slices.SortStableFunc(b.matchers.byPrefix, func(x, y *team) int { return cmp.Compare(len(y.Prefix), len(x.Prefix)) })
 }
 
-// configurePools sets up quotas, shares, slots and traffic classes of all pools.
+// configurePools configures the quotas, shares, slots and traffic classes of all pools.
 func (b *Broker) configurePools(now float64, pools []Pool, teams []TeamTerms) {
 	before := b.pools
 	b.pools = map[string]*pool{}
@@ -121,7 +121,7 @@
 	}
 }
 
-// qualifiedClasses are a team's traffic classes as its pool's balancer knows them.
+// qualifiedClasses returns a team's traffic classes under the names that its pool's balancer uses.
 func (t TeamTerms) qualifiedClasses() (classes []balancer.TrafficClass) {
 	for _, class := range t.TrafficClasses {
 		class.Name = qualifiedName(t.Team, class.Name)
--- a/internal/broker/golden_test.go
+++ b/internal/broker/golden_test.go
@@ -13,9 +13,9 @@
 	"bendtrestle/internal/policy/quota"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current code")
 
-// golden compares lines with a file that the build of 15122f5 wrote.
+// golden compares lines with testdata/NAME.golden, whose values the build of commit 15122f5 wrote.
 func golden(t *testing.T, name string, lines []string) {
 	t.Helper()
 	path, got := "testdata/"+name+".golden", strings.Join(lines, "\n")+"\n"
@@ -48,49 +48,50 @@
 	return []TeamTerms{a, c, d}
 }
 
-// The lines that operators find in the log for each change of teams and pools.
+// Configure returns the log lines for each change of teams and pools.
 func TestGoldenChangeLines(t *testing.T) {
 	b, _, pools := newTestBroker(t, ample)
 	var lines []string
-	change := func(what string, pools []Pool, all []TeamTerms, others UnmatchedTraffic) {
-		lines = append(lines, "# "+what)
-		lines = append(lines, b.Configure(pools, all, others)...)
+	change := func(heading string, pools []Pool, all []TeamTerms, unmatched UnmatchedTraffic) {
+		lines = append(lines, "# "+heading)
+		lines = append(lines, b.Configure(pools, all, unmatched)...)
 	}
 	all := goldenTerms()
-	change("three teams", pools, all, UnmatchedToPlatform)
-	change("nothing", pools, all, UnmatchedToPlatform)
+	change("three teams added", pools, all, UnmatchedToPlatform)
+	change("no change", pools, all, UnmatchedToPlatform)
 	other := slices.Clone(all)
 	other[0].GuaranteedRate = 2.5
 	other[1].Tenant = "x"
 	other[2].TrafficClasses = nil
-	change("each is another", pools, other, UnmatchedRejected)
+	change("all teams changed", pools, other, UnmatchedRejected)
 	pools[1].Capacity = 3.25
 	pools[0].Capacity = 2
-	change("capacities", pools, other, UnmatchedRejected)
+	change("capacities changed", pools, other, UnmatchedRejected)
 	more := append(slices.Clone(pools), Pool{Name: "third", Core: pools[1].Core, Capacity: 1.5, Connections: 3})
-	change("a pool comes, teams go", more, other[1:2], UnmatchedToPlatform)
-	change("a pool goes", pools[:1], []TeamTerms{testTerms("z", "", 0.1)}, UnmatchedToPlatform)
+	change("a pool added, teams removed", more, other[1:2], UnmatchedToPlatform)
+	change("pools removed", pools[:1], []TeamTerms{testTerms("z", "", 0.1)}, UnmatchedToPlatform)
 	golden(t, "change-lines", lines)
 }
 
-// What becomes of each request, and what the operators' page shows of the teams.
+// The outcomes of requests and connections, and the state of the teams on the operators' page, are as in the golden
+// file.
 func TestGoldenDecisions(t *testing.T) {
 	b, upstream, pools := newTestBroker(t, Limits{Requests: 40, BufferedBytes: 1000, Connections: 8}, goldenTerms()...)
 	var lines []string
 	submit := func(listener, tenant, key, class string) {
 		route := b.Route(listener, tenant, key)
 		if route == nil {
-			lines = append(lines, fmt.Sprintf("%q %q %q: nobody's", listener, tenant, key))
+			lines = append(lines, fmt.Sprintf("%q %q %q: no route", listener, tenant, key))
 			return
 		}
 		deadline, known := route.MaxDeadline(class)
-		line := fmt.Sprintf("%q %q %q %s: hard stop %v %t", listener, tenant, key, class, deadline, known)
+		line := fmt.Sprintf("%q %q %q %s: deadline %v %t", listener, tenant, key, class, deadline, known)
 		if !known {
 			lines = append(lines, line)
 			return
 		}
 		if !route.HasCapacity() {
-			lines = append(lines, line+", no room")
+			lines = append(lines, line+", no capacity")
 			return
 		}
 		c := submitTo(route, class, tenant, key)
@@ -101,15 +102,15 @@
 			b.OpenRequests(), b.LongestDeadline(), b.Revision()))
 		for _, s := range b.TeamStates() {
 			lines = append(lines, fmt.Sprintf(
-				"%s in %q: budget %v, part %v, balance %v, open %d; %d %d %d %d %d %v %v",
+				"%s in %q: rate %v, share %v, balance %v, open %d; %d %d %d %d %d %v %v",
 				s.Team, s.Pool, s.GuaranteedRate, s.Share, s.Balance, s.OpenRequests,
 				s.Received, s.Succeeded, s.Rejected, s.Failed, s.Disconnected, s.Reasons, s.LoadUsed))
 		}
-		kinds := b.TrafficClassNames()
-		slices.Sort(kinds)
-		lines = append(lines, fmt.Sprint(kinds, b.HasTeam("a"), b.HasTeam("who")))
-		for _, words := range b.QuotaMessages() {
-			lines = append(lines, hex.EncodeToString(words))
+		classes := b.TrafficClassNames()
+		slices.Sort(classes)
+		lines = append(lines, fmt.Sprint(classes, b.HasTeam("a"), b.HasTeam("who")))
+		for _, message := range b.QuotaMessages() {
+			lines = append(lines, hex.EncodeToString(message))
 		}
 	}
 	for i := range 24 {
@@ -131,7 +132,7 @@
 	}
 	b.ReleaseConnection("127.0.0.1:1")
 	b.ReleaseConnection("")
-	lines = append(lines, fmt.Sprintf("one went: %t", b.AdmitConnection("127.0.0.1:1")))
+	lines = append(lines, fmt.Sprintf("after a release: %t", b.AdmitConnection("127.0.0.1:1")))
 	moved := TeamTerms{
 		Quota:          quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1},
 		Pool:           "own",
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -10,7 +10,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fakeUpstream is a clock and servers that a test drives: attempts wait until it ends them.
+// fakeUpstream is a clock and an upstream that a test controls: attempts are in flight until finish ends them.
 type fakeUpstream struct {
 	now      float64
 	attempts []requestcore.AttemptObserver
@@ -31,7 +31,7 @@
 	return u
 }
 
-// finish ends all attempts in flight, after a time.
+// finish advances the clock and ends all attempts in flight as succeeded.
 func (u *fakeUpstream) finish(after float64) {
 	u.now += after
 	attempts := u.attempts
@@ -42,7 +42,7 @@
 	}
 }
 
-// core is a pool's, with so many servers.
+// core returns the core of a pool with the given number of servers.
 func (u *fakeUpstream) core(servers int, classes ...balancer.TrafficClass) *requestcore.Core {
 	settings := balancer.Settings{CancellationAllowed: true, RetryBudgetPerTenant: true, TrafficClasses: classes}
 	core := requestcore.New(settings, requestcore.Dependencies{
@@ -86,7 +86,7 @@
 // ample limits are never reached.
 var ample = Limits{Requests: 1000, BufferedBytes: 1 << 20, Connections: 100}
 
-// newTestBroker is a broker with the platform's pool, of one server, and another of one, called "own".
+// newTestBroker returns a broker with two pools of one server each: the platform's pool and a pool named "own".
 func newTestBroker(t *testing.T, limits Limits, teams ...TeamTerms) (*Broker, *fakeUpstream, []Pool) {
 	t.Helper()
 	upstream := &fakeUpstream{now: 1000}
@@ -107,7 +107,7 @@
 	}
 }
 
-// submit hands over a request of a tenant, if there is a slot for it.
+// submit submits a request of a tenant, if there is a slot for it, and reports whether there was.
 func (b *Broker) submit(tenant, key string) (*client, bool) {
 	route := b.Route("", tenant, key)
 	if route == nil || !route.HasCapacity() {
@@ -116,7 +116,7 @@
 	return submitTo(route, "view", tenant, key), true
 }
 
-// submitTo hands over a request and gives its client.
+// submitTo submits a request and returns its client.
 func submitTo(route requestcore.Route, class, tenant, key string) *client {
 	c := &client{}
 	route.Submit(&requestcore.Request{Class: class, Tenant: tenant, Key: key, TimeLeft: 3}, c)
--- a/internal/broker/platform.go
+++ b/internal/broker/platform.go
@@ -5,14 +5,13 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// platform is the route of requests that match no team: without a quota. It is the UsageObserver of its requests,
-// too.
+// platform is the route of requests that match no team. It has no quota. It is also the UsageObserver of its requests.
 type platform struct {
 	broker    *Broker
 	core      *requestcore.Core
 	classes   []balancer.TrafficClass
 	deadlines map[string]float64 // seconds, by traffic class
-	tenants   map[string]bool    // that the platform knows
+	tenants   map[string]bool    // tenants in the platform's settings
 }
 
 func newPlatform(b *Broker, settings balancer.Settings, core *requestcore.Core) *platform {
@@ -32,35 +31,35 @@
 	return p
 }
 
-// MaxDeadline is the deadline of a traffic class, in seconds; false: the platform has no such class.
+// MaxDeadline returns the deadline of a traffic class, in seconds. known is false if the platform has no such class.
 func (p *platform) MaxDeadline(class string) (seconds float64, known bool) {
 	seconds, known = p.deadlines[class]
 	return seconds, known
 }
 
-// HasCapacity tells whether there is a slot for another request that is not reserved for a team.
+// HasCapacity reports whether there is a slot for another request that is not reserved for a team.
 func (p *platform) HasCapacity() bool {
 	return p.broker.slots.requests.CanAcquire(nil, 1) && p.broker.slots.bytes.CanAcquire(nil, 1)
 }
 
-// Submit hands a request to the platform's core.
+// Submit submits a request to the platform's core.
 func (p *platform) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	p.broker.slots.requests.ForceAcquire(nil, 1)
 	request.Usage = p
 	if !p.tenants[request.Tenant] {
-		request.Tenant = "" // the balancer keeps a record of each: clients must not make up ever new ones
+		request.Tenant = "" // the balancer keeps state for each tenant, which made-up tenants must not fill
 	}
 	return p.core, p.core.Submit(request, client)
 }
 
-// AddHeldBytes counts bytes that are held for clients, more or less.
+// AddHeldBytes adds n, which may be negative, to the bytes that are buffered for clients.
 func (p *platform) AddHeldBytes(n int) { p.broker.slots.bytes.ForceAcquire(nil, n) }
 
-// AttemptEnded takes no note: without a quota nothing is charged.
+// AttemptEnded does nothing, because nothing is charged without a quota.
 func (p *platform) AttemptEnded(float64) {}
 
-// Answered takes no note: the core counts its own.
+// Answered does nothing, because the core counts the platform's requests.
 func (p *platform) Answered(requestcore.RequestEnd, requestcore.RejectReason) {}
 
-// RequestDone gives the slot back.
+// RequestDone releases the slot of a request.
 func (p *platform) RequestDone() { p.broker.slots.requests.Release(nil, 1) }
--- a/internal/broker/settings.go
+++ b/internal/broker/settings.go
@@ -11,44 +11,45 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// TeamTerms are what a team and the operators have agreed on, and how the team's requests are known.
+// TeamTerms is the configuration of a team: its quota and pool, how its requests are recognized, and its traffic
+// classes.
 type TeamTerms struct {
 	quota.Quota
-	Pool           string // "": the platform's
-	Listen         string // an address of its own; what comes in there is the team's
-	Tenant         string // the tenant that its clients name
-	Prefix         string // what its keys begin with
+	Pool           string // "" for the platform's pool
+	Listen         string // address of the team's own listener; all requests that arrive there are the team's
+	Tenant         string // tenant that the team's clients name
+	Prefix         string // prefix of the team's keys
 	TrafficClasses []balancer.TrafficClass
 }
 
-// Pool is a pool as the operators' file has it.
+// Pool is a pool as configured in the operators' file.
 type Pool struct {
-	Name        string // "": the platform's
+	Name        string // "" for the platform's pool
 	Core        *requestcore.Core
-	Capacity    float64 // seconds of load a second, over all routers; 0: not stated
-	Connections int     // to its servers
+	Capacity    float64 // seconds of load per second, over all routers; 0 if not stated
+	Connections int     // to the pool's servers
 }
 
-// Limits bound what is open and held, over all teams.
+// Limits are the limits on requests in flight, buffered bytes and connections, over all teams.
 type Limits struct {
 	Requests      int // in flight
 	BufferedBytes int // of values
 	Connections   int // of clients
 }
 
-// UnmatchedTraffic says who takes requests that match no team.
+// UnmatchedTraffic decides what is done with requests that match no team.
 type UnmatchedTraffic bool
 
-// Either the platform's pool does, as without teams, or nobody.
+// Unmatched requests are routed to the platform's pool, as without teams, or rejected.
 const (
 	UnmatchedToPlatform UnmatchedTraffic = false
 	UnmatchedRejected   UnmatchedTraffic = true
 )
 
-// idempotencyNames are the operators' words.
+// idempotencyNames are the names in the operators' file.
 var idempotencyNames = [...]string{"at-most-once", "numbered", "reissuable"}
 
-// describe tells the terms in a line of the operators' words.
+// describe formats the terms in one line, with the names used in the operators' file.
 func (t TeamTerms) describe() string {
 	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q",
 		t.Pool, t.GuaranteedRate, t.Burst, t.BorrowRate, t.Weight, t.Listen, t.Tenant, t.Prefix)
@@ -59,12 +60,12 @@
 	return text
 }
 
-// differences tells what changes, a line each: what it was, what it is.
+// differences returns a line for each change, with the old and the new values.
 func (b *Broker) differences(pools []Pool, teams []TeamTerms, unmatched UnmatchedTraffic) []string {
 	lines := b.teamDifferences(teams)
 	lines = append(lines, b.poolDifferences(pools)...)
 	if b.revision > 1 && unmatched != b.unmatched {
-		lines = append(lines, fmt.Sprintf("what no contract holds for changes from declined %v to %v",
+		lines = append(lines, fmt.Sprintf("traffic that matches no team changed from rejected %v to %v",
 			bool(b.unmatched), bool(unmatched)))
 	}
 	return lines
@@ -76,17 +77,17 @@
 		named[terms.Team] = true
 		before := b.teams[terms.Team]
 		if before == nil {
-			lines = append(lines, fmt.Sprintf("team %s comes: %s", terms.Team, terms.describe()))
+			lines = append(lines, fmt.Sprintf("team %s added: %s", terms.Team, terms.describe()))
 			continue
 		}
 		from, to := before.TeamTerms.describe(), terms.describe()
 		if from != to {
-			lines = append(lines, fmt.Sprintf("team %s changes from: %s, to: %s", terms.Team, from, to))
+			lines = append(lines, fmt.Sprintf("team %s changed from: %s, to: %s", terms.Team, from, to))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		if !named[name] {
-			lines = append(lines, fmt.Sprintf("team %s goes: %s", name, b.teams[name].TeamTerms.describe()))
+			lines = append(lines, fmt.Sprintf("team %s removed: %s", name, b.teams[name].TeamTerms.describe()))
 		}
 	}
 	return lines
@@ -98,16 +99,16 @@
 		named[p.Name] = true
 		before := b.pools[p.Name]
 		if before == nil && p.Name != "" {
-			lines = append(lines, fmt.Sprintf("pool %s comes, capacity %v", p.Name, p.Capacity))
+			lines = append(lines, fmt.Sprintf("pool %s added, capacity %v", p.Name, p.Capacity))
 		}
 		if before != nil && before.Capacity != p.Capacity {
 			name := cmp.Or(p.Name, "of the platform")
-			lines = append(lines, fmt.Sprintf("pool %s changes from capacity %v to %v", name, before.Capacity, p.Capacity))
+			lines = append(lines, fmt.Sprintf("pool %s changed from capacity %v to %v", name, before.Capacity, p.Capacity))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.pools)) {
 		if !named[name] {
-			lines = append(lines, fmt.Sprintf("pool %s goes", name))
+			lines = append(lines, fmt.Sprintf("pool %s removed", name))
 		}
 	}
 	return lines
--- a/internal/broker/status.go
+++ b/internal/broker/status.go
@@ -7,11 +7,11 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Tally is what became of a team's requests.
+// Tally counts a team's requests by outcome.
 type Tally struct {
 	Received, Succeeded, Rejected, Failed, Disconnected uint64
 
-	Reasons  [len(requestcore.ReasonNames)]uint64 // of the rejected ones
+	Reasons  [len(requestcore.ReasonNames)]uint64 // rejected requests by reason
 	LoadUsed float64                              // seconds
 }
 
@@ -21,17 +21,17 @@
 	t.Reasons[reason]++
 }
 
-// TeamState is a team as it stands.
+// TeamState is the current state of a team.
 type TeamState struct {
 	Team, Pool     string
-	GuaranteedRate float64 // seconds of load a second, over all routers
-	Share          float64 // of the quota that this router has
+	GuaranteedRate float64 // seconds of load per second, over all routers
+	Share          float64 // this router's share of the quota
 	Balance        float64 // seconds of load
 	Tally
 	OpenRequests int
 }
 
-// TeamStates gives all teams, by name.
+// TeamStates returns the states of all teams, sorted by name.
 func (b *Broker) TeamStates() (states []TeamState) {
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		t := b.teams[name]
@@ -51,10 +51,10 @@
 	return states
 }
 
-// Revision counts the changes of teams and pools.
+// Revision returns the number of times that teams and pools were configured.
 func (b *Broker) Revision() int { return b.revision }
 
-// QuotaMessages gives the messages that are to be broadcast to the other routers now.
+// QuotaMessages returns the messages that are to be broadcast to the other routers now.
 func (b *Broker) QuotaMessages() (messages [][]byte) {
 	now := b.now()
 	for _, name := range slices.Sorted(maps.Keys(b.pools)) {
@@ -65,7 +65,7 @@
 	return messages
 }
 
-// OnQuotaMessage takes a datagram of another router; false if it is none about quotas.
+// OnQuotaMessage handles a datagram of another router. It returns false if the datagram is not a quota message.
 func (b *Broker) OnQuotaMessage(datagram []byte) (known bool) {
 	now := b.now()
 	for _, p := range b.pools {
@@ -74,7 +74,7 @@
 	return known
 }
 
-// TrafficClassNames gives the names of all teams' traffic classes, as clients use them.
+// TrafficClassNames returns the names of all teams' traffic classes, as used by clients.
 func (b *Broker) TrafficClassNames() (names []string) {
 	for _, t := range b.teams {
 		for _, class := range t.TrafficClasses {
@@ -84,12 +84,12 @@
 	return names
 }
 
-// HasTeam tells whether there is such a team.
+// HasTeam reports whether there is such a team.
 func (b *Broker) HasTeam(team string) bool { return b.teams[team] != nil }
 
-// LongestDeadline is the longest deadline, in seconds, of any team that there ever was: requests in flight may have
-// begun under it.
+// LongestDeadline returns the longest deadline, in seconds, of all teams since the start, because requests in flight
+// may have started under the deadline of a team that was removed.
 func (b *Broker) LongestDeadline() float64 { return b.longestDeadline }
 
-// OpenRequests is how many requests have a slot.
+// OpenRequests returns the number of requests that hold a slot.
 func (b *Broker) OpenRequests() int { return b.slots.requests.InUse() }
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -5,32 +5,32 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// initialEstimateFraction is the part of a traffic class's latency objective that a request is taken to cost until some
-// have ended, as the balancer takes it.
+// initialEstimateFraction is the fraction of a traffic class's latency objective that is the estimated cost of a
+// request until some have ended. The balancer uses the same fraction.
 const initialEstimateFraction = 1.0 / 4
 
-// team is the route of a team's requests, under the terms as they are now.
+// team is the route of a team's requests, under the current terms.
 type team struct {
 	TeamTerms
 	broker  *Broker
 	pool    *pool
-	classes map[string]teamClass // by the name that clients use
+	classes map[string]teamClass // by the name used by clients
 	tally   *Tally
 
 	requests     *bulkhead.Partition
 	bytes        *bulkhead.Partition
 	connections  *bulkhead.Partition
-	poolRequests *bulkhead.Partition // of the connections to the pool's servers
+	poolRequests *bulkhead.Partition // of pool.requests
 }
 
 // teamClass is a traffic class of a team.
 type teamClass struct {
-	name     string  // by which the pool's balancer knows it
+	name     string  // name used by the pool's balancer
 	deadline float64 // seconds
-	estimate float64 // seconds of load, until some requests have ended
+	estimate float64 // seconds of load per request, until some requests have ended
 }
 
-// newTeam makes the route of a team. Its partitions and its pool have to be there.
+// newTeam creates the route of a team. Its partitions and its pool must already exist.
 func (b *Broker) newTeam(terms TeamTerms) *team {
 	p := b.pools[terms.Pool]
 	t := &team{
@@ -59,17 +59,18 @@
 	return t
 }
 
-// qualifiedName is the name by which a pool's balancer knows a team's traffic class.
+// qualifiedName returns the name that a pool's balancer uses for a team's traffic class.
 func qualifiedName(team, class string) string { return team + "/" + class }
 
-// MaxDeadline is the deadline of a traffic class, in seconds; false: the team has no such class.
+// MaxDeadline returns the deadline of a traffic class, in seconds. known is false if the team has no such class.
 func (t *team) MaxDeadline(class string) (seconds float64, known bool) {
 	named, known := t.classes[class]
 	return named.deadline, known
 }
 
 // HasCapacity reports whether there is a slot for another request that is not reserved for another team. If there is
-// none it counts a received and a rejected request of the team: the caller rejects it and asks no further.
+// none, it counts a received and a rejected request of the team, because the caller then rejects the request without
+// calling Submit.
 func (t *team) HasCapacity() bool {
 	if t.broker.slots.requests.CanAcquire(t.requests, 1) &&
 		t.broker.slots.bytes.CanAcquire(t.bytes, 1) &&
@@ -81,7 +82,8 @@
 	return false
 }
 
-// Submit admits a request by the team's quota, or answers its client at once; then the core is nil.
+// Submit admits a request by the team's quota and submits it to the pool's core. If the quota rejects the request,
+// Submit answers the client and returns a nil core.
 func (t *team) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	class := t.classes[request.Class]
 	t.tally.Received++
@@ -99,5 +101,5 @@
 	return t.pool.Core, t.pool.Core.Submit(request, client)
 }
 
-// AddHeldBytes counts bytes that are held for the team's clients, more or less.
+// AddHeldBytes adds n, which may be negative, to the bytes that are buffered for the team's clients.
 func (t *team) AddHeldBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
--- a/internal/broker/usage.go
+++ b/internal/broker/usage.go
@@ -5,20 +5,20 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// usage is what one request of a team has used. It ends under the terms that the request began with. The pool's core
-// calls it as the request's UsageObserver.
+// usage is the load and the slots that one request of a team uses. It keeps the terms under which the request started.
+// The pool's core calls it as the request's UsageObserver.
 type usage struct {
 	team        *team
 	reservation *quota.Reservation
 	load        float64 // seconds
 }
 
-// AttemptEnded adds an attempt's time.
+// AttemptEnded adds the chargeable time of an attempt.
 func (u *usage) AttemptEnded(seconds float64) {
 	u.load += u.team.pool.limiter.ChargeableTime(u.reservation, seconds)
 }
 
-// Answered counts the final answer.
+// Answered counts the outcome of the request.
 func (u *usage) Answered(end requestcore.RequestEnd, reason requestcore.RejectReason) {
 	tally := u.team.tally
 	switch end {
@@ -33,7 +33,7 @@
 	}
 }
 
-// RequestDone settles the reservation and gives the slots back: no attempt is in flight any more.
+// RequestDone settles the reservation and releases the slots, when no attempt is in flight any more.
 func (u *usage) RequestDone() {
 	t := u.team
 	t.pool.limiter.Settle(t.broker.now(), u.reservation, u.load)
