--- a/internal/broker/broker.go
+++ b/internal/broker/broker.go
@@ -40,7 +40,7 @@
 
 // slots are the bulkheads that all teams share.
 type slots struct {
-	requests    *bulkhead.Bulkhead // in flight
+	requests    *bulkhead.Bulkhead
 	bytes       *bulkhead.Bulkhead // of buffered values
 	connections *bulkhead.Bulkhead // of clients
 }
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -138,7 +138,7 @@
 		admittedC++
 	}
 	if n != 6 || admittedC != 2 || b.AdmitConnection(unknown) {
-		t.Errorf("of 8 connections a has %d, want 6, and c has %d, want 2; no other listener may have one", n, admittedC)
+		t.Errorf("a has %d of 8 connections, want 6; want 2 for c, and none for an unknown listener", n)
 	}
 	b.ReleaseConnection(listenA)
 	if !b.AdmitConnection(listenC) {
--- a/internal/policy/gossip/config.go
+++ b/internal/policy/gossip/config.go
@@ -67,8 +67,8 @@
 	ownerTimeout = 4.5
 
 	pullAfter       = refreshInterval + 0.75*changedSummaryInterval // age above which a router pulls a summary
-	overdueInterval = refreshInterval + 1.5*changedSummaryInterval  // age at which a later owner's summary replaces it
-	freshAge        = 0.25                                          // largest age at which it is forwarded without delay
+	overdueInterval = refreshInterval + 1.5*changedSummaryInterval  // age from which on a later owner takes over
+	freshAge        = 0.25                                          // age up to which a summary is forwarded without delay
 
 	// incarnationAgeMargin is how much newer a summary of another incarnation of the same owner must be to replace the
 	// held one. A margin is needed because encoded ages are rounded up.
@@ -88,11 +88,11 @@
 	stallThreshold  = 0.5 // time between two calls above which this process counts as having stalled
 	startupDuration = 5.0 // time after a start or a stall in which a router pulls more often
 
-	peerLifetime       = 400.0 // validity of evidence that a router supports the protocol: over two rounds of probes
+	peerLifetime       = 400.0 // how long proof that a router supports the protocol is valid: over two rounds of probes
 	probeRound         = 150.0 // time in which every router of the group is probed once
 	probeRetryInterval = 0.5   // between two probes of an owner that has not answered
 	probeTimeout       = 2.0   // time without an answer after which a probed router is unresponsive
-	maxProbeBacklog    = 0.5   // largest delay of probes that is made up for after a stall
+	maxProbeBacklog    = 0.5   // time span of missed probes that are made up for after a stall
 	pullInterval       = 1.0   // between two pulls
 
 	startupProbesPerSecond = 6.0 // until every router of the group was probed once
@@ -126,7 +126,7 @@
 	loadChange         = 2.0 // smallest significant change of the load, unless the fraction of the held load is larger
 	loadChangeFraction = 0.25
 	meanChangeFraction = 0.3
-	smallMean          = 0.2 // a smaller held mean counts as this when the change of the mean is judged
+	smallMean          = 0.2 // a smaller held mean counts as this in the comparison with meanChangeFraction
 )
 
 // minMean is the smallest mean by which a load is divided; it bounds the number of attempts computed from a load.
--- a/internal/policy/gossip/fleetsize_test.go
+++ b/internal/policy/gossip/fleetsize_test.go
@@ -36,25 +36,25 @@
 		net.unobserved[server] = true
 	}
 	net.run(35) // until all routers have probed each other
-	check := func(what string, half, most, last, seconds float64) {
+	check := func(phase string, half, most, last, seconds float64) {
 		t.Helper()
-		mean, top, _, _ := net.traffic(seconds)
-		t.Log(net.tableRow(what, half, most, last, seconds))
-		if top > 7000 || mean > 7000 {
-			t.Errorf("%d routers, %s: bytes per second: mean %v, largest %v, want at most 7000", routers, what, mean, top)
+		mean, largest, _, _ := net.traffic(seconds)
+		t.Log(net.tableRow(phase, half, most, last, seconds))
+		if largest > 7000 || mean > 7000 {
+			t.Errorf("%d routers, %s: bytes per second: mean %v, largest %v, want at most 7000", routers, phase, mean, largest)
 		}
 		if last > maxSpreadTime {
 			t.Errorf("%d routers, %s: the refusal reached the last router after %v s, want at most maxSpreadTime",
-				routers, what, last)
+				routers, phase, last)
 		}
 	}
-	measure := func(what string, reporter, server int) {
+	measure := func(phase string, reporter, server int) {
 		net.resetCounters()
 		from := net.step
 		net.observe(reporter, server, refusalByte)
 		half, most, last := net.measureSpread(5, holdsRefusal(server))
 		net.run(max(0, 5-float64(net.step-from)/100))
-		check(what, half, most, last, float64(net.step-from)/100)
+		check(phase, half, most, last, float64(net.step-from)/100)
 	}
 	reporter := net.running()[len(net.running())/3]
 	measure("no disturbance", reporter, 5)
--- a/internal/policy/gossip/lifecycle_test.go
+++ b/internal/policy/gossip/lifecycle_test.go
@@ -66,11 +66,11 @@
 // A server refuses, and a router that has reported it stalls for 30 s. Meanwhile the server answers again. When the
 // router resumes, neither its old state nor the messages buffered in its socket may restore the refusal at any router.
 func TestStalledRouterDoesNotRestoreRefusal(t *testing.T) {
-	for _, who := range []string{"an owner", "another"} {
+	for _, role := range []string{"an owner", "another"} {
 		net := newSettledNetwork(t, 100)
 		n := net.nonOwner(5)
 		reporter := n
-		if who == "an owner" {
+		if role == "an owner" {
 			n = int(net.ownersOf(0, 5)[0])
 		}
 		net.observe(reporter, 5, refusalByte)
@@ -84,13 +84,13 @@
 			net.run(0.05)
 			for _, r := range net.running() {
 				if holdsRefusal(5)(net.gossipers[r], net.clock(r)) {
-					t.Fatalf("%s stalled: router %d holds the refusal that has ended", who, r)
+					t.Fatalf("%s stalled: router %d holds the refusal that has ended", role, r)
 				}
 			}
 		}
 		for id, s := range net.gossipers[n].servers {
 			if net.clock(n)-s.held.originatedAt > summaryLifetime {
-				t.Errorf("%s stalled: it has no summary of server %d after 5 s", who, id)
+				t.Errorf("%s stalled: it has no summary of server %d after 5 s", role, id)
 			}
 		}
 	}
--- a/internal/policy/gossip/merge.go
+++ b/internal/policy/gossip/merge.go
@@ -47,7 +47,7 @@
 	}
 	held, known := s.owner.groupSums[group]
 	if known && sum.rank > held.rank && g.now-held.originatedAt < ownerTimeout {
-		return // a lower-ranked owner of that group is still active
+		return // an earlier owner of that group is still active
 	}
 	s.owner.groupSums[group] = sum
 }
--- a/internal/policy/gossip/network_test.go
+++ b/internal/policy/gossip/network_test.go
@@ -410,11 +410,11 @@
 }
 
 // tableRow formats a row of the table of TestFleetSizes.
-func (net *network) tableRow(what string, half, most, last, seconds float64) string {
-	mean, top, peak, messages := net.traffic(seconds)
+func (net *network) tableRow(phase string, half, most, last, seconds float64) string {
+	mean, largest, peak, messages := net.traffic(seconds)
 	median, highError, meanError := net.loadErrors()
 	const format = "| %5d | %-22s | %5.0f | %5.0f | %5.0f | %4.0f | %4.2f | %4.2f | %4.2f | %4.2f | %4.2f | %+5.2f |"
-	return fmt.Sprintf(format, len(net.gossipers), what, mean, top, peak, messages, half, most, last,
+	return fmt.Sprintf(format, len(net.gossipers), phase, mean, largest, peak, messages, half, most, last,
 		median, highError, meanError)
 }
 
--- a/internal/policy/gossip/ownership_test.go
+++ b/internal/policy/gossip/ownership_test.go
@@ -54,9 +54,9 @@
 	}
 }
 
-// Of two owners' summaries, the one with the lower rank takes precedence as long as its owner publishes. An urgent
+// Of two owners' summaries, that of the earlier owner takes precedence as long as this owner publishes. An urgent
 // refusal is accepted from either.
-func TestLowerRankTakesPrecedence(t *testing.T) {
+func TestEarlierOwnerTakesPrecedence(t *testing.T) {
 	net := newSettledNetwork(t, 30)
 	router := New(net.clock(0), Settings{Self: 0, BytesPerSecond: 7000}, net.view)
 	router.SetServers([]uint16{7})
--- a/internal/policy/gossip/summary.go
+++ b/internal/policy/gossip/summary.go
@@ -28,7 +28,7 @@
 	newer     freshness = iota // the received summary replaces the held one
 	duplicate                  // the held summary is the same version
 	older                      // the held summary is a later version, or of the same rank and not clearly older
-	outranked                  // the held summary is of a lower rank and not overdue
+	outranked                  // the held summary is of an earlier owner and not overdue
 )
 
 // compare decides whether a received summary replaces the held one. The result does not depend on the order in which
--- a/internal/policy/gossip/view_test.go
+++ b/internal/policy/gossip/view_test.go
@@ -22,7 +22,7 @@
 			next = to
 		}
 		if next != n {
-			t.Fatalf("%d routers: the last group ends at %d", n, next)
+			t.Fatalf("%d routers: the last group ends at %d, want it to end with the list", n, next)
 		}
 	}
 }
--- a/internal/policy/quota/quota.go
+++ b/internal/policy/quota/quota.go
@@ -22,7 +22,7 @@
 // Reason is why a request was admitted or rejected.
 type Reason int
 
-// The reasons.
+// Values of Reason.
 const (
 	WithinQuota Reason = iota // admitted within the guaranteed rate
 	Borrowed                  // admitted from unused load of others
