--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -30,7 +30,7 @@
 	}
 	var enough bool
 	s.conf, enough = s.conf.WithReserved(reservedDescriptors(operators))
-	s.warnIfScarce(enough)
+	s.warnIfDescriptorsShort(enough)
 	s.loop.Limit(s.conf.MaxConnections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
@@ -43,7 +43,7 @@
 		stay[named.Name] = true
 	}
 	s.retireUnnamed(stay)
-	maps.DeleteFunc(s.counts.takenByTeam, func(team string, _ uint64) bool { return !s.broker.HasTeam(team) })
+	maps.DeleteFunc(s.counts.receivedByTeam, func(team string, _ uint64) bool { return !s.broker.HasTeam(team) })
 	s.openTeamListeners(operators)
 }
 
@@ -64,17 +64,17 @@
 	for _, named := range operators.Pools {
 		namedParts += named.Connections
 	}
-	platformConnections := connectionShare(limits.UpstreamConnections, 1-namedParts)
+	platformConnections := connectionLimit(limits.UpstreamConnections, 1-namedParts)
 	s.pools.platform.servers.SetMaxConnections(platformConnections)
 	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
 	for _, named := range operators.Pools {
-		connections := connectionShare(limits.UpstreamConnections, named.Connections)
+		connections := connectionLimit(limits.UpstreamConnections, named.Connections)
 		p := s.pools.named[named.Name]
 		if p == nil {
 			p = s.addPool(named, connections)
 		}
 		p.servers.SetMaxConnections(connections)
-		p.follow(named.Discovery)
+		p.watchListService(named.Discovery)
 		pools = append(pools, broker.Pool{
 			Name:        named.Name,
 			Core:        p.core,
@@ -97,7 +97,7 @@
 		stallTimeout:          named.StallTimeout(stallTimeout(connectTimeout)),
 		idleTimeout:           named.IdleTimeout(limits.IdleTimeout),
 		requestsPerConnection: named.AttemptsPerConnection(limits.AttemptsPerConnection),
-		wire:                  s.codecOf(named),
+		newCodec:              s.codecOf(named),
 	})
 	s.pools.named[named.Name] = p
 	for id := range s.disabled.ids {
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -15,7 +15,7 @@
 
 // countsLog is what the log of counts remembers.
 type countsLog struct {
-	takenByTeam map[string]uint64 // requests of each team that has a contract, as last logged
+	receivedByTeam map[string]uint64 // requests of each team that has a contract, as last logged
 }
 
 func (s *Service) logCountsRepeatedly() {
@@ -34,11 +34,11 @@
 	}
 	logged := 0
 	for _, team := range s.broker.TeamStates() {
-		if team.Received == s.counts.takenByTeam[team.Team] || logged >= maxTeamsLogged {
+		if team.Received == s.counts.receivedByTeam[team.Team] || logged >= maxTeamsLogged {
 			continue
 		}
 		logged++
-		s.counts.takenByTeam[team.Team] = team.Received
+		s.counts.receivedByTeam[team.Team] = team.Received
 		event := s.log.Info().
 			Str("team", team.Team).
 			Str("pool", team.Pool).
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -55,13 +55,13 @@
 	}
 }
 
-// knowsServer reports whether an endpoint list has named a server, or it is disabled.
-func (s *Service) knowsServer(id string) bool {
+// isKnownServer reports whether an endpoint list has named a server, or it is disabled.
+func (s *Service) isKnownServer(id string) bool {
 	if s.disabled.ids[id] {
 		return true
 	}
 	for _, p := range s.pools.active() {
-		if _, known := p.known[discovery.ID(id)]; known {
+		if _, known := p.knownServers[discovery.ID(id)]; known {
 			return true
 		}
 	}
@@ -80,7 +80,7 @@
 func (h *adminHandler) setServerDisabled(id string, disabled bool) error {
 	until := time.Now().Add(lockWaitTimeout)
 	err := h.onLoop(func() error {
-		if !h.service.knowsServer(id) {
+		if !h.service.isKnownServer(id) {
 			return admin.ErrUnknownServer
 		}
 		return nil
--- a/internal/service/disabledservers_test.go
+++ b/internal/service/disabledservers_test.go
@@ -51,7 +51,7 @@
 	}
 	var log bytes.Buffer
 	runOnLoop(s, func() {
-		platform.known[discovery.ID("s-3")] = false
+		platform.knownServers[discovery.ID("s-3")] = false
 		s.log = zerolog.New(&log)
 	})
 	done := make(chan error)
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -24,22 +24,22 @@
 		return nil
 	}
 	s.lifecycle.draining = on
-	s.lifecycle.drainCalls++
+	s.lifecycle.drainChanges++
 	s.log.Info().Bool("draining", on).Int("clients", s.clients.frontend.Connections()).Msg("drain")
 	s.clients.frontend.SetDraining(on)
 	if on {
-		s.afterInDrain(acceptAfterSignalSeconds, s.clients.frontend.CloseIdle)
-		s.afterInDrain(drainCloseSeconds, s.clients.frontend.StopReading)
+		s.scheduleDrainStep(acceptAfterSignalSeconds, s.clients.frontend.CloseIdle)
+		s.scheduleDrainStep(drainCloseSeconds, s.clients.frontend.StopReading)
 	}
 	return nil
 }
 
-// afterInDrain takes a step of the present drain after a delay in seconds, unless it has been called off by then or
+// scheduleDrainStep takes a step of the present drain after a delay in seconds, unless it has been called off by then or
 // the process ends.
-func (s *Service) afterInDrain(delay float64, step func()) {
-	drain := s.lifecycle.drainCalls
+func (s *Service) scheduleDrainStep(delay float64, step func()) {
+	drain := s.lifecycle.drainChanges
 	s.loop.After(delay, func() {
-		sameDrain := s.lifecycle.draining && s.lifecycle.drainCalls == drain
+		sameDrain := s.lifecycle.draining && s.lifecycle.drainChanges == drain
 		if sameDrain && s.lifecycle.phase < Leaving {
 			step()
 		}
--- a/internal/service/drain_test.go
+++ b/internal/service/drain_test.go
@@ -76,7 +76,7 @@
 		t.Error("it is ready without a list")
 	}
 	handler.Drain()
-	handler.service.loop.Post(func() { handler.service.pools.platform.follow(list) })
+	handler.service.loop.Post(func() { handler.service.pools.platform.watchListService(list) })
 	waitServing(t, handler.service)
 	if got := sendCommand(addr, "mn"); handler.Ready() || got != "SERVER_ERROR draining" {
 		t.Errorf("drained before it served, it answers %q", got)
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -10,7 +10,7 @@
 // applyList takes an endpoint list, or a change of it, to the connections, the balancer and the adapters.
 func (p *pool) applyList(update balancer.EndpointUpdate, list discovery.EndpointList) {
 	if update == balancer.UpdateFull || update == balancer.UpdateSaved {
-		p.forgetList()
+		p.clearList()
 	}
 	var endpoints []balancer.Endpoint
 	for _, entry := range list.Instances {
@@ -34,13 +34,13 @@
 	}
 }
 
-// forgetList takes all servers off the list before a whole one is applied.
-func (p *pool) forgetList() {
+// clearList takes all servers off the list before a whole one is applied.
+func (p *pool) clearList() {
 	for id := range p.ready {
 		p.ready[id] = false
 	}
-	for id := range p.known {
-		p.known[id] = false
+	for id := range p.knownServers {
+		p.knownServers[id] = false
 	}
 	clear(p.endpoints)
 }
@@ -48,7 +48,7 @@
 func (p *pool) applyEntry(entry discovery.Instance) {
 	removed := entry.State == balancer.Removed
 	p.ready[entry.ID] = entry.State == balancer.Ready
-	p.remember(entry.ID, !removed)
+	p.setListed(entry.ID, !removed)
 	if removed {
 		delete(p.endpoints, entry.ID)
 	} else {
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -22,9 +22,9 @@
 	stop            context.CancelFunc
 }
 
-// follow moves the watch to a list service. The present watch goes on until the new one has brought a whole list, so
+// watchListService moves the watch to a list service. The present watch goes on until the new one has brought a whole list, so
 // that no update is lost between them and an address where nothing answers costs nothing.
-func (p *pool) follow(address string) {
+func (p *pool) watchListService(address string) {
 	if p.nextWatch != nil {
 		if p.nextWatch.address == address {
 			return
@@ -46,13 +46,13 @@
 // watchStart is what a new watch begins with.
 func (p *pool) watchStart() discovery.WatchStart {
 	start := discovery.WatchStart{Generation: p.generation, Schedule: p.schedule}
-	if len(p.lastRunList.Instances) > 0 {
+	if len(p.initialList.Instances) > 0 {
 		// The list of the last run is of the address that the start names. One named later may have generations of its
 		// own, nor may it take back the drains in that list.
-		start.Generation = p.lastRunList.Generation
+		start.Generation = p.initialList.Generation
 		start.SameService = true
-		p.generation = p.lastRunList.Generation
-		p.lastRunList = discovery.EndpointList{}
+		p.generation = p.initialList.Generation
+		p.initialList = discovery.EndpointList{}
 	}
 	p.schedule.Backoff.Seed++ // the next watch has random numbers of its own
 	return start
--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -62,7 +62,7 @@
 	}
 	s.loop.Post(func() {
 		s.pools.platform.stopWatching()
-		s.pools.platform.follow("localhost" + at[strings.IndexByte(at, ':'):])
+		s.pools.platform.watchListService("localhost" + at[strings.IndexByte(at, ':'):])
 	})
 	if next := <-polls; next != "" {
 		t.Errorf("at another address it polls first for %q", next)
@@ -82,7 +82,7 @@
 			p.nextWatch = nil
 		}
 		was := p.watch
-		p.follow("127.0.0.1:1")
+		p.watchListService("127.0.0.1:1")
 		moved := p.nextWatch
 		if err := p.onList(was, endpointList(42, "127.0.0.1:2", "draining")); err != nil || !avoided() {
 			t.Errorf("the drain is not taken: %v", err)
@@ -119,7 +119,7 @@
 	runOnLoop(s, func() {
 		p := s.pools.platform
 		avoided := func() bool { return p.core.Avoids(discovery.ID("s-1")) }
-		p.follow("127.0.0.1:2")
+		p.watchListService("127.0.0.1:2")
 		moved := p.nextWatch
 		if err := p.onList(moved, endpointList(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
 			t.Errorf("the drain is taken back: %v", err)
@@ -177,7 +177,7 @@
 		at, polls, back := startHangingListService(t)
 		p := s.pools.platform
 		avoids := func(server string) bool { return p.core.Avoids(discovery.ID(server)) }
-		runOnLoop(s, func() { p.follow(at) })
+		runOnLoop(s, func() { p.watchListService(at) })
 		<-polls
 		<-polls // the first hangs
 		runOnLoop(s, func() {
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -75,7 +75,7 @@
 	})
 	handler := addAdminHandler(s)
 	waitUntil(t, "the list of before", s, func() bool {
-		phase, _, _ := s.startup.start.Phase()
+		phase, _, _ := s.startup.tracker.Phase()
 		return phase.String() == "listed"
 	})
 	if err := handler.EvacuateZone("a"); err != nil {
@@ -114,7 +114,7 @@
 		s.pools.platform.applyList(balancer.UpdateFull, list)
 		s.pools.platform.generation = 41
 	})
-	golden(t, "hotrestart-state-live", successors{s}.State())
+	golden(t, "hotrestart-state-live", successorHandler{s}.State())
 }
 
 // Texts of errors that the admin server answers with.
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -64,7 +64,7 @@
 // The next process may be of another build: it reads what this one tells it at a hot restart, and the other way
 // round.
 func TestGoldenHotRestartState(t *testing.T) {
-	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Whole: true}}
+	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Complete: true}}
 	for _, entry := range goldenEntries() {
 		sent.List.Entries = append(sent.List.Entries, saveEntry(entry))
 	}
@@ -87,7 +87,7 @@
 func TestGoldenSavedList(t *testing.T) {
 	sent := snapshotList{Generation: 41}
 	for _, e := range goldenEntries() {
-		sent.Servers = append(sent.Servers, snapshotServer{saveMember(e.Endpoint), e.Addr.String()})
+		sent.Servers = append(sent.Servers, snapshotServer{saveEndpoint(e.Endpoint), e.Addr.String()})
 	}
 	body, err := cbor.Marshal(sent)
 	if err != nil {
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -101,13 +101,13 @@
 	}
 	a.steps++
 	if a.steps%gossipFeedSteps == 0 {
-		a.feed(now)
+		a.feedBalancer(now)
 	}
 	a.service.loop.After(gossipStepSeconds, a.step)
 }
 
-// feed passes on to the balancer what the fleet knows.
-func (a *gossipAdapter) feed(now float64) {
+// feedBalancer passes on to the balancer what the fleet knows.
+func (a *gossipAdapter) feedBalancer(now float64) {
 	message := a.gossiper.SynthesizeObservations(now)
 	if len(message) > 0 {
 		a.service.pools.platform.core.OnGossip(message)
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -13,7 +13,7 @@
 	predecessor       *hotrestart.Predecessor // nil: there is none, or none any more
 	inheritedSockets  map[string]int          // descriptors of its listening sockets by address, until in use here
 	listener          *hotrestart.Listener    // where successors ask; nil: it is not open
-	processesBeside   int                     // processes of this router beside this one
+	otherProcesses    int                     // processes of this router beside this one
 	servingSuccessors int                     // successors that accept clients
 }
 
@@ -42,7 +42,7 @@
 	s.loadRestartState(predecessor.State)
 	s.log.Info().Int("sockets", len(sockets)).
 		Msg("another process of this router serves; this one takes over once it can")
-	s.addProcessesBeside(1)
+	s.addOtherProcesses(1)
 	go func() {
 		predecessor.WaitForExit()
 		predecessor.Close()
@@ -53,16 +53,16 @@
 // onPredecessorEnded takes over what is left.
 func (s *Service) onPredecessorEnded() {
 	s.restart.predecessor = nil
-	s.releaseProcessBesideLater()
+	s.removeOtherProcessLater()
 	if s.lifecycle.phase == Starting { // nobody else accepts clients now
 		s.startAccepting()
 	}
 }
 
-// releaseProcessBesideLater counts one process less beside this one, once it has had time to end what it had
+// removeOtherProcessLater counts one process less beside this one, once it has had time to end what it had
 // accepted: it has its part of the limits until then.
-func (s *Service) releaseProcessBesideLater() {
-	s.loop.After(s.longestWait()+killMarginSeconds, func() { s.addProcessesBeside(-1) })
+func (s *Service) removeOtherProcessLater() {
+	s.loop.After(s.longestClientWait()+killMarginSeconds, func() { s.addOtherProcesses(-1) })
 }
 
 // loadRestartState takes the predecessor's endpoint list, if it is of the same list service and no older than what
@@ -90,7 +90,7 @@
 		return
 	}
 	var err error
-	s.restart.listener, err = hotrestart.Listen(path, successors{s}, s.log)
+	s.restart.listener, err = hotrestart.Listen(path, successorHandler{s}, s.log)
 	if err != nil {
 		s.log.Info().Err(err).Msg("no socket for a successor; it will share the address")
 	}
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -28,7 +28,7 @@
 func waitProcessesBeside(t *testing.T, s *Service, processes int) {
 	t.Helper()
 	waitUntil(t, fmt.Sprint(processes, " processes beside"), s, func() bool {
-		return s.restart.processesBeside == processes
+		return s.restart.otherProcesses == processes
 	})
 }
 
@@ -65,7 +65,7 @@
 	if got := sendCommand(addr, "mg k v Ob Pc=t,d=1900"); got != "VA 2 Ob" || phaseOf(successor) != Finishing {
 		t.Errorf("while the successor finishes it answers %q", got)
 	}
-	if callOnLoop(predecessor, func() int { return predecessor.restart.processesBeside }) != 1 {
+	if callOnLoop(predecessor, func() int { return predecessor.restart.otherProcesses }) != 1 {
 		t.Error("the predecessor takes all capacity while the successor still has connections")
 	}
 	close(held)
@@ -96,7 +96,7 @@
 	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" || phaseOf(predecessor) != Finishing {
 		t.Errorf("while the predecessor finishes it answers %q", got)
 	}
-	if callOnLoop(successor, func() int { return successor.restart.processesBeside }) != 1 {
+	if callOnLoop(successor, func() int { return successor.restart.otherProcesses }) != 1 {
 		t.Error("the successor takes all capacity while the predecessor still has connections")
 	}
 }
@@ -135,7 +135,7 @@
 	stop := startLoad(t, addr)
 	early, earlyEnded := startProcess(t, addr, "127.0.0.1:1", shared) // it never has a list
 	waitUntil(t, "a successor that starts", s, func() bool {
-		return s.restart.processesBeside == 1 && hasHalfOfTheLimits(s)
+		return s.restart.otherProcesses == 1 && hasHalfOfTheLimits(s)
 	})
 	shutDown(t, early, earlyEnded)
 	late, lateEnded := startProcess(t, addr, list, shared)
@@ -194,7 +194,7 @@
 				t.Fatalf("%s: before the successor serves it answers %q", restart.name, got)
 			}
 		}
-		successor.loop.Post(func() { successor.pools.platform.follow(list) })
+		successor.loop.Post(func() { successor.pools.platform.watchListService(list) })
 		waitServing(t, successor)
 		if !restart.killFirst {
 			shutDown(t, predecessor, ended)
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -47,13 +47,13 @@
 
 // lifecycle is where the process stands between start and exit.
 type lifecycle struct {
-	phase      Phase
-	startedAt  float64 // seconds of the loop's clock
-	draining   bool    // an operator has clients sent away
-	drainCalls int     // how often a drain began or ended, so that a late step of an earlier drain does nothing
+	phase        Phase
+	startedAt    float64 // seconds of the loop's clock
+	draining     bool    // an operator has clients sent away
+	drainChanges int     // how often a drain began or ended, so that a late step of an earlier drain does nothing
 }
 
-func (s *Service) enter(phase Phase) {
+func (s *Service) enterPhase(phase Phase) {
 	s.lifecycle.phase = phase
 	s.publish()
 	s.log.Info().Stringer("phase", phase).Msg("phase")
@@ -62,7 +62,7 @@
 // startServing takes clients from now on.
 func (s *Service) startServing() {
 	s.clients.frontend.SetReady()
-	s.enter(Serving)
+	s.enterPhase(Serving)
 	s.startAccepting()
 }
 
@@ -76,19 +76,19 @@
 	if s.lifecycle.phase >= Leaving {
 		return
 	}
-	s.enter(Leaving)
+	s.enterPhase(Leaving)
 	acceptFor := acceptAfterSignalSeconds
 	if s.restart.servingSuccessors > 0 { // a successor accepts what comes late
 		acceptFor = 0
 	}
 	s.loop.After(acceptFor, s.finish)
-	deadline := s.loop.Now() + s.longestWait() + killMarginSeconds - lastAnswersSeconds
+	deadline := s.loop.Now() + s.longestClientWait() + killMarginSeconds - lastAnswersSeconds
 	s.clients.frontend.SetFinalDeadline(deadline)
 	s.loop.Timer(func() { s.endAtDeadline(deadline + longValueExtraSeconds) }).Set(deadline)
 }
 
-// longestWait is how many seconds a client waits at most.
-func (s *Service) longestWait() float64 {
+// longestClientWait is how many seconds a client waits at most.
+func (s *Service) longestClientWait() float64 {
 	longest := s.broker.LongestDeadline()
 	for _, class := range s.conf.Settings.TrafficClasses {
 		longest = max(longest, cmp.Or(class.Deadline, defaultClientWaitSeconds))
@@ -126,11 +126,11 @@
 	if s.restart.predecessor != nil && noSuccessorServes { // it is the only process left that can accept
 		s.disconnectOtherProcesses()
 	}
-	if s.restart.listener != nil && s.restart.processesBeside > 0 && noSuccessorServes {
+	if s.restart.listener != nil && s.restart.otherProcesses > 0 && noSuccessorServes {
 		// The successor is not ready; it alone can answer now, if only that it starts.
 		s.restart.listener.Close()
 	}
-	s.enter(Finishing)
+	s.enterPhase(Finishing)
 	s.clients.frontend.CloseIdle()
 	s.endOnceIdle()
 }
@@ -150,7 +150,7 @@
 	if s.lifecycle.phase == Ended {
 		return
 	}
-	s.enter(Ended)
+	s.enterPhase(Ended)
 	s.logCounts()
 	if s.admin.server != nil {
 		s.admin.server.Close()
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -19,9 +19,9 @@
 	return reserved
 }
 
-// warnIfScarce warns where descriptors do not suffice for what is named: listeners and polls of list services may
+// warnIfDescriptorsShort warns where descriptors do not suffice for what is named: listeners and polls of list services may
 // fail.
-func (s *Service) warnIfScarce(enough bool) {
+func (s *Service) warnIfDescriptorsShort(enough bool) {
 	if !enough {
 		s.log.Warn().Int("sockets", s.conf.Descriptors).
 			Msg("limits.sockets is too low for the listeners and pools of the operators' file")
@@ -30,15 +30,15 @@
 
 // processLimits is the configuration as it limits this process: all processes of a router share its limits.
 func (s *Service) processLimits() config.Config {
-	if s.restart.processesBeside > 0 {
+	if s.restart.otherProcesses > 0 {
 		return s.conf.Half()
 	}
 	return s.conf
 }
 
-// addProcessesBeside counts the processes of this router beside this one, and changes the limits accordingly.
-func (s *Service) addProcessesBeside(change int) {
-	s.restart.processesBeside += change
+// addOtherProcesses counts the processes of this router beside this one, and changes the limits accordingly.
+func (s *Service) addOtherProcesses(change int) {
+	s.restart.otherProcesses += change
 	s.applyLimits()
 }
 
@@ -52,10 +52,10 @@
 	for _, named := range s.operators.Pools {
 		namedParts += named.Connections
 		if p := s.pools.named[named.Name]; p != nil {
-			p.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, named.Connections))
+			p.servers.SetMaxConnections(connectionLimit(limits.UpstreamConnections, named.Connections))
 		}
 	}
-	s.pools.platform.servers.SetMaxConnections(connectionShare(limits.UpstreamConnections, 1-namedParts))
+	s.pools.platform.servers.SetMaxConnections(connectionLimit(limits.UpstreamConnections, 1-namedParts))
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
@@ -66,7 +66,7 @@
 	return broker.Limits{Requests: conf.OpenRequests, BufferedBytes: conf.HeldBytes, Connections: conf.ClientConnections}
 }
 
-// connectionShare is a part (0 to 1) of the connections to servers, one at the least.
-func connectionShare(connections int, part float64) int {
-	return max(1, int(float64(connections)*part))
+// connectionLimit is a part (0 to 1) of the connections to servers, one at the least.
+func connectionLimit(connections int, fraction float64) int {
+	return max(1, int(float64(connections)*fraction))
 }
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -9,11 +9,11 @@
 
 // clientSide is what clients connect to.
 type clientSide struct {
-	frontend      *frontend.Frontend
-	listener      *eventloop.Listener            // at the platform's address; nil while another process holds that
-	teamListeners map[string]*eventloop.Listener // by their addresses
-	tileServers   map[string]*tileserver.Server  // those of the teams' listeners that speak HTTP, by their addresses
-	listenLater   bool                           // the platform's address is shared once this process serves
+	frontend          *frontend.Frontend
+	listener          *eventloop.Listener            // at the platform's address; nil while another process holds that
+	teamListeners     map[string]*eventloop.Listener // by their addresses
+	tileServers       map[string]*tileserver.Server  // those of the teams' listeners that speak HTTP, by their addresses
+	listenWhenServing bool                           // the platform's address is shared once this process serves
 }
 
 func newClientSide() clientSide {
@@ -55,7 +55,7 @@
 		}
 		if held {
 			s.log.Info().Str("listen", s.conf.Listen).Msg("the address is held; it is shared once this process can serve")
-			s.clients.listenLater = true
+			s.clients.listenWhenServing = true
 			return nil
 		}
 	}
@@ -93,8 +93,8 @@
 // startAccepting accepts from now on, and lets the predecessor know.
 func (s *Service) startAccepting() {
 	var err error
-	if s.clients.listenLater {
-		s.clients.listenLater = false
+	if s.clients.listenWhenServing {
+		s.clients.listenWhenServing = false
 		accept := s.clients.frontend.Acceptor("", frontend.Memcache)
 		s.clients.listener, err = s.loop.Listen(s.conf.Listen, s.clients.frontend.CanAccept, accept)
 	} else if s.clients.listener != nil {
@@ -114,7 +114,7 @@
 // openTeamListeners opens and closes the teams' listeners, as the operators' file has them. One that cannot be
 // opened is logged, and its team has none until the next change.
 func (s *Service) openTeamListeners(operators operatorconfig.File) {
-	if s.lifecycle.phase == Starting && s.restart.processesBeside > 0 {
+	if s.lifecycle.phase == Starting && s.restart.otherProcesses > 0 {
 		return // the predecessor serves their clients
 	}
 	wanted := map[string]bool{}
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -45,8 +45,8 @@
 // serverCounts returns the attempts that were sent since the start, and the servers' connections that ended with
 // something owed, by the reason; also those of pools that are no longer named.
 func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.CloseReasons)]uint64) {
-	sends = s.pools.retiredSends
-	cuts = s.pools.retiredCuts
+	sends = s.pools.retiredAttempts
+	cuts = s.pools.retiredCloseCounts
 	for _, p := range slices.Concat(s.pools.active(), s.pools.retiring) {
 		sends += p.servers.SentAttempts()
 		for reason, n := range p.servers.CloseCounts() {
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -15,9 +15,9 @@
 
 // peerRouters is the way to the other routers of the fleet, and how many there are.
 type peerRouters struct {
-	transport *peertransport.Transport             // nil: nothing is sent to other routers; its methods do nothing then
-	fleetSize *fleetsize.Estimator[netip.AddrPort] // of the fleet, by the routers that are heard; nil: none can be
-	announced int                                  // fleet size as the balancers know it; 0: that of the settings
+	transport          *peertransport.Transport             // nil: nothing is sent to other routers; its methods do nothing then
+	fleetSize          *fleetsize.Estimator[netip.AddrPort] // of the fleet, by the routers that are heard; nil: none can be
+	announcedFleetSize int                                  // fleet size as the balancers know it; 0: that of the settings
 }
 
 // openPeers opens the socket for other routers, where there may be something to send.
@@ -55,10 +55,10 @@
 		return
 	}
 	routers := s.peers.fleetSize.Size(s.loop.Now())
-	if routers == s.peers.announced {
+	if routers == s.peers.announcedFleetSize {
 		return
 	}
-	s.peers.announced = routers
+	s.peers.announcedFleetSize = routers
 	for _, p := range s.pools.active() {
 		p.core.SetFleetSize(routers)
 	}
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -24,12 +24,12 @@
 	servers *upstream.ConnectionPools
 	log     zerolog.Logger
 
-	polled      bool                          // its balancer polls the endpoint list, and hears of polls that fail
-	endpoints   map[uint64]discovery.Instance // the present endpoint list, by the server's id
-	ready       map[uint64]bool               // servers that the list has as ready
-	known       map[uint64]bool               // servers that a list has named since the start; true: the present one does
-	generation  uint64                        // of the list that the list service last brought
-	lastRunList discovery.EndpointList        // the list as the router's last run had it, until the first watch begins
+	polled       bool                          // its balancer polls the endpoint list, and hears of polls that fail
+	endpoints    map[uint64]discovery.Instance // the present endpoint list, by the server's id
+	ready        map[uint64]bool               // servers that the list has as ready
+	knownServers map[uint64]bool               // servers that a list has named since the start; true: the present one does
+	generation   uint64                        // of the list that the list service last brought
+	initialList  discovery.EndpointList        // the list as the router's last run had it, until the first watch begins
 
 	schedule  pollschedule.Schedule // of polls of the list service
 	watch     *endpointWatch        // whose lists count
@@ -45,21 +45,21 @@
 	stallTimeout          float64
 	idleTimeout           float64
 	requestsPerConnection int
-	wire                  func(upstream.ReplyHandler) upstream.Codec
+	newCodec              func(upstream.ReplyHandler) upstream.Codec
 }
 
 // newPool makes a pool without servers.
 func (s *Service) newPool(options poolOptions) *pool {
 	settings := options.settings
 	p := &pool{
-		service:   s,
-		name:      options.name,
-		log:       s.log,
-		polled:    settings.PollEndpoints,
-		endpoints: map[uint64]discovery.Instance{},
-		ready:     map[uint64]bool{},
-		known:     map[uint64]bool{},
-		schedule:  pollschedule.ForLocalAgent(s.conf.DrainGrace, settings.Seed),
+		service:      s,
+		name:         options.name,
+		log:          s.log,
+		polled:       settings.PollEndpoints,
+		endpoints:    map[uint64]discovery.Instance{},
+		ready:        map[uint64]bool{},
+		knownServers: map[uint64]bool{},
+		schedule:     pollschedule.ForLocalAgent(s.conf.DrainGrace, settings.Seed),
 	}
 	if p.polled {
 		p.schedule = pollschedule.ForSharedService(settings.PollInterval, settings.Seed)
@@ -73,7 +73,7 @@
 		ConnectTimeout:           options.connectTimeout,
 		StallTimeout:             options.stallTimeout,
 		IdleTimeout:              options.idleTimeout,
-	}, options.wire, p.log)
+	}, options.newCodec, p.log)
 	p.core = s.newCore(p, settings)
 	return p
 }
@@ -94,8 +94,8 @@
 		dependencies.ZoneObserver = s.zones
 	}
 	core := requestcore.New(settings, dependencies, s.pools.newBalancer)
-	if s.peers.announced > 0 {
-		core.SetFleetSize(s.peers.announced)
+	if s.peers.announcedFleetSize > 0 {
+		core.SetFleetSize(s.peers.announcedFleetSize)
 	}
 	return core
 }
@@ -109,17 +109,17 @@
 	return allowed
 }
 
-// remember notes that the present list names a server, or no longer does.
-func (p *pool) remember(id uint64, listed bool) {
-	p.known[id] = listed
-	if len(p.known) > maxKnownServers {
-		maps.DeleteFunc(p.known, func(_ uint64, listed bool) bool { return !listed })
+// setListed notes that the present list names a server, or no longer does.
+func (p *pool) setListed(id uint64, listed bool) {
+	p.knownServers[id] = listed
+	if len(p.knownServers) > maxKnownServers {
+		maps.DeleteFunc(p.knownServers, func(_ uint64, listed bool) bool { return !listed })
 	}
 }
 
 // health returns how many servers the list holds, and how many of these are avoided now.
 func (p *pool) health() (listed, avoided int) {
-	for id, isListed := range p.known {
+	for id, isListed := range p.knownServers {
 		if !isListed {
 			continue
 		}
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -18,8 +18,8 @@
 	named       map[string]*pool // those of the operators' file, by name
 	retiring    []*pool          // no longer named, with requests open
 
-	retiredSends uint64                             // attempts sent to servers of pools that are gone
-	retiredCuts  [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
+	retiredAttempts    uint64                             // attempts sent to servers of pools that are gone
+	retiredCloseCounts [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
 }
 
 func newPoolSet(newBalancer requestcore.NewBalancer) poolSet {
@@ -62,9 +62,9 @@
 		}
 		p.stopWatching()
 		p.servers.Close()
-		pools.retiredSends += p.servers.SentAttempts()
+		pools.retiredAttempts += p.servers.SentAttempts()
 		for reason, n := range p.servers.CloseCounts() {
-			pools.retiredCuts[reason] += n
+			pools.retiredCloseCounts[reason] += n
 		}
 		return true
 	})
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -6,8 +6,8 @@
 	"syscall"
 )
 
-// signalsKept is how many signals wait for the router's attention: some come before it runs.
-const signalsKept = 8
+// signalBufferSize is how many signals wait for the router's attention: some come before it runs.
+const signalBufferSize = 8
 
 // reloadCounts counts configurations that were read.
 type reloadCounts struct {
@@ -19,7 +19,7 @@
 // is read must not end the process as it does by default. Nor may a log that nobody reads any more: SIGPIPE is
 // ignored.
 func Signals() <-chan os.Signal {
-	signals := make(chan os.Signal, signalsKept)
+	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
 	signal.Ignore(syscall.SIGPIPE)
 	return signals
@@ -75,7 +75,7 @@
 	s.conf.Discovery = conf.Discovery
 	s.reloads.accepted++
 	s.log.Info().Str("discovery", conf.Discovery).Msg("configured anew")
-	s.pools.platform.follow(conf.Discovery)
+	s.pools.platform.watchListService(conf.Discovery)
 	if keys := s.operators.RestartKeys(setup.Operators); len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).
 			Msg("these changes of the operators' file need a restart; the old values stay")
@@ -94,5 +94,5 @@
 	discovery := setup.Platform.Discovery
 	s.log.Info().Str("discovery", discovery).Msg("configured anew while leaving: the list service alone counts")
 	s.conf.Discovery = discovery
-	s.pools.platform.follow(discovery)
+	s.pools.platform.watchListService(discovery)
 }
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -9,28 +9,28 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-// savedMember is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and sent to the
+// savedEndpoint is a server of the endpoint list as it is written to the snapshot on disk (CBOR) and sent to the
 // successor at a hot restart (JSON). Processes of other builds read both, so the names of its fields are fixed.
-type savedMember struct {
-	ID       uint64  `cbor:"ID" json:"ID"`
-	Mode     int     `cbor:"Mode" json:"Mode"` // as numbered by balancer.EndpointState
-	Capacity float64 `cbor:"Capacity" json:"Capacity"`
-	Zone     string  `cbor:"Zone" json:"Zone"`
-	Cell     uint64  `cbor:"Cell" json:"Cell"`
-	Kind     string  `cbor:"Kind" json:"Kind"`
-	Started  float64 `cbor:"Started" json:"Started"`
+type savedEndpoint struct {
+	ID          uint64  `cbor:"ID" json:"ID"`
+	State       int     `cbor:"Mode" json:"Mode"` // as numbered by balancer.EndpointState
+	Capacity    float64 `cbor:"Capacity" json:"Capacity"`
+	Zone        string  `cbor:"Zone" json:"Zone"`
+	Cell        uint64  `cbor:"Cell" json:"Cell"`
+	MachineType string  `cbor:"Kind" json:"Kind"`
+	StartedAt   float64 `cbor:"Started" json:"Started"`
 }
 
 // savedEntry is a server with its address, as the successor receives it.
 type savedEntry struct {
-	savedMember
+	savedEndpoint
 	Addr netip.AddrPort `json:"Addr"`
 }
 
 // savedList is an endpoint list, as the successor receives it.
 type savedList struct {
 	Generation uint64       `json:"Generation"`
-	Whole      bool         `json:"Whole"`
+	Complete   bool         `json:"Whole"`
 	Entries    []savedEntry `json:"Entries"`
 }
 
@@ -49,8 +49,8 @@
 
 // snapshotServer is a server of a snapshotList, with its address and port.
 type snapshotServer struct {
-	Member savedMember `cbor:"1,keyasint"`
-	Addr   string      `cbor:"2,keyasint"`
+	Endpoint savedEndpoint `cbor:"1,keyasint"`
+	Addr     string        `cbor:"2,keyasint"`
 }
 
 // parseSnapshotList reads a list of the snapshot; an empty one if another build wrote it in another form, for the
@@ -67,44 +67,44 @@
 		if err != nil {
 			continue
 		}
-		server.Member.Started = now
-		list.Instances = append(list.Instances, discovery.Instance{Endpoint: server.Member.member(), Addr: address})
+		server.Endpoint.StartedAt = now
+		list.Instances = append(list.Instances, discovery.Instance{Endpoint: server.Endpoint.endpoint(), Addr: address})
 	}
 	return list
 }
 
-func saveMember(m balancer.Endpoint) savedMember {
-	return savedMember{
-		ID:       m.ID,
-		Mode:     int(m.State),
-		Capacity: m.Capacity,
-		Zone:     m.Zone,
-		Cell:     m.Cell,
-		Kind:     m.MachineType,
-		Started:  m.StartedAt,
+func saveEndpoint(m balancer.Endpoint) savedEndpoint {
+	return savedEndpoint{
+		ID:          m.ID,
+		State:       int(m.State),
+		Capacity:    m.Capacity,
+		Zone:        m.Zone,
+		Cell:        m.Cell,
+		MachineType: m.MachineType,
+		StartedAt:   m.StartedAt,
 	}
 }
 
-func (m savedMember) member() balancer.Endpoint {
+func (m savedEndpoint) endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
 		ID:          m.ID,
-		State:       balancer.EndpointState(m.Mode),
+		State:       balancer.EndpointState(m.State),
 		Capacity:    m.Capacity,
 		Zone:        m.Zone,
 		Cell:        m.Cell,
-		MachineType: m.Kind,
-		StartedAt:   m.Started,
+		MachineType: m.MachineType,
+		StartedAt:   m.StartedAt,
 	}
 }
 
 func saveEntry(entry discovery.Instance) savedEntry {
-	return savedEntry{saveMember(entry.Endpoint), entry.Addr}
+	return savedEntry{saveEndpoint(entry.Endpoint), entry.Addr}
 }
 
 func (saved savedList) list() discovery.EndpointList {
-	list := discovery.EndpointList{Generation: saved.Generation, Complete: saved.Whole}
+	list := discovery.EndpointList{Generation: saved.Generation, Complete: saved.Complete}
 	for _, entry := range saved.Entries {
-		list.Instances = append(list.Instances, discovery.Instance{Endpoint: entry.member(), Addr: entry.Addr})
+		list.Instances = append(list.Instances, discovery.Instance{Endpoint: entry.endpoint(), Addr: entry.Addr})
 	}
 	return list
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -91,7 +91,7 @@
 	conf, enough := setup.Platform.WithReserved(reservedDescriptors(setup.Operators))
 	loop.Limit(conf.MaxConnections)
 	s := newService(conf, setup.Operators, newBalancer, loop, log)
-	s.warnIfScarce(enough)
+	s.warnIfDescriptorsShort(enough)
 	s.logStart(conf)
 	s.openPeers(conf, setup.Operators)
 	s.openStartup(setup.Operators)
@@ -103,9 +103,9 @@
 		return nil, err
 	}
 	s.openDisabledServers()
-	s.pools.platform.lastRunList = s.conf.Known
+	s.pools.platform.initialList = s.conf.Known
 	s.pools.platform.applyList(balancer.UpdateSaved, s.conf.Known)
-	s.pools.platform.follow(conf.Discovery)
+	s.pools.platform.watchListService(conf.Discovery)
 	s.applyContracts(setup)
 	s.zones.begin()
 	s.gossip.begin()
@@ -128,7 +128,7 @@
 		clients:   newClientSide(),
 		pools:     newPoolSet(newBalancer),
 		disabled:  disabledServers{ids: map[string]bool{}},
-		counts:    countsLog{takenByTeam: map[string]uint64{}},
+		counts:    countsLog{receivedByTeam: map[string]uint64{}},
 	}
 }
 
@@ -162,7 +162,7 @@
 		stallTimeout:          stallTimeout(conf.ConnectTimeout),
 		idleTimeout:           conf.IdleTimeout,
 		requestsPerConnection: conf.AttemptsPerConnection,
-		wire:                  upstream.NewMemcacheCodec,
+		newCodec:              upstream.NewMemcacheCodec,
 	})
 	s.broker = broker.New(s.loop.Now, settings, s.pools.platform.core, brokerLimits(conf))
 	s.clients.frontend = frontend.New(s.loop, s.broker, frontendLimits(conf))
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -28,13 +28,13 @@
 // nil one takes no endpoint list yet.
 type startupAdapter struct {
 	service  *Service
-	start    *startup.Tracker
+	tracker  *startup.Tracker
 	snapshot *snapshot.Store // nil: nothing is saved
 
-	rate         float64 // requests completed a second, averaged
-	rateFinished uint64  // requests completed when the rate was last updated
-	rateAt       float64 // when that was, in seconds of the loop's clock
-	rateSavedAt  float64 // when the rate was last saved
+	rate          float64 // requests completed a second, averaged
+	rateCompleted uint64  // requests completed when the rate was last updated
+	rateAt        float64 // when that was, in seconds of the loop's clock
+	rateSavedAt   float64 // when the rate was last saved
 
 	// generation is that of the entry saved last, also by the processes before: what this one saves is newer than all
 	// it found.
@@ -45,7 +45,7 @@
 // believed.
 func (s *Service) openStartup(operators operatorconfig.File) {
 	now := s.loop.Now()
-	a := &startupAdapter{service: s, start: startup.NewTracker(now), rateAt: now}
+	a := &startupAdapter{service: s, tracker: startup.NewTracker(now), rateAt: now}
 	s.startup = a
 	if !operators.Recovery.On {
 		return
@@ -111,7 +111,7 @@
 	}
 	now := s.loop.Now()
 	counts := s.pools.platform.core.Counts
-	for _, change := range a.start.Tick(now, counts.Taken, counts.Succeeded) {
+	for _, change := range a.tracker.Tick(now, counts.Taken, counts.Succeeded) {
 		s.log.Info().
 			Stringer("from", change.From).
 			Stringer("to", change.To).
@@ -120,10 +120,10 @@
 			Msg("start")
 	}
 	a.updateRate(now, counts.Succeeded)
-	phase, _, _ := a.start.Phase()
+	phase, _, _ := a.tracker.Phase()
 	if a.snapshot != nil && phase == startup.FullService && now-a.rateSavedAt > rateSaveIntervalSeconds {
 		a.rateSavedAt = now
-		a.save(startup.CompletionRate, "this router", fmt.Appendf(nil, "%.6g", a.steadyRate(now)))
+		a.save(startup.CompletionRate, "this router", fmt.Appendf(nil, "%.6g", a.correctedRate(now)))
 	}
 	if a.snapshot != nil || phase < startup.FullService { // else there is nothing left to do
 		s.loop.After(startupStepSeconds, a.step)
@@ -136,14 +136,14 @@
 	if elapsed <= 0 {
 		return
 	}
-	a.rate += (float64(finished-a.rateFinished)/elapsed - a.rate) * (1 - math.Exp(-elapsed/rateWindowSeconds))
-	a.rateFinished = finished
+	a.rate += (float64(finished-a.rateCompleted)/elapsed - a.rate) * (1 - math.Exp(-elapsed/rateWindowSeconds))
+	a.rateCompleted = finished
 	a.rateAt = now
 }
 
-// steadyRate is the rate as a process that has run for long would have it: at first less time has passed than it is
+// correctedRate is the rate as a process that has run for long would have it: at first less time has passed than it is
 // averaged over.
-func (a *startupAdapter) steadyRate(now float64) float64 {
+func (a *startupAdapter) correctedRate(now float64) float64 {
 	if a.service.conf.Settings.InitialCompletionRate > 0 {
 		return a.rate
 	}
@@ -172,9 +172,9 @@
 		if entry.State == balancer.Ready {
 			ready++
 		}
-		list.Servers = append(list.Servers, snapshotServer{saveMember(entry.Endpoint), entry.Addr.String()})
+		list.Servers = append(list.Servers, snapshotServer{saveEndpoint(entry.Endpoint), entry.Addr.String()})
 	}
-	a.start.OnEndpoints(ready, confirmed)
+	a.tracker.OnEndpoints(ready, confirmed)
 	if !confirmed || a.snapshot == nil {
 		return
 	}
@@ -192,7 +192,7 @@
 
 // writeMetrics shows how far the start is, and how the snapshot fares.
 func (a *startupAdapter) writeMetrics(write func(name string, value uint64)) {
-	phase, _, fullServiceSeconds := a.start.Phase()
+	phase, _, fullServiceSeconds := a.tracker.Phase()
 	write("start_phase", uint64(phase))
 	write("full_service_ms", uint64(fullServiceSeconds*1e3))
 	if a.snapshot != nil {
@@ -207,7 +207,7 @@
 func (h *adminHandler) Status() (admin.Status, error) {
 	var status admin.Status
 	err := h.onLoop(func() error {
-		phase, since, fullServiceSeconds := h.service.startup.start.Phase()
+		phase, since, fullServiceSeconds := h.service.startup.tracker.Phase()
 		status = admin.Status{
 			Phase:              phase.String(),
 			PhaseSeconds:       h.service.loop.Now() - since,
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -77,7 +77,7 @@
 func writeSnapshot(dir, addr, listService string, at float64) {
 	store := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
 	server := balancer.Endpoint{ID: 1, State: balancer.Ready, StartedAt: 5}
-	list := snapshotList{Generation: 4, Servers: []snapshotServer{{saveMember(server), "127.0.0.1:2"}}}
+	list := snapshotList{Generation: 4, Servers: []snapshotServer{{saveEndpoint(server), "127.0.0.1:2"}}}
 	body, _ := cbor.Marshal(list)
 	store.Put(startup.CompletionRate, snapshot.Entry{Generation: 1, StoredAt: at, Body: []byte("12")})
 	store.Put(startup.EndpointList, snapshot.Entry{Generation: 2, StoredAt: at, Source: listService, Body: body})
@@ -207,8 +207,8 @@
 	runOnLoop(s, func() {
 		platform := s.pools.platform
 		phase := func() startup.Phase {
-			s.startup.start.Tick(s.loop.Now(), 0, 0)
-			phase, _, _ := s.startup.start.Phase()
+			s.startup.tracker.Tick(s.loop.Now(), 0, 0)
+			phase, _, _ := s.startup.tracker.Phase()
 			return phase
 		}
 		platform.onPollFailed(platform.nextWatch)
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -7,14 +7,14 @@
 	"bendtrestle/internal/hotrestart"
 )
 
-// successors serves the processes that follow this one: what they ask and become, on goroutines of package
+// successorHandler serves the processes that follow this one: what they ask and become, on goroutines of package
 // hotrestart.
-type successors struct{ service *Service }
+type successorHandler struct{ service *Service }
 
-var _ hotrestart.SuccessorHandler = successors{}
+var _ hotrestart.SuccessorHandler = successorHandler{}
 
 // Sockets returns the descriptors of the sockets that clients connect to, by address; the caller closes them.
-func (h successors) Sockets() map[string]int {
+func (h successorHandler) Sockets() map[string]int {
 	result := make(chan map[string]int, 1)
 	h.service.loop.Post(func() { result <- h.service.listeningSockets() })
 	return <-result
@@ -38,7 +38,7 @@
 }
 
 // State returns the endpoint list as it was last received here, encoded.
-func (h successors) State() []byte {
+func (h successorHandler) State() []byte {
 	result := make(chan restartState, 1)
 	h.service.loop.Post(func() { result <- h.service.restartState() })
 	text, err := json.Marshal(<-result)
@@ -52,7 +52,7 @@
 	platform := s.pools.platform
 	state := restartState{Discovery: s.conf.Discovery}
 	state.List.Generation = max(platform.generation, s.conf.Known.Generation)
-	state.List.Whole = true
+	state.List.Complete = true
 	for _, entry := range platform.endpoints {
 		state.List.Entries = append(state.List.Entries, saveEntry(entry))
 	}
@@ -60,10 +60,10 @@
 }
 
 // Started handles that another process starts beside this one.
-func (h successors) Started() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
+func (h successorHandler) Started() { h.service.loop.Post(func() { h.service.addOtherProcesses(1) }) }
 
 // Serving handles that a successor accepts clients: from here on it does so alone.
-func (h successors) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
+func (h successorHandler) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
 	s.restart.servingSuccessors++
@@ -73,21 +73,21 @@
 }
 
 // Ended handles the end of a successor; served reports whether it had accepted clients.
-func (h successors) Ended(served bool) {
-	h.service.loop.Post(func() { h.service.onSuccessorLost(served) })
+func (h successorHandler) Ended(served bool) {
+	h.service.loop.Post(func() { h.service.onSuccessorEnded(served) })
 }
 
-// onSuccessorLost accepts clients again where the last successor that served has ended, unless this process is to
+// onSuccessorEnded accepts clients again where the last successor that served has ended, unless this process is to
 // end, too.
-func (s *Service) onSuccessorLost(served bool) {
+func (s *Service) onSuccessorEnded(served bool) {
 	if s.lifecycle.phase == Ended {
 		return
 	}
 	if !served {
-		s.addProcessesBeside(-1)
+		s.addOtherProcesses(-1)
 		return
 	}
-	s.releaseProcessBesideLater()
+	s.removeOtherProcessLater()
 	s.restart.servingSuccessors--
 	if s.restart.servingSuccessors > 0 || s.lifecycle.phase >= Leaving {
 		return
