--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -13,18 +13,18 @@
 )
 
 const (
-	quotaGossipIntervalSeconds = 0.1  // between two looks whether quota gossip is to be sent
-	defaultLargestTileKB       = 1024 // ten times a large one
-	defaultHealthCheckPath     = "/"  // of a pool of tile servers
+	quotaGossipIntervalSeconds = 0.1  // between two checks whether quota gossip is due
+	defaultLargestTileKB       = 1024 // ten times the size of a large tile
+	defaultHealthCheckPath     = "/"  // of tile servers
 )
 
-// applyContracts applies the operators' pools and contracts. Requests in flight end under the old ones.
+// applyContracts applies the operators' pools and contracts. Requests in flight are completed under the old ones.
 func (s *Service) applyContracts(setup Setup) {
 	operators := setup.Operators
 	s.operators = operators
 	if s.broker.Revision() == 0 {
 		if len(operators.Teams) == 0 && len(operators.Pools) == 0 {
-			return // nothing but the platform's, as the broker begins
+			return // the platform's pool alone, which the broker starts with
 		}
 		s.loop.After(quotaGossipIntervalSeconds, s.sendQuotaGossip)
 	}
@@ -38,16 +38,16 @@
 	for _, change := range changes {
 		s.log.Info().Int("revision", s.broker.Revision()).Str("change", change).Msg("contracts")
 	}
-	stay := map[string]bool{}
+	keep := map[string]bool{}
 	for _, named := range operators.Pools {
-		stay[named.Name] = true
+		keep[named.Name] = true
 	}
-	s.retireUnnamed(stay)
+	s.retireUnnamed(keep)
 	maps.DeleteFunc(s.counts.receivedByTeam, func(team string, _ uint64) bool { return !s.broker.HasTeam(team) })
 	s.openTeamListeners(operators)
 }
 
-// contractTerms returns the terms of all teams.
+// contractTerms returns the contract terms of all teams.
 func contractTerms(setup Setup) []broker.TeamTerms {
 	terms := setup.Operators.Terms()
 	for i := range terms {
@@ -56,15 +56,15 @@
 	return terms
 }
 
-// applyPools makes the pools that are new, changes the others, and returns all of them as the broker knows them: the
-// platform's first.
+// applyPools creates the new pools, changes the others, and returns all of them in the broker's form, the platform's
+// pool first.
 func (s *Service) applyPools(operators operatorconfig.File) []broker.Pool {
 	limits := s.processLimits()
-	namedParts := 0.0
+	namedFraction := 0.0
 	for _, named := range operators.Pools {
-		namedParts += named.Connections
+		namedFraction += named.Connections
 	}
-	platformConnections := connectionLimit(limits.UpstreamConnections, 1-namedParts)
+	platformConnections := connectionLimit(limits.UpstreamConnections, 1-namedFraction)
 	s.pools.platform.servers.SetMaxConnections(platformConnections)
 	pools := []broker.Pool{{Core: s.pools.platform.core, Connections: platformConnections}}
 	for _, named := range operators.Pools {
@@ -85,7 +85,7 @@
 	return pools
 }
 
-// addPool makes a pool of the operators' file, with servers disabled and zones evacuated as they are.
+// addPool creates a pool of the operators' file and applies the disabled servers and evacuated zones to it.
 func (s *Service) addPool(named operatorconfig.Pool, connections int) *pool {
 	limits := s.processLimits()
 	connectTimeout := named.ConnectTimeout(limits.ConnectTimeout)
@@ -122,7 +122,8 @@
 	return servers.NewCodec
 }
 
-// sendQuotaGossip sends the other routers what load is asked of this one, again and again.
+// sendQuotaGossip broadcasts the load that is requested of this router, and repeats that every
+// quotaGossipIntervalSeconds.
 func (s *Service) sendQuotaGossip() {
 	if s.lifecycle.phase == Ended {
 		return
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -10,10 +10,10 @@
 
 const (
 	countsIntervalSeconds = 10 // between two logs of the counts
-	maxTeamsLogged        = 20 // in one log of the counts: as many as a person reads
+	maxTeamsLogged        = 20 // in one log of the counts: about as many as a person reads
 )
 
-// countsLog is what the log of counts remembers.
+// countsLog is the state between two logs of the counts.
 type countsLog struct {
 	receivedByTeam map[string]uint64 // requests of each team that has a contract, as last logged
 }
@@ -24,8 +24,8 @@
 	s.loop.After(countsIntervalSeconds, s.logCountsRepeatedly)
 }
 
-// logCounts logs what has happened since the start: a line a pool, and one for each team with requests since the
-// last log.
+// logCounts logs the counts since the start: a line for each pool, and one for each team that received requests since
+// the last log.
 func (s *Service) logCounts() {
 	clients := s.clients.frontend.Connections()
 	s.pools.platform.logCounts(s.log, clients)
@@ -56,8 +56,8 @@
 	}
 }
 
-// logCounts logs the counts of one pool. Dashboards read the names of the fields, which stay as they have always been;
-// those of a team's line (Service.logCounts) are alike:
+// logCounts logs the counts of one pool. Dashboards read the names of the fields, so they never change. Those of a
+// team's line (Service.logCounts) have the same meaning:
 //
 //	field               counter
 //	taken               requests received from clients
@@ -72,8 +72,8 @@
 //	idle                servers' connections without a request
 //	declined for REASON rejected requests by requestcore.ReasonNames
 //
-// Of a team alone: load is the load that it has used, budget its guaranteed rate (its quota), part this router's share
-// of that, and balance what is left in its bucket.
+// Only a team's line has load, the load that the team has used; budget, its guaranteed rate (its quota); part, this
+// router's share of that rate; and balance, what is left in its token bucket.
 func (p *pool) logCounts(log zerolog.Logger, clients int) {
 	counts := p.core.Counts
 	event := log.Info().
@@ -100,7 +100,7 @@
 	withRejectReasons(event, counts.Reasons[:]).Msg("counts")
 }
 
-// withRejectReasons adds a field for each reason of rejections that there were.
+// withRejectReasons adds a field for each reason for which requests were rejected.
 func withRejectReasons(event *zerolog.Event, counts []uint64) *zerolog.Event {
 	for reason, n := range counts {
 		if n > 0 {
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -10,14 +10,14 @@
 	"bendtrestle/internal/hotrestart"
 )
 
-// disabledServers is the servers that operators have disabled, by their ids in the endpoint list.
+// disabledServers holds the servers that operators have disabled, by their ids in the endpoint list.
 type disabledServers struct {
 	ids  map[string]bool
-	file *disabledservers.Registry // for all processes of this router
+	file *disabledservers.Registry // shared by all processes of this router
 }
 
-// openDisabledServers takes what operators have called before this process began, and what they call at another
-// process of this router.
+// openDisabledServers applies the servers that operators disabled before this process started, and follows the changes
+// that they make at other processes of this router.
 func (s *Service) openDisabledServers() {
 	path := hotrestart.Path(s.conf.SharedFolder, s.conf.Listen, "out")
 	changed := func(ids []string) { s.loop.Post(func() { s.applyDisabled(ids) }) }
@@ -26,7 +26,7 @@
 	s.applyDisabled(ids)
 }
 
-// applyDisabled applies the whole set of servers that are disabled.
+// applyDisabled applies the complete set of disabled servers.
 func (s *Service) applyDisabled(ids []string) {
 	wanted := map[string]bool{}
 	for _, id := range ids {
@@ -55,7 +55,7 @@
 	}
 }
 
-// isKnownServer reports whether an endpoint list has named a server, or it is disabled.
+// isKnownServer reports whether any endpoint list since the start has named the server, or the server is disabled.
 func (s *Service) isKnownServer(id string) bool {
 	if s.disabled.ids[id] {
 		return true
@@ -68,15 +68,15 @@
 	return false
 }
 
-// DisableServer leaves a server out until EnableServer.
+// DisableServer sends a server no more requests until EnableServer.
 func (h *adminHandler) DisableServer(id string) error { return h.setServerDisabled(id, true) }
 
-// EnableServer lets a server serve again.
+// EnableServer undoes DisableServer.
 func (h *adminHandler) EnableServer(id string) error { return h.setServerDisabled(id, false) }
 
-// setServerDisabled saves the call and returns once the loop has applied it. The loop takes whole sets in the order
-// in which they were saved, so that two calls at once do not undo one another for a moment: a server would count as
-// back, and as warming up.
+// setServerDisabled saves the change and returns once the loop has applied it. The loop applies complete sets in the
+// order in which they were saved. Otherwise two concurrent calls could undo each other's change for a moment, and a
+// server that was enabled for that moment would count as warming up.
 func (h *adminHandler) setServerDisabled(id string, disabled bool) error {
 	until := time.Now().Add(lockWaitTimeout)
 	err := h.onLoop(func() error {
@@ -94,9 +94,9 @@
 	}
 	if err != nil {
 		h.service.log.Error().Err(err).Str("server", id).
-			Msg("an operator's call holds here, but cannot be kept for the next process")
+			Msg("the server is disabled in this process, but the change cannot be saved for other processes")
 	}
-	late := h.onLoop(func() error { return nil }) // behind the set, which the file has posted
+	late := h.onLoop(func() error { return nil }) // runs after the set is applied, which the registry has posted
 	if late != nil && err == nil {
 		return errSavedNotApplied
 	}
--- a/internal/service/drain.go
+++ b/internal/service/drain.go
@@ -1,10 +1,10 @@
 package service
 
-// drainCloseSeconds is how long after a drain began no connection is read any more: 4 s after it no request may be
-// younger than 2 s.
+// drainCloseSeconds is the time after the start of a drain from which no connection is read any more. The requirement
+// is that 4 s after the start of a drain no open request is younger than 2 s.
 const drainCloseSeconds = 1.5
 
-// Drain sends clients away until Undrain. The process goes on.
+// Drain sends clients away until Undrain. The process keeps running.
 func (h *adminHandler) Drain() error {
 	return h.onLoop(func() error { return h.service.setDraining(true) })
 }
@@ -14,8 +14,9 @@
 	return h.onLoop(func() error { return h.service.setDraining(false) })
 }
 
-// setDraining begins or ends sending clients away: the health check says so at once, connections are closed as they
-// become idle from acceptAfterSignalSeconds on, and all others drainCloseSeconds after the beginning.
+// setDraining begins or ends a drain. In a drain the health check fails immediately. After acceptAfterSignalSeconds
+// connections are closed as they become idle; after drainCloseSeconds all others are closed, once their requests are
+// answered.
 func (s *Service) setDraining(on bool) error {
 	if s.lifecycle.phase >= Leaving {
 		return errShuttingDown
@@ -34,8 +35,8 @@
 	return nil
 }
 
-// scheduleDrainStep takes a step of the present drain after a delay in seconds, unless it has been called off by then or
-// the process ends.
+// scheduleDrainStep runs a step of the current drain after a delay in seconds, unless the drain has ended or the
+// process is shutting down by then.
 func (s *Service) scheduleDrainStep(delay float64, step func()) {
 	drain := s.lifecycle.drainChanges
 	s.loop.After(delay, func() {
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -7,7 +7,7 @@
 	"bendtrestle/internal/discovery"
 )
 
-// applyList takes an endpoint list, or a change of it, to the connections, the balancer and the adapters.
+// applyList passes an endpoint list, or a delta, to the connections, the balancer and the adapters.
 func (p *pool) applyList(update balancer.EndpointUpdate, list discovery.EndpointList) {
 	if update == balancer.UpdateFull || update == balancer.UpdateSaved {
 		p.clearList()
@@ -17,7 +17,7 @@
 		p.applyEntry(entry)
 		endpoints = append(endpoints, entry.Endpoint)
 	}
-	p.core.OnEndpoints(update, endpoints) // the addresses are known before the balancer acts on them
+	p.core.OnEndpoints(update, endpoints) // after the addresses are set, which the balancer's attempts need
 	p.service.onEndpointsChanged(p, update)
 	maps.DeleteFunc(p.ready, func(id uint64, ready bool) bool {
 		if !ready {
@@ -34,7 +34,7 @@
 	}
 }
 
-// clearList takes all servers off the list before a whole one is applied.
+// clearList removes all servers from the list before a full list is applied.
 func (p *pool) clearList() {
 	for id := range p.ready {
 		p.ready[id] = false
@@ -57,9 +57,9 @@
 	p.servers.SetEndpoint(entry.ID, entry.Addr)
 }
 
-// onEndpointsChanged lets the adapters know of a pool's list.
+// onEndpointsChanged notifies the adapters of a pool's list.
 func (s *Service) onEndpointsChanged(p *pool, update balancer.EndpointUpdate) {
-	confirmed := update == balancer.UpdateFull || update == balancer.UpdateDelta // a poll that failed confirms nothing
+	confirmed := update == balancer.UpdateFull || update == balancer.UpdateDelta // a failed poll confirms nothing
 	s.zones.onEndpoints()
 	s.gossip.onEndpoints()
 	s.startup.onEndpoints(p, confirmed)
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -9,21 +9,20 @@
 	"bendtrestle/internal/discovery"
 )
 
-// catchUpSeconds is how long a list service may lag behind what is known: one that was moved to has the last list
-// by then, or counts generations of its own.
+// catchUpSeconds is how long a list service may lag behind the last known generation after its watch began. After that
+// time a lower generation means that the service numbers its generations independently.
 const catchUpSeconds = 2
 
-// endpointWatch is a watch of one list service. Its polls run on a goroutine of package discovery, which posts to
-// the loop.
+// endpointWatch is a watch of one list service. It polls on a goroutine of its own, which posts the lists to the loop.
 type endpointWatch struct {
 	address         string
 	startedAt       float64 // seconds of the loop's clock
-	knownGeneration uint64  // that was known as it began
+	knownGeneration uint64  // the last one known when the watch began
 	stop            context.CancelFunc
 }
 
-// watchListService moves the watch to a list service. The present watch goes on until the new one has brought a whole list, so
-// that no update is lost between them and an address where nothing answers costs nothing.
+// watchListService watches the list service at an address. The current watch continues until the new one has received
+// a full list, so that no update is lost in between and an address that does not answer does no harm.
 func (p *pool) watchListService(address string) {
 	if p.nextWatch != nil {
 		if p.nextWatch.address == address {
@@ -43,29 +42,30 @@
 		p.log.With().Str("discovery", address).Logger())
 }
 
-// watchStart is what a new watch begins with.
+// watchStart returns the state that a new watch starts from.
 func (p *pool) watchStart() discovery.WatchStart {
 	start := discovery.WatchStart{Generation: p.generation, Schedule: p.schedule}
 	if len(p.initialList.Instances) > 0 {
-		// The list of the last run is of the address that the start names. One named later may have generations of its
-		// own, nor may it take back the drains in that list.
+		// The initial list comes from the list service that the process was started with, which the first watch polls. A
+		// list service that is configured later may number its generations independently, and must not revert the drains
+		// of the initial list.
 		start.Generation = p.initialList.Generation
 		start.SameService = true
 		p.generation = p.initialList.Generation
 		p.initialList = discovery.EndpointList{}
 	}
-	p.schedule.Backoff.Seed++ // the next watch has random numbers of its own
+	p.schedule.Backoff.Seed++ // the next watch draws other random numbers
 	return start
 }
 
-// listPoster returns what the watch calls with each list, from its goroutine: it waits until the loop has taken the
-// list.
+// listPoster returns the function that the watch calls on its goroutine with each list. It returns once the loop has
+// applied the list.
 func (p *pool) listPoster(ctx context.Context, w *endpointWatch) func(discovery.EndpointList) error {
 	return func(list discovery.EndpointList) error {
-		taken := make(chan error, 1)
-		p.service.loop.Post(func() { taken <- p.onList(w, list) })
+		applied := make(chan error, 1)
+		p.service.loop.Post(func() { applied <- p.onList(w, list) })
 		select {
-		case err := <-taken:
+		case err := <-applied:
 			return err
 		case <-ctx.Done():
 			return ctx.Err()
@@ -73,10 +73,10 @@
 	}
 }
 
-// failurePoster returns what the watch calls with each poll that failed, from its goroutine.
+// failurePoster returns the function that the watch calls on its goroutine after a failed poll.
 func (p *pool) failurePoster(w *endpointWatch) func(error) {
 	return func(error) {
-		if p.polled { // elsewhere the balancer has asked for nothing
+		if p.polled { // a balancer that does not poll expects no notice
 			p.service.loop.Post(func() { p.onPollFailed(w) })
 		}
 	}
@@ -91,12 +91,12 @@
 	}
 }
 
-// onList takes a list from a watch. What the watch before it brought meanwhile must not be taken back by a service
-// that lags behind: this is decided here, where both come in. The error is discovery.ErrOutdated then, and the whole
-// list is polled again.
+// onList handles a list from a watch. A list service that lags behind must not revert what the previous watch has
+// received meanwhile; this is checked here, where the lists of both arrive. The error is then discovery.ErrOutdated,
+// and the watch polls the full list again.
 func (p *pool) onList(w *endpointWatch, list discovery.EndpointList) error {
 	if w != p.watch && w != p.nextWatch {
-		return nil // its list service has been left
+		return nil // a watch that has been replaced
 	}
 	known := max(p.generation, w.knownGeneration)
 	if list.Complete && list.Generation < known && p.service.loop.Now()-w.startedAt < catchUpSeconds {
@@ -119,8 +119,8 @@
 	return nil
 }
 
-// applyDrains applies the drains alone of a list that seems old. Its service may count anew: then the drains count at
-// once, and if the list is old, they cost little.
+// applyDrains applies only the drains of a list that seems outdated. If its service has restarted its generation
+// numbers, the drains are current and must not be delayed; if the list is outdated, they cost little.
 func (p *pool) applyDrains(list discovery.EndpointList) {
 	list.Instances = slices.DeleteFunc(list.Instances, func(entry discovery.Instance) bool {
 		return entry.State != balancer.Draining
@@ -128,10 +128,10 @@
 	p.applyList(balancer.UpdateDelta, list)
 }
 
-// onPollFailed lets the balancer know that the list service did not answer.
+// onPollFailed notifies the balancer that a poll of the list service failed.
 func (p *pool) onPollFailed(w *endpointWatch) {
-	counts := w == p.watch || p.watch == nil && w == p.nextWatch
-	if counts {
+	current := w == p.watch || p.watch == nil && w == p.nextWatch
+	if current {
 		p.applyList(balancer.UpdateFailed, discovery.EndpointList{})
 	}
 }
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -142,14 +142,14 @@
 	"these changes need a restart; the old values stay",
 	"the new configuration cannot be used; the old one stays",
 	"configured anew while leaving: the list service alone counts",
-	"another process of this router serves; this one takes over once it can",
-	"the next process takes clients; this one accepts no more",
-	"the next process has ended; this one takes clients again",
+	"another process of this router is serving; this one takes over once it is ready",
+	"the successor process accepts clients; this one accepts no more",
+	"the successor process has ended; this one accepts clients again",
 	"these changes of the operators' file need a restart; the old values stay",
 	"completion rate of the last run, from the snapshot",
-	"the endpoint list of the snapshot is used until another comes",
-	"a team's listener cannot be opened",
-	"recovery is on, but there is no folder (TMPDIR) for the snapshot",
+	"the endpoint list of the snapshot is used until the list service sends one",
+	"a team's listener cannot be opened; the team has none until the next reload",
+	"recovery is on, but there is no folder (TMPDIR) for the snapshot; nothing is saved",
 }
 
 // Log lines by level, message and the names of their fields, in order: dashboards find them by these. The life of a
@@ -197,7 +197,7 @@
 	second, secondEnded := start(addr, dir)
 	waitUntil(t, "the successor", first, func() bool { return first.restart.servingSuccessors == 1 })
 	shutDown(t, second, secondEnded)
-	waitLogged("has ended; this one takes clients again")
+	waitLogged("has ended; this one accepts clients again")
 	unchanged := parseConfig(t, baseConfig, addr, list, dir)
 	runOnLoop(first, func() {
 		first.beginShutdown()
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -11,22 +11,22 @@
 )
 
 const (
-	// gossipStepSeconds is the time between two steps: a fiftieth of the time in which all routers are to know, some
-	// six hops.
+	// gossipStepSeconds is the time between two steps: a fiftieth of the time within which an observation is to reach all
+	// routers, over some six hops.
 	gossipStepSeconds = 0.05
-	// gossipFeedSteps is how many steps lie between two times that the balancer gets what the fleet knows.
+	// gossipFeedSteps is the number of steps from one call of feedBalancer to the next.
 	gossipFeedSteps = 2
 )
 
-// gossipAdapter brings what the platform's balancer says to the fleet, and what the fleet knows to the balancer. A
-// nil one does nothing: each router sends to all others then.
+// gossipAdapter passes the observations of the platform's balancer to the fleet by gossip, and those of the fleet to
+// the balancer. A nil adapter does nothing; messages are then broadcast to all routers.
 type gossipAdapter struct {
 	service  *Service
 	gossiper *gossip.Gossiper
 	steps    int
 }
 
-// openGossip makes the adapter where the operators want it, and where it costs less than sending to all.
+// openGossip creates the adapter if the operators' file turns gossip on and it costs less than broadcasting.
 func (s *Service) openGossip(operators operatorconfig.File) {
 	if !operators.Gossip.On {
 		return
@@ -40,7 +40,7 @@
 	}
 	if !gossip.CheaperThanBroadcast(routers, operators.Gossip.BytesPerSecond) {
 		s.log.Info().Int("peers", routers).
-			Msg("gossip is on, but among so few routers sending to all costs less: each sends to all")
+			Msg("gossip is on, but broadcasting costs less in a fleet of this size; messages are sent to all routers")
 		return
 	}
 	incarnation := newIncarnation()
@@ -54,7 +54,7 @@
 	s.gossip = &gossipAdapter{service: s, gossiper: gossiper}
 }
 
-// peerHashes names the peers by a hash of the address itself, however it is written.
+// peerHashes returns a hash for each peer. It is computed from the parsed address, so that spelling does not matter.
 func peerHashes(conf config.Config) []uint32 {
 	var hashes []uint32
 	for _, text := range conf.Peers {
@@ -64,7 +64,7 @@
 	return hashes
 }
 
-// longestObjective is the longest latency objective of all traffic classes, in seconds.
+// longestObjective returns the longest latency objective of all traffic classes, in seconds.
 func longestObjective(settings balancer.Settings) float64 {
 	longest := 0.0
 	for _, class := range settings.TrafficClasses {
@@ -73,8 +73,8 @@
 	return longest
 }
 
-// gossipSender returns what a pool's balancer sends its gossip by. What goes through the fleet is the platform's
-// alone: no other pool hears any.
+// gossipSender returns the function with which a pool's balancer sends its gossip messages. If gossip is on, only the
+// platform's pool sends and receives them.
 func (s *Service) gossipSender(pool string) func(message []byte) {
 	if s.gossip == nil {
 		return s.peers.transport.Broadcast
@@ -106,7 +106,7 @@
 	a.service.loop.After(gossipStepSeconds, a.step)
 }
 
-// feedBalancer passes on to the balancer what the fleet knows.
+// feedBalancer passes the fleet's observations to the balancer.
 func (a *gossipAdapter) feedBalancer(now float64) {
 	message := a.gossiper.SynthesizeObservations(now)
 	if len(message) > 0 {
@@ -114,7 +114,7 @@
 	}
 }
 
-// onEndpoints handles the platform's endpoint list: gossip is about its servers.
+// onEndpoints handles the platform's endpoint list, to whose servers gossip is limited.
 func (a *gossipAdapter) onEndpoints() {
 	if a == nil {
 		return
@@ -128,12 +128,12 @@
 	a.gossiper.SetServers(ids)
 }
 
-// onMessage takes another router's message; false if it does not go through the fleet.
+// onMessage handles another router's message, and reports whether it was a gossip datagram.
 func (a *gossipAdapter) onMessage(from int, message []byte) bool {
 	return a != nil && a.gossiper.OnDatagram(a.service.loop.Now(), from, message)
 }
 
-// writeMetrics shows what gossip costs.
+// writeMetrics writes what gossip costs.
 func (a *gossipAdapter) writeMetrics(write func(name string, value uint64)) {
 	if a == nil {
 		return
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -8,16 +8,16 @@
 	"golang.org/x/sys/unix"
 )
 
-// hotRestart is what this process knows of the other processes of its router.
+// hotRestart is the state that concerns the other processes of this router.
 type hotRestart struct {
-	predecessor       *hotrestart.Predecessor // nil: there is none, or none any more
-	inheritedSockets  map[string]int          // descriptors of its listening sockets by address, until in use here
-	listener          *hotrestart.Listener    // where successors ask; nil: it is not open
-	otherProcesses    int                     // processes of this router beside this one
+	predecessor       *hotrestart.Predecessor // nil: there is none, or it has ended
+	inheritedSockets  map[string]int          // descriptors of its listening sockets, by address, until used here
+	listener          *hotrestart.Listener    // for successors; nil: not open
+	otherProcesses    int                     // processes of this router other than this one
 	servingSuccessors int                     // successors that accept clients
 }
 
-// closeUnusedSockets closes the predecessor's sockets where nobody here listens any more.
+// closeUnusedSockets closes the predecessor's sockets at addresses that this process does not listen at.
 func (r *hotRestart) closeUnusedSockets() {
 	for address, descriptor := range r.inheritedSockets {
 		unix.Close(descriptor)
@@ -25,23 +25,24 @@
 	}
 }
 
-// hotRestartSocket is the path at which a process waits for its successor; "" where there is no folder for it.
+// hotRestartSocket returns the path of the socket at which a process waits for its successor; "" if there is no folder
+// for it.
 func (s *Service) hotRestartSocket() string {
 	return hotrestart.Path(s.conf.SharedFolder, s.conf.Listen, "sock")
 }
 
-// findPredecessor looks for a process of this router that runs already, and takes its listening sockets, to accept
-// once this one serves.
+// findPredecessor connects to a process of this router that is already running and receives its listening sockets.
+// This process accepts clients at them once it serves.
 func (s *Service) findPredecessor() {
 	predecessor, sockets, err := hotrestart.Takeover(s.hotRestartSocket())
 	if err != nil {
-		return // there is none, or it does not speak this protocol: then the address is shared
+		return // there is none, or it uses another protocol: then both processes listen at the address
 	}
 	s.restart.predecessor = predecessor
 	s.restart.inheritedSockets = sockets
 	s.loadRestartState(predecessor.State)
 	s.log.Info().Int("sockets", len(sockets)).
-		Msg("another process of this router serves; this one takes over once it can")
+		Msg("another process of this router is serving; this one takes over once it is ready")
 	s.addOtherProcesses(1)
 	go func() {
 		predecessor.WaitForExit()
@@ -50,23 +51,23 @@
 	}()
 }
 
-// onPredecessorEnded takes over what is left.
+// onPredecessorEnded accepts clients even if this process is still starting, so that they get an answer.
 func (s *Service) onPredecessorEnded() {
 	s.restart.predecessor = nil
 	s.removeOtherProcessLater()
-	if s.lifecycle.phase == Starting { // nobody else accepts clients now
+	if s.lifecycle.phase == Starting { // no other process accepts clients now
 		s.startAccepting()
 	}
 }
 
-// removeOtherProcessLater counts one process less beside this one, once it has had time to end what it had
-// accepted: it has its part of the limits until then.
+// removeOtherProcessLater reduces the number of other processes by one, after a delay in which that process can complete
+// the requests that it has accepted. Until then it keeps its share of the limits.
 func (s *Service) removeOtherProcessLater() {
 	s.loop.After(s.longestClientWait()+killMarginSeconds, func() { s.addOtherProcesses(-1) })
 }
 
-// loadRestartState takes the predecessor's endpoint list, if it is of the same list service and no older than what
-// the start says.
+// loadRestartState adopts the predecessor's endpoint list if it is of the same list service and no older than the list
+// that this process already knows.
 func (s *Service) loadRestartState(text []byte) {
 	var state restartState
 	if json.Unmarshal(text, &state) != nil {
@@ -80,7 +81,7 @@
 	}
 }
 
-// offerSockets waits for a successor.
+// offerSockets listens for a successor, which may take over the sockets.
 func (s *Service) offerSockets() {
 	if s.restart.listener != nil || s.lifecycle.phase >= Leaving {
 		return
@@ -92,11 +93,12 @@
 	var err error
 	s.restart.listener, err = hotrestart.Listen(path, successorHandler{s}, s.log)
 	if err != nil {
-		s.log.Info().Err(err).Msg("no socket for a successor; it will share the address")
+		s.log.Info().Err(err).
+			Msg("cannot listen for a successor process; it will share the address instead of taking over the sockets")
 	}
 }
 
-// disconnectOtherProcesses lets go of the predecessor and of successors.
+// disconnectOtherProcesses closes the connections to the predecessor and to successors.
 func (s *Service) disconnectOtherProcesses() {
 	if s.restart.listener != nil {
 		s.restart.listener.Close()
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -2,55 +2,55 @@
 
 import "cmp"
 
-// Phase is a named part of a router process's life, from its start to its exit. A process never goes back to an
-// earlier one. It is not the phase of package startup, which says how far the router is on its way to full service and
-// is what admin.Status shows; this one is shown in log lines alone.
+// Phase is a stage of a router process between its start and its exit. A process never goes back to an earlier one.
+// It is not the phase of package startup, which is the router's progress to full service and is shown in admin.Status;
+// this one appears only in log lines.
 type Phase int
 
 const (
-	// Starting: no endpoint list is known. Commands are taken; the health check fails: mn, memcache's no-op, which
-	// clients use as a health check, is not answered by MN.
+	// Starting: no endpoint list is known. Commands are read, but the health check fails: mn, memcache's no-op, which
+	// clients use as a health check, is not answered with MN.
 	Starting Phase = iota
 	// Serving: requests are served, and the health check succeeds.
 	Serving
-	// Leaving: SIGTERM has come. Connections are still accepted, and all requests are served.
+	// Leaving: SIGTERM was received. Connections are still accepted, and all requests are served.
 	Leaving
 	// Finishing: no new connections are accepted; each one is closed once it is idle.
 	Finishing
-	// Ended: nothing is open any more.
+	// Ended: the process no longer serves and is about to exit.
 	Ended
 )
 
-// String is the phase as log lines name it.
+// String returns the phase's name in log lines.
 func (p Phase) String() string {
 	return [...]string{"starting", "serving", "leaving", "finishing", "ended"}[p]
 }
 
 // Bounds of the graceful shutdown, in seconds.
 const (
-	// acceptAfterSignalSeconds is how long connections are accepted after SIGTERM: new ones come for up to 0.4 s.
+	// acceptAfterSignalSeconds is how long connections are accepted after SIGTERM: clients open new ones for up to 0.4 s.
 	acceptAfterSignalSeconds = 0.5
-	// killMarginSeconds: SIGKILL comes no sooner than the longest deadline and this after SIGTERM.
+	// killMarginSeconds: SIGKILL arrives no earlier than the longest deadline plus this time after SIGTERM.
 	killMarginSeconds = 0.7
-	// lastAnswersSeconds is kept free before SIGKILL for the last answers to be sent and read.
+	// lastAnswersSeconds is reserved before SIGKILL for sending the last answers and for clients to read them.
 	lastAnswersSeconds = 0.1
-	// defaultClientWaitSeconds is how long a client of a traffic class without a deadline is taken to wait, as in
-	// frontend.
+	// defaultClientWaitSeconds is how long a client of a traffic class without a deadline is assumed to wait, as in
+	// package frontend.
 	defaultClientWaitSeconds = 1
-	// longValueExtraSeconds is how much longer a long value may be under way: 4 MiB to a slow client take seconds.
+	// longValueExtraSeconds is how much longer a long value may be in flight: 4 MiB to a slow client take seconds.
 	longValueExtraSeconds = 30
-	// longValuePollSeconds is the time between two looks whether the long values are sent.
+	// longValuePollSeconds is the time between two checks whether the long values are sent.
 	longValuePollSeconds = 0.1
-	// idlePollSeconds is the time between two looks whether all clients have gone.
+	// idlePollSeconds is the time between two checks whether all clients have disconnected.
 	idlePollSeconds = 0.01
 )
 
-// lifecycle is where the process stands between start and exit.
+// lifecycle is the phase of the process and the state of its drain.
 type lifecycle struct {
 	phase        Phase
 	startedAt    float64 // seconds of the loop's clock
-	draining     bool    // an operator has clients sent away
-	drainChanges int     // how often a drain began or ended, so that a late step of an earlier drain does nothing
+	draining     bool    // an operator drains this process
+	drainChanges int     // counts starts and ends of drains, to skip delayed steps of earlier drains
 }
 
 func (s *Service) enterPhase(phase Phase) {
@@ -59,26 +59,26 @@
 	s.log.Info().Stringer("phase", phase).Msg("phase")
 }
 
-// startServing takes clients from now on.
+// startServing enters Serving and accepts clients.
 func (s *Service) startServing() {
 	s.clients.frontend.SetReady()
 	s.enterPhase(Serving)
 	s.startAccepting()
 }
 
-// acceptsClients reports whether clients that come now are served by this process.
+// acceptsClients reports whether this process serves new clients.
 func (s *Service) acceptsClients() bool {
 	return s.lifecycle.phase == Serving && !s.lifecycle.draining && s.restart.servingSuccessors == 0
 }
 
-// beginShutdown handles the signal to end. A second one changes nothing.
+// beginShutdown begins the graceful shutdown. A second call does nothing.
 func (s *Service) beginShutdown() {
 	if s.lifecycle.phase >= Leaving {
 		return
 	}
 	s.enterPhase(Leaving)
 	acceptFor := acceptAfterSignalSeconds
-	if s.restart.servingSuccessors > 0 { // a successor accepts what comes late
+	if s.restart.servingSuccessors > 0 { // a successor accepts late connections
 		acceptFor = 0
 	}
 	s.loop.After(acceptFor, s.finish)
@@ -87,7 +87,7 @@
 	s.loop.Timer(func() { s.endAtDeadline(deadline + longValueExtraSeconds) }).Set(deadline)
 }
 
-// longestClientWait is how many seconds a client waits at most.
+// longestClientWait returns the longest time, in seconds, that a client waits for an answer.
 func (s *Service) longestClientWait() float64 {
 	longest := s.broker.LongestDeadline()
 	for _, class := range s.conf.Settings.TrafficClasses {
@@ -96,8 +96,8 @@
 	return longest
 }
 
-// endAtDeadline ends the router whatever is open, except for long values under way, which have until latest
-// (seconds of the loop's clock): a kill meanwhile would cut them off no earlier than ending here does.
+// endAtDeadline ends the process even if requests are open. It waits only for long values in flight, until latest at
+// most (seconds of the loop's clock): a SIGKILL in that time cuts them off no earlier than ending here would.
 func (s *Service) endAtDeadline(latest float64) {
 	if s.clients.frontend.OpenBodyStreams() == 0 || s.loop.Now() > latest {
 		s.answerAllAndEnd()
@@ -106,8 +106,8 @@
 	s.loop.After(longValuePollSeconds, func() { s.endAtDeadline(latest) })
 }
 
-// answerAllAndEnd sends all open requests their final answer, rejects what still comes, and ends the process once
-// clients have had time to read that.
+// answerAllAndEnd sends a final answer to all open requests, rejects new ones, and ends the process after clients have
+// had time to read the answers.
 func (s *Service) answerAllAndEnd() {
 	for _, p := range s.pools.active() {
 		p.core.FailAll()
@@ -119,15 +119,17 @@
 	s.loop.After(lastAnswersSeconds, s.end)
 }
 
-// finish accepts no more connections and closes those that are idle, as they become so.
+// finish stops accepting connections and closes each open one once it is idle.
 func (s *Service) finish() {
 	s.clients.closeListeners()
 	noSuccessorServes := s.restart.servingSuccessors == 0
-	if s.restart.predecessor != nil && noSuccessorServes { // it is the only process left that can accept
+	if s.restart.predecessor != nil && noSuccessorServes {
+		// Only the predecessor can still accept clients; it does so when this process disconnects from it.
 		s.disconnectOtherProcesses()
 	}
 	if s.restart.listener != nil && s.restart.otherProcesses > 0 && noSuccessorServes {
-		// The successor is not ready; it alone can answer now, if only that it starts.
+		// The successor is still starting. Only it can still answer clients, if only with an error that it is starting;
+		// it does so when this listener is closed.
 		s.restart.listener.Close()
 	}
 	s.enterPhase(Finishing)
@@ -141,11 +143,11 @@
 		return
 	}
 	s.clients.frontend.ExtendSendBuffers(s.conf.MemoryBytes / 2)
-	s.clients.frontend.CloseIdle() // a connection may have become idle since the last look
+	s.clients.frontend.CloseIdle() // a connection may have become idle since the last check
 	s.loop.After(idlePollSeconds, s.endOnceIdle)
 }
 
-// end closes all that is open and stops the loop.
+// end closes what is still open, such as the admin server and the files, and stops the loop.
 func (s *Service) end() {
 	if s.lifecycle.phase == Ended {
 		return
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -7,8 +7,8 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-// reservedDescriptors is how many descriptors are set apart for what the operators' file names: teams' listeners,
-// and watches of pools' endpoint lists.
+// reservedDescriptors returns how many descriptors are reserved for the operators' file: for teams' listeners and for
+// watches of pools' endpoint lists.
 func reservedDescriptors(operators operatorconfig.File) int {
 	reserved := len(operators.Pools) * config.DescriptorsPerWatch
 	for _, team := range operators.Teams {
@@ -19,16 +19,16 @@
 	return reserved
 }
 
-// warnIfDescriptorsShort warns where descriptors do not suffice for what is named: listeners and polls of list services may
-// fail.
+// warnIfDescriptorsShort warns if there are too few descriptors for the operators' file: listeners and polls of list
+// services may fail.
 func (s *Service) warnIfDescriptorsShort(enough bool) {
 	if !enough {
 		s.log.Warn().Int("sockets", s.conf.Descriptors).
-			Msg("limits.sockets is too low for the listeners and pools of the operators' file")
+			Msg("limits.sockets is too low for the listeners and pools of the operators' file; some may fail")
 	}
 }
 
-// processLimits is the configuration as it limits this process: all processes of a router share its limits.
+// processLimits returns the configuration with the limits of this process: all processes of a router share its limits.
 func (s *Service) processLimits() config.Config {
 	if s.restart.otherProcesses > 0 {
 		return s.conf.Half()
@@ -36,37 +36,45 @@
 	return s.conf
 }
 
-// addOtherProcesses counts the processes of this router beside this one, and changes the limits accordingly.
+// addOtherProcesses changes the number of other processes of this router, and adjusts the limits.
 func (s *Service) addOtherProcesses(change int) {
 	s.restart.otherProcesses += change
 	s.applyLimits()
 }
 
-// applyLimits sets all bounds of this process anew.
+// applyLimits updates all limits of this process.
 func (s *Service) applyLimits() {
 	limits := s.processLimits()
 	limitMemory(limits)
 	s.clients.frontend.SetLimits(frontendLimits(limits))
 	s.broker.SetLimits(brokerLimits(limits))
-	namedParts := 0.0
+	namedFraction := 0.0
 	for _, named := range s.operators.Pools {
-		namedParts += named.Connections
+		namedFraction += named.Connections
 		if p := s.pools.named[named.Name]; p != nil {
 			p.servers.SetMaxConnections(connectionLimit(limits.UpstreamConnections, named.Connections))
 		}
 	}
-	s.pools.platform.servers.SetMaxConnections(connectionLimit(limits.UpstreamConnections, 1-namedParts))
+	s.pools.platform.servers.SetMaxConnections(connectionLimit(limits.UpstreamConnections, 1-namedFraction))
 }
 
 func frontendLimits(conf config.Config) frontend.Limits {
-	return frontend.Limits{Connections: conf.ClientConnections, RejectConnections: conf.RejectConnections, LongWriteBytes: conf.HeldBytes}
+	return frontend.Limits{
+		Connections:       conf.ClientConnections,
+		RejectConnections: conf.RejectConnections,
+		LongWriteBytes:    conf.HeldBytes,
+	}
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
-	return broker.Limits{Requests: conf.OpenRequests, BufferedBytes: conf.HeldBytes, Connections: conf.ClientConnections}
+	return broker.Limits{
+		Requests:      conf.OpenRequests,
+		BufferedBytes: conf.HeldBytes,
+		Connections:   conf.ClientConnections,
+	}
 }
 
-// connectionLimit is a part (0 to 1) of the connections to servers, one at the least.
+// connectionLimit returns a fraction (0 to 1) of the connections to servers, at least one.
 func connectionLimit(connections int, fraction float64) int {
 	return max(1, int(float64(connections)*fraction))
 }
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -7,13 +7,13 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-// clientSide is what clients connect to.
+// clientSide is the frontend and the listeners for clients.
 type clientSide struct {
 	frontend          *frontend.Frontend
-	listener          *eventloop.Listener            // at the platform's address; nil while another process holds that
+	listener          *eventloop.Listener            // at the platform's address; nil until this process listens there
 	teamListeners     map[string]*eventloop.Listener // by their addresses
-	tileServers       map[string]*tileserver.Server  // those of the teams' listeners that speak HTTP, by their addresses
-	listenWhenServing bool                           // the platform's address is shared once this process serves
+	tileServers       map[string]*tileserver.Server  // of the teams' listeners for HTTP, by their addresses
+	listenWhenServing bool                           // listen at the platform's address once this process serves
 }
 
 func newClientSide() clientSide {
@@ -30,7 +30,7 @@
 	}
 }
 
-// suspendListeners accepts nothing until resumeListeners.
+// suspendListeners stops accepting connections until resumeListeners.
 func (c *clientSide) suspendListeners() {
 	c.listener.Suspend()
 	for _, listener := range c.teamListeners {
@@ -45,16 +45,17 @@
 	}
 }
 
-// openListener listens at the platform's address. Where another process serves there, this one joins it once it
-// serves, too.
+// openListener listens at the platform's address. If another process listens there and offers no sockets, this one
+// listens there too once it serves.
 func (s *Service) openListener() error {
 	if s.restart.predecessor == nil {
-		held, err := eventloop.Held(s.conf.Listen)
+		inUse, err := eventloop.Held(s.conf.Listen)
 		if err != nil {
 			return err
 		}
-		if held {
-			s.log.Info().Str("listen", s.conf.Listen).Msg("the address is held; it is shared once this process can serve")
+		if inUse {
+			s.log.Info().Str("listen", s.conf.Listen).
+				Msg("another process listens at the address; this one will share it once it serves")
 			s.clients.listenWhenServing = true
 			return nil
 		}
@@ -70,7 +71,7 @@
 	return nil
 }
 
-// listenAt accepts at an address, by the predecessor's socket where it has one there.
+// listenAt listens at an address, on the predecessor's socket if it has handed over one for that address.
 func (s *Service) listenAt(address string, protocol frontend.Protocol) (*eventloop.Listener, error) {
 	name := address
 	if address == s.conf.Listen {
@@ -90,7 +91,7 @@
 	return s.loop.Listen(address, s.clients.frontend.CanAccept, accept)
 }
 
-// startAccepting accepts from now on, and lets the predecessor know.
+// startAccepting accepts clients and notifies the predecessor.
 func (s *Service) startAccepting() {
 	var err error
 	if s.clients.listenWhenServing {
@@ -101,7 +102,7 @@
 		err = s.clients.listener.Resume()
 	}
 	if err != nil {
-		s.log.Error().Err(err).Str("listen", s.conf.Listen).Msg("clients cannot connect")
+		s.log.Error().Err(err).Str("listen", s.conf.Listen).Msg("cannot accept clients at the platform's address")
 	}
 	s.openTeamListeners(s.operators)
 	if s.restart.predecessor != nil {
@@ -111,8 +112,8 @@
 	s.offerSockets()
 }
 
-// openTeamListeners opens and closes the teams' listeners, as the operators' file has them. One that cannot be
-// opened is logged, and its team has none until the next change.
+// openTeamListeners opens and closes the teams' listeners according to the operators' file. If one cannot be opened,
+// that is logged, and its team has no listener until the next reload.
 func (s *Service) openTeamListeners(operators operatorconfig.File) {
 	if s.lifecycle.phase == Starting && s.restart.otherProcesses > 0 {
 		return // the predecessor serves their clients
@@ -135,8 +136,8 @@
 	}
 }
 
-// closeTeamListeners changes the listeners that stay and closes those that are not wanted, or not with their
-// protocol. What is open goes on.
+// closeTeamListeners reconfigures the listeners that remain, and closes those that are no longer wanted or whose
+// protocol has changed. Their open connections continue.
 func (s *Service) closeTeamListeners(wanted map[string]bool, tileFronts map[string]operatorconfig.TileFront) {
 	for address, listener := range s.clients.teamListeners {
 		front, wantsTiles := tileFronts[address]
@@ -163,7 +164,8 @@
 	}
 	listener, err := s.listenAt(address, protocol)
 	if err != nil {
-		s.log.Error().Err(err).Str("listen", address).Msg("a team's listener cannot be opened")
+		s.log.Error().Err(err).Str("listen", address).
+			Msg("a team's listener cannot be opened; the team has none until the next reload")
 		delete(s.clients.tileServers, address)
 		return
 	}
--- a/internal/service/metrics.go
+++ b/internal/service/metrics.go
@@ -9,20 +9,20 @@
 	"bendtrestle/internal/upstream"
 )
 
-// metrics are the numbers that operators' dashboards read, a line each; docs/operators/operations.md tells what
-// each shows.
+// metrics returns the metrics that operators' dashboards read, a line each. docs/operators/operations.md describes each
+// of them.
 func (s *Service) metrics() []byte {
 	var text strings.Builder
 	write := func(name string, value uint64) { fmt.Fprintf(&text, "gw.%s=%d\n", name, value) }
 	for _, class := range s.trafficClassNames() {
-		tally := s.clients.frontend.OutcomesOf(class)
-		write("transactions."+class+".answered", tally.Succeeded)
-		write("transactions."+class+".deferred", tally.Rejected)
-		write("transactions."+class+".errored", tally.Failed)
+		outcomes := s.clients.frontend.OutcomesOf(class)
+		write("transactions."+class+".answered", outcomes.Succeeded)
+		write("transactions."+class+".deferred", outcomes.Rejected)
+		write("transactions."+class+".errored", outcomes.Failed)
 	}
-	sends, serverCuts := s.serverCounts()
+	attempts, serverCloses := s.serverCounts()
 	listed, avoided := s.clusterHealth()
-	write("sends", sends)
+	write("sends", attempts)
 	write("current", uint64(s.clients.frontend.OpenRequests()))
 	write("cluster_size", uint64(listed))
 	write("cluster_unhealthy", uint64(avoided))
@@ -31,7 +31,7 @@
 	for reason, n := range s.clients.frontend.CutConnections() {
 		write("cut.clients."+frontend.CutReasonNames[reason], n)
 	}
-	for reason, n := range serverCuts {
+	for reason, n := range serverCloses {
 		write("cut.servers."+upstream.CloseReasons[reason], n)
 	}
 	s.zones.writeMetrics(write)
@@ -42,21 +42,22 @@
 	return []byte(text.String())
 }
 
-// serverCounts returns the attempts that were sent since the start, and the servers' connections that ended with
-// something owed, by the reason; also those of pools that are no longer named.
-func (s *Service) serverCounts() (sends uint64, cuts [len(upstream.CloseReasons)]uint64) {
-	sends = s.pools.retiredAttempts
-	cuts = s.pools.retiredCloseCounts
+// serverCounts returns the attempts that were sent since the start, and the servers' connections that were closed with
+// a reply outstanding, by the reason. Pools that are no longer configured are included.
+func (s *Service) serverCounts() (attempts uint64, closes [len(upstream.CloseReasons)]uint64) {
+	attempts = s.pools.retiredAttempts
+	closes = s.pools.retiredCloseCounts
 	for _, p := range slices.Concat(s.pools.active(), s.pools.retiring) {
-		sends += p.servers.SentAttempts()
+		attempts += p.servers.SentAttempts()
 		for reason, n := range p.servers.CloseCounts() {
-			cuts[reason] += n
+			closes[reason] += n
 		}
 	}
-	return sends, cuts
+	return attempts, closes
 }
 
-// clusterHealth returns how many servers the lists of all pools hold, and how many of these are avoided now.
+// clusterHealth returns how many servers the endpoint lists of all pools name, and how many of these the balancers
+// avoid now.
 func (s *Service) clusterHealth() (listed, avoided int) {
 	for _, p := range s.pools.active() {
 		poolListed, poolAvoided := p.health()
--- a/internal/service/peers.go
+++ b/internal/service/peers.go
@@ -13,14 +13,14 @@
 	"bendtrestle/internal/policy/fleetsize"
 )
 
-// peerRouters is the way to the other routers of the fleet, and how many there are.
+// peerRouters is the transport to the other routers of the fleet, and their number.
 type peerRouters struct {
-	transport          *peertransport.Transport             // nil: nothing is sent to other routers; its methods do nothing then
-	fleetSize          *fleetsize.Estimator[netip.AddrPort] // of the fleet, by the routers that are heard; nil: none can be
-	announcedFleetSize int                                  // fleet size as the balancers know it; 0: that of the settings
+	transport          *peertransport.Transport             // nil: no messages are sent; its methods then do nothing
+	fleetSize          *fleetsize.Estimator[netip.AddrPort] // by the senders of messages; nil: there is no socket
+	announcedFleetSize int                                  // fleet size that the balancers use; 0: that of the settings
 }
 
-// openPeers opens the socket for other routers, where there may be something to send.
+// openPeers opens the socket for other routers if gossip or quotas may need it.
 func (s *Service) openPeers(conf config.Config, operators operatorconfig.File) {
 	needed := conf.Settings.GossipAllowed || len(operators.Teams) > 0
 	if !needed || conf.PeerListen == "" {
@@ -33,13 +33,14 @@
 	var err error
 	s.peers.transport, err = peertransport.Open(conf.PeerListen, conf.PeersAll, conf.Peers, conf.Settings.RouterIndex,
 		received, s.log)
-	if err != nil { // gossip is a help; nothing depends on it
-		s.log.Warn().Err(err).Msg("the socket for other routers cannot be opened; nothing is sent or received")
+	if err != nil { // not fatal: the router also serves without the other routers' messages
+		s.log.Warn().Err(err).Msg("the socket for other routers cannot be opened; no messages are sent or received")
 	}
 }
 
-// onPeerMessage takes another router's message: about zones, quotas, what goes through the fleet, or the
-// balancer's. Each one shows that its sender is there. sender is its index in the list of peers, or negative.
+// onPeerMessage handles another router's message: on zones, on quotas, of the gossip protocol, or from a balancer. Each
+// message counts its sender towards the fleet size. sender is its index in the list of peers, or negative if it is not
+// in the list.
 func (s *Service) onPeerMessage(from netip.AddrPort, sender int, message []byte) {
 	s.peers.fleetSize.OnMessage(s.loop.Now(), from)
 	s.announceFleetSize()
@@ -49,7 +50,7 @@
 	}
 }
 
-// announceFleetSize lets the balancers know how many routers there are, where that has changed.
+// announceFleetSize passes the number of routers to the balancers if it has changed.
 func (s *Service) announceFleetSize() {
 	if s.peers.fleetSize == nil {
 		return
@@ -64,7 +65,7 @@
 	}
 }
 
-// newIncarnation returns a number that differs from those of the processes of this router before and beside this one.
+// newIncarnation returns a number that differs from those of earlier and concurrent processes of this router.
 func newIncarnation() uint32 {
 	return crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid())))
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -12,31 +12,31 @@
 	"github.com/rs/zerolog"
 )
 
-// maxKnownServers bounds the servers remembered for operators' calls: several fleets' worth.
+// maxKnownServers bounds the servers that operators' calls may name: several times the servers of a fleet.
 const maxKnownServers = 4096
 
-// pool is a set of servers with one protocol, and an endpoint list, connections and a balancer of its own. The
-// platform's deployment is one; what happens to a pool costs the others nothing.
+// pool is a set of servers with one protocol. Each pool has an endpoint list, connections and a balancer of its own, so
+// that a failure of one does not affect the others. The platform's servers are one pool.
 type pool struct {
 	service *Service
-	name    string // "": the platform's
+	name    string // "" for the platform's pool
 	core    *requestcore.Core
 	servers *upstream.ConnectionPools
 	log     zerolog.Logger
 
-	polled       bool                          // its balancer polls the endpoint list, and hears of polls that fail
-	endpoints    map[uint64]discovery.Instance // the present endpoint list, by the server's id
-	ready        map[uint64]bool               // servers that the list has as ready
-	knownServers map[uint64]bool               // servers that a list has named since the start; true: the present one does
-	generation   uint64                        // of the list that the list service last brought
-	initialList  discovery.EndpointList        // the list as the router's last run had it, until the first watch begins
+	polled       bool                          // its balancer polls the endpoint list, and is notified of failed polls
+	endpoints    map[uint64]discovery.Instance // the current endpoint list, by the server's id
+	ready        map[uint64]bool               // servers that the list names as ready; false only in applyList
+	knownServers map[uint64]bool               // servers that a list has named since the start; true: listed now
+	generation   uint64                        // of the last list that the list service sent
+	initialList  discovery.EndpointList        // the list known at the start, until the first watch begins
 
 	schedule  pollschedule.Schedule // of polls of the list service
-	watch     *endpointWatch        // whose lists count
-	nextWatch *endpointWatch        // its successor, until it has brought a whole list
+	watch     *endpointWatch        // the current watch
+	nextWatch *endpointWatch        // its replacement, until that has received a full list
 }
 
-// poolOptions is what a pool is made by. Times are in seconds.
+// poolOptions are the parameters of a new pool. Times are in seconds.
 type poolOptions struct {
 	name                  string
 	settings              balancer.Settings
@@ -48,7 +48,7 @@
 	newCodec              func(upstream.ReplyHandler) upstream.Codec
 }
 
-// newPool makes a pool without servers.
+// newPool creates a pool without servers.
 func (s *Service) newPool(options poolOptions) *pool {
 	settings := options.settings
 	p := &pool{
@@ -78,19 +78,19 @@
 	return p
 }
 
-// newCore makes a pool's core with its balancer.
+// newCore creates a pool's core with its balancer.
 func (s *Service) newCore(p *pool, settings balancer.Settings) *requestcore.Core {
-	if p.name != "" { // the completion rate of the last run was that of the platform's servers
+	if p.name != "" { // the completion rate of the last run is that of the platform's servers
 		settings.InitialCompletionRate = 0
 	}
 	dependencies := requestcore.Dependencies{
 		Clock:          s.loop,
 		Upstream:       p.servers,
 		Gossip:         s.gossipSender(p.name),
-		WatchEndpoints: func(bool) {}, // the list is watched in any case
+		WatchEndpoints: func(bool) {}, // the list is always watched
 		Log:            p.log,
 	}
-	if s.zones != nil { // a nil adapter in the interface would not be nil
+	if s.zones != nil { // an interface that holds a nil adapter would not be nil
 		dependencies.ZoneObserver = s.zones
 	}
 	core := requestcore.New(settings, dependencies, s.pools.newBalancer)
@@ -100,8 +100,8 @@
 	return core
 }
 
-// requestsPerConnection is how many attempts a connection carries at once: one where hedging is not allowed, for
-// there an attempt that is given up behind a long value would stay in flight, as its connection must not be cut.
+// requestsPerConnection returns how many attempts a connection may have in flight: one if hedging is not allowed. An
+// attempt that is given up behind a long value would stay in flight then, as its connection must not be cut.
 func requestsPerConnection(settings balancer.Settings, allowed int) int {
 	if !settings.HedgingAllowed {
 		return 1
@@ -109,7 +109,7 @@
 	return allowed
 }
 
-// setListed notes that the present list names a server, or no longer does.
+// setListed records whether the current list names a server.
 func (p *pool) setListed(id uint64, listed bool) {
 	p.knownServers[id] = listed
 	if len(p.knownServers) > maxKnownServers {
@@ -117,7 +117,7 @@
 	}
 }
 
-// health returns how many servers the list holds, and how many of these are avoided now.
+// health returns how many servers the list names, and how many of these the balancer avoids now.
 func (p *pool) health() (listed, avoided int) {
 	for id, isListed := range p.knownServers {
 		if !isListed {
@@ -131,7 +131,7 @@
 	return listed, avoided
 }
 
-// setDisabled leaves a server out, or takes it back.
+// setDisabled stops sending requests to a server, or allows them again.
 func (p *pool) setDisabled(id uint64, disabled bool) {
 	p.core.SetDisabled(id, disabled)
 	if disabled {
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -8,18 +8,20 @@
 	"bendtrestle/internal/upstream"
 )
 
-// retiringPollSeconds is the time between two looks whether a pool that is no longer named has requests open.
+// retiringPollSeconds is the time between two checks whether a pool that is no longer configured has open requests.
 const retiringPollSeconds = 1
 
-// poolSet is all pools of this process.
+// poolSet holds all pools of this process.
 type poolSet struct {
 	newBalancer requestcore.NewBalancer
 	platform    *pool
-	named       map[string]*pool // those of the operators' file, by name
-	retiring    []*pool          // no longer named, with requests open
+	named       map[string]*pool // the pools of the operators' file, by name
+	retiring    []*pool          // no longer configured, with open requests
 
-	retiredAttempts    uint64                             // attempts sent to servers of pools that are gone
-	retiredCloseCounts [len(upstream.CloseReasons)]uint64 // connections of theirs that ended with something owed, by the reason
+	// retiredAttempts and retiredCloseCounts are what closed pools contribute to the metrics: the attempts that were
+	// sent, and the servers' connections that were closed with a reply outstanding, by the reason.
+	retiredAttempts    uint64
+	retiredCloseCounts [len(upstream.CloseReasons)]uint64
 }
 
 func newPoolSet(newBalancer requestcore.NewBalancer) poolSet {
@@ -35,16 +37,16 @@
 	return pools
 }
 
-// active returns the platform's pool and behind it those of the operators' file, by name.
+// active returns the platform's pool, followed by those of the operators' file by name.
 func (set *poolSet) active() []*pool {
 	return append([]*pool{set.platform}, set.namedInOrder()...)
 }
 
-// retireUnnamed takes the pools out that the operators' file names no longer. Their endpoint lists are followed
-// until what is open there has ended.
-func (s *Service) retireUnnamed(stay map[string]bool) {
+// retireUnnamed removes the pools that the operators' file no longer names. Their endpoint lists are watched until
+// their open requests have ended.
+func (s *Service) retireUnnamed(keep map[string]bool) {
 	for _, p := range s.pools.namedInOrder() {
-		if stay[p.name] {
+		if keep[p.name] {
 			continue
 		}
 		s.pools.retiring = append(s.pools.retiring, p)
@@ -53,7 +55,7 @@
 	}
 }
 
-// closeRetired closes retiring pools once nothing of theirs is open.
+// closeRetired closes the retiring pools that have no open requests, and checks the others again later.
 func (s *Service) closeRetired() {
 	pools := &s.pools
 	pools.retiring = slices.DeleteFunc(pools.retiring, func(p *pool) bool {
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -6,18 +6,18 @@
 	"syscall"
 )
 
-// signalBufferSize is how many signals wait for the router's attention: some come before it runs.
+// signalBufferSize is how many signals are buffered: some may arrive before the router runs.
 const signalBufferSize = 8
 
-// reloadCounts counts configurations that were read.
+// reloadCounts counts the configurations that were read.
 type reloadCounts struct {
-	accepted uint64 // the first one too
+	accepted uint64 // with the one at the start
 	rejected uint64
 }
 
-// Signals takes SIGTERM, SIGINT and SIGHUP over and keeps them for [Run]: one that comes before the configuration
-// is read must not end the process as it does by default. Nor may a log that nobody reads any more: SIGPIPE is
-// ignored.
+// Signals catches SIGTERM, SIGINT and SIGHUP and buffers them for [Run]: one that arrives before the configuration is
+// read must not kill the process, as it does by default. SIGPIPE is ignored, because a write to a log whose reader has
+// exited must not kill the process either.
 func Signals() <-chan os.Signal {
 	signals := make(chan os.Signal, signalBufferSize)
 	signal.Notify(signals, syscall.SIGTERM, syscall.SIGINT, syscall.SIGHUP)
@@ -26,7 +26,7 @@
 }
 
 // handleSignals posts signals to the loop until the channel is closed; it runs on a goroutine of its own. Files are
-// read on another one: a disk that hangs must hide neither the loop's work nor the signal to end.
+// read on another one: a hung disk must block neither the loop nor the signal to shut down.
 func (s *Service) handleSignals(signals <-chan os.Signal, reload func() (Setup, error)) {
 	reloads := make(chan struct{}, 1)
 	defer close(reloads)
@@ -42,12 +42,12 @@
 		}
 		select {
 		case reloads <- struct{}{}:
-		default: // the one that waits will read what this one would
+		default: // the reload that is waiting reads the same files
 		}
 	}
 }
 
-// readConfiguration reads the configuration anew, off the loop, and posts what it is.
+// readConfiguration reads the configuration again, outside the loop, and posts the result to the loop.
 func (s *Service) readConfiguration(reload func() (Setup, error)) {
 	setup, err := reload()
 	if err != nil {
@@ -58,8 +58,8 @@
 	s.loop.Post(func() { s.reconfigure(setup) })
 }
 
-// reconfigure takes a new configuration while the router serves: the list service may have moved, contracts may
-// differ. Changes that need a restart are logged and left out.
+// reconfigure applies a new configuration while the router serves: another list service, other pools and contracts.
+// Changes that need a restart are logged and not applied.
 func (s *Service) reconfigure(setup Setup) {
 	if s.lifecycle.phase == Ended {
 		return
@@ -88,8 +88,8 @@
 	s.zones.reconfigure(setup.Operators)
 }
 
-// reconfigureWhileLeaving follows the list service alone: drains still count, but listeners and contracts that come
-// now would be nobody's.
+// reconfigureWhileLeaving applies only a change of the list service. Drains still matter, but new listeners and
+// contracts would have no clients.
 func (s *Service) reconfigureWhileLeaving(setup Setup) {
 	discovery := setup.Platform.Discovery
 	s.log.Info().Str("discovery", discovery).Msg("configured anew while leaving: the list service alone counts")
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -13,7 +13,7 @@
 // successor at a hot restart (JSON). Processes of other builds read both, so the names of its fields are fixed.
 type savedEndpoint struct {
 	ID          uint64  `cbor:"ID" json:"ID"`
-	State       int     `cbor:"Mode" json:"Mode"` // as numbered by balancer.EndpointState
+	State       int     `cbor:"Mode" json:"Mode"` // a balancer.EndpointState
 	Capacity    float64 `cbor:"Capacity" json:"Capacity"`
 	Zone        string  `cbor:"Zone" json:"Zone"`
 	Cell        uint64  `cbor:"Cell" json:"Cell"`
@@ -21,29 +21,29 @@
 	StartedAt   float64 `cbor:"Started" json:"Started"`
 }
 
-// savedEntry is a server with its address, as the successor receives it.
+// savedEntry is a server with its address, as it is sent to the successor.
 type savedEntry struct {
 	savedEndpoint
 	Addr netip.AddrPort `json:"Addr"`
 }
 
-// savedList is an endpoint list, as the successor receives it.
+// savedList is an endpoint list, as it is sent to the successor.
 type savedList struct {
 	Generation uint64       `json:"Generation"`
 	Complete   bool         `json:"Whole"`
 	Entries    []savedEntry `json:"Entries"`
 }
 
-// restartState is what the successor receives of the platform's pool, beside what the list service sends it: that
-// may be silent just now, and a drain that this process knows of must not be forgotten.
+// restartState is the state of the platform's pool that is sent to the successor. The successor also polls the list
+// service, but that may not answer at the time, and drains that this process knows of must not be lost.
 type restartState struct {
 	Discovery string    `json:"Discovery"` // the list service's address
 	List      savedList `json:"List"`
 }
 
-// snapshotList is an endpoint list as the snapshot has it.
+// snapshotList is an endpoint list, as it is stored in the snapshot.
 type snapshotList struct {
-	Generation uint64           `cbor:"1,keyasint"` // of the list service
+	Generation uint64           `cbor:"1,keyasint"` // the list service's
 	Servers    []snapshotServer `cbor:"2,keyasint"`
 }
 
@@ -53,9 +53,9 @@
 	Addr     string        `cbor:"2,keyasint"`
 }
 
-// parseSnapshotList reads a list of the snapshot; an empty one if another build wrote it in another form, for the
-// snapshot has checked its checksum. Which of its servers have restarted since is unknown, so each counts as one
-// that did so now, in seconds.
+// parseSnapshotList decodes a list of the snapshot. It returns an empty list if the format is that of another build;
+// the snapshot itself has verified the checksum. It is unknown which of the servers have restarted since, so each of
+// them is treated as started at now, in seconds.
 func parseSnapshotList(body []byte, now float64) discovery.EndpointList {
 	var saved snapshotList
 	if cbor.Unmarshal(body, &saved) != nil {
@@ -73,27 +73,27 @@
 	return list
 }
 
-func saveEndpoint(m balancer.Endpoint) savedEndpoint {
+func saveEndpoint(e balancer.Endpoint) savedEndpoint {
 	return savedEndpoint{
-		ID:          m.ID,
-		State:       int(m.State),
-		Capacity:    m.Capacity,
-		Zone:        m.Zone,
-		Cell:        m.Cell,
-		MachineType: m.MachineType,
-		StartedAt:   m.StartedAt,
+		ID:          e.ID,
+		State:       int(e.State),
+		Capacity:    e.Capacity,
+		Zone:        e.Zone,
+		Cell:        e.Cell,
+		MachineType: e.MachineType,
+		StartedAt:   e.StartedAt,
 	}
 }
 
-func (m savedEndpoint) endpoint() balancer.Endpoint {
+func (e savedEndpoint) endpoint() balancer.Endpoint {
 	return balancer.Endpoint{
-		ID:          m.ID,
-		State:       balancer.EndpointState(m.State),
-		Capacity:    m.Capacity,
-		Zone:        m.Zone,
-		Cell:        m.Cell,
-		MachineType: m.MachineType,
-		StartedAt:   m.StartedAt,
+		ID:          e.ID,
+		State:       balancer.EndpointState(e.State),
+		Capacity:    e.Capacity,
+		Zone:        e.Zone,
+		Cell:        e.Cell,
+		MachineType: e.MachineType,
+		StartedAt:   e.StartedAt,
 	}
 }
 
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -24,8 +24,8 @@
 type Service struct {
 	log       zerolog.Logger
 	loop      *eventloop.Loop
-	conf      config.Config       // as in effect for all processes of this router together
-	operators operatorconfig.File // as last taken
+	conf      config.Config       // the configuration in effect, with the limits of all processes of this router together
+	operators operatorconfig.File // as last applied
 	broker    *broker.Broker
 
 	lifecycle lifecycle
@@ -35,33 +35,34 @@
 	peers     peerRouters
 	startup   *startupAdapter
 	zones     *zoneAdapter   // nil: zone failover is off
-	gossip    *gossipAdapter // nil: each router sends what its balancer says to all others
+	gossip    *gossipAdapter // nil: the balancer's gossip is broadcast to all routers
 	disabled  disabledServers
 	restart   hotRestart
 	admin     adminSide
 	counts    countsLog
 }
 
-// Setup is all that a router is configured by.
+// Setup is the whole configuration of a router.
 type Setup struct {
 	// Platform is the platform's configuration.
 	Platform config.Config
 	// Operators is the operators' file; the zero value where there is none.
 	Operators operatorconfig.File
-	// FlatCost, for experiments alone, is the load in seconds that each request counts of a quota, whatever it takes;
-	// 0: what it takes.
+	// FlatCost, for experiments only, is the load in seconds that each request uses of a quota, regardless of the time
+	// it takes; 0: the time it takes.
 	FlatCost float64
 }
 
-// Run serves until the router has ended. It runs the event loop on the calling goroutine.
+// Run serves until the router has shut down. It runs the event loop on the calling goroutine.
 //
-// signals are those of [Signals]. newBalancer makes the balancer of each pool. reload reads the configuration anew;
-// it is called at SIGHUP from a goroutine of its own and may take long. An error means that the router could not
-// start.
+// signals is the channel that [Signals] returns. newBalancer creates the balancer of each pool. reload reads the
+// configuration again; it is called at SIGHUP on a goroutine of its own and may take long. An error means that the
+// router could not start.
 func Run(setup Setup, signals <-chan os.Signal, newBalancer requestcore.NewBalancer, reload func() (Setup, error),
 	log zerolog.Logger) error {
 	conf := setup.Platform
-	// With a single processor the runtime's monitor finds none idle and takes it from the loop at each wait for events.
+	// With a single processor the Go runtime's monitor finds no idle one and takes it from the loop at each wait for
+	// events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
 	limitMemory(conf)
 	if err := eventloop.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
@@ -78,11 +79,11 @@
 	return s.loop.Run()
 }
 
-// limitMemory bounds the runtime's memory to half of what the process may use: the kernel's buffers of a thousand
-// sockets may count as well, at some 64 KiB each.
+// limitMemory bounds the Go runtime's memory to half of what the process may use. The kernel's buffers may count
+// towards the process's memory too: those of a thousand sockets, at some 64 KiB each.
 func limitMemory(conf config.Config) { debug.SetMemoryLimit(int64(conf.MemoryBytes) / 2) }
 
-// assemble puts the parts together, from the servers to the clients. The loop does not run yet.
+// assemble creates and connects the components, from the servers to the clients. The loop does not run yet.
 func assemble(setup Setup, newBalancer requestcore.NewBalancer, log zerolog.Logger) (*Service, error) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -115,7 +116,7 @@
 	return s, nil
 }
 
-// newService makes the Service with nothing open yet.
+// newService creates the Service with nothing open yet.
 func newService(conf config.Config, operators operatorconfig.File, newBalancer requestcore.NewBalancer,
 	loop *eventloop.Loop, log zerolog.Logger) *Service {
 	return &Service{
@@ -142,16 +143,16 @@
 		Msg("starting")
 	if conf.LoadReports.How != "off" {
 		s.log.Info().Stringer("loadInfo", conf.LoadReports).
-			Msg("load reports are not available on this protocol: own counts and the list's weights decide")
+			Msg("load reports are not available with this protocol; own counts and the endpoint list's weights are used")
 	}
 }
 
-// openRequestPath makes the platform's pool, the broker and the frontend. The startup adapter has set the
-// completion rate of the last run in s.conf by then.
+// openRequestPath creates the platform's pool, the broker and the frontend. The startup adapter has already set the
+// completion rate of the last run in s.conf.
 func (s *Service) openRequestPath(conf config.Config, operators operatorconfig.File) {
 	settings := conf.Settings
 	settings.InitialCompletionRate = s.conf.Settings.InitialCompletionRate
-	// A connection's answers come in order, but each attempt has a connection of its own.
+	// Replies on one connection arrive in order, but each attempt has a connection of its own.
 	settings.OrderedConnections = false
 	settings.RetryBudgetPerTenant = len(operators.Teams) > 0
 	settings.SlowStartSharedUpTo = float64(operators.Cold.Routers)
@@ -168,11 +169,12 @@
 	s.clients.frontend = frontend.New(s.loop, s.broker, frontendLimits(conf))
 }
 
-// stallTimeout is how many seconds a reply of the platform's protocol may stand still: it is sent in one go, and
-// its parts lie closer than the round trips of a new connection, for which the connect timeout leaves room.
+// stallTimeout returns how many seconds a reply in the platform's protocol may make no progress. A server sends a reply
+// without a pause, so the gaps within it are shorter than the round trips of connecting, which the connect timeout
+// allows for.
 func stallTimeout(connectTimeout float64) float64 { return connectTimeout / 3 }
 
-// openAdmin opens the admin server, where the configuration names an address for it.
+// openAdmin starts the admin server if the configuration names an address for it.
 func (s *Service) openAdmin(conf config.Config) {
 	if conf.AdminListen == "" {
 		return
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -16,33 +16,32 @@
 )
 
 const (
-	rateWindowSeconds       = 10.0 // over which the completion rate is averaged: a burst is no rate
-	startupStepSeconds      = 0.1  // between two steps of a start
-	rateSaveIntervalSeconds = 2.0  // between two rates that are saved
-	// snapshotCloseTimeout is how long the end waits for the disk: what is not written by then is a hint of the last
-	// second.
+	rateWindowSeconds       = 10.0 // over which the completion rate is averaged, against bursts
+	startupStepSeconds      = 0.1  // between two calls of startupAdapter.step
+	rateSaveIntervalSeconds = 2.0  // between two saves of the completion rate
+	// snapshotCloseTimeout is how long the shutdown waits for the disk. What is not written by then is only a hint from
+	// the last second.
 	snapshotCloseTimeout = 100 * time.Millisecond
 )
 
-// startupAdapter follows this process's way to full service, and keeps a snapshot of what helps the next start. A
-// nil one takes no endpoint list yet.
+// startupAdapter tracks this process's progress to full service, and saves a snapshot for the next start. A nil adapter
+// ignores endpoint lists.
 type startupAdapter struct {
 	service  *Service
 	tracker  *startup.Tracker
 	snapshot *snapshot.Store // nil: nothing is saved
 
-	rate          float64 // requests completed a second, averaged
+	rate          float64 // averaged requests completed per second
 	rateCompleted uint64  // requests completed when the rate was last updated
-	rateAt        float64 // when that was, in seconds of the loop's clock
-	rateSavedAt   float64 // when the rate was last saved
+	rateAt        float64 // time of that update, in seconds of the loop's clock
+	rateSavedAt   float64 // time of the last save
 
-	// generation is that of the entry saved last, also by the processes before: what this one saves is newer than all
-	// it found.
+	// generation is that of the newest entry saved by this process or found in the snapshot: each entry that this process
+	// saves gets a higher one.
 	generation uint64
 }
 
-// openStartup begins to follow this start. What the snapshot has is read here, and used where it may still be
-// believed.
+// openStartup begins to track this start. It reads the snapshot and uses those entries that are not too old.
 func (s *Service) openStartup(operators operatorconfig.File) {
 	now := s.loop.Now()
 	a := &startupAdapter{service: s, tracker: startup.NewTracker(now), rateAt: now}
@@ -52,16 +51,16 @@
 	}
 	path := snapshot.Path(s.conf.SharedFolder, s.conf.Listen)
 	if path == "" {
-		s.log.Warn().Msg("recovery is on, but there is no folder (TMPDIR) for the snapshot")
+		s.log.Warn().Msg("recovery is on, but there is no folder (TMPDIR) for the snapshot; nothing is saved")
 		return
 	}
 	a.snapshot = snapshot.Open(path, s.conf.Listen, s.log)
-	now = s.loop.Now() // the disk may have taken its time
+	now = s.loop.Now() // reading from the disk may have taken long
 	a.loadRate(now)
 	a.loadList(now)
 }
 
-// loadRate takes the completion rate of the last run as the one to begin with.
+// loadRate sets the completion rate of the last run as the initial one.
 func (a *startupAdapter) loadRate(now float64) {
 	entry, found := a.snapshot.Get(startup.CompletionRate)
 	if !found {
@@ -82,7 +81,7 @@
 		Msg("completion rate of the last run, from the snapshot")
 }
 
-// loadList takes the endpoint list of the last run, where the platform gives none and the list service is the same.
+// loadList uses the endpoint list of the last run if the configuration has none and the list service is the same.
 func (a *startupAdapter) loadList(now float64) {
 	entry, found := a.snapshot.Get(startup.EndpointList)
 	if !found {
@@ -99,7 +98,7 @@
 		Uint64("generation", conf.Known.Generation).
 		Int("servers", len(conf.Known.Instances)).
 		Float64("age", now-entry.StoredAt).
-		Msg("the endpoint list of the snapshot is used until another comes")
+		Msg("the endpoint list of the snapshot is used until the list service sends one")
 }
 
 func (a *startupAdapter) begin() { a.step() }
@@ -125,24 +124,24 @@
 		a.rateSavedAt = now
 		a.save(startup.CompletionRate, "this router", fmt.Appendf(nil, "%.6g", a.correctedRate(now)))
 	}
-	if a.snapshot != nil || phase < startup.FullService { // else there is nothing left to do
+	if a.snapshot != nil || phase < startup.FullService { // otherwise there is nothing left to track or save
 		s.loop.After(startupStepSeconds, a.step)
 	}
 }
 
-// updateRate averages the completion rate with exponentially falling weights.
-func (a *startupAdapter) updateRate(now float64, finished uint64) {
+// updateRate updates the completion rate, an exponentially weighted moving average.
+func (a *startupAdapter) updateRate(now float64, completed uint64) {
 	elapsed := now - a.rateAt
 	if elapsed <= 0 {
 		return
 	}
-	a.rate += (float64(finished-a.rateCompleted)/elapsed - a.rate) * (1 - math.Exp(-elapsed/rateWindowSeconds))
-	a.rateCompleted = finished
+	a.rate += (float64(completed-a.rateCompleted)/elapsed - a.rate) * (1 - math.Exp(-elapsed/rateWindowSeconds))
+	a.rateCompleted = completed
 	a.rateAt = now
 }
 
-// correctedRate is the rate as a process that has run for long would have it: at first less time has passed than it is
-// averaged over.
+// correctedRate returns the rate without the bias towards 0 of an average that starts at 0, which is large until the
+// process has run for longer than rateWindowSeconds. A rate from the snapshot has no such bias.
 func (a *startupAdapter) correctedRate(now float64) float64 {
 	if a.service.conf.Settings.InitialCompletionRate > 0 {
 		return a.rate
@@ -160,8 +159,8 @@
 	})
 }
 
-// onEndpoints handles the platform's endpoint list, confirmed where the list service has brought it in this process's
-// life.
+// onEndpoints handles the platform's endpoint list. confirmed reports whether the list service has sent it to
+// this process.
 func (a *startupAdapter) onEndpoints(p *pool, confirmed bool) {
 	if a == nil || p != a.service.pools.platform {
 		return
@@ -190,7 +189,7 @@
 	}
 }
 
-// writeMetrics shows how far the start is, and how the snapshot fares.
+// writeMetrics writes the progress of the start and the snapshot's counts.
 func (a *startupAdapter) writeMetrics(write func(name string, value uint64)) {
 	phase, _, fullServiceSeconds := a.tracker.Phase()
 	write("start_phase", uint64(phase))
@@ -203,7 +202,7 @@
 	}
 }
 
-// Status returns how far this start is, and what it waits for.
+// Status returns the progress of this start, and what it waits for.
 func (h *adminHandler) Status() (admin.Status, error) {
 	var status admin.Status
 	err := h.onLoop(func() error {
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -7,8 +7,8 @@
 	"bendtrestle/internal/hotrestart"
 )
 
-// successorHandler serves the processes that follow this one: what they ask and become, on goroutines of package
-// hotrestart.
+// successorHandler handles the requests and the state changes of successor processes. Package hotrestart calls it on
+// goroutines of its own.
 type successorHandler struct{ service *Service }
 
 var _ hotrestart.SuccessorHandler = successorHandler{}
@@ -20,7 +20,8 @@
 	return <-result
 }
 
-// listeningSockets duplicates the sockets that clients connect to, while any is accepted here.
+// listeningSockets duplicates the sockets that clients connect to. It returns none if this process does not listen at
+// the platform's address.
 func (s *Service) listeningSockets() map[string]int {
 	sockets := map[string]int{}
 	if s.clients.listener == nil || s.lifecycle.phase >= Finishing {
@@ -43,7 +44,8 @@
 	h.service.loop.Post(func() { result <- h.service.restartState() })
 	text, err := json.Marshal(<-result)
 	if err != nil {
-		h.service.log.Error().Err(err).Msg("the endpoint list cannot be encoded for the successor")
+		h.service.log.Error().Err(err).
+			Msg("the endpoint list cannot be encoded for the successor process; it starts without the list")
 	}
 	return text
 }
@@ -59,15 +61,15 @@
 	return state
 }
 
-// Started handles that another process starts beside this one.
+// Started handles that a successor has received the sockets and is starting.
 func (h successorHandler) Started() { h.service.loop.Post(func() { h.service.addOtherProcesses(1) }) }
 
-// Serving handles that a successor accepts clients: from here on it does so alone.
+// Serving handles that a successor accepts clients. This process then stops accepting.
 func (h successorHandler) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
 	s.restart.servingSuccessors++
-	s.log.Info().Msg("the next process takes clients; this one accepts no more")
+	s.log.Info().Msg("the successor process accepts clients; this one accepts no more")
 	s.clients.suspendListeners()
 	s.publish()
 }
@@ -77,8 +79,8 @@
 	h.service.loop.Post(func() { h.service.onSuccessorEnded(served) })
 }
 
-// onSuccessorEnded accepts clients again where the last successor that served has ended, unless this process is to
-// end, too.
+// onSuccessorEnded accepts clients again if the last successor that served has ended, unless this process is shutting
+// down too.
 func (s *Service) onSuccessorEnded(served bool) {
 	if s.lifecycle.phase == Ended {
 		return
@@ -92,9 +94,9 @@
 	if s.restart.servingSuccessors > 0 || s.lifecycle.phase >= Leaving {
 		return
 	}
-	s.log.Warn().Msg("the next process has ended; this one takes clients again")
+	s.log.Warn().Msg("the successor process has ended; this one accepts clients again")
 	s.clients.resumeListeners()
-	if s.restart.listener != nil { // the path was the successor's
+	if s.restart.listener != nil { // the socket's path has been taken over by the successor
 		s.restart.listener.Close()
 		s.restart.listener = nil
 	}
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -9,24 +9,24 @@
 )
 
 const (
-	// zoneStepSeconds is the time between two steps: a third of the shortest latency objectives, and far above what a
+	// zoneStepSeconds is the time between two steps: a third of the shortest latency objectives, and far longer than a
 	// step takes.
 	zoneStepSeconds = 0.05
-	// maxCollisionsLogged bounds the zones that are logged for a name that collides.
+	// maxCollisionsLogged bounds the zones that are logged for a name collision.
 	maxCollisionsLogged = 100
 )
 
-// zoneAdapter brings what this process observes of zones, and what other routers say of them, to the failover
-// decision, and the zones' shares to all pools. A nil one does nothing: zone failover is off.
+// zoneAdapter passes this process's observations of zones and other routers' messages to the zone failover controller,
+// and the resulting zone shares to all pools. A nil adapter does nothing: zone failover is off.
 type zoneAdapter struct {
 	service          *Service
 	controller       *zonefailover.Controller
-	file             *disabledservers.Registry // zones that an operator has evacuated, for all processes of this router
-	evacuated        map[string]bool           // of these, those that are evacuated here
-	loggedCollisions map[string]bool           // zones that were logged for a name that collides
+	file             *disabledservers.Registry // zones evacuated by operators, shared by all processes of this router
+	evacuated        map[string]bool           // those of them that this process has evacuated
+	loggedCollisions map[string]bool           // zones that were logged for a name collision
 }
 
-// openZones makes the adapter where the operators want it.
+// openZones creates the adapter if the operators' file turns zone failover on.
 func (s *Service) openZones(operators operatorconfig.File) {
 	if !operators.Zones.On {
 		return
@@ -68,7 +68,7 @@
 	}
 }
 
-// reconfigure applies the operators' file anew.
+// reconfigure applies a new operators' file.
 func (a *zoneAdapter) reconfigure(operators operatorconfig.File) {
 	if a != nil {
 		a.controller.SetRegions(operators.RegionZones())
@@ -90,7 +90,7 @@
 	a.service.loop.After(zoneStepSeconds, a.step)
 }
 
-// applyChanges applies the decisions to the pools.
+// applyChanges logs the zones' transitions and applies their shares to the pools.
 func (a *zoneAdapter) applyChanges() {
 	changed := map[string]bool{}
 	for _, change := range a.controller.TakeChanges() {
@@ -114,8 +114,8 @@
 	}
 }
 
-// applyShare sets what part of a pool's keys a zone serves now. What waits for a connection to an evacuated zone
-// was never sent, and is attempted elsewhere as such.
+// applyShare sets the zone share of a pool. Attempts that still wait for a connection to an evacuated zone are
+// cancelled; as they were never sent, their requests are attempted in other zones.
 func (a *zoneAdapter) applyShare(p *pool, zone string) {
 	share := a.controller.Share(zone)
 	if share == 0 {
@@ -160,7 +160,7 @@
 	}
 }
 
-// logCollision logs once that a zone takes no part.
+// logCollision logs, once per zone, that the zone is excluded from failover.
 func (a *zoneAdapter) logCollision(zone string) {
 	if a.loggedCollisions[zone] || len(a.loggedCollisions) >= maxCollisionsLogged {
 		return
@@ -170,35 +170,35 @@
 		Msg("this zone's name collides with another's in messages, or there are too many: it is never evacuated")
 }
 
-// onMessage takes another router's message; false if it is not about zones.
+// onMessage handles another router's message, and reports whether it was a zone failover message.
 func (a *zoneAdapter) onMessage(message []byte) bool {
 	return a != nil && a.controller.OnMessage(a.now(), message)
 }
 
-// AttemptStarted handles the start of an attempt at a server of a zone. within is the seconds in which an answer is
-// expected; the result is for AttemptEnded.
-func (a *zoneAdapter) AttemptStarted(zone string, within float64) uint64 {
-	return a.controller.OnAttemptStart(a.now(), zone, within)
+// AttemptStarted handles the start of an attempt at a server of a zone. objective is the time in seconds within which
+// an answer is expected; the result is the token for AttemptEnded.
+func (a *zoneAdapter) AttemptStarted(zone string, objective float64) uint64 {
+	return a.controller.OnAttemptStart(a.now(), zone, objective)
 }
 
-// AttemptEnded handles the outcome of an attempt that took so many seconds, of those in which an answer was expected.
-func (a *zoneAdapter) AttemptEnded(zone string, mark uint64, outcome balancer.Outcome, took, within float64) {
-	a.controller.OnAttemptEnd(a.now(), zone, mark, zoneEvidence(outcome, took, within))
+// AttemptEnded handles the outcome of an attempt. took is its duration in seconds.
+func (a *zoneAdapter) AttemptEnded(zone string, token uint64, outcome balancer.Outcome, took, objective float64) {
+	a.controller.OnAttemptEnd(a.now(), zone, token, zoneEvidence(outcome, took, objective))
 }
 
-// zoneEvidence is what an attempt's outcome says about its zone. An error is an answer, too. A request whose client
-// was in a hurry says nothing by its timeout, nor does what was never sent.
-func zoneEvidence(outcome balancer.Outcome, took, within float64) zonefailover.Outcome {
+// zoneEvidence returns what an attempt's outcome shows about its zone. An error reply is an answer too. A timeout
+// before the objective is inconclusive, and so is an attempt that was never sent.
+func zoneEvidence(outcome balancer.Outcome, took, objective float64) zonefailover.Outcome {
 	switch outcome {
 	case balancer.Succeeded, balancer.ServerError, balancer.CacheMiss:
-		if took > within {
+		if took > objective {
 			return zonefailover.Late
 		}
 		return zonefailover.Answered
 	case balancer.Overloaded:
 		return zonefailover.Overloaded
 	case balancer.TimedOut:
-		if took >= within {
+		if took >= objective {
 			return zonefailover.NoAnswer
 		}
 	case balancer.ConnectFailed, balancer.ConnectionLost:
@@ -207,7 +207,7 @@
 	return zonefailover.Inconclusive
 }
 
-// applyEvacuated applies the whole set of zones that operators have evacuated.
+// applyEvacuated applies the complete set of zones that operators have evacuated.
 func (a *zoneAdapter) applyEvacuated(zones []string) {
 	wanted := map[string]bool{}
 	for _, zone := range zones {
@@ -231,13 +231,13 @@
 	a.applyChanges()
 }
 
-// writeMetrics writes the figures of zones. Dashboards read their names, which stay as they have always been:
+// writeMetrics writes the metrics of zones. Dashboards read their names, so they never change:
 //
-//	figure           what it counts
-//	zones_left       zones that are evacuated, or probed
+//	metric           what it counts
+//	zones_left       zones that are evacuated or being probed
 //	zones_returning  zones that are recovering
 //	zone_moves       evacuations and recoveries begun since the start
-//	zone_words       gossip messages on zones that were sent since the start
+//	zone_words       gossip messages on zones sent since the start
 func (a *zoneAdapter) writeMetrics(write func(name string, value uint64)) {
 	if a == nil {
 		return
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -9,9 +9,9 @@
 	"bendtrestle/internal/disabledservers"
 )
 
-// Why an operator's call about zones is refused; the admin server answers with these texts.
+// Reasons why an operator's call on a zone is refused. The admin server answers with these texts.
 var (
-	errZonesOff = errors.New("zones are off: the operators' file is to say on = true under [zones]")
+	errZonesOff = errors.New("zone failover is off; to turn it on, set on = true under [zones] in the operators' file")
 	errLastZone = errors.New("no zone would remain; the last one is not left")
 )
 
@@ -44,7 +44,8 @@
 	return all, err
 }
 
-// EvacuateZone evacuates a zone until RestoreZone. It is refused for the last one.
+// EvacuateZone evacuates a zone until RestoreZone. It fails if no zone would remain that serves all of its
+// keys.
 func (h *adminHandler) EvacuateZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
@@ -61,7 +62,7 @@
 	}
 	if errors.Is(err, disabledservers.ErrLocalOnly) {
 		h.service.log.Error().Err(err).Str("zone", zone).
-			Msg("an operator's call holds here, but cannot be kept for the next process")
+			Msg("the zone is evacuated in this process, but the change cannot be saved for other processes")
 		return err
 	}
 	saved := zones.file.IDs() // nothing was written, so the zone does not stay evacuated
@@ -69,7 +70,7 @@
 	return err
 }
 
-// evacuate evacuates a zone for an operator.
+// evacuate evacuates a zone on behalf of an operator.
 func (a *zoneAdapter) evacuate(zone string) error {
 	if !a.controller.Known(zone) {
 		return admin.ErrUnknownZone
@@ -82,14 +83,14 @@
 	return nil
 }
 
-// RestoreZone lets a zone recover, whether an operator or the failover evacuated it.
+// RestoreZone begins the recovery of a zone, whether an operator or the failover evacuated it.
 func (h *adminHandler) RestoreZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
 	if zones == nil {
 		return errZonesOff
 	}
-	// The file also has a zone that could not be evacuated, as the last.
+	// The file may also name a zone that this process could not evacuate because it was the last.
 	saved := slices.Contains(zones.file.IDs(), zone)
 	if !saved {
 		return h.onLoop(func() error { return zones.startRecovery(zone) })
@@ -97,8 +98,8 @@
 	if err := zones.file.Update(zone, false, until); err != nil {
 		return err
 	}
-	err := h.onLoop(func() error { // behind the set without it, which the file has posted
-		// The failover itself may have evacuated it; else there is nothing to recover.
+	err := h.onLoop(func() error { // runs after the set without the zone is applied, which the registry has posted
+		// The failover itself may also have evacuated the zone; otherwise this does nothing.
 		zones.controller.StartRecovery(zones.now(), zone)
 		zones.applyChanges()
 		return nil
