--- a/internal/service/adminhandler_test.go
+++ b/internal/service/adminhandler_test.go
@@ -7,17 +7,18 @@
 	"bendtrestle/internal/admin"
 )
 
-// A loop that is held up refuses a call in time, and does not carry it out later.
-func TestAdminCallIsDoneInTimeOrNotAtAll(t *testing.T) {
+// The loop is blocked while an operator calls Drain. The call must fail within a second, and must not be executed once
+// the loop runs again.
+func TestAdminCallThatTimesOutIsNotExecuted(t *testing.T) {
 	handler, addr, _ := startWithAdmin(t, startCacheServer(t, 0))
-	held := make(chan bool)
-	handler.service.loop.Post(func() { <-held })
+	release := make(chan bool)
+	handler.service.loop.Post(func() { <-release })
 	began := time.Now()
 	if err := handler.Drain(); err != admin.ErrBusy || time.Since(began) > time.Second {
-		t.Errorf("it is told %v after %v", err, time.Since(began))
+		t.Errorf("got %v after %v, want ErrBusy within a second", err, time.Since(began))
 	}
-	close(held)
+	close(release)
 	if got := sendCommand(addr, "mn"); got != "MN" {
-		t.Errorf("later mn is answered %q", got)
+		t.Errorf("after the loop was blocked: mn got %q, want MN", got)
 	}
 }
--- a/internal/service/clients_test.go
+++ b/internal/service/clients_test.go
@@ -19,8 +19,8 @@
 	secondGet = "mg k v Oa2 Pc=t,d=1900"
 )
 
-// sendCommand sends one command on a connection of its own and gives the first line of the answer, or what went
-// wrong.
+// sendCommand sends one command on a connection of its own and returns the first line of the answer, "no connection" or
+// "no answer".
 func sendCommand(addr, command string) string {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -36,18 +36,18 @@
 	return strings.TrimSpace(line)
 }
 
-// waitAnswer sends a command again and again until it is answered as wanted, for some five seconds.
+// waitAnswer repeats a command until it gets the wanted answer, for at least five seconds.
 func waitAnswer(t *testing.T, addr, command, want string) {
 	t.Helper()
 	for i := 0; sendCommand(addr, command) != want; i++ {
 		if i > 500 {
-			t.Fatalf("%q is never answered %q", command, want)
+			t.Fatalf("%q never got the answer %q", command, want)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// dialAndSend returns a connection on which a key was asked for; with the key "", nothing was.
+// dialAndSend returns a connection on which it has sent a request for a key; with the key "" it has sent nothing.
 func dialAndSend(t *testing.T, addr, id, key string) (net.Conn, *bufio.Reader) {
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -61,12 +61,12 @@
 	return conn, bufio.NewReader(conn)
 }
 
-// closeWriteAndWait ends a client's sending and waits until the other side's kernel knows.
+// closeWriteAndWait closes a client's sending side and waits until the peer's kernel has acknowledged that.
 func closeWriteAndWait(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.(*net.TCPConn).CloseWrite()
 	raw, _ := conn.(*net.TCPConn).SyscallConn()
-	const finWait2, closed = 5, 7 // of the kernel's states; closed: it was even answered by a reset
+	const finWait2, closed = 5, 7 // TCP states of the kernel; closed: the peer answered with a reset
 	for state := uint8(0); state != finWait2 && state != closed; time.Sleep(time.Millisecond) {
 		raw.Control(func(fd uintptr) {
 			if info, err := unix.GetsockoptTCPInfo(int(fd), unix.IPPROTO_TCP, unix.TCP_INFO); err == nil {
@@ -76,7 +76,8 @@
 	}
 }
 
-// startLoad sends commands on ever new connections until it is stopped; then all must have been answered, and many.
+// startLoad sends commands, each on a new connection, until it is stopped. All of them must have been answered by then,
+// and at least 100 sent.
 func startLoad(t *testing.T, addr string) (stop func()) {
 	var done, sent atomic.Int64
 	var clients sync.WaitGroup
@@ -87,7 +88,7 @@
 			for done.Load() == 0 {
 				command := fmt.Sprintf("mg k v Ol%d Pc=t,d=1900", sent.Add(1))
 				if got := sendCommand(addr, command); !strings.HasPrefix(got, "VA") {
-					t.Errorf("under load it answers %q", got)
+					t.Errorf("under load: got %q, want a value", got)
 				}
 				time.Sleep(2 * time.Millisecond)
 			}
@@ -97,17 +98,17 @@
 		done.Store(1)
 		clients.Wait()
 	}
-	t.Cleanup(end) // also where the test fails before: an error after its end would end the whole program
+	t.Cleanup(end) // also if the test fails earlier: an error that is reported after its end panics
 	return func() {
 		end()
 		if sent.Load() < 100 {
-			t.Errorf("only %d commands were sent", sent.Load())
+			t.Errorf("%d commands were sent, want at least 100", sent.Load())
 		}
 	}
 }
 
-// startClient sends one command after another on one connection, and without a pause one ahead. It tells when the
-// connection is closed, and whether that cut an answer off.
+// startClient sends commands on one connection, each after the last answer and a pause. Without a pause it has two
+// commands in flight. The channel receives nil when the connection is closed, or an error if that truncated an answer.
 func startClient(t *testing.T, addr, name string, pause time.Duration) (ended chan error) {
 	ended = make(chan error, 1)
 	key := "short"
@@ -116,7 +117,7 @@
 	}
 	conn, in := dialAndSend(t, addr, name, key)
 	go func() {
-		if pause == 0 { // answers and commands cross
+		if pause == 0 { // so that answers and commands cross
 			time.Sleep(10 * time.Millisecond)
 			fmt.Fprintf(conn, "mg later v O%s- Pc=t,d=1900\r\n", name)
 		}
@@ -126,7 +127,7 @@
 				_, err = in.ReadString('\n')
 			}
 			if err != nil && line != "" {
-				ended <- fmt.Errorf("cut in %q", line)
+				ended <- fmt.Errorf("the connection was closed within the line %q", line)
 			}
 			if err != nil {
 				ended <- nil
@@ -139,8 +140,8 @@
 	return ended
 }
 
-// keepConnections keeps so many connections to an address open until done is closed, each anew as it ends. On each
-// it sends what text gives, and passes on the lines that are answered.
+// keepConnections keeps a number of connections to an address open until done is closed: it replaces those that end. On
+// each it sends the result of text, and passes the lines that it receives to received.
 func keepConnections(addr string, text func() string, connections int, done chan bool, received func(line string)) {
 	for range connections {
 		go func() {
--- a/internal/service/contracts_test.go
+++ b/internal/service/contracts_test.go
@@ -11,7 +11,7 @@
 	"github.com/rs/zerolog"
 )
 
-// contractFile has places for the pool's list service, more of the pool's keys, the team's listener and its budget.
+// contractFile is a format with the pool's list service, further keys of the pool, the team's listener and its budget.
 const contractFile = `
 [[pool]]
 name = "stock"
@@ -33,9 +33,9 @@
 benefit = 1
 `
 
-// A pool and a contract come, change, and go by SIGHUP while the router serves: requests end under the contract
-// that they began with, listeners open and close, and what has no contract goes to the platform's pool as before.
-func TestContractsWhileServing(t *testing.T) {
+// Reloads add, change and remove a pool and a contract while the router serves. Requests in flight are completed under
+// their old contract, listeners open and close, and requests without a contract go to the platform's pool.
+func TestReloadOfPoolsAndContracts(t *testing.T) {
 	platform := startCacheServer(t, 0)
 	stock := startCacheServer(t, 300*time.Millisecond)
 	s, addr, _ := startServing(t, platform)
@@ -55,29 +55,29 @@
 	reconfigure(fmt.Sprintf(contractFile, stock, "", teamAddr, 2.0))
 	waitFor(t, "the pool", 300, func() bool { return succeeded(send(teamAddr, "")) })
 	if got := send(addr, ",tenant=pharmacy"); !succeeded(got) {
-		t.Errorf("by tenant it is answered %q", got)
+		t.Errorf("request by tenant: got %q, want a value", got)
 	}
 	began := time.Now()
 	if got := send(addr, ""); !succeeded(got) || time.Since(began) > 250*time.Millisecond {
-		t.Errorf("without a contract it is answered %q after %v", got, time.Since(began))
+		t.Errorf("request without a contract: got %q after %v, want a value within 250 ms", got, time.Since(began))
 	}
 	inFlight := make(chan string)
 	command := fmt.Sprintf("mg k v Oc%d Pc=t,d=1900", 1000)
 	go func() { inFlight <- sendCommand(teamAddr, command) }()
 	time.Sleep(50 * time.Millisecond)
 
-	reconfigure(fmt.Sprintf(contractFile, stock, "", teamAddr, 0.0)) // no budget from now on
+	reconfigure(fmt.Sprintf(contractFile, stock, "", teamAddr, 0.0)) // without a budget
 	if got := send(teamAddr, ""); !strings.HasPrefix(got, "SERVER_ERROR busy") {
-		t.Errorf("without a budget it is answered %q", got)
+		t.Errorf("request without a budget: got %q, want a rejection", got)
 	}
 	if got := <-inFlight; !succeeded(got) {
-		t.Errorf("a request in flight is answered %q", got)
+		t.Errorf("request in flight at the reload: got %q, want a value", got)
 	}
 
 	reconfigure("[broker]\nothers = \"nobody\"\n")
 	waitFor(t, "the listener's end", 300, func() bool { return send(teamAddr, "") == "no connection" })
 	if got := send(addr, ""); got != "CLIENT_ERROR no contract holds for this traffic" {
-		t.Errorf("without any contract it is answered %q", got)
+		t.Errorf("request with no contract and no fallback: got %q, want a client error", got)
 	}
 	waitFor(t, "the pool's end", 300, func() bool {
 		pools := callOnLoop(s, func() int { return len(s.pools.named) + len(s.pools.retiring) })
@@ -86,12 +86,13 @@
 
 	reconfigure("")
 	if got := send(addr, ""); !succeeded(got) {
-		t.Errorf("as at first it is answered %q", got)
+		t.Errorf("with the initial configuration again: got %q, want a value", got)
 	}
 }
 
-// A pool whose endpoint list never comes costs the others nothing, and serves nobody.
-func TestPoolWithoutServers(t *testing.T) {
+// The list service of one pool never answers. That pool rejects its requests without delay, and the platform's pool
+// serves as usual.
+func TestPoolWithoutServersRejectsOnlyItsOwnRequests(t *testing.T) {
 	platform := startCacheServer(t, 0)
 	addr := freeAddress(t)
 	teamAddr := freeAddress(t)
@@ -104,13 +105,13 @@
 	began := time.Now()
 	got := sendCommand(teamAddr, "mg k v Ox Pc=t,d=1900")
 	if !strings.HasPrefix(got, "SERVER_ERROR busy") || time.Since(began) > 200*time.Millisecond {
-		t.Errorf("the pool without servers answers %q after %v", got, time.Since(began))
+		t.Errorf("pool without servers: got %q after %v, want a rejection within 200 ms", got, time.Since(began))
 	}
 	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
-		t.Errorf("the platform's pool answers %q", got)
+		t.Errorf("platform's pool: got %q, want a value", got)
 	}
 	rejections := callOnLoop(s, func() uint64 { return s.broker.TeamStates()[0].Reasons[requestcore.ReasonNoEndpoint] })
 	if rejections != 1 {
-		t.Errorf("%d rejections are for want of a server", rejections)
+		t.Errorf("%d rejections because there is no server, want 1", rejections)
 	}
 }
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -61,7 +61,7 @@
 		return true
 	}
 	for _, p := range s.pools.active() {
-		if _, known := p.knownServers[discovery.ID(id)]; known {
+		if _, known := p.known[discovery.ID(id)]; known {
 			return true
 		}
 	}
--- a/internal/service/endpoints.go
+++ b/internal/service/endpoints.go
@@ -39,8 +39,8 @@
 	for id := range p.ready {
 		p.ready[id] = false
 	}
-	for id := range p.knownServers {
-		p.knownServers[id] = false
+	for id := range p.known {
+		p.known[id] = false
 	}
 	clear(p.endpoints)
 }
--- a/internal/service/endpointwatch_test.go
+++ b/internal/service/endpointwatch_test.go
@@ -16,14 +16,14 @@
 	"github.com/rs/zerolog"
 )
 
-// configWithKnownList is baseConfig with a list that is known at the start, in which s-1 drains, and lists that are
-// polled.
+// configWithKnownList is baseConfig with a list that is known at the start, in which s-1 is draining, and with a
+// balancer that polls the list service.
 var configWithKnownList = strings.Replace(baseConfig, `"settings":{`, `"known":{
 	"generation":42,"reset":true,"instances":[
 	{"instanceId":"s-1","hostPort":"127.0.0.1:2","lifecycle":"draining"},
 	{"instanceId":"s-2","hostPort":"127.0.0.1:2","lifecycle":"ready"}]},"settings":{"discovery":"on_request",`, 1)
 
-// endpointList returns a list that names s-1 and s-2 at an address where nothing listens, the first in a state.
+// endpointList returns a full list that names s-1 in the given state and s-2 as ready, both at the same address.
 func endpointList(generation uint64, at, state string) discovery.EndpointList {
 	list, err := discovery.Parse(fmt.Appendf(nil, `{"generation":%d,"reset":true,"instances":[
 		{"instanceId":"s-1","hostPort":"%s","lifecycle":"%s"},
@@ -34,9 +34,10 @@
 	return list
 }
 
-// A start with a known list polls for what changed since, but only the service that told that list. And it leaves
-// time to one that is full: all routers poll it, and polls each 0.1 s would keep it full.
-func TestKnownListAndBackoffFromAFullListService(t *testing.T) {
+// A process that starts with a known list first polls for the changes since then, but only at the list service that the
+// list is from. If that service rejects a poll because it is overloaded, the next poll must wait: all routers poll the
+// service, and a poll of each every 0.1 s would keep it overloaded.
+func TestFirstPollsWithKnownListAndOverloadedListService(t *testing.T) {
 	polls := make(chan string, 1000)
 	full := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		polls <- r.URL.RawQuery
@@ -54,63 +55,63 @@
 	go s.loop.Run()
 	defer s.loop.Post(s.end)
 	if first := <-polls; first != "from=7&hold_ms=2000" {
-		t.Errorf("it polls first for %q", first)
+		t.Errorf("first poll: got the query %q, want from=7&hold_ms=2000", first)
 	}
-	time.Sleep(400 * time.Millisecond) // the first wait is half a second at the least
+	time.Sleep(400 * time.Millisecond) // the first wait is at least half a second
 	if len(polls) > 0 {
-		t.Errorf("it polled %d times more within 0.4 s", len(polls))
+		t.Errorf("%d more polls within 0.4 s of the rejected one, want 0", len(polls))
 	}
 	s.loop.Post(func() {
 		s.pools.platform.stopWatching()
 		s.pools.platform.watchListService("localhost" + at[strings.IndexByte(at, ':'):])
 	})
 	if next := <-polls; next != "" {
-		t.Errorf("at another address it polls first for %q", next)
+		t.Errorf("first poll of another list service: got the query %q, want none", next)
 	}
 }
 
-// SIGHUP moves the watch while a list of the old one is on its way: a drain in it must not be taken back by the new
-// service's first list, which lags behind.
-func TestADrainOnItsWayIsNotTakenBackByAServiceThatLags(t *testing.T) {
+// A reload names another list service while a list of the old one is in flight. A drain in that list must not be
+// reverted by the first list of the new service, which lags behind.
+func TestLaggingListServiceDoesNotRevertDrain(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), "")
 	waitServing(t, s)
 	p := s.pools.platform
 	avoided := func() bool { return p.core.Avoids(discovery.ID("s-1")) }
 	runOnLoop(s, func() {
-		if p.watch == nil { // it has told nothing since the list that was known
+		if p.watch == nil { // it has received no list yet, only the known list is in use
 			p.watch = p.nextWatch
 			p.nextWatch = nil
 		}
-		was := p.watch
+		previous := p.watch
 		p.watchListService("127.0.0.1:1")
-		moved := p.nextWatch
-		if err := p.onList(was, endpointList(42, "127.0.0.1:2", "draining")); err != nil || !avoided() {
-			t.Errorf("the drain is not taken: %v", err)
+		next := p.nextWatch
+		if err := p.onList(previous, endpointList(42, "127.0.0.1:2", "draining")); err != nil || !avoided() {
+			t.Errorf("drain in the old service's list: got %v, want it applied", err)
 		}
-		if err := p.onList(moved, endpointList(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
-			t.Errorf("it is taken back: %v", err)
+		if err := p.onList(next, endpointList(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
+			t.Errorf("lagging list without the drain: got %v, want it refused", err)
 		}
-		lags := endpointList(41, "127.0.0.1:2", "ready")
-		lags.Instances[1].State = balancer.Draining
-		if err := p.onList(moved, lags); err == nil || !avoided() || !p.core.Avoids(discovery.ID("s-2")) {
-			t.Errorf("a drain in a list that lags is not applied: %v", err)
+		lagging := endpointList(41, "127.0.0.1:2", "ready")
+		lagging.Instances[1].State = balancer.Draining
+		if err := p.onList(next, lagging); err == nil || !avoided() || !p.core.Avoids(discovery.ID("s-2")) {
+			t.Errorf("lagging list with another drain: got %v, want it refused and the drain applied", err)
 		}
-		if p.watch != was {
-			t.Error("the watch before is left before the new service has told a list that counts")
+		if p.watch != previous {
+			t.Error("the old watch was replaced before the new service sent an accepted list")
 		}
-		moved.startedAt -= catchUpSeconds // then it counts generations of its own
-		if err := p.onList(moved, endpointList(7, "127.0.0.1:2", "ready")); err != nil || avoided() || p.watch != moved {
-			t.Errorf("the new service is never followed: %v", err)
+		next.startedAt -= catchUpSeconds // from then on it is taken to number generations independently
+		if err := p.onList(next, endpointList(7, "127.0.0.1:2", "ready")); err != nil || avoided() || p.watch != next {
+			t.Errorf("lower generation after catchUpSeconds: got %v, want the list applied", err)
 		}
-		if err := p.onList(was, endpointList(43, "127.0.0.1:2", "draining")); err != nil || avoided() {
-			t.Errorf("a list of a service that was left still counts: %v", err)
+		if err := p.onList(previous, endpointList(43, "127.0.0.1:2", "draining")); err != nil || avoided() {
+			t.Errorf("list of the old service after the change: got %v, want it ignored", err)
 		}
 	})
 }
 
-// SIGHUP names another list service before the start's own has told anything: a drain that was known must not be
-// taken back by one that lags behind the list that the process started with.
-func TestAKnownDrainIsNotTakenBackByAServiceNamedBeforeTheFirstList(t *testing.T) {
+// A reload names another list service before the first one has sent a list. A drain in the list that the process
+// started with must not be reverted by the new service if that lags behind.
+func TestLaggingListServiceDoesNotRevertDrainOfInitialList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -120,32 +121,32 @@
 		p := s.pools.platform
 		avoided := func() bool { return p.core.Avoids(discovery.ID("s-1")) }
 		p.watchListService("127.0.0.1:2")
-		moved := p.nextWatch
-		if err := p.onList(moved, endpointList(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
-			t.Errorf("the drain is taken back: %v", err)
+		newWatch := p.nextWatch
+		if err := p.onList(newWatch, endpointList(41, "127.0.0.1:2", "ready")); err == nil || !avoided() {
+			t.Errorf("lagging list without the drain: got %v, want it refused", err)
 		}
-		if err := p.onList(moved, endpointList(43, "127.0.0.1:2", "ready")); err != nil || avoided() {
-			t.Errorf("a newer list is not taken: %v", err)
+		if err := p.onList(newWatch, endpointList(43, "127.0.0.1:2", "ready")); err != nil || avoided() {
+			t.Errorf("newer list without the drain: got %v, want it applied", err)
 		}
 	})
 }
 
-// startHangingListService starts a list service whose first two polls hang until back is closed; then it rejects
-// one and answers with a list in which s-2 drains. polls tells each poll.
-func startHangingListService(t *testing.T) (at string, polls, back chan bool) {
+// startHangingListService starts a list service whose first two polls hang until release is closed. Then it rejects one
+// poll and answers the others with a list in which s-2 is draining. polls receives a value for each poll.
+func startHangingListService(t *testing.T) (at string, polls, release chan bool) {
 	polls = make(chan bool, 1000)
-	back = make(chan bool)
+	release = make(chan bool)
 	var answered atomic.Int64
 	server := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		select {
 		case polls <- true:
 		default:
 		}
-		if r.URL.RawQuery != "" { // a poll for changes goes on, without any
+		if r.URL.RawQuery != "" { // a long poll for changes, of which there are none
 			<-r.Context().Done()
 		}
 		select {
-		case <-back:
+		case <-release:
 		case <-r.Context().Done():
 			return
 		}
@@ -160,12 +161,12 @@
 		server.CloseClientConnections()
 		server.Close()
 	})
-	return server.Listener.Addr().String(), polls, back
+	return server.Listener.Addr().String(), polls, release
 }
 
-// SIGHUP moves the router to a list service that hangs, then rejects polls: the lists of the one before count all
-// the while, and the new one is followed once it answers, both ways of polling.
-func TestAMoveToAServiceThatHangs(t *testing.T) {
+// A reload names a list service that hangs and then rejects a poll. Until it answers, the lists of the old service are
+// used; after that, those of the new one. The test covers both discovery modes.
+func TestOldListServiceIsUsedWhileNewOneHangs(t *testing.T) {
 	for _, settings := range []string{`"settings":{`, `"settings":{"discovery":"on_request",`} {
 		text := strings.Replace(baseConfig, `"settings":{`, settings, 1)
 		s, _, err := assembleConfig(text, startCacheServer(t, 0), zerolog.Nop())
@@ -174,28 +175,28 @@
 		}
 		s.runLoop(t)
 		waitServing(t, s)
-		at, polls, back := startHangingListService(t)
+		at, polls, release := startHangingListService(t)
 		p := s.pools.platform
 		avoids := func(server string) bool { return p.core.Avoids(discovery.ID(server)) }
 		runOnLoop(s, func() { p.watchListService(at) })
 		<-polls
-		<-polls // the first hangs
+		<-polls // the first poll hangs
 		runOnLoop(s, func() {
 			err := p.onList(p.watch, endpointList(50, "127.0.0.1:2", "draining"))
 			if err != nil || !avoids("s-1") || p.watch.address == at {
-				t.Errorf("the drain that the service before tells is not taken: %v", err)
+				t.Errorf("drain in the old service's list: got %v, want it applied", err)
 			}
 		})
-		close(back)
-		waitUntil(t, "the other service's list", s, func() bool {
+		close(release)
+		waitUntil(t, "the new service's list", s, func() bool {
 			return p.watch.address == at && p.nextWatch == nil && avoids("s-2")
 		})
 	}
 }
 
-// A generation that is told again with other entries counts; one that starts again at 0 counts once the service has
-// had time to catch up.
-func TestGenerationsThatRepeatAndStartAgain(t *testing.T) {
+// A list with the last known generation and other entries is applied. A generation that restarts at 0 is applied once
+// the service has had the time to catch up.
+func TestRepeatedAndRestartedGenerations(t *testing.T) {
 	s, _, _ := startServing(t, startCacheServer(t, 0))
 	runOnLoop(s, func() {
 		p := s.pools.platform
@@ -206,14 +207,14 @@
 			avoided    bool
 		}{
 			{"the first", 42, "ready", false},
-			{"again, with a drain", 42, "draining", true},
-			{"again, without", 42, "ready", false},
-			{"from 0 on", 0, "draining", true},
+			{"the same, with a drain", 42, "draining", true},
+			{"the same, without", 42, "ready", false},
+			{"restarted at 0", 0, "draining", true},
 		} {
 			p.watch.startedAt -= catchUpSeconds
 			err := p.onList(p.watch, endpointList(list.generation, "127.0.0.1:2", list.state))
 			if avoided := p.core.Avoids(discovery.ID("s-1")); err != nil || avoided != list.avoided {
-				t.Errorf("%s: %v, avoided %v", list.name, err, avoided)
+				t.Errorf("%s: got %v and avoided %v, want no error and %v", list.name, err, avoided, list.avoided)
 			}
 		}
 	})
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -18,7 +18,7 @@
 	"github.com/rs/zerolog"
 )
 
-// goldenOperators is an operators' file with all that adds metrics: a contract, zones, gossip and recovery.
+// goldenOperators is an operators' file with everything that adds metrics: a contract, zones, gossip and recovery.
 const goldenOperators = `
 [zones]
 on = true
@@ -29,7 +29,7 @@
 bytes_per_second = 7000
 ` + goldenTeam
 
-// goldenTeam has a place for the team's listener.
+// goldenTeam is a format with the address of the team's listener.
 const goldenTeam = `
 [[team]]
 name = "pharmacy"
@@ -50,7 +50,7 @@
 benefit = 1
 `
 
-// Dashboards read the metrics by their names, and some by their order.
+// Dashboards find the metrics by their names, and some by their order: neither may change.
 func TestGoldenMetrics(t *testing.T) {
 	for name, text := range map[string]string{
 		"figures-plain": "",
@@ -63,8 +63,8 @@
 	}
 }
 
-// What the admin server answers as JSON to GET /status and GET /zones, but for the seconds, which differ from run
-// to run.
+// The JSON that the admin server answers to GET /status and GET /zones must not change. Durations differ between runs
+// and are set to 0.
 func TestGoldenStatusAndZones(t *testing.T) {
 	s, _ := startProcess(t, freeAddress(t), startCacheServer(t, 0), t.TempDir())
 	waitServing(t, s)
@@ -74,7 +74,7 @@
 		s.zones.controller.OnEndpoints(s.loop.Now(), map[string]int{"a": 1, "b": 2}, nil)
 	})
 	handler := addAdminHandler(s)
-	waitUntil(t, "the list of before", s, func() bool {
+	waitUntil(t, "the phase listed", s, func() bool {
 		phase, _, _ := s.startup.tracker.Phase()
 		return phase.String() == "listed"
 	})
@@ -104,8 +104,8 @@
 	golden(t, "status-and-zones", text)
 }
 
-// The list as this process tells it to its successor, from a process that runs.
-func TestGoldenStateToldToTheNextProcess(t *testing.T) {
+// The state that a running process sends to its successor must not change, as the successor may be of another build.
+func TestGoldenLiveHotRestartState(t *testing.T) {
 	conf := parseConfig(t, baseConfig, freeAddress(t), "127.0.0.1:1", "")
 	s := assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
 	s.runLoop(t)
@@ -117,7 +117,7 @@
 	golden(t, "hotrestart-state-live", successorHandler{s}.State())
 }
 
-// Texts of errors that the admin server answers with.
+// The texts of errors that the admin server answers with.
 func TestGoldenErrors(t *testing.T) {
 	var all []string
 	for _, err := range []error{errShuttingDown, errSavedNotApplied, errZonesOff, errLastZone} {
@@ -126,7 +126,7 @@
 	golden(t, "errors", []byte(strings.Join(all, "\n")))
 }
 
-// goldenMessages are the log lines that pages, dashboards or the experiments read.
+// goldenMessages are the log messages that dashboards, experiments or the documentation match.
 var goldenMessages = []string{
 	"starting",
 	"phase",
@@ -152,8 +152,8 @@
 	"recovery is on, but there is no folder (TMPDIR) for the snapshot; nothing is saved",
 }
 
-// Log lines by level, message and the names of their fields, in order: dashboards find them by these. The life of a
-// router, with a successor that comes and goes, brings them.
+// Dashboards find log lines by level, message and the names of their fields in order: these must not change. The test
+// runs a router with a successor through reloads, operators' calls and shutdowns, which log all of goldenMessages.
 func TestGoldenLogLines(t *testing.T) {
 	log := &logBuffer{}
 	dir := t.TempDir()
@@ -179,13 +179,13 @@
 		first.startup.save("rate", "this router", []byte("12"))
 	})
 	waitUntil(t, "a written snapshot", first, func() bool { return first.startup.snapshot.Stats().Written > 1 })
-	callAll(t, addAdminHandler(first))
+	callAllOperations(t, addAdminHandler(first))
 
-	contracts := parseOperators(t, fmt.Sprintf(goldenTeam, list)) // a team at an address that is taken
+	contracts := parseOperators(t, fmt.Sprintf(goldenTeam, list)) // its listener's address is in use
 	changed := parseConfig(t, baseConfig, "127.0.0.1:2", list, dir)
 	runOnLoop(first, func() { first.reconfigure(Setup{Platform: changed, Operators: contracts}) })
 	if got := sendCommand(addr, "mg k v Oq1 Pc=t,d=1900,tenant=pharmacy"); !strings.HasPrefix(got, "VA") {
-		t.Errorf("the contract's request is answered %q", got)
+		t.Errorf("request of the team with a contract: got %q, want a value", got)
 	}
 	runOnLoop(first, first.logCounts)
 	signals := make(chan os.Signal)
@@ -214,8 +214,8 @@
 	golden(t, "log-lines", []byte(lines.String()))
 }
 
-// callAll calls all that an operator may have done and undone.
-func callAll(t *testing.T, handler *adminHandler) {
+// callAllOperations makes each call of the admin server that changes something, and the one that undoes it.
+func callAllOperations(t *testing.T, handler *adminHandler) {
 	t.Helper()
 	for _, err := range []error{
 		handler.Drain(),
@@ -231,7 +231,7 @@
 	}
 }
 
-// The fields for reasons of rejections, of which a line has only those that there were.
+// The names of the fields for reasons of rejections must not change. A log line has only those with a count above 0.
 func TestGoldenRejectReasons(t *testing.T) {
 	var log strings.Builder
 	logger := zerolog.New(&log)
@@ -243,21 +243,21 @@
 	golden(t, "log-reasons", []byte(strings.TrimSuffix(log.String(), "\n")))
 }
 
-// goldenLine returns the level and the names of the fields of the first line with a message.
+// goldenLine returns the level, the message and the names of the fields of the first line with a message.
 func goldenLine(t *testing.T, log, message string) string {
 	t.Helper()
 	for line := range strings.Lines(log) {
-		level, said, fields := parseLogLine(line)
-		if said == message {
-			return fmt.Sprintf("%q %q %s\n", level, said, strings.Join(fields, ", "))
+		level, logged, fields := parseLogLine(line)
+		if logged == message {
+			return fmt.Sprintf("%q %q %s\n", level, logged, strings.Join(fields, ", "))
 		}
 	}
-	t.Errorf("no line %q", message)
+	t.Errorf("no log line with the message %q", message)
 	return ""
 }
 
 // parseLogLine returns the level, the message and the names of all other fields of a line, in their order. Fields on
-// connections that were cut are left out: whether there are any depends on who closes first.
+// connections that were cut are left out: whether there are any depends on which side closes first.
 func parseLogLine(line string) (level, message string, fields []string) {
 	decoder := json.NewDecoder(strings.NewReader(line))
 	decoder.Token() // the opening brace
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -17,9 +17,9 @@
 	"github.com/fxamacker/cbor/v2"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden from the current code")
 
-// golden compares bytes with a file that the build of 15122f5 wrote.
+// golden compares bytes with a golden file, first written by the build of 15122f5, and returns the file's content.
 func golden(t *testing.T, name string, got []byte) []byte {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -61,8 +61,8 @@
 	}
 }
 
-// The next process may be of another build: it reads what this one tells it at a hot restart, and the other way
-// round.
+// At a hot restart the successor may be of another build, newer or older: the encoded state must stay the same, and
+// must be decoded completely.
 func TestGoldenHotRestartState(t *testing.T) {
 	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Complete: true}}
 	for _, entry := range goldenEntries() {
@@ -75,15 +75,16 @@
 	want := golden(t, "hotrestart-state", text)
 	var read restartState
 	if err := json.Unmarshal(want, &read); err != nil || !reflect.DeepEqual(read, sent) {
-		t.Errorf("read as %+v, %v", read, err)
+		t.Errorf("decoded: got %+v, %v, want %+v", read, err, sent)
 	}
 	list := read.List.list()
 	if list.Generation != 41 || !list.Complete || !reflect.DeepEqual(list.Instances, goldenEntries()) {
-		t.Errorf("taken as %+v", list)
+		t.Errorf("converted: got %+v, want the entries that were encoded", list)
 	}
 }
 
-// The list on disk was perhaps written by another build.
+// The list in a snapshot may have been written by another build: the encoding must stay the same, and must be decoded
+// completely.
 func TestGoldenSavedList(t *testing.T) {
 	sent := snapshotList{Generation: 41}
 	for _, e := range goldenEntries() {
@@ -100,6 +101,6 @@
 	}
 	var read snapshotList
 	if err := cbor.Unmarshal(bytes, &read); err != nil || !reflect.DeepEqual(read, sent) {
-		t.Errorf("read as %+v, %v", read, err)
+		t.Errorf("decoded: got %+v, %v, want %+v", read, err, sent)
 	}
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -23,8 +23,8 @@
 // bytesPerSecond is the budget of gossip in these tests.
 const bytesPerSecond = 7000
 
-// peerConfig returns the platform's configuration of one of so many routers, of which the first have the addresses
-// given.
+// peerConfig returns the platform's configuration for the router at index in a fleet of a number of routers. The first
+// of them have the given addresses.
 func peerConfig(t *testing.T, index, routers int, first ...string) config.Config {
 	t.Helper()
 	conf := parseConfig(t, baseConfig, freeAddress(t), "127.0.0.1:1", t.TempDir())
@@ -39,8 +39,8 @@
 	return conf
 }
 
-// startOtherRouters starts the rest of a fleet on its own sockets, from an index on: the gossip part of each,
-// without a router round it.
+// startOtherRouters simulates the routers of a fleet from an index on, each with a socket of its own: only their gossip
+// runs, without the rest of a router.
 func startOtherRouters(t *testing.T, addresses []string, from int, servers []uint16) {
 	var hashes []uint32
 	for _, address := range addresses {
@@ -100,8 +100,9 @@
 	})
 }
 
-// What one router's balancer says comes to hold at another, by sockets, in a fleet of a hundred.
-func TestGossipOnSockets(t *testing.T) {
+// In a fleet of a hundred routers that exchange UDP datagrams, the observations of one router's balancer must reach
+// another router.
+func TestGossipReachesAnotherRouterOverUDP(t *testing.T) {
 	var addresses []string
 	for range 100 {
 		addresses = append(addresses, freeUDPAddress(t))
@@ -119,7 +120,7 @@
 		}
 		s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.Nop())
 		if s.gossip == nil {
-			t.Fatal("each of a hundred routers sends to all others")
+			t.Fatal("gossip is off in a fleet of a hundred routers")
 		}
 		services = append(services, s)
 	}
@@ -129,10 +130,10 @@
 	startOtherRouters(t, addresses, 2, []uint16{7, 8})
 	sender, receiver := services[0], services[1]
 	send := sender.gossipSender("")
-	looks := 0
+	polls := 0
 	waitUntil(t, "an entry at the other router", receiver, func() bool {
-		looks++
-		if looks%50 == 1 { // the first ones may come before they know each other
+		polls++
+		if polls%50 == 1 { // the first ones may arrive before the routers know that all of them support gossip
 			sender.loop.Post(func() { send([]byte{7, 0, 32, 8, 0, 64}) })
 		}
 		one, _, _, oneKnown := receiver.gossip.gossiper.Summary(receiver.loop.Now(), 7)
@@ -141,9 +142,9 @@
 	})
 }
 
-// With gossip off, at three routers, and where no list tells who is there, what the balancer says goes to all as it
-// is.
-func TestGossipOff(t *testing.T) {
+// If gossip is off in the operators' file, or the fleet is so small (three or eighty routers) that broadcasting
+// costs less, the balancer's messages are sent to all routers unchanged.
+func TestBroadcastWhereGossipIsOff(t *testing.T) {
 	for _, fleet := range []struct {
 		name    string
 		routers int
@@ -167,13 +168,14 @@
 		received := make([]byte, 300)
 		n, _, err := peer.ReadFrom(received)
 		if err != nil || string(received[:n]) != message || s.gossip != nil {
-			t.Errorf("%s: the first that the peer has is %q, %v", fleet.name, received[:n], err)
+			t.Errorf("%s: the peer received %q, %v, want the message unchanged and gossip off", fleet.name, received[:n], err)
 		}
 	}
 }
 
-// A list without this router in it, or a platform that does not allow gossip, leaves it off.
-func TestGossipNeedsAList(t *testing.T) {
+// The platform's configuration does not allow gossip. It must stay off, with a warning, though the operators' file
+// turns it on.
+func TestGossipStaysOffWhereNotAllowed(t *testing.T) {
 	log := &logBuffer{}
 	conf := peerConfig(t, 0, 100, freeUDPAddress(t))
 	conf.Settings.GossipAllowed = false
@@ -181,6 +183,6 @@
 	s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.New(log))
 	s.runLoop(t)
 	if s.gossip != nil || !strings.Contains(log.text(), "no list of peers with this router in it") {
-		t.Errorf("it is on, or nothing was logged: %s", log.text())
+		t.Errorf("gossip is on, or the warning is missing in the log: %s", log.text())
 	}
 }
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -19,16 +19,16 @@
 	"github.com/rs/zerolog"
 )
 
-// baseConfig has places for the router's own address and the list service's.
+// baseConfig is a format with the router's address and the list service's.
 const baseConfig = `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3},
 	"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1000000000,"hardStop":2000000000,"benefit":1}]}}`
 
-// environment is that of a process with a folder for files that outlive it; "": without one.
+// environment returns the environment of a process with a folder for files that outlive it; "": without one.
 func environment(folder string) func(name string) string {
 	return func(name string) string { return map[string]string{"TMPDIR": folder}[name] }
 }
 
-// parseConfig reads a configuration with places for the router's own address and the list service's.
+// parseConfig parses a configuration from a format with the router's address and the list service's.
 func parseConfig(t *testing.T, text, addr, discovery, folder string) config.Config {
 	t.Helper()
 	conf, err := config.Parse(fmt.Appendf(nil, text, addr, discovery), environment(folder))
@@ -50,8 +50,8 @@
 	return file
 }
 
-// assembleConfig returns a service that does not run yet, at an address that is free. The configuration's text has
-// places for that address and the list service's.
+// assembleConfig returns a service that does not run yet, at a free address. text is a format with that address and the
+// list service's.
 func assembleConfig(text, discovery string, log zerolog.Logger) (s *Service, addr string, err error) {
 	free, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -76,7 +76,7 @@
 	return s
 }
 
-// runLoop runs a service until it ends by itself, or the test does.
+// runLoop runs a service until it ends by itself or the test ends.
 func (s *Service) runLoop(t *testing.T) (ended chan error) {
 	ended = make(chan error, 1)
 	go func() { ended <- s.loop.Run() }()
@@ -84,19 +84,19 @@
 	return ended
 }
 
-// startServing returns a service that serves, its address, and where its end is told.
+// startServing returns a service that serves, its address, and a channel that receives the result of its loop.
 func startServing(t *testing.T, discovery string) (s *Service, addr string, ended chan error) {
 	s, addr, err := assembleConfig(baseConfig, discovery, zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
-	ended = s.runLoop(t) // its end comes before the list service's, which waits for polls in flight
+	ended = s.runLoop(t) // ends before the list service, which waits for polls in flight
 	waitAnswer(t, addr, "mn", "MN")
 	return s, addr, ended
 }
 
-// startProcess starts a process of a router at an address, which knows the list of its list service from the start,
-// if there is one. shared is the folder that all processes of the router share.
+// startProcess starts a process of a router at an address. If the list service answers, its list is part of the
+// process's configuration. shared is the folder that all processes of the router share.
 func startProcess(t *testing.T, addr, list, shared string) (s *Service, ended chan error) {
 	t.Helper()
 	conf := parseConfig(t, baseConfig, addr, list, shared)
@@ -125,14 +125,14 @@
 	})
 }
 
-// shutDown ends a service as SIGTERM does, and waits for its end.
+// shutDown shuts a service down as SIGTERM does, and waits for its end.
 func shutDown(t *testing.T, s *Service, ended chan error) {
 	t.Helper()
 	s.loop.Post(s.beginShutdown)
 	select {
 	case <-ended:
 	case <-time.After(4 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the service has not ended within 4 s of the signal")
 	}
 }
 
@@ -151,23 +151,23 @@
 	})
 }
 
-// waitUntil waits for a state of a service, up to some five seconds.
-func waitUntil(t *testing.T, what string, s *Service, is func() bool) {
+// waitUntil waits until a condition holds on a service's loop, for at least five seconds.
+func waitUntil(t *testing.T, what string, s *Service, condition func() bool) {
 	t.Helper()
-	for i := 0; !callOnLoop(s, is); i++ {
+	for i := 0; !callOnLoop(s, condition); i++ {
 		if i > 500 {
-			t.Fatalf("%s does not come", what)
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// waitFor waits for a state that is seen from outside, up to so many looks with 10 ms between two.
-func waitFor(t *testing.T, what string, looks int, is func() bool) {
+// waitFor waits until a condition holds, and checks it up to maxPolls times at intervals of 10 ms.
+func waitFor(t *testing.T, what string, maxPolls int, condition func() bool) {
 	t.Helper()
-	for i := 0; !is(); i++ {
-		if i > looks {
-			t.Fatalf("%s does not come", what)
+	for i := 0; !condition(); i++ {
+		if i > maxPolls {
+			t.Fatalf("timed out waiting for %s", what)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
@@ -179,7 +179,7 @@
 	waitUntil(t, "serving", s, func() bool { return s.lifecycle.phase == Serving })
 }
 
-// freeAddress returns a TCP address that nothing listens at.
+// freeAddress returns a TCP address at which nothing listens.
 func freeAddress(t *testing.T) string {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -189,7 +189,7 @@
 	return listener.Addr().String()
 }
 
-// freeUDPAddress returns a UDP address that nothing listens at.
+// freeUDPAddress returns a UDP address at which nothing listens.
 func freeUDPAddress(t *testing.T) string {
 	conn, err := net.ListenPacket("udp", "127.0.0.1:0")
 	if err != nil {
@@ -199,7 +199,7 @@
 	return conn.LocalAddr().String()
 }
 
-// logBuffer is a log that may be read while others write.
+// logBuffer is a log that may be read while other goroutines write to it.
 type logBuffer struct {
 	mu  sync.Mutex
 	all []byte
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -60,8 +60,8 @@
 	}
 }
 
-// removeOtherProcessLater reduces the number of other processes by one, after a delay in which that process can complete
-// the requests that it has accepted. Until then it keeps its share of the limits.
+// removeOtherProcessLater reduces the number of other processes by one, after a delay in which that process can
+// complete the requests that it has accepted. Until then it keeps its share of the limits.
 func (s *Service) removeOtherProcessLater() {
 	s.loop.After(s.longestClientWait()+killMarginSeconds, func() { s.addOtherProcesses(-1) })
 }
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -16,34 +16,34 @@
 	"bendtrestle/internal/discovery"
 )
 
-// waitHandedOver waits until a successor of a process serves.
-func waitHandedOver(t *testing.T, s *Service) {
+// waitSuccessorServes waits until a successor serves instead of a process.
+func waitSuccessorServes(t *testing.T, s *Service) {
 	t.Helper()
 	waitUntil(t, "a successor that serves", s, func() bool {
 		return s.restart.servingSuccessors == 1 && !s.acceptsClients()
 	})
 }
 
-// waitProcessesBeside waits until a process counts so many others of its router.
-func waitProcessesBeside(t *testing.T, s *Service, processes int) {
+// waitOtherProcesses waits until a process counts a number of other processes of its router.
+func waitOtherProcesses(t *testing.T, s *Service, processes int) {
 	t.Helper()
-	waitUntil(t, fmt.Sprint(processes, " processes beside"), s, func() bool {
+	waitUntil(t, fmt.Sprint(processes, " other processes"), s, func() bool {
 		return s.restart.otherProcesses == processes
 	})
 }
 
-// waitOneRequest waits until a process has one request open.
+// waitOneRequest waits until a process has one open request.
 func waitOneRequest(t *testing.T, s *Service) {
 	t.Helper()
 	waitUntil(t, "the request", s, func() bool { return s.clients.frontend.OpenRequests() == 1 })
 }
 
-// phaseOf returns the phase of a process that runs.
+// phaseOf returns the phase of a running process.
 func phaseOf(s *Service) Phase { return callOnLoop(s, func() Phase { return s.lifecycle.phase }) }
 
-// The successor is told to end before the predecessor: the latter accepts again at once, not once the successor has
-// completed its requests.
-func TestSuccessorIsToldToEndFirst(t *testing.T) {
+// The successor is shut down before the predecessor. The predecessor must accept clients again immediately, and not
+// only after the successor has completed its requests.
+func TestPredecessorAcceptsWhileSuccessorShutsDown(t *testing.T) {
 	held := make(chan bool)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
 		if key == "later" {
@@ -63,20 +63,20 @@
 	successor.loop.Post(successor.beginShutdown)
 	waitUntil(t, "the phase finishing", successor, func() bool { return successor.lifecycle.phase == Finishing })
 	if got := sendCommand(addr, "mg k v Ob Pc=t,d=1900"); got != "VA 2 Ob" || phaseOf(successor) != Finishing {
-		t.Errorf("while the successor finishes it answers %q", got)
+		t.Errorf("while the successor is finishing: got %q, want a value", got)
 	}
 	if callOnLoop(predecessor, func() int { return predecessor.restart.otherProcesses }) != 1 {
-		t.Error("the predecessor takes all capacity while the successor still has connections")
+		t.Error("the predecessor uses all of the limits while the successor still has connections")
 	}
 	close(held)
 	if line, _ := in.ReadString('\n'); line != "VA 2 Oa h1\r\n" && line != "VA 2 Oa\r\n" {
-		t.Errorf("the successor's request is answered %q", line)
+		t.Errorf("request at the successor: got %q, want a value", line)
 	}
 }
 
-// The predecessor is told to end before the successor is ready: the latter answers at once, if only that it starts,
-// not once the predecessor has completed its requests.
-func TestPredecessorIsToldToEndBeforeTheSuccessorIsReady(t *testing.T) {
+// The predecessor is shut down before the successor is ready. The successor must answer clients immediately, with an
+// error that it is starting, and not only after the predecessor has completed its requests.
+func TestStartingSuccessorAnswersWhilePredecessorShutsDown(t *testing.T) {
 	held := make(chan bool)
 	defer close(held)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
@@ -88,42 +88,43 @@
 	predecessor, _ := startProcess(t, addr, list, shared)
 	waitServing(t, predecessor)
 	successor, _ := startProcess(t, addr, "127.0.0.1:1", shared) // its list service does not answer
-	waitProcessesBeside(t, predecessor, 1)
+	waitOtherProcesses(t, predecessor, 1)
 	dialAndSend(t, addr, "a", "later")
 	waitOneRequest(t, predecessor)
 	predecessor.loop.Post(predecessor.beginShutdown)
 	waitUntil(t, "the phase finishing", predecessor, func() bool { return predecessor.lifecycle.phase == Finishing })
 	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" || phaseOf(predecessor) != Finishing {
-		t.Errorf("while the predecessor finishes it answers %q", got)
+		t.Errorf("while the predecessor is finishing: got %q, want SERVER_ERROR starting", got)
 	}
 	if callOnLoop(successor, func() int { return successor.restart.otherProcesses }) != 1 {
-		t.Error("the successor takes all capacity while the predecessor still has connections")
+		t.Error("the successor uses all of the limits while the predecessor still has connections")
 	}
 }
 
-// The successor dies after it took the sockets and before it is ready: the predecessor never stopped, and has all
-// capacity again.
-func TestSuccessorDiesBeforeItIsReady(t *testing.T) {
+// The successor dies after it has received the sockets and before it is ready. The predecessor must serve throughout,
+// and have all of the limits again.
+func TestSuccessorDiesWhileStarting(t *testing.T) {
 	addr := freeAddress(t)
 	shared := t.TempDir()
 	predecessor, _ := startProcess(t, addr, startCacheServer(t, 0), shared)
 	waitServing(t, predecessor)
 	successor, died := startProcess(t, addr, "127.0.0.1:1", shared)
-	waitProcessesBeside(t, predecessor, 1)
-	runOnLoop(successor, func() { // as its kernel does for it
+	waitOtherProcesses(t, predecessor, 1)
+	runOnLoop(successor, func() { // as the kernel does when a process dies
 		successor.disconnectOtherProcesses()
 		successor.loop.Stop()
 	})
 	<-died
-	waitProcessesBeside(t, predecessor, 0)
+	waitOtherProcesses(t, predecessor, 0)
 	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" || predecessor.restart.servingSuccessors != 0 {
-		t.Errorf("then the predecessor answers %q", got)
+		t.Errorf("after the successor's death: got %q, want a value from the predecessor", got)
 	}
 }
 
-// Under load, all in a row: a successor ends by SIGTERM before it is ready, then one that serves; two follow at
-// once and one of them ends; the last follows a process in a drain, and accepts clients. Nothing is refused, reset
-// or left unread, and limits are shared.
+// A sequence of hot restarts under load. One successor is shut down before it is ready, the next while it serves. Then
+// two successors follow in short order, and the first of them is shut down. The last successor follows a draining
+// process and must accept clients. No connection may be refused, reset or closed with a request unread, and processes
+// share the limits.
 func TestHotRestartsUnderLoad(t *testing.T) {
 	list := startCacheServer(t, time.Millisecond)
 	shared := t.TempDir()
@@ -133,39 +134,39 @@
 	s, ended := startProcess(t, addr, list, shared)
 	waitServing(t, s)
 	stop := startLoad(t, addr)
-	early, earlyEnded := startProcess(t, addr, "127.0.0.1:1", shared) // it never has a list
+	early, earlyEnded := startProcess(t, addr, "127.0.0.1:1", shared) // it never receives a list
 	waitUntil(t, "a successor that starts", s, func() bool {
 		return s.restart.otherProcesses == 1 && hasHalfOfTheLimits(s)
 	})
 	shutDown(t, early, earlyEnded)
 	late, lateEnded := startProcess(t, addr, list, shared)
-	waitHandedOver(t, s)
+	waitSuccessorServes(t, s)
 	waitUntil(t, "half of the limits", late, func() bool { return hasHalfOfTheLimits(late) })
 	shutDown(t, late, lateEnded)
-	waitUntil(t, "the predecessor's return", s, func() bool { return s.acceptsClients() && hasAllLimits(s) })
+	waitUntil(t, "the predecessor to accept again", s, func() bool { return s.acceptsClients() && hasAllLimits(s) })
 	one, oneEnded := startProcess(t, addr, list, shared)
-	waitHandedOver(t, s)
+	waitSuccessorServes(t, s)
 	two, twoEnded := startProcess(t, addr, list, shared)
-	waitHandedOver(t, one)
+	waitSuccessorServes(t, one)
 	shutDown(t, one, oneEnded)
 	shutDown(t, s, ended)
 	waitUntil(t, "all limits", two, func() bool { return hasAllLimits(two) && two.acceptsClients() })
 	stop()
 	callOnLoop(two, func() error { return two.setDraining(true) })
 	last, _ := startProcess(t, addr, list, shared)
-	waitHandedOver(t, two)
-	for range 20 { // the one in a drain accepts no more
+	waitSuccessorServes(t, two)
+	for range 20 { // the draining process accepts no clients
 		if got := sendCommand(addr, "mn"); got != "MN" || !callOnLoop(last, last.acceptsClients) {
-			t.Fatalf("after one in a drain mn is answered %q", got)
+			t.Fatalf("successor of a draining process: mn got %q, want MN", got)
 		}
 	}
 	shutDown(t, two, twoEnded)
 }
 
-// A successor that cannot serve yet takes no client from its predecessor, by inherited sockets or, without a
-// folder, a shared address. It takes them as soon as it can, whether the predecessor has ended, was killed before,
-// or goes on.
-func TestSuccessorAcceptsOnlyOnceItServes(t *testing.T) {
+// A successor that is not ready must accept no clients in place of its predecessor, whether it inherits the sockets or,
+// without a folder for hot restarts, shares the address. It accepts them as soon as it serves, whether the predecessor
+// still runs, has shut down or was killed before.
+func TestSuccessorAcceptsClientsOnlyWhenServing(t *testing.T) {
 	for _, restart := range []struct {
 		name              string
 		folder, killFirst bool
@@ -187,11 +188,11 @@
 		if restart.killFirst {
 			want = "SERVER_ERROR starting"
 			predecessor.loop.Post(predecessor.end)
-			waitProcessesBeside(t, successor, 0)
+			waitOtherProcesses(t, successor, 0)
 		}
 		for range 20 {
 			if got := sendCommand(addr, "mn"); got != want {
-				t.Fatalf("%s: before the successor serves it answers %q", restart.name, got)
+				t.Fatalf("%s: before the successor serves: got %q, want %q", restart.name, got, want)
 			}
 		}
 		successor.loop.Post(func() { successor.pools.platform.watchListService(list) })
@@ -200,14 +201,14 @@
 			shutDown(t, predecessor, ended)
 		}
 		if got := sendCommand(addr, "mn"); got != "MN" {
-			t.Errorf("%s: the successor answers %q", restart.name, got)
+			t.Errorf("%s: successor: got %q, want MN", restart.name, got)
 		}
 	}
 }
 
-// What the predecessor was told last is known from the start: the list service may be silent, and a drain must be
-// kept. A list that cannot be read, is of another list service, or older, is refused as a whole.
-func TestSuccessorGetsTheEndpointList(t *testing.T) {
+// The successor starts with the predecessor's last endpoint list: the list service may not answer, and drains must not
+// be lost. A list that cannot be decoded, is of another list service, or is older is ignored as a whole.
+func TestSuccessorReceivesEndpointList(t *testing.T) {
 	list := startCacheServer(t, 0)
 	shared := t.TempDir()
 	addr := freeAddress(t)
@@ -224,13 +225,13 @@
 		platform.applyList(balancer.UpdateDelta, discovery.EndpointList{Instances: []discovery.Instance{draining, other}})
 		platform.generation = 5
 	})
-	successor, _ := startProcess(t, addr, list, shared) // whose own start says that s-1 is ready, generation 1
+	successor, _ := startProcess(t, addr, list, shared) // whose configuration has s-1 as ready, in generation 1
 	runOnLoop(successor, func() {
 		platform := successor.pools.platform
 		other := platform.endpoints[7]
 		keptDrain := platform.endpoints[id].State == balancer.Draining && !platform.ready[id]
 		if len(platform.endpoints) != 2 || !keptDrain || other.Zone != "b" || !other.Addr.IsValid() {
-			t.Errorf("it knows %+v", platform.endpoints)
+			t.Errorf("got the endpoints %+v, want s-1 draining and server 7 in zone b", platform.endpoints)
 		}
 		for name, state := range map[string]string{
 			"nothing":              "",
@@ -241,7 +242,7 @@
 		} {
 			successor.loadRestartState([]byte(state))
 			if successor.conf.Known.Generation != 5 {
-				t.Errorf("%s is taken: %s", name, state)
+				t.Errorf("%s is not ignored: %s", name, state)
 			}
 		}
 	})
@@ -258,14 +259,14 @@
 	return program
 }
 
-// startProgram starts a router as a process of its own, and gives the address of its admin server. dir has its
-// configuration and is its folder for what outlives it.
+// startProgram starts a router as a process of its own, and returns the address of its admin server. dir contains its
+// configuration and the files that outlive it.
 func startProgram(t *testing.T, dir string, command ...string) (process *exec.Cmd, ops string) {
 	t.Helper()
 	process = exec.Command(command[0], command[1:]...)
 	ops = freeAddress(t)
 	process.Env = append(os.Environ(), "GW_CONFIG="+filepath.Join(dir, "config.json"), "TMPDIR="+dir, "GW_OPS="+ops)
-	// It ends with the tests, also where they end without their cleanup.
+	// The process is killed with the tests, even if they end without their cleanup.
 	process.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL}
 	if err := process.Start(); err != nil {
 		t.Fatal(err)
@@ -274,8 +275,8 @@
 	return process, ops
 }
 
-// Two versions follow each other as real processes under load: every request is answered, each predecessor ends by
-// itself with 0, and a server that is disabled at one is disabled at the next, which enables it.
+// Hot restarts of real processes under load: every request is answered, and each predecessor ends by itself with exit
+// status 0. A server that is disabled at one process is disabled at the next one, where it is enabled again.
 func TestHotRestartOfRealProcesses(t *testing.T) {
 	dir := t.TempDir()
 	addr := freeAddress(t)
@@ -291,7 +292,7 @@
 			}
 			time.Sleep(20 * time.Millisecond)
 		}
-		t.Fatal("it does not come to serve")
+		t.Fatal("timed out waiting for the process to be ready")
 		return nil, ""
 	}
 	process, ops := start()
@@ -302,7 +303,7 @@
 		process, ops = start()
 		predecessor.Process.Signal(syscall.SIGTERM)
 		if err := predecessor.Wait(); err != nil {
-			t.Errorf("the predecessor ends with %v", err)
+			t.Errorf("predecessor: got %v, want exit status 0", err)
 		}
 	}
 	stop()
@@ -314,7 +315,7 @@
 		_, ops = start()
 		got := sendCommand(addr, fmt.Sprintf("mg k v Oz%d Pc=t,d=1900", i))
 		if served := strings.HasPrefix(got, "VA"); served != (call == "enable") {
-			t.Errorf("after %s and another version it answers %q", call, got)
+			t.Errorf("after %s and another hot restart: got %q", call, got)
 		}
 	}
 }
--- a/internal/service/lifecycle_test.go
+++ b/internal/service/lifecycle_test.go
@@ -23,33 +23,33 @@
 // withoutDeadline is baseConfig with a traffic class that has no deadline.
 var withoutDeadline = strings.Replace(baseConfig, `"hardStop":2000000000,`, "", 1)
 
-// From start to exit: it serves, goes on accepting for a while once told to end, completes the requests in flight,
+// The router serves, accepts connections for a while after the shutdown has begun, completes the requests in flight,
 // and ends by itself.
-func TestFromStartToExit(t *testing.T) {
-	// An answer takes longer than new connections are accepted.
+func TestGracefulShutdownCompletesRequests(t *testing.T) {
+	// An answer takes longer than connections are accepted in a shutdown.
 	s, addr, ended := startServing(t, startCacheServer(t, 700*time.Millisecond))
 	if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
-		t.Errorf("serving, it answers %q", got)
+		t.Errorf("serving: got %q, want VA 2 Oa1", got)
 	}
 	s.loop.Post(s.beginShutdown)
 	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" {
-		t.Errorf("leaving, it answers %q", got)
+		t.Errorf("leaving: got %q, want VA 2 Oa2", got)
 	}
 	select {
 	case err := <-ended:
 		if err != nil || s.lifecycle.phase != Ended {
-			t.Errorf("it ended %s, %v", s.lifecycle.phase, err)
+			t.Errorf("got the phase %s and %v, want ended and no error", s.lifecycle.phase, err)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatal("it does not end")
+		t.Fatal("the router has not ended within 5 s")
 	}
 	if got := sendCommand(addr, firstGet); got != "no connection" {
-		t.Errorf("ended, it answers %q", got)
+		t.Errorf("ended: got %q, want no connection", got)
 	}
 }
 
-// A client that keeps its connection and sends nothing does not keep the router from ending.
-func TestIdleClientDoesNotHoldTheEnd(t *testing.T) {
+// A client that keeps its connection open and sends nothing must not delay the end of the router.
+func TestIdleClientDoesNotDelayShutdown(t *testing.T) {
 	s, addr, ended := startServing(t, startCacheServer(t, 0))
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
@@ -60,29 +60,29 @@
 	s.loop.Post(s.beginShutdown)
 	<-ended
 	if took := time.Since(start); took > 2*time.Second {
-		t.Errorf("it took %v to end", took)
+		t.Errorf("the shutdown took %v, want 2 s at most", took)
 	}
 }
 
-// Without an endpoint list it accepts connections, rejects requests and does not say that it serves.
-func TestStarting(t *testing.T) {
+// Without an endpoint list the router accepts connections, rejects requests and fails health checks.
+func TestStartingRouterRejectsRequests(t *testing.T) {
 	s, addr, err := assembleConfig(baseConfig, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
 	}
 	go s.loop.Run()
 	if got := sendCommand(addr, "mn"); got != "SERVER_ERROR starting" {
-		t.Errorf("starting, mn is answered %q", got)
+		t.Errorf("starting: mn got %q, want SERVER_ERROR starting", got)
 	}
 	if got := sendCommand(addr, firstGet); got != "SERVER_ERROR busy" {
-		t.Errorf("starting, it answers %q", got)
+		t.Errorf("starting: got %q, want SERVER_ERROR busy", got)
 	}
 	s.loop.Post(s.end)
 }
 
-// Every cache server hangs, and a traffic class has no deadline: what is still open when the process must end is
-// answered first, and all of that can be read.
-func TestAllThatIsOpenAtTheEndIsAnswered(t *testing.T) {
+// Every cache server hangs, and a traffic class has no deadline. The requests that are still open when the process must
+// end get an answer first, and clients can read all answers.
+func TestOpenRequestsAreAnsweredAtTheShutdownDeadline(t *testing.T) {
 	list := startScriptedServer(t, func(net.Conn, string, string) {})
 	s, addr, err := assembleConfig(withoutDeadline, list, zerolog.Nop())
 	if err != nil {
@@ -96,18 +96,19 @@
 	waitUntil(t, "both requests", s, func() bool { return s.clients.frontend.OpenRequests() == 2 })
 	s.loop.Post(s.beginShutdown)
 	waitUntil(t, "the phase finishing", s, func() bool { return s.lifecycle.phase == Finishing })
-	// Half a command does not hold up the end either.
+	// Half a command must not delay the end either.
 	fmt.Fprintf(conn, "mg k3 v Oc Pc=t,d=60000\r\nmg and then nothing")
 	all, err := io.ReadAll(in)
 	lines := strings.Split(string(all), "\r\n")
 	if err != nil || len(lines) != 4 || strings.Count(string(all), "SERVER_ERROR ") != 3 {
-		t.Errorf("three requests were answered by %q, %v", all, err)
+		t.Errorf("three requests: got %q, %v, want three error lines and the end", all, err)
 	}
 	<-ended
 }
 
-// Told to end before it is ready, and twice, it ends by itself, though a list comes after all.
-func TestToldToEndBeforeItIsReady(t *testing.T) {
+// The router is shut down before it is ready, and twice. It must end by itself, even if an endpoint list arrives in
+// between.
+func TestShutdownWhileStarting(t *testing.T) {
 	s, addr, err := assembleConfig(baseConfig, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
 		t.Fatal(err)
@@ -122,7 +123,7 @@
 		platform.onList(platform.nextWatch, endpointList(1, "127.0.0.1:2", "ready"))
 	})
 	if got := sendCommand(addr, "mn"); got == "MN" {
-		t.Error("a process that ends says that it serves")
+		t.Error("the health check succeeds during the shutdown")
 	}
 	select {
 	case err := <-ended:
@@ -134,9 +135,9 @@
 	}
 }
 
-// A client stands in the listener's backlog, with its command, as the listener is closed: it is accepted and
-// answered.
-func TestABacklogAsTheListenerCloses(t *testing.T) {
+// Clients that have sent their commands are still in the listener's backlog when the listener is closed. They must be
+// accepted and answered.
+func TestListenBacklogIsServedWhenTheListenerCloses(t *testing.T) {
 	s, addr, _ := startServing(t, startCacheServer(t, 0))
 	var in *bufio.Reader
 	runOnLoop(s, func() {
@@ -148,11 +149,11 @@
 	})
 	line, err := in.ReadString('\n')
 	if line != "VA 2 Oa\r\n" && !strings.HasPrefix(line, "CLIENT_ERROR the id") {
-		t.Errorf("the last of them reads %q, %v", line, err)
+		t.Errorf("last client: got %q, %v, want an answer", line, err)
 	}
 }
 
-// timeLeftRecorder is a balancer that notes how long requests may take, in seconds.
+// timeLeftRecorder is a balancer that records how long each request may take, in seconds.
 type timeLeftRecorder struct {
 	requestcore.Balancer
 	left chan float64
@@ -163,8 +164,9 @@
 	r.Balancer.OnRequest(now, id, class, tenant, key, left)
 }
 
-// A request that comes once the process is told to end is given no more time than the process has.
-func TestRequestsDuringShutdownGetNoMoreTimeThanIsLeft(t *testing.T) {
+// A request that arrives during the shutdown must not get a deadline after the end of the process, even if its client
+// would wait longer.
+func TestRequestsDuringShutdownEndByItsDeadline(t *testing.T) {
 	left := make(chan float64, 10)
 	addr := freeAddress(t)
 	conf := parseConfig(t, withoutDeadline, addr, startCacheServer(t, 0), "")
@@ -179,11 +181,11 @@
 	runOnLoop(s, s.beginShutdown)
 	sendCommand(addr, "mg k v Oa Pc=t,d=60000")
 	if got := <-left; got > defaultClientWaitSeconds+killMarginSeconds {
-		t.Errorf("it may take %v s", got)
+		t.Errorf("got a time of %v s, want no more than the process has", got)
 	}
 }
 
-// panickingLog is a log that panics once, at a line of the loop's own.
+// panickingLog is a log that panics once, at a line that is logged on the loop.
 type panickingLog struct{ panicked atomic.Bool }
 
 func (l *panickingLog) Write(line []byte) (int, error) {
@@ -193,8 +195,8 @@
 	return len(line), nil
 }
 
-// A callback that panics does not end the process: it serves, and ends when it is told to.
-func TestACallbackFailsAndTheProcessServes(t *testing.T) {
+// A callback on the loop panics. The process must keep serving, and shut down as usual at SIGTERM.
+func TestProcessServesAfterPanicInCallback(t *testing.T) {
 	defer runtime.GOMAXPROCS(runtime.GOMAXPROCS(0))
 	defer debug.SetMemoryLimit(debug.SetMemoryLimit(-1))
 	addr := freeAddress(t)
@@ -209,7 +211,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" || !log.panicked.Load() {
-		t.Errorf("it answers %q, a callback has failed: %v", got, log.panicked.Load())
+		t.Errorf("got %q with a panic %v, want VA 2 Oa2 and true", got, log.panicked.Load())
 	}
 	signals <- syscall.SIGTERM
 	select {
--- a/internal/service/limits_test.go
+++ b/internal/service/limits_test.go
@@ -17,7 +17,7 @@
 	"time"
 )
 
-// startListProxy listens at an address and passes polls on to a list service.
+// startListProxy listens at an address and forwards polls to a list service.
 func startListProxy(t *testing.T, addr, discovery string) {
 	t.Helper()
 	target, _ := url.Parse("http://" + discovery)
@@ -32,8 +32,8 @@
 	t.Cleanup(func() { server.Close() })
 }
 
-// answersReady reports whether an admin server says that its router is ready.
-func answersReady(ops string) bool {
+// isReady reports whether an admin server reports its router as ready.
+func isReady(ops string) bool {
 	answer, err := (&http.Client{Timeout: time.Second}).Get("http://" + ops + "/ready")
 	if err != nil {
 		return false
@@ -42,11 +42,11 @@
 	return answer.StatusCode == http.StatusOK
 }
 
-// With the fewest descriptors that the configuration allows, all connections of clients and of the admin server
-// taken by callers that say nothing more, and the list service down, what is reserved is there once the list
-// service returns: its poll gets a descriptor and a server is dialled, the admin server answers, and a successor
-// takes over.
-func TestReservedDescriptorsAreFreeInACrowd(t *testing.T) {
+// The process has the fewest descriptors that the configuration allows, clients that stay connected use up all
+// connections of the frontend and of the admin server, and the list service is down. The reserved descriptors must
+// still be free when the list service returns: it is polled, a server is dialled, the admin server answers, and a
+// successor takes over.
+func TestReservedDescriptorsStayFreeUnderConnectionFlood(t *testing.T) {
 	const sockets = 64
 	dir := t.TempDir()
 	addr := freeAddress(t)
@@ -56,11 +56,11 @@
 	text := strings.Replace(fmt.Sprintf(baseConfig, addr, list), "{", limits, 1)
 	os.WriteFile(filepath.Join(dir, "config.json"), []byte(text), 0o600)
 	limited := fmt.Sprintf("ulimit -n %d && exec %s", sockets, program)
-	within := func(what string, is func() bool) {
+	waitAtMost20s := func(what string, condition func() bool) {
 		t.Helper()
-		for began := time.Now(); !is(); time.Sleep(20 * time.Millisecond) {
+		for began := time.Now(); !condition(); time.Sleep(20 * time.Millisecond) {
 			if time.Since(began) > 20*time.Second {
-				t.Fatalf("%s does not come", what)
+				t.Fatalf("timed out waiting for %s", what)
 			}
 		}
 	}
@@ -83,19 +83,19 @@
 		}
 	})
 	keepConnections(ops, func() string { return "" }, 2*sockets, done, func(string) {})
-	within("the crowd", func() bool { return lines.Load() > 4*sockets })
+	waitAtMost20s("answers to all client connections", func() bool { return lines.Load() > 4*sockets })
 	startListProxy(t, list, startCacheServer(t, 0))
-	within("the list", func() bool { return served.Load() > 0 })
-	within("the admin server's answer", func() bool { return answersReady(ops) })
-	within("an answer of a server", func() bool { return answered.Load() > 0 })
+	waitAtMost20s("the endpoint list", func() bool { return served.Load() > 0 })
+	waitAtMost20s("the admin server", func() bool { return isReady(ops) })
+	waitAtMost20s("an answer of a server", func() bool { return answered.Load() > 0 })
 	successor, successorOps := startProgram(t, dir, "sh", "-c", limited)
 	t.Cleanup(func() {
 		successor.Process.Kill()
 		successor.Wait()
 	})
-	within("a successor", func() bool { return answersReady(successorOps) })
+	waitAtMost20s("a successor", func() bool { return isReady(successorOps) })
 	process.Process.Signal(syscall.SIGTERM)
 	if err := process.Wait(); err != nil {
-		t.Errorf("the predecessor ends with %v", err)
+		t.Errorf("predecessor: got %v, want exit status 0", err)
 	}
 }
--- a/internal/service/peers_test.go
+++ b/internal/service/peers_test.go
@@ -13,7 +13,7 @@
 	"github.com/rs/zerolog"
 )
 
-// fleetSizeRecorder is a balancer that notes the fleet sizes that it is told.
+// fleetSizeRecorder is a balancer that records the fleet sizes that it is given.
 type fleetSizeRecorder struct {
 	requestcore.Balancer
 	sizes []int
@@ -24,9 +24,9 @@
 	r.Balancer.SetFleetSize(now, routers)
 }
 
-// More routers are heard than the settings say: the balancer is told, once for each number; of fewer it hears
-// nothing new.
-func TestFleetSizeCountsRoutersHeard(t *testing.T) {
+// Messages arrive from more routers than the settings have. The balancer is given each larger fleet size once; as long
+// as there are fewer senders, it keeps the size of the settings.
+func TestFleetSizeCountsSendersOfMessages(t *testing.T) {
 	at := freeUDPAddress(t)
 	text := `{"listen":"127.0.0.1:0","discovery":"127.0.0.1:1","peer_listen":"%s",
 		"settings":{"me":0,"fleetSize":3,"limits":{"peers":true,"mostExecutions":3},
@@ -51,17 +51,17 @@
 			t.Fatal(err)
 		}
 		defer from.Close()
-		for range 2 { // the second time it is no other router
+		for range 2 { // the second message is of the same router
 			if _, err := from.Write([]byte{1, 0, 32}); err != nil {
 				t.Fatal(err)
 			}
 		}
-		waitUntil(t, fmt.Sprint(n+1, " heard"), s, func() bool {
+		waitUntil(t, fmt.Sprint(n+1, " senders to count"), s, func() bool {
 			return slices.Max(append(recorder.sizes, 0)) == max(3, n+2)
 		})
 	}
 	sizes := callOnLoop(s, func() []int { return slices.Clone(recorder.sizes) })
 	if !slices.Equal(sizes, []int{3, 4, 5, 6}) {
-		t.Errorf("the balancer was told %v", sizes)
+		t.Errorf("fleet sizes: got %v, want [3 4 5 6]", sizes)
 	}
 }
--- a/internal/service/pool.go
+++ b/internal/service/pool.go
@@ -24,12 +24,12 @@
 	servers *upstream.ConnectionPools
 	log     zerolog.Logger
 
-	polled       bool                          // its balancer polls the endpoint list, and is notified of failed polls
-	endpoints    map[uint64]discovery.Instance // the current endpoint list, by the server's id
-	ready        map[uint64]bool               // servers that the list names as ready; false only in applyList
-	knownServers map[uint64]bool               // servers that a list has named since the start; true: listed now
-	generation   uint64                        // of the last list that the list service sent
-	initialList  discovery.EndpointList        // the list known at the start, until the first watch begins
+	polled      bool                          // its balancer polls the endpoint list, and is notified of failed polls
+	endpoints   map[uint64]discovery.Instance // the current endpoint list, by the server's id
+	ready       map[uint64]bool               // servers that the list names as ready; false only in applyList
+	known       map[uint64]bool               // servers that a list has named since the start; true: listed now
+	generation  uint64                        // of the last list that the list service sent
+	initialList discovery.EndpointList        // the list known at the start, until the first watch begins
 
 	schedule  pollschedule.Schedule // of polls of the list service
 	watch     *endpointWatch        // the current watch
@@ -52,14 +52,14 @@
 func (s *Service) newPool(options poolOptions) *pool {
 	settings := options.settings
 	p := &pool{
-		service:      s,
-		name:         options.name,
-		log:          s.log,
-		polled:       settings.PollEndpoints,
-		endpoints:    map[uint64]discovery.Instance{},
-		ready:        map[uint64]bool{},
-		knownServers: map[uint64]bool{},
-		schedule:     pollschedule.ForLocalAgent(s.conf.DrainGrace, settings.Seed),
+		service:   s,
+		name:      options.name,
+		log:       s.log,
+		polled:    settings.PollEndpoints,
+		endpoints: map[uint64]discovery.Instance{},
+		ready:     map[uint64]bool{},
+		known:     map[uint64]bool{},
+		schedule:  pollschedule.ForLocalAgent(s.conf.DrainGrace, settings.Seed),
 	}
 	if p.polled {
 		p.schedule = pollschedule.ForSharedService(settings.PollInterval, settings.Seed)
@@ -111,15 +111,15 @@
 
 // setListed records whether the current list names a server.
 func (p *pool) setListed(id uint64, listed bool) {
-	p.knownServers[id] = listed
-	if len(p.knownServers) > maxKnownServers {
-		maps.DeleteFunc(p.knownServers, func(_ uint64, listed bool) bool { return !listed })
+	p.known[id] = listed
+	if len(p.known) > maxKnownServers {
+		maps.DeleteFunc(p.known, func(_ uint64, listed bool) bool { return !listed })
 	}
 }
 
 // health returns how many servers the list names, and how many of these the balancer avoids now.
 func (p *pool) health() (listed, avoided int) {
-	for id, isListed := range p.knownServers {
+	for id, isListed := range p.known {
 		if !isListed {
 			continue
 		}
--- a/internal/service/poolset.go
+++ b/internal/service/poolset.go
@@ -18,10 +18,8 @@
 	named       map[string]*pool // the pools of the operators' file, by name
 	retiring    []*pool          // no longer configured, with open requests
 
-	// retiredAttempts and retiredCloseCounts are what closed pools contribute to the metrics: the attempts that were
-	// sent, and the servers' connections that were closed with a reply outstanding, by the reason.
-	retiredAttempts    uint64
-	retiredCloseCounts [len(upstream.CloseReasons)]uint64
+	retiredAttempts    uint64                             // attempts sent by closed pools
+	retiredCloseCounts [len(upstream.CloseReasons)]uint64 // of closed pools, by upstream.CloseReasons
 }
 
 func newPoolSet(newBalancer requestcore.NewBalancer) poolSet {
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -13,9 +13,9 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-// SIGHUP under way: a file that cannot be used leaves all as it was, one that names another list service moves the
-// watch there without a gap, and neither ends the router or a request.
-func TestNewConfiguration(t *testing.T) {
+// A reload of an invalid file changes nothing, and a reload of one that names another list service moves the watch
+// there without a gap. Neither ends the router or a request in flight.
+func TestReloadOnSIGHUP(t *testing.T) {
 	old := startCacheServer(t, 300*time.Millisecond)
 	other := startCacheServer(t, 0)
 	s, addr, _ := startServing(t, old)
@@ -29,33 +29,34 @@
 	defer close(signals)
 	answer := make(chan string, 1)
 	go func() { answer <- sendCommand(addr, firstGet) }()
-	for _, file := range []struct{ name, text, follows string }{
-		{"broken", "{", old},
-		{"no address", fmt.Sprintf(baseConfig, addr, "nowhere"), old},
-		{"nobody there", fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // the old list service goes on telling
+	for _, file := range []struct{ name, text, watched string }{
+		{"invalid JSON", "{", old},
+		{"invalid address", fmt.Sprintf(baseConfig, addr, "nowhere"), old},
+		{"list service that does not answer", fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // the old one is watched
 		{"another list service", fmt.Sprintf(baseConfig, "127.0.0.1:1", other), other},
 	} {
 		os.WriteFile(path, []byte(file.text), 0o600)
 		signals <- syscall.SIGHUP
-		var follows string
-		for deadline := time.Now().Add(3 * time.Second); follows != file.follows && time.Now().Before(deadline); {
+		var watched string
+		for deadline := time.Now().Add(3 * time.Second); watched != file.watched && time.Now().Before(deadline); {
 			time.Sleep(50 * time.Millisecond)
-			follows = callOnLoop(s, func() string { return s.pools.platform.watch.address })
+			watched = callOnLoop(s, func() string { return s.pools.platform.watch.address })
 		}
-		if follows != file.follows {
-			t.Errorf("%s: it follows %s", file.name, follows)
+		if watched != file.watched {
+			t.Errorf("%s: got the list service %s, want %s", file.name, watched, file.watched)
 		}
 	}
 	if got := <-answer; got != "VA 2 Oa1" {
-		t.Errorf("a request in flight is answered %q", got)
+		t.Errorf("request in flight: got %q, want VA 2 Oa1", got)
 	}
 	if got := sendCommand(addr, secondGet); got != "VA 2 Oa2" || s.clients.listener == nil {
-		t.Errorf("moved, it answers %q", got)
+		t.Errorf("after the change of the list service: got %q, want VA 2 Oa2", got)
 	}
 }
 
-// A disk that hangs while SIGHUP's file is read must not hide SIGTERM, however many SIGHUPs came before it.
-func TestSIGTERMIsHeardWhileAFileIsRead(t *testing.T) {
+// The disk hangs while the file is read after a SIGHUP. SIGTERM must still shut the router down, however many SIGHUPs
+// came before it.
+func TestSIGTERMDuringHungReload(t *testing.T) {
 	s, _, ended := startServing(t, startCacheServer(t, 0))
 	signals := make(chan os.Signal)
 	hang := make(chan bool)
@@ -71,13 +72,13 @@
 	select {
 	case <-ended:
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("the router has not ended within 10 s of SIGTERM")
 	}
 	close(signals)
 }
 
-// A configuration that comes after SIGTERM, or in one round with it, moves the list service and opens nothing.
-func TestAConfigurationAfterTheEndBegan(t *testing.T) {
+// A reload after SIGTERM, or in the same round of the loop, changes the list service and opens no listeners.
+func TestReloadAfterSIGTERMChangesOnlyTheListService(t *testing.T) {
 	s, _, _ := startServing(t, startCacheServer(t, 0))
 	team := operatorconfig.Team{Name: "late", Listen: freeAddress(t), Budget: 1}
 	setup := Setup{Platform: s.conf, Operators: operatorconfig.File{Teams: []operatorconfig.Team{team}}}
@@ -88,7 +89,7 @@
 		listeners := len(s.clients.teamListeners)
 		next := s.pools.platform.nextWatch
 		if listeners > 0 || s.broker.Revision() > 0 || next == nil || next.address != "127.0.0.1:1" {
-			t.Errorf("%d listeners, revision %d, it goes on to %+v", listeners, s.broker.Revision(), next)
+			t.Errorf("got %d listeners, revision %d and watch %+v, want a watch only", listeners, s.broker.Revision(), next)
 		}
 	})
 }
--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -10,24 +10,24 @@
 	"github.com/rs/zerolog"
 )
 
-// Whatever part of an answer a cache server withholds, a request of any effect has one final answer by its
-// deadline, and the next command its own.
-func TestAnAnswerThatNeverComes(t *testing.T) {
+// A cache server does not send some part of a reply. A request of any traffic class must still get one final answer by
+// its deadline, and the next command on the connection its own answer.
+func TestIncompleteReplyEndsInOneFinalAnswer(t *testing.T) {
 	text := `{"listen":"%s","discovery":"%s","settings":{"limits":{"mostExecutions":3,"cancelling":true},"trafficTypes":[
 		{"name":"t","effect":"retryable","promisedTime":50000000,"hardStop":100000000,"benefit":1},
 		{"name":"u","effect":"dedup","keyScope":"all","dedupWindow":20000000,
 			"promisedTime":50000000,"hardStop":100000000,"benefit":1},
 		{"name":"w","effect":"dedup","keyScope":"zone","promisedTime":50000000,"hardStop":100000000,"benefit":1},
 		{"name":"x","promisedTime":50000000,"hardStop":100000000,"benefit":1}]}}`
-	for withheld, answer := range map[string]func(conn net.Conn, id, key string){
-		"nothing":          func(net.Conn, string, string) {},
-		"half a line":      func(conn net.Conn, _, _ string) { io.WriteString(conn, "VA 2") },
-		"a head alone":     func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 2 O%s\r\n", id) },
-		"half a value":     func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 9 O%s\r\nhalf", id) },
-		"all but the end":  func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r", id) },
-		"its connection":   func(conn net.Conn, _, _ string) { conn.Close() },
-		"another's answer": func(conn net.Conn, _, _ string) { io.WriteString(conn, "VA 2 Oelse\r\nhi\r\n") },
-		"half, then its end": func(conn net.Conn, id, _ string) {
+	for sent, answer := range map[string]func(conn net.Conn, id, key string){
+		"nothing":                      func(net.Conn, string, string) {},
+		"half a line":                  func(conn net.Conn, _, _ string) { io.WriteString(conn, "VA 2") },
+		"only a head":                  func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 2 O%s\r\n", id) },
+		"half a value":                 func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 9 O%s\r\nhalf", id) },
+		"all but the end":              func(conn net.Conn, id, _ string) { fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r", id) },
+		"a close":                      func(conn net.Conn, _, _ string) { conn.Close() },
+		"the reply of another request": func(conn net.Conn, _, _ string) { io.WriteString(conn, "VA 2 Oelse\r\nhi\r\n") },
+		"half a value and a close": func(conn net.Conn, id, _ string) {
 			fmt.Fprintf(conn, "VA 9 O%s\r\nhalf", id)
 			conn.Close()
 		},
@@ -43,22 +43,22 @@
 			for _, command := range []string{"mg k v O%s1 Pc=%[1]s,d=80\r\nmn\r\n", "ms k 2 O%s2 Pc=%[1]s\r\nhi\r\nmn\r\n"} {
 				fmt.Fprintf(conn, command, class)
 				if got, err := in.ReadString('\n'); !strings.HasPrefix(got, "SERVER_ERROR ") {
-					t.Errorf("%s withheld: it answers %q, %v", withheld, got, err)
+					t.Errorf("the server sends %s: got %q, %v, want an error line", sent, got, err)
 				}
 				if got, err := in.ReadString('\n'); got != "MN\r\n" {
-					t.Errorf("%s withheld: the next answer is %q, %v", withheld, got, err)
+					t.Errorf("the server sends %s: next command got %q, %v, want MN", sent, got, err)
 				}
 			}
 		}
-		waitUntil(t, "an end of all attempts", s, func() bool {
+		waitUntil(t, "the end of all attempts", s, func() bool {
 			return s.pools.platform.core.OpenRequests() == 0 && s.clients.frontend.OpenRequests() == 0
 		})
 	}
 }
 
-// A burst takes all capacity while no cache server answers: what comes beyond is rejected. Once its clients have
-// disconnected, or its deadline has passed, the next request is forwarded.
-func TestCapacityComesBackAfterABurst(t *testing.T) {
+// A burst uses up the limit on open requests while no cache server answers: further requests are rejected. Once the
+// clients have disconnected, or the deadline has passed, the next request must be forwarded.
+func TestCapacityIsFreedAfterBurst(t *testing.T) {
 	for _, burst := range []struct {
 		name             string
 		limits, deadline string
@@ -83,21 +83,21 @@
 		s.runLoop(t)
 		waitServing(t, s)
 		conn, _ := dialAndSend(t, addr, "", "")
-		runOnLoop(s, func() { // the loop is held until all of the burst is there
+		runOnLoop(s, func() { // blocks the loop until all of the burst is sent
 			for i := range 30 {
 				fmt.Fprintf(conn, "mg hangs v Ob%d Pc=t\r\n", i)
 			}
 		})
 		if burst.disconnect {
-			waitUntil(t, "a full router", s, func() bool { return s.broker.OpenRequests() == 20 })
+			waitUntil(t, "20 open requests", s, func() bool { return s.broker.OpenRequests() == 20 })
 			if got := sendCommand(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
-				t.Errorf("%s: full, it answers %q", burst.name, got)
+				t.Errorf("%s: at the limit: got %q, want SERVER_ERROR busy", burst.name, got)
 			}
 			conn.Close()
 		}
-		waitUntil(t, "an end of all requests", s, func() bool { return s.broker.OpenRequests() == 0 })
+		waitUntil(t, "the end of all requests", s, func() bool { return s.broker.OpenRequests() == 0 })
 		if got := sendCommand(addr, "mg k v Oc2 Pc=t"); got != "VA 2 Oc2" {
-			t.Errorf("%s: after the burst it answers %q", burst.name, got)
+			t.Errorf("%s: after the burst: got %q, want VA 2 Oc2", burst.name, got)
 		}
 	}
 }
--- a/internal/service/servers_test.go
+++ b/internal/service/servers_test.go
@@ -13,8 +13,7 @@
 	"time"
 )
 
-// startCacheServer starts one cache server, which answers reads after a delay, and the list service that names it
-// s-1.
+// startCacheServer starts a cache server that answers reads after a delay, and a list service whose list names it s-1.
 func startCacheServer(t *testing.T, delay time.Duration) (discovery string) {
 	return startScriptedServer(t, func(conn net.Conn, id, _ string) {
 		time.Sleep(delay)
@@ -22,8 +21,8 @@
 	})
 }
 
-// startScriptedServer starts one cache server, which answers commands by their ids and keys, and the list service
-// that names it s-1.
+// startScriptedServer starts a cache server that answers commands by a function of their ids and keys, and a list
+// service whose list names it s-1.
 func startScriptedServer(t *testing.T, answer func(conn net.Conn, id, key string)) (discovery string) {
 	listener, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -40,7 +39,7 @@
 		}
 	}()
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" { // a poll for changes goes on, without any
+		if r.URL.RawQuery != "" { // a long poll for changes, of which there are none
 			<-r.Context().Done()
 		}
 		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[
@@ -53,7 +52,7 @@
 	return list.Listener.Addr().String()
 }
 
-// answerCommands answers each line with an id.
+// answerCommands answers each line that has an id.
 func answerCommands(conn net.Conn, answer func(conn net.Conn, id, key string)) {
 	for in := bufio.NewScanner(conn); in.Scan(); {
 		fields := strings.Fields(in.Text())
@@ -69,19 +68,19 @@
 
 var longValue = bytes.Repeat([]byte("0123456789abcdef"), longLength/16)
 
-// serveLongValues answers with a long value, as the key says: "head", "half", "silent" and "frame" a part of it,
-// "short" and "later" a short one, all others the whole of it in pieces of any size.
+// serveLongValues answers by the key: "short" and "later" get a short value, "head", "half", "silent" and "frame" an
+// incomplete long one, and all others a complete long one in pieces of varying size.
 func serveLongValues(conn net.Conn, id, key string) {
-	parts := map[string]int{"head": 0, "half": longLength / 2, "silent": 100, "frame": longLength}
-	part, partly := parts[key]
+	lengths := map[string]int{"head": 0, "half": longLength / 2, "silent": 100, "frame": longLength}
+	length, incomplete := lengths[key]
 	switch {
 	case key == "short", key == "later":
 		if key == "later" {
 			time.Sleep(20 * time.Millisecond)
 		}
 		fmt.Fprintf(conn, "VA 2 O%s\r\nhi\r\n", id)
-	case partly:
-		fmt.Fprintf(conn, "VA %d O%s\r\n%s", longLength, id, longValue[:part])
+	case incomplete:
+		fmt.Fprintf(conn, "VA %d O%s\r\n%s", longLength, id, longValue[:length])
 		if key == "frame" {
 			io.WriteString(conn, "!!")
 		}
@@ -100,7 +99,7 @@
 	}
 }
 
-// writeInPieces writes a value in pieces of 1 to 50,000 bytes; false where the connection ended before.
+// writeInPieces writes a value in pieces of 1 to 50,000 bytes, and reports whether it could write all of it.
 func writeInPieces(conn net.Conn, value []byte, slowly bool) bool {
 	rest := value
 	for piece := 1; len(rest) > 0; piece = piece*3%50000 + 1 {
@@ -116,14 +115,14 @@
 	return true
 }
 
-// readLongValue reads a long answer and tells what is wrong with it.
+// readLongValue reads the answer with the long value, and returns an error if it is not as expected.
 func readLongValue(in *bufio.Reader, id string) error {
 	want := append(fmt.Appendf(nil, "VA %d O%s\r\n", longLength, id), longValue...)
 	want = append(want, "\r\n"...)
 	got := make([]byte, len(want))
 	n, err := io.ReadFull(in, got)
 	if err != nil || !bytes.Equal(got, want) {
-		return fmt.Errorf("%d bytes, %.40q, %v", n, got, err)
+		return fmt.Errorf("long value: got %d bytes, %.40q, %v, want all of it", n, got, err)
 	}
 	return nil
 }
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -10,12 +10,12 @@
 	"pgregory.net/rapid"
 )
 
-// One build serves both shapes of a deployment, which the settings alone tell apart, and refuses a mix of them.
+// The same build supports both kinds of deployment, which differ only in their settings, and refuses a mix of the two.
 func TestBothDeploymentShapes(t *testing.T) {
 	live := `"weights":"live","loadInfo":{"how":"inline","names":["tps"]},"limits":{"peers":%v,"mostExecutions":4},`
 	for _, shape := range []struct {
 		name, settings string
-		refused        string // what the error has; "": it serves
+		refused        string // text of the expected error; "": the router serves
 		live           bool
 	}{
 		{"nominal", `"weights":"nominal","limits":{"peers":true,"probes":true,"mostExecutions":3},`, "", false},
@@ -27,12 +27,12 @@
 		s, addr, err := assembleConfig(text, startCacheServer(t, 0), zerolog.New(&log))
 		if shape.refused != "" || err != nil {
 			if err == nil || shape.refused == "" || !strings.Contains(err.Error(), shape.refused) {
-				t.Errorf("%s: refused with %v", shape.name, err)
+				t.Errorf("%s: got the error %v, want %q", shape.name, err, shape.refused)
 			}
 			continue
 		}
 		if logged := strings.Contains(log.String(), "load reports are not available"); logged != shape.live {
-			t.Errorf("%s: a line on load reports: %v", shape.name, logged)
+			t.Errorf("%s: log line on load reports: got %v, want %v", shape.name, logged, shape.live)
 		}
 		s.log = zerolog.Nop()
 		go s.loop.Run()
@@ -40,13 +40,14 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if got := sendCommand(addr, firstGet); got != "VA 2 Oa1" {
-			t.Errorf("%s: it answers %q", shape.name, got)
+			t.Errorf("%s: got %q, want VA 2 Oa1", shape.name, got)
 		}
 		s.loop.Post(s.end)
 	}
 }
 
-// settingsDrawer draws settings as JSON. The labels and the order of the draws are those of the kept seeds.
+// settingsDrawer draws settings as JSON. The labels and the order of the draws must not change, so that recorded seeds
+// give the same settings.
 type settingsDrawer struct {
 	*rapid.T
 	names *rapid.Generator[string]
@@ -57,12 +58,12 @@
 	return rapid.SampledFrom(values).Draw(d.T, label)
 }
 
-// timeout draws a time in nanoseconds where nothing above 0 is refused.
+// timeout draws a time in nanoseconds for a key that accepts any time above 0.
 func (d settingsDrawer) timeout(label string) string {
 	return d.oneOf(label, "", "1", "150000000", "60000000000", "0")
 }
 
-// nanoseconds draws a time: none, the least, usual ones, and what is no time.
+// nanoseconds draws a time in nanoseconds: none, the shortest, usual ones, and invalid ones.
 func (d settingsDrawer) nanoseconds(label string) string {
 	return d.oneOf(label, "", "0", "1", "2000000", "150000000", "3000000000", "9e18", "-1")
 }
@@ -71,7 +72,7 @@
 	return fmt.Sprintf(`"%s":%v`, label, rapid.Bool().Draw(d.T, label))
 }
 
-// field returns a key with its value; another key where the value is "", which stands for none.
+// field returns a key with its value. If the value is "", for none, it returns another key.
 func field(name, value string) string {
 	if value == "" {
 		return `"none":0`
@@ -123,7 +124,8 @@
 	}, ",")
 }
 
-// configuration draws a configuration with places for addresses, and gives the names of its traffic classes.
+// configuration draws a configuration, a format with the router's address and the list service's, and returns the names
+// of its traffic classes.
 func (d settingsDrawer) configuration() (text string, classNames []string) {
 	var classes, tenants []string
 	for range rapid.SampledFrom([]int{1, 1, 2, 40, 0}).Draw(d.T, "types") {
@@ -144,9 +146,9 @@
 	}, ",") + "}}", classNames
 }
 
-// Settings of any customer, as their pages allow and beyond: a start either serves by them and gives each request
-// one answer, or names the key that is at fault.
-func TestAnySettingsServeOrNameTheKey(t *testing.T) {
+// For any settings, valid or not, the router must either start and give each request one answer, or refuse to start
+// with an error that names the invalid key.
+func TestAnySettingsServeOrAreRefusedByKey(t *testing.T) {
 	list := startCacheServer(t, 0)
 	names := rapid.StringMatching(`[A-Za-z0-9_.:/+-]{1,24}`)
 	served := 0
@@ -155,7 +157,7 @@
 		s, addr, err := assembleConfig(text, list, zerolog.Nop())
 		if err != nil {
 			if !strings.Contains(err.Error(), "settings: ") {
-				rt.Fatalf("it is refused without a key: %v", err)
+				rt.Fatalf("got the error %v, want one that names the key", err)
 			}
 			return
 		}
@@ -166,7 +168,7 @@
 		defer s.loop.Post(s.end)
 		for i := 0; sendCommand(addr, "mn") != "MN"; i++ {
 			if i > 500 {
-				rt.Fatal("it does not come to serve")
+				rt.Fatal("timed out waiting for the router to serve")
 			}
 			time.Sleep(5 * time.Millisecond)
 		}
@@ -174,15 +176,15 @@
 			for _, command := range []string{"mg k v O%d Pc=%s,d=1900", "mg k v O%d Pc=%s", "mg k v O%d Pc=%s,d=0"} {
 				got := sendCommand(addr, fmt.Sprintf(command, len(command)*100+i, class))
 				if !strings.HasPrefix(got, "VA 2 ") && !strings.HasPrefix(got, "SERVER_ERROR ") {
-					rt.Fatalf("it answers %q to %s", got, command)
+					rt.Fatalf("got %q to %s, want a value or an error", got, command)
 				}
 			}
 		}
 		if faults := callOnLoop(s, func() uint64 { return s.pools.platform.core.Counts.Faults }); faults > 0 {
-			rt.Fatalf("the balancer failed %d times", faults)
+			rt.Fatalf("the balancer panicked %d times, want 0", faults)
 		}
 	})
 	if served < 10 {
-		t.Errorf("only %d drawn settings were served by", served)
+		t.Errorf("the router served with %d of the drawn settings, want at least 10", served)
 	}
 }
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -26,20 +26,20 @@
 	"golang.org/x/sys/unix"
 )
 
-// The completion rate of the snapshot goes to the platform's pool alone, and the servers of its list count as just
-// started; what is too old, or of another list service, is not used.
-func TestSnapshotOfTheLastRun(t *testing.T) {
+// The snapshot's completion rate is used only for the platform's pool, and the servers of its endpoint list count as
+// just started. Entries that are too old or in the future, and a list of another list service, are not used.
+func TestSnapshotIsUsedOnlyWhereValid(t *testing.T) {
 	for _, last := range []struct {
 		name    string
 		age     float64 // seconds
 		from    string  // the list service
-		rate    float64 // that is used
-		servers int     // that are known
+		rate    float64 // the expected initial rate
+		servers int     // the expected number of servers
 	}{
-		{"of a minute ago", 60, "127.0.0.1:1", 12, 1},
-		{"of yesterday", 86400, "127.0.0.1:1", 0, 0},
+		{"a minute old", 60, "127.0.0.1:1", 12, 1},
+		{"a day old", 86400, "127.0.0.1:1", 0, 0},
 		{"of another list service", 60, "127.0.0.1:9", 12, 0},
-		{"of the future", -60, "127.0.0.1:1", 0, 0},
+		{"in the future", -60, "127.0.0.1:1", 0, 0},
 	} {
 		dir := t.TempDir()
 		addr := freeAddress(t)
@@ -63,16 +63,17 @@
 		entries := callOnLoop(s, func() []discovery.Instance { return s.conf.Known.Instances })
 		for _, entry := range entries {
 			if entry.StartedAt < now-1 {
-				t.Errorf("%s: a server of the snapshot's list counts as long started", last.name)
+				t.Errorf("%s: a server of the snapshot's list does not count as just started", last.name)
 			}
 		}
 		if len(rates) != 2 || rates[0] != last.rate || rates[1] != 0 || len(entries) != last.servers {
-			t.Errorf("%s: rates %v and %d servers, want %v, 0 and %d", last.name, rates, len(entries), last.rate, last.servers)
+			t.Errorf("%s: got the rates %v and %d servers, want %v, 0 and %d", last.name, rates, len(entries),
+				last.rate, last.servers)
 		}
 	}
 }
 
-// writeSnapshot writes a snapshot as a process of a router at an address would: a rate of 12 and a list of one
+// writeSnapshot writes the snapshot of a router at an address: a completion rate of 12 and an endpoint list with one
 // server.
 func writeSnapshot(dir, addr, listService string, at float64) {
 	store := snapshot.Open(snapshot.Path(dir, addr), addr, zerolog.Nop())
@@ -84,11 +85,11 @@
 	store.Close(5 * time.Second)
 }
 
-// hangDisk puts a FIFO at each path, which hangs who opens it until the test ends.
+// hangDisk creates a FIFO at each path: a process that opens it hangs until the test ends.
 func hangDisk(t *testing.T, paths ...string) {
 	t.Helper()
 	for _, path := range paths {
-		if err := unix.Mkfifo(path, 0o600); err != nil { // to open it waits for who writes
+		if err := unix.Mkfifo(path, 0o600); err != nil { // opening it for reading waits for a writer
 			t.Fatal(err)
 		}
 		t.Cleanup(func() {
@@ -99,9 +100,9 @@
 	}
 }
 
-// waitExists waits until there is a file. Once hangDisk lets go, the snapshot's store sets the copy aside that it
-// cannot use: without this wait, it would do so while the test's folder is being removed.
-func waitExists(t *testing.T, path string) {
+// waitFileExists waits until a file exists. When hangDisk ends, the snapshot's store renames the copy that it cannot
+// use; without this wait, it could do so while the test's folder is being removed.
+func waitFileExists(t *testing.T, path string) {
 	t.Helper()
 	waitFor(t, path, 500, func() bool {
 		_, err := os.Stat(path)
@@ -109,8 +110,8 @@
 	})
 }
 
-// startSlowListService starts a list service that hangs at the first poll, rejects the second and answers from then
-// on as another one does.
+// startSlowListService starts a list service that hangs at the first poll, rejects the second and answers the others
+// like the given list service.
 func startSlowListService(t *testing.T, other string) (at string) {
 	var polls atomic.Int64
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
@@ -134,24 +135,25 @@
 	return list.Listener.Addr().String()
 }
 
-// All that a start finds hanging at once holds it up for seconds at most, each for its own: a predecessor that was
-// stopped, a process that holds the lock and the admin server's address, disks that do not answer, a list service
-// that is silent, then full once. Ready within 10 s is the requirement; 4 s of waits here, 2.5 s for the silent
-// poll and at most 1.5 s after the rejected one are less.
-func TestAStartWaitsForNobodyLong(t *testing.T) {
+// Everything that a start depends on hangs at the same time: a stopped predecessor accepts no connection, another
+// process holds the lock and the admin server's address, the disks do not answer, and the list service hangs at one
+// poll and rejects the next. Each may delay the start by seconds at most. The requirement is to be ready within 10 s.
+// The delays add up to less: 4 s of waits here, 2.5 s for the poll that hangs, and at most 1.5 s after the rejected
+// one.
+func TestStartIsNotBlockedByHungDependencies(t *testing.T) {
 	for _, discoveryMode := range []string{"pushed", "on_request"} {
 		t.Run(discoveryMode, func(t *testing.T) {
 			t.Parallel()
 			dir := t.TempDir()
 			addr := freeAddress(t)
 			socket := &net.UnixAddr{Name: hotrestart.Path(dir, addr, "sock"), Net: "unix"}
-			predecessor, err := net.ListenUnix("unix", socket) // it accepts nobody
+			predecessor, err := net.ListenUnix("unix", socket) // it accepts no connection
 			if err != nil {
 				t.Fatal(err)
 			}
 			t.Cleanup(func() { predecessor.Close() })
 			storeCopy := snapshot.Path(dir, addr) + ".store-0"
-			t.Cleanup(func() { waitExists(t, storeCopy+".cannot-be-used") })
+			t.Cleanup(func() { waitFileExists(t, storeCopy+".cannot-be-used") })
 			hangDisk(t, hotrestart.Path(dir, addr, "out"), hotrestart.Path(dir, addr, "zones"), storeCopy)
 			lock, _ := os.Create(hotrestart.Path(dir, addr, "out") + ".lock")
 			t.Cleanup(func() { lock.Close() })
@@ -190,14 +192,14 @@
 				s.loop.Post(s.end)
 				<-ended
 			case <-time.After(10 * time.Second):
-				t.Error("it is not ready")
+				t.Error("the router is not ready after 10 s")
 			}
 		})
 	}
 }
 
-// A poll that fails, which the balancer is told where lists are polled, confirms nothing: neither the start's phase
-// nor the snapshot may take the list of the last run for one that was told now.
+// A balancer that polls is notified of a failed poll through an update of the list. That update confirms nothing: the
+// start's phase must not advance, and the list of the last run must not be saved as if it were current.
 func TestFailedPollConfirmsNoList(t *testing.T) {
 	s, _, err := assembleConfig(configWithKnownList, "127.0.0.1:1", zerolog.Nop())
 	if err != nil {
@@ -213,11 +215,11 @@
 		}
 		platform.onPollFailed(platform.nextWatch)
 		if phase() != startup.EndpointsCached {
-			t.Errorf("after a poll that failed the start is %s", phase())
+			t.Errorf("after a failed poll: got the phase %s, want listed", phase())
 		}
 		err := platform.onList(platform.nextWatch, endpointList(43, "127.0.0.1:2", "ready"))
 		if err != nil || phase() != startup.EndpointsConfirmed {
-			t.Errorf("after a list it is %s, %v", phase(), err)
+			t.Errorf("after a list: got the phase %s, %v, want confirmed", phase(), err)
 		}
 	})
 }
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -61,10 +61,10 @@
 	return state
 }
 
-// Started handles that a successor has received the sockets and is starting.
+// Started is called when a successor has received the sockets and is starting.
 func (h successorHandler) Started() { h.service.loop.Post(func() { h.service.addOtherProcesses(1) }) }
 
-// Serving handles that a successor accepts clients. This process then stops accepting.
+// Serving is called when a successor accepts clients. This process then stops accepting.
 func (h successorHandler) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
@@ -74,7 +74,7 @@
 	s.publish()
 }
 
-// Ended handles the end of a successor; served reports whether it had accepted clients.
+// Ended is called when a successor has ended; served reports whether it had accepted clients.
 func (h successorHandler) Ended(served bool) {
 	h.service.loop.Post(func() { h.service.onSuccessorEnded(served) })
 }
--- a/internal/service/tilepool_test.go
+++ b/internal/service/tilepool_test.go
@@ -14,7 +14,7 @@
 	"github.com/rs/zerolog"
 )
 
-// tilePoolFile has places for the pool's list service, the team's listener and more of its first layer.
+// tilePoolFile is a format with the pool's list service, the team's listener and further keys of its first layer.
 const tilePoolFile = `
 [[pool]]
 name = "maps"
@@ -44,11 +44,12 @@
 benefit = 1
 `
 
-// startTileServer starts one tile server of the standard library's and the list service that names it t-1.
+// startTileServer starts a tile server (an HTTP server of the standard library) and a list service whose list names it
+// t-1.
 func startTileServer(t *testing.T, serve http.HandlerFunc) (discovery string) {
 	server := httptest.NewServer(serve)
 	list := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
-		if r.URL.RawQuery != "" { // a poll for changes goes on, without any
+		if r.URL.RawQuery != "" { // a long poll for changes, of which there are none
 			<-r.Context().Done()
 		}
 		fmt.Fprintf(w, `{"generation":1,"reset":true,"instances":[
@@ -63,7 +64,7 @@
 	return list.Listener.Addr().String()
 }
 
-// addTilePool has a service take an operators' file, and waits until its tile pool answers at an address.
+// addTilePool applies an operators' file to a service, and waits until its tile pool answers at an address.
 func addTilePool(t *testing.T, s *Service, addr, text string) {
 	t.Helper()
 	operators := parseOperators(t, text)
@@ -73,14 +74,14 @@
 	})
 }
 
-// tileReply is what a client of a tile service has read.
+// tileReply is the response that a client of a tile service received.
 type tileReply struct {
-	status int // 0: none came, and body is the error
+	status int // 0: there was none, and body is the error
 	body   string
 	header http.Header
 }
 
-// getTile asks the tile service at an address for a target, with headers as pairs of name and value.
+// getTile requests a target from the tile service at an address. headers are pairs of name and value.
 func getTile(addr, target string, headers ...string) tileReply {
 	request, _ := http.NewRequest("GET", "http://"+addr+target, nil)
 	for i := 0; i+1 < len(headers); i += 2 {
@@ -95,7 +96,7 @@
 	return tileReply{response.StatusCode, string(body), response.Header}
 }
 
-// The same tile by each of the three schemes; byPairs is the one by keys and values.
+// The targets of the same tile in each of the three schemes. That of byPairs has keys and values.
 const (
 	byTemplate = "/roads/3/2/5.png"
 	byPairs    = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=&format=image/png" +
@@ -103,8 +104,8 @@
 	byPath = "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png"
 )
 
-// serveTestTiles serves tiles as the tests of all requests need them: an error in column 1 of zoom 6, a body beyond
-// all bounds in column 2, else a tile with a tag that names its path.
+// serveTestTiles serves an error in column 1 of zoom 6, a body that is too large in column 2, and otherwise a tile with
+// an ETag and a body that names its path.
 func serveTestTiles(w http.ResponseWriter, r *http.Request) {
 	switch {
 	case strings.Contains(r.URL.Path, "/6/1/"):
@@ -121,9 +122,9 @@
 	}
 }
 
-// A tile is served by every scheme as the tile server made it; every address of the capabilities works; what is
-// faulty is told as the standard has it, and reaches no server.
-func TestTiles(t *testing.T) {
+// A tile is served in every scheme as the tile server sent it, and the targets in the capabilities document work.
+// Invalid targets get the errors that the standard requires, and are not forwarded to a server.
+func TestTilesByEveryScheme(t *testing.T) {
 	forwarded := make(chan string, 10000)
 	list := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		forwarded <- r.URL.Path
@@ -139,21 +140,21 @@
 	}
 	expectFaultyTargetsRefused(t, addr)
 	if len(forwarded) > 0 {
-		t.Errorf("%d faulty addresses reached a server", len(forwarded))
+		t.Errorf("%d invalid targets were forwarded to a server, want 0", len(forwarded))
 	}
 	for name, target := range map[string]string{
-		"an error":                             "/roads/6/3/1.png",
-		"a body that is refused at its header": "/roads/6/3/2.png",
+		"an error":                               "/roads/6/3/1.png",
+		"a body that is too large by its header": "/roads/6/3/2.png",
 	} {
 		began := time.Now()
 		reply := getTile(addr, target)
 		if reply.status != 503 || reply.header.Get("Retry-After") == "" || time.Since(began) > time.Second {
-			t.Errorf("%s: answered %d %v after %v", name, reply.status, reply.header, time.Since(began))
+			t.Errorf("%s: got %d %v after %v, want 503 with Retry-After", name, reply.status, reply.header, time.Since(began))
 		}
 	}
 	expectCapabilitiesLeadToTiles(t, addr)
 	if reply := getTile(addr, "/health"); reply.status != 200 || reply.body != "serving\n" {
-		t.Errorf("its health check answers %d %s", reply.status, reply.body)
+		t.Errorf("health check: got %d %q, want 200 and serving", reply.status, reply.body)
 	}
 }
 
@@ -164,15 +165,15 @@
 		sameBody := reply.body == "tile "+byPath+" for me"
 		sameHeader := reply.header.Get("ETag") == `"tag"` && reply.header.Get("Content-Type") == "image/png"
 		if reply.status != 200 || !sameBody || !sameHeader {
-			t.Errorf("%s is answered %d %q %v", target, reply.status, reply.body, reply.header)
+			t.Errorf("%s: got %d %q %v, want the tile", target, reply.status, reply.body, reply.header)
 		}
 	}
 	if reply := getTile(addr, byTemplate, "If-None-Match", `"tag"`); reply.status != 304 || reply.body != "" {
-		t.Errorf("with a cached copy it is answered %d %q", reply.status, reply.body)
+		t.Errorf("with If-None-Match: got %d %q, want 304 without a body", reply.status, reply.body)
 	}
 	head, err := http.Head("http://" + addr + byTemplate)
 	if err != nil || head.StatusCode != 200 || head.ContentLength < 40 {
-		t.Errorf("HEAD is answered %+v, %v", head, err)
+		t.Errorf("HEAD: got %+v, %v, want 200 and a length", head, err)
 	}
 }
 
@@ -196,11 +197,11 @@
 			got = fmt.Sprint(reply.status, " ", found[1], " ", found[2])
 		}
 		if !strings.HasPrefix(got, want) {
-			t.Errorf("%.150s is answered %.300s, want %s", target, got, want)
+			t.Errorf("%.150s: got %.300s, want %s", target, got, want)
 		}
 	}
 	if reply := getTile(addr, byTemplate, "X-Wait-Ms", "soon"); reply.status != 400 {
-		t.Errorf("a strange time to wait is answered %d %s", reply.status, reply.body)
+		t.Errorf("invalid X-Wait-Ms: got %d %s, want 400", reply.status, reply.body)
 	}
 }
 
@@ -209,18 +210,18 @@
 	capabilities := getTile(addr, "/wmts/1.0.0/WMTSCapabilities.xml").body
 	template := regexp.MustCompile(`template="([^"]+)"`).FindStringSubmatch(capabilities)
 	if template == nil {
-		t.Fatalf("the capabilities are %.300s", capabilities)
+		t.Fatalf("capabilities: got %.300s, want a template", capabilities)
 	}
 	target := strings.NewReplacer("http://"+addr, "", "{Style}", "default", "{TileMatrixSet}", "GoogleMapsCompatible",
 		"{TileMatrix}", "4", "{TileRow}", "7", "{TileCol}", "9").Replace(template[1])
 	if reply := getTile(addr, target); reply.status != 200 || !strings.Contains(reply.body, "/4/7/9.png") {
-		t.Errorf("the described address %s is answered %d %s", target, reply.status, reply.body)
+		t.Errorf("target %s from the template: got %d %s, want the tile", target, reply.status, reply.body)
 	}
 }
 
-// What cannot be read is told by its status and ends the connection; requests behind one another are answered in
-// order.
-func TestTileConnections(t *testing.T) {
+// A request that cannot be parsed is answered with the right status and ends the connection. Pipelined requests are
+// answered in order.
+func TestTileConnectionErrorsAndPipelining(t *testing.T) {
 	slow := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
 		if strings.Contains(r.URL.Path, "/1/0/0.png") {
 			time.Sleep(200 * time.Millisecond)
@@ -248,7 +249,7 @@
 	first := strings.Index(replies, "/1/0/0.png")
 	second := strings.Index(replies, "/1/1/1.png")
 	if first < 0 || second < first {
-		t.Errorf("two behind one another are answered %q", replies)
+		t.Errorf("two pipelined requests: got %q, want both replies in order", replies)
 	}
 	for text, want := range map[string]string{
 		"POST / HTTP/1.1\r\n":       "405",
@@ -262,20 +263,20 @@
 		"GET /" + strings.Repeat("7", 5000):                            "414",
 	} {
 		reply, err := send(text)
-		asWanted := strings.HasPrefix(reply, "HTTP/1.1 "+want+" ") && strings.Contains(reply, "Connection: close")
-		if err != nil || !asWanted {
-			t.Errorf("%.40q is answered %.100q, %v, want %s", text, reply, err, want)
+		asExpected := strings.HasPrefix(reply, "HTTP/1.1 "+want+" ") && strings.Contains(reply, "Connection: close")
+		if err != nil || !asExpected {
+			t.Errorf("%.40q: got %.100q, %v, want %s and a close", text, reply, err, want)
 		}
 	}
 }
 
-// A client that closes its connection has gone: its request is cancelled at the tile server, and what it sent
-// before its end, or while it waited to be accepted, is not attempted.
-func TestATileWhoseClientHasLeft(t *testing.T) {
+// When a client closes its connection, its request is cancelled at the tile server. Requests that it sent before the
+// close, or while its connection waited in the backlog, must not be attempted.
+func TestTileRequestIsCancelledWhenClientDisconnects(t *testing.T) {
 	begun := make(chan string, 1000)
 	cancelled := make(chan string, 1000)
 	list := startTileServer(t, func(w http.ResponseWriter, r *http.Request) {
-		if strings.Contains(r.URL.Path, "/0/0/0.png") { // by which the test knows that the pool is there
+		if strings.Contains(r.URL.Path, "/0/0/0.png") { // addTilePool's check that the pool answers
 			return
 		}
 		begun <- r.URL.Path
@@ -306,20 +307,20 @@
 		select {
 		case <-cancelled:
 		case <-time.After(5 * time.Second):
-			t.Errorf("it %s, and the tile server still has its request", name)
+			t.Errorf("the client %s: its request is not cancelled at the tile server", name)
 		}
 	}
 	attempts := func() uint64 { return s.pools.named["maps"].core.Counts.Attempts }
 	before := callOnLoop(s, attempts)
-	runOnLoop(s, func() { // the loop is held until the end is behind all of it
+	runOnLoop(s, func() { // blocks the loop until the client has sent everything and closed
 		conn, _ := dialAndSend(t, addr, "", "")
-		for i := range 20 { // more than is read at once
+		for i := range 20 { // more than one read returns
 			fmt.Fprintf(conn, "GET /roads/5/%d/1.png HTTP/1.1\r\nHost: a\r\n\r\n", i)
 		}
 		closeWriteAndWait(t, conn)
 	})
-	waitUntil(t, "an end", s, func() bool { return s.clients.frontend.Connections() == 0 })
+	waitUntil(t, "the end of all connections", s, func() bool { return s.clients.frontend.Connections() == 0 })
 	if n := callOnLoop(s, attempts) - before; n > 0 {
-		t.Errorf("%d more attempts began", n)
+		t.Errorf("%d attempts after the client had left, want 0", n)
 	}
 }
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -44,8 +44,7 @@
 	return all, err
 }
 
-// EvacuateZone evacuates a zone until RestoreZone. It fails if no zone would remain that serves all of its
-// keys.
+// EvacuateZone evacuates a zone until RestoreZone. It fails if no other zone would serve all of its keys.
 func (h *adminHandler) EvacuateZone(zone string) error {
 	zones := h.service.zones
 	until := time.Now().Add(lockWaitTimeout)
