--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -112,14 +112,14 @@
 	if named.Protocol != "tiles" {
 		return upstream.NewMemcacheCodec
 	}
-	servers := &tileclient.Client{
+	client := &tileclient.Client{
 		Scheme:           tiles.Scheme(cmp.Or(named.Scheme, string(tiles.XYZ))),
 		Host:             cmp.Or(named.Host, named.Name),
 		ProbePath:        cmp.Or(named.Probe, defaultHealthCheckPath),
 		MaxBodyBytes:     cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
 		MaxBufferedBytes: s.conf.HeldBytes,
 	}
-	return servers.NewCodec
+	return client.NewCodec
 }
 
 // sendQuotaGossip broadcasts the load that is requested of this router, and repeats that every
--- a/internal/service/disabledservers.go
+++ b/internal/service/disabledservers.go
@@ -96,8 +96,8 @@
 		h.service.log.Error().Err(err).Str("server", id).
 			Msg("the server is disabled in this process, but the change cannot be saved for other processes")
 	}
-	late := h.onLoop(func() error { return nil }) // runs after the set is applied, which the registry has posted
-	if late != nil && err == nil {
+	applyErr := h.onLoop(func() error { return nil }) // runs after the set is applied, which the registry has posted
+	if applyErr != nil && err == nil {
 		return errSavedNotApplied
 	}
 	return err
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -44,10 +44,10 @@
 // The successor is shut down before the predecessor. The predecessor must accept clients again immediately, and not
 // only after the successor has completed its requests.
 func TestPredecessorAcceptsWhileSuccessorShutsDown(t *testing.T) {
-	held := make(chan bool)
+	release := make(chan bool)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
 		if key == "later" {
-			<-held
+			<-release
 		}
 		fmt.Fprintf(conn, "VA 2 O%s h1\r\nhi\r\n", id)
 	})
@@ -68,7 +68,7 @@
 	if callOnLoop(predecessor, func() int { return predecessor.restart.otherProcesses }) != 1 {
 		t.Error("the predecessor uses all of the limits while the successor still has connections")
 	}
-	close(held)
+	close(release)
 	if line, _ := in.ReadString('\n'); line != "VA 2 Oa h1\r\n" && line != "VA 2 Oa\r\n" {
 		t.Errorf("request at the successor: got %q, want a value", line)
 	}
@@ -77,10 +77,10 @@
 // The predecessor is shut down before the successor is ready. The successor must answer clients immediately, with an
 // error that it is starting, and not only after the predecessor has completed its requests.
 func TestStartingSuccessorAnswersWhilePredecessorShutsDown(t *testing.T) {
-	held := make(chan bool)
-	defer close(held)
+	release := make(chan bool)
+	defer close(release)
 	list := startScriptedServer(t, func(conn net.Conn, id, key string) {
-		<-held
+		<-release
 		fmt.Fprintf(conn, "VA 2 O%s h1\r\nhi\r\n", id)
 	})
 	addr := freeAddress(t)
@@ -207,7 +207,7 @@
 }
 
 // The successor starts with the predecessor's last endpoint list: the list service may not answer, and drains must not
-// be lost. A list that cannot be decoded, is of another list service, or is older is ignored as a whole.
+// be lost. A list that cannot be decoded, a list of another list service and an older list are ignored.
 func TestSuccessorReceivesEndpointList(t *testing.T) {
 	list := startCacheServer(t, 0)
 	shared := t.TempDir()
@@ -315,7 +315,7 @@
 		_, ops = start()
 		got := sendCommand(addr, fmt.Sprintf("mg k v Oz%d Pc=t,d=1900", i))
 		if served := strings.HasPrefix(got, "VA"); served != (call == "enable") {
-			t.Errorf("after %s and another hot restart: got %q", call, got)
+			t.Errorf("after %s and another hot restart: got %q, want a value only after enable", call, got)
 		}
 	}
 }
--- a/internal/service/lifecycle_test.go
+++ b/internal/service/lifecycle_test.go
@@ -131,7 +131,7 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("the router has not ended within 10 s")
 	}
 }
 
@@ -220,6 +220,6 @@
 			t.Error(err)
 		}
 	case <-time.After(10 * time.Second):
-		t.Error("it does not end")
+		t.Error("the router has not ended within 10 s")
 	}
 }
--- a/internal/service/reload_test.go
+++ b/internal/service/reload_test.go
@@ -32,7 +32,7 @@
 	for _, file := range []struct{ name, text, watched string }{
 		{"invalid JSON", "{", old},
 		{"invalid address", fmt.Sprintf(baseConfig, addr, "nowhere"), old},
-		{"list service that does not answer", fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // the old one is watched
+		{"list service that does not answer", fmt.Sprintf(baseConfig, addr, "127.0.0.1:1"), old}, // the old one stays in use
 		{"another list service", fmt.Sprintf(baseConfig, "127.0.0.1:1", other), other},
 	} {
 		os.WriteFile(path, []byte(file.text), 0o600)
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -61,8 +61,8 @@
 func Run(setup Setup, signals <-chan os.Signal, newBalancer requestcore.NewBalancer, reload func() (Setup, error),
 	log zerolog.Logger) error {
 	conf := setup.Platform
-	// With a single processor the Go runtime's monitor finds no idle one and takes it from the loop at each wait for
-	// events.
+	// With a single processor the Go runtime's monitor thread finds no idle one, and takes it away from the loop at
+	// each wait for events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
 	limitMemory(conf)
 	if err := eventloop.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
