--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -7,20 +7,21 @@
 	"bendtrestle/internal/hotrestart"
 )
 
-// successors serves the processes that follow this one: what they ask and become, on goroutines of package
-// hotrestart.
-type successors struct{ service *Service }
+// successorHandler handles the requests and the state changes of successor processes. Package hotrestart calls it on
+// goroutines of its own.
+type successorHandler struct{ service *Service }
 
-var _ hotrestart.SuccessorHandler = successors{}
+var _ hotrestart.SuccessorHandler = successorHandler{}
 
 // Sockets returns the descriptors of the sockets that clients connect to, by address; the caller closes them.
-func (h successors) Sockets() map[string]int {
+func (h successorHandler) Sockets() map[string]int {
 	result := make(chan map[string]int, 1)
 	h.service.loop.Post(func() { result <- h.service.listeningSockets() })
 	return <-result
 }
 
-// listeningSockets duplicates the sockets that clients connect to, while any is accepted here.
+// listeningSockets duplicates the sockets that clients connect to. It returns none if this process does not listen at
+// the platform's address.
 func (s *Service) listeningSockets() map[string]int {
 	sockets := map[string]int{}
 	if s.clients.listener == nil || s.lifecycle.phase >= Finishing {
@@ -38,12 +39,13 @@
 }
 
 // State returns the endpoint list as it was last received here, encoded.
-func (h successors) State() []byte {
+func (h successorHandler) State() []byte {
 	result := make(chan restartState, 1)
 	h.service.loop.Post(func() { result <- h.service.restartState() })
 	text, err := json.Marshal(<-result)
 	if err != nil {
-		h.service.log.Error().Err(err).Msg("the endpoint list cannot be encoded for the successor")
+		h.service.log.Error().Err(err).
+			Msg("the endpoint list cannot be encoded for the successor process; it starts without the list")
 	}
 	return text
 }
@@ -52,49 +54,49 @@
 	platform := s.pools.platform
 	state := restartState{Discovery: s.conf.Discovery}
 	state.List.Generation = max(platform.generation, s.conf.Known.Generation)
-	state.List.Whole = true
+	state.List.Complete = true
 	for _, entry := range platform.endpoints {
 		state.List.Entries = append(state.List.Entries, saveEntry(entry))
 	}
 	return state
 }
 
-// Started handles that another process starts beside this one.
-func (h successors) Started() { h.service.loop.Post(func() { h.service.addProcessesBeside(1) }) }
+// Started is called when a successor has received the sockets and is starting.
+func (h successorHandler) Started() { h.service.loop.Post(func() { h.service.addOtherProcesses(1) }) }
 
-// Serving handles that a successor accepts clients: from here on it does so alone.
-func (h successors) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
+// Serving is called when a successor accepts clients. This process then stops accepting.
+func (h successorHandler) Serving() { h.service.loop.Post(h.service.onSuccessorServes) }
 
 func (s *Service) onSuccessorServes() {
 	s.restart.servingSuccessors++
-	s.log.Info().Msg("the next process takes clients; this one accepts no more")
+	s.log.Info().Msg("the successor process accepts clients; this one accepts no more")
 	s.clients.suspendListeners()
 	s.publish()
 }
 
-// Ended handles the end of a successor; served reports whether it had accepted clients.
-func (h successors) Ended(served bool) {
-	h.service.loop.Post(func() { h.service.onSuccessorLost(served) })
+// Ended is called when a successor has ended; served reports whether it had accepted clients.
+func (h successorHandler) Ended(served bool) {
+	h.service.loop.Post(func() { h.service.onSuccessorEnded(served) })
 }
 
-// onSuccessorLost accepts clients again where the last successor that served has ended, unless this process is to
-// end, too.
-func (s *Service) onSuccessorLost(served bool) {
+// onSuccessorEnded accepts clients again if the last successor that served has ended, unless this process is shutting
+// down too.
+func (s *Service) onSuccessorEnded(served bool) {
 	if s.lifecycle.phase == Ended {
 		return
 	}
 	if !served {
-		s.addProcessesBeside(-1)
+		s.addOtherProcesses(-1)
 		return
 	}
-	s.releaseProcessBesideLater()
+	s.removeOtherProcessLater()
 	s.restart.servingSuccessors--
 	if s.restart.servingSuccessors > 0 || s.lifecycle.phase >= Leaving {
 		return
 	}
-	s.log.Warn().Msg("the next process has ended; this one takes clients again")
+	s.log.Warn().Msg("the successor process has ended; this one accepts clients again")
 	s.clients.resumeListeners()
-	if s.restart.listener != nil { // the path was the successor's
+	if s.restart.listener != nil { // the socket's path has been taken over by the successor
 		s.restart.listener.Close()
 		s.restart.listener = nil
 	}
