--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// atMeanValue makes a request's value the mean of all.
-func atMeanValue(b *Balancer, req *request) {
+// setMeanValueOf makes a request's value the mean of all.
+func setMeanValueOf(b *Balancer, req *request) {
 	b.shedding.meanValue = req.class.PriorityWeight / req.class.meanLatency
 }
 
@@ -25,7 +25,7 @@
 		}
 		server.inFlight = []*attempt{{sentAt: b.now}}
 		req := requestWithAttempt(b, "view", nil, false, true)
-		atMeanValue(b, req)
+		setMeanValueOf(b, req)
 		for range 50 {
 			expectEqual(t, fmt.Sprint("shed where ordered is ", ordered), b.shedsForLatency(req, server), ordered)
 		}
@@ -41,7 +41,7 @@
 	b, _ := newTestBalancer(1, nil)
 	server := b.servers.byID[1]
 	req := requestWithAttempt(b, "view", nil, false, true)
-	atMeanValue(b, req)
+	setMeanValueOf(b, req)
 	server.latency.slowness = 3
 	expectEqual(t, "slow, but in time", b.shedsForLatency(req, server), false)
 	server.latency.slowness = 4.5
@@ -72,7 +72,7 @@
 // run offers the load, and returns the longest time in seconds in which 15 or more requests were rejected with no
 // attempt started, and how many were attempted.
 func (l offeredLoad) run(b *Balancer) (longestPause float64, attempted int) {
-	since := l.from
+	lastAttemptAt := l.from
 	rejected := 0
 	for now := l.from; now < l.to; now += (0.5 + b.random.Float64()) / l.rate {
 		id := uint64(now * 1e6)
@@ -82,11 +82,11 @@
 		if req == nil {
 			rejected++
 			if rejected >= 15 {
-				longestPause = max(longestPause, now-since)
+				longestPause = max(longestPause, now-lastAttemptAt)
 			}
 			continue
 		}
-		since = now
+		lastAttemptAt = now
 		rejected = 0
 		attempted++
 		for n := 0; b.requests[id] == req; n++ {
@@ -97,7 +97,7 @@
 	return longestPause, attempted
 }
 
-func always(how Outcome) func(float64) Outcome {
+func alwaysEndWith(how Outcome) func(float64) Outcome {
 	return func(float64) Outcome { return how }
 }
 
@@ -114,7 +114,7 @@
 func TestAfterAnOverloadTheTenthIsAttempted(t *testing.T) {
 	for _, objective := range []float64{0.08, 0.4, 1, 10} {
 		for times := 2.0; times <= 8; times++ {
-			over := 0
+			overLimit := 0
 			longest := 0.0
 			for seed := range uint32(200) {
 				b, _ := newTestBalancer(6, func(s *Settings) {
@@ -129,16 +129,16 @@
 					to:      10,
 					rate:    []float64{5, 10, 20, 50}[seed%4],
 					class:   []string{"view", "pay", "amend"}[seed%3],
-					outcome: always(Succeeded),
+					outcome: alwaysEndWith(Succeeded),
 				}.run(b)
 				longest = max(longest, pause)
 				if pause > 4 {
-					over++
+					overLimit++
 				}
 			}
-			if over > 0 {
+			if overLimit > 0 {
 				t.Errorf("an objective of %v s, a mean of %v times that: %d of 200 routers rejected 15 or more "+
-					"for over 4 s with no attempt, the worst for %.1f s", objective, times, over, longest)
+					"for over 4 s with no attempt, the worst for %.1f s", objective, times, overLimit, longest)
 			}
 		}
 	}
@@ -154,19 +154,19 @@
 		return Succeeded
 	}
 	for _, rate := range []float64{5, 10, 20, 50} {
-		over := 0
+		overLimit := 0
 		longest := 0.0
 		for seed := range uint32(200) {
 			b, _ := newTestBalancer(6, func(s *Settings) { s.Seed = seed })
 			pause, _ := offeredLoad{to: 46, rate: rate, class: "view", outcome: failingFor16Seconds}.run(b)
 			longest = max(longest, pause)
 			if pause > 4 {
-				over++
+				overLimit++
 			}
 		}
-		if over > 0 {
+		if overLimit > 0 {
 			t.Errorf("%v a second, all failing for 16 s: %d of 200 routers rejected 15 or more for over 4 s with no "+
-				"attempt, the worst for %.1f s", rate, over, longest)
+				"attempt, the worst for %.1f s", rate, overLimit, longest)
 		}
 	}
 }
@@ -177,7 +177,7 @@
 	for rate, most := range map[float64]int{1: 3, 5: 15, 20: 60, 500: 76} {
 		b, _ := newTestBalancer(6, nil)
 		setMeanLatencies(b, 1e6, 1e-6)
-		_, attempted := offeredLoad{to: 30, rate: rate, class: "view", outcome: always(Cancelled)}.run(b)
+		_, attempted := offeredLoad{to: 30, rate: rate, class: "view", outcome: alwaysEndWith(Cancelled)}.run(b)
 		if attempted > most || attempted < most*2/3 {
 			t.Errorf("%d of %v requests were attempted in an overload, want at most %d", attempted, 30*rate, most)
 		}
@@ -190,7 +190,7 @@
 	for budget, want := range []int{0, 1} {
 		b, host := newTestBalancer(1, nil)
 		b.servers.byID[1].slowStart = slowStart{startedAt: 1, refilledAt: 1, budget: float64(budget)}
-		b.servers.allCold = true
+		b.servers.allWarmingUp = true
 		b.classes.byName["view"].meanLatency = 100
 		b.classes.byName["view"].latencyAt = 1
 		for n := range uint64(200) {
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -59,8 +59,8 @@
 	server.inFlight = append(server.inFlight, started)
 	b.inFlight++
 	server.slowStart.budget--
-	b.shedding.rejectedInARow = 0
-	b.shedding.lastAttemptedAt = b.now
+	b.shedding.consecutiveRejections = 0
+	b.shedding.lastAttemptAt = b.now
 	timeout := b.attemptTimeout(req, server)
 	b.host.StartAttempt(req.id, server.ID, timeout, b.writeTimeout(req, started, timeout))
 }
@@ -108,7 +108,7 @@
 // OnAttemptEnd is called when the number-th attempt of a request ends, after latency seconds. If it is final, the
 // client has got its answer by it; otherwise the request is retried or gets its final answer now. Unknown attempts
 // are ignored.
-func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, how Outcome, latency float64, final bool) {
+func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, outcome Outcome, latency float64, final bool) {
 	b.now = now
 	req := b.requests[id]
 	if req == nil || number < 0 || number >= len(req.attempts) || !req.attempts[number].inFlight {
@@ -116,15 +116,15 @@
 	}
 	ended := req.attempts[number]
 	ended.inFlight = false
-	ended.notExecuted = how.provesNotExecuted()
+	ended.notExecuted = outcome.provesNotExecuted()
 	b.inFlight--
 	ended.server.inFlight = slices.DeleteFunc(ended.server.inFlight, func(a *attempt) bool { return a == ended })
-	b.recordOutcome(ended, how, latency)
+	b.recordOutcome(ended, outcome, latency)
 	if final || req.answered {
 		b.finish(req)
 		return
 	}
-	b.retry(req, ended, how)
+	b.retry(req, ended, outcome)
 }
 
 // provesNotExecuted reports whether the server surely did not execute the attempt.
@@ -157,12 +157,12 @@
 }
 
 // cancelAttempts cancels those attempts in flight of a request that are chosen, if the settings allow cancellation.
-func (b *Balancer) cancelAttempts(req *request, chosen func(*attempt) bool) {
+func (b *Balancer) cancelAttempts(req *request, matches func(*attempt) bool) {
 	if !b.settings.CancellationAllowed {
 		return
 	}
 	for _, a := range req.attempts {
-		if a.inFlight && chosen(a) {
+		if a.inFlight && matches(a) {
 			b.host.CancelAttempt(req.id, a.number)
 		}
 	}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,8 +6,8 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// two32 is one more than the largest hash, as a float64.
-const two32 = 1 << 32
+// hashRange is one more than the largest hash, as a float64.
+const hashRange = 1 << 32
 
 // Balancer decides for one pool of servers at one router. It is not safe for concurrent use.
 type Balancer struct {
@@ -26,7 +26,7 @@
 	ring         ring
 	zones        zoneShares
 	hotKeys      hotKeys
-	errorsByKey  [ringSlots]float64 // errors in a row, at several servers, of requests for a slot's keys
+	errorsBySlot [ringSlots]float64 // errors in a row, at several servers, of requests for a slot's keys
 	recent       recentOutcomes
 	completions  completions
 	totalLoad    decayingLoad // reported, of all caches together
@@ -35,9 +35,9 @@
 	polling      endpointPolling
 }
 
-// longAgo is how many seconds ago the counting of completions is taken to have begun where their rate is known
+// assumedCompletionHistory is how many seconds ago the counting of completions is taken to have begun where their rate is known
 // at the start.
-const longAgo = 1e3
+const assumedCompletionHistory = 1e3
 
 // New starts a balancer at a time, in seconds. It may call the host before it returns.
 func New(now float64, settings Settings, host Host) *Balancer {
@@ -57,7 +57,7 @@
 		completions: completions{
 			rate:      settings.InitialCompletionRate,
 			rateAt:    now,
-			startedAt: now - longAgo*min(settings.InitialCompletionRate, 1),
+			startedAt: now - assumedCompletionHistory*min(settings.InitialCompletionRate, 1),
 		},
 		gossip: gossipQueue{tokens: 1},
 	}
@@ -75,7 +75,7 @@
 	b.now = now
 	req := b.newRequest(id, class, key, timeLeft)
 	b.chargeTenant(req, tenant)
-	b.recognizeTry(req, timeLeft)
+	b.detectClientRetry(req, timeLeft)
 	req.retryBudget = b.retryBudget(tenant)
 	b.requests[id] = req
 
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -37,21 +37,21 @@
 		s.RouterCount = 400
 		s.GossipPrice = 0.01
 	})
-	var gone []Endpoint
+	var removed []Endpoint
 	for i := range 1000 {
 		now := float64(i) / 25
-		b.OnGossip(now, []byte{byte(i), byte(i % 3), byte(16 + i%200), byte(i * 7), 1, gossipRefused, 7})
+		b.OnGossip(now, []byte{byte(i), byte(i % 3), byte(16 + i%200), byte(i * 7), 1, gossipConnectionRefused, 7})
 		b.OnRequest(now, uint64(i), "view", "", fmt.Sprint("key", i%700), 2)
 		b.OnAttemptEnd(now+0.005, uint64(i), 0, Succeeded, 0.005, true)
-		gone = append(gone, Endpoint{ID: uint64(i + 1), State: Removed})
+		removed = append(removed, Endpoint{ID: uint64(i + 1), State: Removed})
 		if i == 399 {
-			b.OnEndpoints(now, UpdateDelta, gone)
+			b.OnEndpoints(now, UpdateDelta, removed)
 		}
 	}
 	expectEqual(t, "requests kept", len(b.requests), 0)
 	expectEqual(t, "servers kept", len(b.servers.byID), 100)
 	expectEqual(t, "records waiting are at most a message", len(b.gossip.pending) <= gossipMessageSize, true)
-	most := 0.005*1000/(16*399/256.0*0.01) + 5
+	maxMessages := 0.005*1000/(16*399/256.0*0.01) + 5
 	messages := float64(len(host.actions) - 1000)
-	expectEqual(t, "messages are within what they may cost, and the first", messages < most, true)
+	expectEqual(t, "messages are within what they may cost, and the first", messages < maxMessages, true)
 }
--- a/balancer/endpointpolling.go
+++ b/balancer/endpointpolling.go
@@ -17,13 +17,13 @@
 
 // endpointPolling is the state of asking for the endpoint list, where it only comes when asked for.
 type endpointPolling struct {
-	askedAt    float64 // seconds, when the list was last asked for; 0: answered, or failed
-	retryDelay float64 // seconds, the backoff after the last failure; 0: the last poll did not fail
+	pendingSince float64 // seconds, when the list was last asked for; 0: answered, or failed
+	retryDelay   float64 // seconds, the backoff after the last failure; 0: the last poll did not fail
 }
 
 // pollEndpoints asks for the list, and sets a timer that asks again if nothing comes at all.
 func (b *Balancer) pollEndpoints() {
-	b.polling.askedAt = b.now
+	b.polling.pendingSince = b.now
 	b.host.WatchEndpoints(true)
 	b.host.SetTimer(b.pollCheckInterval(), pollTimer)
 }
@@ -39,7 +39,7 @@
 	first := b.settings.PollInterval / 16
 	longest := max(b.settings.PollInterval/2, minRetryDelayLimit)
 	b.polling.retryDelay = min(max(2*b.polling.retryDelay, first, b.settings.EventInterval), longest)
-	b.polling.askedAt = 0
+	b.polling.pendingSince = 0
 	jitter := retryDelayJitterStart + b.random.Float64()
 	b.host.SetTimer(b.polling.retryDelay*jitter, retryPollTimer)
 }
@@ -58,8 +58,8 @@
 }
 
 func (b *Balancer) pollOverdue() bool {
-	if b.polling.askedAt <= 0 {
+	if b.polling.pendingSince <= 0 {
 		return false
 	}
-	return b.now-b.polling.askedAt >= b.pollCheckInterval()-b.settings.EventInterval
+	return b.now-b.polling.pendingSince >= b.pollCheckInterval()-b.settings.EventInterval
 }
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -23,11 +23,11 @@
 
 // serverSet holds the servers that the list names.
 type serverSet struct {
-	byID     map[uint64]*serverState // draining and disabled ones, too
-	ready    []*serverState          // the caches that may be sent requests, by id
-	origins  []*serverState          // the origin's servers that may be sent requests, by id
-	meanSize float64                 // of the ready caches
-	allCold  bool                    // no ready cache was warm when the ring was last rebuilt
+	byID         map[uint64]*serverState // draining and disabled ones, too
+	ready        []*serverState          // the caches that may be sent requests, by id
+	origins      []*serverState          // the origin's servers that may be sent requests, by id
+	meanSize     float64                 // of the ready caches
+	allWarmingUp bool                    // no ready cache was warm when the ring was last rebuilt
 }
 
 // newServer is a server of which nothing is known: one like the others.
@@ -50,15 +50,15 @@
 	if update != UpdateSaved {
 		b.polling = endpointPolling{}
 	}
-	named := map[*serverState]bool{}
+	listed := map[*serverState]bool{}
 	changed := false
 	for _, entry := range entries {
 		server := b.listedServer(entry.ID)
 		serverChanged := b.updateServer(server, entry)
 		changed = changed || serverChanged
-		named[server] = true
+		listed[server] = true
 	}
-	removed := b.removeServers(update, named)
+	removed := b.removeServers(update, listed)
 	if changed || removed {
 		b.rebuildRing()
 	}
@@ -108,7 +108,7 @@
 	reset.disabled = server.disabled
 	reset.originLimit.attempts = server.originLimit.attempts
 	reset.slowStart = slowStart{
-		startedAt:  b.latestStart(startedAt),
+		startedAt:  b.latestStartTime(startedAt),
 		refilledAt: b.now,
 		budget:     b.random.Float64(),
 	}
@@ -118,9 +118,9 @@
 // removeServers removes the servers that an update removes or, if it is not a delta, does not name. It reports whether
 // there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so that
 // a list that names them again does not enable them.
-func (b *Balancer) removeServers(update EndpointUpdate, named map[*serverState]bool) (removed bool) {
+func (b *Balancer) removeServers(update EndpointUpdate, listed map[*serverState]bool) (removed bool) {
 	for id, server := range b.servers.byID {
-		if server.State != Removed && (update == UpdateDelta || named[server]) {
+		if server.State != Removed && (update == UpdateDelta || listed[server]) {
 			continue
 		}
 		server.State = Removed
@@ -156,7 +156,7 @@
 	set := &b.servers
 	set.ready = nil
 	set.origins = nil
-	set.allCold = true
+	set.allWarmingUp = true
 	largestSize := 0.0
 	for _, server := range set.byID {
 		if server.State != Ready || server.disabled {
@@ -169,7 +169,7 @@
 		set.ready = append(set.ready, server)
 		largestSize = max(largestSize, server.size)
 		if b.warmFraction(server) >= 1 {
-			set.allCold = false
+			set.allWarmingUp = false
 		}
 	}
 	byID := func(a, b *serverState) int { return cmp.Compare(a.ID, b.ID) }
--- a/balancer/gossip.go
+++ b/balancer/gossip.go
@@ -7,25 +7,25 @@
 
 // A gossip message is a sequence of records of gossipRecordSize bytes. A record tells the end of one attempt:
 // the low 16 bits of the server's id, little endian, and a byte for its latency over the mean of its class, in
-// units of 1/gossipLatencyUnits. The byte gossipRefused says that the server refused the connection.
+// units of 1/gossipLatencyUnits. The byte gossipConnectionRefused says that the server refused the connection.
 const (
-	gossipRecordSize   = 3  // bytes
-	gossipMessageSize  = 15 // bytes, five records
-	gossipLatencyUnits = 32
-	gossipRefused      = 255
+	gossipRecordSize        = 3  // bytes
+	gossipMessageSize       = 15 // bytes, five records
+	gossipLatencyUnits      = 32
+	gossipConnectionRefused = 255
 )
 
 const (
-	// gossipBudgetPart is the part of the priority weight of all requests that gossip may cost.
-	gossipBudgetPart = 0.005
-	// gossipPriceUnit is the size, in bytes, of the message that Settings.GossipPrice is the price of.
-	gossipPriceUnit = 256
+	// gossipBudgetFraction is the part of the priority weight of all requests that gossip may cost.
+	gossipBudgetFraction = 0.005
+	// gossipPricedSize is the size, in bytes, of the message that Settings.GossipPrice is the price of.
+	gossipPricedSize = 256
 	// gossipOverhead is what a message costs beside its records, in bytes.
 	gossipOverhead = 1
 	// maxGossipTokens bounds the messages that may be sent at once after a quiet time.
 	maxGossipTokens = 4
-	// newsSlownessChange is the change of a server's slowness from which on peers are told at once.
-	newsSlownessChange = 1
+	// urgentSlownessChange is the change of a server's slowness from which on peers are told at once.
+	urgentSlownessChange = 1
 )
 
 // gossipQueue holds what is to be sent to peers.
@@ -38,18 +38,18 @@
 // attempt is news of its server, as far as the gossip budget allows. record is the record's latency byte, not
 // yet rounded down; before is the server's slowness before the attempt. Routers with enough samples of their
 // own do not report: all routers move keys by the same reports, and keys that move miss their caches.
-func (b *Balancer) reportAttempt(server *serverState, class *classState, record, before float64) {
+func (b *Balancer) reportAttempt(server *serverState, class *classState, encodedLatency, previousSlowness float64) {
 	if !b.settings.GossipAllowed || !b.fewSamples(class) {
 		return
 	}
 	queue := &b.gossip
-	queue.add(server.ID, byte(record))
+	queue.add(server.ID, byte(encodedLatency))
 	queue.refill(b.settings.GossipPrice, b.settings.RouterCount)
 	if queue.tokens < 1 {
 		return
 	}
-	change := math.Abs(min(record/gossipLatencyUnits, maxSlownessSample) - before)
-	if change <= newsSlownessChange && len(queue.pending) < gossipMessageSize {
+	change := math.Abs(min(encodedLatency/gossipLatencyUnits, maxSlownessSample) - previousSlowness)
+	if change <= urgentSlownessChange && len(queue.pending) < gossipMessageSize {
 		return
 	}
 	queue.tokens--
@@ -67,8 +67,8 @@
 // to all peers.
 func (q *gossipQueue) refill(price float64, routers int) {
 	peers := float64(routers - 1)
-	cost := price * (gossipMessageSize + gossipOverhead) / gossipPriceUnit * peers
-	earned := min(1, gossipBudgetPart/max(cost, 1e-9))
+	cost := price * (gossipMessageSize + gossipOverhead) / gossipPricedSize * peers
+	earned := min(1, gossipBudgetFraction/max(cost, 1e-9))
 	q.tokens = min(q.tokens+earned, maxGossipTokens)
 }
 
@@ -82,18 +82,18 @@
 		message = message[gossipRecordSize:]
 		for _, server := range b.servers.ready {
 			if uint16(server.ID) == id {
-				b.takeReport(server, latency)
+				b.applyReport(server, latency)
 			}
 		}
 	}
 }
 
-// takeReport takes one record of a peer. A refused connection ejects the server, unless peers report that it
+// applyReport takes one record of a peer. A refused connection ejects the server, unless peers report that it
 // answers them: one router that is cut off from a server must not take it from all. It counts as a long latency
 // then.
-func (b *Balancer) takeReport(server *serverState, latency byte) {
-	answeredLately := b.now-server.reported.answeredAt <= b.classes.longestObjective
-	if latency == gossipRefused && !answeredLately {
+func (b *Balancer) applyReport(server *serverState, latency byte) {
+	answeredRecently := b.now-server.reported.answeredAt <= b.classes.longestObjective
+	if latency == gossipConnectionRefused && !answeredRecently {
 		b.ejectByReport(server)
 		return
 	}
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -170,8 +170,8 @@
 	return count
 }
 
-// passedOverPart is the part of a thousand keys for which a server is passed over as overloaded.
-func (b *Balancer) passedOverPart(server *serverState) float64 {
+// passedOverFraction is the part of a thousand keys for which a server is passed over as overloaded.
+func (b *Balancer) passedOverFraction(server *serverState) float64 {
 	count := 0
 	for key := range uint32(1000) {
 		req := &request{class: b.classes.byName["view"], keyHash: seedhash.Avalanche(key)}
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -57,11 +57,11 @@
 // less than one attempt a server within the time for which it remembers latencies. With many routers, none has
 // two attempts in flight at one server, and what each learns alone comes too late.
 func (b *Balancer) fewSamples(class *classState) bool {
-	reportsCome := b.settings.GossipAllowed || b.settings.WeightMode == WeightsLive
-	if b.settings.RouterCount <= 1 || !reportsCome {
+	reportsExpected := b.settings.GossipAllowed || b.settings.WeightMode == WeightsLive
+	if b.settings.RouterCount <= 1 || !reportsExpected {
 		return false
 	}
-	return b.completionRate()*latencyMemory*class.LatencyObjective < float64(len(b.servers.ready))
+	return b.completionRate()*latencyDecayObjectives*class.LatencyObjective < float64(len(b.servers.ready))
 }
 
 // reportedLoad is the load of a server now, by reports.
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -9,9 +9,9 @@
 
 func TestPassedOverAboveTwiceTheMeanAndFromTwo(t *testing.T) {
 	for _, c := range []struct {
-		name         string
-		mine, others int // attempts in flight at one of four servers, and at the others
-		want         bool
+		name                string
+		atServer, elsewhere int // attempts in flight at one of four servers, and at the others
+		want                bool
 	}{
 		{"one, above the mean", 1, 0, false},
 		{"two, all there are", 2, 0, true},
@@ -21,8 +21,8 @@
 	} {
 		b, _ := newTestBalancer(4, nil)
 		server := b.servers.ready[0]
-		server.inFlight = make([]*attempt, c.mine)
-		b.inFlight = c.mine + c.others
+		server.inFlight = make([]*attempt, c.atServer)
+		b.inFlight = c.atServer + c.elsewhere
 		expectEqual(t, c.name, b.overloadedByInFlight(server), c.want)
 	}
 }
@@ -47,17 +47,17 @@
 	for range 20 {
 		b.OnGossip(1, []byte{3, 0, 64, 3, 0, 64, 4, 0, 32}) // twice the usual latency
 	}
-	part := b.passedOverPart(loaded)
+	part := b.passedOverFraction(loaded)
 	if part < 0.5 || part > 0.95 {
 		t.Errorf("%v of its keys leave a server with most of the load", part)
 	}
-	expectEqual(t, "keys that leave another", b.passedOverPart(b.servers.byID[5]), 0.0)
+	expectEqual(t, "keys that leave another", b.passedOverFraction(b.servers.byID[5]), 0.0)
 	b.now = 20
-	expectEqual(t, "keys that leave it 19 s later", b.passedOverPart(loaded), 0.0)
+	expectEqual(t, "keys that leave it 19 s later", b.passedOverFraction(loaded), 0.0)
 	b.completions.rate = 100
 	b.completions.rateAt = 20
 	b.OnGossip(20, []byte{3, 0, 255, 3, 0, 254, 3, 0, 254})
-	expectEqual(t, "keys that leave it where a router has samples enough", b.passedOverPart(loaded), 0.0)
+	expectEqual(t, "keys that leave it where a router has samples enough", b.passedOverFraction(loaded), 0.0)
 }
 
 // Each of 80 routers lost requests of its own to a server that stood nearly still, for 13 s; and one that was
@@ -67,14 +67,14 @@
 	for i := range 400 {
 		b.OnGossip(1, []byte{byte(i%10) + 1, 0, byte(32 + 222*(i%10/9))})
 	}
-	part := b.passedOverPart(b.servers.byID[10])
+	part := b.passedOverFraction(b.servers.byID[10])
 	if part < 0.9 || part > 0.98 {
 		t.Errorf("%v of its keys leave it", part)
 	}
 	other := b.servers.byID[2]
-	b.OnGossip(1.1, []byte{2, 0, gossipRefused})
+	b.OnGossip(1.1, []byte{2, 0, gossipConnectionRefused})
 	expectEqual(t, "a server that refused one peer and answered another is ejected", b.ejected(other), false)
-	b.OnGossip(3, []byte{2, 0, gossipRefused})
+	b.OnGossip(3, []byte{2, 0, gossipConnectionRefused})
 	expectEqual(t, "ejected once nobody's attempt is answered there", b.ejected(other), true)
 }
 
@@ -136,10 +136,10 @@
 	} {
 		b.servers.byID[1].reported.smoothedLoad = c.smoothedLoad
 		b.now = 1 + c.later
-		part := b.passedOverPart(b.servers.byID[1])
+		part := b.passedOverFraction(b.servers.byID[1])
 		expectEqual(t, fmt.Sprint(part, " of the keys leave, ", c.name), part >= c.least && part <= c.most, true)
 	}
-	expectEqual(t, "none leaves another", b.passedOverPart(b.servers.byID[2]), 0.0)
+	expectEqual(t, "none leaves another", b.passedOverFraction(b.servers.byID[2]), 0.0)
 	req := &request{class: b.classes.byName["view"]}
 	b.now = 1
 	loaded := b.expectedLatency(req, b.servers.byID[1])
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -6,8 +6,8 @@
 	// initialOriginLimit is how many attempts in flight a server of the origin may hold of this router at first.
 	initialOriginLimit = 4
 	minOriginLimit     = 1
-	// originLatencyPart: the origin keeps up as long as it answers within the latency objective over this.
-	originLatencyPart = 2
+	// originLatencyDivisor: the origin keeps up as long as it answers within the latency objective over this.
+	originLatencyDivisor = 2
 )
 
 // originLimit bounds this router's attempts in flight at one server of the origin, by additive increase and
@@ -42,9 +42,9 @@
 
 // adjustOriginLimit raises the limit by one for a full round of attempts that end in time, and lowers it by a third,
 // once a round, for one that does not. latency is in seconds.
-func (b *Balancer) adjustOriginLimit(server *serverState, how Outcome, latency float64, class *classState) {
+func (b *Balancer) adjustOriginLimit(server *serverState, outcome Outcome, latency float64, class *classState) {
 	limit := &server.originLimit
-	inTime := how == Succeeded && latency < class.LatencyObjective/originLatencyPart
+	inTime := outcome == Succeeded && latency < class.LatencyObjective/originLatencyDivisor
 	if inTime {
 		limitReached := float64(len(server.inFlight))+1 >= limit.attempts/2
 		if limitReached {
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -3,8 +3,8 @@
 import "math"
 
 const (
-	// acceptanceWeight: one attempt moves the acceptance rate by one part in so many of the difference.
-	acceptanceWeight = 16
+	// acceptanceSmoothing: one attempt moves the acceptance rate by one part in so many of the difference.
+	acceptanceSmoothing = 16
 	// initialAcceptanceRate is the acceptance rate before anything is known.
 	initialAcceptanceRate = 0.5
 	// recentOutcomeDecay fades the counts of failed and succeeded attempts with each request that is judged by
@@ -34,8 +34,8 @@
 // time, or since the start if that is shorter.
 func (b *Balancer) completionRate() float64 {
 	span := b.completionSpan()
-	counted := 1 - math.Exp(-max(1, b.now-b.completions.startedAt)/span) // part of the span, at the start
-	return b.completions.rate * math.Exp((b.completions.rateAt-b.now)/span) / counted
+	coveredFraction := 1 - math.Exp(-max(1, b.now-b.completions.startedAt)/span) // part of the span, at the start
+	return b.completions.rate * math.Exp((b.completions.rateAt-b.now)/span) / coveredFraction
 }
 
 // completionSpan is the time in seconds over which completions are counted.
@@ -44,47 +44,47 @@
 }
 
 // recordOutcome learns from the end of an attempt, after latency seconds.
-func (b *Balancer) recordOutcome(ended *attempt, how Outcome, latency float64) {
+func (b *Balancer) recordOutcome(ended *attempt, outcome Outcome, latency float64) {
 	server := ended.server
 	class := ended.request.class
-	ended.serverError = how == ServerError
+	ended.serverError = outcome == ServerError
 	if ended.serverError {
-		followsRequest := b.errorFollowsRequest(ended)
-		if followsRequest {
+		dueToRequest := b.errorIsDueToRequest(ended)
+		if dueToRequest {
 			// The server does its work: other requests must not be shed for such errors.
 			b.recent.succeeded++
 			return
 		}
 	}
-	switch how {
+	switch outcome {
 	case Succeeded, CacheMiss:
 		b.recordAnswer(ended)
 	case Overloaded:
 		b.recordOverloaded(server, latency, class)
 		return
 	case ServerError, ConnectFailed, ConnectionLost, TimedOut, OutcomeUnknown:
-		if how == TimedOut && latency < class.meanLatency {
+		if outcome == TimedOut && latency < class.meanLatency {
 			return // the server had no time to answer
 		}
-		b.recordFailure(server, how, class)
+		b.recordFailure(server, outcome, class)
 	default:
 		return
 	}
 	if b.isOrigin(server) {
-		b.adjustOriginLimit(server, how, latency, class)
+		b.adjustOriginLimit(server, outcome, latency, class)
 		return // latencies are learned from caches alone
 	}
-	if how == CacheMiss {
+	if outcome == CacheMiss {
 		return // a miss does not tell how long a hit takes
 	}
-	b.recordLatency(ended, how, latency)
+	b.recordLatency(ended, outcome, latency)
 }
 
 // recordAnswer counts an attempt that its server answered.
 func (b *Balancer) recordAnswer(ended *attempt) {
 	server := ended.server
 	b.clearFailures(server)
-	b.errorsByKey[ended.request.slot()] = 0
+	b.errorsBySlot[ended.request.slot()] = 0
 	if b.isOrigin(server) {
 		return // the rates are of caches alone
 	}
@@ -93,7 +93,7 @@
 	b.completions.rateAt = b.now
 	ready := float64(len(b.servers.ready))
 	b.completions.meanServers += (ready - b.completions.meanServers) / max(1, span*b.completions.rate)
-	b.recent.acceptanceRate += (1 - b.recent.acceptanceRate) / acceptanceWeight
+	b.recent.acceptanceRate += (1 - b.recent.acceptanceRate) / acceptanceSmoothing
 	b.recent.succeeded++
 	tokens := ended.request.retryBudget
 	*tokens = min(*tokens+retryTokensPerSuccess, maxRetryTokens)
@@ -106,20 +106,20 @@
 		b.adjustOriginLimit(server, Overloaded, latency, class)
 		return
 	}
-	b.recent.notAccepted()
+	b.recent.recordNotAccepted()
 }
 
 // recordFailure counts an attempt that failed.
-func (b *Balancer) recordFailure(server *serverState, how Outcome, class *classState) {
-	if how == ServerError || how == TimedOut {
+func (b *Balancer) recordFailure(server *serverState, outcome Outcome, class *classState) {
+	if outcome == ServerError || outcome == TimedOut {
 		b.recent.failed++
 	}
-	b.recent.notAccepted()
-	b.countFailure(server, how, class)
+	b.recent.recordNotAccepted()
+	b.countFailure(server, outcome, class)
 }
 
-// notAccepted lowers the acceptance rate for an attempt that caches did not answer, or a request that was not
+// recordNotAccepted lowers the acceptance rate for an attempt that caches did not answer, or a request that was not
 // sent to them.
-func (r *recentOutcomes) notAccepted() {
-	r.acceptanceRate -= r.acceptanceRate / acceptanceWeight
+func (r *recentOutcomes) recordNotAccepted() {
+	r.acceptanceRate -= r.acceptanceRate / acceptanceSmoothing
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -44,10 +44,10 @@
 
 // countFailure counts a failure of a server. A refused connection ejects it at once. The ejection lasts for the
 // latency objective of the class, and twice as long with each further failure, up to the warm-up's duration.
-func (b *Balancer) countFailure(server *serverState, how Outcome, class *classState) {
+func (b *Balancer) countFailure(server *serverState, outcome Outcome, class *classState) {
 	state := &server.health
 	state.consecutiveFailures++
-	if how == ConnectFailed {
+	if outcome == ConnectFailed {
 		state.refusesConnections = true
 	}
 	if state.refusesConnections {
@@ -77,12 +77,12 @@
 	state.ejectedUntil = max(state.ejectedUntil, b.now+b.classes.longestObjective)
 }
 
-// errorFollowsRequest reports whether an error is due to the request and not to the server: another server
+// errorIsDueToRequest reports whether an error is due to the request and not to the server: another server
 // answered the same request with an error, too, or requests for keys of its slot were so answered and none has
 // succeeded since. Such errors count against no server; the failure of the server that answered first is taken
 // back.
-func (b *Balancer) errorFollowsRequest(ended *attempt) bool {
-	errors := &b.errorsByKey[ended.request.slot()]
+func (b *Balancer) errorIsDueToRequest(ended *attempt) bool {
+	errors := &b.errorsBySlot[ended.request.slot()]
 	for _, earlier := range ended.request.attempts {
 		if earlier.serverError && earlier.server != ended.server {
 			failures := &earlier.server.health.consecutiveFailures
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -19,10 +19,10 @@
 	for _, server := range b.servers.ready {
 		expectEqual(t, fmt.Sprint("failures of ", server.ID), server.health.consecutiveFailures, 0)
 	}
-	b.errorsByKey[0] = 5
+	b.errorsBySlot[0] = 5
 	req := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
 	b.recordOutcome(req.attempts[0], Succeeded, 0.01)
-	expectEqual(t, "errors of a slot where a request succeeded", b.errorsByKey[0], 0.0)
+	expectEqual(t, "errors of a slot where a request succeeded", b.errorsBySlot[0], 0.0)
 
 	b.recent.failed = 30
 	b.recent.succeeded = 8
--- a/balancer/overload.go
+++ b/balancer/overload.go
@@ -8,23 +8,23 @@
 
 // By this router's own attempts in flight, a server is overloaded from two on and above twice the mean.
 const (
-	overloadedInFlight     = 2
-	overloadedInFlightMean = 2 // times
+	minOverloadedInFlight    = 2
+	overloadedInFlightFactor = 2 // times
 )
 
 // By reported load, a server is overloaded for a part of its keys.
 const (
-	// overloadedLoadMean is the load, in means, up to which a server keeps all of its keys. It is below the
+	// overloadedLoadFactor is the load, in means, up to which a server keeps all of its keys. It is below the
 	// bound for attempts in flight, since from here on only a part of the keys moves.
-	overloadedLoadMean = 1.4
-	// overloadedLoad is the load, in attempts, below which no server is overloaded.
-	overloadedLoad = 4
+	overloadedLoadFactor = 1.4
+	// minOverloadedLoad is the load, in attempts, below which no server is overloaded.
+	minOverloadedLoad = 4
 	// overloadedSlowness is the slowness up to which a server keeps its keys; above it the part falls by
 	// overloadedSlownessPower. A server that takes several times as long as others has failed in all but name.
 	overloadedSlowness      = 2.5
 	overloadedSlownessPower = 4
-	// minKeptKeys is the part of its keys that a server keeps in any case: else nobody would learn how it is.
-	minKeptKeys = 1.0 / 32
+	// minKeptKeyFraction is the part of its keys that a server keeps in any case: else nobody would learn how it is.
+	minKeptKeyFraction = 1.0 / 32
 )
 
 // overloaded reports whether a server is passed over for a request's key: by this router's own attempts in flight
@@ -40,7 +40,7 @@
 // flight per server, and at least two.
 func (b *Balancer) overloadedByInFlight(server *serverState) bool {
 	inFlight := len(server.inFlight)
-	return inFlight >= overloadedInFlight && inFlight*len(b.servers.ready) > overloadedInFlightMean*b.inFlight
+	return inFlight >= minOverloadedInFlight && inFlight*len(b.servers.ready) > overloadedInFlightFactor*b.inFlight
 }
 
 // overloadedByReports reports whether a server is overloaded for a key by reported load. All routers get the same
@@ -51,18 +51,18 @@
 	if b.settings.WeightMode == WeightsLive {
 		load = min(load, server.reported.smoothedLoad)
 	}
-	if load < overloadedLoad {
+	if load < minOverloadedLoad {
 		return false
 	}
 	servers := float64(len(b.servers.ready))
-	limit := overloadedLoadMean * b.totalLoad.load * math.Exp((b.totalLoad.loadAt-b.now)/loadDecayTime) / servers
+	limit := overloadedLoadFactor * b.totalLoad.load * math.Exp((b.totalLoad.loadAt-b.now)/loadDecayTime) / servers
 	keptBySlowness := math.Pow(min(1, overloadedSlowness/max(server.reported.slowness, 1e-9)), overloadedSlownessPower)
-	kept := max(min(keptBySlowness, limit/load), minKeptKeys)
-	return keyPart(keyHash, server) > kept
+	keptFraction := max(min(keptBySlowness, limit/load), minKeptKeyFraction)
+	return keyPosition(keyHash, server) > keptFraction
 }
 
-// keyPart places a key between 0 and 1 for one server, the same at every router. A server that answers for a
+// keyPosition places a key between 0 and 1 for one server, the same at every router. A server that answers for a
 // part of its keys answers for those that are placed below that part.
-func keyPart(keyHash uint32, server *serverState) float64 {
-	return float64(seedhash.Mix(keyHash, server.ID)) / two32
+func keyPosition(keyHash uint32, server *serverState) float64 {
+	return float64(seedhash.Mix(keyHash, server.ID)) / hashRange
 }
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -24,13 +24,13 @@
 		return b.hasSlowStartBudget(server)
 	}
 	healthy := func(server *serverState) bool { return allowed(server) && !b.ejected(server) }
-	unloaded := func(server *serverState) bool { return healthy(server) && !b.overloaded(req, server) }
+	notOverloaded := func(server *serverState) bool { return healthy(server) && !b.overloaded(req, server) }
 
 	server := b.pickReplica(req, healthy)
 	if server != nil {
 		return server
 	}
-	for _, accept := range [...]func(*serverState) bool{unloaded, healthy, allowed} {
+	for _, accept := range [...]func(*serverState) bool{notOverloaded, healthy, allowed} {
 		server = b.nearestServer(req.keyHash, accept)
 		if server != nil {
 			return server
@@ -81,10 +81,10 @@
 // hasCapacity reports whether a replica takes a request. A request for a hot key is not shed while one of its
 // replicas has capacity, so a replica that would shed it is passed over.
 func (b *Balancer) hasCapacity(req *request, server *serverState) bool {
-	passesOn := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
-	if passesOn {
-		slow := b.shedsForLatency(req, server)
-		if slow {
+	mayPassOver := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
+	if mayPassOver {
+		wouldShed := b.shedsForLatency(req, server)
+		if wouldShed {
 			return false
 		}
 	}
@@ -97,7 +97,7 @@
 	var nodes []virtualNode
 	var nearestTie uint32
 	nearestDistance := 0
-	warmingShare := b.warmingShare()
+	warmingKeyFactor := b.warmingKeyFactor()
 	for i := range b.ring.nodes {
 		if i == len(nodes) {
 			nodes = b.ring.nearestNodes(keyHash%ringSlots, max(firstLookupNodes, lookupGrowth*i))
@@ -108,7 +108,7 @@
 		}
 		server := node.server
 		tie := seedhash.Mix(keyHash, server.ID)
-		if !b.answersForKey(node, keyHash, float64(tie)/two32, warmingShare) {
+		if !b.answersForKey(node, keyHash, float64(tie)/hashRange, warmingKeyFactor) {
 			continue
 		}
 		if !accept(server) {
@@ -126,24 +126,24 @@
 // answersForKey reports whether a virtual node answers for a key now. A server that is warming up answers for a slice
 // of its keys, a slow one for a part of its virtual nodes, and one in a zone with a share for that share of its keys.
 // part places the key between 0 and 1 for this server, as keyPart does.
-func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, part, warmingShare float64) bool {
+func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, position, warmingKeyFactor float64) bool {
 	server := node.server
 	// A part of the keys of all its nodes: the keys of some of its nodes would depend on the gaps to their
 	// neighbours.
-	warm := b.warmFraction(server)
-	if warm < 1 && part >= warm*warmingShare {
+	capacityFraction := b.warmFraction(server)
+	if capacityFraction < 1 && position >= capacityFraction*warmingKeyFactor {
 		return false
 	}
-	if float64(node.index)+part >= float64(server.virtualNodes)*server.keyShare {
+	if float64(node.index)+position >= float64(server.virtualNodes)*server.keyShare {
 		return false
 	}
 	return b.zones.serves(server.Zone, keyHash)
 }
 
-// warmingShare multiplies the slice of keys of servers that are warming up. It is the acceptance rate: they must not
+// warmingKeyFactor multiplies the slice of keys of servers that are warming up. It is the acceptance rate: they must not
 // take over what warm servers shed. Where no server is warm, or reports tell how loaded each is, it is 1.
-func (b *Balancer) warmingShare() float64 {
-	if b.servers.allCold || b.loadReportsAreCurrent() {
+func (b *Balancer) warmingKeyFactor() float64 {
+	if b.servers.allWarmingUp || b.loadReportsAreCurrent() {
 		return 1
 	}
 	return b.recent.acceptanceRate
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -6,12 +6,12 @@
 // retry decides what follows an attempt that ended without an answer: another attempt, or the final answer. While
 // another attempt of the request is in flight nothing does. That does not happen now, since no other attempt is
 // started before this one has ended: only OnRequest and retry start any.
-func (b *Balancer) retry(req *request, ended *attempt, how Outcome) {
+func (b *Balancer) retry(req *request, ended *attempt, outcome Outcome) {
 	if req.anyAttempt((*attempt).isInFlight) {
 		return
 	}
-	server := b.pickForRetry(req, ended, how)
-	free := b.retryIsFree(ended, how)
+	server := b.pickForRetry(req, ended, outcome)
+	free := b.retryIsFree(ended, outcome)
 	decision := b.admitRetry(req, server, free)
 	if !decision.admitted {
 		b.reject(req, decision.reason)
@@ -25,9 +25,9 @@
 
 // pickForRetry returns the server of a retry, nil if there is none: the origin after a cache miss, or after an attempt
 // that the origin did not execute; otherwise the next server by placement.
-func (b *Balancer) pickForRetry(req *request, ended *attempt, how Outcome) *serverState {
+func (b *Balancer) pickForRetry(req *request, ended *attempt, outcome Outcome) *serverState {
 	next := b.pick(req) // in any case, since it draws random numbers
-	fromOrigin := how == CacheMiss || ended.notExecuted && b.isOrigin(ended.server)
+	fromOrigin := outcome == CacheMiss || ended.notExecuted && b.isOrigin(ended.server)
 	if b.settings.CacheAside && fromOrigin {
 		return b.pickOrigin(req)
 	}
@@ -36,8 +36,8 @@
 
 // retryIsFree reports whether a retry takes no token from the retry budget, because it doubles no work. Where nearly
 // all servers are full, each retry crowds them more: most retries after a rejection are not free then.
-func (b *Balancer) retryIsFree(ended *attempt, how Outcome) bool {
-	if how == CacheMiss || how == Cancelled {
+func (b *Balancer) retryIsFree(ended *attempt, outcome Outcome) bool {
+	if outcome == CacheMiss || outcome == Cancelled {
 		return true
 	}
 	if !ended.notExecuted {
@@ -51,7 +51,7 @@
 
 // admitRetry decides on a retry at a server, nil if there is none. The time left must be enough for an attempt and,
 // unless the retry is free, the retry budget must hold a token.
-func (b *Balancer) admitRetry(req *request, server *serverState, free bool) verdict {
+func (b *Balancer) admitRetry(req *request, server *serverState, free bool) admissionDecision {
 	if server == nil {
 		return rejectFor(ReasonNoEndpoint)
 	}
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -66,7 +66,7 @@
 
 // A class that is bound to some servers went to whichever server its key was nearest to.
 func TestPlacementHoldsAtEveryAttempt(t *testing.T) {
-	bind := func(s *Settings) {
+	restrict := func(s *Settings) {
 		s.TrafficClasses[0].AllowedMachineTypes = []string{"frugal"}
 		s.TrafficClasses[0].AllowedZones = []string{"a"}
 	}
@@ -75,7 +75,7 @@
 		"in another zone": {Zone: "b", MachineType: "frugal"},
 		"unnamed":         {},
 	} {
-		b, host := newTestBalancer(0, bind)
+		b, host := newTestBalancer(0, restrict)
 		list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}}
 		for id := uint64(2); id < 9; id++ {
 			other.ID = id
@@ -103,7 +103,7 @@
 	}
 
 	// The list corrects a server's zone while a request is open.
-	b, host := newTestBalancer(1, bind)
+	b, host := newTestBalancer(1, restrict)
 	list := []Endpoint{
 		{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"},
 		{ID: 2, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"},
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -11,8 +11,8 @@
 	// ownSizeFactor raises the allowance where the list tells sizes, to three quarters of what the rule allows a
 	// server of its size.
 	ownSizeFactor = 1.5
-	// slowStartBurstPart bounds the attempts that a budget may hold: the allowance of a window over this.
-	slowStartBurstPart = 4
+	// slowStartBurstDivisor bounds the attempts that a budget may hold: the allowance of a window over this.
+	slowStartBurstDivisor = 4
 	// defaultSlowStartSharedUpTo is Settings.SlowStartSharedUpTo, in routers, where the settings do not say. In a
 	// larger fleet each router sees so few requests that a budget shared with others would mostly go unused.
 	defaultSlowStartSharedUpTo = 64
@@ -31,9 +31,9 @@
 	server.slowStart = slowStart{startedAt: b.now, refilledAt: b.now, budget: b.random.Float64()}
 }
 
-// latestStart is the latest time, in seconds, at which a server may have started that the list says started at a
+// latestStartTime is the latest time, in seconds, at which a server may have started that the list says started at a
 // time. The rule on servers that are warming up goes by the true start. 0 is long ago.
-func (b *Balancer) latestStart(listed float64) float64 {
+func (b *Balancer) latestStartTime(listed float64) float64 {
 	if listed == 0 {
 		return 0
 	}
@@ -51,8 +51,8 @@
 	if age >= duration {
 		return 1
 	}
-	start := min(max(b.settings.WarmupStartCapacity, 0), 1)
-	return 1 - (1-start)*(1-max(0, age)/duration)
+	startCapacity := min(max(b.settings.WarmupStartCapacity, 0), 1)
+	return 1 - (1-startCapacity)*(1-max(0, age)/duration)
 }
 
 // hasSlowStartBudget refills the slow-start budget of a server up to now, and reports whether it holds an attempt. It
@@ -60,11 +60,11 @@
 // no more than OverloadFactor times what it can do. Warm servers have no such bound, and the origin's have their own
 // (origin.go).
 func (b *Balancer) hasSlowStartBudget(server *serverState) bool {
-	warm := b.warmFraction(server)
-	if warm >= 1 || b.settings.OverloadWindow <= 0 || b.isOrigin(server) {
+	capacityFraction := b.warmFraction(server)
+	if capacityFraction >= 1 || b.settings.OverloadWindow <= 0 || b.isOrigin(server) {
 		return true
 	}
-	b.refillSlowStart(server, b.slowStartAllowance(server, warm))
+	b.refillSlowStart(server, b.slowStartAllowance(server, capacityFraction))
 	return server.slowStart.budget >= 1
 }
 
@@ -72,14 +72,14 @@
 // what accrued unused is lost at the wrap (slowStartWrap), and no more than a part of a window's allowance is kept.
 func (b *Balancer) refillSlowStart(server *serverState, allowance float64) {
 	state := &server.slowStart
-	perWindow := max(allowance, b.settings.OverloadFactor/b.fleetSize) // unseen capacity: one attempt in the window
-	refilled := state.budget + perWindow*(b.now-state.refilledAt)/b.settings.OverloadWindow
-	kept := math.Mod(refilled, b.slowStartWrap(allowance))
-	state.budget = min(kept, max(1, perWindow/slowStartBurstPart))
+	attemptsPerWindow := max(allowance, b.settings.OverloadFactor/b.fleetSize) // unseen capacity: one attempt in the window
+	refilled := state.budget + attemptsPerWindow*(b.now-state.refilledAt)/b.settings.OverloadWindow
+	wrapped := math.Mod(refilled, b.slowStartWrapBudget(allowance))
+	state.budget = min(wrapped, max(1, attemptsPerWindow/slowStartBurstDivisor))
 	state.refilledAt = b.now
 }
 
-// slowStartWrap is the budget, in attempts, at which an unused budget starts at 0 again; +Inf: it never does.
+// slowStartWrapBudget is the budget, in attempts, at which an unused budget starts at 0 again; +Inf: it never does.
 //
 // Each router keeps to its own allowance, but in a burst all of them spend what they have kept at once. So of many
 // routers only a part p (slowStartKeptPart) is to hold a whole attempt unused. A budget that grows evenly and wraps at
@@ -91,16 +91,16 @@
 //
 // The budget wraps only by what accrues between two refills: one that was refilled while it held an attempt is cut to
 // the bound in refillSlowStart, mostly 1, and accrues from there.
-func (b *Balancer) slowStartWrap(allowance float64) float64 {
-	return 1 / max(0, 1-b.slowStartKeptPart(allowance))
+func (b *Balancer) slowStartWrapBudget(allowance float64) float64 {
+	return 1 / max(0, 1-b.slowStartHoldingFraction(allowance))
 }
 
 // slowStartAllowance is how many attempts this router may send a server within the overload window. It is a safe part
 // of what the rule allows a server of mean size, taking for its capacity what the servers are seen to complete. Where
 // the list tells sizes it is in proportion to the server's.
-func (b *Balancer) slowStartAllowance(server *serverState, warm float64) float64 {
+func (b *Balancer) slowStartAllowance(server *serverState, capacityFraction float64) float64 {
 	servers := max(1, float64(len(b.servers.ready)), b.completions.meanServers)
-	allowed := b.settings.OverloadFactor * warm * b.settings.OverloadWindow * b.completionRate() / servers
+	allowed := b.settings.OverloadFactor * capacityFraction * b.settings.OverloadWindow * b.completionRate() / servers
 	allowance := allowed / slowStartSafetyFactor
 	if b.servers.meanSize > 0 && server.size > 0 {
 		allowance *= ownSizeFactor * server.size / b.servers.meanSize
@@ -108,11 +108,11 @@
 	return allowance
 }
 
-// slowStartKeptPart is the part of the routers that may keep an attempt unused, 1 and more being all of them. In
+// slowStartHoldingFraction is the part of the routers that may keep an attempt unused, 1 and more being all of them. In
 // routers it is a quarter of the attempts that all may send in a window, the standard deviation of that number (its
 // root), and one more. In a fleet above SlowStartSharedUpTo each may. allowance is that of one router.
-func (b *Balancer) slowStartKeptPart(allowance float64) float64 {
+func (b *Balancer) slowStartHoldingFraction(allowance float64) float64 {
 	sharedUpTo := cmp.Or(b.settings.SlowStartSharedUpTo, defaultSlowStartSharedUpTo)
-	beyond := max(0, b.fleetSize-sharedUpTo)
-	return allowance/4 + math.Sqrt(allowance/b.fleetSize) + 1/b.fleetSize + beyond
+	excessRouters := max(0, b.fleetSize-sharedUpTo)
+	return allowance/4 + math.Sqrt(allowance/b.fleetSize) + 1/b.fleetSize + excessRouters
 }
--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -15,21 +15,21 @@
 // seedCount is how many seeds a test draws.
 func seedCount(few int) uint32 { return uint32(max(few, *searchSeeds)) }
 
-// chanceBound is what is put down to chance where so many requests are allowed.
-func chanceBound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
+// randomnessBound is what is put down to chance where so many requests are allowed.
+func randomnessBound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
 // fleetBurst is a time in which every router is asked for more than it may send to one cold server among a dozen.
 type fleetBurst struct {
-	routers       int     // how many there are
-	statedRouters int     // and how many the settings say
-	heardRouters  int     // how many each router hears; 0: it hears none
-	warmRate      float64 // requests of mean work that a warm server does a second
-	load          float64 // the part of that which was completed of late
-	skew          float64 // how many times as much as the others a tenth of the routers completed
-	delay         float64 // seconds from the start until the burst comes
-	lostServers   int     // of the dozen, those that went with the start
-	slowWarmup    bool    // other settings: a server that warms slowly, and is overloaded sooner
-	seed          uint32
+	routers           int     // how many there are
+	configuredRouters int     // and how many the settings say
+	reachableRouters  int     // how many each router hears; 0: it hears none
+	warmRate          float64 // requests of mean work that a warm server does a second
+	load              float64 // the part of that which was completed of late
+	skew              float64 // how many times as much as the others a tenth of the routers completed
+	delay             float64 // seconds from the start until the burst comes
+	lostServers       int     // of the dozen, those that went with the start
+	slowWarmup        bool    // other settings: a server that warms slowly, and is overloaded sooner
+	seed              uint32
 }
 
 const (
@@ -40,7 +40,7 @@
 
 func (f fleetBurst) settings() Settings {
 	settings := Settings{
-		RouterCount:         f.statedRouters,
+		RouterCount:         f.configuredRouters,
 		WeightMode:          WeightsStatic,
 		OverloadWindow:      3,
 		OverloadFactor:      4,
@@ -57,8 +57,8 @@
 	return settings
 }
 
-// completedBy is what a router completed, in proportion to others.
-func (f fleetBurst) completedBy(router int) float64 {
+// relativeCompletions is what a router completed, in proportion to others.
+func (f fleetBurst) relativeCompletions(router int) float64 {
 	if router%10 == 3 {
 		return f.skew
 	}
@@ -73,25 +73,25 @@
 	}
 	sum := 0.0
 	for router := range f.routers {
-		sum += f.completedBy(router)
+		sum += f.relativeCompletions(router)
 	}
 	settings := f.settings()
 	for router := range f.routers {
 		settings.Seed = seedhash.Mix(f.seed, uint64(router))
 		b := New(0, settings, &recordingHost{})
 		b.OnEndpoints(burstStart, UpdateFull, list)
-		if f.heardRouters > 0 {
-			b.SetFleetSize(burstStart, f.heardRouters)
+		if f.reachableRouters > 0 {
+			b.SetFleetSize(burstStart, f.reachableRouters)
 		}
-		b.completions.rate = f.load * burstServers * f.warmRate * f.completedBy(router) / sum
+		b.completions.rate = f.load * burstServers * f.warmRate * f.relativeCompletions(router) / sum
 		b.completions.meanServers = burstServers
 		fleet = append(fleet, b)
 	}
 	return fleet
 }
 
-// worstOverBound is the most that an overload window brought, over what is put down to chance.
-func (f fleetBurst) worstOverBound() (worst float64) {
+// worstBoundRatio is the most that an overload window brought, over what is put down to chance.
+func (f fleetBurst) worstBoundRatio() (worst float64) {
 	settings := f.settings()
 	fleet := f.fleet()
 	var sent []float64 // when, since the start, in seconds
@@ -107,10 +107,10 @@
 		}
 		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= age-settings.OverloadWindow })
 		// What it can do in the middle of the window: it warms evenly.
-		grown := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
-		warm := settings.WarmupStartCapacity + grown
+		warmedUp := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
+		warm := settings.WarmupStartCapacity + warmedUp
 		allowed := settings.OverloadFactor * warm * f.warmRate * settings.OverloadWindow
-		worst = max(worst, float64(len(sent))/chanceBound(allowed))
+		worst = max(worst, float64(len(sent))/randomnessBound(allowed))
 	}
 	return worst
 }
@@ -122,19 +122,19 @@
 func TestAllRoutersTogetherSpareAColdServer(t *testing.T) {
 	for _, routers := range []int{1, 3, 8, 20, 30, 100, 300} {
 		for _, warmRate := range []float64{5, 10, 30} {
-			above, trials := 0, 0
+			exceeded, trials := 0, 0
 			most := 0.0
 			for _, burst := range burstsOf(routers, warmRate) {
-				worst := burst.worstOverBound()
+				worst := burst.worstBoundRatio()
 				most = max(most, worst)
 				trials++
 				if worst > 1 {
-					above++
+					exceeded++
 				}
 			}
 			t.Logf("%3d routers, a server that does %2.0f a second: %d of %d trials above, the most %.2f of the bound",
-				routers, warmRate, above, trials, most)
-			if above > 0 && *searchSeeds == 0 {
+				routers, warmRate, exceeded, trials, most)
+			if exceeded > 0 && *searchSeeds == 0 {
 				t.Errorf("%d routers sent a server that does %v a second %.2f times what is put down to chance",
 					routers, warmRate, most)
 			}
@@ -149,14 +149,14 @@
 			for _, skew := range []float64{1, 8} {
 				for _, delay := range []float64{0, 3, 6} {
 					bursts = append(bursts, fleetBurst{
-						routers:       routers,
-						statedRouters: routers,
-						warmRate:      warmRate,
-						load:          load,
-						skew:          skew,
-						delay:         delay,
-						slowWarmup:    seed%2 == 1,
-						seed:          seed,
+						routers:           routers,
+						configuredRouters: routers,
+						warmRate:          warmRate,
+						load:              load,
+						skew:              skew,
+						delay:             delay,
+						slowWarmup:        seed%2 == 1,
+						seed:              seed,
 					})
 				}
 			}
@@ -167,8 +167,8 @@
 
 func TestMoreOrFewerRoutersThanStatedSpareAColdServer(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		routers, stated, heard int
+		name                           string
+		routers, configured, reachable int
 	}{
 		{"twice as many as stated, as in an upgrade of all", 30, 15, 0},
 		{"half as many as stated", 30, 60, 0},
@@ -180,20 +180,20 @@
 		for seed := range seedCount(4) {
 			for _, delay := range []float64{0, 3, 6} {
 				burst := fleetBurst{
-					routers:       c.routers,
-					statedRouters: c.stated,
-					heardRouters:  c.heard,
-					warmRate:      10,
-					load:          0.7,
-					skew:          4,
-					delay:         delay,
-					slowWarmup:    seed%2 == 1,
-					seed:          seed,
+					routers:           c.routers,
+					configuredRouters: c.configured,
+					reachableRouters:  c.reachable,
+					warmRate:          10,
+					load:              0.7,
+					skew:              4,
+					delay:             delay,
+					slowWarmup:        seed%2 == 1,
+					seed:              seed,
 				}
-				most = max(most, burst.worstOverBound())
+				most = max(most, burst.worstBoundRatio())
 			}
 		}
-		t.Logf("%d routers, %d stated, %d heard: the most %.2f of the bound", c.routers, c.stated, c.heard, most)
+		t.Logf("%d routers, %d stated, %d heard: the most %.2f of the bound", c.routers, c.configured, c.reachable, most)
 		if most > 1 && *searchSeeds == 0 {
 			t.Errorf("%s: they sent %.2f times what is put down to chance", c.name, most)
 		}
@@ -207,7 +207,7 @@
 		name       string
 		routers    int
 		sharedUpTo float64
-		part       bool
+		shared     bool
 	}{
 		{"beyond the default", 300, 0, false},
 		{"within the setting", 300, 1000, true},
@@ -229,7 +229,7 @@
 				kept++
 			}
 		}
-		if c.part != (kept < 500) {
+		if c.shared != (kept < 500) {
 			t.Errorf("%s: one of %d routers has an attempt left %d times of 1000", c.name, c.routers, kept)
 		}
 	}
@@ -241,17 +241,17 @@
 		most := 0.0
 		for seed := range seedCount(4) {
 			burst := fleetBurst{
-				routers:       routers,
-				statedRouters: routers,
-				warmRate:      30,
-				load:          0.8,
-				skew:          1,
-				delay:         3,
-				lostServers:   8,
-				slowWarmup:    seed%2 == 1,
-				seed:          seed,
+				routers:           routers,
+				configuredRouters: routers,
+				warmRate:          30,
+				load:              0.8,
+				skew:              1,
+				delay:             3,
+				lostServers:       8,
+				slowWarmup:        seed%2 == 1,
+				seed:              seed,
 			}
-			most = max(most, burst.worstOverBound())
+			most = max(most, burst.worstBoundRatio())
 		}
 		t.Logf("%d routers, eight of a dozen went: the most %.2f of the bound", routers, most)
 		if most > 1 {
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -2,32 +2,32 @@
 
 import "testing"
 
-// drawnScenario varies a scenario by its seed.
-func drawnScenario(routers int, seed uint32) slowStartScenario {
+// scenarioOfSeed varies a scenario by its seed.
+func scenarioOfSeed(routers int, seed uint32) slowStartScenario {
 	return slowStartScenario{
-		routers:          routers,
-		statedRouters:    routers,
-		servers:          8,
-		coldServers:      []int{1, 1, 4}[seed/4%3],
-		lostServers:      []int{0, 0, 2, 4}[seed/3%4],
-		servedBefore:     seed%2 == 0,
-		answersAtOnce:    seed%3 < 2,
-		warmRate:         []float64{10, 3, 30, 5}[seed%4],
-		load:             []float64{0.7, 0.95, 0.5}[seed%3],
-		burst:            []float64{1.3, 3}[seed%2],
-		burstDelay:       []float64{0, 3, 5}[seed%3],
-		pulledPart:       []float64{1, 0.5}[seed/2%2],
-		skew:             4,
-		noticeSpread:     []float64{6, 0, 2}[seed%3],
-		restartedPart:    0.2,
-		secondStartAfter: []float64{5, 0}[seed/2%2],
-		gossip:           seed/2%2 == 0,
-		weightMode:       WeightMode(seed / 3 % 2),
-		seed:             seed,
-		overloadWindow:   3,
-		overloadFactor:   4,
-		startCapacity:    0.3,
-		warmupDuration:   9,
+		routers:            routers,
+		configuredRouters:  routers,
+		servers:            8,
+		warmingServers:     []int{1, 1, 4}[seed/4%3],
+		lostServers:        []int{0, 0, 2, 4}[seed/3%4],
+		servedBefore:       seed%2 == 0,
+		immediateAnswers:   seed%3 < 2,
+		warmRate:           []float64{10, 3, 30, 5}[seed%4],
+		load:               []float64{0.7, 0.95, 0.5}[seed%3],
+		burst:              []float64{1.3, 3}[seed%2],
+		burstDelay:         []float64{0, 3, 5}[seed%3],
+		warmingKeyFraction: []float64{1, 0.5}[seed/2%2],
+		skew:               4,
+		listDelaySpread:    []float64{6, 0, 2}[seed%3],
+		restartedFraction:  0.2,
+		secondStartAfter:   []float64{5, 0}[seed/2%2],
+		gossip:             seed/2%2 == 0,
+		weightMode:         WeightMode(seed / 3 % 2),
+		seed:               seed,
+		overloadWindow:     3,
+		overloadFactor:     4,
+		startCapacity:      0.3,
+		warmupDuration:     9,
 	}
 }
 
@@ -35,28 +35,28 @@
 // others, told of the start within six seconds, some of them restarted, servers that go, and the server cold a
 // second time.
 func TestAColdServerInABurst(t *testing.T) {
-	drawn := []uint32{10, 22} // above the bound once: with 1 to 30 routers, and with 1 to 8
+	seeds := []uint32{10, 22} // above the bound once: with 1 to 30 routers, and with 1 to 8
 	for seed := range uint32(*searchSeeds) {
-		drawn = append(drawn, seed)
+		seeds = append(seeds, seed)
 	}
 	for _, routers := range []int{1, 3, 8, 20, 30, 300} {
-		above, starts, sends := 0, 0, 0
+		exceeded, starts, attempts := 0, 0, 0
 		worst, most := 0.0, 0.0
-		for _, seed := range drawn {
-			played := drawnScenario(routers, seed).run()
-			above += played.startsAboveBound
-			starts += played.starts
-			sends += played.coldSendCount
-			worst = max(worst, played.worstOverBound)
-			most = max(most, played.worstOverAllowance)
+		for _, seed := range seeds {
+			result := scenarioOfSeed(routers, seed).run()
+			exceeded += result.startsAboveBound
+			starts += result.starts
+			attempts += result.warmingSendCount
+			worst = max(worst, result.worstBoundRatio)
+			most = max(most, result.worstAllowanceRatio)
 		}
 		t.Logf("%3d routers: %d of %d starts above, the most %.2f of the bound, %.2f of what is allowed; %d sent",
-			routers, above, starts, worst, most, sends)
-		if above > 0 && *searchSeeds == 0 {
+			routers, exceeded, starts, worst, most, attempts)
+		if exceeded > 0 && *searchSeeds == 0 {
 			t.Errorf("%d routers sent %.2f times what is put down to chance", routers, worst)
 		}
-		if sends < 50*len(drawn) {
-			t.Errorf("%d routers sent the cold servers %d requests in %d plays", routers, sends, len(drawn))
+		if attempts < 50*len(seeds) {
+			t.Errorf("%d routers sent the cold servers %d requests in %d plays", routers, attempts, len(seeds))
 		}
 	}
 }
--- a/balancer/slowstart_simulation_test.go
+++ b/balancer/slowstart_simulation_test.go
@@ -13,37 +13,37 @@
 // slowStartScenario is a made-up half minute in which many routers meet cold servers. All of the routers are
 // balancers; time and chance are reckoned.
 type slowStartScenario struct {
-	routers, statedRouters int // how many there are, and how many the settings say
-	servers                int
-	coldServers            int     // servers that start cold, the first ones; their requests are judged
-	lostServers            int     // servers that go when these start
-	servedBefore           bool    // the cold servers served before; else they are new
-	answersAtOnce          bool    // they answer at once whatever they get: nothing warns the routers
-	warmRate               float64 // requests of mean work that a warm server does a second
-	load                   float64 // part of what all can do that comes in calm
-	burst                  float64 // times as much in a burst of four seconds
-	burstDelay             float64 // seconds from the start until the first burst
-	pulledPart             float64 // part of a burst that is for keys of the cold server's slice
-	skew                   float64 // how many times the mean the busiest tenth of the routers carry
-	noticeSpread           float64 // seconds over which routers are told of the start
-	restartedPart          float64 // part of the routers that restart when the servers start
-	secondStartAfter       float64 // seconds after which these start cold once more; 0: they do not
-	gossip                 bool
-	weightMode             WeightMode
-	seed                   uint32
+	routers, configuredRouters int // how many there are, and how many the settings say
+	servers                    int
+	warmingServers             int     // servers that start cold, the first ones; their requests are judged
+	lostServers                int     // servers that go when these start
+	servedBefore               bool    // the cold servers served before; else they are new
+	immediateAnswers           bool    // they answer at once whatever they get: nothing warns the routers
+	warmRate                   float64 // requests of mean work that a warm server does a second
+	load                       float64 // part of what all can do that comes in calm
+	burst                      float64 // times as much in a burst of four seconds
+	burstDelay                 float64 // seconds from the start until the first burst
+	warmingKeyFraction         float64 // part of a burst that is for keys of the cold server's slice
+	skew                       float64 // how many times the mean the busiest tenth of the routers carry
+	listDelaySpread            float64 // seconds over which routers are told of the start
+	restartedFraction          float64 // part of the routers that restart when the servers start
+	secondStartAfter           float64 // seconds after which these start cold once more; 0: they do not
+	gossip                     bool
+	weightMode                 WeightMode
+	seed                       uint32
 
 	overloadWindow, overloadFactor, startCapacity, warmupDuration float64 // as in Settings
 }
 
 // Times of the simulation, in seconds.
 const (
-	calmBefore     = 20.0 // before the start
-	timeAfter      = 12.0 // after it
-	simulationStep = 0.01
-	burstPeriod    = 6.0 // of which burstLength are a burst
-	burstLength    = 4.0
-	longestQueue   = 0.5 // of work; a server rejects what comes beyond it
-	networkTime    = 0.005
+	timeBeforeStart = 20.0 // before the start
+	timeAfterStart  = 12.0 // after it
+	simulationStep  = 0.01
+	burstPeriod     = 6.0 // of which burstLength are a burst
+	burstLength     = 4.0
+	maxQueuedWork   = 0.5 // of work; a server rejects what comes beyond it
+	networkLatency  = 0.005
 )
 
 // pendingAnswer is an attempt at a server, until it ends.
@@ -74,10 +74,10 @@
 // simulatedRouter is one router, and its balancer's host.
 type simulatedRouter struct {
 	recordingHost
-	simulation *simulation
-	balancer   *Balancer
-	noticedAt  float64        // seconds, when it is told of the cold servers' last start
-	attempts   map[uint64]int // by request, those started
+	simulation     *simulation
+	balancer       *Balancer
+	listReceivedAt float64        // seconds, when it is told of the cold servers' last start
+	attempts       map[uint64]int // by request, those started
 }
 
 func (r *simulatedRouter) StartAttempt(request, server uint64, timeout, _ float64) {
@@ -94,56 +94,56 @@
 }
 func (r *simulatedRouter) Fail(request uint64) { delete(r.attempts, request) }
 
-// coldSend is an attempt at a cold server.
-type coldSend struct {
-	sentAt  float64 // seconds
-	noticed bool    // its router had been told of the start
+// warmingSend is an attempt at a cold server.
+type warmingSend struct {
+	sentAt       float64 // seconds
+	listReceived bool    // its router had been told of the start
 }
 
 // simulation is a scenario under way.
 type simulation struct {
 	slowStartScenario
-	now, coldSince float64 // coldSince: when the cold servers last started
-	started        bool    // they have started
-	restarted      bool    // they have started twice
-	draws          uint64
-	fleet          []*simulatedRouter
-	routerWeights  []float64 // summed up: the traffic that routers carry, in proportion
-	keysOfCold     []string  // keys that are the first cold server's while it has just started
-	requests       uint64    // so far
-	surplus        float64   // of the requests that are to come, by the rate, over those that came
-	busyUntil      []float64 // until when each server has work
-	pending        pendingAnswers
-	sequence       uint64
-	messages       [][]byte
-	coldSends      [][]coldSend // to each cold server since it started
+	now, warmingSince float64 // coldSince: when the cold servers last started
+	started           bool    // they have started
+	restarted         bool    // they have started twice
+	draws             uint64
+	fleet             []*simulatedRouter
+	routerWeights     []float64 // summed up: the traffic that routers carry, in proportion
+	warmingServerKeys []string  // keys that are the first cold server's while it has just started
+	requests          uint64    // so far
+	dueRequests       float64   // of the requests that are to come, by the rate, over those that came
+	busyUntil         []float64 // until when each server has work
+	pending           pendingAnswers
+	sequence          uint64
+	messages          [][]byte
+	warmingSends      [][]warmingSend // to each cold server since it started
 
-	worstOverBound     float64 // the most that a window held over the bound of chance; only what the rule counts
-	worstOverAllowance float64 // the most that a window held over what is allowed
-	starts             int
-	startsAboveBound   int // starts with a window above the bound
-	coldSendCount      int // attempts at cold servers
+	worstBoundRatio     float64 // the most that a window held over the bound of chance; only what the rule counts
+	worstAllowanceRatio float64 // the most that a window held over what is allowed
+	starts              int
+	startsAboveBound    int // starts with a window above the bound
+	warmingSendCount    int // attempts at cold servers
 }
 
-func (s *simulation) chance() float64 {
+func (s *simulation) randomFloat() float64 {
 	s.draws++
 	return (float64(seedhash.Mix(s.seed, s.draws)) + 0.5) / (1 << 32)
 }
 
 // warmFraction is the part of its work that a cold server can do.
 func (s *simulation) warmFraction(now float64) float64 {
-	return s.startCapacity + (1-s.startCapacity)*min(1, (now-s.coldSince)/s.warmupDuration)
+	return s.startCapacity + (1-s.startCapacity)*min(1, (now-s.warmingSince)/s.warmupDuration)
 }
 
 // startAttempt sends an attempt to a server, which answers it in turn.
 func (s *simulation) startAttempt(router *simulatedRouter, request, id uint64, number int, timeout float64) {
 	server := int(id - 1)
 	rate := s.warmRate
-	cold := server < s.coldServers && s.now >= s.coldSince
-	if cold {
+	warming := server < s.warmingServers && s.now >= s.warmingSince
+	if warming {
 		rate *= s.warmFraction(s.now)
-		s.coldSends[server] = append(s.coldSends[server], coldSend{s.now, router.noticedAt <= s.now})
-		s.coldSendCount++
+		s.warmingSends[server] = append(s.warmingSends[server], warmingSend{s.now, router.listReceivedAt <= s.now})
+		s.warmingSendCount++
 	}
 	s.sequence++
 	answer := pendingAnswer{
@@ -156,14 +156,14 @@
 	}
 	free := max(s.now, s.busyUntil[server])
 	switch {
-	case cold && s.answersAtOnce:
-		answer.endsAt = s.now + networkTime
-	case free-s.now > longestQueue:
-		answer.endsAt = s.now + networkTime
+	case warming && s.immediateAnswers:
+		answer.endsAt = s.now + networkLatency
+	case free-s.now > maxQueuedWork:
+		answer.endsAt = s.now + networkLatency
 		answer.outcome = Overloaded
 	default:
 		s.busyUntil[server] = free + 1/rate
-		answer.endsAt = s.busyUntil[server] + networkTime
+		answer.endsAt = s.busyUntil[server] + networkLatency
 	}
 	if answer.endsAt > s.now+timeout {
 		answer.endsAt = s.now + timeout
@@ -179,7 +179,7 @@
 	router.balancer = New(s.now, Settings{
 		Seed:                seedhash.Mix(s.seed, uint64(index)+1<<40+s.sequence),
 		RouterIndex:         index,
-		RouterCount:         s.statedRouters,
+		RouterCount:         s.configuredRouters,
 		EventInterval:       0.002,
 		MaxAttempts:         3,
 		HedgingAllowed:      true,
@@ -199,17 +199,17 @@
 	}, router)
 }
 
-// tellList sends a router the list, as it is before the cold servers' start or after it.
-func (s *simulation) tellList(router *simulatedRouter, afterStart bool) {
+// sendList sends a router the list, as it is before the cold servers' start or after it.
+func (s *simulation) sendList(router *simulatedRouter, afterStart bool) {
 	var list []Endpoint
 	for i := range s.servers {
 		endpoint := Endpoint{ID: uint64(i + 1), State: Ready, Capacity: 1, Zone: "a"}
-		cold := i < s.coldServers
-		if cold && afterStart {
-			endpoint.StartedAt = s.coldSince
+		warming := i < s.warmingServers
+		if warming && afterStart {
+			endpoint.StartedAt = s.warmingSince
 		}
 		listed := !afterStart || i+s.lostServers < s.servers
-		if cold {
+		if warming {
 			listed = afterStart || s.servedBefore
 		}
 		if listed {
@@ -219,52 +219,52 @@
 	router.balancer.OnEndpoints(s.now, UpdateFull, list)
 }
 
-// judgeWindows looks at each overload window that ends with a request to a cold server.
-func (s *simulation) judgeWindows() {
-	for i, sends := range s.coldSends {
+// checkWindows looks at each overload window that ends with a request to a cold server.
+func (s *simulation) checkWindows() {
+	for i, sends := range s.warmingSends {
 		s.starts++
-		if s.judgeStart(sends) {
+		if s.checkStart(sends) {
 			s.startsAboveBound++
 		}
-		s.coldSends[i] = sends[:0]
+		s.warmingSends[i] = sends[:0]
 	}
 }
 
-// judgeStart reports whether a window of one server's start held more than is put down to chance. Only windows of
+// checkStart reports whether a window of one server's start held more than is put down to chance. Only windows of
 // which two thirds came from routers that had been told of the start count.
-func (s *simulation) judgeStart(sends []coldSend) (above bool) {
-	first, noticed := 0, 0 // of the window
+func (s *simulation) checkStart(sends []warmingSend) (exceeded bool) {
+	first, listReceived := 0, 0 // of the window
 	for last, send := range sends {
-		if send.noticed {
-			noticed++
+		if send.listReceived {
+			listReceived++
 		}
 		for ; sends[first].sentAt <= send.sentAt-s.overloadWindow; first++ {
-			if sends[first].noticed {
-				noticed--
+			if sends[first].listReceived {
+				listReceived--
 			}
 		}
 		// What it could do in the middle of the window: it warms evenly.
-		middle := max(s.coldSince, send.sentAt-s.overloadWindow/2)
+		middle := max(s.warmingSince, send.sentAt-s.overloadWindow/2)
 		allowed := s.overloadFactor * s.warmFraction(middle) * s.warmRate * s.overloadWindow
 		count := last - first + 1
-		counts := send.sentAt < s.coldSince+s.warmupDuration && 3*noticed > 2*count
+		counts := send.sentAt < s.warmingSince+s.warmupDuration && 3*listReceived > 2*count
 		if !counts {
 			continue
 		}
-		s.worstOverBound = max(s.worstOverBound, float64(count)/chanceBound(allowed))
-		s.worstOverAllowance = max(s.worstOverAllowance, float64(count)/allowed)
-		if float64(count) > chanceBound(allowed) {
-			above = true
+		s.worstBoundRatio = max(s.worstBoundRatio, float64(count)/randomnessBound(allowed))
+		s.worstAllowanceRatio = max(s.worstAllowanceRatio, float64(count)/allowed)
+		if float64(count) > randomnessBound(allowed) {
+			exceeded = true
 		}
 	}
-	return above
+	return exceeded
 }
 
-// findKeysOfCold returns keys that are the first cold server's while it has just started.
-func (s *simulation) findKeysOfCold() (keys []string) {
+// findWarmingServerKeys returns keys that are the first cold server's while it has just started.
+func (s *simulation) findWarmingServerKeys() (keys []string) {
 	router := &simulatedRouter{}
 	s.startRouter(router, 0)
-	s.tellList(router, true)
+	s.sendList(router, true)
 	b := router.balancer
 	b.recent.acceptanceRate = 1
 	b.servers.byID[1].slowStart.startedAt = s.now
@@ -284,15 +284,15 @@
 	s := &simulation{
 		slowStartScenario: scenario,
 		busyUntil:         make([]float64, scenario.servers),
-		coldSends:         make([][]coldSend, scenario.coldServers),
+		warmingSends:      make([][]warmingSend, scenario.warmingServers),
 	}
-	s.keysOfCold = s.findKeysOfCold()
+	s.warmingServerKeys = s.findWarmingServerKeys()
 	sum := 0.0
 	for index := range s.routers {
 		router := &simulatedRouter{}
 		s.fleet = append(s.fleet, router)
 		s.startRouter(router, index)
-		s.tellList(router, false)
+		s.sendList(router, false)
 		weight := 1.0
 		if s.skew > 1 && index%10 == 3 {
 			weight = s.skew
@@ -300,47 +300,47 @@
 		sum += weight
 		s.routerWeights = append(s.routerWeights, sum)
 	}
-	s.coldSince = math.Inf(1)
+	s.warmingSince = math.Inf(1)
 	return s
 }
 
 // run plays a scenario.
 func (scenario slowStartScenario) run() *simulation {
 	s := newSimulation(scenario)
-	for s.now = 0; s.now < calmBefore+timeAfter; s.now += simulationStep {
-		sinceStart := s.now - calmBefore
-		s.startColdServers(sinceStart)
+	for s.now = 0; s.now < timeBeforeStart+timeAfterStart; s.now += simulationStep {
+		sinceStart := s.now - timeBeforeStart
+		s.startWarmingServers(sinceStart)
 		s.notifyRouters()
 		s.endAttempts()
 		s.deliverGossip()
 		s.sendRequests(sinceStart)
 	}
-	s.judgeWindows()
+	s.checkWindows()
 	return s
 }
 
-// startColdServers starts the cold servers once it is time, and once more where the scenario says so; some
+// startWarmingServers starts the cold servers once it is time, and once more where the scenario says so; some
 // routers restart with them.
-func (s *simulation) startColdServers(sinceStart float64) {
+func (s *simulation) startWarmingServers(sinceStart float64) {
 	first := sinceStart >= 0 && !s.started
 	second := s.started && s.secondStartAfter > 0 && !s.restarted && sinceStart >= s.secondStartAfter
 	if !first && !second {
 		return
 	}
 	if second {
-		s.judgeWindows()
+		s.checkWindows()
 		s.restarted = true
 	}
 	s.started = true
-	s.coldSince = s.now
+	s.warmingSince = s.now
 	for index, router := range s.fleet {
-		if s.chance() < s.restartedPart {
+		if s.randomFloat() < s.restartedFraction {
 			s.startRouter(router, index)
-			s.tellList(router, s.restarted)
+			s.sendList(router, s.restarted)
 		}
-		router.noticedAt = s.now + s.chance()*s.noticeSpread
-		if s.noticeSpread == 0 {
-			router.noticedAt = s.now
+		router.listReceivedAt = s.now + s.randomFloat()*s.listDelaySpread
+		if s.listDelaySpread == 0 {
+			router.listReceivedAt = s.now
 		}
 	}
 }
@@ -348,8 +348,8 @@
 // notifyRouters notifies routers of the start whose time it is.
 func (s *simulation) notifyRouters() {
 	for _, router := range s.fleet {
-		if s.started && router.noticedAt <= s.now && router.noticedAt > s.now-simulationStep {
-			s.tellList(router, true)
+		if s.started && router.listReceivedAt <= s.now && router.listReceivedAt > s.now-simulationStep {
+			s.sendList(router, true)
 		}
 	}
 }
@@ -381,18 +381,18 @@
 // sendRequests sends the requests of one step, at random times by the rate.
 func (s *simulation) sendRequests(sinceStart float64) {
 	rate := s.load * s.warmRate * float64(s.servers)
-	pulledPart := 0.0
+	warmingKeyFraction := 0.0
 	if sinceStart >= s.burstDelay && math.Mod(sinceStart-s.burstDelay, burstPeriod) < burstLength {
 		rate *= s.burst
-		pulledPart = s.pulledPart
+		warmingKeyFraction = s.warmingKeyFraction
 	}
-	for s.surplus += rate * simulationStep; s.surplus > 0; s.surplus += math.Log(s.chance()) {
+	for s.dueRequests += rate * simulationStep; s.dueRequests > 0; s.dueRequests += math.Log(s.randomFloat()) {
 		s.requests++
 		sum := s.routerWeights[len(s.routerWeights)-1]
-		index, _ := slices.BinarySearch(s.routerWeights, s.chance()*sum)
-		key := fmt.Sprint("key-", int(2000*math.Pow(s.chance(), 2)))
-		if s.chance() < pulledPart {
-			key = s.keysOfCold[int(s.chance()*float64(len(s.keysOfCold)))]
+		index, _ := slices.BinarySearch(s.routerWeights, s.randomFloat()*sum)
+		key := fmt.Sprint("key-", int(2000*math.Pow(s.randomFloat(), 2)))
+		if s.randomFloat() < warmingKeyFraction {
+			key = s.warmingServerKeys[int(s.randomFloat()*float64(len(s.warmingServerKeys)))]
 		}
 		router := s.fleet[min(index, s.routers-1)]
 		router.balancer.OnRequest(s.now, s.requests, "view", "", key, 2)
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -42,28 +42,28 @@
 func TestColdServerAnswersForAWideningSlice(t *testing.T) {
 	b, _ := newTestBalancer(4, nil)
 	server := b.servers.byID[1]
-	sliceAt := func(age float64) int {
+	keysAtAge := func(age float64) int {
 		server.slowStart.startedAt = 100
 		b.now = 100 + age
 		b.recent.acceptanceRate = 1
 		return b.keysAnsweredBy(server)
 	}
-	start, half, warm := sliceAt(0), sliceAt(10), sliceAt(20)
+	start, half, warm := keysAtAge(0), keysAtAge(10), keysAtAge(20)
 	widening := start < half && half < warm && start <= 250
 	expectEqual(t, fmt.Sprint("widening: ", start, half, warm), widening, true)
 }
 
 // A cold server got its slice of all while the warm ones shed most.
 func TestColdServerIsSparedWhatTheWarmShed(t *testing.T) {
-	slice := func(acceptanceRate float64) int {
+	keysAtRate := func(acceptanceRate float64) int {
 		b, _ := newTestBalancer(4, nil)
 		b.servers.byID[1].slowStart.startedAt = 100
 		b.now = 112
 		b.recent.acceptanceRate = acceptanceRate
 		return b.keysAnsweredBy(b.servers.byID[1])
 	}
-	calm, half, most := slice(1), slice(0.5), slice(0.2)
-	expectEqual(t, fmt.Sprint("spared: ", calm, half, most), half < calm*2/3 && most < half*2/3, true)
+	full, half, fifth := keysAtRate(1), keysAtRate(0.5), keysAtRate(0.2)
+	expectEqual(t, fmt.Sprint("spared: ", full, half, fifth), half < full*2/3 && fifth < half*2/3, true)
 }
 
 // Six in ten servers were replaced: as fewer requests were answered the new ones' slices shrank further, and
@@ -76,13 +76,13 @@
 	b.recent.acceptanceRate = 0.5
 	server := b.servers.byID[2]
 	server.slowStart.startedAt = 1
-	alone := b.keysAnsweredBy(server)
+	withoutReports := b.keysAnsweredBy(server)
 	b.OnGossip(1, []byte{1, 0, 32})
-	reported := b.keysAnsweredBy(server)
+	withReports := b.keysAnsweredBy(server)
 	server.slowStart.startedAt = 0
-	whole := b.keysAnsweredBy(server)
-	if reported < alone*3/2 || reported > whole*2/5 {
-		t.Errorf("a slice of %d keys alone, %d where all report, of %d", alone, reported, whole)
+	whenWarm := b.keysAnsweredBy(server)
+	if withReports < withoutReports*3/2 || withReports > whenWarm*2/5 {
+		t.Errorf("a slice of %d keys alone, %d where all report, of %d", withoutReports, withReports, whenWarm)
 	}
 }
 
--- a/balancer/tenants.go
+++ b/balancer/tenants.go
@@ -36,10 +36,10 @@
 	if tenant == nil {
 		return
 	}
-	// Other routers may be down or carry other traffic. So this router's part of the quota is an equal part, or its
-	// part of what the quotas of all tenants allow if it is seen to complete more.
-	part := max(1/float64(b.settings.RouterCount), b.completionRate()/max(1, b.tenants.totalQuota))
-	rate := tenant.quota * part
+	// Other routers may be down or carry other traffic. So this router's quotaFraction of the quota is an equal quotaFraction, or its
+	// quotaFraction of what the quotas of all tenants allow if it is seen to complete more.
+	quotaFraction := max(1/float64(b.settings.RouterCount), b.completionRate()/max(1, b.tenants.totalQuota))
+	rate := tenant.quota * quotaFraction
 	tenant.tokens = min(tenant.tokens+rate*(b.now-tenant.refilledAt), max(minTenantBurst, rate))
 	tenant.refilledAt = b.now
 	if tenant.tokens < 1 {
--- a/balancer/trafficclass_test.go
+++ b/balancer/trafficclass_test.go
@@ -9,7 +9,7 @@
 func TestLaterTriesAreToldByTheTimeLeft(t *testing.T) {
 	for timeLeft, want := range map[float64]float64{1: 1, 1.9: 1, 1.5: 0} {
 		b, _ := newTestBalancer(1, nil)
-		b.classes.byName["view"].firstTry = firstTryTime{timeLeft: 1, votes: 9}
+		b.classes.byName["view"].clientTimeout = clientTimeoutEstimate{timeLeft: 1, votes: 9}
 		b.OnRequest(10, 5, "view", "", "k", timeLeft)
 		expectEqual(t, fmt.Sprint("value with ", timeLeft, " left"), b.requests[5].valueFraction, want)
 	}
@@ -19,7 +19,7 @@
 func TestClientInAHurryIsNotLate(t *testing.T) {
 	for timeLeft, want := range map[float64]float64{0.39: 1, 0.74: 0} {
 		b, _ := newTestBalancer(1, nil)
-		b.classes.byName["view"].firstTry = firstTryTime{timeLeft: 1, votes: 9}
+		b.classes.byName["view"].clientTimeout = clientTimeoutEstimate{timeLeft: 1, votes: 9}
 		b.OnRequest(10, 5, "view", "", "k", timeLeft)
 		expectEqual(t, fmt.Sprint("value with ", timeLeft, " left"), b.requests[5].valueFraction, want)
 		expectEqual(t, "objective ahead", b.requests[5].objectiveAt > 10, want > 0)
--- a/balancer/zoneshare.go
+++ b/balancer/zoneshare.go
@@ -21,7 +21,7 @@
 		return true
 	}
 	zoneHash := uint64(crc32.ChecksumIEEE([]byte(zone)))
-	return float64(seedhash.Mix(keyHash, zoneHash)) < (1-withheld)*two32
+	return float64(seedhash.Mix(keyHash, zoneHash)) < (1-withheld)*hashRange
 }
 
 // SetZoneShare sets the part of its keys, from 0 to 1, that a zone's servers answer for from now on. With share
--- a/internal/seedhash/seedhash.go
+++ b/internal/seedhash/seedhash.go
@@ -13,8 +13,8 @@
 	secondMultiplier = 0xc2b2ae35
 )
 
-// two32 is one more than the largest uint32, as a float64.
-const two32 = 1 << 32
+// uint32Range is one more than the largest uint32, as a float64.
+const uint32Range = 1 << 32
 
 // Mix hashes a number under a seed. CRC-32 alone is affine: inputs would compare alike under any seed, so its bits go through Avalanche.
 func Mix(seed uint32, value uint64) uint32 {
@@ -46,7 +46,7 @@
 }
 
 // Float64 draws a number from 0 up to, not including, 1.
-func (s *Sequence) Float64() float64 { return float64(s.Uint32()) / two32 }
+func (s *Sequence) Float64() float64 { return float64(s.Uint32()) / uint32Range }
 
 // Intn draws a number from 0 up to n-1; n is above 0.
 func (s *Sequence) Intn(n int) int { return int(uint64(s.Uint32()) * uint64(n) >> 32) }
