--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -6,13 +6,14 @@
 	"testing"
 )
 
-// setMeanValueOf makes a request's value the mean of all.
+// setMeanValueOf makes the value of a request the mean value.
 func setMeanValueOf(b *Balancer, req *request) {
 	b.shedding.meanValue = req.class.PriorityWeight / req.class.meanLatency
 }
 
-// With an attempt in flight nearly half were shed at servers that answered nine of ten in time.
-func TestRampWidensWhileNearlyAllIsInTime(t *testing.T) {
+// With an attempt in flight, the shedding limit was so low that nearly half of the requests were shed at servers
+// that answered nine of ten on time.
+func TestSheddingLimitWidensAtHighOnTimeRate(t *testing.T) {
 	for _, ordered := range []bool{false, true} {
 		b, _ := newTestBalancer(1, func(s *Settings) { s.OrderedConnections = ordered })
 		server := b.servers.byID[1]
@@ -27,41 +28,42 @@
 		req := requestWithAttempt(b, "view", nil, false, true)
 		setMeanValueOf(b, req)
 		for range 50 {
-			expectEqual(t, fmt.Sprint("shed where ordered is ", ordered), b.shedsForLatency(req, server), ordered)
+			expectEqual(t, fmt.Sprint("shed with ordered connections: ", ordered), b.shedsForLatency(req, server), ordered)
 		}
 		for range 100 {
 			endAttempt(TimedOut, 0.5, false)
 		}
-		expectEqual(t, "late ones count", b.recent.onTimeRate < 0.3, true)
+		expectEqual(t, "on-time rate below 0.3 after late attempts", b.recent.onTimeRate < 0.3, true)
 	}
 }
 
-// The one attempt of each router kept an overloaded server overloaded.
-func TestIdleConnectionDoesNotKeepAnOverloadAlive(t *testing.T) {
+// Without a latency limit at idle servers, a single attempt from each router kept an overloaded server overloaded.
+func TestIdleServerShedsBeyondLatencyObjective(t *testing.T) {
 	b, _ := newTestBalancer(1, nil)
 	server := b.servers.byID[1]
 	req := requestWithAttempt(b, "view", nil, false, true)
 	setMeanValueOf(b, req)
 	server.latency.slowness = 3
-	expectEqual(t, "slow, but in time", b.shedsForLatency(req, server), false)
+	expectEqual(t, "shed with an expected latency below the objective", b.shedsForLatency(req, server), false)
 	server.latency.slowness = 4.5
-	expectEqual(t, "too slow", b.shedsForLatency(req, server), true)
+	expectEqual(t, "shed with an expected latency above the objective", b.shedsForLatency(req, server), true)
 }
 
-// A class that was shed whole was never measured again.
-func TestShedClassIsAttemptedAgain(t *testing.T) {
+// A class whose requests are all shed gets no new latency samples. Its old mean latency must decay, or the class is
+// shed forever.
+func TestShedClassIsAdmittedAfterLatencyDecays(t *testing.T) {
 	b, _ := newTestBalancer(1, nil)
 	req := requestWithAttempt(b, "view", nil, false, true)
 	req.class.meanLatency = 1
 	req.class.latencyAt = 0
 	b.shedding.meanValue = req.class.PriorityWeight
-	expectEqual(t, "at once", b.shedsForLatency(req, b.servers.byID[1]), true)
+	expectEqual(t, "shed before the latency decays", b.shedsForLatency(req, b.servers.byID[1]), true)
 	b.now = 16 * req.class.LatencyObjective
 	req.objectiveAt = b.now + req.class.LatencyObjective
-	expectEqual(t, "later", b.shedsForLatency(req, b.servers.byID[1]), false)
+	expectEqual(t, "shed after 16 latency objectives", b.shedsForLatency(req, b.servers.byID[1]), false)
 }
 
-// offeredLoad is requests of one class that arrive for some time. What is attempted ends at once.
+// offeredLoad is a stream of requests of one class. Attempts end immediately.
 type offeredLoad struct {
 	from, to float64 // seconds
 	rate     float64 // requests a second
@@ -69,8 +71,8 @@
 	outcome  func(now float64) Outcome
 }
 
-// run offers the load, and returns the longest time in seconds in which 15 or more requests were rejected with no
-// attempt started, and how many were attempted.
+// run offers the load. It returns the longest time, in seconds, in which 15 or more requests were rejected without
+// an attempt, and the number of requests that were attempted.
 func (l offeredLoad) run(b *Balancer) (longestPause float64, attempted int) {
 	lastAttemptAt := l.from
 	rejected := 0
@@ -101,7 +103,7 @@
 	return func(float64) Outcome { return how }
 }
 
-// setMeanLatencies makes all classes as slow, and their values the mean.
+// setMeanLatencies sets the mean latency of all classes, in seconds, and the mean value of requests.
 func setMeanLatencies(b *Balancer, latency, meanValue float64) {
 	for _, class := range b.classes.byName {
 		class.meanLatency = latency
@@ -109,9 +111,9 @@
 	b.shedding.meanValue = meanValue
 }
 
-// A class's mean latency fades over eight latency objectives; until it had, all was shed, and the first that
-// was attempted brought it back.
-func TestAfterAnOverloadTheTenthIsAttempted(t *testing.T) {
+// After an overload, the mean latency of a class decays only over eight latency objectives. Without trial attempts,
+// all requests were shed until then, and the first attempt brought the high mean back.
+func TestTrialAttemptsAfterOverload(t *testing.T) {
 	for _, objective := range []float64{0.08, 0.4, 1, 10} {
 		for times := 2.0; times <= 8; times++ {
 			overLimit := 0
@@ -137,16 +139,17 @@
 				}
 			}
 			if overLimit > 0 {
-				t.Errorf("an objective of %v s, a mean of %v times that: %d of 200 routers rejected 15 or more "+
-					"for over 4 s with no attempt, the worst for %.1f s", objective, times, overLimit, longest)
+				t.Errorf("latency objective %v s, mean latency %v times that: %d of 200 routers rejected 15 or more "+
+					"requests without an attempt for more than 4 s, want 0; longest time %.1f s",
+					objective, times, overLimit, longest)
 			}
 		}
 	}
 }
 
-// With nothing left that succeeded, one in 32 was attempted by chance: one router of six began none for over
-// four seconds.
-func TestAfterErrorsTheTenthIsAttempted(t *testing.T) {
+// After an outage no recent attempt has succeeded, and one request in 32 was attempted at random. Without trial
+// attempts, one router of six started no attempt for more than four seconds.
+func TestTrialAttemptsAfterServerErrors(t *testing.T) {
 	failingFor16Seconds := func(now float64) Outcome {
 		if now >= 10 && now < 26 {
 			return ServerError
@@ -165,28 +168,29 @@
 			}
 		}
 		if overLimit > 0 {
-			t.Errorf("%v a second, all failing for 16 s: %d of 200 routers rejected 15 or more for over 4 s with no "+
-				"attempt, the worst for %.1f s", rate, overLimit, longest)
+			t.Errorf("%v requests/s, all failing for 16 s: %d of 200 routers rejected 15 or more requests "+
+				"without an attempt for more than 4 s, want 0; longest time %.1f s", rate, overLimit, longest)
 		}
 	}
 }
 
-// What is attempted in an overload must not keep it up: a tenth where little comes, one each latency objective,
-// 0.4 s, where much does.
-func TestWhatIsAttemptedInAnOverloadIsBounded(t *testing.T) {
+// Trial attempts must not sustain an overload. They are a tenth of the requests at low rates, and one per latency
+// objective, 0.4 s, at high rates.
+func TestTrialAttemptsUnderOverloadAreBounded(t *testing.T) {
 	for rate, most := range map[float64]int{1: 3, 5: 15, 20: 60, 500: 76} {
 		b, _ := newTestBalancer(6, nil)
 		setMeanLatencies(b, 1e6, 1e-6)
 		_, attempted := offeredLoad{to: 30, rate: rate, class: "view", outcome: alwaysEndWith(Cancelled)}.run(b)
 		if attempted > most || attempted < most*2/3 {
-			t.Errorf("%d of %v requests were attempted in an overload, want at most %d", attempted, 30*rate, most)
+			t.Errorf("%d of %v requests were attempted under overload, want at most %d and at least 2/3 of that",
+				attempted, 30*rate, most)
 		}
 	}
 }
 
-// The rule on servers that are warming up goes before it: however much was rejected, one gets no more than its
-// budget.
-func TestTheTenthKeepsToTheSlowStartBudget(t *testing.T) {
+// The overload rule takes precedence over trial attempts: however many requests were rejected, a server that is
+// warming up gets no more attempts than its slow-start budget holds.
+func TestTrialAttemptsRespectSlowStartBudget(t *testing.T) {
 	for budget, want := range []int{0, 1} {
 		b, host := newTestBalancer(1, nil)
 		b.servers.byID[1].slowStart = slowStart{startedAt: 1, refilledAt: 1, budget: float64(budget)}
@@ -197,11 +201,11 @@
 			b.OnRequest(1, n, "view", "", fmt.Sprint("k", n), 2)
 		}
 		attempts := strings.Count(fmt.Sprint(host.actions), "attempt")
-		expectEqual(t, fmt.Sprint("attempts with a budget of ", budget), attempts, want)
+		expectEqual(t, fmt.Sprint("attempts with a slow-start budget of ", budget), attempts, want)
 	}
 }
 
-func TestRejectingAnswersAtOnce(t *testing.T) {
+func TestRejectSendsFinalAnswer(t *testing.T) {
 	for class, want := range map[string]string{"view": "reject 7 after true", "pay": "fail 7"} {
 		b, host := newTestBalancer(1, nil)
 		b.reject(requestWithAttempt(b, class, b.servers.byID[1], false, false), ReasonNoTime)
@@ -210,8 +214,8 @@
 	}
 }
 
-// A rejection tells why.
-func TestReasons(t *testing.T) {
+// Without a server, under overload, and without time for a retry, the reasons differ.
+func TestRejectReasons(t *testing.T) {
 	host := &reasonRecorder{}
 
 	b, _ := newTestBalancer(0, nil)
@@ -230,5 +234,5 @@
 	b.OnAttemptEnd(1.99, 7, 0, Overloaded, 1.99, false)
 
 	want := []RejectReason{ReasonNoEndpoint, ReasonOverloaded, ReasonNoTime}
-	expectEqual(t, "the reasons", fmt.Sprint(host.reasons), fmt.Sprint(want))
+	expectEqual(t, "reject reasons", fmt.Sprint(host.reasons), fmt.Sprint(want))
 }
--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -2,31 +2,31 @@
 
 import "slices"
 
-// request is a client's request, from its arrival until its final answer is out and no attempt is in flight.
+// request is a client's request, kept until its final answer has been sent and no attempt is in flight.
 type request struct {
 	id            uint64
 	class         *classState
 	keyHash       uint32
-	replicas      float64      // how many of the nearest servers share its key
-	valueFraction float64      // part of its priority weight that an answer is still worth
-	chargedTenant *tenantState // whose token it took; nil for none
-	retryBudget   *float64     // what its retries come from
-	streaming     bool         // the stream of its answer has begun
-	answered      bool         // its final answer is out, or its client has gone
-	objectiveAt   float64      // seconds, until when an answer is in time
-	deadline      float64      // seconds, when its client gives up
+	replicas      float64      // number of nearest servers that share its key
+	valueFraction float64      // fraction of its priority weight that an answer is still worth
+	chargedTenant *tenantState // tenant whose token it took; nil if none
+	retryBudget   *float64     // tokens that its retries consume
+	streaming     bool         // a streamed answer has begun
+	answered      bool         // its final answer was sent, or its client has disconnected
+	objectiveAt   float64      // seconds, until when an answer is on time
+	deadline      float64      // seconds, until when an answer reaches the client
 	attempts      []*attempt
 }
 
-// slot is the slot of the request's key on the ring.
+// slot returns the slot of the request's key on the ring.
 func (r *request) slot() uint32 { return r.keyHash % ringSlots }
 
-// anyAttempt reports whether one of the attempts matches.
+// anyAttempt reports whether at least one of the attempts matches.
 func (r *request) anyAttempt(matches func(*attempt) bool) bool {
 	return slices.ContainsFunc(r.attempts, matches)
 }
 
-// attemptedOn reports whether a server was already sent the request.
+// attemptedOn reports whether the request was already sent to a server.
 func (r *request) attemptedOn(server *serverState) bool {
 	for _, earlier := range r.attempts {
 		if earlier.server == server {
@@ -43,16 +43,17 @@
 	number      int     // among the request's attempts, from 0
 	sentAt      float64 // seconds
 	inFlight    bool
-	notExecuted bool // proved never to have been executed
-	serverError bool // its server answered with an error
+	notExecuted bool // proved not to have been executed
+	serverError bool // the server answered with an error
 }
 
 func (a *attempt) isInFlight() bool { return a.inFlight }
 
-// startAttempt sends a request to a server. It panics if the rules forbid the attempt: callers have asked mayAttempt.
+// startAttempt sends a request to a server. It panics if the rules forbid the attempt; callers check mayAttempt
+// first.
 func (b *Balancer) startAttempt(req *request, server *serverState) {
 	if !b.mayAttempt(req, server) {
-		panic("an attempt that the rules forbid")
+		panic("balancer: startAttempt called for an attempt that mayAttempt forbids")
 	}
 	started := &attempt{request: req, server: server, number: len(req.attempts), sentAt: b.now, inFlight: true}
 	req.attempts = append(req.attempts, started)
@@ -65,9 +66,9 @@
 	b.host.StartAttempt(req.id, server.ID, timeout, b.writeTimeout(req, started, timeout))
 }
 
-// attemptTimeout is how long an attempt may take, in seconds. It may take until the client's deadline, except on a
-// server that just failed: there it ends while a retry elsewhere still fits into the latency objective. On a server
-// that works, an early end may not stop the work, and a retry would do no better.
+// attemptTimeout returns the timeout of an attempt, in seconds. It is the time until the client's deadline, except
+// on a server that has just failed: there the attempt ends while a retry elsewhere still fits into the latency
+// objective. On a working server an early timeout may not stop the execution, and a retry would be no faster.
 func (b *Balancer) attemptTimeout(req *request, server *serverState) float64 {
 	untilDeadline := req.deadline - b.now
 	untilRetry := req.objectiveAt - req.class.meanLatency - b.now
@@ -78,9 +79,9 @@
 	return untilDeadline
 }
 
-// writeTimeout is the time in seconds within which an attempt is to be written to its server, or else not at all. A
-// repeat of a request with an idempotency key that waited for a connection beyond the deduplication window would take
-// effect twice: the window of the first attempt that may have been executed bounds it.
+// writeTimeout returns the time, in seconds, within which an attempt must be written to its server; after that it
+// is not sent. A repeat of a request with an idempotency key takes effect twice if it waits for a connection beyond
+// the deduplication window. Therefore the window of the first attempt that may have been executed bounds the time.
 func (b *Balancer) writeTimeout(req *request, started *attempt, timeout float64) float64 {
 	if req.class.Idempotency != IdempotencyKeyed {
 		return timeout
@@ -93,8 +94,9 @@
 	return timeout
 }
 
-// OnStreamStart is called when a client begins to get a streamed answer, from the number-th attempt of its request.
-// From here on the deadline does not end the request, there is no retry, and its other attempts are cancelled.
+// OnStreamStart is called when a client begins to receive a streamed answer, from the number-th attempt of its
+// request. From then on the deadline does not end the request, there is no retry, and its other attempts are
+// cancelled.
 func (b *Balancer) OnStreamStart(now float64, id uint64, number int) {
 	b.now = now
 	req := b.requests[id]
@@ -105,9 +107,9 @@
 	b.cancelAttempts(req, func(a *attempt) bool { return a.number != number })
 }
 
-// OnAttemptEnd is called when the number-th attempt of a request ends, after latency seconds. If it is final, the
-// client has got its answer by it; otherwise the request is retried or gets its final answer now. Unknown attempts
-// are ignored.
+// OnAttemptEnd is called when the number-th attempt of a request ends, after latency seconds. If final is set, the
+// client has received its answer from this attempt; otherwise the request is retried or gets its final answer now.
+// Unknown attempts are ignored.
 func (b *Balancer) OnAttemptEnd(now float64, id uint64, number int, outcome Outcome, latency float64, final bool) {
 	b.now = now
 	req := b.requests[id]
@@ -127,7 +129,7 @@
 	b.retry(req, ended, outcome)
 }
 
-// provesNotExecuted reports whether the server surely did not execute the attempt.
+// provesNotExecuted reports whether the outcome proves that the server did not execute the attempt.
 func (o Outcome) provesNotExecuted() bool {
 	switch o {
 	case Overloaded, ConnectFailed, NotAttempted, CacheMiss:
@@ -136,7 +138,7 @@
 	return false
 }
 
-// OnClientGone is called when a request's client has gone: the request needs no answer any more.
+// OnClientGone is called when a request's client has disconnected: the request needs no answer any more.
 func (b *Balancer) OnClientGone(now float64, id uint64) {
 	b.now = now
 	req := b.requests[id]
@@ -145,7 +147,8 @@
 	}
 }
 
-// finish marks a request as answered, cancels its attempts in flight, and forgets it once none is in flight.
+// finish marks a request as answered, cancels its attempts in flight, and removes the request when no attempt is in
+// flight.
 func (b *Balancer) finish(req *request) {
 	if !req.answered {
 		req.answered = true
@@ -156,7 +159,7 @@
 	}
 }
 
-// cancelAttempts cancels those attempts in flight of a request that are chosen, if the settings allow cancellation.
+// cancelAttempts cancels the matching attempts in flight of a request, if the settings allow cancellation.
 func (b *Balancer) cancelAttempts(req *request, matches func(*attempt) bool) {
 	if !b.settings.CancellationAllowed {
 		return
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-func TestLateEventsOfAnEndedRequest(t *testing.T) {
+func TestLateEventsOfAnsweredRequestAreIgnored(t *testing.T) {
 	b, host := newTestBalancer(1, nil)
 	req := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
 	req.answered = true
@@ -20,8 +20,9 @@
 	expectEqual(t, "in flight at the server", len(b.servers.byID[1].inFlight), 0)
 }
 
-// Where nothing stops the work, ending attempts early under load wasted it.
-func TestNoEarlyTimeoutOnAServerThatAnswers(t *testing.T) {
+// Where the end of an attempt does not stop the execution, early timeouts under load wasted the work of servers.
+// Only a server that has just failed gets an early timeout.
+func TestEarlyTimeoutOnlyOnFailingServer(t *testing.T) {
 	for failures, want := range map[int]bool{0: false, 1: true} {
 		b, _ := newTestBalancer(1, func(s *Settings) { s.HedgingAllowed = false })
 		host := &timeoutRecorder{}
@@ -37,22 +38,23 @@
 			retryBudget: &b.retryBudgets.shared,
 		}
 		b.startAttempt(req, server)
-		expectEqual(t, fmt.Sprint("early timeout after failures: ", failures), host.timeout < 1, want)
+		expectEqual(t, fmt.Sprint("early timeout with failures: ", failures), host.timeout < 1, want)
 	}
 }
 
-// A repeat of a request with an idempotency key that waits for a connection beyond its window would take effect
-// twice. What is proved never to have run bounds nothing, nor is any other class bound.
-func TestARepeatIsWrittenWithinItsWindow(t *testing.T) {
+// A repeat of a request with an idempotency key takes effect twice if it waits for a connection beyond the
+// deduplication window, so the window bounds its write timeout. An attempt that was proved not to have been
+// executed sets no bound, and other classes have none.
+func TestRetryIsWrittenWithinDeduplicationWindow(t *testing.T) {
 	for _, c := range []struct {
 		name, class string
 		notExecuted bool // the earlier attempt
 		want        float64
 	}{
-		{"keyed, may have run", "amend", false, 0.7},
-		{"keyed, never run", "amend", true, 1.6},
-		{"idempotent, may have run", "view", false, 1.6},
-		{"idempotent, never run", "view", true, 1.6},
+		{"keyed, may have been executed", "amend", false, 0.7},
+		{"keyed, not executed", "amend", true, 1.6},
+		{"idempotent, may have been executed", "view", false, 1.6},
+		{"idempotent, not executed", "view", true, 1.6},
 	} {
 		b, _ := newTestBalancer(2, nil)
 		host := &timeoutRecorder{}
--- a/balancer/balancer.go
+++ b/balancer/balancer.go
@@ -6,18 +6,18 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// hashRange is one more than the largest hash, as a float64.
+// hashRange is the number of 32-bit hash values.
 const hashRange = 1 << 32
 
-// Balancer decides for one pool of servers at one router. It is not safe for concurrent use.
+// Balancer makes the decisions for one pool of servers at one router. It is not safe for concurrent use.
 type Balancer struct {
 	host      Host
 	settings  Settings
-	now       float64             // seconds, of the current call
-	random    seedhash.Sequence   // the one source of chance
-	requests  map[uint64]*request // those without a final answer, or with an attempt in flight
-	inFlight  int                 // attempts, of all requests
-	fleetSize float64             // routers, by the settings or as many as are heard
+	now       float64             // seconds, time of the current call
+	random    seedhash.Sequence   // source of all random numbers
+	requests  map[uint64]*request // requests without a final answer, or with an attempt in flight
+	inFlight  int                 // attempts in flight, of all requests
+	fleetSize float64             // routers: the configured number, or the number in contact if that is greater
 
 	classes      trafficClasses
 	tenants      tenantQuotas
@@ -26,20 +26,20 @@
 	ring         ring
 	zones        zoneShares
 	hotKeys      hotKeys
-	errorsBySlot [ringSlots]float64 // errors in a row, at several servers, of requests for a slot's keys
+	errorsBySlot [ringSlots]float64 // consecutive errors, from several servers, of requests for a slot's keys
 	recent       recentOutcomes
 	completions  completions
-	totalLoad    decayingLoad // reported, of all caches together
+	totalLoad    decayingLoad // reported load of all caches together
 	gossip       gossipQueue
 	shedding     sheddingState
 	polling      endpointPolling
 }
 
-// assumedCompletionHistory is how many seconds ago the counting of completions is taken to have begun where their rate is known
-// at the start.
+// assumedCompletionHistory is the time, in seconds, for which completions count as recorded before the start where
+// the settings state their rate.
 const assumedCompletionHistory = 1e3
 
-// New starts a balancer at a time, in seconds. It may call the host before it returns.
+// New starts a balancer at time now, in seconds. It may call the host before it returns.
 func New(now float64, settings Settings, host Host) *Balancer {
 	settings.RouterCount = max(1, settings.RouterCount)
 	b := &Balancer{
@@ -69,8 +69,8 @@
 }
 
 // OnRequest is called when a request arrives, from a client that gives up after timeLeft seconds. The request is
-// attempted or rejected at once. One with an empty key belongs to no server: such requests are spread over all by
-// their ids.
+// attempted or rejected before the call returns. Requests with an empty key are spread over all servers by their
+// ids.
 func (b *Balancer) OnRequest(now float64, id uint64, class, tenant, key string, timeLeft float64) {
 	b.now = now
 	req := b.newRequest(id, class, key, timeLeft)
@@ -88,7 +88,7 @@
 	b.startAttempt(req, server)
 }
 
-// newRequest counts the use of a key and returns the record of a request for it.
+// newRequest counts a use of the key and returns the record of a request.
 func (b *Balancer) newRequest(id uint64, className, key string, timeLeft float64) *request {
 	class := b.classOf(className, timeLeft)
 	keyHash := seedhash.Avalanche(crc32.ChecksumIEEE([]byte(key)))
@@ -102,13 +102,13 @@
 		replicas:      b.replicasFor(keyHash%ringSlots, class),
 		valueFraction: 1,
 		objectiveAt:   b.now + class.LatencyObjective,
-		// An answer takes effect with the next event: it leaves one event interval before the client gives up.
+		// An answer takes effect with the next event, so it is due one event interval before the client gives up.
 		deadline: b.now + timeLeft - b.settings.EventInterval,
 	}
 }
 
-// SetFleetSize sets how many routers there are, by those that are heard. Where fewer are heard than the settings say,
-// the settings hold: some cannot be heard.
+// SetFleetSize sets the number of routers, counted by those that this router is in contact with. The configured
+// number is used instead if it is greater, since some routers may be out of contact.
 func (b *Balancer) SetFleetSize(now float64, routers int) {
 	b.now = now
 	b.fleetSize = float64(max(b.settings.RouterCount, routers))
--- a/balancer/balancer_test.go
+++ b/balancer/balancer_test.go
@@ -5,13 +5,13 @@
 	"testing"
 )
 
-func TestEmptyListRejectsAtOnce(t *testing.T) {
+func TestEmptyEndpointListRejectsRequests(t *testing.T) {
 	b, host := newTestBalancer(0, nil)
 	b.OnRequest(1, 5, "view", "", "k", 1)
 	expectEqual(t, "answer", host.lastAction(), "reject 5 after true")
 }
 
-func TestZeroSettingsAreHarmless(t *testing.T) {
+func TestZeroSettingsHandleEveryRequest(t *testing.T) {
 	host := &recordingHost{}
 	b := New(0, Settings{
 		TrafficClasses: []TrafficClass{{Name: "view"}},
@@ -26,12 +26,12 @@
 		b.OnRequest(1, i, class, "a", "", float64(i%3)-1)
 		b.OnAttemptEnd(1, i, 0, Outcome(i%12), 0, false)
 	}
-	expectEqual(t, "each request has an attempt or an answer", len(host.actions) >= 50, true)
+	expectEqual(t, "each request has at least one action", len(host.actions) >= 50, true)
 }
 
-// Hundreds of routers and servers: what is kept of gossip and of requests stays bounded, and what has gone is
-// forgotten.
-func TestHundredsOfRoutersAndServersStayBounded(t *testing.T) {
+// With hundreds of routers and servers, the queued gossip records and the requests stay bounded, and removed
+// servers and ended requests are dropped.
+func TestStateIsBoundedInLargeFleets(t *testing.T) {
 	b, host := newTestBalancer(500, func(s *Settings) {
 		s.GossipAllowed = true
 		s.RouterCount = 400
@@ -50,8 +50,8 @@
 	}
 	expectEqual(t, "requests kept", len(b.requests), 0)
 	expectEqual(t, "servers kept", len(b.servers.byID), 100)
-	expectEqual(t, "records waiting are at most a message", len(b.gossip.pending) <= gossipMessageSize, true)
+	expectEqual(t, "queued records fit into one message", len(b.gossip.pending) <= gossipMessageSize, true)
 	maxMessages := 0.005*1000/(16*399/256.0*0.01) + 5
 	messages := float64(len(host.actions) - 1000)
-	expectEqual(t, "messages are within what they may cost, and the first", messages < maxMessages, true)
+	expectEqual(t, "messages are within the gossip budget", messages < maxMessages, true)
 }
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -1,10 +1,10 @@
 // Package balancer decides which server gets a request, whether a request is rejected, and whether it is
-// attempted again.
+// retried.
 //
-// It is a state machine without I/O: events come in as method calls, actions go out through the Host, before
-// the method returns. It starts no goroutine, reads no clock, and draws chance from a seeded sequence, so equal
-// calls lead to equal actions: a recorded day can be replayed, and the simulator and the real router run the
-// same text. One goroutine makes all calls of a Balancer, the event loop of its pool. Every method takes the
+// It is a state machine without I/O: events arrive as method calls, and actions go out through the Host before
+// the method returns. It starts no goroutine, reads no clock, and draws random numbers from a seeded sequence, so
+// equal calls lead to equal actions: a recorded run can be replayed, and the simulator and the real router run the
+// same code. One goroutine makes all calls of a Balancer, the event loop of its pool. Every method takes the
 // current time; times and durations are seconds, as float64, everywhere in this package.
 //
 //	b := balancer.New(now, settings, host)        // calls the host from now on
@@ -15,49 +15,49 @@
 //
 // # Events and actions
 //
-// A request comes with OnRequest. It ends with Host.Reject, with Host.Fail, with OnAttemptEnd that is final, or
-// with OnClientGone. In between, each Host.StartAttempt is answered by one OnAttemptEnd, also where
-// Host.CancelAttempt was called. OnStreamStart says that the client has begun to get an answer: no other
-// attempt follows.
+// A request arrives with OnRequest. It ends with Host.Reject, with Host.Fail, with a final OnAttemptEnd, or with
+// OnClientGone. In between, each Host.StartAttempt is followed by one OnAttemptEnd, even after
+// Host.CancelAttempt. OnStreamStart reports that the client has begun to receive an answer: no other attempt
+// follows.
 //
-// The servers come with OnEndpoints; SetDisabled (an operator), SetZoneShare (a zone is failing or recovering)
-// and SetFleetSize (routers that are heard) change what may be sent to them. SetTrafficClasses replaces the
-// classes of requests. OnGossip brings what a peer's Host.Gossip sent. OnTimer ends a Host.SetTimer.
+// The servers arrive with OnEndpoints; SetDisabled (an operator), SetZoneShare (a zone is failing or recovering)
+// and SetFleetSize (routers in contact) change what may be sent to them. SetTrafficClasses replaces the
+// classes of requests. OnGossip delivers what a peer's Host.Gossip sent. OnTimer ends a Host.SetTimer.
 //
-// The course of a request is OnRequest in balancer.go, that of its attempts OnAttemptEnd in attempts.go.
+// OnRequest in balancer.go handles a new request, OnAttemptEnd in attempts.go the end of an attempt.
 //
-// # Which file answers which question
+// # Where each decision is made
 //
-//	question at night                         file and function
+//	question                                  file and function
 //	--------                                  -----------------
 //	why was this request rejected?            admission.go: admitRequest
 //	  after an attempt                        retries.go: admitRetry
 //	  by load (ReasonOverloaded)              admission.go: shedsForLatency, shedsForFailures
-//	  no server (ReasonNoEndpoint)            placement.go: pick, and what it asks in rules.go: mayAttempt
+//	  no server (ReasonNoEndpoint)            placement.go: pick; rules.go: mayAttempt
 //	  no time, no budget (ReasonNoTime)       retries.go: admitRetry
-//	why was it answered as failed?            rules.go: clientRetryIsHarmless; admission.go: reject
-//	why was it attempted under overload?      admission.go: mustAttemptAgain
+//	why did it fail?                          rules.go: clientRetryIsHarmless; admission.go: reject
+//	why was it attempted under overload?      admission.go: trialAttemptIsDue
 //	why did it go to this server?             placement.go: pick, nearestServer; ring.go: nearestNodes
 //	  and not to the nearest one?             placement.go: answersForKey; overload.go: overloaded
 //	  one of several for a hot key?           hotkeys.go: replicasFor; placement.go: pickReplica
 //	  the origin?                             retries.go: pickForRetry; origin.go: pickOrigin
 //	why was it not retried?                   rules.go: mayContinue; retries.go: admitRetry
-//	where is a retry bounded?                 retries.go: retryIsFree, admitRetry; retrybudget.go
+//	where are retries limited?                retries.go: retryIsFree, admitRetry; retrybudget.go
 //	                                          rules.go: mayContinue
 //	why did the attempt time out so early?    attempts.go: attemptTimeout, writeTimeout
 //	why is this server ejected?               outlier.go: ejected, countFailure, ejectByReport
-//	why is it not ejected for its errors?     outlier.go: errorFollowsRequest
-//	why does the warming server get nothing?  slowstart.go: hasSlowStartBudget; placement.go: answersForKey
+//	why is it not ejected for its errors?     outlier.go: errorIsDueToRequest
+//	why does a warming server get nothing?    slowstart.go: hasSlowStartBudget; placement.go: answersForKey
 //	why does a slow server get fewer keys?    latency.go: observeSlowness; loadreport.go: rebalanceKeyShares
 //	what happens when a zone is evacuated?    zoneshare.go: SetZoneShare, serves
 //	what does a disabled server still get?    endpoints.go: SetDisabled; rules.go: mayAttempt
-//	what does a tenant beyond its quota get?  tenants.go: chargeTenant; admission.go: shedsForLatency
-//	what do peers tell, and what counts?      gossip.go: reportAttempt, OnGossip; loadreport.go: fewSamples
-//	why is the list polled again?             endpointpolling.go: retryPolling, OnTimer
+//	what happens beyond a tenant's quota?     tenants.go: chargeTenant; admission.go: shedsForLatency
+//	what do peers report, when is it used?    gossip.go: reportAttempt, OnGossip; loadreport.go: fewSamples
+//	why is the list polled for again?         endpointpolling.go: retryPolling, OnTimer
 //
 // # The mechanism
 //
 // A key and a server's virtual nodes are each a slot in a table of circular hypervectors (hypervector.go), and
-// a key goes to the virtual node with the least Hamming distance (ring.go), the same one at every router. It is
-// Hyperdimensional Hashing; docs/design.md lists the departures from it, and their reasons.
+// a key goes to the virtual node with the least Hamming distance (ring.go), the same one at every router. This is
+// Hyperdimensional Hashing; docs/design.md lists the deviations from it, and the reasons for them.
 package balancer
--- a/balancer/endpointpolling.go
+++ b/balancer/endpointpolling.go
@@ -1,34 +1,35 @@
 package balancer
 
-// The names of the timers. The host gives them back to OnTimer.
+// The names of the timers, which the host passes back to OnTimer.
 const (
 	pollTimer      = "watch"   // checks whether a poll was answered
 	retryPollTimer = "rewatch" // polls again after a failed poll
 )
 
 const (
-	// minPollCheckInterval is the least time after which an unanswered poll is repeated, in seconds.
+	// minPollCheckInterval is the minimum time, in seconds, after which an unanswered poll is repeated.
 	minPollCheckInterval = 1
-	// minRetryDelayLimit is the least upper bound of the delay after failed polls, in seconds.
+	// minRetryDelayLimit is the lower bound of the maximum backoff after failed polls, in seconds.
 	minRetryDelayLimit = 1
-	// retryDelayJitterStart: the delay is drawn from this part of it on, up to one and this part.
+	// retryDelayJitterStart is the least jitter factor of the backoff: it is multiplied by a random number from
+	// retryDelayJitterStart up to 1 more.
 	retryDelayJitterStart = 0.5
 )
 
-// endpointPolling is the state of asking for the endpoint list, where it only comes when asked for.
+// endpointPolling is the state of polling for the endpoint list (Settings.PollEndpoints).
 type endpointPolling struct {
-	pendingSince float64 // seconds, when the list was last asked for; 0: answered, or failed
+	pendingSince float64 // seconds, when the unanswered poll was sent; 0: the last poll was answered or failed
 	retryDelay   float64 // seconds, the backoff after the last failure; 0: the last poll did not fail
 }
 
-// pollEndpoints asks for the list, and sets a timer that asks again if nothing comes at all.
+// pollEndpoints polls for the list, and sets a timer that repeats the poll if there is no answer.
 func (b *Balancer) pollEndpoints() {
 	b.polling.pendingSince = b.now
 	b.host.WatchEndpoints(true)
 	b.host.SetTimer(b.pollCheckInterval(), pollTimer)
 }
 
-// pollCheckInterval is after how many seconds a poll that was not answered is repeated.
+// pollCheckInterval returns the time, in seconds, after which an unanswered poll is repeated.
 func (b *Balancer) pollCheckInterval() float64 {
 	return max(minPollCheckInterval, b.settings.PollInterval/2)
 }
@@ -44,7 +45,7 @@
 	b.host.SetTimer(b.polling.retryDelay*jitter, retryPollTimer)
 }
 
-// OnTimer is called when a timer of Host.SetTimer ends. Unknown names are ignored.
+// OnTimer is called when a timer of Host.SetTimer expires. Unknown names are ignored.
 func (b *Balancer) OnTimer(now float64, name string) {
 	b.now = now
 	switch name {
--- a/balancer/endpointpolling_test.go
+++ b/balancer/endpointpolling_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestFailedPollsBackOffAndPollAgain(t *testing.T) {
+func TestFailedPollsAreRetriedWithBackoff(t *testing.T) {
 	b, host := newTestBalancer(1, func(s *Settings) {
 		s.PollEndpoints = true
 		s.PollInterval = 16
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -5,15 +5,15 @@
 	"slices"
 )
 
-// serverState is all that is known of one server, a cache or one of the origin's. It is kept as long as the list
-// names the server or an operator has disabled it.
+// serverState is the state of one server, a cache or one of the origin's. It is kept while the list contains the
+// server or an operator has disabled it.
 type serverState struct {
 	Endpoint
-	size         float64    // the largest weight it had since it started
+	size         float64    // largest weight since it started
 	virtualNodes int        // on the ring
-	keyShare     float64    // part of its virtual nodes that it answers for, from 0 to 1
+	keyShare     float64    // fraction of its virtual nodes that it answers for, from 0 to 1
 	disabled     bool       // by an operator
-	inFlight     []*attempt // of this router, the earliest first
+	inFlight     []*attempt // attempts of this router, the earliest first
 	latency      observedLatency
 	reported     reportedLoad
 	health       health
@@ -21,16 +21,16 @@
 	originLimit  originLimit
 }
 
-// serverSet holds the servers that the list names.
+// serverSet holds the servers of the endpoint list.
 type serverSet struct {
-	byID         map[uint64]*serverState // draining and disabled ones, too
-	ready        []*serverState          // the caches that may be sent requests, by id
-	origins      []*serverState          // the origin's servers that may be sent requests, by id
+	byID         map[uint64]*serverState // includes draining and disabled servers
+	ready        []*serverState          // caches that may be sent requests, by id
+	origins      []*serverState          // servers of the origin that may be sent requests, by id
 	meanSize     float64                 // of the ready caches
 	allWarmingUp bool                    // no ready cache was warm when the ring was last rebuilt
 }
 
-// newServer is a server of which nothing is known: one like the others.
+// newServer returns the state of a server without observations, which counts as average.
 func newServer() *serverState {
 	return &serverState{
 		keyShare: 1,
@@ -39,8 +39,8 @@
 	}
 }
 
-// OnEndpoints is called with each update of the endpoint list. For UpdateFailed there are no entries, and the list is
-// polled for again after a backoff.
+// OnEndpoints is called with each update of the endpoint list. UpdateFailed has no entries, and the list is polled
+// for again after a backoff.
 func (b *Balancer) OnEndpoints(now float64, update EndpointUpdate, entries []Endpoint) {
 	b.now = now
 	if update == UpdateFailed {
@@ -67,8 +67,8 @@
 	}
 }
 
-// listedServer returns the record of a server that the list names, a new one if need be; resetServer fills it once the
-// server is ready.
+// listedServer returns the record of a server in the list, and adds one if there is none; resetServer fills it when
+// the server becomes ready.
 func (b *Balancer) listedServer(id uint64) *serverState {
 	server := b.servers.byID[id]
 	if server == nil {
@@ -78,7 +78,7 @@
 	return server
 }
 
-// updateServer adopts what the list says of a server, and reports whether the ring has to be rebuilt.
+// updateServer applies an entry of the list to a server, and reports whether the ring has to be rebuilt.
 func (b *Balancer) updateServer(server *serverState, entry Endpoint) (changed bool) {
 	changed = server.State != entry.State || server.StartedAt != entry.StartedAt
 	restarted := entry.StartedAt > server.StartedAt || server.State != Ready
@@ -87,7 +87,7 @@
 	}
 	size := entry.Capacity
 	if b.settings.WeightMode == WeightsLive {
-		size = max(size, server.size) // its weight when it held nothing; smaller ones tell its load
+		size = max(size, server.size) // its weight without load; a smaller weight states its load
 	}
 	if size != server.size {
 		changed = true
@@ -101,7 +101,8 @@
 	return changed
 }
 
-// resetServer forgets what was known of a server that started, or is back. startedAt is by the list, in seconds.
+// resetServer discards the observations of a server that has started or is ready again. startedAt is the start time
+// in the list, in seconds.
 func (b *Balancer) resetServer(server *serverState, startedAt float64) {
 	reset := newServer()
 	reset.inFlight = server.inFlight
@@ -115,9 +116,9 @@
 	*server = *reset
 }
 
-// removeServers removes the servers that an update removes or, if it is not a delta, does not name. It reports whether
-// there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so that
-// a list that names them again does not enable them.
+// removeServers removes the servers that an update marks as removed or, unless it is a delta, does not contain. It
+// reports whether there were any. Attempts in flight there keep their record, and disabled servers stay in byID, so
+// that a list that contains them again does not enable them.
 func (b *Balancer) removeServers(update EndpointUpdate, listed map[*serverState]bool) (removed bool) {
 	for id, server := range b.servers.byID {
 		if server.State != Removed && (update == UpdateDelta || listed[server]) {
@@ -133,8 +134,8 @@
 	return removed
 }
 
-// SetDisabled disables a server for an operator, whatever the list says, or enables it again. An enabled server
-// counts as cold: it may have restarted meanwhile, before the list says so.
+// SetDisabled disables a server on behalf of an operator, whatever the list says, or enables it again. An enabled
+// server counts as warming up: it may have restarted while it was disabled, before the list reports the restart.
 func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
 	b.now = now
 	server := b.servers.byID[id]
@@ -151,7 +152,7 @@
 	b.rebuildRing()
 }
 
-// rebuildRing lists the servers that may be sent requests, and places their virtual nodes on the ring.
+// rebuildRing collects the servers that may be sent requests, and places their virtual nodes on the ring.
 func (b *Balancer) rebuildRing() {
 	set := &b.servers
 	set.ready = nil
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -10,9 +10,9 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current code")
 
-// gossipRecorder is a host that keeps the messages to peers.
+// gossipRecorder is a host that records the messages to peers.
 type gossipRecorder struct {
 	recordingHost
 	messages []string
@@ -22,7 +22,7 @@
 	r.messages = append(r.messages, hex.EncodeToString(message))
 }
 
-// gossipingBalancer is one of 80 routers, which sees little of each of ten servers.
+// gossipingBalancer starts the balancer of one of 80 routers, which gets few samples of each of ten servers.
 func gossipingBalancer(host Host) *Balancer {
 	b := New(0, Settings{
 		Seed:                3,
@@ -45,8 +45,9 @@
 	return b
 }
 
-// Routers of two builds gossip with each other: a record is the low 16 bits of a server's id, little endian,
-// and a byte for the latency over its class's mean, in 32nds, or 255 where the connection was refused.
+// Routers of different builds exchange gossip, so the encoding must not change: a record is the low 16 bits of a
+// server's id, little endian, and a byte for the latency relative to the mean of its class, in 32nds, or 255 where
+// the connection was refused.
 func TestGoldenGossipMessages(t *testing.T) {
 	host := &gossipRecorder{}
 	b := gossipingBalancer(host)
@@ -74,7 +75,8 @@
 	}
 }
 
-// What the build before sends is understood: its messages eject the server that refused, and load the others.
+// Messages of the previous build must be understood: a refused connection ejects its server, and other records
+// count as load.
 func TestGoldenGossipMessagesAreRead(t *testing.T) {
 	text, err := os.ReadFile("testdata/gossip.golden")
 	if err != nil {
@@ -85,7 +87,7 @@
 	for line := range strings.Lines(string(text)) {
 		message, err := hex.DecodeString(strings.TrimSpace(line))
 		if err != nil || len(message)%3 != 0 {
-			t.Fatalf("message %q: %v", line, err)
+			t.Fatalf("message %q: error %v, want hexadecimal records of 3 bytes", line, err)
 		}
 		for record := range slices.Chunk(message, 3) {
 			if id := uint64(record[0]) * 0x10101; record[2] == 255 && !slices.Contains(refused, id) {
@@ -95,13 +97,13 @@
 		b.OnGossip(1, message)
 	}
 	if len(refused) == 0 {
-		t.Fatal("no refused connection among the messages")
+		t.Fatal("the golden messages contain no refused connection")
 	}
 	b = gossipingBalancer(&gossipRecorder{})
 	for _, id := range refused {
 		b.OnGossip(1, []byte{byte(id), byte(id >> 8), 255})
 		if !b.Avoids(id) {
-			t.Errorf("server %#x is not ejected by a peer's report", id)
+			t.Errorf("server %#x is not ejected after a peer reported a refused connection", id)
 		}
 	}
 }
--- a/balancer/helpers_test.go
+++ b/balancer/helpers_test.go
@@ -7,7 +7,7 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// recordingHost is a host that writes down what the balancer does.
+// recordingHost is a host that records the actions of the balancer.
 type recordingHost struct{ actions []string }
 
 func (h *recordingHost) StartAttempt(request, server uint64, _, _ float64) {
@@ -29,7 +29,7 @@
 	h.actions = append(h.actions, fmt.Sprintf(format, args...))
 }
 
-// lastAction is the latest action, or nothing.
+// lastAction returns the latest action, or "" if there is none.
 func (h *recordingHost) lastAction() string {
 	if len(h.actions) == 0 {
 		return ""
@@ -37,7 +37,7 @@
 	return h.actions[len(h.actions)-1]
 }
 
-// reasonRecorder is a host that keeps why requests were rejected.
+// reasonRecorder is a host that records the reject reasons.
 type reasonRecorder struct {
 	recordingHost
 	reasons []RejectReason
@@ -47,7 +47,7 @@
 	h.reasons = append(h.reasons, reason)
 }
 
-// timeoutRecorder is a host that keeps the timeouts of the last attempt.
+// timeoutRecorder is a host that records the timeouts of the last attempt.
 type timeoutRecorder struct {
 	recordingHost
 	timeout, writeTimeout float64
@@ -58,8 +58,8 @@
 	h.writeTimeout = writeTimeout
 }
 
-// testSettings are those of one of two routers, with an idempotent class, one with idempotency keys, and one of
-// neither.
+// testSettings returns the settings of one of two routers, with three classes: an idempotent one, one with
+// idempotency keys, and one that is attempted at most once.
 func testSettings() Settings {
 	return Settings{
 		RouterCount:         2,
@@ -82,7 +82,7 @@
 	}
 }
 
-// newTestBalancer starts a balancer with servers 1 to n, long started. change may change its settings.
+// newTestBalancer starts a balancer with servers 1 to n, all warm. change, if not nil, may change its settings.
 func newTestBalancer(n int, change func(*Settings)) (*Balancer, *recordingHost) {
 	settings := testSettings()
 	if change != nil {
@@ -99,7 +99,7 @@
 	return b, host
 }
 
-// newGossipingBalancer starts one of 80 routers, which sees little of each server.
+// newGossipingBalancer starts the balancer of one of 80 routers, which gets few samples of each server.
 func newGossipingBalancer(n int) (*Balancer, *recordingHost) {
 	return newTestBalancer(n, func(s *Settings) {
 		s.GossipAllowed = true
@@ -108,7 +108,7 @@
 	})
 }
 
-// newLiveWeightBalancer starts one of 600 routers, of servers with these live weights.
+// newLiveWeightBalancer starts the balancer of one of 600 routers, with servers of these live weights.
 func newLiveWeightBalancer(seed uint32, weights ...float64) (*Balancer, *recordingHost) {
 	b, host := newTestBalancer(0, func(s *Settings) {
 		s.Seed = seed
@@ -120,7 +120,7 @@
 	return b, host
 }
 
-// newCacheAsideBalancer starts a balancer that asks the origin, 99, for what a cache lacks.
+// newCacheAsideBalancer starts a balancer that asks the origin, server 99, after a cache miss.
 func newCacheAsideBalancer(n int) (*Balancer, *recordingHost) {
 	b, host := newTestBalancer(n, func(s *Settings) {
 		s.CacheAside = true
@@ -139,7 +139,8 @@
 	return list
 }
 
-// requestWithAttempt is a request with one attempt on a server, nil for one of no list, in flight or not.
+// requestWithAttempt returns request 7 with one attempt, in flight or not, at a server; nil stands for a server
+// that is in no list.
 func requestWithAttempt(b *Balancer, class string, server *serverState, inFlight, notExecuted bool) *request {
 	if server == nil {
 		server = &serverState{}
@@ -160,7 +161,7 @@
 
 func anyServer(*serverState) bool { return true }
 
-// keysAnsweredBy is how many of 2000 keys a server answers for.
+// keysAnsweredBy returns how many of 2000 keys a server answers for.
 func (b *Balancer) keysAnsweredBy(server *serverState) (count int) {
 	for key := range uint32(2000) {
 		if b.nearestServer(seedhash.Avalanche(key), anyServer) == server {
@@ -170,7 +171,7 @@
 	return count
 }
 
-// passedOverFraction is the part of a thousand keys for which a server is passed over as overloaded.
+// passedOverFraction returns the fraction of 1000 keys for which a server is passed over as overloaded.
 func (b *Balancer) passedOverFraction(server *serverState) float64 {
 	count := 0
 	for key := range uint32(1000) {
--- a/balancer/hotkeys_test.go
+++ b/balancer/hotkeys_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// One key can ask more than a server bears, and no router sees it in flight.
-func TestHotKeyIsSharedByTheNearest(t *testing.T) {
+// A single hot key can exceed the capacity of a server, and no router detects that by its own attempts in flight.
+func TestHotKeyIsReplicatedOnNearestServers(t *testing.T) {
 	b, _ := newTestBalancer(40, nil)
 	class := b.classes.byName["view"]
 	b.replicasFor(5, class)
@@ -16,7 +16,7 @@
 		b.replicasFor(300+i, class)
 	}
 	req := requestWithAttempt(b, "view", nil, false, true)
-	expectEqual(t, "a third of all uses has many replicas", b.replicasFor(5, class) > 20, true)
+	expectEqual(t, "a key with a third of all uses has more than 20 replicas", b.replicasFor(5, class) > 20, true)
 	req.replicas = 3
 	picked := map[uint64]bool{}
 	for range 100 {
--- a/balancer/hypervector.go
+++ b/balancer/hypervector.go
@@ -12,7 +12,7 @@
 	hypervectorDimensions = 10000                                   // d: bits of a hypervector
 	ringSlots             = 4096                                    // n: hypervectors in the table, a power of two
 	flipsPerStep          = hypervectorDimensions / (ringSlots / 2) // d/m, rounded down: bits between neighbours
-	hypervectorTableSeed  = 0x8d3a                                  // any value serves
+	hypervectorTableSeed  = 0x8d3a                                  // arbitrary
 )
 
 const hypervectorWords = (hypervectorDimensions + 63) / 64
@@ -20,9 +20,9 @@
 // hypervector is a vector of hypervectorDimensions bits.
 type hypervector [hypervectorWords]uint64
 
-// hypervectorTable builds the circle by Algorithm 1 of the paper, once in a process. The first half of the
-// steps flips random bits; the second half undoes these flips in the order in which they were made, which
-// closes the circle.
+// hypervectorTable builds the circle by Algorithm 1 of the paper, once per process. The first half of the steps
+// flips random bits. The second half undoes these flips in the order in which they were made, which closes the
+// circle.
 var hypervectorTable = sync.OnceValue(func() *[ringSlots]hypervector {
 	var circle [ringSlots]hypervector
 	random := seedhash.NewSequence(hypervectorTableSeed)
@@ -50,7 +50,7 @@
 	return drawn
 }
 
-// flipRandomBits flips flipsPerStep different bits of next, which equals previous before.
+// flipRandomBits flips flipsPerStep distinct random bits of next, which initially equals previous.
 func flipRandomBits(next, previous *hypervector, random *seedhash.Sequence) {
 	for flipped := 0; flipped < flipsPerStep; {
 		bit := random.Uint32() % hypervectorDimensions
@@ -64,14 +64,14 @@
 	}
 }
 
-// undoStep flips the bits in which two neighbours of the first half differ.
+// undoStep flips the bits in which two neighbours of the first half, after and before, differ.
 func undoStep(next, after, before *hypervector) {
 	for word := range next {
 		next[word] ^= after[word] ^ before[word]
 	}
 }
 
-// hammingDistance counts the bits in which two hypervectors differ.
+// hammingDistance returns the number of bits in which two hypervectors differ.
 func hammingDistance(a, b *hypervector) (distance int) {
 	for word := range a {
 		distance += bits.OnesCount64(a[word] ^ b[word])
--- a/balancer/origin.go
+++ b/balancer/origin.go
@@ -3,21 +3,22 @@
 import "math"
 
 const (
-	// initialOriginLimit is how many attempts in flight a server of the origin may hold of this router at first.
+	// initialOriginLimit is the initial limit on this router's attempts in flight at a server of the origin.
 	initialOriginLimit = 4
 	minOriginLimit     = 1
-	// originLatencyDivisor: the origin keeps up as long as it answers within the latency objective over this.
+	// originLatencyDivisor sets the time within which an answer shows that the origin keeps up: the latency
+	// objective over this divisor.
 	originLatencyDivisor = 2
 )
 
-// originLimit bounds this router's attempts in flight at one server of the origin, by additive increase and
-// multiplicative decrease. All routers share the origin, and beyond what it can do it answers nothing at all.
+// originLimit limits this router's attempts in flight at one server of the origin, by additive increase and
+// multiplicative decrease. All routers share the origin, and beyond its capacity it answers nothing at all.
 type originLimit struct {
 	attempts  float64
 	loweredAt float64 // seconds
 }
 
-// isOrigin reports whether a server is one of the origin's, which hold all keys, and not a cache.
+// isOrigin reports whether a server belongs to the origin, which holds all keys, and is not a cache.
 func (b *Balancer) isOrigin(server *serverState) bool {
 	if !b.settings.CacheAside || server.MachineType == "" {
 		return false
@@ -25,8 +26,8 @@
 	return server.MachineType == b.settings.OriginMachineType
 }
 
-// pickOrigin returns the origin's server with the fewest attempts of this router in flight that has capacity for
-// one more and that the rules allow; nil if there is none.
+// pickOrigin returns the server of the origin with the fewest attempts of this router in flight, among those that
+// have capacity for one more and that the rules allow; nil if there is none.
 func (b *Balancer) pickOrigin(req *request) (best *serverState) {
 	for _, server := range b.servers.origins {
 		hasCapacity := float64(len(server.inFlight)) < server.originLimit.attempts*math.Sqrt(req.valueFraction)
@@ -40,8 +41,8 @@
 	return best
 }
 
-// adjustOriginLimit raises the limit by one for a full round of attempts that end in time, and lowers it by a third,
-// once a round, for one that does not. latency is in seconds.
+// adjustOriginLimit raises the limit by one for each full round of attempts that end in time. It lowers the limit
+// by a third, at most once per round, for an attempt that does not. latency is in seconds.
 func (b *Balancer) adjustOriginLimit(server *serverState, outcome Outcome, latency float64, class *classState) {
 	limit := &server.originLimit
 	inTime := outcome == Succeeded && latency < class.LatencyObjective/originLatencyDivisor
--- a/balancer/outcomes.go
+++ b/balancer/outcomes.go
@@ -3,47 +3,49 @@
 import "math"
 
 const (
-	// acceptanceSmoothing: one attempt moves the acceptance rate by one part in so many of the difference.
+	// acceptanceSmoothing is the smoothing divisor of the acceptance rate: one attempt moves the rate by
+	// 1/acceptanceSmoothing of the difference.
 	acceptanceSmoothing = 16
-	// initialAcceptanceRate is the acceptance rate before anything is known.
+	// initialAcceptanceRate is the acceptance rate before the first outcome.
 	initialAcceptanceRate = 0.5
-	// recentOutcomeDecay fades the counts of failed and succeeded attempts with each request that is judged by
-	// them.
+	// recentOutcomeDecay is the factor by which shedsForFailures decays the counts of failed and succeeded attempts
+	// at each request.
 	recentOutcomeDecay = 1 - 1.0/32
-	// minCompletionSpan is the least time, in seconds, over which completions are counted.
+	// minCompletionSpan is the minimum time, in seconds, over which completions are counted.
 	minCompletionSpan = 1
 )
 
-// recentOutcomes sums up how attempts ended of late, at all servers together.
+// recentOutcomes summarizes the outcomes of recent attempts at all servers.
 type recentOutcomes struct {
-	failed         float64 // attempts that failed, and requests that were shed since they would have; fading
-	succeeded      float64 // attempts that were answered; fading
-	acceptanceRate float64 // part of what was sent or rejected that caches answered, from 0 to 1
-	onTimeRate     float64 // part of the attempts that ended within the latency objective, from 0 to 1
+	failed         float64 // attempts that failed, and requests shed because they would have; decaying
+	succeeded      float64 // attempts that were answered; decaying
+	acceptanceRate float64 // fraction of what was sent or rejected that caches answered, from 0 to 1
+	onTimeRate     float64 // fraction of the attempts that ended within the latency objective, from 0 to 1
 }
 
-// completions counts the attempts that caches completed of late.
+// completions counts the attempts that caches completed recently.
 type completions struct {
-	rate        float64 // attempts a second, as of rateAt, over about a warm-up's time
+	rate        float64 // attempts per second, as of rateAt, averaged over completionSpan
 	rateAt      float64 // seconds
 	startedAt   float64 // seconds, when counting began
-	meanServers float64 // the mean number of ready servers while they were completed
+	meanServers float64 // mean number of ready servers at the completions
 }
 
-// completionRate is how many attempts a second the caches complete for this router, over about a warm-up's
-// time, or since the start if that is shorter.
+// completionRate returns the rate, in attempts per second, at which caches complete attempts for this router. It is
+// averaged over completionSpan, or over the time since the start if that is shorter.
 func (b *Balancer) completionRate() float64 {
 	span := b.completionSpan()
-	coveredFraction := 1 - math.Exp(-max(1, b.now-b.completions.startedAt)/span) // part of the span, at the start
+	// Shortly after the start, completions cover only a fraction of the span.
+	coveredFraction := 1 - math.Exp(-max(1, b.now-b.completions.startedAt)/span)
 	return b.completions.rate * math.Exp((b.completions.rateAt-b.now)/span) / coveredFraction
 }
 
-// completionSpan is the time in seconds over which completions are counted.
+// completionSpan returns the time, in seconds, over which completions are counted: the warm-up duration.
 func (b *Balancer) completionSpan() float64 {
 	return max(minCompletionSpan, b.settings.WarmupDuration)
 }
 
-// recordOutcome learns from the end of an attempt, after latency seconds.
+// recordOutcome records how an attempt ended, after latency seconds.
 func (b *Balancer) recordOutcome(ended *attempt, outcome Outcome, latency float64) {
 	server := ended.server
 	class := ended.request.class
@@ -51,7 +53,7 @@
 	if ended.serverError {
 		dueToRequest := b.errorIsDueToRequest(ended)
 		if dueToRequest {
-			// The server does its work: other requests must not be shed for such errors.
+			// The server works correctly: other requests must not be shed for such errors.
 			b.recent.succeeded++
 			return
 		}
@@ -64,7 +66,7 @@
 		return
 	case ServerError, ConnectFailed, ConnectionLost, TimedOut, OutcomeUnknown:
 		if outcome == TimedOut && latency < class.meanLatency {
-			return // the server had no time to answer
+			return // the attempt had less time than an answer takes on average
 		}
 		b.recordFailure(server, outcome, class)
 	default:
@@ -72,21 +74,21 @@
 	}
 	if b.isOrigin(server) {
 		b.adjustOriginLimit(server, outcome, latency, class)
-		return // latencies are learned from caches alone
+		return // latency statistics cover caches only
 	}
 	if outcome == CacheMiss {
-		return // a miss does not tell how long a hit takes
+		return // the latency of a miss says nothing about hits
 	}
 	b.recordLatency(ended, outcome, latency)
 }
 
-// recordAnswer counts an attempt that its server answered.
+// recordAnswer records an attempt that its server answered.
 func (b *Balancer) recordAnswer(ended *attempt) {
 	server := ended.server
 	b.clearFailures(server)
 	b.errorsBySlot[ended.request.slot()] = 0
 	if b.isOrigin(server) {
-		return // the rates are of caches alone
+		return // the rates cover caches only
 	}
 	span := b.completionSpan()
 	b.completions.rate = b.completions.rate*math.Exp((b.completions.rateAt-b.now)/span) + 1/span
@@ -99,8 +101,8 @@
 	*tokens = min(*tokens+retryTokensPerSuccess, maxRetryTokens)
 }
 
-// recordOverloaded counts an attempt that its server rejected for lack of capacity. That says nothing about the
-// server's latency or health.
+// recordOverloaded records an attempt that its server rejected for lack of capacity. The rejection says nothing
+// about the server's latency or health.
 func (b *Balancer) recordOverloaded(server *serverState, latency float64, class *classState) {
 	if b.isOrigin(server) {
 		b.adjustOriginLimit(server, Overloaded, latency, class)
@@ -109,7 +111,7 @@
 	b.recent.recordNotAccepted()
 }
 
-// recordFailure counts an attempt that failed.
+// recordFailure records a failed attempt.
 func (b *Balancer) recordFailure(server *serverState, outcome Outcome, class *classState) {
 	if outcome == ServerError || outcome == TimedOut {
 		b.recent.failed++
@@ -118,8 +120,8 @@
 	b.countFailure(server, outcome, class)
 }
 
-// recordNotAccepted lowers the acceptance rate for an attempt that caches did not answer, or a request that was not
-// sent to them.
+// recordNotAccepted lowers the acceptance rate for an attempt that caches did not answer, or for a request that was
+// not sent to them.
 func (r *recentOutcomes) recordNotAccepted() {
 	r.acceptanceRate -= r.acceptanceRate / acceptanceSmoothing
 }
--- a/balancer/outcomes_test.go
+++ b/balancer/outcomes_test.go
@@ -6,8 +6,8 @@
 	"testing"
 )
 
-// A server half slower than the rest was overloaded while others were idle.
-func TestSlowServerGivesUpVirtualNodesGently(t *testing.T) {
+// A server that was half as slow again as the others was overloaded while they were idle.
+func TestSlowServerGivesUpVirtualNodesGradually(t *testing.T) {
 	b, _ := newTestBalancer(2, nil)
 	server := b.servers.byID[1]
 	server.latency.slowness = 3
@@ -16,18 +16,19 @@
 	expectEqual(t, "key share", server.keyShare, 1-1.0/64)
 }
 
-// Three seconds after a start a seventh of what caches complete was seen, and cold ones got as little.
-func TestCompletionRateIsReckonedFromTheStart(t *testing.T) {
+// Three seconds after a start, the completion rate was a seventh of the true one, and servers that were warming up
+// got as few attempts.
+func TestCompletionRateShortlyAfterStart(t *testing.T) {
 	b, _ := newTestBalancer(1, nil)
 	for b.now = 0.25; b.now <= 3; b.now += 0.25 {
 		req := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
 		b.recordOutcome(req.attempts[0], Succeeded, 0.01)
 	}
-	expectEqual(t, "four a second", math.Round(b.completionRate()), 4.0)
+	expectEqual(t, "completions per second", math.Round(b.completionRate()), 4.0)
 }
 
-// Where the origin failed all failed, and what was sent again, or had many replicas, kept it so.
-func TestWhatFailsIsShedAndHasFewReplicas(t *testing.T) {
+// When the origin failed, all attempts failed, and retries and replicas of hot keys kept it failing.
+func TestFailingRequestsAreShedAndNotReplicated(t *testing.T) {
 	for succeeded, want := range map[float64]bool{0: true, 30: false} {
 		b, _ := newTestBalancer(40, nil)
 		shed := 0
@@ -41,6 +42,6 @@
 			replicas = b.replicasFor(5, b.classes.byName["view"])
 		}
 		got := shed > 100 && replicas == 1
-		expectEqual(t, fmt.Sprint("shed, and one replica, with ", succeeded, " of 30 succeeded"), got, want)
+		expectEqual(t, fmt.Sprint("shed and not replicated with ", succeeded, " of 30 succeeded"), got, want)
 	}
 }
--- a/balancer/outlier.go
+++ b/balancer/outlier.go
@@ -3,25 +3,25 @@
 import "math"
 
 const (
-	// ejectionFailures is the number of consecutive failures from which on a server is ejected.
+	// ejectionFailures is the number of consecutive failures at which a server is ejected.
 	ejectionFailures = 3
-	// restartFailures is the value of health.consecutiveFailures from which on a server that refused a connection is
-	// taken to have restarted once it answers again. A refusal raises that value to ejectionFailures at once, so a
-	// first refusal and two failures after it are enough. Fewer may be an accident of the network.
+	// restartFailures is the value of health.consecutiveFailures at which a server that refused a connection is
+	// taken to have restarted when it answers again. A refused connection raises that value to ejectionFailures, so
+	// a first refused connection and two failures after it are enough. Fewer failures may be due to the network.
 	restartFailures = 5
 )
 
-// health counts the failures of a server and holds its ejection.
+// health counts the failures of a server and holds the state of its ejection.
 type health struct {
 	// consecutiveFailures is the number of failures since the server last answered, and at least ejectionFailures
-	// after a refused connection. An error that turns out to follow its request is taken back.
+	// after a refused connection. An error that proves to be due to its request is subtracted.
 	consecutiveFailures int
-	ejectedUntil        float64 // seconds; read only while consecutiveFailures >= ejectionFailures
-	refusesConnections  bool    // this router or a peer was refused a connection since the server last answered here
+	ejectedUntil        float64 // seconds; valid only while consecutiveFailures >= ejectionFailures
+	refusesConnections  bool    // a connection was refused to this router or a peer since the server last answered here
 }
 
-// ejected reports whether a server is passed over for its failures. After the ejection time one attempt at a time
-// is sent to it, until one is answered.
+// ejected reports whether a server is passed over because of its failures. After the ejection time it gets one
+// trial attempt at a time, until one is answered.
 func (b *Balancer) ejected(server *serverState) bool {
 	if server.health.consecutiveFailures < ejectionFailures {
 		return false
@@ -29,11 +29,12 @@
 	return b.now < server.health.ejectedUntil || len(server.inFlight) > 0
 }
 
-// Avoids reports whether a server gets no new requests now, or at most one at a time: it is not ready, disabled
-// by an operator, or was ejected and has not answered since. It is for status pages, and changes nothing.
+// Avoids reports whether a server currently gets no new requests, or at most one at a time: it is not ready,
+// disabled by an operator, or was ejected and has not answered since. It is meant for status pages, and changes no
+// state.
 //
-// What depends on a request is not included: overload, a slow-start budget that is spent, an evacuated zone, the
-// zones and machine types that a class allows, and the capacity of the origin's servers.
+// Conditions that depend on the request are not included: overload, a slow-start budget that is spent, an evacuated
+// zone, the zones and machine types that a class allows, and the capacity of the origin's servers.
 func (b *Balancer) Avoids(id uint64) bool {
 	server := b.servers.byID[id]
 	if server == nil || server.State != Ready || server.disabled {
@@ -42,8 +43,8 @@
 	return server.health.consecutiveFailures >= ejectionFailures
 }
 
-// countFailure counts a failure of a server. A refused connection ejects it at once. The ejection lasts for the
-// latency objective of the class, and twice as long with each further failure, up to the warm-up's duration.
+// countFailure counts a failure of a server. A refused connection ejects the server immediately. The ejection lasts
+// for the latency objective of the class and doubles with each further failure, up to the warm-up duration.
 func (b *Balancer) countFailure(server *serverState, outcome Outcome, class *classState) {
 	state := &server.health
 	state.consecutiveFailures++
@@ -58,8 +59,8 @@
 	state.ejectedUntil = b.now + min(class.LatencyObjective*math.Pow(2, doublings), longest)
 }
 
-// clearFailures ends the ejection of a server that answered. One that may have restarted counts as cold from
-// now on.
+// clearFailures ends the ejection of a server that answered. A server that may have restarted counts as warming up
+// from now on.
 func (b *Balancer) clearFailures(server *serverState) {
 	mayHaveRestarted := server.health.refusesConnections && server.health.consecutiveFailures >= restartFailures
 	if mayHaveRestarted {
@@ -77,10 +78,9 @@
 	state.ejectedUntil = max(state.ejectedUntil, b.now+b.classes.longestObjective)
 }
 
-// errorIsDueToRequest reports whether an error is due to the request and not to the server: another server
-// answered the same request with an error, too, or requests for keys of its slot were so answered and none has
-// succeeded since. Such errors count against no server; the failure of the server that answered first is taken
-// back.
+// errorIsDueToRequest reports whether an error is due to the request and not to the server: another server also
+// answered the request with an error, or requests for keys of its slot got such errors and none has succeeded
+// since. Such errors count against no server; the failure counted for the server that answered first is subtracted.
 func (b *Balancer) errorIsDueToRequest(ended *attempt) bool {
 	errors := &b.errorsBySlot[ended.request.slot()]
 	for _, earlier := range ended.request.attempts {
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -5,8 +5,9 @@
 	"testing"
 )
 
-// Errors that follow some keys ejected the servers that these keys are nearest to, and shed the rest.
-func TestErrorsThatFollowARequestEjectNoServer(t *testing.T) {
+// Errors that were due to requests for some keys ejected the servers nearest to these keys, and caused other
+// requests to be shed.
+func TestErrorsDueToRequestEjectNoServer(t *testing.T) {
 	b, host := newTestBalancer(4, nil)
 	b.retryBudgets.shared = 9
 	for id := range uint64(9) {
@@ -22,7 +23,7 @@
 	b.errorsBySlot[0] = 5
 	req := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
 	b.recordOutcome(req.attempts[0], Succeeded, 0.01)
-	expectEqual(t, "errors of a slot where a request succeeded", b.errorsBySlot[0], 0.0)
+	expectEqual(t, "errors of a slot after a request succeeded", b.errorsBySlot[0], 0.0)
 
 	b.recent.failed = 30
 	b.recent.succeeded = 8
@@ -30,11 +31,11 @@
 		b.OnRequest(2, 100+id, "view", "", "faulty", 1)
 		b.OnAttemptEnd(2, 100+id, 0, ServerError, 0.01, false)
 	}
-	expectEqual(t, "shed for such errors", b.recent.failed > b.recent.succeeded, false)
+	expectEqual(t, "failures outnumber successes", b.recent.failed > b.recent.succeeded, false)
 }
 
-// A server that truly fails answers every request with an error, while others answer them well.
-func TestServerThatFailsAlwaysIsEjected(t *testing.T) {
+// A faulty server answers every request with an error, while other servers answer the same requests.
+func TestServerThatAlwaysFailsIsEjected(t *testing.T) {
 	b, _ := newTestBalancer(4, nil)
 	b.retryBudgets.shared = 9
 	failing := uint64(0)
@@ -51,12 +52,12 @@
 			b.OnAttemptEnd(1, id, n, how, 0.01, how == Succeeded)
 		}
 	}
-	expectEqual(t, "one that fails is passed over", b.Avoids(failing), true)
+	expectEqual(t, "failing server is avoided", b.Avoids(failing), true)
 }
 
-// One refused or reset connection is an accident of the network: taken for a restart, it moved the keys of most
-// servers to a few when connections were reset all day.
-func TestRefusedConnectionsEjectAServerAndItComesBackCold(t *testing.T) {
+// A single refused or reset connection may be due to the network. When it counted as a restart, frequent resets
+// moved the keys of most servers to a few.
+func TestRefusedConnectionsEjectServerUntilItWarmsUp(t *testing.T) {
 	for refusedConnections, want := range map[int]float64{1: 1, 2: 1, 3: 0.25, 4: 0.25} {
 		b, _ := newTestBalancer(2, nil)
 		server := b.servers.byID[1]
@@ -68,12 +69,13 @@
 			expectEqual(t, "ejected after the ejection time", b.ejected(server), false)
 		}
 		b.recordOutcome(req.attempts[0], Succeeded, 0.05)
-		expectEqual(t, fmt.Sprint("warm fraction after ", refusedConnections), b.warmFraction(server), want)
+		expectEqual(t, fmt.Sprint("warm fraction after refusals: ", refusedConnections), b.warmFraction(server), want)
 	}
 }
 
-// A full server proves nothing of its health; rejections that were taken for failures ejected most servers.
-func TestAFullServerIsNotEjected(t *testing.T) {
+// A rejection for lack of capacity says nothing about a server's health. When rejections counted as failures, most
+// servers were ejected.
+func TestServerRejectingForCapacityIsNotEjected(t *testing.T) {
 	b, _ := newTestBalancer(1, nil)
 	server := b.servers.byID[1]
 	req := requestWithAttempt(b, "view", server, true, false)
@@ -82,7 +84,7 @@
 	expectEqual(t, "failures, slowness", got, "0 1")
 }
 
-func TestAvoidsWhatDrainsIsDisabledOrFailed(t *testing.T) {
+func TestAvoidsDrainingDisabledAndFailingServers(t *testing.T) {
 	b, _ := newTestBalancer(5, nil)
 	b.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
 	b.SetDisabled(1, 4, true)
--- a/balancer/placement.go
+++ b/balancer/placement.go
@@ -6,8 +6,9 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// pick returns the server of a request's next attempt, nil if there is none. It asks, in this order, for
-//   - one of the replicas of a hot key that has capacity, drawn by chance,
+// pick returns the server of a request's next attempt, or nil if there is none. It is the first of these that
+// exists:
+//   - a random one of the key's replicas with capacity,
 //   - the nearest server to the key that is neither ejected nor overloaded,
 //   - the nearest that is not ejected,
 //   - the nearest that the rules allow.
@@ -15,7 +16,7 @@
 // A key that is not hot has one replica, its nearest server.
 func (b *Balancer) pick(req *request) *serverState {
 	if !b.mayContinue(req) {
-		return nil // a lookup in which no server is accepted would rank all virtual nodes
+		return nil // a lookup that accepts no server would rank all virtual nodes
 	}
 	allowed := func(server *serverState) bool {
 		if req.attemptedOn(server) || !b.mayAttempt(req, server) {
@@ -39,7 +40,7 @@
 	return nil
 }
 
-// pickReplica returns one of the servers that share a request's key: the first with capacity, beginning with a random
+// pickReplica returns one of the servers that share a request's key: the first with capacity, starting at a random
 // one; nil if there is none.
 func (b *Balancer) pickReplica(req *request, healthy func(*serverState) bool) *serverState {
 	replicas := b.replicasOf(req, healthy)
@@ -59,13 +60,13 @@
 		if !slices.Contains(replicas, server) && healthy(server) {
 			replicas = append(replicas, server)
 		}
-		return len(replicas) >= wanted // ends the lookup, which would walk the whole circle
+		return len(replicas) >= wanted // ends the lookup, which would otherwise walk the whole circle
 	})
 	return replicas
 }
 
-// firstReplica draws the index of the replica to begin with. A router with few samples takes the less loaded of two
-// draws; if each router took the least loaded of all, they would overload it together.
+// firstReplica draws the index of the replica to try first. A router with few samples takes the less loaded of two
+// drawn replicas; if every router took the least loaded of all, they would overload it together.
 func (b *Balancer) firstReplica(req *request, replicas []*serverState) int {
 	first := int(b.random.Float64() * float64(len(replicas)))
 	if req.replicas <= 1 || !b.fewSamples(req.class) {
@@ -78,8 +79,8 @@
 	return first
 }
 
-// hasCapacity reports whether a replica takes a request. A request for a hot key is not shed while one of its
-// replicas has capacity, so a replica that would shed it is passed over.
+// hasCapacity reports whether a replica has capacity for a request. A request for a hot key is not shed while one
+// of its replicas has capacity, so a replica that would shed it is passed over.
 func (b *Balancer) hasCapacity(req *request, server *serverState) bool {
 	mayPassOver := req.replicas > 1 && req.valueFraction == 1 && server.health.consecutiveFailures == 0
 	if mayPassOver {
@@ -91,8 +92,8 @@
 	return !b.overloaded(req, server)
 }
 
-// nearestServer returns the server that is most similar to a key, by Hamming distance, among those that answer for the
-// key now and are accepted; nil if there is none. Ties go by a hash of key and server.
+// nearestServer returns the server nearest to a key by Hamming distance, among the accepted ones that answer for
+// the key now; nil if there is none. Ties are broken by a hash of key and server.
 func (b *Balancer) nearestServer(keyHash uint32, accept func(*serverState) bool) (nearest *serverState) {
 	var nodes []virtualNode
 	var nearestTie uint32
@@ -123,13 +124,13 @@
 	return nearest
 }
 
-// answersForKey reports whether a virtual node answers for a key now. A server that is warming up answers for a slice
-// of its keys, a slow one for a part of its virtual nodes, and one in a zone with a share for that share of its keys.
-// part places the key between 0 and 1 for this server, as keyPart does.
+// answersForKey reports whether a virtual node answers for a key now. A server that is warming up answers for a
+// fraction of its keys, a slow one for a fraction of its virtual nodes, and one in a zone with a zone share for
+// that share of its keys. position is the key's position for this server, as keyPosition returns it.
 func (b *Balancer) answersForKey(node *virtualNode, keyHash uint32, position, warmingKeyFactor float64) bool {
 	server := node.server
-	// A part of the keys of all its nodes: the keys of some of its nodes would depend on the gaps to their
-	// neighbours.
+	// A server that is warming up answers for a fraction of the keys of all its nodes: if it used only some of its
+	// nodes, the number of keys would depend on the gaps to their neighbours.
 	capacityFraction := b.warmFraction(server)
 	if capacityFraction < 1 && position >= capacityFraction*warmingKeyFactor {
 		return false
@@ -140,8 +141,9 @@
 	return b.zones.serves(server.Zone, keyHash)
 }
 
-// warmingKeyFactor multiplies the slice of keys of servers that are warming up. It is the acceptance rate: they must not
-// take over what warm servers shed. Where no server is warm, or reports tell how loaded each is, it is 1.
+// warmingKeyFactor returns the factor for the key fractions of servers that are warming up. It is the acceptance
+// rate: these servers must not take over the load that warm servers shed. It is 1 where no server is warm, or where
+// current reports state the load of each server.
 func (b *Balancer) warmingKeyFactor() float64 {
 	if b.servers.allWarmingUp || b.loadReportsAreCurrent() {
 		return 1
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -7,7 +7,7 @@
 	"bendtrestle/internal/seedhash"
 )
 
-func TestEveryRouterPicksAlike(t *testing.T) {
+func TestAllRoutersPickSameServer(t *testing.T) {
 	one, _ := newTestBalancer(5, func(s *Settings) { s.Seed = 1 })
 	other, _ := newTestBalancer(5, func(s *Settings) { s.Seed = 2 })
 	for key := range uint32(500) {
@@ -17,7 +17,7 @@
 	}
 }
 
-func TestLossMovesOnlyTheLostServersKeys(t *testing.T) {
+func TestServerLossMovesOnlyItsKeys(t *testing.T) {
 	b, _ := newTestBalancer(5, nil)
 	before := map[uint32]uint64{}
 	for key := range uint32(500) {
@@ -27,12 +27,12 @@
 	for key, was := range before {
 		now := b.nearestServer(seedhash.Avalanche(key), anyServer).ID
 		if was != 3 && now != was || now == 3 {
-			t.Errorf("key %d moved from %d to %d", key, was, now)
+			t.Errorf("key %d moved from server %d to %d, want moves from server 3 only", key, was, now)
 		}
 	}
 }
 
-func TestTiesGoByHashOfKeyAndServer(t *testing.T) {
+func TestDistanceTiesAreBrokenByHash(t *testing.T) {
 	b, _ := newTestBalancer(2, nil)
 	first, second := b.servers.byID[1], b.servers.byID[2]
 	picked := map[uint64]bool{}
@@ -45,10 +45,10 @@
 		b.ring.nearestBySlot[5] = b.ring.nodes
 		picked[b.nearestServer(keyHash, anyServer).ID] = true
 	}
-	expectEqual(t, "servers picked among equals", len(picked), 2)
+	expectEqual(t, "servers picked at equal distance", len(picked), 2)
 }
 
-func TestEjectedServersServeWhenNoOtherIsLeft(t *testing.T) {
+func TestEjectedServersAreUsedWhenNoOtherIsLeft(t *testing.T) {
 	b, _ := newTestBalancer(2, nil)
 	for _, server := range b.servers.ready {
 		server.health.consecutiveFailures = 3
@@ -60,8 +60,8 @@
 	expectEqual(t, "choice", b.pick(req).ID, uint64(2))
 }
 
-// Ranking all servers for each request out of time took too much time in large fleets.
-func TestNoServerIsSoughtForARequestOutOfTime(t *testing.T) {
+// Ranking all servers for each request that was past its deadline took too much time in large fleets.
+func TestExpiredRequestSkipsServerLookup(t *testing.T) {
 	b, _ := newTestBalancer(4, nil)
 	req := requestWithAttempt(b, "view", b.servers.byID[1], false, false)
 	req.deadline = b.now
--- a/balancer/retries.go
+++ b/balancer/retries.go
@@ -1,11 +1,11 @@
 package balancer
 
-// freeRetryFactor: a retry after a rejection is free with a probability of the acceptance rate times this.
+// freeRetryFactor times the acceptance rate is the probability that a retry after a rejection is free.
 const freeRetryFactor = 2
 
 // retry decides what follows an attempt that ended without an answer: another attempt, or the final answer. While
-// another attempt of the request is in flight nothing does. That does not happen now, since no other attempt is
-// started before this one has ended: only OnRequest and retry start any.
+// another attempt of the request is in flight it does nothing. That does not occur now, since only OnRequest and
+// retry start attempts, and neither does so before the previous attempt has ended.
 func (b *Balancer) retry(req *request, ended *attempt, outcome Outcome) {
 	if req.anyAttempt((*attempt).isInFlight) {
 		return
@@ -23,10 +23,10 @@
 	b.startAttempt(req, server)
 }
 
-// pickForRetry returns the server of a retry, nil if there is none: the origin after a cache miss, or after an attempt
-// that the origin did not execute; otherwise the next server by placement.
+// pickForRetry returns the server of a retry, or nil if there is none: the origin after a cache miss or after an
+// attempt that the origin did not execute; otherwise the next server by placement.
 func (b *Balancer) pickForRetry(req *request, ended *attempt, outcome Outcome) *serverState {
-	next := b.pick(req) // in any case, since it draws random numbers
+	next := b.pick(req) // always called, since it draws random numbers
 	fromOrigin := outcome == CacheMiss || ended.notExecuted && b.isOrigin(ended.server)
 	if b.settings.CacheAside && fromOrigin {
 		return b.pickOrigin(req)
@@ -34,8 +34,8 @@
 	return next
 }
 
-// retryIsFree reports whether a retry takes no token from the retry budget, because it doubles no work. Where nearly
-// all servers are full, each retry crowds them more: most retries after a rejection are not free then.
+// retryIsFree reports whether a retry takes no token from the retry budget, because it duplicates no work. Where
+// nearly all servers are full, each retry adds to their load, so most retries after a rejection are not free then.
 func (b *Balancer) retryIsFree(ended *attempt, outcome Outcome) bool {
 	if outcome == CacheMiss || outcome == Cancelled {
 		return true
@@ -49,8 +49,8 @@
 	return b.random.Float64() < freeRetryFactor*b.recent.acceptanceRate
 }
 
-// admitRetry decides on a retry at a server, nil if there is none. The time left must be enough for an attempt and,
-// unless the retry is free, the retry budget must hold a token.
+// admitRetry decides whether a request is retried at a server; server is nil if there is none. The time left must
+// be enough for an attempt and, unless the retry is free, the retry budget must hold a token.
 func (b *Balancer) admitRetry(req *request, server *serverState, free bool) admissionDecision {
 	if server == nil {
 		return rejectFor(ReasonNoEndpoint)
--- a/balancer/ring.go
+++ b/balancer/ring.go
@@ -8,25 +8,26 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// maxVirtualNodes is how many virtual nodes the largest server has; with one node a server's part of the keys
-// would be the gap to its neighbours.
+// maxVirtualNodes is the number of virtual nodes of the largest server. With one node, a server's fraction of the
+// keys would be the gap to its neighbours.
 const maxVirtualNodes = 16
 
 const (
-	// firstLookupNodes is how many virtual nodes a lookup ranks at first; few lookups go beyond them.
+	// firstLookupNodes is the number of virtual nodes that a lookup ranks at first; few lookups need more.
 	firstLookupNodes = 16
-	// lookupGrowth is how many times as many nodes are ranked when a lookup has passed all of the ranked ones.
+	// lookupGrowth is the factor by which the number of ranked nodes grows when a lookup has passed over all of
+	// them.
 	lookupGrowth = 3
 )
 
-// Within twice the steps of the farthest wanted node, and a few more, lie all nodes that can be nearer by Hamming
-// distance (checked for every slot by TestNoPointIsNearerBeyondTwiceTheSteps).
+// All nodes that can be nearer by Hamming distance than the farthest wanted node lie within rankedStepsFactor times
+// its steps plus rankedStepsMargin (TestSlotsBeyondTwiceTheStepsAreFarther checks every 64th slot).
 const (
 	rankedStepsFactor = 2
 	rankedStepsMargin = 8
 )
 
-// virtualNode is one place of a server on the circle.
+// virtualNode is one position of a server on the circle.
 type virtualNode struct {
 	server   *serverState
 	slot     uint32
@@ -40,8 +41,8 @@
 	nearestBySlot [ringSlots][]virtualNode // the nodes nearest to a slot, cached until the ring is rebuilt
 }
 
-// rebuild places the virtual nodes of the servers. It sorts by counting, which keeps the order of servers
-// within a slot.
+// rebuild places the virtual nodes of the servers on the ring. It uses a counting sort, which keeps the order of
+// servers within a slot.
 func (r *ring) rebuild(servers []*serverState) {
 	unordered := make([]virtualNode, 0, maxVirtualNodes*len(servers))
 	var next [ringSlots + 1]int // index in nodes of the next virtual node of a slot
@@ -63,7 +64,7 @@
 	clear(r.nearestBySlot[:])
 }
 
-// virtualNodesOf returns how many virtual nodes a server has: in proportion to its size where weights are used.
+// virtualNodesOf returns the number of virtual nodes of a server, in proportion to its size if weights are used.
 func virtualNodesOf(size, largestSize float64, weights WeightMode) int {
 	if weights == WeightsIgnored || largestSize <= 0 {
 		return maxVirtualNodes
@@ -71,9 +72,9 @@
 	return max(1, int(math.Round(maxVirtualNodes*size/largestSize)))
 }
 
-// nearestNodes returns at least count virtual nodes, or all, that are most similar to a slot, by Hamming
-// distance. It walks the circle in both directions from the slot, then orders what it met. The result belongs
-// to the ring.
+// nearestNodes returns at least count virtual nodes, or all, that are nearest to a slot, in the order of their
+// Hamming distance. It walks the circle in both directions from the slot, then sorts the nodes that it visited. The
+// result belongs to the ring; callers must not modify it.
 func (r *ring) nearestNodes(slot uint32, count int) []virtualNode {
 	total := len(r.nodes)
 	count = min(count, total)
@@ -108,7 +109,7 @@
 	return r.nearestBySlot[slot]
 }
 
-// stepsApart is the number of steps between two slots, by the shorter way round the circle.
+// stepsApart returns the number of steps between two slots, by the shorter way round the circle.
 func stepsApart(a, b uint32) uint32 {
 	return min((a-b)%ringSlots, (b-a)%ringSlots)
 }
--- a/balancer/ring_test.go
+++ b/balancer/ring_test.go
@@ -6,8 +6,9 @@
 	"testing"
 )
 
-// Ranking all virtual nodes at each lookup took too much time in large fleets.
-func TestNearestNodesAreThoseOfTheWholeRanking(t *testing.T) {
+// Ranking all virtual nodes at each lookup took too much time in large fleets. A partial ranking must give the same
+// distances.
+func TestNearestNodesMatchFullRanking(t *testing.T) {
 	b, _ := newTestBalancer(13, nil)
 	for slot := uint32(0); slot < ringSlots; slot += 13 {
 		whole := slices.Clone(b.ring.nearestNodes(slot, len(b.ring.nodes)))
@@ -15,7 +16,7 @@
 			b.ring.nearestBySlot[slot] = nil
 			for i, node := range b.ring.nearestNodes(slot, count) {
 				if node.distance != whole[i].distance {
-					t.Fatalf("slot %d, %d nodes: node %d is %d bits away, want %d",
+					t.Fatalf("slot %d, %d nodes: node %d has a distance of %d bits, want %d",
 						slot, count, i, node.distance, whole[i].distance)
 				}
 			}
@@ -24,8 +25,8 @@
 	expectEqual(t, "nodes ranked", len(b.ring.nearestBySlot[0]), 64)
 }
 
-// A lookup for a key's one server, passed over, went round the whole circle.
-func TestLookupStaysNear(t *testing.T) {
+// A lookup that passed over a key's nearest server walked the whole circle.
+func TestLookupRanksFewNodes(t *testing.T) {
 	b, _ := newTestBalancer(270, func(s *Settings) {
 		s.WeightMode = WeightsLive
 		s.RouterCount = 600
@@ -34,18 +35,19 @@
 	b.pick(req).inFlight = make([]*attempt, 9)
 	b.inFlight = 9
 	b.pick(req)
-	expectEqual(t, "nodes ranked for a lookup past one", len(b.ring.nearestBySlot[5]) <= 64, true)
+	expectEqual(t, "at most 64 nodes ranked to pass over one server", len(b.ring.nearestBySlot[5]) <= 64, true)
 }
 
-// Live weights that fall and rise moved virtual nodes, and each update ranked all of them anew.
-func TestLiveWeightIsASizeOnlyWhenNothingIsHeld(t *testing.T) {
+// Live weights that fell and rose moved virtual nodes, and each update caused all of them to be ranked again. Only
+// a weight larger than all since the start changes a server's size.
+func TestOnlyLargestLiveWeightIsSize(t *testing.T) {
 	b, _ := newLiveWeightBalancer(0, 4, 1)
 	b.ring.nearestNodes(5, 1)
 	for _, c := range []struct{ first, second, nodes float64 }{
 		{first: 0.1, second: 0.9, nodes: 4},
 		{first: 4, second: 2, nodes: 8},
 	} {
-		expectEqual(t, "ranking kept until a size is larger than seen", len(b.ring.nearestBySlot[5]) > 0, true)
+		expectEqual(t, "ranking is kept while no size grows", len(b.ring.nearestBySlot[5]) > 0, true)
 		b.OnEndpoints(1, UpdateDelta, endpointsOfWeights(c.first, c.second))
 		got := fmt.Sprint(b.servers.byID[1].virtualNodes, b.servers.byID[2].virtualNodes)
 		expectEqual(t, "virtual nodes", got, fmt.Sprint("16 ", c.nodes))
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -2,8 +2,8 @@
 
 import "slices"
 
-// The rules that no decision may break stand here alone: whether any server may attempt a request, whether one
-// server may, and whether the client may be told that trying again is harmless.
+// This file holds the rules that no decision may break: whether any server may attempt a request, whether one
+// server may, and whether the client may be told that a retry is harmless.
 
 // mayContinue reports whether a request may be attempted, or attempted again, at any server.
 func (b *Balancer) mayContinue(req *request) bool {
@@ -68,20 +68,20 @@
 	return true
 }
 
-// allowsServer reports whether a class may be sent to a server at all, by what the list says of it now. Where
-// none of these can take a request it is rejected, however idle the others are.
+// allowsServer reports whether a class may be sent to a server at all, according to the server's current entry in
+// the list. If no such server can take a request, the request is rejected, however idle the other servers are.
 func (c *classState) allowsServer(server *serverState) bool {
 	return allows(c.AllowedZones, server.Zone) && allows(c.AllowedMachineTypes, server.MachineType)
 }
 
-// allows reports whether a name is among those allowed; nil allows all.
+// allows reports whether a name is among the allowed ones; nil allows all.
 func allows(allowed []string, name string) bool {
 	return allowed == nil || slices.Contains(allowed, name)
 }
 
 // clientRetryIsHarmless reports whether a retry by the client, as a new request, has no second effect: repeats are
-// harmless in its class or dropped by all servers, or no attempt may have been executed. One in flight may have been.
-// The deduplication window is not looked at.
+// harmless in its class or dropped by all servers, or no attempt can have been executed. An attempt in flight may
+// have been. The deduplication window is not considered.
 func (b *Balancer) clientRetryIsHarmless(req *request) bool {
 	class := req.class
 	if class.Idempotency == Idempotent {
--- a/balancer/rules_test.go
+++ b/balancer/rules_test.go
@@ -14,16 +14,16 @@
 		zone                  string  // of the other server
 		want                  bool
 	}{
-		{"idempotent, may have run", "view", false, false, 0, "b", true},
+		{"idempotent, may have been executed", "view", false, false, 0, "b", true},
 		{"idempotent, in flight: hedged", "view", true, false, 0, "b", true},
 		{"idempotent, past the deadline", "view", false, false, 2, "a", false},
-		{"at most once, never run", "pay", false, true, 0, "b", true},
-		{"at most once, may have run", "pay", false, false, 0, "a", false},
+		{"at most once, not executed", "pay", false, true, 0, "b", true},
+		{"at most once, may have been executed", "pay", false, false, 0, "a", false},
 		{"at most once, in flight", "pay", true, false, 0, "a", false},
-		{"keyed, never run, past the window", "amend", false, true, 1.5, "b", true},
-		{"keyed, may have run, within the window", "amend", false, false, 0.5, "a", true},
-		{"keyed, may have run, past the window", "amend", false, false, 1.5, "a", false},
-		{"keyed, may have run, outside the scope", "amend", false, false, 0.5, "b", false},
+		{"keyed, not executed, past the window", "amend", false, true, 1.5, "b", true},
+		{"keyed, may have been executed, within the window", "amend", false, false, 0.5, "a", true},
+		{"keyed, may have been executed, past the window", "amend", false, false, 1.5, "a", false},
+		{"keyed, may have been executed, outside the scope", "amend", false, false, 0.5, "b", false},
 	} {
 		b, _ := newTestBalancer(2, nil)
 		req := requestWithAttempt(b, c.class, b.servers.byID[1], c.inFlight, c.notExecuted)
@@ -33,16 +33,16 @@
 	}
 }
 
-func TestNoHedgingWhereForbiddenAndNothingNewToADrainingServer(t *testing.T) {
+func TestNoHedgingWhereForbiddenAndNoAttemptOnDrainingServer(t *testing.T) {
 	b, _ := newTestBalancer(2, func(s *Settings) { s.HedgingAllowed = false })
 	inFlight := requestWithAttempt(b, "view", b.servers.byID[1], true, false)
-	expectEqual(t, "hedged request", b.mayAttempt(inFlight, b.servers.byID[2]), false)
+	expectEqual(t, "hedged request allowed", b.mayAttempt(inFlight, b.servers.byID[2]), false)
 	b.servers.byID[2].State = Draining
 	ended := requestWithAttempt(b, "view", b.servers.byID[1], false, true)
 	expectEqual(t, "draining", b.mayAttempt(ended, b.servers.byID[2]), false)
 }
 
-func TestRejectRules(t *testing.T) {
+func TestClientRetryIsHarmless(t *testing.T) {
 	for _, c := range []struct {
 		name        string
 		class       string
@@ -51,11 +51,11 @@
 		want        bool
 	}{
 		{"idempotent", "view", false, ScopeCell, true},
-		{"at most once, never run", "pay", true, ScopeCell, true},
-		{"at most once, may have run", "pay", false, ScopeCell, false},
-		{"keyed, may have run, narrow scope", "amend", false, ScopeZone, false},
-		{"keyed, never run", "amend", true, ScopeZone, true},
-		{"keyed, may have run, deduplicated everywhere", "amend", false, ScopeAll, true},
+		{"at most once, not executed", "pay", true, ScopeCell, true},
+		{"at most once, may have been executed", "pay", false, ScopeCell, false},
+		{"keyed, may have been executed, narrow scope", "amend", false, ScopeZone, false},
+		{"keyed, not executed", "amend", true, ScopeZone, true},
+		{"keyed, may have been executed, deduplicated everywhere", "amend", false, ScopeAll, true},
 	} {
 		b, _ := newTestBalancer(1, nil)
 		req := requestWithAttempt(b, c.class, b.servers.byID[1], false, c.notExecuted)
@@ -64,16 +64,16 @@
 	}
 }
 
-// A class that is bound to some servers went to whichever server its key was nearest to.
-func TestPlacementHoldsAtEveryAttempt(t *testing.T) {
+// A class that was restricted to some servers was sent to whichever server was nearest to its key.
+func TestPlacementRulesApplyToEveryAttempt(t *testing.T) {
 	restrict := func(s *Settings) {
 		s.TrafficClasses[0].AllowedMachineTypes = []string{"frugal"}
 		s.TrafficClasses[0].AllowedZones = []string{"a"}
 	}
 	for name, other := range map[string]Endpoint{
-		"of another type": {Zone: "a", MachineType: "usual"},
-		"in another zone": {Zone: "b", MachineType: "frugal"},
-		"unnamed":         {},
+		"of another machine type":       {Zone: "a", MachineType: "usual"},
+		"in another zone":               {Zone: "b", MachineType: "frugal"},
+		"without zone and machine type": {},
 	} {
 		b, host := newTestBalancer(0, restrict)
 		list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"}}
@@ -86,23 +86,23 @@
 		b.OnEndpoints(0, UpdateFull, list)
 		for key := range uint64(20) {
 			b.OnRequest(1, key, "view", "", fmt.Sprint(key), 1)
-			expectEqual(t, "a bound class beside those "+name, host.lastAction(), fmt.Sprintf("attempt %d on 1", key))
+			expectEqual(t, "restricted class beside servers "+name, host.lastAction(), fmt.Sprintf("attempt %d on 1", key))
 		}
 		b.OnAttemptEnd(1.01, 3, 0, ServerError, 0.01, false)
-		expectEqual(t, "no retry on those "+name, host.lastAction(), "reject 3 after true")
+		expectEqual(t, "no retry on servers "+name, host.lastAction(), "reject 3 after true")
 		for _, change := range []Endpoint{
 			{ID: 1, State: Draining, Zone: "a", MachineType: "frugal"},
 			{ID: 1, State: Removed},
 		} {
 			b.OnEndpoints(1.1, UpdateDelta, []Endpoint{change})
 			b.OnRequest(1.2, 90, "view", "", "k", 1)
-			expectEqual(t, "all that may take it gone, beside those "+name, host.lastAction(), "reject 90 after true")
+			expectEqual(t, "no allowed server left, beside servers "+name, host.lastAction(), "reject 90 after true")
 		}
 		b.OnRequest(1.3, 91, "pay", "", "k", 1)
-		expectEqual(t, "an unbound class", b.requests[91] != nil, true)
+		expectEqual(t, "unrestricted class is attempted", b.requests[91] != nil, true)
 	}
 
-	// The list corrects a server's zone while a request is open.
+	// The list corrects a server's zone while a request is in progress.
 	b, host := newTestBalancer(1, restrict)
 	list := []Endpoint{
 		{ID: 1, State: Ready, Capacity: 1, Zone: "a", MachineType: "frugal"},
@@ -114,5 +114,5 @@
 	list[2-first].Zone = "b"
 	b.OnEndpoints(1.1, UpdateDelta, list)
 	b.OnAttemptEnd(1.2, 5, 0, ConnectFailed, 0.1, false)
-	expectEqual(t, "the other has moved out of its zone", host.lastAction(), "reject 5 after true")
+	expectEqual(t, "action when the other server has left the allowed zone", host.lastAction(), "reject 5 after true")
 }
--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -10,25 +10,27 @@
 )
 
 var searchSeeds = flag.Int("search", 0,
-	"seeds that each test of many routers draws, and tells what it found in place of a verdict")
+	"number of seeds that each test of many routers draws; above 0, most results are logged and not checked")
 
-// seedCount is how many seeds a test draws.
+// seedCount returns the number of seeds that a test draws, at least few.
 func seedCount(few int) uint32 { return uint32(max(few, *searchSeeds)) }
 
-// randomnessBound is what is put down to chance where so many requests are allowed.
+// randomnessBound returns the number of attempts in an overload window up to which an excess over the allowed
+// number is attributed to random variation.
 func randomnessBound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// fleetBurst is a time in which every router is asked for more than it may send to one cold server among a dozen.
+// fleetBurst is a period in which every router receives more requests than it may send to one server that is
+// warming up, out of a dozen servers.
 type fleetBurst struct {
-	routers           int     // how many there are
-	configuredRouters int     // and how many the settings say
-	reachableRouters  int     // how many each router hears; 0: it hears none
-	warmRate          float64 // requests of mean work that a warm server does a second
-	load              float64 // the part of that which was completed of late
-	skew              float64 // how many times as much as the others a tenth of the routers completed
-	delay             float64 // seconds from the start until the burst comes
-	lostServers       int     // of the dozen, those that went with the start
-	slowWarmup        bool    // other settings: a server that warms slowly, and is overloaded sooner
+	routers           int     // number of routers
+	configuredRouters int     // number of routers in the settings
+	reachableRouters  int     // number of routers in contact with each router; 0: not set
+	warmRate          float64 // requests of mean work per second at a warm server
+	load              float64 // fraction of the capacity that was completed recently
+	skew              float64 // completions of one router in ten, relative to the others
+	delay             float64 // seconds from the start of the server until the burst
+	lostServers       int     // servers of the dozen that are removed at the start
+	slowWarmup        bool    // other settings: a server that warms up slowly and is overloaded earlier
 	seed              uint32
 }
 
@@ -57,7 +59,7 @@
 	return settings
 }
 
-// relativeCompletions is what a router completed, in proportion to others.
+// relativeCompletions returns how much a router completed, relative to the others.
 func (f fleetBurst) relativeCompletions(router int) float64 {
 	if router%10 == 3 {
 		return f.skew
@@ -65,7 +67,7 @@
 	return 1
 }
 
-// fleet starts all routers, as the cold server starts.
+// fleet starts the balancers of all routers at the start of the server that is warming up.
 func (f fleetBurst) fleet() (fleet []*Balancer) {
 	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: burstStart}}
 	for id := range uint64(burstServers - 1 - f.lostServers) {
@@ -90,23 +92,23 @@
 	return fleet
 }
 
-// worstBoundRatio is the most that an overload window brought, over what is put down to chance.
+// worstBoundRatio returns the largest number of attempts in an overload window, relative to randomnessBound.
 func (f fleetBurst) worstBoundRatio() (worst float64) {
 	settings := f.settings()
 	fleet := f.fleet()
-	var sent []float64 // when, since the start, in seconds
+	var sent []float64 // seconds since the start
 	end := min(settings.WarmupDuration, f.delay+2*settings.OverloadWindow)
 	for age := f.delay; age < end; age += burstStep {
 		for _, b := range fleet {
 			b.now = burstStart + age
-			b.completions.rateAt = burstStart + age // as much is completed as before
+			b.completions.rateAt = burstStart + age // the completion rate stays constant
 			server := b.servers.byID[1]
 			for ; b.hasSlowStartBudget(server); server.slowStart.budget-- {
 				sent = append(sent, age)
 			}
 		}
 		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= age-settings.OverloadWindow })
-		// What it can do in the middle of the window: it warms evenly.
+		// The allowance is that of the capacity in the middle of the window, which grows linearly.
 		warmedUp := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
 		warm := settings.WarmupStartCapacity + warmedUp
 		allowed := settings.OverloadFactor * warm * f.warmRate * settings.OverloadWindow
@@ -115,11 +117,13 @@
 	return worst
 }
 
-// Whatever all routers are asked for at once, a cold server gets no more from them together than the rule on
-// servers that are warming up puts down to chance: each kept one attempt for later, however many routers there
-// are, and thirty sent thirty at once beside what they were allowed. Servers that do less than five a second
-// are not held: all together may send four in the overload window to one of which nothing is known.
-func TestAllRoutersTogetherSpareAColdServer(t *testing.T) {
+// However much load all routers receive at once, they send a server that is warming up no more together than the
+// overload rule and random variation allow. When each router kept one attempt for later, however many routers there
+// were, thirty routers sent thirty attempts at once in addition to what they were allowed.
+//
+// Servers with a capacity of less than five per second are not covered: all routers together may send four attempts
+// in the overload window to a server of unknown capacity.
+func TestSlowStartBudgetIsSharedByRouters(t *testing.T) {
 	for _, routers := range []int{1, 3, 8, 20, 30, 100, 300} {
 		for _, warmRate := range []float64{5, 10, 30} {
 			exceeded, trials := 0, 0
@@ -132,10 +136,10 @@
 					exceeded++
 				}
 			}
-			t.Logf("%3d routers, a server that does %2.0f a second: %d of %d trials above, the most %.2f of the bound",
+			t.Logf("%3d routers, server with %2.0f requests/s: %d of %d trials above the bound, largest window %.2f of it",
 				routers, warmRate, exceeded, trials, most)
 			if exceeded > 0 && *searchSeeds == 0 {
-				t.Errorf("%d routers sent a server that does %v a second %.2f times what is put down to chance",
+				t.Errorf("%d routers, server with %v requests/s: largest window %.2f times the bound, want at most 1",
 					routers, warmRate, most)
 			}
 		}
@@ -165,16 +169,16 @@
 	return bursts
 }
 
-func TestMoreOrFewerRoutersThanStatedSpareAColdServer(t *testing.T) {
+func TestSlowStartBudgetWithWrongRouterCount(t *testing.T) {
 	for _, c := range []struct {
 		name                           string
 		routers, configured, reachable int
 	}{
-		{"twice as many as stated, as in an upgrade of all", 30, 15, 0},
-		{"half as many as stated", 30, 60, 0},
-		{"ten times as many as stated, which hear one another", 30, 3, 30},
-		{"ten times as many, of a large fleet", 300, 30, 300},
-		{"as many as stated, of which most are not heard", 300, 300, 10},
+		{"twice as many as configured, as in an upgrade of all routers", 30, 15, 0},
+		{"half as many as configured", 30, 60, 0},
+		{"ten times as many as configured, in contact with each other", 30, 3, 30},
+		{"ten times as many as configured, in a large fleet", 300, 30, 300},
+		{"as many as configured, most of them out of contact", 300, 300, 10},
 	} {
 		most := 0.0
 		for seed := range seedCount(4) {
@@ -193,16 +197,17 @@
 				most = max(most, burst.worstBoundRatio())
 			}
 		}
-		t.Logf("%d routers, %d stated, %d heard: the most %.2f of the bound", c.routers, c.configured, c.reachable, most)
+		t.Logf("%d routers, %d configured, %d reachable: largest window %.2f of the bound",
+			c.routers, c.configured, c.reachable, most)
 		if most > 1 && *searchSeeds == 0 {
-			t.Errorf("%s: they sent %.2f times what is put down to chance", c.name, most)
+			t.Errorf("%s: largest window %.2f times the bound, want at most 1", c.name, most)
 		}
 	}
 }
 
-// Of many routers a part alone keeps an attempt, which would leave a cold server unused: beyond the setting
-// each keeps one.
-func TestBeyondSharedUpToEachKeepsAnAttempt(t *testing.T) {
+// Where only a fraction of many routers holds an unused attempt, a server that is warming up stays unused. So in
+// fleets larger than SlowStartSharedUpTo each router holds one.
+func TestSlowStartSharedUpTo(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		routers    int
@@ -222,7 +227,7 @@
 		})
 		server := b.servers.ready[0]
 		kept := 0
-		for i := range 1000 { // asked after a long pause, each time from another budget
+		for i := range 1000 { // after a long pause, each time from another first budget
 			b.now = 100
 			server.slowStart = slowStart{startedAt: 100, refilledAt: -1e4, budget: float64(i) / 1000}
 			if b.hasSlowStartBudget(server) {
@@ -230,13 +235,15 @@
 			}
 		}
 		if c.shared != (kept < 500) {
-			t.Errorf("%s: one of %d routers has an attempt left %d times of 1000", c.name, c.routers, kept)
+			t.Errorf("%s: one of %d routers holds an attempt in %d of 1000 cases, want fewer than 500 only where shared",
+				c.name, c.routers, kept)
 		}
 	}
 }
 
-// What was completed while there were more servers was taken to have been completed by those that are left.
-func TestServersThatWentLeaveTheBudgetAsItWas(t *testing.T) {
+// Attempts completed while there were more servers were attributed to the remaining servers, which raised their
+// estimated capacity.
+func TestSlowStartBudgetAfterServerLoss(t *testing.T) {
 	for _, routers := range []int{1, 3, 30} {
 		most := 0.0
 		for seed := range seedCount(4) {
@@ -253,9 +260,9 @@
 			}
 			most = max(most, burst.worstBoundRatio())
 		}
-		t.Logf("%d routers, eight of a dozen went: the most %.2f of the bound", routers, most)
+		t.Logf("%d routers, eight of twelve servers lost: largest window %.2f of the bound", routers, most)
 		if most > 1 {
-			t.Errorf("%d routers sent %.2f times what is put down to chance after eight of a dozen servers went",
+			t.Errorf("%d routers, eight of twelve servers lost: largest window %.2f times the bound, want at most 1",
 				routers, most)
 		}
 	}
--- a/balancer/slowstart_fleet_test.go
+++ b/balancer/slowstart_fleet_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// scenarioOfSeed varies a scenario by its seed.
+// scenarioOfSeed returns a scenario whose parameters vary with the seed.
 func scenarioOfSeed(routers int, seed uint32) slowStartScenario {
 	return slowStartScenario{
 		routers:            routers,
@@ -31,11 +31,11 @@
 	}
 }
 
-// Whole balancers over half a minute: a burst for keys of the cold server, some routers with far more than
-// others, told of the start within six seconds, some of them restarted, servers that go, and the server cold a
-// second time.
-func TestAColdServerInABurst(t *testing.T) {
-	seeds := []uint32{10, 22} // above the bound once: with 1 to 30 routers, and with 1 to 8
+// The test simulates whole balancers for half a minute: a burst for keys of the server that is warming up, some
+// routers with far more traffic than others, endpoint lists that arrive within six seconds of the start, router
+// restarts, lost servers, and a second start.
+func TestSlowStartOfFleetInBurst(t *testing.T) {
+	seeds := []uint32{10, 22} // exceeded the bound once: with 1 to 30 routers, and with 1 to 8
 	for seed := range uint32(*searchSeeds) {
 		seeds = append(seeds, seed)
 	}
@@ -50,13 +50,14 @@
 			worst = max(worst, result.worstBoundRatio)
 			most = max(most, result.worstAllowanceRatio)
 		}
-		t.Logf("%3d routers: %d of %d starts above, the most %.2f of the bound, %.2f of what is allowed; %d sent",
+		t.Logf("%3d routers: %d of %d starts above; largest window %.2f of the bound, %.2f of the allowance; %d sent",
 			routers, exceeded, starts, worst, most, attempts)
 		if exceeded > 0 && *searchSeeds == 0 {
-			t.Errorf("%d routers sent %.2f times what is put down to chance", routers, worst)
+			t.Errorf("%d routers: largest window %.2f times the bound, want at most 1", routers, worst)
 		}
 		if attempts < 50*len(seeds) {
-			t.Errorf("%d routers sent the cold servers %d requests in %d plays", routers, attempts, len(seeds))
+			t.Errorf("%d routers sent the warming servers %d attempts in %d scenarios, want at least 50 each",
+				routers, attempts, len(seeds))
 		}
 	}
 }
--- a/balancer/slowstart_simulation_test.go
+++ b/balancer/slowstart_simulation_test.go
@@ -10,24 +10,24 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// slowStartScenario is a made-up half minute in which many routers meet cold servers. All of the routers are
-// balancers; time and chance are reckoned.
+// slowStartScenario is a simulated half minute in which servers start and warm up under the load of many routers.
+// Each router runs a real balancer; time and random numbers are simulated.
 type slowStartScenario struct {
-	routers, configuredRouters int // how many there are, and how many the settings say
+	routers, configuredRouters int // the actual number, and the number in the settings
 	servers                    int
-	warmingServers             int     // servers that start cold, the first ones; their requests are judged
-	lostServers                int     // servers that go when these start
-	servedBefore               bool    // the cold servers served before; else they are new
-	immediateAnswers           bool    // they answer at once whatever they get: nothing warns the routers
-	warmRate                   float64 // requests of mean work that a warm server does a second
-	load                       float64 // part of what all can do that comes in calm
-	burst                      float64 // times as much in a burst of four seconds
+	warmingServers             int     // number of servers that start and warm up; attempts at them are checked
+	lostServers                int     // servers that are removed when these start
+	servedBefore               bool    // the warming servers served before they restart; otherwise they are new
+	immediateAnswers           bool    // they answer immediately under any load, so that routers detect no overload
+	warmRate                   float64 // requests of mean work per second at a warm server
+	load                       float64 // fraction of the total capacity that arrives outside bursts
+	burst                      float64 // factor of the load in a burst of four seconds
 	burstDelay                 float64 // seconds from the start until the first burst
-	warmingKeyFraction         float64 // part of a burst that is for keys of the cold server's slice
-	skew                       float64 // how many times the mean the busiest tenth of the routers carry
-	listDelaySpread            float64 // seconds over which routers are told of the start
-	restartedFraction          float64 // part of the routers that restart when the servers start
-	secondStartAfter           float64 // seconds after which these start cold once more; 0: they do not
+	warmingKeyFraction         float64 // fraction of a burst that is for keys of the first warming server
+	skew                       float64 // traffic of one router in ten, relative to the others
+	listDelaySpread            float64 // seconds over which routers receive the list with the start
+	restartedFraction          float64 // fraction of the routers that restart when the servers start
+	secondStartAfter           float64 // seconds after which these servers start once more; 0: they do not
 	gossip                     bool
 	weightMode                 WeightMode
 	seed                       uint32
@@ -37,26 +37,26 @@
 
 // Times of the simulation, in seconds.
 const (
-	timeBeforeStart = 20.0 // before the start
+	timeBeforeStart = 20.0 // before the start of the warming servers
 	timeAfterStart  = 12.0 // after it
 	simulationStep  = 0.01
 	burstPeriod     = 6.0 // of which burstLength are a burst
 	burstLength     = 4.0
-	maxQueuedWork   = 0.5 // of work; a server rejects what comes beyond it
+	maxQueuedWork   = 0.5 // of work; a server rejects requests beyond it
 	networkLatency  = 0.005
 )
 
-// pendingAnswer is an attempt at a server, until it ends.
+// pendingAnswer is an attempt at a server that has not ended yet.
 type pendingAnswer struct {
 	endsAt, sentAt float64 // seconds
-	order          uint64  // of sending, among those that end at once
+	order          uint64  // of sending, among those that end at the same time
 	router         *simulatedRouter
 	requestID      uint64
 	number         int
 	outcome        Outcome
 }
 
-// pendingAnswers is a heap, the earliest end first.
+// pendingAnswers is a heap with the earliest end first.
 type pendingAnswers []pendingAnswer
 
 func (p pendingAnswers) Len() int { return len(p) }
@@ -76,8 +76,8 @@
 	recordingHost
 	simulation     *simulation
 	balancer       *Balancer
-	listReceivedAt float64        // seconds, when it is told of the cold servers' last start
-	attempts       map[uint64]int // by request, those started
+	listReceivedAt float64        // its router had received the list with the start
+	attempts       map[uint64]int // number of started attempts by request
 }
 
 func (r *simulatedRouter) StartAttempt(request, server uint64, timeout, _ float64) {
@@ -94,35 +94,35 @@
 }
 func (r *simulatedRouter) Fail(request uint64) { delete(r.attempts, request) }
 
-// warmingSend is an attempt at a cold server.
+// warmingSend is an attempt at a server that is warming up.
 type warmingSend struct {
 	sentAt       float64 // seconds
 	listReceived bool    // its router had been told of the start
 }
 
-// simulation is a scenario under way.
+// simulation is the state of a running scenario.
 type simulation struct {
 	slowStartScenario
-	now, warmingSince float64 // coldSince: when the cold servers last started
+	now, warmingSince float64 // warmingSince: when the warming servers last started
 	started           bool    // they have started
 	restarted         bool    // they have started twice
 	draws             uint64
 	fleet             []*simulatedRouter
-	routerWeights     []float64 // summed up: the traffic that routers carry, in proportion
-	warmingServerKeys []string  // keys that are the first cold server's while it has just started
+	routerWeights     []float64 // cumulative: the traffic that routers carry, in proportion
+	warmingServerKeys []string  // keys of the first warming server just after its start
 	requests          uint64    // so far
-	dueRequests       float64   // of the requests that are to come, by the rate, over those that came
-	busyUntil         []float64 // until when each server has work
+	dueRequests       float64   // requests that are due by the rate, minus those sent
+	busyUntil         []float64 // seconds, until when each server has work
 	pending           pendingAnswers
 	sequence          uint64
 	messages          [][]byte
-	warmingSends      [][]warmingSend // to each cold server since it started
+	warmingSends      [][]warmingSend // to each warming server since it started
 
-	worstBoundRatio     float64 // the most that a window held over the bound of chance; only what the rule counts
-	worstAllowanceRatio float64 // the most that a window held over what is allowed
+	worstBoundRatio     float64 // largest number in a window relative to randomnessBound; of the windows that count
+	worstAllowanceRatio float64 // largest number in a window relative to the allowance
 	starts              int
-	startsAboveBound    int // starts with a window above the bound
-	warmingSendCount    int // attempts at cold servers
+	startsAboveBound    int // starts with a window above randomnessBound
+	warmingSendCount    int // attempts at servers that were warming up
 }
 
 func (s *simulation) randomFloat() float64 {
@@ -130,12 +130,12 @@
 	return (float64(seedhash.Mix(s.seed, s.draws)) + 0.5) / (1 << 32)
 }
 
-// warmFraction is the part of its work that a cold server can do.
+// warmFraction returns the fraction of its full capacity that a warming server has.
 func (s *simulation) warmFraction(now float64) float64 {
 	return s.startCapacity + (1-s.startCapacity)*min(1, (now-s.warmingSince)/s.warmupDuration)
 }
 
-// startAttempt sends an attempt to a server, which answers it in turn.
+// startAttempt sends an attempt to a server, which answers attempts in order.
 func (s *simulation) startAttempt(router *simulatedRouter, request, id uint64, number int, timeout float64) {
 	server := int(id - 1)
 	rate := s.warmRate
@@ -172,7 +172,7 @@
 	heap.Push(&s.pending, answer)
 }
 
-// startRouter starts a router anew.
+// startRouter starts or restarts a router.
 func (s *simulation) startRouter(router *simulatedRouter, index int) {
 	router.simulation = s
 	router.attempts = map[uint64]int{}
@@ -199,7 +199,7 @@
 	}, router)
 }
 
-// sendList sends a router the list, as it is before the cold servers' start or after it.
+// sendList sends a router the endpoint list, as of before or after the start of the warming servers.
 func (s *simulation) sendList(router *simulatedRouter, afterStart bool) {
 	var list []Endpoint
 	for i := range s.servers {
@@ -219,7 +219,7 @@
 	router.balancer.OnEndpoints(s.now, UpdateFull, list)
 }
 
-// checkWindows looks at each overload window that ends with a request to a cold server.
+// checkWindows checks each overload window that ends with an attempt at a warming server, and begins a new record.
 func (s *simulation) checkWindows() {
 	for i, sends := range s.warmingSends {
 		s.starts++
@@ -230,8 +230,9 @@
 	}
 }
 
-// checkStart reports whether a window of one server's start held more than is put down to chance. Only windows of
-// which two thirds came from routers that had been told of the start count.
+// checkStart reports whether a window after one server's start contained more attempts than randomnessBound. Only
+// windows count in which more than two thirds of the attempts came from routers that had received the list with the
+// start.
 func (s *simulation) checkStart(sends []warmingSend) (exceeded bool) {
 	first, listReceived := 0, 0 // of the window
 	for last, send := range sends {
@@ -243,7 +244,7 @@
 				listReceived--
 			}
 		}
-		// What it could do in the middle of the window: it warms evenly.
+		// The allowance is that of the capacity in the middle of the window, which grows linearly.
 		middle := max(s.warmingSince, send.sentAt-s.overloadWindow/2)
 		allowed := s.overloadFactor * s.warmFraction(middle) * s.warmRate * s.overloadWindow
 		count := last - first + 1
@@ -260,7 +261,7 @@
 	return exceeded
 }
 
-// findWarmingServerKeys returns keys that are the first cold server's while it has just started.
+// findWarmingServerKeys returns keys that the first warming server answers for just after its start.
 func (s *simulation) findWarmingServerKeys() (keys []string) {
 	router := &simulatedRouter{}
 	s.startRouter(router, 0)
@@ -279,7 +280,7 @@
 	return keys
 }
 
-// newSimulation starts the fleet, before the cold servers' start.
+// newSimulation starts all routers, before the start of the warming servers.
 func newSimulation(scenario slowStartScenario) *simulation {
 	s := &simulation{
 		slowStartScenario: scenario,
@@ -304,7 +305,7 @@
 	return s
 }
 
-// run plays a scenario.
+// run simulates a scenario.
 func (scenario slowStartScenario) run() *simulation {
 	s := newSimulation(scenario)
 	for s.now = 0; s.now < timeBeforeStart+timeAfterStart; s.now += simulationStep {
@@ -319,8 +320,8 @@
 	return s
 }
 
-// startWarmingServers starts the cold servers once it is time, and once more where the scenario says so; some
-// routers restart with them.
+// startWarmingServers starts the warming servers when their time has come, and a second time if the scenario says
+// so; some routers restart at the same time.
 func (s *simulation) startWarmingServers(sinceStart float64) {
 	first := sinceStart >= 0 && !s.started
 	second := s.started && s.secondStartAfter > 0 && !s.restarted && sinceStart >= s.secondStartAfter
@@ -345,7 +346,7 @@
 	}
 }
 
-// notifyRouters notifies routers of the start whose time it is.
+// notifyRouters sends the list to the routers that are to receive it in this step.
 func (s *simulation) notifyRouters() {
 	for _, router := range s.fleet {
 		if s.started && router.listReceivedAt <= s.now && router.listReceivedAt > s.now-simulationStep {
@@ -378,7 +379,7 @@
 	s.messages = s.messages[:0]
 }
 
-// sendRequests sends the requests of one step, at random times by the rate.
+// sendRequests sends the requests of one step, at random intervals according to the rate.
 func (s *simulation) sendRequests(sinceStart float64) {
 	rate := s.load * s.warmRate * float64(s.servers)
 	warmingKeyFraction := 0.0
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -7,22 +7,22 @@
 	"testing"
 )
 
-// A start that is stamped too early makes a cold server look warm: the rule on servers that are warming up goes
-// by the true start.
-func TestStartTimesMayBeOff(t *testing.T) {
+// With a listed start time that is too early, a server that is still warming up counted as warm. The overload rule
+// applies from the true start.
+func TestStartTimeErrorDelaysWarmup(t *testing.T) {
 	for listed, want := range map[float64]float64{0: 0, 10: 15, 28: 30, 31: 31} {
 		b, _ := newTestBalancer(0, func(s *Settings) { s.StartTimeError = 5 })
 		b.OnEndpoints(30, UpdateDelta, []Endpoint{{ID: 1, State: Ready, StartedAt: listed}})
-		expectEqual(t, fmt.Sprint("start of one listed with ", listed), b.servers.byID[1].slowStart.startedAt, want)
+		expectEqual(t, fmt.Sprint("start time of one listed with ", listed), b.servers.byID[1].slowStart.startedAt, want)
 	}
 }
 
-func TestColdServerStaysWithinItsBudget(t *testing.T) {
+func TestSlowStartBudgetBoundsAttempts(t *testing.T) {
 	b, _ := newTestBalancer(4, nil)
 	server := b.servers.ready[0]
 	server.slowStart = slowStart{startedAt: 100, budget: 1, refilledAt: 100}
 	b.now = 100
-	b.completions.rate = 400 // 100 a second and server
+	b.completions.rate = 400 // 100 per second and server
 	b.completions.rateAt = 100
 	sent := 0.0
 	for range 3000 { // the overload window, in steps of a millisecond
@@ -32,14 +32,15 @@
 			sent++
 		}
 	}
-	// What the rule allows a server that completes 100 a second and starts at a quarter.
+	// The overload rule for a server that completes 100 attempts per second and starts at a quarter of its
+	// capacity.
 	allowed := 4 * 0.25 * 100 * 3.0
 	if sent > allowed || sent < allowed/4 {
-		t.Errorf("%v attempts in the window, %v allowed", sent, allowed)
+		t.Errorf("%v attempts in the overload window, want at most %v and at least a quarter of that", sent, allowed)
 	}
 }
 
-func TestColdServerAnswersForAWideningSlice(t *testing.T) {
+func TestKeysOfWarmingServerGrow(t *testing.T) {
 	b, _ := newTestBalancer(4, nil)
 	server := b.servers.byID[1]
 	keysAtAge := func(age float64) int {
@@ -50,11 +51,11 @@
 	}
 	start, half, warm := keysAtAge(0), keysAtAge(10), keysAtAge(20)
 	widening := start < half && half < warm && start <= 250
-	expectEqual(t, fmt.Sprint("widening: ", start, half, warm), widening, true)
+	expectEqual(t, fmt.Sprint("numbers of keys grow: ", start, half, warm), widening, true)
 }
 
-// A cold server got its slice of all while the warm ones shed most.
-func TestColdServerIsSparedWhatTheWarmShed(t *testing.T) {
+// A server that was warming up answered for its whole key fraction while the warm servers shed most requests.
+func TestKeysOfWarmingServerFollowAcceptanceRate(t *testing.T) {
 	keysAtRate := func(acceptanceRate float64) int {
 		b, _ := newTestBalancer(4, nil)
 		b.servers.byID[1].slowStart.startedAt = 100
@@ -63,12 +64,13 @@
 		return b.keysAnsweredBy(b.servers.byID[1])
 	}
 	full, half, fifth := keysAtRate(1), keysAtRate(0.5), keysAtRate(0.2)
-	expectEqual(t, fmt.Sprint("spared: ", full, half, fifth), half < full*2/3 && fifth < half*2/3, true)
+	expectEqual(t, fmt.Sprint("numbers of keys fall with the acceptance rate: ", full, half, fifth),
+		half < full*2/3 && fifth < half*2/3, true)
 }
 
-// Six in ten servers were replaced: as fewer requests were answered the new ones' slices shrank further, and
-// the old fell.
-func TestSliceOfAColdServerDoesNotShrinkWhereAllReport(t *testing.T) {
+// Six of ten servers were replaced. As fewer requests were answered, the key fractions of the new servers shrank
+// further, and the remaining old servers failed.
+func TestKeysOfWarmingServerDoNotShrinkWithLoadReports(t *testing.T) {
 	b, _ := newGossipingBalancer(4)
 	b.settings.WarmupStartCapacity = 0.3
 	b.settings.WarmupDuration = 9
@@ -82,14 +84,16 @@
 	server.slowStart.startedAt = 0
 	whenWarm := b.keysAnsweredBy(server)
 	if withReports < withoutReports*3/2 || withReports > whenWarm*2/5 {
-		t.Errorf("a slice of %d keys alone, %d where all report, of %d", withoutReports, withReports, whenWarm)
+		t.Errorf("keys: got %d without reports, %d with reports, %d when warm; want at least 3/2 and at most 2/5 with reports",
+			withoutReports, withReports, whenWarm)
 	}
 }
 
-// Each of 600 routers had one attempt at once for a cold server that bears two a second.
-func TestManyRoutersTogetherSpareAColdServer(t *testing.T) {
+// Each of 600 routers sent one attempt at the same time to a server that was warming up and could take two per
+// second.
+func TestSlowStartBudgetOfManyRouters(t *testing.T) {
 	sent := 0
-	weights := slices.Repeat([]float64{1, 3}, 120) // which bear 10 and 30 a second
+	weights := slices.Repeat([]float64{1, 3}, 120) // capacities of 10 and 30 attempts per second
 	for seed := range uint32(600) {
 		b, _ := newLiveWeightBalancer(seed, weights...)
 		b.now = 100
@@ -104,14 +108,14 @@
 			}
 		}
 	}
-	// What the rule allows: 4 times 0.17 of 10 a second, for a second and a half.
-	expectEqual(t, fmt.Sprint(sent, " sent by all, some but less than 10"), sent > 0 && sent < 10, true)
+	// The overload rule allows 4 times 0.17 of 10 attempts per second, for 1.5 s.
+	expectEqual(t, fmt.Sprint(sent, " attempts sent by all routers, want 1 to 9"), sent > 0 && sent < 10, true)
 }
 
-// Where every server is cold none sheds to another: what is rejected meanwhile does not close their slices, and
-// what caches completed before this process tells what they bear. Without it they were used only once they were
-// warm.
-func TestAllCold(t *testing.T) {
+// Where every server is warming up, no server sheds load to another: rejections must not reduce their key
+// fractions, and the completion rate from before this process states their capacity. Without that rate, the servers
+// were used only once they were warm.
+func TestAllServersWarmingUp(t *testing.T) {
 	for rate, least := range map[float64]int{0: 1, 60: 40} {
 		b, _ := newTestBalancer(0, func(s *Settings) {
 			s.InitialCompletionRate = rate
@@ -124,10 +128,10 @@
 		b.OnEndpoints(1, UpdateFull, list)
 		got := b.completionRate()
 		if math.Abs(got-rate) > rate/10 {
-			t.Errorf("%v a second are taken to complete, known is %v", got, rate)
+			t.Errorf("completion rate: got %v per second, want about %v", got, rate)
 		}
 		sent := 0
-		for n := range 400 { // 100 a second, for four of the twenty seconds that they take to be warm
+		for n := range 400 { // 100 per second, for 4 s of the 20 s of warm-up
 			now := 1 + float64(n)/100
 			id := uint64(n)
 			b.OnRequest(now, id, "view", "", fmt.Sprint("key-", n), 2)
@@ -138,11 +142,11 @@
 			}
 		}
 		if sent < least {
-			t.Errorf("of 400 requests %d were sent, with %v a second known from before; want %d at least",
+			t.Errorf("%d of 400 requests were sent with an initial completion rate of %v per second, want at least %d",
 				sent, rate, least)
 		}
 		if b.recent.acceptanceRate < 1e-3 && sent == 0 {
-			t.Error("the slices have closed")
+			t.Error("the acceptance rate and the key fractions fell to about 0")
 		}
 	}
 }
--- a/balancer/tenants_test.go
+++ b/balancer/tenants_test.go
@@ -5,20 +5,21 @@
 	"testing"
 )
 
-// One tenant's surplus made the others late.
-func TestSurplusYieldsFirst(t *testing.T) {
+// Requests beyond one tenant's quota made the requests of other tenants late.
+func TestOverQuotaRequestsAreShedFirst(t *testing.T) {
 	b, _ := newTestBalancer(1, nil)
 	server := b.servers.byID[1]
 	req := requestWithAttempt(b, "view", nil, false, true)
 	server.inFlight = []*attempt{{request: req, server: server}}
 	b.shedding.meanValue = req.class.PriorityWeight / req.class.meanLatency
-	expectEqual(t, "within its quota", b.shedsForLatency(req, server), false)
+	expectEqual(t, "shed within the quota", b.shedsForLatency(req, server), false)
 	req.valueFraction = 0.05
-	expectEqual(t, "beyond its quota", b.shedsForLatency(req, server), true)
+	expectEqual(t, "shed beyond the quota", b.shedsForLatency(req, server), true)
 }
 
-// With most routers stopped, a quota that was split over all of them starved the tenants of the rest.
-func TestQuotaPartIsOfWhatThisRouterCompletes(t *testing.T) {
+// With most routers stopped, a quota that was split evenly over all routers left too little for tenants at the
+// remaining ones.
+func TestQuotaFractionFollowsCompletionRate(t *testing.T) {
 	b, _ := newTestBalancer(1, func(s *Settings) {
 		s.Tenants = []Tenant{{Name: "a", Quota: 2}, {Name: "b", Quota: 2}}
 	})
@@ -30,15 +31,16 @@
 	expectEqual(t, "value", b.requests[5].valueFraction, 1.0)
 }
 
-// At a fraction of a request a second, a bucket of one lost what was within a quota.
-func TestQuotaHoldsForAFewRequests(t *testing.T) {
+// With a quota of less than one request per second at each router, a token bucket of one request lost requests
+// within the quota.
+func TestSmallQuotaAllowsBurst(t *testing.T) {
 	b, host := newTestBalancer(1, func(s *Settings) {
 		s.Tenants = []Tenant{{Name: "a", Quota: 100}}
 		s.RouterCount = 200
 	})
 	for i := range uint64(6) {
 		b.OnRequest(20, i, "view", "a", "k", 1)
-		expectEqual(t, fmt.Sprint("value of request ", i), b.requests[i].valueFraction, 1.0)
+		expectEqual(t, fmt.Sprint("value fraction of request ", i), b.requests[i].valueFraction, 1.0)
 	}
 	b.tenants.byName["a"].tokens = 1
 	b.servers.ready = nil
@@ -49,8 +51,9 @@
 	expectEqual(t, "tokens after a rejection without an attempt", b.tenants.byName["a"].tokens, 1.0)
 }
 
-// Routers that carry unlike traffic shed within a tenant's quota in calm.
-func TestSurplusIsNotShedInCalm(t *testing.T) {
+// Where routers carry uneven traffic, some requests within a tenant's quota exceed the fraction of a router, and
+// were shed at low load.
+func TestOverQuotaRequestsAreAdmittedAtHighOnTimeRate(t *testing.T) {
 	for onTimeRate, want := range map[float64]bool{0.5: true, 1: false} {
 		b, _ := newTestBalancer(1, nil)
 		req := requestWithAttempt(b, "view", nil, false, true)
@@ -58,6 +61,6 @@
 		b.recent.onTimeRate = onTimeRate
 		b.shedding.meanValue = req.class.PriorityWeight / req.class.meanLatency
 		shed := b.shedsForLatency(req, b.servers.byID[1])
-		expectEqual(t, fmt.Sprint("shed with ", onTimeRate, " in time"), shed, want)
+		expectEqual(t, fmt.Sprint("shed with ", onTimeRate, " on time"), shed, want)
 	}
 }
--- a/balancer/trafficclass.go
+++ b/balancer/trafficclass.go
@@ -6,38 +6,40 @@
 )
 
 const (
-	// minObjective is the least latency objective, in seconds, of a class that states neither objective nor deadline.
+	// minObjective is the minimum latency objective, in seconds, of a class that states neither objective nor
+	// deadline.
 	minObjective = 1e-3
-	// clientTimeoutsBeforeRetry is how much of a client's deadline is spent, in whole first tries, when its second try
-	// comes: one try, and half of one for the pause between.
+	// clientTimeoutsBeforeRetry is the time between a client's first request and its retry, in client timeouts: one
+	// timeout, and half of one for the client's backoff.
 	clientTimeoutsBeforeRetry = 1.5
-	// clientTimeoutTolerance is by how many event intervals the times left of two first tries may differ.
+	// clientTimeoutTolerance is the maximum difference, in event intervals, between the times left of two first
+	// requests.
 	clientTimeoutTolerance = 2
 )
 
-// classState is the settings of a traffic class and what was observed of it.
+// classState holds the settings of a traffic class and the latencies observed in it.
 type classState struct {
 	TrafficClass
 	clientTimeout clientTimeoutEstimate
-	meanLatency   float64 // seconds, of an attempt that succeeded
-	latencyAt     float64 // seconds, when that was last observed
+	meanLatency   float64 // seconds, of successful attempts
+	latencyAt     float64 // seconds, when a latency was last observed
 }
 
-// clientTimeoutEstimate is the time left with which most requests of a class arrive, found by majority vote (Boyer-Moore):
-// that of clients' first tries.
+// clientTimeoutEstimate is the time left with which most requests of a class arrive, found by majority vote
+// (Boyer-Moore). It is the timeout of clients' first requests.
 type clientTimeoutEstimate struct {
 	timeLeft float64 // seconds
 	votes    int     // for timeLeft, minus those against it
 }
 
-// trafficClasses holds the classes that requests may have now.
+// trafficClasses holds the current traffic classes.
 type trafficClasses struct {
 	byName           map[string]*classState
 	longestObjective float64 // seconds, of all classes
 }
 
-// SetTrafficClasses replaces the traffic classes of requests from now on. Requests that have arrived end under
-// their own. What was observed of a class that stays is kept.
+// SetTrafficClasses replaces the traffic classes of requests that arrive from now on. Requests that have arrived
+// keep their class. Latencies observed in a class that remains are kept.
 func (b *Balancer) SetTrafficClasses(classes []TrafficClass) {
 	byName := map[string]*classState{}
 	b.classes.longestObjective = 0
@@ -54,11 +56,11 @@
 		b.classes.longestObjective = max(b.classes.longestObjective, class.LatencyObjective)
 	}
 	b.classes.byName = byName
-	clear(b.retryBudgets.byTenant) // of tenants that may be gone
+	clear(b.retryBudgets.byTenant) // drops the budgets of tenants that may no longer exist
 }
 
-// classOf returns the state of a class. A request of a class that the settings lack may take the time that it
-// brought, in seconds, and is attempted at most once.
+// classOf returns the state of a class. A request of an unknown class may take the time left with which it arrived,
+// in seconds, and is attempted at most once.
 func (b *Balancer) classOf(name string, timeLeft float64) *classState {
 	class := b.classes.byName[name]
 	if class != nil {
@@ -71,14 +73,15 @@
 	}
 }
 
-// detectClientRetry distinguishes a client's first try from a later one by the time left, in seconds. A client gives all
-// its tries one deadline together, so a later try arrives with less time than the first ones of its class. Its latency
-// objective began with the first try; if that has passed, the request is worth less, so that it does not crowd out
-// those that can be in time.
+// detectClientRetry distinguishes a client's first request from a retry by the client, by the time left, in
+// seconds. A client has one deadline for the first request and its retries, so a retry arrives with less time left
+// than the first requests of its class. Its latency objective began with the first request; if that has passed, the
+// retry is worth less, so that it does not displace requests that can still be on time.
 func (b *Balancer) detectClientRetry(req *request, timeLeft float64) {
 	class := req.class
 	timeout := &class.clientTimeout
-	// A later try has at least this time left. A request with less is the first try of a client in a hurry.
+	// A client retry has at least this much time left. A request with less is the first one of a client with a
+	// short timeout.
 	minRetryTimeLeft := min(class.LatencyObjective, class.Deadline-clientTimeoutsBeforeRetry*timeout.timeLeft)
 	switch {
 	case math.Abs(timeLeft-timeout.timeLeft) <= clientTimeoutTolerance*b.settings.EventInterval:
--- a/balancer/zoneshare_test.go
+++ b/balancer/zoneshare_test.go
@@ -7,15 +7,15 @@
 	"bendtrestle/internal/seedhash"
 )
 
-// inThreeZones puts the servers into zones a, b and c by their ids.
+// inThreeZones assigns the servers to zones a, b and c by their ids.
 func inThreeZones(b *Balancer) {
 	for id, server := range b.servers.byID {
 		server.Zone = string(rune('a' + id%3))
 	}
 }
 
-// A zone with a share serves the same keys of its own at every router; the other keys stay where they were.
-func TestZoneShareServesTheSameKeysEverywhere(t *testing.T) {
+// A zone with a zone share keeps the same keys at every router; the keys of other zones do not move.
+func TestZoneShareKeepsSameKeysAtEveryRouter(t *testing.T) {
 	withShare := func(seed uint32, share float64) *Balancer {
 		b, _ := newTestBalancer(12, func(s *Settings) { s.Seed = seed })
 		inThreeZones(b)
@@ -33,7 +33,7 @@
 		pick := func(b *Balancer) *serverState { return b.nearestServer(seedhash.Avalanche(key), anyServer) }
 		was, now := pick(before), pick(half)
 		if now != nil && pick(otherRouter).ID != now.ID {
-			t.Fatal("two routers differ")
+			t.Fatal("two routers pick different servers for a key")
 		}
 		if pick(none).Zone == "b" {
 			t.Fatal("an evacuated zone serves a key")
@@ -51,12 +51,13 @@
 	}
 	part := float64(kept) / float64(all)
 	if part < 0.4 || part > 0.6 {
-		t.Errorf("%v of its keys stay, want half", part)
+		t.Errorf("fraction of keys that stay in the zone: got %v, want 0.4 to 0.6", part)
 	}
 }
 
-// Of an evacuated zone what may be attempted again goes elsewhere at once, and what may not waits on.
-func TestEvacuatedZoneCancelsWhatMayRunAgain(t *testing.T) {
+// When a zone is evacuated, requests that may be repeated are retried elsewhere immediately; others wait for their
+// attempt.
+func TestEvacuationCancelsOnlyRepeatableRequests(t *testing.T) {
 	b, host := newTestBalancer(12, nil)
 	inThreeZones(b)
 	for i, class := range []string{"view", "pay"} {
@@ -72,45 +73,47 @@
 		var number int
 		_, err := fmt.Sscanf(action, "cancel %d/%d", &id, &number)
 		if err != nil || id >= 100 || b.requests[id].attempts[number].server.Zone != "b" {
-			t.Fatalf("did %q: only what may run again, and is in flight there, is cancelled", action)
+			t.Fatalf("action %q, want only cancellations of repeatable requests in flight in zone b", action)
 		}
 		cancelled++
 	}
 	inFlightThere := 0
 	for id := range uint64(40) {
 		req := b.requests[id]
-		if req != nil && req.attempts[0].server.Zone == "b" { // nil: rejected, as all came at once
+		if req != nil && req.attempts[0].server.Zone == "b" { // nil: rejected, since all requests arrived at the same time
 			inFlightThere++
 		}
 	}
 	if cancelled != inFlightThere || cancelled == 0 {
-		t.Errorf("%d were in flight there, %d cancelled", inFlightThere, cancelled)
+		t.Errorf("%d repeatable requests in flight in zone b, %d cancelled, want all of them and at least 1",
+			inFlightThere, cancelled)
 	}
 	id := uint64(0)
 	fmt.Sscanf(host.actions[0], "cancel %d", &id)
 	b.OnAttemptEnd(1.1, id, 0, Cancelled, 0.1, false)
 	attempts := b.requests[id].attempts
 	if len(attempts) != 2 || attempts[1].server.Zone == "b" {
-		t.Error("what was cancelled did not go elsewhere")
+		t.Error("a cancelled request was not retried in another zone")
 	}
 }
 
-// What is bound to an evacuated zone is rejected at once, with when to come back, and never goes elsewhere.
-func TestBoundToAnEvacuatedZone(t *testing.T) {
+// A request that is restricted to an evacuated zone is rejected immediately, with a retry-after delay, and is never
+// sent elsewhere.
+func TestRequestRestrictedToEvacuatedZoneIsRejected(t *testing.T) {
 	b, host := newTestBalancer(4, func(s *Settings) { s.TrafficClasses[0].AllowedZones = []string{"b"} })
 	b.servers.byID[1].Zone = "b"
 	b.servers.byID[2].Zone = "b"
 	b.OnRequest(1, 1, "view", "", "key", 2)
 	b.SetZoneShare(1.1, "b", 0)
-	expectEqual(t, "as the zone is evacuated", host.lastAction(), "cancel 1/0")
+	expectEqual(t, "action when the zone is evacuated", host.lastAction(), "cancel 1/0")
 	b.OnAttemptEnd(1.1, 1, 0, Cancelled, 0.1, false)
-	expectEqual(t, "once cancelled", host.lastAction(), "reject 1 after true")
+	expectEqual(t, "action after the cancellation", host.lastAction(), "reject 1 after true")
 	b.OnRequest(1.2, 2, "view", "", "key", 2)
-	expectEqual(t, "a new request", host.lastAction(), "reject 2 after true")
+	expectEqual(t, "action for a new request", host.lastAction(), "reject 2 after true")
 }
 
-// A zone's share is of caches: what the origin's servers in an evacuated zone work on goes on.
-func TestZoneShareLeavesTheOrigin(t *testing.T) {
+// A zone share applies to caches: attempts in flight at the origin's servers in an evacuated zone continue.
+func TestEvacuationKeepsOriginAttempts(t *testing.T) {
 	b, host := newTestBalancer(3, func(s *Settings) {
 		s.CacheAside = true
 		s.OriginMachineType = "origin"
@@ -119,8 +122,8 @@
 	b.OnRequest(1, 1, "view", "", "key", 2)
 	b.OnAttemptEnd(1.01, 1, 0, CacheMiss, 0.01, false)
 	if host.lastAction() != "attempt 1 on 9" {
-		t.Fatalf("did %v, want a fetch", host.actions)
+		t.Fatalf("actions %v, want an attempt at the origin last", host.actions)
 	}
 	b.SetZoneShare(1.02, "b", 0)
-	expectEqual(t, "as the zone is evacuated", host.lastAction(), "attempt 1 on 9")
+	expectEqual(t, "action when the zone is evacuated", host.lastAction(), "attempt 1 on 9")
 }
--- a/internal/seedhash/seedhash_test.go
+++ b/internal/seedhash/seedhash_test.go
@@ -2,15 +2,16 @@
 
 import "testing"
 
-// The values are those of the build of 15122f5: keys would move, and routers of two builds would draw unlike, if one bit changed.
-func TestMixKeepsItsValues(t *testing.T) {
+// The values are those of commit 15122f5. If one bit changed, keys would move, and routers of different builds
+// would draw different numbers.
+func TestMixValuesAreStable(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		seed  uint32
 		value uint64
 		want  uint32
 	}{
-		{"nothing", 0x0, 0x0, 0x6a56db1b},
+		{"zero seed and value", 0x0, 0x0, 0x6a56db1b},
 		{"table seed, first draw", 0x8d3a, 0x1, 0x835aa97d},
 		{"table seed, late draw", 0x8d3a, 0x1e240, 0x75aee0ac},
 		{"largest", 0xffffffff, 0xffffffffffffffff, 0xfeec2cc6},
@@ -22,15 +23,15 @@
 	}
 }
 
-func TestSequenceDrawsByNumberAndSeed(t *testing.T) {
+func TestSequenceDependsOnSeedAndDrawNumber(t *testing.T) {
 	sequence := NewSequence(7)
 	for n := uint64(1); n <= 5; n++ {
 		want := float64(Mix(7, n)) / (1 << 32)
 		if got := sequence.Float64(); got != want {
-			t.Errorf("draw %d: %v, want %v", n, got, want)
+			t.Errorf("draw %d: got %v, want %v", n, got, want)
 		}
 	}
 	if got, want := sequence.Intn(10), int(uint64(Mix(7, 6))*10>>32); got != want {
-		t.Errorf("draw 6 of 10: %d, want %d", got, want)
+		t.Errorf("draw 6, from 0 to 9: got %d, want %d", got, want)
 	}
 }
