--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -17,9 +17,9 @@
 	for _, ordered := range []bool{false, true} {
 		b, _ := newTestBalancer(1, func(s *Settings) { s.OrderedConnections = ordered })
 		server := b.servers.byID[1]
-		endAttempt := func(how Outcome, latency float64, final bool) {
+		endAttempt := func(outcome Outcome, latency float64, final bool) {
 			req := requestWithAttempt(b, "view", server, true, false)
-			b.OnAttemptEnd(b.now+0.01, req.id, 0, how, latency, final)
+			b.OnAttemptEnd(b.now+0.01, req.id, 0, outcome, latency, final)
 		}
 		for range 400 {
 			endAttempt(Succeeded, 0.25, true)
@@ -66,7 +66,7 @@
 // offeredLoad is a stream of requests of one class. Attempts end immediately.
 type offeredLoad struct {
 	from, to float64 // seconds
-	rate     float64 // requests a second
+	rate     float64 // requests per second
 	class    string
 	outcome  func(now float64) Outcome
 }
@@ -92,15 +92,15 @@
 		rejected = 0
 		attempted++
 		for n := 0; b.requests[id] == req; n++ {
-			how := l.outcome(now)
-			b.OnAttemptEnd(now, id, n, how, req.class.LatencyObjective/4, how == Succeeded)
+			outcome := l.outcome(now)
+			b.OnAttemptEnd(now, id, n, outcome, req.class.LatencyObjective/4, outcome == Succeeded)
 		}
 	}
 	return longestPause, attempted
 }
 
-func alwaysEndWith(how Outcome) func(float64) Outcome {
-	return func(float64) Outcome { return how }
+func alwaysEndWith(outcome Outcome) func(float64) Outcome {
+	return func(float64) Outcome { return outcome }
 }
 
 // setMeanLatencies sets the mean latency of all classes, in seconds, and the mean value of requests.
--- a/balancer/config.go
+++ b/balancer/config.go
@@ -22,8 +22,8 @@
 	// server before it. The fraction of attempts that end on time then does not indicate low load, and load is shed
 	// early.
 	OrderedConnections bool
-	// CacheAside states that a cache that lacks a key answers with a miss, and that the router then asks the
-	// origin.
+	// CacheAside states that a cache that lacks a key answers with a miss, and that the router then sends the
+	// request to the origin.
 	CacheAside bool
 	// OriginMachineType is the machine type of the origin's servers in the endpoint list; empty if the list does
 	// not contain them.
--- a/balancer/endpoints.go
+++ b/balancer/endpoints.go
@@ -134,7 +134,7 @@
 	return removed
 }
 
-// SetDisabled disables a server on behalf of an operator, whatever the list says, or enables it again. An enabled
+// SetDisabled disables a server on behalf of an operator, regardless of the list, or enables it again. An enabled
 // server counts as warming up: it may have restarted while it was disabled, before the list reports the restart.
 func (b *Balancer) SetDisabled(now float64, id uint64, disabled bool) {
 	b.now = now
--- a/balancer/endpoints_test.go
+++ b/balancer/endpoints_test.go
@@ -18,7 +18,7 @@
 	expectEqual(t, "ready", len(b.servers.ready), 1)
 }
 
-// A server that an operator disabled stays disabled whatever the list says: also when a list drops it and a later
+// A server that an operator disabled stays disabled regardless of the list: also when a list drops it and a later
 // one contains it again, and when no list has contained it yet.
 func TestDisabledServerStaysDisabledAcrossListUpdates(t *testing.T) {
 	b, _ := newTestBalancer(3, nil)
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -54,9 +54,9 @@
 	outcomes := []Outcome{Succeeded, TimedOut, ConnectFailed, ServerError, Succeeded, Overloaded, Succeeded}
 	for i := range uint64(200) {
 		now := float64(i) / 10
-		how := outcomes[i%uint64(len(outcomes))]
+		outcome := outcomes[i%uint64(len(outcomes))]
 		b.OnRequest(now, i, "view", "", fmt.Sprint("key-", i%37), 2)
-		b.OnAttemptEnd(now+0.09, i, 0, how, 0.01+float64(i%9)*0.06, how == Succeeded)
+		b.OnAttemptEnd(now+0.09, i, 0, outcome, 0.01+float64(i%9)*0.06, outcome == Succeeded)
 		b.OnClientGone(now+0.1, i)
 	}
 	got := strings.Join(host.messages, "\n") + "\n"
--- a/balancer/host.go
+++ b/balancer/host.go
@@ -1,8 +1,8 @@
 package balancer
 
 // Host carries out the actions of a balancer; New receives it. The balancer calls it synchronously, from the call
-// that causes the action and on the same goroutine, and the host must not call the balancer before it returns. Ids
-// are those that were passed to the balancer. Times are in seconds.
+// that causes the action and on the same goroutine, and the host must not call the balancer before that
+// call returns. Ids are those that were passed to the balancer. Times are in seconds.
 type Host interface {
 	// StartAttempt sends a request to a server. The attempt ends with OnAttemptEnd: after timeout at the latest, or
 	// unsent if it could not be written within writeTimeout.
--- a/balancer/loadreport.go
+++ b/balancer/loadreport.go
@@ -55,7 +55,7 @@
 
 // fewSamples reports whether this router has so few samples that it uses reported load in addition to its own: it
 // completes less than one attempt per server within the decay time of latencies. With many routers, none has two
-// attempts in flight at one server, and its own observations come too late.
+// attempts in flight at one server, and its own observations are too late.
 func (b *Balancer) fewSamples(class *classState) bool {
 	reportsExpected := b.settings.GossipAllowed || b.settings.WeightMode == WeightsLive
 	if b.settings.RouterCount <= 1 || !reportsExpected {
--- a/balancer/loadreport_test.go
+++ b/balancer/loadreport_test.go
@@ -48,9 +48,9 @@
 	for range 20 {
 		b.OnGossip(1, []byte{3, 0, 64, 3, 0, 64, 4, 0, 32}) // twice the mean latency
 	}
-	part := b.passedOverFraction(loaded)
-	if part < 0.5 || part > 0.95 {
-		t.Errorf("fraction of keys that leave the server with most of the load: got %v, want 0.5 to 0.95", part)
+	fraction := b.passedOverFraction(loaded)
+	if fraction < 0.5 || fraction > 0.95 {
+		t.Errorf("fraction of keys that leave the server with most of the load: got %v, want 0.5 to 0.95", fraction)
 	}
 	expectEqual(t, "fraction of keys that leave another server", b.passedOverFraction(b.servers.byID[5]), 0.0)
 	b.now = 20
@@ -61,16 +61,16 @@
 	expectEqual(t, "fraction of keys that leave it at a router with enough samples", b.passedOverFraction(loaded), 0.0)
 }
 
-// Each of 80 routers lost requests of its own at a server that had nearly stalled, for 13 s in total. A router that
-// is cut off from a server must not eject it at the other routers.
+// For 13 s, each of 80 routers lost requests of its own at a server that had nearly stalled. A router that is cut off
+// from a server must not eject it at the other routers.
 func TestServerReportedSlowKeepsFewKeys(t *testing.T) {
 	b, _ := newGossipingBalancer(10)
 	for i := range 400 {
 		b.OnGossip(1, []byte{byte(i%10) + 1, 0, byte(32 + 222*(i%10/9))})
 	}
-	part := b.passedOverFraction(b.servers.byID[10])
-	if part < 0.9 || part > 0.98 {
-		t.Errorf("fraction of keys that leave the slow server: got %v, want 0.9 to 0.98", part)
+	fraction := b.passedOverFraction(b.servers.byID[10])
+	if fraction < 0.9 || fraction > 0.98 {
+		t.Errorf("fraction of keys that leave the slow server: got %v, want 0.9 to 0.98", fraction)
 	}
 	other := b.servers.byID[2]
 	b.OnGossip(1.1, []byte{2, 0, gossipConnectionRefused})
@@ -137,8 +137,8 @@
 	} {
 		b.servers.byID[1].reported.smoothedLoad = c.smoothedLoad
 		b.now = 1 + c.later
-		part := b.passedOverFraction(b.servers.byID[1])
-		expectEqual(t, fmt.Sprint(part, " of the keys leave: ", c.name), part >= c.least && part <= c.most, true)
+		fraction := b.passedOverFraction(b.servers.byID[1])
+		expectEqual(t, fmt.Sprint(fraction, " of the keys leave: ", c.name), fraction >= c.least && fraction <= c.most, true)
 	}
 	expectEqual(t, "fraction of keys that leave another server", b.passedOverFraction(b.servers.byID[2]), 0.0)
 	req := &request{class: b.classes.byName["view"]}
@@ -166,7 +166,7 @@
 		for ; now <= c.until; now++ {
 			b.OnEndpoints(now, UpdateDelta, endpointsOfWeights(c.weight))
 		}
-		part := float64(b.keysAnsweredBy(server)) / before
-		expectEqual(t, fmt.Sprint(part, " of its keys: ", c.name), part >= c.least && part <= c.most, true)
+		fraction := float64(b.keysAnsweredBy(server)) / before
+		expectEqual(t, fmt.Sprint(fraction, " of its keys: ", c.name), fraction >= c.least && fraction <= c.most, true)
 	}
 }
--- a/balancer/outcomes_test.go
+++ b/balancer/outcomes_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A server that was half as slow again as the others was overloaded while they were idle.
+// A server with 1.5 times the latency of the others was overloaded while they were idle.
 func TestSlowServerGivesUpVirtualNodesGradually(t *testing.T) {
 	b, _ := newTestBalancer(2, nil)
 	server := b.servers.byID[1]
--- a/balancer/outlier_test.go
+++ b/balancer/outlier_test.go
@@ -45,11 +45,11 @@
 			failing = b.requests[id].attempts[0].server.ID
 		}
 		for n := 0; b.requests[id] != nil; n++ {
-			how := Succeeded
+			outcome := Succeeded
 			if b.requests[id].attempts[n].server.ID == failing {
-				how = ServerError
+				outcome = ServerError
 			}
-			b.OnAttemptEnd(1, id, n, how, 0.01, how == Succeeded)
+			b.OnAttemptEnd(1, id, n, outcome, 0.01, outcome == Succeeded)
 		}
 	}
 	expectEqual(t, "failing server is avoided", b.Avoids(failing), true)
--- a/balancer/placement_test.go
+++ b/balancer/placement_test.go
@@ -24,10 +24,10 @@
 		before[key] = b.nearestServer(seedhash.Avalanche(key), anyServer).ID
 	}
 	b.OnEndpoints(1, UpdateDelta, []Endpoint{{ID: 3, State: Draining, Capacity: 1}})
-	for key, was := range before {
-		now := b.nearestServer(seedhash.Avalanche(key), anyServer).ID
-		if was != 3 && now != was || now == 3 {
-			t.Errorf("key %d moved from server %d to %d, want moves from server 3 only", key, was, now)
+	for key, previous := range before {
+		current := b.nearestServer(seedhash.Avalanche(key), anyServer).ID
+		if previous != 3 && current != previous || current == 3 {
+			t.Errorf("key %d moved from server %d to %d, want moves from server 3 only", key, previous, current)
 		}
 	}
 }
--- a/balancer/retries_test.go
+++ b/balancer/retries_test.go
@@ -34,7 +34,7 @@
 	for _, c := range []struct {
 		name          string
 		window, after float64 // after: seconds until its first attempt ends
-		how           Outcome
+		outcome       Outcome
 		want          string
 	}{
 		{"no window, may have been executed", 0, 0, ConnectionLost, failed},
@@ -48,7 +48,7 @@
 		b.retryBudgets.shared = 1
 		req := requestWithAttempt(b, "amend", b.servers.byID[1], true, false)
 		req.class.DeduplicationWindow = c.window
-		b.OnAttemptEnd(c.after, 7, 0, c.how, c.after, false)
+		b.OnAttemptEnd(c.after, 7, 0, c.outcome, c.after, false)
 		expectEqual(t, "action: "+c.name, host.lastAction(), c.want)
 		if host.lastAction() == retried && !req.attempts[0].notExecuted {
 			// The window of the retry ended before it was written.
--- a/balancer/rules.go
+++ b/balancer/rules.go
@@ -3,7 +3,7 @@
 import "slices"
 
 // This file holds the rules that no decision may break: whether any server may attempt a request, whether one
-// server may, and whether the client may be told that a retry is harmless.
+// server may, and whether a retry by the client is harmless.
 
 // mayContinue reports whether a request may be attempted, or attempted again, at any server.
 func (b *Balancer) mayContinue(req *request) bool {
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -6,8 +6,8 @@
 )
 
 const (
-	// slowStartSafetyFactor divides what the overload rule allows: a router knows only the number of the other
-	// routers, not what they send.
+	// slowStartSafetyFactor divides what the overload rule allows: a router has the number of the other
+	// routers, but not what they send.
 	slowStartSafetyFactor = 2
 	// ownSizeFactor raises the allowance where the list states sizes, to three quarters of what the overload rule
 	// allows a server of its size.
--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -107,7 +107,7 @@
 				sent = append(sent, age)
 			}
 		}
-		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= age-settings.OverloadWindow })
+		sent = slices.DeleteFunc(sent, func(sentAt float64) bool { return sentAt <= age-settings.OverloadWindow })
 		// The allowance is that of the capacity in the middle of the window, which grows linearly.
 		warmedUp := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
 		warm := settings.WarmupStartCapacity + warmedUp
--- a/balancer/slowstart_simulation_test.go
+++ b/balancer/slowstart_simulation_test.go
@@ -76,7 +76,7 @@
 	recordingHost
 	simulation     *simulation
 	balancer       *Balancer
-	listReceivedAt float64        // its router had received the list with the start
+	listReceivedAt float64        // seconds, when it receives the list with the last start of the warming servers
 	attempts       map[uint64]int // number of started attempts by request
 }
 
@@ -97,7 +97,7 @@
 // warmingSend is an attempt at a server that is warming up.
 type warmingSend struct {
 	sentAt       float64 // seconds
-	listReceived bool    // its router had been told of the start
+	listReceived bool    // its router had received the list with the start
 }
 
 // simulation is the state of a running scenario.
@@ -121,7 +121,7 @@
 	worstBoundRatio     float64 // largest number in a window relative to randomnessBound; of the windows that count
 	worstAllowanceRatio float64 // largest number in a window relative to the allowance
 	starts              int
-	startsAboveBound    int // starts with a window above randomnessBound
+	startsAboveBound    int // starts of a server with a window above randomnessBound
 	warmingSendCount    int // attempts at servers that were warming up
 }
 
--- a/balancer/slowstart_test.go
+++ b/balancer/slowstart_test.go
@@ -50,8 +50,8 @@
 		return b.keysAnsweredBy(server)
 	}
 	start, half, warm := keysAtAge(0), keysAtAge(10), keysAtAge(20)
-	widening := start < half && half < warm && start <= 250
-	expectEqual(t, fmt.Sprint("numbers of keys grow: ", start, half, warm), widening, true)
+	growing := start < half && half < warm && start <= 250
+	expectEqual(t, fmt.Sprint("numbers of keys grow: ", start, half, warm), growing, true)
 }
 
 // A server that was warming up answered for its whole key fraction while the warm servers shed most requests.
@@ -84,7 +84,7 @@
 	server.slowStart.startedAt = 0
 	whenWarm := b.keysAnsweredBy(server)
 	if withReports < withoutReports*3/2 || withReports > whenWarm*2/5 {
-		t.Errorf("keys: got %d without reports, %d with reports, %d when warm; want at least 3/2 and at most 2/5 with reports",
+		t.Errorf("%d keys without reports, %d with, %d when warm; want 3/2 of the first to 2/5 of the last with reports",
 			withoutReports, withReports, whenWarm)
 	}
 }
--- a/balancer/zoneshare_test.go
+++ b/balancer/zoneshare_test.go
@@ -31,27 +31,27 @@
 	kept, all := 0, 0
 	for key := range uint32(2000) {
 		pick := func(b *Balancer) *serverState { return b.nearestServer(seedhash.Avalanche(key), anyServer) }
-		was, now := pick(before), pick(half)
-		if now != nil && pick(otherRouter).ID != now.ID {
+		previous, current := pick(before), pick(half)
+		if current != nil && pick(otherRouter).ID != current.ID {
 			t.Fatal("two routers pick different servers for a key")
 		}
 		if pick(none).Zone == "b" {
 			t.Fatal("an evacuated zone serves a key")
 		}
-		if was.Zone != "b" {
-			if now.ID != was.ID {
+		if previous.Zone != "b" {
+			if current.ID != previous.ID {
 				t.Fatal("a key of another zone moved")
 			}
 			continue
 		}
 		all++
-		if now.ID == was.ID {
+		if current.ID == previous.ID {
 			kept++
 		}
 	}
-	part := float64(kept) / float64(all)
-	if part < 0.4 || part > 0.6 {
-		t.Errorf("fraction of keys that stay in the zone: got %v, want 0.4 to 0.6", part)
+	fraction := float64(kept) / float64(all)
+	if fraction < 0.4 || fraction > 0.6 {
+		t.Errorf("fraction of keys that stay in the zone: got %v, want 0.4 to 0.6", fraction)
 	}
 }
 
