--- a/balancer/admission_test.go
+++ b/balancer/admission_test.go
@@ -92,8 +92,8 @@
 		rejected = 0
 		attempted++
 		for n := 0; b.requests[id] == req; n++ {
-			outcome := l.outcome(now)
-			b.OnAttemptEnd(now, id, n, outcome, req.class.LatencyObjective/4, outcome == Succeeded)
+			result := l.outcome(now)
+			b.OnAttemptEnd(now, id, n, result, req.class.LatencyObjective/4, result == Succeeded)
 		}
 	}
 	return longestPause, attempted
--- a/balancer/hotkeys.go
+++ b/balancer/hotkeys.go
@@ -40,9 +40,9 @@
 func (b *Balancer) replicasFor(slot uint32, class *classState) float64 {
 	servers := float64(max(1, len(b.servers.ready)))
 	replicas := b.hotKeys.recordUse(slot, servers)
-	load := min(1, replicaLatencyFactor*class.meanLatency/class.LatencyObjective)
+	latencyFactor := min(1, replicaLatencyFactor*class.meanLatency/class.LatencyObjective)
 	// Frequent failures mean that the origin is failing, and each replica would query it again. So the number of
 	// replicas falls with the fourth power of the success rate.
-	succeeding := (b.recent.succeeded + 1) / (b.recent.succeeded + b.recent.failed + 1)
-	return math.Ceil(max(1, replicas*load*succeeding*succeeding*succeeding*succeeding))
+	successRate := (b.recent.succeeded + 1) / (b.recent.succeeded + b.recent.failed + 1)
+	return math.Ceil(max(1, replicas*latencyFactor*successRate*successRate*successRate*successRate))
 }
