--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -10,26 +10,28 @@
 )
 
 var searchSeeds = flag.Int("search", 0,
-	"seeds that each test of many routers draws, and tells what it found in place of a verdict")
+	"number of seeds that each test of many routers draws; above 0, most results are logged and not checked")
 
-// seedCount is how many seeds a test draws.
+// seedCount returns the number of seeds that a test draws, at least few.
 func seedCount(few int) uint32 { return uint32(max(few, *searchSeeds)) }
 
-// chanceBound is what is put down to chance where so many requests are allowed.
-func chanceBound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
+// randomnessBound returns the number of attempts in an overload window up to which an excess over the allowed
+// number is attributed to random variation.
+func randomnessBound(allowed float64) float64 { return allowed + 2*math.Sqrt(allowed) + 2 }
 
-// fleetBurst is a time in which every router is asked for more than it may send to one cold server among a dozen.
+// fleetBurst is a period in which every router receives more requests than it may send to one server that is
+// warming up, out of a dozen servers.
 type fleetBurst struct {
-	routers       int     // how many there are
-	statedRouters int     // and how many the settings say
-	heardRouters  int     // how many each router hears; 0: it hears none
-	warmRate      float64 // requests of mean work that a warm server does a second
-	load          float64 // the part of that which was completed of late
-	skew          float64 // how many times as much as the others a tenth of the routers completed
-	delay         float64 // seconds from the start until the burst comes
-	lostServers   int     // of the dozen, those that went with the start
-	slowWarmup    bool    // other settings: a server that warms slowly, and is overloaded sooner
-	seed          uint32
+	routers           int     // number of routers
+	configuredRouters int     // number of routers in the settings
+	reachableRouters  int     // number of routers in contact with each router; 0: not set
+	warmRate          float64 // requests of mean work per second at a warm server
+	load              float64 // fraction of the capacity that was completed recently
+	skew              float64 // completions of one router in ten, relative to the others
+	delay             float64 // seconds from the start of the server until the burst
+	lostServers       int     // servers of the dozen that are removed at the start
+	slowWarmup        bool    // other settings: a server that warms up slowly and is overloaded earlier
+	seed              uint32
 }
 
 const (
@@ -40,7 +42,7 @@
 
 func (f fleetBurst) settings() Settings {
 	settings := Settings{
-		RouterCount:         f.statedRouters,
+		RouterCount:         f.configuredRouters,
 		WeightMode:          WeightsStatic,
 		OverloadWindow:      3,
 		OverloadFactor:      4,
@@ -57,15 +59,15 @@
 	return settings
 }
 
-// completedBy is what a router completed, in proportion to others.
-func (f fleetBurst) completedBy(router int) float64 {
+// relativeCompletions returns how much a router completed, relative to the others.
+func (f fleetBurst) relativeCompletions(router int) float64 {
 	if router%10 == 3 {
 		return f.skew
 	}
 	return 1
 }
 
-// fleet starts all routers, as the cold server starts.
+// fleet starts the balancers of all routers at the start of the server that is warming up.
 func (f fleetBurst) fleet() (fleet []*Balancer) {
 	list := []Endpoint{{ID: 1, State: Ready, Capacity: 1, StartedAt: burstStart}}
 	for id := range uint64(burstServers - 1 - f.lostServers) {
@@ -73,69 +75,71 @@
 	}
 	sum := 0.0
 	for router := range f.routers {
-		sum += f.completedBy(router)
+		sum += f.relativeCompletions(router)
 	}
 	settings := f.settings()
 	for router := range f.routers {
 		settings.Seed = seedhash.Mix(f.seed, uint64(router))
 		b := New(0, settings, &recordingHost{})
 		b.OnEndpoints(burstStart, UpdateFull, list)
-		if f.heardRouters > 0 {
-			b.SetFleetSize(burstStart, f.heardRouters)
+		if f.reachableRouters > 0 {
+			b.SetFleetSize(burstStart, f.reachableRouters)
 		}
-		b.completions.rate = f.load * burstServers * f.warmRate * f.completedBy(router) / sum
+		b.completions.rate = f.load * burstServers * f.warmRate * f.relativeCompletions(router) / sum
 		b.completions.meanServers = burstServers
 		fleet = append(fleet, b)
 	}
 	return fleet
 }
 
-// worstOverBound is the most that an overload window brought, over what is put down to chance.
-func (f fleetBurst) worstOverBound() (worst float64) {
+// worstBoundRatio returns the largest number of attempts in an overload window, relative to randomnessBound.
+func (f fleetBurst) worstBoundRatio() (worst float64) {
 	settings := f.settings()
 	fleet := f.fleet()
-	var sent []float64 // when, since the start, in seconds
+	var sent []float64 // seconds since the start
 	end := min(settings.WarmupDuration, f.delay+2*settings.OverloadWindow)
 	for age := f.delay; age < end; age += burstStep {
 		for _, b := range fleet {
 			b.now = burstStart + age
-			b.completions.rateAt = burstStart + age // as much is completed as before
+			b.completions.rateAt = burstStart + age // the completion rate stays constant
 			server := b.servers.byID[1]
 			for ; b.hasSlowStartBudget(server); server.slowStart.budget-- {
 				sent = append(sent, age)
 			}
 		}
-		sent = slices.DeleteFunc(sent, func(then float64) bool { return then <= age-settings.OverloadWindow })
-		// What it can do in the middle of the window: it warms evenly.
-		grown := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
-		warm := settings.WarmupStartCapacity + grown
+		sent = slices.DeleteFunc(sent, func(sentAt float64) bool { return sentAt <= age-settings.OverloadWindow })
+		// The allowance is that of the capacity in the middle of the window, which grows linearly.
+		warmedUp := (1 - settings.WarmupStartCapacity) * max(0, age-settings.OverloadWindow/2) / settings.WarmupDuration
+		warm := settings.WarmupStartCapacity + warmedUp
 		allowed := settings.OverloadFactor * warm * f.warmRate * settings.OverloadWindow
-		worst = max(worst, float64(len(sent))/chanceBound(allowed))
+		worst = max(worst, float64(len(sent))/randomnessBound(allowed))
 	}
 	return worst
 }
 
-// Whatever all routers are asked for at once, a cold server gets no more from them together than the rule on
-// servers that are warming up puts down to chance: each kept one attempt for later, however many routers there
-// are, and thirty sent thirty at once beside what they were allowed. Servers that do less than five a second
-// are not held: all together may send four in the overload window to one of which nothing is known.
-func TestAllRoutersTogetherSpareAColdServer(t *testing.T) {
+// However much load all routers receive at once, they send a server that is warming up no more together than the
+// overload rule and random variation allow. When each router kept one attempt for later, however many routers there
+// were, thirty routers sent thirty attempts at once in addition to what they were allowed.
+//
+// Servers with a capacity of less than five per second are not covered: all routers together may send four attempts
+// in the overload window to a server of unknown capacity.
+func TestSlowStartBudgetIsSharedByRouters(t *testing.T) {
 	for _, routers := range []int{1, 3, 8, 20, 30, 100, 300} {
 		for _, warmRate := range []float64{5, 10, 30} {
-			above, trials := 0, 0
+			exceeded, trials := 0, 0
 			most := 0.0
 			for _, burst := range burstsOf(routers, warmRate) {
-				worst := burst.worstOverBound()
+				worst := burst.worstBoundRatio()
 				most = max(most, worst)
 				trials++
 				if worst > 1 {
-					above++
+					exceeded++
 				}
 			}
-			t.Logf("%3d routers, a server that does %2.0f a second: %d of %d trials above, the most %.2f of the bound",
-				routers, warmRate, above, trials, most)
-			if above > 0 && *searchSeeds == 0 {
-				t.Errorf("%d routers sent a server that does %v a second %.2f times what is put down to chance",
+			t.Logf("%3d routers, server with %2.0f requests/s: %d of %d trials above the bound, largest window %.2f of it",
+				routers, warmRate, exceeded, trials, most)
+			if exceeded > 0 && *searchSeeds == 0 {
+				t.Errorf("%d routers, server with %v requests/s: largest window %.2f times the bound, want at most 1",
 					routers, warmRate, most)
 			}
 		}
@@ -149,14 +153,14 @@
 			for _, skew := range []float64{1, 8} {
 				for _, delay := range []float64{0, 3, 6} {
 					bursts = append(bursts, fleetBurst{
-						routers:       routers,
-						statedRouters: routers,
-						warmRate:      warmRate,
-						load:          load,
-						skew:          skew,
-						delay:         delay,
-						slowWarmup:    seed%2 == 1,
-						seed:          seed,
+						routers:           routers,
+						configuredRouters: routers,
+						warmRate:          warmRate,
+						load:              load,
+						skew:              skew,
+						delay:             delay,
+						slowWarmup:        seed%2 == 1,
+						seed:              seed,
 					})
 				}
 			}
@@ -165,49 +169,50 @@
 	return bursts
 }
 
-func TestMoreOrFewerRoutersThanStatedSpareAColdServer(t *testing.T) {
+func TestSlowStartBudgetWithWrongRouterCount(t *testing.T) {
 	for _, c := range []struct {
-		name                   string
-		routers, stated, heard int
+		name                           string
+		routers, configured, reachable int
 	}{
-		{"twice as many as stated, as in an upgrade of all", 30, 15, 0},
-		{"half as many as stated", 30, 60, 0},
-		{"ten times as many as stated, which hear one another", 30, 3, 30},
-		{"ten times as many, of a large fleet", 300, 30, 300},
-		{"as many as stated, of which most are not heard", 300, 300, 10},
+		{"twice as many as configured, as in an upgrade of all routers", 30, 15, 0},
+		{"half as many as configured", 30, 60, 0},
+		{"ten times as many as configured, in contact with each other", 30, 3, 30},
+		{"ten times as many as configured, in a large fleet", 300, 30, 300},
+		{"as many as configured, most of them out of contact", 300, 300, 10},
 	} {
 		most := 0.0
 		for seed := range seedCount(4) {
 			for _, delay := range []float64{0, 3, 6} {
 				burst := fleetBurst{
-					routers:       c.routers,
-					statedRouters: c.stated,
-					heardRouters:  c.heard,
-					warmRate:      10,
-					load:          0.7,
-					skew:          4,
-					delay:         delay,
-					slowWarmup:    seed%2 == 1,
-					seed:          seed,
+					routers:           c.routers,
+					configuredRouters: c.configured,
+					reachableRouters:  c.reachable,
+					warmRate:          10,
+					load:              0.7,
+					skew:              4,
+					delay:             delay,
+					slowWarmup:        seed%2 == 1,
+					seed:              seed,
 				}
-				most = max(most, burst.worstOverBound())
+				most = max(most, burst.worstBoundRatio())
 			}
 		}
-		t.Logf("%d routers, %d stated, %d heard: the most %.2f of the bound", c.routers, c.stated, c.heard, most)
+		t.Logf("%d routers, %d configured, %d reachable: largest window %.2f of the bound",
+			c.routers, c.configured, c.reachable, most)
 		if most > 1 && *searchSeeds == 0 {
-			t.Errorf("%s: they sent %.2f times what is put down to chance", c.name, most)
+			t.Errorf("%s: largest window %.2f times the bound, want at most 1", c.name, most)
 		}
 	}
 }
 
-// Of many routers a part alone keeps an attempt, which would leave a cold server unused: beyond the setting
-// each keeps one.
-func TestBeyondSharedUpToEachKeepsAnAttempt(t *testing.T) {
+// Where only a fraction of many routers holds an unused attempt, a server that is warming up stays unused. So in
+// fleets larger than SlowStartSharedUpTo each router holds one.
+func TestSlowStartSharedUpTo(t *testing.T) {
 	for _, c := range []struct {
 		name       string
 		routers    int
 		sharedUpTo float64
-		part       bool
+		shared     bool
 	}{
 		{"beyond the default", 300, 0, false},
 		{"within the setting", 300, 1000, true},
@@ -222,40 +227,42 @@
 		})
 		server := b.servers.ready[0]
 		kept := 0
-		for i := range 1000 { // asked after a long pause, each time from another budget
+		for i := range 1000 { // after a long pause, each time from another first budget
 			b.now = 100
 			server.slowStart = slowStart{startedAt: 100, refilledAt: -1e4, budget: float64(i) / 1000}
 			if b.hasSlowStartBudget(server) {
 				kept++
 			}
 		}
-		if c.part != (kept < 500) {
-			t.Errorf("%s: one of %d routers has an attempt left %d times of 1000", c.name, c.routers, kept)
+		if c.shared != (kept < 500) {
+			t.Errorf("%s: one of %d routers holds an attempt in %d of 1000 cases, want fewer than 500 only where shared",
+				c.name, c.routers, kept)
 		}
 	}
 }
 
-// What was completed while there were more servers was taken to have been completed by those that are left.
-func TestServersThatWentLeaveTheBudgetAsItWas(t *testing.T) {
+// Attempts completed while there were more servers were attributed to the remaining servers, which raised their
+// estimated capacity.
+func TestSlowStartBudgetAfterServerLoss(t *testing.T) {
 	for _, routers := range []int{1, 3, 30} {
 		most := 0.0
 		for seed := range seedCount(4) {
 			burst := fleetBurst{
-				routers:       routers,
-				statedRouters: routers,
-				warmRate:      30,
-				load:          0.8,
-				skew:          1,
-				delay:         3,
-				lostServers:   8,
-				slowWarmup:    seed%2 == 1,
-				seed:          seed,
+				routers:           routers,
+				configuredRouters: routers,
+				warmRate:          30,
+				load:              0.8,
+				skew:              1,
+				delay:             3,
+				lostServers:       8,
+				slowWarmup:        seed%2 == 1,
+				seed:              seed,
 			}
-			most = max(most, burst.worstOverBound())
+			most = max(most, burst.worstBoundRatio())
 		}
-		t.Logf("%d routers, eight of a dozen went: the most %.2f of the bound", routers, most)
+		t.Logf("%d routers, eight of twelve servers lost: largest window %.2f of the bound", routers, most)
 		if most > 1 {
-			t.Errorf("%d routers sent %.2f times what is put down to chance after eight of a dozen servers went",
+			t.Errorf("%d routers, eight of twelve servers lost: largest window %.2f times the bound, want at most 1",
 				routers, most)
 		}
 	}
