--- a/cmd/bendtrestle/check.go
+++ b/cmd/bendtrestle/check.go
@@ -22,7 +22,7 @@
 	err = errors.Join(err, platformErr)
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
-		return exitMisuse
+		return exitInvalidInput
 	}
 	return printSettings(os.Stdout, platform, operators)
 }
@@ -40,7 +40,7 @@
 	}
 	if operators.Recovery.On {
 		startTable(table, out)
-		printKept(table)
+		printRecordKinds(table)
 	}
 	contracts := operators.ContractTable()
 	if contracts != nil {
@@ -58,7 +58,7 @@
 	fmt.Fprintln(out)
 }
 
-func printKept(table io.Writer) {
+func printRecordKinds(table io.Writer) {
 	fmt.Fprintln(table, "KEPT FOR THE NEXT PROCESS\tRULE\tUSED FOR\tUNTIL SOMETHING NEWER")
 	for _, kind := range startup.RecordKinds {
 		age := "any time"
--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -29,8 +29,8 @@
 type exitStatus int
 
 const (
-	exitFailed exitStatus = 1
-	exitMisuse exitStatus = 2 // arguments or a file cannot be used
+	exitFailed       exitStatus = 1
+	exitInvalidInput exitStatus = 2 // arguments or a file cannot be used
 )
 
 func (e exitStatus) Error() string { return fmt.Sprint("exit status ", int(e)) }
@@ -49,7 +49,7 @@
 	var status exitStatus
 	if !errors.As(err, &status) {
 		fmt.Fprintln(os.Stderr, "bendtrestle:", err)
-		status = exitMisuse
+		status = exitInvalidInput
 	}
 	os.Exit(int(status))
 }
--- a/cmd/bendtrestle/main_test.go
+++ b/cmd/bendtrestle/main_test.go
@@ -28,8 +28,8 @@
 	os.Exit(m.Run())
 }
 
-// deployed gives the line by which operators start a router.
-func deployed(t *testing.T) string {
+// deployedRunCommand gives the line by which operators start a router.
+func deployedRunCommand(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
 	if err != nil {
@@ -45,8 +45,8 @@
 }
 
 // As operators start it a router that is not yet far enough to listen for SIGHUP does not end by it.
-func TestSIGHUPBeforeTheProgramsOwnBeginning(t *testing.T) {
-	out, err := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployed(t), "bin/bendtrestle", "grep SigIgn /proc/self/status")).Output()
+func TestDeployedCommandIgnoresSIGHUP(t *testing.T) {
+	out, err := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployedRunCommand(t), "bin/bendtrestle", "grep SigIgn /proc/self/status")).Output()
 	_, mask, _ := strings.Cut(strings.TrimSpace(string(out)), "\t")
 	ignored, bad := strconv.ParseUint(mask, 16, 64)
 	if err != nil || bad != nil || ignored&(1<<(syscall.SIGHUP-1)) == 0 {
@@ -56,7 +56,7 @@
 
 // A process whose log nobody reads any more serves on, and a SIGHUP that comes while it starts, or with SIGTERM behind it, does not
 // end it otherwise than SIGTERM does.
-func TestAProcessOutlivesItsLogAndASignalWhileItStarts(t *testing.T) {
+func TestRouterSurvivesClosedLogAndSIGHUPDuringStart(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		t.Fatal(err)
@@ -89,7 +89,7 @@
 	}
 	unread, log, _ := os.Pipe()
 	unread.Close()
-	router := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployed(t), "bin/bendtrestle", os.Args[0]))
+	router := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployedRunCommand(t), "bin/bendtrestle", os.Args[0]))
 	router.Env = append(os.Environ(), "AS_ROUTER=1", "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	router.Stderr = log
 	router.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also where the tests end without their cleanup
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -119,11 +119,11 @@
 	}
 	var c Config
 	c.readAddresses(object, env)
-	c.readLimits(object.Part("limits"))
+	c.readLimits(object.OptionalObject("limits"))
 	if !object.Absent("known") {
-		c.Known = discovery.FromObject(object.Sub("known"))
+		c.Known = discovery.FromObject(object.RequiredObject("known"))
 	}
-	set := object.Sub("settings")
+	set := object.RequiredObject("settings")
 	c.Settings = set.Settings()
 	if len(c.Settings.TrafficClasses) == 0 {
 		set.Fault("trafficTypes", "none")
@@ -176,10 +176,10 @@
 
 // readConnections reads what the settings say beside the balancer's.
 func (c *Config) readConnections(set *settings.Object) {
-	limits := set.Part("limits")
+	limits := set.OptionalObject("limits")
 	c.ConnectTimeout = positive(limits, "connectTimeout", defaultConnectTimeout*nanoseconds) / nanoseconds
 	c.DrainGrace = defaultDrainGrace
-	rules := set.Part("rules")
+	rules := set.OptionalObject("rules")
 	if !rules.Absent("drainGrace") { // 0 is a value, too: no grace
 		c.DrainGrace = rules.Seconds("drainGrace")
 	}
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -11,20 +11,20 @@
 	"bendtrestle/internal/configerror"
 )
 
-const whole = `{"name":"n3","listen":"127.0.0.4:11211","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
+const fullConfig = `{"name":"n3","listen":"127.0.0.4:11211","discovery":"127.2.0.1:8500","seed":"8c1f30d27a5be964",
  "limits":{"cores":2.5,"memory_mb":64,"sockets":512},"peer_listen":"127.0.0.4:7946","peers":["127.3.0.1:7946"],
  "peers_all":"127.3.255.1:7946","known":{"generation":41,"reset":true,"instances":[{"instanceId":"s-1"}]},
  "settings":{"me":2,"limits":{"connIdle":30000000000,"connectTimeout":75000000,"streamsPerConn":100,"openCap":33},
  "trafficTypes":[{"name":"t","hardStop":750000000}]}}`
 
-const least = `{"listen":"127.0.0.4:11211","settings":{"trafficTypes":[{"name":"t"}]}}`
+const minimalConfig = `{"listen":"127.0.0.4:11211","settings":{"trafficTypes":[{"name":"t"}]}}`
 
 func env(name string) string {
 	return map[string]string{"GW_NAME": "n9", "GW_DISCOVERY": "127.2.0.9:8500"}[name]
 }
 
-func TestWhole(t *testing.T) {
-	c, err := Parse([]byte(whole), env)
+func TestParseFullConfig(t *testing.T) {
+	c, err := Parse([]byte(fullConfig), env)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -43,7 +43,7 @@
 
 // The parts stay within the descriptors, however few there are, whatever the operators' file names, with and without
 // an admin server, and in each of two processes of a router.
-func TestDescriptorsAreEnough(t *testing.T) {
+func TestDescriptorsStayWithinLimit(t *testing.T) {
 	for _, adminListen := range []string{"", "127.0.0.1:9180"} {
 		for _, reserved := range []int{0, DescriptorsPerWatch, 5*DescriptorsPerListener + DescriptorsPerWatch, 10000} {
 			for descriptors := 64; descriptors < 5000; descriptors++ {
@@ -84,7 +84,7 @@
 }
 
 // The least memory must do for the requests that a second of four times the usual load has open.
-func TestLeastMemoryHoldsTheLoad(t *testing.T) {
+func TestMinimumMemoryHoldsPeakLoad(t *testing.T) {
 	c := Config{Descriptors: 256, MemoryBytes: 32 << 20}
 	c.deriveLimits()
 	if c.OpenRequests < 320 || c.OpenRequests*4<<10+c.HeldBytes+c.UpstreamConnections*64<<10 > c.MemoryBytes/2 {
@@ -93,8 +93,8 @@
 	}
 }
 
-func TestDefaults(t *testing.T) {
-	c, err := Parse([]byte(least), env)
+func TestParseAppliesDefaults(t *testing.T) {
+	c, err := Parse([]byte(minimalConfig), env)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -106,7 +106,7 @@
 }
 
 // Both shapes of a deployment are whole configurations.
-func TestExamples(t *testing.T) {
+func TestExampleConfigsParse(t *testing.T) {
 	for file, want := range map[string]balancer.WeightMode{
 		"config.json":      balancer.WeightsStatic,
 		"config-live.json": balancer.WeightsLive,
@@ -122,9 +122,9 @@
 }
 
 // Each fault is a FieldError with the key's line, also one of a key that is not there.
-func TestFaultsAreFieldErrors(t *testing.T) {
+func TestReadReturnsFieldErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
-	text := strings.Replace(whole, `"cores":2.5`, `"cores":0`, 1)
+	text := strings.Replace(fullConfig, `"cores":2.5`, `"cores":0`, 1)
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
 	}
@@ -140,7 +140,7 @@
 }
 
 // A message names the faulty key.
-func TestFaults(t *testing.T) {
+func TestErrorsNameTheFaultyKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`{"name"`, `"name"`, "configuration: "},
 		{`127.0.0.4:11211`, `here`, "listen: not an address and a port"},
@@ -177,7 +177,7 @@
 		{`"limits":{"connIdle"`, `"limits":{"peers":false,"connIdle"`, `peers`},
 		{`"connectTimeout":75000000`, `"connectTimeout":-1`, "settings: limits: connectTimeout: not above 0"},
 	} {
-		text := strings.Replace(whole, c.old, c.new, 1)
+		text := strings.Replace(fullConfig, c.old, c.new, 1)
 		if _, err := Parse([]byte(text), env); err == nil || !strings.HasPrefix(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.new, err, c.want)
 		}
@@ -188,8 +188,8 @@
 }
 
 // What needs a restart is told by its key; the list service's address, and what only a start uses, does not.
-func TestWhatNeedsARestart(t *testing.T) {
-	now, _ := Parse([]byte(whole), env)
+func TestRestartKeys(t *testing.T) {
+	now, _ := Parse([]byte(fullConfig), env)
 	for _, c := range []struct{ old, new, want string }{
 		{`8c1f30d27a5be964`, `7`, ""},
 		{`127.2.0.1:8500`, `127.2.0.2:8500`, ""},
@@ -200,7 +200,7 @@
 		{`"peer_listen"`, `"ops":"127.0.0.4:1","peer_listen"`, "ops"},
 		{`127.0.0.4`, `127.0.0.5`, "listen peer_listen"},
 	} {
-		next, err := Parse([]byte(strings.ReplaceAll(whole, c.old, c.new)), env)
+		next, err := Parse([]byte(strings.ReplaceAll(fullConfig, c.old, c.new)), env)
 		if got := strings.Join(now.RestartKeys(next), " "); err != nil || got != c.want {
 			t.Errorf("%s: a restart is needed for %q, want %q, %v", c.new, got, c.want, err)
 		}
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -43,9 +43,9 @@
 // readDeployment reads what tells one shape of a deployment from another, and refuses what contradicts itself: which
 // shape is in force follows from the settings alone, so half of one and half of another must not start.
 func (c *Config) readDeployment(object, set *settings.Object) {
-	family := set.Part("familyInfo")
-	limits := set.Part("limits")
-	load := set.Part("loadInfo")
+	family := set.OptionalObject("familyInfo")
+	limits := set.OptionalObject("limits")
+	load := set.OptionalObject("loadInfo")
 	checkOneOf(family, "mode", familyModes)
 	checkOneOf(set, "weights", weightModes)
 	checkOneOf(set, "discovery", discoveryModes)
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -20,8 +20,8 @@
 
 // Words that operators know the balancer's constants by.
 var (
-	weightModeWords  = [...]string{"say nothing", "sizes", "sizes less what is held"}
-	idempotencyWords = [...]string{"at-most-once", "numbered", "reissuable"}
+	weightModeTexts  = [...]string{"say nothing", "sizes", "sizes less what is held"}
+	idempotencyTexts = [...]string{"at-most-once", "numbered", "reissuable"}
 )
 
 const (
@@ -94,7 +94,7 @@
 
 func (d *description) addBalancer(s balancer.Settings, reports LoadReports) {
 	d.addSetting("fleetSize", byDefault, "%d", s.RouterCount)
-	d.addSetting("weights", byDefault, "%s", weightModeWords[s.WeightMode])
+	d.addSetting("weights", byDefault, "%s", weightModeTexts[s.WeightMode])
 	d.addSetting("loadInfo", byDefault, "%v", reports)
 	d.addSetting("familyInfo.ordered", byDefault, "%v", s.OrderedConnections)
 }
@@ -124,7 +124,7 @@
 func (d *description) addClasses(s balancer.Settings) {
 	for i, class := range s.TrafficClasses {
 		d.add("traffic type "+class.Name, fmt.Sprintf("/settings/trafficTypes/%d", i), "",
-			"%s, promised time %v s, hard stop %v s, benefit %v, %s", idempotencyWords[class.Idempotency],
+			"%s, promised time %v s, hard stop %v s, benefit %v, %s", idempotencyTexts[class.Idempotency],
 			class.LatencyObjective, class.Deadline, class.PriorityWeight, cmp.Or(class.PlacementRules(), "anywhere"))
 	}
 	for i, tenant := range s.Tenants {
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -20,11 +20,11 @@
 
 // Error is one line: where, which key, what is wrong.
 func (e *FieldError) Error() string {
-	return e.where() + e.Message()
+	return e.location() + e.Message()
 }
 
-// where is the place in the file.
-func (e *FieldError) where() string {
+// location is the place in the file.
+func (e *FieldError) location() string {
 	switch {
 	case e.File == "":
 		return ""
--- a/internal/configerror/configerror_test.go
+++ b/internal/configerror/configerror_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-func TestTexts(t *testing.T) {
+func TestErrorText(t *testing.T) {
 	for _, c := range []struct {
 		name  string
 		fault FieldError
--- a/internal/operatorconfig/describe.go
+++ b/internal/operatorconfig/describe.go
@@ -68,7 +68,7 @@
 		"TYPE", "EFFECT", "PROMISED ms", "HARD STOP ms", "BENEFIT", "ONLY"}}
 	for i, terms := range f.Terms() {
 		team := f.Teams[i]
-		contract := []string{terms.Team, cmp.Or(terms.Pool, "platform's"), team.knownBy(),
+		contract := []string{terms.Team, cmp.Or(terms.Pool, "platform's"), team.routeText(),
 			fmt.Sprint(terms.GuaranteedRate), fmt.Sprint(terms.Burst), fmt.Sprint(terms.BorrowRate)}
 		for j, t := range team.Types {
 			if j > 0 {
@@ -82,8 +82,8 @@
 	return rows
 }
 
-// knownBy tells how requests of a team are recognised.
-func (t Team) knownBy() string {
+// routeText tells how requests of a team are recognised.
+func (t Team) routeText() string {
 	var by []string
 	for _, r := range []route{{byListen, t.Listen}, {byTenant, t.Tenant}, {byPrefix, t.Prefix}} {
 		if r.value != "" {
--- a/internal/operatorconfig/features.go
+++ b/internal/operatorconfig/features.go
@@ -42,13 +42,13 @@
 }
 
 const (
-	defaultColdRouters = 64     // beyond it servers that start are used far less than they bear (docs/design.md)
-	maxColdRouters     = 100000 // more than any fleet has
+	defaultSlowStartRouters = 64     // beyond it servers that start are used far less than they bear (docs/design.md)
+	maxSlowStartRouters     = 100000 // more than any fleet has
 )
 
-func (f *File) checkCold() {
+func (f *File) checkSlowStart() {
 	routers := f.Cold.Routers
-	if routers < 1 || routers > maxColdRouters {
-		f.toml.Want("cold.routers", routers, fmt.Sprintf("from 1 to %v, a number of routers", maxColdRouters))
+	if routers < 1 || routers > maxSlowStartRouters {
+		f.toml.Want("cold.routers", routers, fmt.Sprintf("from 1 to %v, a number of routers", maxSlowStartRouters))
 	}
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -42,7 +42,7 @@
 		Log:    Log{Level: "info", Form: "json"},
 		Broker: Broker{Others: othersToPlatform},
 		Gossip: Gossip{BytesPerSecond: defaultGossipBytes},
-		Cold:   Cold{Routers: defaultColdRouters},
+		Cold:   Cold{Routers: defaultSlowStartRouters},
 	}
 }
 
@@ -66,12 +66,12 @@
 func (f *File) check() {
 	f.checkOneOf("log.level", f.Log.Level, logLevels...)
 	f.checkOneOf("log.form", f.Log.Form, logForms...)
-	f.checkOneOf("broker.others", f.Broker.Others, othersToPlatform, othersToNobody)
+	f.checkOneOf("broker.others", f.Broker.Others, othersToPlatform, othersRejected)
 	pools := f.checkPools()
 	f.checkTeams(pools)
 	f.checkRegions()
 	f.checkGossip()
-	f.checkCold()
+	f.checkSlowStart()
 }
 
 // RestartKeys returns the keys whose values are others in another file, and take effect at a restart only.
@@ -97,8 +97,8 @@
 	}
 }
 
-// checkWord checks a name that stands in keys, in the protocol and in figures.
-func (f *File) checkWord(key, text string) {
+// checkName checks a name that stands in keys, in the protocol and in figures.
+func (f *File) checkName(key, text string) {
 	if text == "" || strings.ContainsAny(text, " ,=/\r\n") {
 		f.toml.Want(key, text, "a word without spaces, commas, slashes and equals signs")
 	}
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -10,7 +10,7 @@
 	"bendtrestle/balancer"
 )
 
-func file(t *testing.T, text string) string {
+func writeFile(t *testing.T, text string) string {
 	path := filepath.Join(t.TempDir(), "operators.toml")
 	if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
 		t.Fatal(err)
@@ -18,15 +18,15 @@
 	return path
 }
 
-func TestWithoutAFileAllIsDefault(t *testing.T) {
+func TestReadWithoutFileReturnsDefaults(t *testing.T) {
 	f, err := Read("")
 	if err != nil || f.Log != (Log{"info", "json"}) || f.Settings()[0].Source != "default" {
 		t.Errorf("read %+v, %v", f, err)
 	}
 }
 
-func TestValuesAndTheirOrigin(t *testing.T) {
-	path := file(t, "# ours\n[log]\nlevel = \"warn\"\n")
+func TestSettingsNameTheirSource(t *testing.T) {
+	path := writeFile(t, "# ours\n[log]\nlevel = \"warn\"\n")
 	f, err := Read(path)
 	if err != nil || f.Log != (Log{"warn", "json"}) {
 		t.Fatalf("read %+v, %v", f, err)
@@ -38,14 +38,14 @@
 }
 
 // A faulty file is told whole and changes nothing.
-func TestFaults(t *testing.T) {
+func TestReadReportsAllFaults(t *testing.T) {
 	for text, want := range map[string]string{
 		"[log]\nlevel = \"loud\"\nform = \"xml\"": `:2: log.level: "loud" is not one of debug, info, warn, error` + "\n" +
 			`PATH:3: log.form: "xml" is not one of json, console`,
 		"[log]\nlevels = \"info\"\n[contract]\na = 1": ":2: log.levels: unknown key\nPATH:3: contract: unknown key",
 		"[log\n": ":1: ",
 	} {
-		path := file(t, text)
+		path := writeFile(t, text)
 		_, err := Read(path)
 		if err == nil {
 			t.Fatalf("%q was taken", text)
@@ -67,24 +67,24 @@
 }
 
 // The commented example can be read.
-func TestExample(t *testing.T) {
+func TestExampleFileParses(t *testing.T) {
 	if _, err := Read("../../deploy/operators.toml"); err != nil {
 		t.Error(err)
 	}
 }
 
-const pool = `[[pool]]
+const poolTable = `[[pool]]
 name = "p"
 discovery = "127.0.0.1:1"
 capacity = 3.0
 connections = 0.2
 `
 
-func team(name, more string) string {
+func teamTable(name, more string) string {
 	return "[[team]]\nname = \"" + name + "\"\npool = \"p\"\nbudget = 2.0\n" + more
 }
 
-const class = `[[team.type]]
+const classTable = `[[team.type]]
 name = "t"
 effect = "reissuable"
 promised_ms = 100
@@ -92,8 +92,8 @@
 benefit = 1
 `
 
-// classOf is a class with values of a test's.
-func classOf(name, effect string, promised, hardStop, benefit int, more string) string {
+// classTableWith is a class with values of a test's.
+func classTableWith(name, effect string, promised, hardStop, benefit int, more string) string {
 	return fmt.Sprintf("[[team.type]]\nname = %q\neffect = %q\npromised_ms = %d\nhard_stop_ms = %d\nbenefit = %d\n%s",
 		name, effect, promised, hardStop, benefit, more)
 }
@@ -104,48 +104,48 @@
 `
 
 // Every fault of a contract names its line, its key and what would be right.
-func TestFaultsOfContracts(t *testing.T) {
+func TestContractErrors(t *testing.T) {
 	const byTenantA = "tenant = \"a\"\n"
 	const byTenantB = "tenant = \"b\"\n"
 	const byListen = "listen = \"127.0.0.1:2\"\n"
 	const tilePool = "[[pool]]\nname = \"p\"\nprotocol = \"tiles\"\ndiscovery = \"127.0.0.1:1\"\nconnections = 0.2\n"
 	for _, c := range []struct{ name, text, want string }{
-		{"a type twice", pool + team("a", byTenantA+class+class), `traffic type "t" is there twice`},
-		{"no route", pool + team("a", class), "team.0.tenant: missing, as are listen and prefix: nothing would ever match"},
-		{"a route twice", pool + team("a", byTenantA+class) + team("b", byTenantA+class),
+		{"a type twice", poolTable + teamTable("a", byTenantA+classTable+classTable), `traffic type "t" is there twice`},
+		{"no route", poolTable + teamTable("a", classTable), "team.0.tenant: missing, as are listen and prefix: nothing would ever match"},
+		{"a route twice", poolTable + teamTable("a", byTenantA+classTable) + teamTable("b", byTenantA+classTable),
 			`"a" is team a's already: this route would never match`},
-		{"budgets above the capacity", pool + team("a", byTenantA+class) + team("b", byTenantB+class),
+		{"budgets above the capacity", poolTable + teamTable("a", byTenantA+classTable) + teamTable("b", byTenantB+classTable),
 			`with it the budgets of pool "p" come to 4, more than its capacity, 3`},
-		{"a team twice", pool + team("a", byTenantA+class) + team("a", byTenantB+class), `"a" is there twice`},
-		{"no such pool", team("a", byTenantA+class), `"p" is not the name of a pool`},
-		{"no type", pool + team("a", byTenantA), "a contract needs at least one [[team.type]]"},
-		{"a tenant of two words", pool + team("a", "tenant = \"a b\"\n"+class),
+		{"a team twice", poolTable + teamTable("a", byTenantA+classTable) + teamTable("a", byTenantB+classTable), `"a" is there twice`},
+		{"no such pool", teamTable("a", byTenantA+classTable), `"p" is not the name of a pool`},
+		{"no type", poolTable + teamTable("a", byTenantA), "a contract needs at least one [[team.type]]"},
+		{"a tenant of two words", poolTable + teamTable("a", "tenant = \"a b\"\n"+classTable),
 			`"a b" can never match: no client can name it`},
-		{"a prefix of two words", pool + team("a", "prefix = \"a b\"\n"+class), `"a b" can never match: no key begins so`},
-		{"no address", pool + team("a", "listen = \"here\"\n"+class), `"here" is not an address and a port`},
-		{"weight", pool + team("a", byTenantA+"weight = -1.0\n"+class), "team.0.weight: -1 is below 0"},
-		{"burst", pool + team("a", byTenantA+"burst = -1.0\n"+class), "team.0.burst: -1 is below 0"},
-		{"a window that is a text", pool + team("a", byTenantA+class+"window = \"x\"\n"), "team.type.window: "},
-		{"no zone", pool + team("a", byTenantA+class+"runs_in = []\n"),
+		{"a prefix of two words", poolTable + teamTable("a", "prefix = \"a b\"\n"+classTable), `"a b" can never match: no key begins so`},
+		{"no address", poolTable + teamTable("a", "listen = \"here\"\n"+classTable), `"here" is not an address and a port`},
+		{"weight", poolTable + teamTable("a", byTenantA+"weight = -1.0\n"+classTable), "team.0.weight: -1 is below 0"},
+		{"burst", poolTable + teamTable("a", byTenantA+"burst = -1.0\n"+classTable), "team.0.burst: -1 is below 0"},
+		{"a window that is a text", poolTable + teamTable("a", byTenantA+classTable+"window = \"x\"\n"), "team.type.window: "},
+		{"no zone", poolTable + teamTable("a", byTenantA+classTable+"runs_in = []\n"),
 			":17: team.0.type.0.runs_in: [] leaves it nowhere to run"},
-		{"an empty kind of machine", pool + team("a", byTenantA+class+"allowed_on = [\"\"]\n"),
+		{"an empty kind of machine", poolTable + teamTable("a", byTenantA+classTable+"allowed_on = [\"\"]\n"),
 			"team.0.type.0.allowed_on: [\"\"] leaves it nowhere to run"},
-		{"deadline before the objective", pool + team("a", byTenantA+classOf("t", "numbered", 9, 5, 1, "")),
+		{"deadline before the objective", poolTable + teamTable("a", byTenantA+classTableWith("t", "numbered", 9, 5, 1, "")),
 			"team.0.type.0.hard_stop_ms: 5 is before the promised time, 9"},
-		{"no window", pool + team("a", byTenantA+classOf("t", "numbered", 1, 5, 1, "")),
+		{"no window", poolTable + teamTable("a", byTenantA+classTableWith("t", "numbered", 1, 5, 1, "")),
 			"team.0.type.0.window: 0 is not above 0"},
-		{"effect", pool + team("a", byTenantA+classOf("t/u", "any", 0, 0, 0, "group = \"x\"\n")),
+		{"effect", poolTable + teamTable("a", byTenantA+classTableWith("t/u", "any", 0, 0, 0, "group = \"x\"\n")),
 			`"any" is not one of reissuable, numbered, at-most-once`},
 		{"others", "[broker]\nothers = \"me\"\n", `broker.others: "me" is not one of platform, nobody`},
-		{"a pool twice", pool + pool, `pool.1.name: "p" is there twice`},
+		{"a pool twice", poolTable + poolTable, `pool.1.name: "p" is there twice`},
 		{"connections", "[[pool]]\nname = \"p\"\ndiscovery = \"x\"\nconnections = 0.95\n",
 			"0.95 is not above 0 and at most 0.9 of all"},
-		{"tiles by tenant", tilePool + team("a", byTenantA+byListen+tileLayer+class),
+		{"tiles by tenant", tilePool + teamTable("a", byTenantA+byListen+tileLayer+classTable),
 			"tiles are known by their listener alone"},
-		{"tiles of another pool", pool + team("a", byListen+tileLayer+class), "needs a pool whose protocol is tiles"},
-		{"warm", pool + "warm = 0.0\n", "pool.0.warm: 0 is not above 0"},
+		{"tiles of another pool", poolTable + teamTable("a", byListen+tileLayer+classTable), "needs a pool whose protocol is tiles"},
+		{"warm", poolTable + "warm = 0.0\n", "pool.0.warm: 0 is not above 0"},
 	} {
-		_, err := Read(file(t, c.text))
+		_, err := Read(writeFile(t, c.text))
 		if err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: %s\ngot %v\nwant %s", c.name, c.text, err, c.want)
 		}
@@ -153,9 +153,9 @@
 }
 
 // A contract is taken as it is written, with its defaults, and shown as a table.
-func TestContracts(t *testing.T) {
-	contract := team("a", "tenant = \"a\"\nprefix = \"a:\"\nborrow = 0.5\n"+class+"allowed_on = [\"m2\"]\n")
-	f, err := Read(file(t, pool+"most_executions = 2\nwarm = 7.0\n"+contract))
+func TestContractsAndPoolSettings(t *testing.T) {
+	contract := teamTable("a", "tenant = \"a\"\nprefix = \"a:\"\nborrow = 0.5\n"+classTable+"allowed_on = [\"m2\"]\n")
+	f, err := Read(writeFile(t, poolTable+"most_executions = 2\nwarm = 7.0\n"+contract))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -179,7 +179,7 @@
 }
 
 // Faults of zones and regions name the line, what is wrong and what would be right.
-func TestFaultsOfRegions(t *testing.T) {
+func TestRegionErrors(t *testing.T) {
 	const zonesOn = "[zones]\non = true\n"
 	region := func(zones string) string { return "[[region]]\nname = \"w\"\nzones = " + zones + "\n" }
 	for _, c := range []struct{ name, text, want string }{
@@ -188,14 +188,14 @@
 		{"a zone twice", zonesOn + region(`["a", "a"]`), `"a" is in region "w" already`},
 		{"zones are off", region(`["a"]`), `regions do nothing while zones.on is false`},
 	} {
-		if _, err := Read(file(t, c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Read(writeFile(t, c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.want)
 		}
 	}
 }
 
 // Faults of gossip and slow start name the line, what is wrong and what would be right.
-func TestFaultsOfFeatures(t *testing.T) {
+func TestGossipAndSlowStartErrors(t *testing.T) {
 	const gossipOn = "[gossip]\non = true\n"
 	for _, c := range []struct{ name, text, want string }{
 		{"too few bytes", gossipOn + "bytes_per_second = 500\n",
@@ -209,19 +209,19 @@
 		{"routers that are no integer", "[cold]\nrouters = 1e9\n", `:2:`},
 		{"unknown key", gossipOn + "bytes = 7000\n", `gossip.bytes`},
 	} {
-		if _, err := Read(file(t, c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
+		if _, err := Read(writeFile(t, c.text)); err == nil || !strings.Contains(err.Error(), c.want) {
 			t.Errorf("%s: got %v, want %s", c.name, err, c.want)
 		}
 	}
 }
 
 // Without a file gossip is off; what is switched on counts from a start.
-func TestFeatures(t *testing.T) {
-	gossip, err := Read(file(t, "[gossip]\non = true\n"))
+func TestFeatureDefaultsAndRestartKeys(t *testing.T) {
+	gossip, err := Read(writeFile(t, "[gossip]\non = true\n"))
 	if err != nil || gossip.Gossip != (Gossip{On: true, BytesPerSecond: 7000}) {
 		t.Errorf("got %+v, %v", gossip.Gossip, err)
 	}
-	cold, err := Read(file(t, "[cold]\nrouters = 4000\n"))
+	cold, err := Read(writeFile(t, "[cold]\nrouters = 4000\n"))
 	if err != nil || cold.Cold.Routers != 4000 {
 		t.Errorf("got %+v, %v", cold.Cold, err)
 	}
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -151,7 +151,7 @@
 }
 
 // A changed key that counts from the start alone is named as operators know it.
-func TestGoldenRestart(t *testing.T) {
+func TestRestartKeysOfFullFile(t *testing.T) {
 	whole, err := Read("../../cmd/bendtrestle/testdata/operators-full.toml")
 	if err != nil {
 		t.Fatal(err)
--- a/internal/operatorconfig/pools.go
+++ b/internal/operatorconfig/pools.go
@@ -38,9 +38,9 @@
 	protocolMemcache = "memcache"
 	protocolTiles    = "tiles"
 
-	maxTileKB           = 16 << 10
-	maxConnectionsShare = 0.9 // of all pools together: the platform's pool needs some
-	tileStallTimeout    = 1.0 // seconds; tiles are larger than values, and may be made as they are sent
+	maxTileKB              = 16 << 10
+	maxConnectionsFraction = 0.9 // of all pools together: the platform's pool needs some
+	tileStallTimeout       = 1.0 // seconds; tiles are larger than values, and may be made as they are sent
 )
 
 // checkedPools is what checks of teams need to know of the pools.
@@ -54,7 +54,7 @@
 	connections := 0.0
 	for i, pool := range f.Pools {
 		key := keyIn("pool.%d", i)
-		f.checkWord(key("name"), pool.Name)
+		f.checkName(key("name"), pool.Name)
 		_, twice := pools.capacity[pool.Name]
 		if twice && pool.Name != "" {
 			f.toml.Fault(key("name"), "%q is there twice", pool.Name)
@@ -64,7 +64,7 @@
 		connections += pool.Connections
 		f.checkPool(key, pool)
 	}
-	if connections > maxConnectionsShare {
+	if connections > maxConnectionsFraction {
 		f.toml.Fault("pool", "together they have %v of the connections, more than 0.9: the platform's pool needs some",
 			connections)
 	}
@@ -89,7 +89,7 @@
 	if pool.LargestKB < 0 || pool.LargestKB > maxTileKB {
 		f.toml.Want(key("largest_kb"), pool.LargestKB, fmt.Sprintf("between 0 and %d", maxTileKB))
 	}
-	if !(pool.Connections > 0 && pool.Connections <= maxConnectionsShare) { // also for NaN
+	if !(pool.Connections > 0 && pool.Connections <= maxConnectionsFraction) { // also for NaN
 		f.toml.Want(key("connections"), pool.Connections, "above 0 and at most 0.9 of all")
 	}
 	f.checkOptionalPositive(key("connect_timeout_ms"), pool.ConnectTimeoutMS)
--- a/internal/operatorconfig/teams.go
+++ b/internal/operatorconfig/teams.go
@@ -14,7 +14,7 @@
 
 const (
 	othersToPlatform = "platform"
-	othersToNobody   = "nobody"
+	othersRejected   = "nobody"
 )
 
 // Team is a contract.
@@ -40,8 +40,8 @@
 	budgetTolerance = 1 + 1e-9
 )
 
-// routes knows which team has a way by which requests are recognised: a name, a listener, a tenant or a prefix.
-type routes map[route]string
+// routeOwners knows which team has a way by which requests are recognised: a name, a listener, a tenant or a prefix.
+type routeOwners map[route]string
 
 type route struct{ kind, value string }
 
@@ -56,11 +56,11 @@
 	if len(f.Teams) > maxTeams {
 		f.toml.Fault("team", "%d are more than %d", len(f.Teams), maxTeams)
 	}
-	seen := routes{}
+	seen := routeOwners{}
 	budgets := map[string]float64{} // of the teams so far, by pool
 	for i, team := range f.Teams {
 		key := keyIn("team.%d", i)
-		f.checkWord(key("name"), team.Name)
+		f.checkName(key("name"), team.Name)
 		_, twice := seen[route{byName, team.Name}]
 		if twice {
 			f.toml.Fault(key("name"), "%q is there twice", team.Name)
@@ -68,7 +68,7 @@
 		f.checkPoolOfTeam(key, team, pools)
 		f.checkTiles(key, team)
 		f.checkRoutes(key, team)
-		f.checkRoutesOfOthers(key, team, seen)
+		f.checkDuplicateRoutes(key, team, seen)
 		f.checkBudget(key, team)
 		budgets[team.Pool] += team.Budget
 		f.checkCapacity(key, team, pools.capacity[team.Pool], budgets[team.Pool])
@@ -102,8 +102,8 @@
 	}
 }
 
-// checkRoutesOfOthers checks that no team before has the same routes, and notes this one's.
-func (f *File) checkRoutesOfOthers(key func(string) string, team Team, seen routes) {
+// checkDuplicateRoutes checks that no team before has the same routes, and notes this one's.
+func (f *File) checkDuplicateRoutes(key func(string) string, team Team, seen routeOwners) {
 	own := []route{{byListen, team.Listen}, {byTenant, team.Tenant}, {byPrefix, team.Prefix}}
 	for _, r := range own {
 		first, twice := seen[r]
@@ -164,5 +164,5 @@
 
 // Others says who takes what no contract holds for.
 func (f *File) Others() broker.UnmatchedTraffic {
-	return broker.UnmatchedTraffic(f.Broker.Others == othersToNobody)
+	return broker.UnmatchedTraffic(f.Broker.Others == othersRejected)
 }
--- a/internal/operatorconfig/tiles.go
+++ b/internal/operatorconfig/tiles.go
@@ -76,7 +76,7 @@
 		}
 		all = append(all, TileFront{
 			Listen:     team.Listen,
-			Kind:       team.tileType(),
+			Kind:       team.tileTrafficClass(),
 			WaitHeader: team.Tiles.WaitHeader,
 			Service:    team.Tiles.Service(),
 		})
@@ -84,8 +84,8 @@
 	return all
 }
 
-// tileType is the traffic class of a team's tiles.
-func (t Team) tileType() string {
+// tileTrafficClass is the traffic class of a team's tiles.
+func (t Team) tileTrafficClass() string {
 	if t.Tiles.Type != "" || len(t.Types) == 0 {
 		return t.Tiles.Type
 	}
--- a/internal/operatorconfig/tilescheck.go
+++ b/internal/operatorconfig/tilescheck.go
@@ -44,7 +44,7 @@
 	names := map[string]bool{}
 	for i, layer := range team.Tiles.Layers {
 		layerKey := keyIn("%s.%d", key("layer"), i)
-		f.checkTileWord(layerKey("name"), layer.Name)
+		f.checkTileName(layerKey("name"), layer.Name)
 		if names[layer.Name] || slices.Contains(reservedLayerNames, layer.Name) {
 			f.toml.Fault(layerKey("name"), "%q is there twice, or is the name of something else", layer.Name)
 		}
@@ -58,7 +58,7 @@
 	zoomLevels := map[string]int{tiles.Google: googleZoomLevels}
 	for i, set := range sets {
 		key := keyIn("%s.%d", tilesKey("set"), i)
-		f.checkTileWord(key("name"), set.Name)
+		f.checkTileName(key("name"), set.Name)
 		_, twice := zoomLevels[set.Name]
 		if twice || set.Name == tiles.GoogleTwice {
 			f.toml.Fault(key("name"), "%q is there twice", set.Name)
@@ -75,7 +75,7 @@
 }
 
 func (f *File) checkMatrix(key func(string) string, m Matrix) {
-	f.checkTileWord(key("name"), m.Name)
+	f.checkTileName(key("name"), m.Name)
 	isEmpty := !(m.Scale > 0) || m.Width < 1 || m.Height < 1 || m.Side < 1
 	if isEmpty || m.Width > maxMatrixTiles || m.Height > maxMatrixTiles {
 		f.toml.Fault(key("name"), "scale, width, height and side must be above 0")
@@ -89,7 +89,7 @@
 		}
 	}
 	for _, style := range layer.Styles {
-		f.checkTileWord(key("styles"), style)
+		f.checkTileName(key("styles"), style)
 	}
 	f.checkZoom(key, layer, zoomLevels)
 	if len(layer.Bounds) > 0 && !validBounds(layer.Bounds) {
@@ -97,12 +97,12 @@
 	}
 	for i, dimension := range layer.Dimensions {
 		name := keyIn("%s.%d", key("dimension"), i)("name")
-		f.checkTileWord(name, dimension.Name)
+		f.checkTileName(name, dimension.Name)
 		if len(dimension.Values) == 0 {
 			f.toml.Fault(name, "a dimension needs at least one value")
 		}
 		for _, value := range dimension.Values {
-			f.checkTileWord(name, value)
+			f.checkTileName(name, value)
 		}
 	}
 }
@@ -133,8 +133,8 @@
 	return !(west >= east || south >= north || outside)
 }
 
-// checkTileWord checks a name that stands in tiles' paths.
-func (f *File) checkTileWord(key, text string) {
+// checkTileName checks a name that stands in tiles' paths.
+func (f *File) checkTileName(key, text string) {
 	if !tiles.Word(text) {
 		f.toml.Want(key, text, "up to 40 letters, digits, dots, colons, dashes and underscores")
 	}
--- a/internal/operatorconfig/trafficclass.go
+++ b/internal/operatorconfig/trafficclass.go
@@ -60,7 +60,7 @@
 	names := map[string]bool{}
 	for i, t := range types {
 		key := keyIn("%s.%d", teamKey("type"), i)
-		f.checkWord(key("name"), t.Name)
+		f.checkName(key("name"), t.Name)
 		if names[t.Name] {
 			f.toml.Fault(key("name"), "traffic type %q is there twice", t.Name)
 		}
@@ -87,12 +87,12 @@
 	if !(t.OverdueBenefit >= 0 && t.OverdueBenefit <= 1) { // also for NaN
 		f.toml.Want(key("overdue_benefit"), t.OverdueBenefit, "between 0 and 1")
 	}
-	f.checkPlaces(key("runs_in"), t.RunsIn)
-	f.checkPlaces(key("allowed_on"), t.AllowedOn)
+	f.checkPlacement(key("runs_in"), t.RunsIn)
+	f.checkPlacement(key("allowed_on"), t.AllowedOn)
 }
 
-// checkPlaces checks the zones or kinds of machine to which alone a type may be sent.
-func (f *File) checkPlaces(key string, places []string) {
+// checkPlacement checks the zones or kinds of machine to which alone a type may be sent.
+func (f *File) checkPlacement(key string, places []string) {
 	namesNone := places != nil && len(places) == 0
 	if namesNone || slices.Contains(places, "") {
 		f.toml.Fault(key, "%q leaves it nowhere to run; name at least one, or leave it out where any will do", places)
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -18,7 +18,7 @@
 	regionOf := map[string]string{} // of a zone
 	for i, region := range f.Regions {
 		key := keyIn("region.%d", i)
-		f.checkWord(key("name"), region.Name)
+		f.checkName(key("name"), region.Name)
 		if slices.Contains(names, region.Name) {
 			f.toml.Fault(key("name"), "%q is there twice", region.Name)
 		}
@@ -27,7 +27,7 @@
 			f.toml.Fault(key("zones"), "names none; a region is one zone or more, as the list of servers names them")
 		}
 		for _, zone := range region.Zones {
-			f.checkWord(key("zones"), zone)
+			f.checkName(key("zones"), zone)
 			other, twice := regionOf[zone]
 			if twice {
 				f.toml.Fault(key("zones"), "%q is in region %q already; a zone is in one region", zone, other)
--- a/internal/settings/lines_test.go
+++ b/internal/settings/lines_test.go
@@ -19,7 +19,7 @@
 }
 
 // All faults are kept with their paths, but no more than a person mends.
-func TestFaults(t *testing.T) {
+func TestFaultsHavePathsAndAreBounded(t *testing.T) {
 	o, err := Parse([]byte(`{"a":"x","l":[{"n":1},{"n":"y"}],"s":3}`), "text")
 	if err != nil {
 		t.Fatal(err)
@@ -28,7 +28,7 @@
 	for _, e := range o.List("l") {
 		e.Number("n")
 	}
-	o.Sub("s")
+	o.RequiredObject("s")
 	want := []struct{ path, message string }{
 		{"/a", "a: not a number"},
 		{"/l/1/n", "l: n: not a number"},
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -80,21 +80,21 @@
 	if len(outermost.faults) >= maxFaults {
 		return
 	}
-	fault.Key = o.qualified(field)
+	fault.Key = o.qualifiedName(field)
 	outermost.faults = append(outermost.faults, Fault{Path: o.path + "/" + field, FieldError: fault})
 }
 
-// qualified returns a field's name with those of the objects that hold it.
-func (o *Object) qualified(field string) string {
+// qualifiedName returns a field's name with those of the objects that hold it.
+func (o *Object) qualifiedName(field string) string {
 	if o.name == "" {
 		return field
 	}
 	return o.name + ": " + field
 }
 
-// within makes a reader of a value that a field holds.
-func (o *Object) within(value *fastjson.Value, field string) *Object {
-	return &Object{value: value, name: o.qualified(field), path: o.path + "/" + field, parent: o}
+// nested makes a reader of a value that a field holds.
+func (o *Object) nested(value *fastjson.Value, field string) *Object {
+	return &Object{value: value, name: o.qualifiedName(field), path: o.path + "/" + field, parent: o}
 }
 
 // ID reads a number that must be there.
@@ -173,22 +173,22 @@
 	return o.Text(field)
 }
 
-// Sub reads an object; one that is missing or malformed is a fault and reads as empty.
-func (o *Object) Sub(field string) *Object {
+// RequiredObject reads an object; one that is missing or malformed is a fault and reads as empty.
+func (o *Object) RequiredObject(field string) *Object {
 	value := o.value.Get(field)
 	if value == nil || value.Type() != fastjson.TypeObject {
 		o.Want(field, "an object")
 		value = fastjson.MustParse("{}")
 	}
-	return o.within(value, field)
+	return o.nested(value, field)
 }
 
-// Part reads an object that may be absent and then reads as empty.
-func (o *Object) Part(field string) *Object {
+// OptionalObject reads an object that may be absent and then reads as empty.
+func (o *Object) OptionalObject(field string) *Object {
 	if o.Absent(field) {
-		return o.within(fastjson.MustParse("{}"), field)
+		return o.nested(fastjson.MustParse("{}"), field)
 	}
-	return o.Sub(field)
+	return o.RequiredObject(field)
 }
 
 // List reads an array of objects; what else it holds is a fault, and left out.
@@ -199,7 +199,7 @@
 			o.Fault(field, "holds what is not an object")
 			continue
 		}
-		element := o.within(value, field)
+		element := o.nested(value, field)
 		element.path += "/" + strconv.Itoa(i)
 		all = append(all, element)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -21,10 +21,10 @@
 
 // Settings reads the settings of a balancer. Fields are read in the order in which their faults are reported.
 func (o *Object) Settings() balancer.Settings {
-	family := o.Part("familyInfo")
-	limits := o.Part("limits")
-	rules := o.Part("rules")
-	prices := o.Part("penalties")
+	family := o.OptionalObject("familyInfo")
+	limits := o.OptionalObject("limits")
+	rules := o.OptionalObject("rules")
+	prices := o.OptionalObject("penalties")
 	settings := balancer.Settings{
 		RouterIndex:         int(o.Count("me")),
 		RouterCount:         int(o.Count("fleetSize")),
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -15,8 +15,8 @@
 	balancer *balancer.Balancer // nil if its start panicked
 }
 
-// guard turns a panic of the balancer into a report for its router.
-func (r *router) guard(call func()) {
+// reportPanic turns a panic of the balancer into a report for its router.
+func (r *router) reportPanic(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
 			r.line(replyPanic).text("what", fmt.Sprint(cause)).end()
@@ -25,43 +25,43 @@
 	call()
 }
 
-// takeEvent makes the call that an event stands for. An event with a fault in a field that is read makes none.
-func (r *router) takeEvent(name string, fields *settings.Object) {
+// handleEvent makes the call that an event stands for. An event with a fault in a field that is read makes none.
+func (r *router) handleEvent(name string, fields *settings.Object) {
 	switch name {
 	case eventListUpdate:
-		r.takeListUpdate(fields)
+		r.handleListUpdate(fields)
 	case eventRequest:
-		r.takeRequest(fields)
+		r.handleRequest(fields)
 	case eventStreamStart:
-		r.takeStreamStart(fields)
+		r.handleStreamStart(fields)
 	case eventAttemptEnd:
-		r.takeAttemptEnd(fields)
+		r.handleAttemptEnd(fields)
 	case eventClientGone:
-		r.takeClientGone(fields)
+		r.handleClientGone(fields)
 	case eventTimer:
-		r.takeTimer(fields)
+		r.handleTimer(fields)
 	case eventGossip:
-		r.takeGossip(fields)
+		r.handleGossip(fields)
 	case eventProbeResult:
-		r.takeProbeResult(fields)
+		r.handleProbeResult(fields)
 	}
 }
 
 func (r *router) now() float64 { return r.session.now }
 
-func (r *router) takeListUpdate(fields *settings.Object) {
+func (r *router) handleListUpdate(fields *settings.Object) {
 	form := fields.Text("form")
 	update, known := endpointUpdates[form]
 	if !known {
 		fields.Fault("form", fmt.Sprintf("unknown %q", form))
 	}
-	list := r.session.sheets[fields.Count("table")]
+	list := r.session.endpointLists[fields.Count("table")]
 	if fields.Err() == nil {
 		r.balancer.OnEndpoints(r.now(), update, list)
 	}
 }
 
-func (r *router) takeRequest(fields *settings.Object) {
+func (r *router) handleRequest(fields *settings.Object) {
 	id := fields.ID("txn")
 	class := fields.Text("band")
 	timeLeft := fields.Seconds("remaining")
@@ -72,7 +72,7 @@
 	}
 }
 
-func (r *router) takeStreamStart(fields *settings.Object) {
+func (r *router) handleStreamStart(fields *settings.Object) {
 	id := fields.ID("txn")
 	number := int(fields.Count("n"))
 	if fields.Err() == nil {
@@ -80,7 +80,7 @@
 	}
 }
 
-func (r *router) takeAttemptEnd(fields *settings.Object) {
+func (r *router) handleAttemptEnd(fields *settings.Object) {
 	id := fields.ID("txn")
 	number := int(fields.Count("n"))
 	outcome := outcomes[fields.Text("reason")]
@@ -91,21 +91,21 @@
 	}
 }
 
-func (r *router) takeClientGone(fields *settings.Object) {
+func (r *router) handleClientGone(fields *settings.Object) {
 	id := fields.ID("txn")
 	if fields.Err() == nil {
 		r.balancer.OnClientGone(r.now(), id)
 	}
 }
 
-func (r *router) takeTimer(fields *settings.Object) {
+func (r *router) handleTimer(fields *settings.Object) {
 	timer := fields.Text("name")
 	if fields.Err() == nil {
 		r.balancer.OnTimer(r.now(), timer)
 	}
 }
 
-func (r *router) takeGossip(fields *settings.Object) {
+func (r *router) handleGossip(fields *settings.Object) {
 	message, err := base64.StdEncoding.DecodeString(fields.Text("body"))
 	if err != nil {
 		fields.Fault("body", "not base64")
@@ -115,7 +115,7 @@
 	}
 }
 
-func (r *router) takeProbeResult(fields *settings.Object) {
+func (r *router) handleProbeResult(fields *settings.Object) {
 	server := fields.ID("server")
 	outcome := outcomes[fields.Text("reason")]
 	if fields.Err() == nil {
--- a/internal/simadapter/names.go
+++ b/internal/simadapter/names.go
@@ -4,19 +4,19 @@
 
 // Events of the simulator.
 const (
-	eventClock       = "CLOCK"            // begins a batch
-	eventYourTurn    = "YOUR_TURN"        // ends a batch
-	eventSheet       = "SHEET"            // an endpoint list
-	eventEnlist      = "ENLIST"           // balancer.New
-	eventKill        = "KILL"             // the process of a router ends
-	eventListUpdate  = "DIRECTORY_UPDATE" // OnEndpoints
-	eventRequest     = "ACCEPT"           // OnRequest
-	eventStreamStart = "HEAD_RECEIVED"    // OnStreamStart
-	eventAttemptEnd  = "SETTLED"          // OnAttemptEnd
-	eventClientGone  = "GONE"             // OnClientGone
-	eventTimer       = "WAKE"             // OnTimer
-	eventProbeResult = "PROBE_RESULT"     // OnProbeResult
-	eventGossip      = "MESSAGE"          // OnGossip
+	eventBatchStart   = "CLOCK"            // begins a batch
+	eventBatchEnd     = "YOUR_TURN"        // ends a batch
+	eventEndpointList = "SHEET"            // an endpoint list
+	eventRouterStart  = "ENLIST"           // balancer.New
+	eventRouterKill   = "KILL"             // the process of a router ends
+	eventListUpdate   = "DIRECTORY_UPDATE" // OnEndpoints
+	eventRequest      = "ACCEPT"           // OnRequest
+	eventStreamStart  = "HEAD_RECEIVED"    // OnStreamStart
+	eventAttemptEnd   = "SETTLED"          // OnAttemptEnd
+	eventClientGone   = "GONE"             // OnClientGone
+	eventTimer        = "WAKE"             // OnTimer
+	eventProbeResult  = "PROBE_RESULT"     // OnProbeResult
+	eventGossip       = "MESSAGE"          // OnGossip
 )
 
 // Actions, as the simulator names them in the reply.
@@ -34,10 +34,10 @@
 	replyPanic     = "FATAL"
 )
 
-// namesRouter holds the events that must name a router; others may, and are ignored without one.
-var namesRouter = map[string]bool{
-	eventEnlist:      true,
-	eventKill:        true,
+// requiresRouter holds the events that must name a router; others may, and are ignored without one.
+var requiresRouter = map[string]bool{
+	eventRouterStart: true,
+	eventRouterKill:  true,
 	eventListUpdate:  true,
 	eventRequest:     true,
 	eventStreamStart: true,
--- a/internal/simadapter/session.go
+++ b/internal/simadapter/session.go
@@ -24,20 +24,20 @@
 
 // session is one conversation. The routers that it hosts share nothing but the sheets, which no one changes.
 type session struct {
-	reply   replyWriter
-	routers map[uint64]*router
-	sheets  map[uint64][]balancer.Endpoint
+	reply         replyWriter
+	routers       map[uint64]*router
+	endpointLists map[uint64][]balancer.Endpoint
 
-	now     float64 // seconds, of the current batch
-	turn    uint64  // number of the current batch
-	inBatch bool
+	now         float64 // seconds, of the current batch
+	batchNumber uint64  // number of the current batch
+	inBatch     bool
 }
 
 func newSession(out io.Writer) *session {
 	return &session{
-		reply:   replyWriter{out: bufio.NewWriterSize(out, bufferSize)},
-		routers: map[uint64]*router{},
-		sheets:  map[uint64][]balancer.Endpoint{},
+		reply:         replyWriter{out: bufio.NewWriterSize(out, bufferSize)},
+		routers:       map[uint64]*router{},
+		endpointLists: map[uint64][]balancer.Endpoint{},
 	}
 }
 
@@ -66,7 +66,7 @@
 		if value.Type() != fastjson.TypeObject {
 			return errNotAnObject
 		}
-		if err := s.takeLine(value); err != nil {
+		if err := s.handleLine(value); err != nil {
 			return err
 		}
 	}
@@ -83,50 +83,50 @@
 	}
 }
 
-// takeLine takes one line: a batch's begin or end, or an event of it.
-func (s *session) takeLine(value *fastjson.Value) error {
+// handleLine takes one line: a batch's begin or end, or an event of it.
+func (s *session) handleLine(value *fastjson.Value) error {
 	name := string(value.GetStringBytes("m"))
 	fields := settings.New(value, name)
 	switch {
-	case name == eventClock && s.inBatch:
+	case name == eventBatchStart && s.inBatch:
 		return errNestedBatch
-	case name == eventClock:
+	case name == eventBatchStart:
 		s.now = fields.Seconds("clock")
-		s.turn = fields.ID("turn")
+		s.batchNumber = fields.ID("turn")
 		s.inBatch = true
 	case !s.inBatch:
 		return fmt.Errorf("%s: %w", name, errOutsideBatch)
-	case name == eventYourTurn:
-		s.reply.line(replyBatchDone).uint("turn", s.turn).end()
+	case name == eventBatchEnd:
+		s.reply.line(replyBatchDone).uint("turn", s.batchNumber).end()
 		s.inBatch = false
 		if err := s.reply.out.Flush(); err != nil {
 			return err
 		}
 	default:
-		s.takeEvent(name, fields)
+		s.handleEvent(name, fields)
 	}
 	return fields.Err()
 }
 
-// takeEvent hands one event to the router that it names.
-func (s *session) takeEvent(name string, fields *settings.Object) {
-	if name == eventSheet {
-		s.sheets[fields.ID("table")] = readEndpoints(fields)
+// handleEvent hands one event to the router that it names.
+func (s *session) handleEvent(name string, fields *settings.Object) {
+	if name == eventEndpointList {
+		s.endpointLists[fields.ID("table")] = readEndpoints(fields)
 		return
 	}
-	if fields.Absent("router") && !namesRouter[name] {
+	if fields.Absent("router") && !requiresRouter[name] {
 		return
 	}
 	id := fields.ID("router")
 	switch name {
-	case eventKill:
+	case eventRouterKill:
 		delete(s.routers, id)
-	case eventEnlist:
+	case eventRouterStart:
 		s.startRouter(id, fields)
 	default:
 		named := s.routers[id]
 		if named != nil && named.balancer != nil {
-			named.guard(func() { named.takeEvent(name, fields) })
+			named.reportPanic(func() { named.handleEvent(name, fields) })
 		}
 	}
 }
@@ -134,14 +134,14 @@
 // startRouter starts a balancer with the settings of the event.
 func (s *session) startRouter(id uint64, fields *settings.Object) {
 	seed := uint32(fields.ID("seed"))
-	config := fields.Sub("setup").Settings()
+	config := fields.RequiredObject("setup").Settings()
 	if fields.Err() != nil {
 		return
 	}
 	config.Seed = seed
 	started := &router{session: s, id: id}
 	s.routers[id] = started
-	started.guard(func() { started.balancer = balancer.New(s.now, config, started) })
+	started.reportPanic(func() { started.balancer = balancer.New(s.now, config, started) })
 }
 
 // readEndpoints reads an endpoint list.
--- a/internal/simadapter/session_test.go
+++ b/internal/simadapter/session_test.go
@@ -70,18 +70,18 @@
 	}
 }
 
-func TestPanicIsReportedForItsInstance(t *testing.T) {
+func TestPanicIsReportedForItsRouter(t *testing.T) {
 	var out strings.Builder
 	s := newSession(&out)
 	failing := &router{session: s, id: 3}
-	failing.guard(func() { panic("index out of range") })
+	failing.reportPanic(func() { panic("index out of range") })
 	s.reply.out.Flush()
 	if got, want := out.String(), `{"m":"FATAL","router":3,"what":"index out of range"}`+"\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
 }
 
-func TestMegabyteBatch(t *testing.T) {
+func TestLargeBatch(t *testing.T) {
 	var in strings.Builder
 	in.WriteString(startLines)
 	for range 20000 {
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -6,8 +6,8 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// linesOfKeys returns the line of each key and table of a text that parses.
-func linesOfKeys(text []byte) map[string]int {
+// keyLines returns the line of each key and table of a text that parses.
+func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
 	tables := map[string]int{} // of each array of tables, how many there were so far
 	table := ""                // that the present key stands in
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -40,7 +40,7 @@
 	if err != nil {
 		return nil, decodingError(name, err)
 	}
-	return &File{name: name, lines: linesOfKeys(text)}, nil
+	return &File{name: name, lines: keyLines(text)}, nil
 }
 
 // decodingError returns the library's errors as FieldErrors.
@@ -90,7 +90,7 @@
 
 // Want reports that the value of a key is not what it should be: "VALUE is not WANT".
 func (f *File) Want(key string, value any, want string) {
-	f.report(&configerror.FieldError{Key: key, Value: shown(value), Want: want})
+	f.report(&configerror.FieldError{Key: key, Value: formatValue(value), Want: want})
 }
 
 func (f *File) report(fault *configerror.FieldError) {
@@ -99,8 +99,8 @@
 	f.faults = append(f.faults, fault)
 }
 
-// shown returns a value as messages show it: texts in quotes.
-func shown(value any) string {
+// formatValue returns a value as messages show it: texts in quotes.
+func formatValue(value any) string {
 	text, isText := value.(string)
 	if isText {
 		return fmt.Sprintf("%q", text)
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -13,7 +13,7 @@
 	Item []struct{ Kind string }
 }
 
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = 3": "f:1: name: cannot decode TOML integer into " +
 			"struct field tomlfile.sample.Name of type string",
@@ -49,7 +49,7 @@
 }
 
 // Whoever reads a file can tell its faults apart by their fields.
-func TestFaultsAreFieldErrors(t *testing.T) {
+func TestErrReturnsFieldErrors(t *testing.T) {
 	var s sample
 	f, err := Parse("f", []byte("[part]\nsize = -1\n"), &s)
 	if err != nil {
