--- a/cmd/bendtrestle/check.go
+++ b/cmd/bendtrestle/check.go
@@ -15,7 +15,7 @@
 
 type checkCommand struct{}
 
-// Run prints what is in effect, or every fault of both files.
+// Run prints the settings in effect, or every fault of both files.
 func (checkCommand) Run(args *arguments) error {
 	operators, err := operatorconfig.Read(args.Operators)
 	platform, platformErr := config.Describe(os.Getenv)
@@ -27,8 +27,8 @@
 	return printSettings(os.Stdout, platform, operators)
 }
 
-// printSettings prints a table of all settings and, where there is something to show, one of what is kept for the next
-// process and one of the contracts.
+// printSettings prints a table of all settings. With recovery switched on it also prints a table of the state that is
+// kept for the next process, and with contracts a table of the contracts.
 func printSettings(out io.Writer, platform []config.Setting, operators operatorconfig.File) error {
 	table := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(table, "KEY\tIN EFFECT\tFROM")
@@ -52,7 +52,7 @@
 	return table.Flush()
 }
 
-// startTable ends the table before, and leaves a line free.
+// startTable ends the previous table and prints an empty line.
 func startTable(table *tabwriter.Writer, out io.Writer) {
 	table.Flush()
 	fmt.Fprintln(out)
--- a/cmd/bendtrestle/golden_test.go
+++ b/cmd/bendtrestle/golden_test.go
@@ -12,9 +12,9 @@
 	"bendtrestle/internal/operatorconfig"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current output")
 
-// golden compares a text with a file that the build of 15122f5 wrote.
+// golden compares a text with a golden file, which the build of commit 15122f5 wrote.
 func golden(t *testing.T, name, got string) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -32,7 +32,8 @@
 	}
 }
 
-// People and scripts read what `bendtrestle check` prints: with every key stated, with the least, and of faulty files.
+// People and scripts read the output of `bendtrestle check`, so it must stay the same: for files with every key, for
+// the platform's file only, and for a minimal one.
 func TestGoldenCheck(t *testing.T) {
 	for _, c := range []struct {
 		name, config, operators string
@@ -42,19 +43,18 @@
 		{"check-least", "testdata/config-least.json", ""},
 	} {
 		env := map[string]string{"GW_CONFIG": c.config, "GW_NAME": "n9", "GW_DISCOVERY": "127.2.0.9:8500", "TMPDIR": "/shared"}
-		// The seed is the process's number where none is stated.
-		theirs, err := operatorconfig.Read(c.operators)
-		ours, other := config.Describe(func(name string) string { return env[name] })
-		if err = errors.Join(err, other); err != nil {
+		operators, err := operatorconfig.Read(c.operators)
+		platform, platformErr := config.Describe(func(name string) string { return env[name] })
+		if err = errors.Join(err, platformErr); err != nil {
 			t.Fatal(err)
 		}
-		for i, setting := range ours {
+		for i, setting := range platform { // the default seed is the process ID
 			if setting.Key == "seed" && setting.Source == "the process's number" {
-				ours[i].Value = "PID"
+				platform[i].Value = "PID"
 			}
 		}
 		var printed bytes.Buffer
-		if err := printSettings(&printed, ours, theirs); err != nil {
+		if err := printSettings(&printed, platform, operators); err != nil {
 			t.Fatal(err)
 		}
 		golden(t, c.name, printed.String())
--- a/cmd/bendtrestle/main.go
+++ b/cmd/bendtrestle/main.go
@@ -1,11 +1,11 @@
-// Command bendtrestle is the real router: it serves clients on a socket and routes their requests to cache servers.
+// Command bendtrestle is the router: it serves clients on a socket and routes their requests to cache servers.
 //
 // Files:
 //
 //	main.go     arguments and exit statuses
-//	run.go      serving, and the log
-//	check.go    what is in effect, printed
-//	version.go  which build this is
+//	run.go      the command run, and the log
+//	check.go    the command check, which prints the settings in effect
+//	version.go  the command version
 package main
 
 import (
@@ -17,20 +17,20 @@
 )
 
 type arguments struct {
-	Operators string `help:"The operators' own file; without it everything is as the platform says." env:"GW_OPERATORS" placeholder:"FILE"`
+	Operators string `help:"The operators' file; without it the platform's configuration and the defaults apply." env:"GW_OPERATORS" placeholder:"FILE"`
 
-	Run     runCommand     `cmd:"" default:"1" help:"Serve, until SIGTERM. This is what happens without arguments, too."`
-	Check   checkCommand   `cmd:"" help:"Read both files, and print what is in effect or every fault."`
-	Version versionCommand `cmd:"" help:"Print which build this is."`
+	Run     runCommand     `cmd:"" default:"1" help:"Serve until SIGTERM. This is the default command."`
+	Check   checkCommand   `cmd:"" help:"Read both files and print the settings in effect, or every fault."`
+	Version versionCommand `cmd:"" help:"Print the version of this build."`
 }
 
-// exitStatus is an error that ends the program with a status, after all was said. Any other error is printed, and the
-// status is that of misuse.
+// exitStatus is an error that sets the program's exit status; its cause has already been printed or logged. Any other
+// error is printed by main, and the status is exitInvalidInput.
 type exitStatus int
 
 const (
 	exitFailed       exitStatus = 1
-	exitInvalidInput exitStatus = 2 // arguments or a file cannot be used
+	exitInvalidInput exitStatus = 2 // invalid arguments or files
 )
 
 func (e exitStatus) Error() string { return fmt.Sprint("exit status ", int(e)) }
--- a/cmd/bendtrestle/main_test.go
+++ b/cmd/bendtrestle/main_test.go
@@ -18,7 +18,7 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// TestMain makes this test program the router where it is told to be one.
+// TestMain runs the router instead of the tests if AS_ROUTER is set, so that tests can start it as a process.
 func TestMain(m *testing.M) {
 	if os.Getenv("AS_ROUTER") != "" {
 		os.Args = os.Args[:1]
@@ -28,7 +28,7 @@
 	os.Exit(m.Run())
 }
 
-// deployedRunCommand gives the line by which operators start a router.
+// deployedRunCommand returns the command line in deploy/balancer.toml that starts a router.
 func deployedRunCommand(t *testing.T) string {
 	t.Helper()
 	text, err := os.ReadFile("../../deploy/balancer.toml")
@@ -39,23 +39,25 @@
 		Run string `toml:"run"`
 	}
 	if err := toml.Unmarshal(text, &file); err != nil || !strings.HasSuffix(file.Run, "exec bin/bendtrestle") {
-		t.Fatalf("run is %q, %v", file.Run, err)
+		t.Fatalf("got run command %q, %v, want one that ends with exec bin/bendtrestle", file.Run, err)
 	}
 	return file.Run
 }
 
-// As operators start it a router that is not yet far enough to listen for SIGHUP does not end by it.
+// SIGHUP must not end a router that has not installed its signal handlers yet. The command in deploy/balancer.toml
+// therefore starts it with SIGHUP ignored.
 func TestDeployedCommandIgnoresSIGHUP(t *testing.T) {
-	out, err := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployedRunCommand(t), "bin/bendtrestle", "grep SigIgn /proc/self/status")).Output()
+	out, err := exec.Command("/bin/sh", "-c",
+		strings.ReplaceAll(deployedRunCommand(t), "bin/bendtrestle", "grep SigIgn /proc/self/status")).Output()
 	_, mask, _ := strings.Cut(strings.TrimSpace(string(out)), "\t")
 	ignored, bad := strconv.ParseUint(mask, 16, 64)
 	if err != nil || bad != nil || ignored&(1<<(syscall.SIGHUP-1)) == 0 {
-		t.Errorf("the program starts with %q ignored, %v", out, err)
+		t.Errorf("got %q, %v, want a mask of ignored signals that contains SIGHUP", out, err)
 	}
 }
 
-// A process whose log nobody reads any more serves on, and a SIGHUP that comes while it starts, or with SIGTERM behind it, does not
-// end it otherwise than SIGTERM does.
+// A router must serve on after the reader of its log has gone. SIGHUP must not end it during the start, while it still
+// reads its configuration. After SIGHUP directly followed by SIGTERM it must exit with status 0.
 func TestRouterSurvivesClosedLogAndSIGHUPDuringStart(t *testing.T) {
 	server, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -82,7 +84,7 @@
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	addr := free.Addr().String()
 	free.Close()
-	// The file is a pipe: the start waits for it, and the signal comes meanwhile.
+	// The configuration file is a pipe: the start blocks on it, and SIGHUP arrives in the meantime.
 	path := filepath.Join(t.TempDir(), "config.json")
 	if err := syscall.Mkfifo(path, 0o600); err != nil {
 		t.Fatal(err)
@@ -92,17 +94,17 @@
 	router := exec.Command("/bin/sh", "-c", strings.ReplaceAll(deployedRunCommand(t), "bin/bendtrestle", os.Args[0]))
 	router.Env = append(os.Environ(), "AS_ROUTER=1", "GW_CONFIG="+path, "TMPDIR="+t.TempDir())
 	router.Stderr = log
-	router.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // also where the tests end without their cleanup
+	router.SysProcAttr = &syscall.SysProcAttr{Pdeathsig: syscall.SIGKILL} // even if the tests end without cleanup
 	if err := router.Start(); err != nil {
 		t.Fatal(err)
 	}
 	defer router.Process.Kill()
-	config, err := os.OpenFile(path, os.O_WRONLY, 0) // goes on once the router reads
+	config, err := os.OpenFile(path, os.O_WRONLY, 0) // returns once the router opens the file
 	if err != nil {
 		t.Fatal(err)
 	}
 	router.Process.Signal(syscall.SIGHUP)
-	time.Sleep(50 * time.Millisecond) // a process that dies of it has done so by then
+	time.Sleep(50 * time.Millisecond) // enough time for a process that SIGHUP kills to die
 	fmt.Fprintf(config, `{"listen":"%s","discovery":"%s","settings":{"trafficTypes":[{"name":"t","effect":"retryable","promisedTime":1e9,"hardStop":2e9,"benefit":1}]}}`,
 		addr, list.Listener.Addr())
 	config.Close()
@@ -117,21 +119,21 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	if !strings.HasPrefix(got, "VA 2 Oa") {
-		t.Errorf("it answers %q", got)
+		t.Errorf("got answer %q, want VA 2 Oa...", got)
 	}
-	for i := 0; ; i++ { // SIGHUP is listened for by now: the file is read again
+	for i := 0; ; i++ { // the router handles SIGHUP now and reads the file again
 		router.Process.Signal(syscall.SIGHUP)
 		if again, err := os.OpenFile(path, os.O_WRONLY|syscall.O_NONBLOCK, 0); err == nil {
 			again.Close()
 			break
 		} else if i > 500 {
-			t.Fatalf("SIGHUP is not obeyed: %v", err)
+			t.Fatalf("the router does not read its file after SIGHUP: %v", err)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 	router.Process.Signal(syscall.SIGHUP)
 	router.Process.Signal(syscall.SIGTERM)
 	if err := router.Wait(); err != nil {
-		t.Errorf("it ended as %v", err)
+		t.Errorf("the router ended with %v, want status 0", err)
 	}
 }
--- a/cmd/bendtrestle/run.go
+++ b/cmd/bendtrestle/run.go
@@ -16,8 +16,8 @@
 )
 
 const (
-	logQueueLines    = 1000 // a log that is read slowly loses lines beyond them, rather than hold the event loop up
-	logWarningBurst  = 20   // warnings in logWarningPeriod; no fault floods the log
+	logQueueLines    = 1000 // if the log is read too slowly, further lines are dropped instead of blocking the event loop
+	logWarningBurst  = 20   // warnings per logWarningPeriod, so that a repeated fault does not flood the log
 	logWarningPeriod = time.Second
 )
 
@@ -31,23 +31,24 @@
 	readSetup := func() (service.Setup, error) { return readSetup(args.Operators, out) }
 	setup, err := readSetup()
 	if err != nil {
-		log.Error().Err(err).Msg("the configuration cannot be used")
+		log.Error().Err(err).Msg("invalid configuration; the router does not start")
 		return exitFailed
 	}
 	lines := diode.NewWriter(out, logQueueLines, 0, func(lost int) {
-		log.Warn().Int("lost", lost).Msg("log lines lost")
+		log.Warn().Int("lost", lost).Msg("log lines dropped; the log is read too slowly")
 	})
 	sampler := zerolog.LevelSampler{WarnSampler: &zerolog.BurstSampler{Burst: logWarningBurst, Period: logWarningPeriod}}
 	err = service.Run(setup, signals, requestcore.DefaultBalancer, readSetup, log.Output(lines).Sample(sampler))
 	lines.Close()
 	if err != nil {
-		log.Error().Err(err).Msg("the router cannot run")
+		log.Error().Err(err).Msg("the router failed and exits")
 		return exitFailed
 	}
 	return nil
 }
 
-// readSetup reads both files, and has the log take effect as the operators want it. A fault in either changes nothing.
+// readSetup reads both files and configures the log from the operators' file. A fault in either file leaves the log's
+// configuration unchanged.
 func readSetup(operatorsPath string, out *logWriter) (service.Setup, error) {
 	operators, err := operatorconfig.Read(operatorsPath)
 	platform, platformErr := config.Read(os.Getenv)
@@ -58,7 +59,8 @@
 	return service.Setup{Platform: platform, Operators: operators}, err
 }
 
-// logWriter writes log lines in the form that operators want. It is called behind the queue of lines, off the event loop.
+// logWriter writes log lines to standard error in the configured format. While the router serves, lines reach it
+// through a queue, so that it is not called on the event loop.
 type logWriter struct{ console atomic.Bool }
 
 // Write writes one line.
@@ -72,7 +74,7 @@
 func (w *logWriter) configure(log operatorconfig.Log) {
 	w.console.Store(log.Form == "console")
 	level, err := zerolog.ParseLevel(log.Level)
-	if err == nil { // it was checked when the file was read
+	if err == nil { // always: the level was checked when the file was read
 		zerolog.SetGlobalLevel(level)
 	}
 }
--- a/cmd/bendtrestle/version.go
+++ b/cmd/bendtrestle/version.go
@@ -8,11 +8,11 @@
 
 type versionCommand struct{}
 
-// Run prints which build this is.
+// Run prints the version, the revision and the Go version of this build.
 func (versionCommand) Run() error {
 	info, known := debug.ReadBuildInfo()
 	if !known {
-		return errors.New("this build does not tell its version")
+		return errors.New("this build contains no version information")
 	}
 	revision := "unknown"
 	modified := ""
--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -21,55 +21,55 @@
 	minMemoryMB        = 32
 	minDescriptors     = 64
 
-	nanoseconds                  = 1e9 // of a second; the file's unit of time
+	nanoseconds                  = 1e9 // in a second; times in the file are in nanoseconds
 	defaultConnectTimeout        = 1.0 // seconds
 	defaultIdleTimeout           = 60.0
 	defaultDrainGrace            = 0.5
 	defaultAttemptsPerConnection = 1
 )
 
-// Config is all that a router is configured with. Times are in seconds.
+// Config is the platform's configuration of a router, with defaults. Times are in seconds.
 type Config struct {
 	Name         string
-	Listen       string // where clients connect
-	Discovery    string // the list service
-	AdminListen  string // of the admin server; empty: there is none
-	SharedFolder string // that the next process of this router sees, too; empty: there is none
-	PeerListen   string // where other routers' gossip comes in; empty: nowhere
-	PeersAll     string // an address that reaches all other routers; empty: there is none
+	Listen       string // address for clients
+	Discovery    string // address of the list service
+	AdminListen  string // address of the admin server; empty: there is none
+	SharedFolder string // folder shared with the router's next process; empty: there is none
+	PeerListen   string // address for gossip from other routers; empty: none is received
+	PeersAll     string // address that reaches all other routers; empty: there is none
 	Peers        []string
 
 	Cores       float64
 	MemoryBytes int
 	Descriptors int
 
-	Known                 discovery.EndpointList // the endpoint list to begin with
+	Known                 discovery.EndpointList // initial endpoint list
 	Settings              balancer.Settings
-	LoadReports           LoadReports // the platform's protocol carries none with answers
-	ConnectTimeout        float64     // for a connection to a cache server to come up
-	IdleTimeout           float64     // after which cache servers close an idle connection
-	AttemptsPerConnection int         // to a cache server, at once
-	DrainGrace            float64     // after a server's drain was announced, in which it may still be sent requests
-	OpenRequestsCap       int         // that the settings allow; 0: any number
-
-	// What follows from the limits.
+	LoadReports           LoadReports // only logged: responses in the platform's protocol carry no load reports
+	ConnectTimeout        float64     // to establish a connection to a cache server
+	IdleTimeout           float64     // after which a cache server closes an idle connection
+	AttemptsPerConnection int         // that one connection to a cache server carries at the same time
+	DrainGrace            float64     // after a server's drain is announced, during which it may still receive requests
+	OpenRequestsCap       int         // upper bound for OpenRequests; 0: none
+
+	// Derived from the limits.
 	ClientConnections   int
-	RejectConnections   int // of clients beyond those, to tell them so
+	RejectConnections   int // connections beyond ClientConnections that are accepted and answered with an error
 	UpstreamConnections int
-	MaxConnections      int // all, with those that are closed and not released yet
+	MaxConnections      int // all of these, and those that are closed but not released yet
 	OpenRequests        int
-	HeldBytes           int // of clients' values in memory
-	AdminConnections    int // to the admin server, at once
+	HeldBytes           int // bytes of clients' values in memory
+	AdminConnections    int // concurrent connections to the admin server
 
-	reservedDescriptors int // for what the operators' file names
+	reservedDescriptors int // for the listeners and pools in the operators' file
 }
 
-// Read reads the file that GW_CONFIG names. What the file lacks may come from the variables beside it. The error tells
-// all faults, a configerror.FieldError and a line each.
+// Read reads the file that GW_CONFIG names. Environment variables supply some of the keys that the file lacks. The
+// error joins all faults, each a configerror.FieldError and a line of the text.
 func Read(env func(string) string) (Config, error) {
 	path := env("GW_CONFIG")
 	if path == "" {
-		return Config{}, errors.New("GW_CONFIG: not set; it names the configuration file")
+		return Config{}, errors.New("GW_CONFIG: not set; set it to the path of the configuration file")
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -79,8 +79,8 @@
 	return c, locate(faults, path, text)
 }
 
-// locate returns the faults as one error, with the file, and the line where each key stands or where what should hold
-// it does.
+// locate returns the faults as one error, with the file and the line of each key. The line of a missing key is that of
+// the innermost object that should contain it.
 func locate(faults []settings.Fault, path string, text []byte) error {
 	if len(faults) == 0 {
 		return nil
@@ -100,8 +100,8 @@
 	return errors.Join(all...)
 }
 
-// Parse reads a configuration. The error has all faults, a configerror.FieldError and a line each, without their
-// lines in the text.
+// Parse reads a configuration. The error joins all faults, each a configerror.FieldError without a file and line
+// number.
 func Parse(text []byte, env func(string) string) (Config, error) {
 	c, faults := parse(text, env)
 	var all []error
@@ -111,7 +111,7 @@
 	return c, errors.Join(all...)
 }
 
-// parse reads a configuration. Fields are read in the order in which their faults are reported.
+// parse reads a configuration. The order in which it reads fields is the order in which faults are reported.
 func parse(text []byte, env func(string) string) (Config, []settings.Fault) {
 	object, err := settings.Parse(text, "configuration")
 	if err != nil {
@@ -126,7 +126,7 @@
 	set := object.RequiredObject("settings")
 	c.Settings = set.Settings()
 	if len(c.Settings.TrafficClasses) == 0 {
-		set.Fault("trafficTypes", "none")
+		set.Fault("trafficTypes", "missing or empty; at least one is required")
 	}
 	c.Settings.Seed = readSeed(object)
 	c.readDeployment(object, set)
@@ -135,7 +135,7 @@
 	return c, object.Faults()
 }
 
-// readAddresses reads names and addresses; the environment has some of them where the file has not.
+// readAddresses reads names and addresses. Environment variables supply some of those that the file lacks.
 func (c *Config) readAddresses(object *settings.Object, env func(string) string) {
 	textOrVariable := func(key, variable string) string {
 		text := object.Text(key)
@@ -174,13 +174,13 @@
 	}
 }
 
-// readConnections reads what the settings say beside the balancer's.
+// readConnections reads the settings that are not the balancer's.
 func (c *Config) readConnections(set *settings.Object) {
 	limits := set.OptionalObject("limits")
 	c.ConnectTimeout = positive(limits, "connectTimeout", defaultConnectTimeout*nanoseconds) / nanoseconds
 	c.DrainGrace = defaultDrainGrace
 	rules := set.OptionalObject("rules")
-	if !rules.Absent("drainGrace") { // 0 is a value, too: no grace
+	if !rules.Absent("drainGrace") { // 0 is valid: no grace period
 		c.DrainGrace = rules.Seconds("drainGrace")
 	}
 	c.IdleTimeout = positive(limits, "connIdle", defaultIdleTimeout*nanoseconds) / nanoseconds
@@ -201,20 +201,20 @@
 	}
 }
 
-// positive reads a number above 0; absent it is the usual one.
-func positive(object *settings.Object, key string, usual float64) float64 {
+// positive reads an optional number above 0. It returns the default value if the number is absent or not above 0.
+func positive(object *settings.Object, key string, defaultValue float64) float64 {
 	if object.Absent(key) {
-		return usual
+		return defaultValue
 	}
 	number := object.Number(key)
 	if !(number > 0) { // also for NaN
 		object.Want(key, "above 0")
-		return usual
+		return defaultValue
 	}
 	return number
 }
 
-// readSeed reads the seed of random numbers, in hexadecimal digits; absent it is the process's number.
+// readSeed reads the seed of the random numbers, in hexadecimal digits. The default is the process ID.
 func readSeed(object *settings.Object) uint32 {
 	text := object.Text("seed")
 	if text == "" {
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -37,12 +37,13 @@
 		t.Errorf("read %+v", c)
 	}
 	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.OpenRequests != 33 {
-		t.Errorf("derived %+v", c)
+		t.Errorf("got %+v, want the seed of the file and 33 open requests", c)
 	}
 }
 
-// The parts stay within the descriptors, however few there are, whatever the operators' file names, with and without
-// an admin server, and in each of two processes of a router.
+// The derived numbers stay within the descriptors, whatever their number and the number of those reserved for the
+// operators' file, with and without an admin server, and in each of two processes of a router. A router that exceeded
+// them would fail to open connections or files.
 func TestDescriptorsStayWithinLimit(t *testing.T) {
 	for _, adminListen := range []string{"", "127.0.0.1:9180"} {
 		for _, reserved := range []int{0, DescriptorsPerWatch, 5*DescriptorsPerListener + DescriptorsPerWatch, 10000} {
@@ -67,28 +68,30 @@
 	all := fixedDescriptors + min(reserved, descriptors/2) + admin + c.MaxConnections
 	parts := c.ClientConnections + c.RejectConnections + c.UpstreamConnections
 	for name, wrong := range map[string]bool{
-		"a part is empty":            c.ClientConnections < 1 || c.UpstreamConnections < 1,
-		"no admin connection":        adminListen != "" && c.AdminConnections < 1,
-		"the parts exceed all":       parts > c.MaxConnections,
-		"all exceed the descriptors": all > descriptors && (reserved == 0 || descriptors >= 256),
-		"half holds another number":  half.HeldBytes != c.HeldBytes,
-		"half has another part":      reserved == 0 && half.ClientConnections != c.ClientConnections,
-		"enough is told wrongly":     enough != (reserved <= descriptors/2),
+		"no connection for clients or cache servers": c.ClientConnections < 1 || c.UpstreamConnections < 1,
+		"no connection to the admin server":          adminListen != "" && c.AdminConnections < 1,
+		"sum of connections exceeds MaxConnections":  parts > c.MaxConnections,
+		"sum of all exceeds the descriptors":         all > descriptors && (reserved == 0 || descriptors >= 256),
+		"Half has other HeldBytes":                   half.HeldBytes != c.HeldBytes,
+		"Half has other ClientConnections":           reserved == 0 && half.ClientConnections != c.ClientConnections,
+		"WithReserved reports the wrong result":      enough != (reserved <= descriptors/2),
 	} {
 		if wrong {
-			t.Errorf("%s: of %d, %d reserved: %d in all, %d for clients, %d to reject, %d for cache servers, "+
-				"%d for the admin server", name, descriptors, reserved, all, c.ClientConnections, c.RejectConnections,
-				c.UpstreamConnections, c.AdminConnections)
+			t.Errorf("%s: with %d descriptors, %d of them reserved, got %d in all, %d for clients, %d for rejected clients, "+
+				"%d for cache servers, %d for the admin server", name, descriptors, reserved, all, c.ClientConnections,
+				c.RejectConnections, c.UpstreamConnections, c.AdminConnections)
 		}
 	}
 }
 
-// The least memory must do for the requests that a second of four times the usual load has open.
+// With the minimum memory a router must be able to hold the requests that are open during one second at four times the
+// usual load, and use at most half of the memory for requests, values and connections.
 func TestMinimumMemoryHoldsPeakLoad(t *testing.T) {
 	c := Config{Descriptors: 256, MemoryBytes: 32 << 20}
 	c.deriveLimits()
 	if c.OpenRequests < 320 || c.OpenRequests*4<<10+c.HeldBytes+c.UpstreamConnections*64<<10 > c.MemoryBytes/2 {
-		t.Errorf("%d requests may be open, %d bytes held, %d connections to cache servers",
+		t.Errorf("got %d open requests, %d bytes held, %d connections to cache servers, "+
+			"want at least 320 requests, and all of them within half of the memory",
 			c.OpenRequests, c.HeldBytes, c.UpstreamConnections)
 	}
 }
@@ -105,7 +108,7 @@
 	}
 }
 
-// Both shapes of a deployment are whole configurations.
+// The examples of both kinds of deployment are valid configurations.
 func TestExampleConfigsParse(t *testing.T) {
 	for file, want := range map[string]balancer.WeightMode{
 		"config.json":      balancer.WeightsStatic,
@@ -116,12 +119,12 @@
 			t.Fatal(err)
 		}
 		if c, err := Parse(text, env); err != nil || c.Settings.WeightMode != want {
-			t.Errorf("%s: weights %v, %v", file, c.Settings.WeightMode, err)
+			t.Errorf("%s: got weight mode %v, %v, want %v", file, c.Settings.WeightMode, err, want)
 		}
 	}
 }
 
-// Each fault is a FieldError with the key's line, also one of a key that is not there.
+// Read returns each fault as a FieldError with the file, the line and the key.
 func TestReadReturnsFieldErrors(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "config.json")
 	text := strings.Replace(fullConfig, `"cores":2.5`, `"cores":0`, 1)
@@ -139,12 +142,12 @@
 	}
 }
 
-// A message names the faulty key.
+// An error text begins with the path of the faulty key.
 func TestErrorsNameTheFaultyKey(t *testing.T) {
 	for _, c := range []struct{ old, new, want string }{
 		{`{"name"`, `"name"`, "configuration: "},
 		{`127.0.0.4:11211`, `here`, "listen: not an address and a port"},
-		{`"discovery":"127.2.0.1:8500"`, `"discovery":7`, "discovery: not a text"},
+		{`"discovery":"127.2.0.1:8500"`, `"discovery":7`, "discovery: not a string"},
 		{`"peer_listen"`, `"ops":"here","peer_listen"`, "ops: not an address and a port"},
 		{`"127.3.0.1:7946"`, `"x"`, "peers: not an address and a port"},
 		{`"cores":2.5`, `"cores":0`, "limits: cores: not above 0"},
@@ -154,22 +157,25 @@
 		{`8c1f30d27a5be964`, `seed`, "seed: not up to 16 hexadecimal digits"},
 		{`"settings"`, `"setting"`, "settings: not an object"},
 		{`"hardStop":750000000`, `"hardStop":"soon"`, "settings: trafficTypes: hardStop: not a number"},
-		{`"hardStop":750000000`, `"hardStop":750000000,"runsIn":[]`, "settings: trafficTypes: runsIn: names nothing"},
+		{`"hardStop":750000000`, `"hardStop":750000000,"runsIn":[]`, "settings: trafficTypes: runsIn: empty list"},
 		{`"hardStop":750000000`, `"hardStop":750000000,"allowedOn":[7]`,
-			"settings: trafficTypes: allowedOn: holds what is not a text"},
-		{`"trafficTypes":[{"name":"t","hardStop":750000000}]`, `"trafficTypes":[]`, "settings: trafficTypes: none"},
+			"settings: trafficTypes: allowedOn: contains an element that is not a string"},
+		{`"trafficTypes":[{"name":"t","hardStop":750000000}]`, `"trafficTypes":[]`,
+			"settings: trafficTypes: missing or empty"},
 		{`"settings":{`, `"settings":{"familyInfo":{"mode":"aside"},`,
-			`settings: familyInfo: mode: "aside" is none of through`},
-		{`"settings":{`, `"settings":{"weights":"heavy",`, `settings: weights: "heavy" is none of off, nominal, rough, live`},
-		{`"settings":{`, `"settings":{"discovery":"asked",`, `settings: discovery: "asked" is none of pushed, on_request`},
+			`settings: familyInfo: mode: "aside" is not one of through`},
+		{`"settings":{`, `"settings":{"weights":"heavy",`,
+			`settings: weights: "heavy" is not one of off, nominal, rough, live`},
+		{`"settings":{`, `"settings":{"discovery":"asked",`,
+			`settings: discovery: "asked" is not one of pushed, on_request`},
 		{`"settings":{`, `"settings":{"loadInfo":{"how":"often"},`,
-			`settings: loadInfo: how: "often" is none of off, inline, on_probe`},
+			`settings: loadInfo: how: "often" is not one of off, inline, on_probe`},
 		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline"},`,
-			`settings: loadInfo: names: 0 of them, but how is "inline"`},
+			`settings: loadInfo: names: 0 names, but how is "inline"`},
 		{`"settings":{`, `"settings":{"loadInfo":{"names":["depth"]},`,
 			`settings: loadInfo: names: ["depth"], but how is "off"`},
 		{`"settings":{`, `"settings":{"loadInfo":{"how":"inline","names":["qqs"]},`,
-			`settings: loadInfo: names: "qqs" is none of concurrent`},
+			`settings: loadInfo: names: "qqs" is not one of concurrent`},
 		{`"settings":{`, `"settings":{"loadInfo":{"how":"on_probe","names":["depth"]},`,
 			`settings: loadInfo: how: "on_probe", but settings.limits.probes is false`},
 		{`"limits":{"connIdle"`, `"weights":"live","limits":{"peers":true,"connIdle"`,
@@ -183,11 +189,12 @@
 		}
 	}
 	if _, err := Read(func(string) string { return "" }); err == nil || !strings.HasPrefix(err.Error(), "GW_CONFIG: ") {
-		t.Errorf("without a file: %v", err)
+		t.Errorf("without GW_CONFIG: got %v, want an error about it", err)
 	}
 }
 
-// What needs a restart is told by its key; the list service's address, and what only a start uses, does not.
+// A changed value that needs a restart is reported by its key. The list service's address, and the values that only the
+// start of a process uses, need none.
 func TestRestartKeys(t *testing.T) {
 	now, _ := Parse([]byte(fullConfig), env)
 	for _, c := range []struct{ old, new, want string }{
@@ -202,7 +209,7 @@
 	} {
 		next, err := Parse([]byte(strings.ReplaceAll(fullConfig, c.old, c.new)), env)
 		if got := strings.Join(now.RestartKeys(next), " "); err != nil || got != c.want {
-			t.Errorf("%s: a restart is needed for %q, want %q, %v", c.new, got, c.want, err)
+			t.Errorf("%s: got restart keys %q, %v, want %q", c.new, got, err, c.want)
 		}
 	}
 }
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -9,7 +9,7 @@
 	"bendtrestle/internal/settings"
 )
 
-// LoadReports is what cache servers report of their load, as the settings have it.
+// LoadReports says how cache servers report their load, according to the settings.
 type LoadReports struct {
 	How   string // loadReportsOff, loadReportsInline or loadReportsOnProbe
 	Names []string
@@ -17,13 +17,13 @@
 
 const (
 	loadReportsOff     = "off"
-	loadReportsInline  = "inline" // with answers
+	loadReportsInline  = "inline" // with responses
 	loadReportsOnProbe = "on_probe"
 
 	maxLoadReportNames = 4
 )
 
-// String is how `bendtrestle check` shows them.
+// String returns the text that `bendtrestle check` prints.
 func (r LoadReports) String() string {
 	if len(r.Names) == 0 {
 		return r.How
@@ -31,7 +31,7 @@
 	return r.How + ": " + strings.Join(r.Names, ", ")
 }
 
-// Words of the settings; another one is a fault rather than taken for none.
+// Enumerated values of the settings. Any other value is a fault; it isn't treated as absent.
 var (
 	familyModes     = []string{"", "through"}
 	weightModes     = []string{"", "off", "nominal", "rough", "live"}
@@ -40,8 +40,8 @@
 	loadReportNames = []string{"concurrent", "depth", "load_share", "mean_ms", "tps", "err_ps", "x0", "x1"}
 )
 
-// readDeployment reads what tells one shape of a deployment from another, and refuses what contradicts itself: which
-// shape is in force follows from the settings alone, so half of one and half of another must not start.
+// readDeployment reads the settings that select the kind of deployment, and reports contradictions between them. The
+// settings alone select it, so a router must not start with settings that mix two kinds.
 func (c *Config) readDeployment(object, set *settings.Object) {
 	family := set.OptionalObject("familyInfo")
 	limits := set.OptionalObject("limits")
@@ -52,13 +52,13 @@
 	checkOneOf(load, "how", reportModes)
 	c.readLoadReports(load)
 	if c.Settings.WeightMode == balancer.WeightsLive && c.Settings.GossipAllowed {
-		limits.Fault("peers", `true, but settings.weights is "live", which tells the same load; `+
-			`false would be right, or sizes as weights`)
+		limits.Fault("peers", `true, but settings.weights is "live", which reports the same load; `+
+			`set peers to false, or weights to static capacities ("nominal" or "rough")`)
 	}
 	if limits.Absent("peers") || c.Settings.GossipAllowed {
 		return
 	}
-	const notAllowed = "listed, but settings.limits.peers is false; none would be right"
+	const notAllowed = "set, but settings.limits.peers is false; omit the key"
 	if len(c.Peers) > 0 {
 		object.Fault("peers", notAllowed)
 	}
@@ -76,24 +76,24 @@
 	off := reports.How == loadReportsOff
 	switch count := len(reports.Names); {
 	case off && count > 0:
-		load.Fault("names", fmt.Sprintf("%q, but how is \"off\"; none would be right", reports.Names))
+		load.Fault("names", fmt.Sprintf("%q, but how is \"off\"; omit the names", reports.Names))
 	case !off && (count == 0 || count > maxLoadReportNames):
-		load.Fault("names", fmt.Sprintf("%d of them, but how is %q; one to four would be right", count, reports.How))
+		load.Fault("names", fmt.Sprintf("%d names, but how is %q; give one to four names", count, reports.How))
 	}
 	for _, name := range reports.Names {
 		if !slices.Contains(loadReportNames, name) {
-			load.Fault("names", fmt.Sprintf("%q is none of %s", name, strings.Join(loadReportNames, ", ")))
+			load.Fault("names", fmt.Sprintf("%q is not one of %s", name, strings.Join(loadReportNames, ", ")))
 		}
 	}
 	if reports.How == loadReportsOnProbe && !c.Settings.ProbesAllowed {
-		load.Fault("how", `"on_probe", but settings.limits.probes is false; "inline" or "off" would be right`)
+		load.Fault("how", `"on_probe", but settings.limits.probes is false; use "inline" or "off"`)
 	}
 }
 
-// checkOneOf checks a word; the first known one is the empty one.
+// checkOneOf checks that a string is one of the known values. The first known value is the empty string.
 func checkOneOf(object *settings.Object, key string, known []string) {
 	text := object.Text(key)
 	if !slices.Contains(known, text) {
-		object.Fault(key, fmt.Sprintf("%q is none of %s", text, strings.Join(known[1:], ", ")))
+		object.Fault(key, fmt.Sprintf("%q is not one of %s", text, strings.Join(known[1:], ", ")))
 	}
 }
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -15,10 +15,10 @@
 type Setting struct {
 	Key    string
 	Value  string
-	Source string // file and line, a variable, or that it is a default or follows from others
+	Source string // file and line, an environment variable, the default, or that the value is derived from others
 }
 
-// Words that operators know the balancer's constants by.
+// Names of the balancer's constants in the output of `bendtrestle check`.
 var (
 	weightModeTexts  = [...]string{"say nothing", "sizes", "sizes less what is held"}
 	idempotencyTexts = [...]string{"at-most-once", "numbered", "reissuable"}
@@ -31,8 +31,8 @@
 	followsFromLimits = "follows from limits"
 )
 
-// Describe reads the file that GW_CONFIG names as Read does, and returns all that is in effect: what the file says,
-// what a variable says in its place, the defaults, and the bounds that follow.
+// Describe reads the file that GW_CONFIG names as Read does, and returns all values in effect: those from the file,
+// from environment variables and from defaults, and the bounds that are derived from the limits.
 func Describe(env func(string) string) ([]Setting, error) {
 	c, err := Read(env)
 	if err != nil {
@@ -53,16 +53,16 @@
 	return d.all, nil
 }
 
-// description collects what is in effect.
+// description collects the values in effect.
 type description struct {
 	path  string
-	lines map[string]int // of the file's keys
+	lines map[string]int // line numbers of the file's keys, by path
 	all   []Setting
 }
 
-// add describes a value. Its source is the line of the key at this path of the file, if there is one.
-func (d *description) add(key, keyPath, otherwise, format string, values ...any) {
-	source := otherwise
+// add adds a value. Its source is the line of the key at keyPath in the file; without such a key, it is otherSource.
+func (d *description) add(key, keyPath, otherSource, format string, values ...any) {
+	source := otherSource
 	line := d.lines[keyPath]
 	if keyPath != "" && line > 0 {
 		source = d.path + ":" + strconv.Itoa(line)
@@ -70,10 +70,10 @@
 	d.all = append(d.all, Setting{Key: key, Value: fmt.Sprintf(format, values...), Source: source})
 }
 
-// addSetting describes a value of the platform's settings, by its key among them.
-func (d *description) addSetting(key, otherwise, format string, values ...any) {
+// addSetting adds a value of the object "settings", by its key in that object.
+func (d *description) addSetting(key, otherSource, format string, values ...any) {
 	path := "/settings/" + strings.ReplaceAll(key, ".", "/")
-	d.add("settings."+key, path, otherwise, format, values...)
+	d.add("settings."+key, path, otherSource, format, values...)
 }
 
 func (d *description) addAddresses(c Config) {
--- a/internal/config/doc.go
+++ b/internal/config/doc.go
@@ -1,18 +1,18 @@
-// Package config reads, checks and completes the platform's configuration of a router: the JSON file that GW_CONFIG
-// names, some variables beside it, and defaults. It owns no state; Read returns a Config, a value.
+// Package config reads and checks the platform's configuration of a router: the JSON file that GW_CONFIG names, some
+// environment variables, and defaults. It has no state; Read returns a Config, a value.
 //
-// Faults are reported all at once, a configerror.FieldError each, with the file and the line of the key. Keys keep the
-// platform's words; the fields of Config, and balancer.Settings, have the code's.
+// All faults are reported together, each as a configerror.FieldError with the file and the line of the key. The keys of
+// the file use the platform's terms; the fields of Config and of balancer.Settings use the terms of the code.
 //
-// From the limits that the file states (memory, descriptors) follow the bounds of what a router holds at once:
-// connections, open requests, bytes. They are split here, so that all parts together stay within what the process may
-// have.
+// The limits in the file (memory, descriptors) determine how many connections, open requests and bytes a router may
+// hold at the same time. This package splits the limits between them, so that together they stay within what the
+// process may use.
 //
 // Files:
 //
-//	config.go      Config and how it is read
-//	deployment.go  which shape of a deployment the settings name, and what contradicts it
+//	config.go      Config, reading and checks
+//	deployment.go  settings that select the kind of deployment, and contradictions between them
 //	limits.go      the split of memory and descriptors
-//	restart.go     which changes need a restart
-//	describe.go    what `bendtrestle check` prints
+//	restart.go     the changes that need a restart
+//	describe.go    the output of `bendtrestle check`
 package config
--- a/internal/config/golden_test.go
+++ b/internal/config/golden_test.go
@@ -8,9 +8,9 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current output")
 
-// Every fault is told as it was, a line each, with file, line and key.
+// The text of every error stays as in the golden file: one line for each fault, with file, line and key.
 func TestGoldenFaults(t *testing.T) {
 	const file = `{
  "name": "n3",
@@ -94,7 +94,7 @@
 		{`"connectTimeout": 75000000`, `"connectTimeout": null, "cancelling": 1`},
 	} {
 		if !strings.Contains(file, c.old) {
-			t.Fatalf("%q is not in the file", c.old)
+			t.Fatalf("%q is not in the configuration", c.old)
 		}
 		text := strings.Replace(file, c.old, c.new, 1)
 		if err := os.WriteFile(path, []byte(text), 0o600); err != nil {
@@ -124,12 +124,12 @@
 		t.Fatal(err)
 	}
 	got := strings.Split(all, "=== ")
-	for i, part := range strings.Split(string(want), "=== ") {
-		if i >= len(got) || got[i] != part {
-			t.Errorf("case %d:\n got %q\nwant %q", i, got[min(i, len(got)-1)], part)
+	for i, wantCase := range strings.Split(string(want), "=== ") {
+		if i >= len(got) || got[i] != wantCase {
+			t.Errorf("case %d:\n got %q\nwant %q", i, got[min(i, len(got)-1)], wantCase)
 		}
 	}
 	if all != string(want) {
-		t.Errorf("%d cases, want as many and as long as in %s", len(got), golden)
+		t.Errorf("got %d cases, want the same number and text as in %s", len(got), golden)
 	}
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -1,58 +1,60 @@
 package config
 
-// Descriptors that are kept free for their own users, as many as there may be at most.
+// File descriptors that are set aside for fixed uses, each for the most that it can need.
 const (
-	// Standard files 3; epoll and eventfd of the runtime, of netpoll's own poll and of the event loop 6; the loop's other
-	// eventfd and its timerfd 2.
+	// 3 standard files; 6 for an epoll and an eventfd each of the Go runtime, of netpoll's own poller and of the event
+	// loop; 2 for the loop's other eventfd and its timerfd.
 	runtimeDescriptors = 11
-	// Clients' and peers' listeners.
+	// The listener for clients and the one for gossip.
 	listenerDescriptors = 2
-	// A hot restart's: the socket for successors, three that ask and one that is rejected, a copy of the clients'
-	// socket for each of them; the predecessor.
+	// Hot restart: the socket for successors; three successors, each with its connection and a copy of the clients'
+	// listener; the connection of one that is rejected; the connection to the predecessor.
 	hotRestartDescriptors = 9
-	// DescriptorsPerWatch is for a list service: six requests and one that is being given up, and as many where the watch
-	// is moved to another list service.
+	// DescriptorsPerWatch is the number for the watch of a list service: six requests and one that is being cancelled, and
+	// the same again while the watch moves to another list service.
 	DescriptorsPerWatch = 14
-	// Disabled servers and evacuated zones 4 each; the snapshot, a configuration.
+	// 4 each for the files of disabled servers and of evacuated zones; the rest for the snapshot and a configuration file.
 	fileDescriptors = 12
 
 	fixedDescriptors = runtimeDescriptors + listenerDescriptors + hotRestartDescriptors + DescriptorsPerWatch +
 		fileDescriptors
 
-	// DescriptorsPerListener is for a team's listener: itself, and a copy for each successor that asks.
+	// DescriptorsPerListener is the number for a team's listener: one for itself, and one for a copy for each of three
+	// successors.
 	DescriptorsPerListener = 4
 )
 
 const (
-	// maxAdminConnections is several times the dashboards and people that look at one router.
+	// maxAdminConnections is several times the number of dashboards and people that use one router's admin server.
 	maxAdminConnections = 24
-	// adminExtraDescriptors are the admin server's listener and a connection that is rejected.
+	// adminExtraDescriptors is for the admin server's listener and a connection that is rejected.
 	adminExtraDescriptors = 2
-	// unsplitDescriptors stay out of the split, as does what the admin server may need at most.
+	// unsplitDescriptors are not split, nor are those that the admin server needs with maxAdminConnections.
 	unsplitDescriptors = 32
-	// minSplitDescriptors are split however few there are.
+	// minSplitDescriptors are split even if fewer are free.
 	minSplitDescriptors = 4
 
-	// openRequestBytes is what an open request holds in memory, without its value.
+	// openRequestBytes is the memory of an open request without its value, in bytes.
 	openRequestBytes = 4 << 10
 )
 
 // deriveLimits splits memory and descriptors.
 //
-// Descriptors: what is fixed, the admin server (its listener, its connections, as many more that are being answered,
-// one that is rejected) and what the operators' file names have theirs to themselves. Of the rest, and of all but
-// unsplitDescriptors and the admin server's, half go to clients, a sixteenth of that to clients that are rejected,
-// three eighths to cache servers: 29 parts of 32. What remains is for connections that are closed and not released
+// Descriptors: the fixed uses, the admin server (its listener, its connections, as many more that are being answered,
+// one that is rejected) and the listeners and pools of the operators' file have descriptors of their own. The split is
+// of the smaller of two numbers: 32/29 of the descriptors that remain, and all descriptors without unsplitDescriptors
+// and the admin server's. Clients get half of it, rejected clients a sixteenth of the clients' number, and cache
+// servers three eighths, together 29/32. The remaining descriptors are for connections that are closed and not released
 // yet.
 //
-// Memory: open requests may fill a sixteenth of it, without values; values held for clients an eighth. Values of cache
-// servers are bounded by the connections to them.
+// Memory: open requests, without their values, may use a sixteenth of it, and values held for clients an eighth. The
+// number of connections to cache servers bounds the memory for values from them.
 func (c *Config) deriveLimits() {
 	split := c.Descriptors - unsplitDescriptors
 	free := c.Descriptors - fixedDescriptors - c.reservedDescriptors
 	c.AdminConnections = 0
 	if c.AdminListen != "" {
-		// Without what is reserved: the admin server stays as it was started, whatever is named later.
+		// Independent of reservedDescriptors: a later change of the operators' file doesn't change the admin server.
 		c.AdminConnections = min(maxAdminConnections, max(1, (c.Descriptors-fixedDescriptors)/8))
 		split -= maxAdminConnections + adminExtraDescriptors
 		free -= 2*c.AdminConnections + adminExtraDescriptors
@@ -70,15 +72,16 @@
 	c.HeldBytes = c.MemoryBytes / 8
 }
 
-// WithReserved returns the configuration with so many descriptors reserved for what the operators' file names, but
-// half of all at most; false: that is less.
+// WithReserved returns the configuration with a number of descriptors reserved for the listeners and pools in the
+// operators' file, but with at most half of all descriptors. It reports whether all of them are reserved.
 func (c Config) WithReserved(descriptors int) (Config, bool) {
 	c.reservedDescriptors = min(descriptors, c.Descriptors/2)
 	c.deriveLimits()
 	return c, c.reservedDescriptors == descriptors
 }
 
-// Half returns the configuration of one of two processes of a router that run side by side: the limits are for both.
+// Half returns the configuration of one of two processes of a router that run at the same time: they share the limits
+// equally.
 func (c Config) Half() Config {
 	c.Descriptors /= 2
 	c.MemoryBytes /= 2
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -5,9 +5,9 @@
 	"slices"
 )
 
-// RestartKeys returns the keys, sorted, whose values differ in the next configuration and take effect at a restart
-// only. The list service's address takes effect while the router serves; the known list and the seed are used by a
-// start only.
+// RestartKeys returns the keys, sorted, whose values differ in the next configuration and take effect only after a
+// restart. It leaves out the list service's address, which takes effect without one, and the known list and the seed,
+// which are used only at the start of a process.
 func (c Config) RestartKeys(next Config) (keys []string) {
 	for key, same := range map[string]bool{
 		"name":        c.Name == next.Name,
@@ -27,10 +27,10 @@
 	return keys
 }
 
-// sameSettings compares all that the key "settings" says.
+// sameSettings reports whether all values of the key "settings" are equal.
 func (c Config) sameSettings(next Config) bool {
 	settings := next.Settings
-	settings.Seed = c.Settings.Seed // of another key
+	settings.Seed = c.Settings.Seed // belongs to another key
 	return reflect.DeepEqual(c.Settings, settings) &&
 		reflect.DeepEqual(c.LoadReports, next.LoadReports) &&
 		c.ConnectTimeout == next.ConnectTimeout &&
--- a/internal/configerror/configerror.go
+++ b/internal/configerror/configerror.go
@@ -1,29 +1,29 @@
-// Package configerror has the error that tells what is wrong with one key of a configuration file: of the platform's
-// JSON file (internal/config, internal/settings) as well as of the files that people write (internal/tomlfile). It is
-// a value that callers and tests can look into, and a line that a person can act on:
+// Package configerror defines the error for one key of a configuration file. The platform's JSON file (internal/config,
+// internal/settings) and the TOML files of operators and scenarios (internal/tomlfile) use it. Callers and tests can
+// inspect its fields, and its text is one line that says what to correct:
 //
 //	operators.toml:14: team.0.budget: -3 is below 0
 package configerror
 
 import "fmt"
 
-// FieldError reports what is wrong with one key. It says so either by Want, what would be right, or in words of its
-// own, by Problem.
+// FieldError reports what is wrong with one key. Either Want says what the value should be, or Problem describes the
+// fault.
 type FieldError struct {
 	File    string // its path; empty: the text did not come from a file
-	Line    int    // of the key, or of what should hold it; 0: unknown
-	Key     string // with those that hold it, in the file's way; empty: the whole file is at fault
-	Value   string // as the message shows it; empty: the key has none, or the message does not show it
-	Want    string // "an address and a port"; empty: Problem says it
-	Problem string // "unknown key"
+	Line    int    // of the key, or of the table or object that should contain it; 0: unknown
+	Key     string // with the enclosing keys, in the file's notation; empty: the error is about the whole file
+	Value   string // as the message shows it; empty: there is no value, or the message does not show it
+	Want    string // such as "an address and a port"; empty: see Problem
+	Problem string // such as "unknown key"
 }
 
-// Error is one line: where, which key, what is wrong.
+// Error returns one line: the location, the key and the problem.
 func (e *FieldError) Error() string {
 	return e.location() + e.Message()
 }
 
-// location is the place in the file.
+// location returns the file and line, as a prefix of the message.
 func (e *FieldError) location() string {
 	switch {
 	case e.File == "":
@@ -34,7 +34,7 @@
 	return fmt.Sprintf("%s:%d: ", e.File, e.Line)
 }
 
-// Message is the key and what is wrong with it, without the place in the file.
+// Message returns the key and the problem, without the file and line.
 func (e *FieldError) Message() string {
 	if e.Key == "" {
 		return e.problem()
--- a/internal/operatorconfig/describe.go
+++ b/internal/operatorconfig/describe.go
@@ -10,7 +10,7 @@
 type Setting struct {
 	Key    string
 	Value  string
-	Source string // file and line, or that it is the default
+	Source string // file and line, or "default"
 }
 
 // Settings returns all values in effect.
@@ -50,7 +50,7 @@
 	return Setting{Key: key, Value: fmt.Sprint(value), Source: f.source(key)}
 }
 
-// source tells where a key's value comes from.
+// source returns the file and line of a key, or "default".
 func (f *File) source(key string) string {
 	if f.toml != nil && f.toml.Has(key) {
 		return fmt.Sprintf("%s:%d", f.path, f.toml.Line(key))
@@ -58,8 +58,8 @@
 	return "default"
 }
 
-// ContractTable returns the contracts as rows, a traffic class each, the first row being their headings; nil: there
-// are none.
+// ContractTable returns the contracts as a table with a row of headings and a row for each traffic class. It returns
+// nil if there are no contracts.
 func (f *File) ContractTable() [][]string {
 	if len(f.Teams) == 0 {
 		return nil
@@ -82,7 +82,7 @@
 	return rows
 }
 
-// routeText tells how requests of a team are recognised.
+// routeText returns how requests are matched to the team: by listener, tenant or key prefix.
 func (t Team) routeText() string {
 	var by []string
 	for _, r := range []route{{byListen, t.Listen}, {byTenant, t.Tenant}, {byPrefix, t.Prefix}} {
--- a/internal/operatorconfig/features.go
+++ b/internal/operatorconfig/features.go
@@ -2,20 +2,20 @@
 
 import "fmt"
 
-// Recovery says whether a router keeps a snapshot in its folder, of what helps its next process.
+// Recovery switches on the snapshot, in which a router saves state for its next process.
 type Recovery struct {
 	On bool `toml:"on"`
 }
 
-// Gossip says whether what routers tell each other of cache servers goes through the fleet by a few of them, instead
-// of from each to all.
+// Gossip switches on package gossip, in which a few routers collect and spread the observations of a cache server.
+// Without it each router sends its observations to all other routers.
 type Gossip struct {
 	On             bool    `toml:"on"`
-	BytesPerSecond float64 `toml:"bytes_per_second"` // in and out, with headers
+	BytesPerSecond float64 `toml:"bytes_per_second"` // bytes a second that a router sends and receives, with headers
 }
 
-// Bounds of Gossip.BytesPerSecond. With less gossip is not known to work; with more nothing is gained, since all is
-// told as often as it is summed up.
+// Default and bounds of Gossip.BytesPerSecond. Gossip is not known to work with less than the minimum. More than the
+// maximum has no benefit, because every summary is then sent as often as it is computed.
 const (
 	defaultGossipBytes = 7000
 	minGossipBytes     = 7000
@@ -26,29 +26,30 @@
 	const key = "gossip.bytes_per_second"
 	bytes := f.Gossip.BytesPerSecond
 	if !(bytes >= minGossipBytes && bytes <= maxGossipBytes) { // also for NaN
-		want := fmt.Sprintf("from %v to %v, bytes of a router in and out, with headers", minGossipBytes, maxGossipBytes)
+		want := fmt.Sprintf("from %v to %v bytes per second, sent and received by a router, with headers",
+			minGossipBytes, maxGossipBytes)
 		f.toml.Want(key, bytes, want)
 	}
 	if !f.Gossip.On && f.toml.Has(key) {
-		f.toml.Fault(key, "it does nothing while gossip.on is false")
+		f.toml.Fault(key, "has no effect while gossip.on is false")
 	}
 }
 
-// Cold says up to how many routers share the slow-start budget of a server that is warming up. With more of them each
-// keeps a request for the server, so that it is used as its budget allows; a demand that comes from all at once may
-// then be too much for it.
+// Cold sets the number of routers up to which a fleet shares the slow-start budget of a server that is warming up. In a
+// larger fleet each router may hold the budget of one request unused, so that the whole budget can be used. If all
+// routers then send that request at the same time, they can overload the server.
 type Cold struct {
 	Routers int `toml:"routers"`
 }
 
 const (
-	defaultSlowStartRouters = 64     // beyond it servers that start are used far less than they bear (docs/design.md)
-	maxSlowStartRouters     = 100000 // more than any fleet has
+	defaultSlowStartRouters = 64     // above it, servers that warm up get far less load than they can bear (docs/design.md)
+	maxSlowStartRouters     = 100000 // more than the routers of any fleet
 )
 
 func (f *File) checkSlowStart() {
 	routers := f.Cold.Routers
 	if routers < 1 || routers > maxSlowStartRouters {
-		f.toml.Want("cold.routers", routers, fmt.Sprintf("from 1 to %v, a number of routers", maxSlowStartRouters))
+		f.toml.Want("cold.routers", routers, fmt.Sprintf("from 1 to %v routers", maxSlowStartRouters))
 	}
 }
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -9,7 +9,7 @@
 	"bendtrestle/internal/tomlfile"
 )
 
-// File is the operators' file as it is in effect.
+// File is the content of the operators' file, with defaults for the keys that it lacks.
 type File struct {
 	Log    Log    `toml:"log"`
 	Broker Broker `toml:"broker"`
@@ -23,13 +23,13 @@
 	Regions  []Region `toml:"region"`
 
 	path string
-	toml *tomlfile.File // nil: there is no file
+	toml *tomlfile.File // nil: no file was read
 }
 
-// Log says what is logged, and how.
+// Log sets the level and the format of the log.
 type Log struct {
-	Level string `toml:"level"` // from which level on
-	Form  string `toml:"form"`  // json, or console for people
+	Level string `toml:"level"` // the lowest level that is logged
+	Form  string `toml:"form"`  // json, or console for reading in a terminal
 }
 
 var (
@@ -46,8 +46,8 @@
 	}
 }
 
-// Read reads and checks the file at a path; an empty path is no file. The error has all faults, a
-// configerror.FieldError and a line each.
+// Read reads and checks the file at a path. With an empty path it returns the defaults. The error joins all faults,
+// each a configerror.FieldError and a line of the text.
 func Read(path string) (File, error) {
 	file := defaults()
 	if path == "" {
@@ -74,7 +74,7 @@
 	f.checkSlowStart()
 }
 
-// RestartKeys returns the keys whose values are others in another file, and take effect at a restart only.
+// RestartKeys returns the keys whose values differ in the other file and take effect only after a restart.
 func (f *File) RestartKeys(other File) (keys []string) {
 	if f.Zones != other.Zones {
 		keys = append(keys, "zones.on")
@@ -91,16 +91,16 @@
 	return keys
 }
 
-func (f *File) checkOneOf(key, value string, words ...string) {
-	if !slices.Contains(words, value) {
-		f.toml.Want(key, value, "one of "+strings.Join(words, ", "))
+func (f *File) checkOneOf(key, value string, allowed ...string) {
+	if !slices.Contains(allowed, value) {
+		f.toml.Want(key, value, "one of "+strings.Join(allowed, ", "))
 	}
 }
 
-// checkName checks a name that stands in keys, in the protocol and in figures.
+// checkName checks a name that is used in keys, in the protocol and in the names of metrics.
 func (f *File) checkName(key, text string) {
 	if text == "" || strings.ContainsAny(text, " ,=/\r\n") {
-		f.toml.Want(key, text, "a word without spaces, commas, slashes and equals signs")
+		f.toml.Want(key, text, "a non-empty name without spaces, commas, slashes, equals signs or line breaks")
 	}
 }
 
@@ -123,7 +123,7 @@
 	}
 }
 
-// keyIn returns a function that names the keys of a table.
+// keyIn returns a function that returns the path of a key in a table.
 func keyIn(format string, args ...any) func(key string) string {
 	table := fmt.Sprintf(format, args...)
 	return func(key string) string { return table + "." + key }
--- a/internal/operatorconfig/golden_test.go
+++ b/internal/operatorconfig/golden_test.go
@@ -9,15 +9,15 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/*.golden from the current output")
 
-// Every fault is told as it was, a line each, with file, line and key.
+// The text of every error stays as in the golden file: one line for each fault, with file, line and key.
 func TestGoldenFaults(t *testing.T) {
 	text, err := os.ReadFile("../../cmd/bendtrestle/testdata/operators-full.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	whole := string(text)
+	full := string(text)
 	all := ""
 	directory := t.TempDir()
 	path := filepath.Join(directory, "operators.toml")
@@ -100,10 +100,10 @@
 		{`crs = "EPSG:3857"`, ``},
 		{`scale = 1000.5`, `scale = 0`},
 	} {
-		if !strings.Contains(whole, c.old) {
-			t.Fatalf("%q is not in the file", c.old)
+		if !strings.Contains(full, c.old) {
+			t.Fatalf("%q is not in operators-full.toml", c.old)
 		}
-		if err := os.WriteFile(path, []byte(strings.Replace(whole, c.old, c.new, 1)), 0o600); err != nil {
+		if err := os.WriteFile(path, []byte(strings.Replace(full, c.old, c.new, 1)), 0o600); err != nil {
 			t.Fatal(err)
 		}
 		_, err := Read(path)
@@ -126,8 +126,8 @@
 	}
 	_, err = Read(filepath.Join(directory, "none.toml"))
 	all += "=== none\n" + strings.ReplaceAll(err.Error(), directory, "DIR") + "\n"
-	// A value of a wrong type is told in the TOML library's words, which name the Go type. Its package was called
-	// operators.
+	// The TOML library's error about a value of the wrong type contains the Go type. When the golden file was written, its
+	// package was called operators.
 	all = strings.ReplaceAll(all, "struct field operatorconfig.", "struct field operators.")
 	golden := filepath.Join("testdata", "faults.golden")
 	if *writeGolden {
@@ -140,25 +140,25 @@
 		t.Fatal(err)
 	}
 	got := strings.Split(all, "=== ")
-	for i, part := range strings.Split(string(want), "=== ") {
-		if i >= len(got) || got[i] != part {
-			t.Errorf("case %d:\n got %q\nwant %q", i, got[min(i, len(got)-1)], part)
+	for i, wantCase := range strings.Split(string(want), "=== ") {
+		if i >= len(got) || got[i] != wantCase {
+			t.Errorf("case %d:\n got %q\nwant %q", i, got[min(i, len(got)-1)], wantCase)
 		}
 	}
 	if all != string(want) {
-		t.Errorf("%d cases, want as many and as long as in %s", len(got), golden)
+		t.Errorf("got %d cases, want the same number and text as in %s", len(got), golden)
 	}
 }
 
-// A changed key that counts from the start alone is named as operators know it.
+// Changed values that take effect only after a restart are reported by the keys of the operators' file.
 func TestRestartKeysOfFullFile(t *testing.T) {
-	whole, err := Read("../../cmd/bendtrestle/testdata/operators-full.toml")
+	full, err := Read("../../cmd/bendtrestle/testdata/operators-full.toml")
 	if err != nil {
 		t.Fatal(err)
 	}
-	usual, _ := Read("")
-	keys := usual.RestartKeys(whole)
+	defaultFile, _ := Read("")
+	keys := defaultFile.RestartKeys(full)
 	if !slices.Equal(keys, []string{"zones.on", "recovery.on", "gossip", "cold.routers"}) {
-		t.Errorf("a restart is needed for %q", keys)
+		t.Errorf("got restart keys %q, want zones.on, recovery.on, gossip and cold.routers", keys)
 	}
 }
--- a/internal/operatorconfig/pools.go
+++ b/internal/operatorconfig/pools.go
@@ -9,12 +9,12 @@
 	"bendtrestle/internal/tiles"
 )
 
-// Pool is a set of servers besides the platform's. What it does not say is as the platform's.
+// Pool is a set of servers besides the platform's. For a key that is left out, the platform's setting applies.
 type Pool struct {
 	Name             string   `toml:"name"`
-	Discovery        string   `toml:"discovery"`   // its list service
+	Discovery        string   `toml:"discovery"`   // address of its list service
 	Capacity         float64  `toml:"capacity"`    // seconds of load a second, over all routers; 0: not stated
-	Connections      float64  `toml:"connections"` // its part of the connections to servers
+	Connections      float64  `toml:"connections"` // its fraction of the connections to servers
 	MostExecutions   *int     `toml:"most_executions"`
 	SecondCopies     *bool    `toml:"second_copies"`
 	Cancelling       *bool    `toml:"cancelling"`
@@ -26,12 +26,12 @@
 	Fall             *float64 `toml:"fall"` // seconds
 	Multiple         *float64 `toml:"multiple"`
 
-	Protocol  string   `toml:"protocol"`   // memcache, and the default; or tiles
-	Scheme    string   `toml:"scheme"`     // how tile servers are asked: xyz, wmts-kvp, wmts-rest
-	Host      string   `toml:"host"`       // that requests to tile servers name
-	Probe     string   `toml:"probe"`      // a path at which a tile server tells that it is there
-	LargestKB int      `toml:"largest_kb"` // of a tile
-	StallMS   *float64 `toml:"stall_ms"`   // a reply that has begun and gets no further byte for so long will not go on
+	Protocol  string   `toml:"protocol"`   // memcache (the default) or tiles
+	Scheme    string   `toml:"scheme"`     // form of the URLs at tile servers: xyz, wmts-kvp, wmts-rest
+	Host      string   `toml:"host"`       // in the Host header of requests to tile servers
+	Probe     string   `toml:"probe"`      // path for health checks of tile servers
+	LargestKB int      `toml:"largest_kb"` // largest size of a tile
+	StallMS   *float64 `toml:"stall_ms"`   // time without a further byte after which a reply that has begun is given up
 }
 
 const (
@@ -39,14 +39,14 @@
 	protocolTiles    = "tiles"
 
 	maxTileKB              = 16 << 10
-	maxConnectionsFraction = 0.9 // of all pools together: the platform's pool needs some
-	tileStallTimeout       = 1.0 // seconds; tiles are larger than values, and may be made as they are sent
+	maxConnectionsFraction = 0.9 // of all connections, for all pools together; the rest is for the platform's pool
+	tileStallTimeout       = 1.0 // seconds; tiles are larger than values, and a server may render them while it sends them
 )
 
-// checkedPools is what checks of teams need to know of the pools.
+// checkedPools holds the properties of pools that the checks of teams need.
 type checkedPools struct {
-	capacity map[string]float64 // by name; that of the platform's pool, "", is not stated
-	tiles    map[string]bool    // by name
+	capacity map[string]float64 // by name; 0 for the platform's pool, "", whose capacity is not stated
+	tiles    map[string]bool    // by name; whether the protocol is tiles
 }
 
 func (f *File) checkPools() checkedPools {
@@ -55,9 +55,9 @@
 	for i, pool := range f.Pools {
 		key := keyIn("pool.%d", i)
 		f.checkName(key("name"), pool.Name)
-		_, twice := pools.capacity[pool.Name]
-		if twice && pool.Name != "" {
-			f.toml.Fault(key("name"), "%q is there twice", pool.Name)
+		_, duplicate := pools.capacity[pool.Name]
+		if duplicate && pool.Name != "" {
+			f.toml.Fault(key("name"), "duplicate name %q", pool.Name)
 		}
 		pools.capacity[pool.Name] = pool.Capacity
 		pools.tiles[pool.Name] = pool.Protocol == protocolTiles
@@ -65,8 +65,8 @@
 		f.checkPool(key, pool)
 	}
 	if connections > maxConnectionsFraction {
-		f.toml.Fault("pool", "together they have %v of the connections, more than 0.9: the platform's pool needs some",
-			connections)
+		f.toml.Fault("pool",
+			"the pools have %v of the connections together, more than 0.9; the platform's pool needs the rest", connections)
 	}
 	return pools
 }
@@ -115,7 +115,8 @@
 	}
 }
 
-// Settings returns the balancer's settings for a pool: the platform's, but for what the pool says.
+// Settings returns the balancer's settings for a pool: the platform's settings, overridden by the keys of the pool. The
+// pool's traffic classes come from its teams.
 func (p Pool) Settings(platform balancer.Settings) balancer.Settings {
 	settings := platform
 	settings.TrafficClasses = nil
@@ -134,14 +135,14 @@
 	return settings
 }
 
-// override sets a value to what the file says, if it says it.
+// override replaces a value by that of the file, if the file has one.
 func override[T any](value *T, stated *T) {
 	if stated != nil {
 		*value = *stated
 	}
 }
 
-// ConnectTimeout returns the seconds for a connection to come up; platform is the platform's.
+// ConnectTimeout returns the time to establish a connection, in seconds; platform is the platform's setting.
 func (p Pool) ConnectTimeout(platform float64) float64 {
 	if p.ConnectTimeoutMS != nil {
 		return *p.ConnectTimeoutMS / 1e3
@@ -149,14 +150,15 @@
 	return platform
 }
 
-// IdleTimeout returns the seconds after which its servers close an idle connection; platform is the platform's.
+// IdleTimeout returns the time after which the pool's servers close an idle connection, in seconds; platform is the
+// platform's setting.
 func (p Pool) IdleTimeout(platform float64) float64 {
 	override(&platform, p.Idle)
 	return platform
 }
 
-// StallTimeout returns the seconds that a reply that has begun may stand still; platform is what suits the platform's
-// protocol.
+// StallTimeout returns the time without a further byte after which a reply that has begun is given up, in seconds;
+// platform is the time for the platform's protocol.
 func (p Pool) StallTimeout(platform float64) float64 {
 	if p.StallMS != nil {
 		return *p.StallMS / 1e3
@@ -167,11 +169,11 @@
 	return platform
 }
 
-// AttemptsPerConnection returns how many attempts a connection to its servers carries at once; platform is the
-// platform's.
+// AttemptsPerConnection returns how many attempts a connection to the pool's servers carries at the same time; platform
+// is the platform's setting.
 func (p Pool) AttemptsPerConnection(platform int) int {
 	if p.Protocol == protocolTiles {
-		return 1 // a tile behind another would wait for it
+		return 1 // a second tile on the connection would wait for the first
 	}
 	override(&platform, p.PerConnection)
 	return platform
--- a/internal/operatorconfig/teams.go
+++ b/internal/operatorconfig/teams.go
@@ -7,9 +7,9 @@
 	"bendtrestle/internal/policy/quota"
 )
 
-// Broker says what becomes of traffic that no contract holds for.
+// Broker sets what happens to requests that match no contract.
 type Broker struct {
-	Others string `toml:"others"` // platform: its pool takes it; nobody: it is an error
+	Others string `toml:"others"` // platform: its pool serves them; nobody: they get an error
 }
 
 const (
@@ -25,7 +25,7 @@
 	Tenant string   `toml:"tenant"`
 	Prefix string   `toml:"prefix"`
 	Budget float64  `toml:"budget"` // its quota: seconds of load a second, over all routers
-	Burst  *float64 `toml:"burst"`  // seconds of load that may come at once; nil: as the budget
+	Burst  *float64 `toml:"burst"`  // seconds of load that may arrive at the same time; nil: one second's budget
 	Borrow float64  `toml:"borrow"` // seconds of load a second beyond the budget
 	Weight float64  `toml:"weight"`
 	Types  []Type   `toml:"type"`
@@ -33,14 +33,14 @@
 }
 
 const (
-	maxKeyBytes = 250 // by the protocol
+	maxKeyBytes = 250 // limit of the protocol
 	maxTeams    = 10000
 
-	// budgetTolerance is for sums of budgets that are as large as the capacity, but for rounding.
+	// budgetTolerance allows for rounding errors in the sum of budgets that equal the capacity.
 	budgetTolerance = 1 + 1e-9
 )
 
-// routeOwners knows which team has a way by which requests are recognised: a name, a listener, a tenant or a prefix.
+// routeOwners maps each name, listener address, tenant and key prefix to the name of the team that has it.
 type routeOwners map[route]string
 
 type route struct{ kind, value string }
@@ -54,16 +54,16 @@
 
 func (f *File) checkTeams(pools checkedPools) {
 	if len(f.Teams) > maxTeams {
-		f.toml.Fault("team", "%d are more than %d", len(f.Teams), maxTeams)
+		f.toml.Fault("team", "%d teams, but at most %d are allowed", len(f.Teams), maxTeams)
 	}
 	seen := routeOwners{}
 	budgets := map[string]float64{} // of the teams so far, by pool
 	for i, team := range f.Teams {
 		key := keyIn("team.%d", i)
 		f.checkName(key("name"), team.Name)
-		_, twice := seen[route{byName, team.Name}]
-		if twice {
-			f.toml.Fault(key("name"), "%q is there twice", team.Name)
+		_, duplicate := seen[route{byName, team.Name}]
+		if duplicate {
+			f.toml.Fault(key("name"), "duplicate name %q", team.Name)
 		}
 		f.checkPoolOfTeam(key, team, pools)
 		f.checkTiles(key, team)
@@ -82,33 +82,36 @@
 		f.toml.Want(key("pool"), team.Pool, "the name of a pool")
 	}
 	if pools.tiles[team.Pool] != (team.Tiles != nil) {
-		f.toml.Fault(key("pool"), "a team with tiles needs a pool whose protocol is tiles, and the other way round")
+		f.toml.Fault(key("pool"),
+			"a team with tiles needs a pool whose protocol is tiles, and such a pool is only for teams with tiles")
 	}
 }
 
-// checkRoutes checks how requests of a team are recognised.
+// checkRoutes checks that requests can match the team.
 func (f *File) checkRoutes(key func(string) string, team Team) {
 	if team.Listen == "" && team.Tenant == "" && team.Prefix == "" {
-		f.toml.Fault(key("tenant"), "missing, as are listen and prefix: nothing would ever match")
+		f.toml.Fault(key("tenant"), "missing, as are listen and prefix; without one of them no request matches the team")
 	}
 	if team.Listen != "" {
 		f.checkAddress(key("listen"), team.Listen)
 	}
 	if strings.ContainsAny(team.Tenant, " ,=\r\n") {
-		f.toml.Fault(key("tenant"), "%q can never match: no client can name it", team.Tenant)
+		f.toml.Fault(key("tenant"),
+			"%q can never match; a tenant has no spaces, commas, equals signs or line breaks", team.Tenant)
 	}
 	if strings.ContainsAny(team.Prefix, " \r\n") || len(team.Prefix) > maxKeyBytes {
-		f.toml.Fault(key("prefix"), "%q can never match: no key begins so", team.Prefix)
+		f.toml.Fault(key("prefix"),
+			"%q can never match; a key has at most 250 bytes, and no spaces or line breaks", team.Prefix)
 	}
 }
 
-// checkDuplicateRoutes checks that no team before has the same routes, and notes this one's.
+// checkDuplicateRoutes checks that no earlier team has the same routes, and adds this team's routes to seen.
 func (f *File) checkDuplicateRoutes(key func(string) string, team Team, seen routeOwners) {
 	own := []route{{byListen, team.Listen}, {byTenant, team.Tenant}, {byPrefix, team.Prefix}}
 	for _, r := range own {
-		first, twice := seen[r]
-		if twice && r.value != "" {
-			f.toml.Fault(key(r.kind), "%q is team %s's already: this route would never match", r.value, first)
+		first, duplicate := seen[r]
+		if duplicate && r.value != "" {
+			f.toml.Fault(key(r.kind), "%q already belongs to team %s; this route would never match", r.value, first)
 		}
 	}
 	seen[route{byName, team.Name}] = team.Name
@@ -126,17 +129,17 @@
 	}
 }
 
-// checkCapacity reports the team with which a pool's budgets exceed its capacity; sum is theirs so far. Capacity 0 is
-// not stated.
+// checkCapacity reports the first team whose budget makes the sum of the pool's budgets exceed its capacity. The sum
+// includes this team's budget. A capacity of 0 means that none is stated.
 func (f *File) checkCapacity(key func(string) string, team Team, capacity, sum float64) {
 	limit := capacity * budgetTolerance
 	if capacity > 0 && sum > limit && sum-team.Budget <= limit {
-		f.toml.Fault(key("budget"), "with it the budgets of pool %q come to %v, more than its capacity, %v",
+		f.toml.Fault(key("budget"), "with it the budgets of pool %q add up to %v, more than its capacity of %v",
 			team.Pool, sum, capacity)
 	}
 }
 
-// Terms returns the contracts as the broker takes them.
+// Terms returns the contracts in the form that the broker uses.
 func (f *File) Terms() (all []broker.TeamTerms) {
 	for _, team := range f.Teams {
 		contract := quota.Quota{
@@ -162,7 +165,7 @@
 	return all
 }
 
-// Others says who takes what no contract holds for.
+// Others returns how the broker treats requests that match no contract.
 func (f *File) Others() broker.UnmatchedTraffic {
 	return broker.UnmatchedTraffic(f.Broker.Others == othersRejected)
 }
--- a/internal/operatorconfig/tiles.go
+++ b/internal/operatorconfig/tiles.go
@@ -2,16 +2,16 @@
 
 import "bendtrestle/internal/tiles"
 
-// Tiles makes a team's listener speak HTTP to clients that ask for map tiles.
+// Tiles makes a team's listener serve map tiles over HTTP.
 type Tiles struct {
 	Title      string  `toml:"title"`
-	Type       string  `toml:"type"`        // the traffic type of its tiles; the team's first if left out
-	WaitHeader string  `toml:"wait_header"` // by which a client says how many milliseconds it waits
+	Type       string  `toml:"type"`        // the traffic type of its tiles; default: the team's first
+	WaitHeader string  `toml:"wait_header"` // request header with the time in milliseconds that the client waits
 	Layers     []Layer `toml:"layer"`
 	Sets       []Set   `toml:"set"`
 }
 
-// Layer is one map.
+// Layer is a map layer.
 type Layer struct {
 	Name       string      `toml:"name"`
 	Title      string      `toml:"title"`
@@ -25,23 +25,23 @@
 	Dimensions []Dimension `toml:"dimension"`
 }
 
-// Dimension is a further choice.
+// Dimension is a further parameter of a layer's tiles, with its allowed values.
 type Dimension struct {
 	Name   string   `toml:"name"`
 	Values []string `toml:"values"`
 }
 
-// Set is a tile matrix set beyond Web Mercator's.
+// Set is a tile matrix set in addition to the built-in one for Web Mercator.
 type Set struct {
 	Name     string   `toml:"name"`
 	CRS      string   `toml:"crs"`
 	Matrices []Matrix `toml:"matrix"`
 }
 
-// Matrix is one of its zoom levels.
+// Matrix is one zoom level of a Set.
 type Matrix struct {
 	Name   string  `toml:"name"`
-	Scale  float64 `toml:"scale"` // denominator
+	Scale  float64 `toml:"scale"` // scale denominator
 	Left   float64 `toml:"left"`
 	Top    float64 `toml:"top"`
 	Width  int     `toml:"width"` // in tiles
@@ -49,10 +49,10 @@
 	Side   int     `toml:"side"` // pixels of a tile
 }
 
-// defaultMaxZoom is as deep as most maps go.
+// defaultMaxZoom is the deepest zoom level of most maps.
 const defaultMaxZoom = 18
 
-// maxZoom is the deepest zoom level.
+// maxZoom returns the layer's deepest zoom level.
 func (l Layer) maxZoom() int {
 	if l.MaxZoom != nil {
 		return *l.MaxZoom
@@ -63,8 +63,8 @@
 // TileFront is a team's tile service.
 type TileFront struct {
 	Listen     string
-	Kind       string // the traffic class of its tiles
-	WaitHeader string // by which a client says how many milliseconds it waits; empty: none
+	Kind       string // traffic class of its tiles
+	WaitHeader string // request header with the time in milliseconds that the client waits; empty: none
 	Service    *tiles.Service
 }
 
@@ -84,7 +84,7 @@
 	return all
 }
 
-// tileTrafficClass is the traffic class of a team's tiles.
+// tileTrafficClass returns the name of the traffic class of the team's tiles.
 func (t Team) tileTrafficClass() string {
 	if t.Tiles.Type != "" || len(t.Types) == 0 {
 		return t.Tiles.Type
@@ -92,7 +92,7 @@
 	return t.Types[0].Name
 }
 
-// Service returns the tiles as their front end takes them.
+// Service returns the tile service in the form that the tile front end uses.
 func (t *Tiles) Service() *tiles.Service {
 	var layers []*tiles.Layer
 	for _, layer := range t.Layers {
@@ -123,9 +123,9 @@
 	return layer
 }
 
-func orDefault(names []string, usual string) []string {
+func orDefault(names []string, defaultName string) []string {
 	if len(names) == 0 {
-		return []string{usual}
+		return []string{defaultName}
 	}
 	return names
 }
--- a/internal/operatorconfig/trafficclass.go
+++ b/internal/operatorconfig/trafficclass.go
@@ -9,18 +9,18 @@
 // Type is a traffic class of a team.
 type Type struct {
 	Name           string   `toml:"name"`
-	Effect         string   `toml:"effect"` // of a repetition: reissuable, numbered, at-most-once
-	Group          string   `toml:"group"`  // of servers that know a repetition: all, zone, cell; empty: all
-	Window         float64  `toml:"window"` // seconds in which they know it
+	Effect         string   `toml:"effect"` // of a repeated request: reissuable, numbered, at-most-once
+	Group          string   `toml:"group"`  // servers that recognise a repeated request: all, zone, cell; empty: all
+	Window         float64  `toml:"window"` // seconds for which they recognise it
 	PromisedMS     float64  `toml:"promised_ms"`
 	HardStopMS     float64  `toml:"hard_stop_ms"`
 	Benefit        float64  `toml:"benefit"`
-	OverdueBenefit float64  `toml:"overdue_benefit"` // part of the benefit of an answer after the promised time
-	RunsIn         []string `toml:"runs_in"`         // zones; left out: any
-	AllowedOn      []string `toml:"allowed_on"`      // kinds of machine; left out: any
+	OverdueBenefit float64  `toml:"overdue_benefit"` // fraction of the benefit that an answer after the promised time has
+	RunsIn         []string `toml:"runs_in"`         // zones; default: any
+	AllowedOn      []string `toml:"allowed_on"`      // machine types; default: any
 }
 
-// effectNumbered is the effect that needs a window.
+// effectNumbered means that requests have an idempotency key. It requires a window.
 const effectNumbered = "numbered"
 
 var (
@@ -37,7 +37,7 @@
 	}
 )
 
-// trafficClass is the type in the balancer's terms.
+// trafficClass returns the type as a traffic class of the balancer.
 func (t Type) trafficClass() balancer.TrafficClass {
 	return balancer.TrafficClass{
 		Name:                t.Name,
@@ -55,14 +55,14 @@
 
 func (f *File) checkTypes(teamKey func(string) string, types []Type) {
 	if len(types) == 0 {
-		f.toml.Fault(teamKey("type"), "none: a contract needs at least one [[team.type]]")
+		f.toml.Fault(teamKey("type"), "missing; a contract needs at least one [[team.type]]")
 	}
 	names := map[string]bool{}
 	for i, t := range types {
 		key := keyIn("%s.%d", teamKey("type"), i)
 		f.checkName(key("name"), t.Name)
 		if names[t.Name] {
-			f.toml.Fault(key("name"), "traffic type %q is there twice", t.Name)
+			f.toml.Fault(key("name"), "duplicate traffic type %q", t.Name)
 		}
 		names[t.Name] = true
 		f.checkType(key, t)
@@ -77,11 +77,11 @@
 		f.toml.Want(key("group"), t.Group, "one of all, zone, cell")
 	}
 	if t.Effect == effectNumbered && !(t.Window > 0) { // also for NaN
-		f.toml.Want(key("window"), t.Window, "above 0: nobody would know a repeat")
+		f.toml.Want(key("window"), t.Window, "above 0; in this time servers recognise a repeated request")
 	}
 	f.checkPositive(key("promised_ms"), t.PromisedMS)
 	if t.HardStopMS < t.PromisedMS {
-		f.toml.Fault(key("hard_stop_ms"), "%v is before the promised time, %v", t.HardStopMS, t.PromisedMS)
+		f.toml.Fault(key("hard_stop_ms"), "%v is below promised_ms, %v", t.HardStopMS, t.PromisedMS)
 	}
 	f.checkPositive(key("benefit"), t.Benefit)
 	if !(t.OverdueBenefit >= 0 && t.OverdueBenefit <= 1) { // also for NaN
@@ -91,10 +91,11 @@
 	f.checkPlacement(key("allowed_on"), t.AllowedOn)
 }
 
-// checkPlacement checks the zones or kinds of machine to which alone a type may be sent.
+// checkPlacement checks the zones or machine types that a type is restricted to. The list may be absent, but not empty.
 func (f *File) checkPlacement(key string, places []string) {
-	namesNone := places != nil && len(places) == 0
-	if namesNone || slices.Contains(places, "") {
-		f.toml.Fault(key, "%q leaves it nowhere to run; name at least one, or leave it out where any will do", places)
+	isEmpty := places != nil && len(places) == 0
+	if isEmpty || slices.Contains(places, "") {
+		f.toml.Fault(key,
+			"%q is empty or contains an empty name; list at least one name, or omit the key to allow any", places)
 	}
 }
--- a/internal/operatorconfig/zones.go
+++ b/internal/operatorconfig/zones.go
@@ -2,12 +2,12 @@
 
 import "slices"
 
-// Zones says whether zones are evacuated and restored as a whole, by evidence and by operators.
+// Zones switches on zone failover: a zone is evacuated and restored as a whole, automatically or by an operator.
 type Zones struct {
 	On bool `toml:"on"`
 }
 
-// Region is zones that share what they depend on: they are restored one after another, in this order.
+// Region is a group of zones with shared dependencies. They are restored one after another, in this order.
 type Region struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
@@ -15,28 +15,28 @@
 
 func (f *File) checkRegions() {
 	var names []string
-	regionOf := map[string]string{} // of a zone
+	regionOf := map[string]string{} // by zone
 	for i, region := range f.Regions {
 		key := keyIn("region.%d", i)
 		f.checkName(key("name"), region.Name)
 		if slices.Contains(names, region.Name) {
-			f.toml.Fault(key("name"), "%q is there twice", region.Name)
+			f.toml.Fault(key("name"), "duplicate name %q", region.Name)
 		}
 		names = append(names, region.Name)
 		if len(region.Zones) == 0 {
-			f.toml.Fault(key("zones"), "names none; a region is one zone or more, as the list of servers names them")
+			f.toml.Fault(key("zones"), "empty; a region has one or more zones, named as in the endpoint list")
 		}
 		for _, zone := range region.Zones {
 			f.checkName(key("zones"), zone)
-			other, twice := regionOf[zone]
-			if twice {
-				f.toml.Fault(key("zones"), "%q is in region %q already; a zone is in one region", zone, other)
+			other, duplicate := regionOf[zone]
+			if duplicate {
+				f.toml.Fault(key("zones"), "%q is already in region %q; a zone belongs to one region only", zone, other)
 			}
 			regionOf[zone] = region.Name
 		}
 	}
 	if len(f.Regions) > 0 && !f.Zones.On {
-		f.toml.Fault("region", "regions do nothing while zones.on is false")
+		f.toml.Fault("region", "regions have no effect while zones.on is false")
 	}
 }
 
--- a/internal/settings/doc.go
+++ b/internal/settings/doc.go
@@ -1,14 +1,14 @@
-// Package settings reads JSON objects field by field, and the balancer's settings among them: for the real router's
-// configuration, the list service's answers and the simulator's lines alike. It is the place where the keys of these
-// files are mapped to the code's terms ("trafficTypes" to traffic classes, "hardStop" to a deadline).
+// Package settings reads JSON objects field by field, including the balancer's settings. The router's configuration,
+// the list service's responses and the simulator's lines are read with it. It maps the keys of the balancer's settings
+// to the terms of the code ("trafficTypes" to traffic classes, "hardStop" to a deadline).
 //
-// Parse returns an Object; its methods read a field each, return a zero value where the field is absent or malformed,
-// and note the fault at the outermost object, so that a reader can go on and tell all faults at once. An Object is
-// used by one goroutine.
+// Parse returns an Object. Each of its methods reads one field and returns the zero value if the field is absent or
+// malformed. Faults are recorded at the outermost object, so that the caller can continue and report all of them
+// together. An Object is used by one goroutine.
 //
 // Files:
 //
 //	object.go    Object
 //	settings.go  the balancer's settings
-//	lines.go     the line of each key of a text
+//	lines.go     the line number of each key in a text
 package settings
--- a/internal/settings/lines.go
+++ b/internal/settings/lines.go
@@ -6,8 +6,8 @@
 	"strconv"
 )
 
-// Lines returns the line of each key of a JSON text, by its path: "/settings/trafficTypes/0/name". A text that is
-// malformed has the keys before that.
+// Lines returns the line number of each key of a JSON text, by the key's path, such as "/settings/trafficTypes/0/name".
+// For a malformed text it returns the keys before the first error.
 func Lines(text []byte) map[string]int {
 	scanner := &lineScanner{decoder: json.NewDecoder(bytes.NewReader(text)), text: text, lines: map[string]int{}}
 	scanner.scanValue("")
@@ -20,12 +20,12 @@
 	lines   map[string]int
 }
 
-// line is that of the token read last.
+// line returns the line of the token that was read last.
 func (s *lineScanner) line() int {
 	return 1 + bytes.Count(s.text[:s.decoder.InputOffset()], []byte("\n"))
 }
 
-// scanValue reads one value; false where the text ends or is malformed.
+// scanValue reads one value. It returns false if the text ends or is malformed.
 func (s *lineScanner) scanValue(path string) bool {
 	token, err := s.decoder.Token()
 	if err != nil {
@@ -61,7 +61,7 @@
 	return s.scanEnd()
 }
 
-// scanEnd reads the bracket that ends an object or an array.
+// scanEnd reads the bracket that closes an object or an array.
 func (s *lineScanner) scanEnd() bool {
 	_, err := s.decoder.Token()
 	return err == nil
--- a/internal/settings/lines_test.go
+++ b/internal/settings/lines_test.go
@@ -13,12 +13,12 @@
 		"": 1, "/a": 2, "/b": 3, "/b/c": 4, "/b/c/0": 4, "/b/c/1": 5, "/b/c/1/d": 5, "/e": 0,
 	} {
 		if at[path] != want {
-			t.Errorf("%q stands in line %d, want %d", path, at[path], want)
+			t.Errorf("%q: got line %d, want %d", path, at[path], want)
 		}
 	}
 }
 
-// All faults are kept with their paths, but no more than a person mends.
+// Faults of nested fields have their paths in the text and their qualified names, and at most maxFaults are kept.
 func TestFaultsHavePathsAndAreBounded(t *testing.T) {
 	o, err := Parse([]byte(`{"a":"x","l":[{"n":1},{"n":"y"}],"s":3}`), "text")
 	if err != nil {
@@ -36,17 +36,17 @@
 	}
 	for i, fault := range o.Faults() {
 		if i >= len(want) || fault.Path != want[i].path || fault.Message() != want[i].message {
-			t.Errorf("fault %d is %+v", i, fault)
+			t.Errorf("fault %d: got %+v, want the faults %+v", i, fault, want)
 		}
 	}
 	var first *configerror.FieldError
 	if !errors.As(o.Err(), &first) || first.Error() != want[0].message || first.Key != "a" || first.Want != "a number" {
-		t.Errorf("the first is %v", o.Err())
+		t.Errorf("Err: got %v, want %s", o.Err(), want[0].message)
 	}
 	for range 1000 {
 		o.Number("a")
 	}
 	if len(o.Faults()) != maxFaults {
-		t.Errorf("%d are kept", len(o.Faults()))
+		t.Errorf("got %d faults, want %d", len(o.Faults()), maxFaults)
 	}
 }
--- a/internal/settings/object.go
+++ b/internal/settings/object.go
@@ -10,27 +10,27 @@
 	"github.com/valyala/fastjson"
 )
 
-// Object reads the fields of one JSON object. The faults met in it, or in any object within it, are kept at the
-// outermost.
+// Object reads the fields of one JSON object. The faults in it, or in any object nested in it, are recorded at the
+// outermost object.
 type Object struct {
 	value      *fastjson.Value
-	name       string // before the fields' names in faults; empty: of the outermost
-	path       string // within the text, as Lines has it
+	name       string // prefix of the fields' names in faults; empty: none
+	path       string // in the text, in the form that Lines returns; empty: the outermost object
 	parent     *Object
-	faults     []Fault // of the outermost
-	faultCount int     // all faults, also those beyond maxFaults
+	faults     []Fault // only at the outermost object
+	faultCount int     // all faults, including those beyond maxFaults
 }
 
-// Fault is what is wrong with a field. The File and Line of its error are not known here.
+// Fault describes what is wrong with a field. File and Line of its FieldError are not set by this package.
 type Fault struct {
-	Path string // within the text, as Lines has it
+	Path string // in the text, in the form that Lines returns
 	configerror.FieldError
 }
 
-// maxFaults bounds the faults that are kept: a person mends no more at once.
+// maxFaults bounds the faults that are kept, because nobody corrects more of them in one go.
 const maxFaults = 100
 
-// Parse reads a text that must hold an object; what names it in an error, which is about the text itself.
+// Parse reads a text that must contain a JSON object. The error is for a text that does not; what names the text in it.
 func Parse(text []byte, what string) (*Object, error) {
 	value, err := fastjson.ParseBytes(text)
 	if err == nil && value.Type() != fastjson.TypeObject {
@@ -42,10 +42,10 @@
 	return New(value, ""), nil
 }
 
-// New makes a reader of a value, called name in its faults.
+// New returns an Object that reads a value. Its faults begin with name, unless name is empty.
 func New(value *fastjson.Value, name string) *Object { return &Object{value: value, name: name} }
 
-// Err returns the first fault, a FieldError; nil: there is none.
+// Err returns the first fault, a *configerror.FieldError, or nil if there is none.
 func (o *Object) Err() error {
 	if len(o.faults) == 0 {
 		return nil
@@ -54,23 +54,23 @@
 	return &first
 }
 
-// Faults returns the faults in the order in which they were met.
+// Faults returns the kept faults in the order in which they were reported.
 func (o *Object) Faults() []Fault { return o.faults }
 
-// FaultCount counts all faults, also those that are not kept.
+// FaultCount returns the number of all faults, including those that are not kept.
 func (o *Object) FaultCount() int { return o.faultCount }
 
-// Fault notes what is wrong with a field, in words.
+// Fault reports a problem with a field.
 func (o *Object) Fault(field, problem string) {
 	o.report(field, configerror.FieldError{Problem: problem})
 }
 
-// Want notes that a field is not what it should be: "not WANT".
+// Want reports that a field is not what it should be, as "not WANT".
 func (o *Object) Want(field, want string) {
 	o.report(field, configerror.FieldError{Want: want})
 }
 
-// report keeps a fault at the outermost object.
+// report records a fault at the outermost object.
 func (o *Object) report(field string, fault configerror.FieldError) {
 	outermost := o
 	for outermost.parent != nil {
@@ -84,7 +84,7 @@
 	outermost.faults = append(outermost.faults, Fault{Path: o.path + "/" + field, FieldError: fault})
 }
 
-// qualifiedName returns a field's name with those of the objects that hold it.
+// qualifiedName returns a field's name, preceded by the names of the enclosing objects.
 func (o *Object) qualifiedName(field string) string {
 	if o.name == "" {
 		return field
@@ -92,12 +92,12 @@
 	return o.name + ": " + field
 }
 
-// nested makes a reader of a value that a field holds.
+// nested returns an Object that reads the value of a field.
 func (o *Object) nested(value *fastjson.Value, field string) *Object {
 	return &Object{value: value, name: o.qualifiedName(field), path: o.path + "/" + field, parent: o}
 }
 
-// ID reads a number that must be there.
+// ID reads a required whole number, 0 or above.
 func (o *Object) ID(field string) uint64 {
 	value := o.value.Get(field)
 	if value == nil {
@@ -111,7 +111,7 @@
 	return number
 }
 
-// Count reads a whole number that may be absent.
+// Count reads an optional whole number, 0 or above.
 func (o *Object) Count(field string) uint64 {
 	if o.Absent(field) {
 		return 0
@@ -125,7 +125,7 @@
 	return value == nil || value.Type() == fastjson.TypeNull
 }
 
-// Number reads a number that may be absent.
+// Number reads an optional number.
 func (o *Object) Number(field string) float64 {
 	if o.Absent(field) {
 		return 0
@@ -137,10 +137,10 @@
 	return number
 }
 
-// Seconds reads a time in nanoseconds that may be absent.
+// Seconds reads an optional time in nanoseconds and returns it in seconds.
 func (o *Object) Seconds(field string) float64 { return o.Number(field) / 1e9 }
 
-// Flag reads true or false; false where it is absent.
+// Flag reads an optional boolean; absent, it is false.
 func (o *Object) Flag(field string) bool {
 	if o.Absent(field) {
 		return false
@@ -152,19 +152,19 @@
 	return flag
 }
 
-// Text reads a text that may be absent.
+// Text reads an optional string.
 func (o *Object) Text(field string) string {
 	if o.Absent(field) {
 		return ""
 	}
 	text, err := o.value.Get(field).StringBytes()
 	if err != nil {
-		o.Want(field, "a text")
+		o.Want(field, "a string")
 	}
 	return string(text)
 }
 
-// NameOrZero reads a name, for which a number stands where there is none.
+// NameOrZero reads an optional name. A number in its place means that there is no name.
 func (o *Object) NameOrZero(field string) string {
 	value := o.value.Get(field)
 	if value != nil && value.Type() == fastjson.TypeNumber {
@@ -173,7 +173,7 @@
 	return o.Text(field)
 }
 
-// RequiredObject reads an object; one that is missing or malformed is a fault and reads as empty.
+// RequiredObject reads an object. A missing or malformed one is a fault and is read as an empty object.
 func (o *Object) RequiredObject(field string) *Object {
 	value := o.value.Get(field)
 	if value == nil || value.Type() != fastjson.TypeObject {
@@ -183,7 +183,7 @@
 	return o.nested(value, field)
 }
 
-// OptionalObject reads an object that may be absent and then reads as empty.
+// OptionalObject reads an object. An absent one is read as an empty object; a malformed one is a fault, too.
 func (o *Object) OptionalObject(field string) *Object {
 	if o.Absent(field) {
 		return o.nested(fastjson.MustParse("{}"), field)
@@ -191,7 +191,7 @@
 	return o.RequiredObject(field)
 }
 
-// List reads an array of objects; what else it holds is a fault, and left out.
+// List reads an optional array of objects. An element of another type is a fault and is left out.
 func (o *Object) List(field string) []*Object {
 	var all []*Object
 	for i, value := range o.values(field) {
@@ -206,13 +206,13 @@
 	return all
 }
 
-// Texts reads an array of texts.
+// Texts reads an optional array of strings. It returns nil if an element is not a string.
 func (o *Object) Texts(field string) []string {
 	var all []string
 	for _, value := range o.values(field) {
 		text, err := value.StringBytes()
 		if err != nil {
-			o.Fault(field, "holds what is not a text")
+			o.Fault(field, "contains an element that is not a string")
 			return nil
 		}
 		all = append(all, string(text))
@@ -220,7 +220,7 @@
 	return all
 }
 
-// values reads an array that may be absent.
+// values reads an optional array.
 func (o *Object) values(field string) []*fastjson.Value {
 	if o.Absent(field) {
 		return nil
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -2,7 +2,8 @@
 
 import "bendtrestle/balancer"
 
-// Words of the settings. One that is not here stands for the zero value; internal/config refuses it.
+// Enumerated values of the settings. Any other value is read as the zero value; internal/config rejects unknown weight
+// modes.
 var (
 	idempotencies = map[string]balancer.Idempotency{
 		"retryable": balancer.Idempotent,
@@ -24,7 +25,7 @@
 	family := o.OptionalObject("familyInfo")
 	limits := o.OptionalObject("limits")
 	rules := o.OptionalObject("rules")
-	prices := o.OptionalObject("penalties")
+	penalties := o.OptionalObject("penalties")
 	settings := balancer.Settings{
 		RouterIndex:         int(o.Count("me")),
 		RouterCount:         int(o.Count("fleetSize")),
@@ -39,7 +40,7 @@
 		OverQuotaWeight:     o.Number("overageBenefit"),
 		ProbesAllowed:       limits.Flag("probes"),
 		GossipAllowed:       limits.Flag("peers"),
-		GossipPrice:         prices.Number("peer"),
+		GossipPrice:         penalties.Number("peer"),
 		PollInterval:        rules.Seconds("askWithin"),
 		OverloadWindow:      rules.Seconds("fall"),
 		OverloadFactor:      rules.Number("tipMultiple"),
@@ -53,7 +54,7 @@
 		settings.OriginMachineType = originMachineType
 	}
 	if !limits.Flag("retryAfter") {
-		settings.MaxRetryAfter = 0 // no Retry-After is passed on
+		settings.MaxRetryAfter = 0 // the limits do not allow Retry-After
 	}
 	for _, class := range o.List("trafficTypes") {
 		settings.TrafficClasses = append(settings.TrafficClasses, class.trafficClass())
@@ -67,8 +68,8 @@
 	return settings
 }
 
-// originMachineType returns the name of the origin's kind of machine, which is given by its index among all kinds;
-// empty where the index is none.
+// originMachineType returns the name of the origin's machine type, which the settings give as an index into "kinds". It
+// returns "" if the index is out of range.
 func (o *Object) originMachineType(family *Object) string {
 	index := int(family.Number("originKind"))
 	kinds := o.Texts("kinds")
@@ -94,15 +95,15 @@
 	}
 }
 
-// placementNames reads the zones or kinds of machine to which alone a traffic class may be sent; nil: any will do. A
-// list without any would leave it nowhere to run, which nobody means.
+// placementNames reads the zones or machine types that a traffic class is restricted to; nil: there is no restriction.
+// An empty list is a fault, because it would allow no server at all.
 func (o *Object) placementNames(field string) []string {
 	if o.Absent(field) {
 		return nil
 	}
 	names := o.Texts(field)
 	if len(names) == 0 && len(o.values(field)) == 0 {
-		o.Fault(field, "names nothing; leave it out where any will do")
+		o.Fault(field, "empty list; omit the key to allow any")
 	}
 	return names
 }
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -2,7 +2,7 @@
 
 import "testing"
 
-// Placement is read, and the origin's kind of machine by its index among the kinds.
+// Placement rules are read, and the origin's machine type by its index among the kinds.
 func TestSettingsOfPlacementAndOrigin(t *testing.T) {
 	object, err := Parse([]byte(`{"kinds":["a","origin"],"familyInfo":{"mode":"aside","originKind":1},
 		"rules":{"bootStampError":2000000000},
@@ -15,11 +15,11 @@
 		t.Error(err)
 	}
 	if !settings.CacheAside || settings.OriginMachineType != "origin" || settings.StartTimeError != 2 {
-		t.Errorf("read %+v", settings)
+		t.Errorf("got %+v, want cache-aside mode, origin type \"origin\" and a start time error of 2 s", settings)
 	}
 	for i, want := range []string{"in z on a", ""} {
 		if got := settings.TrafficClasses[i].PlacementRules(); got != want {
-			t.Errorf("class %d may be sent %q, want %q", i, got, want)
+			t.Errorf("class %d: got placement rules %q, want %q", i, got, want)
 		}
 	}
 }
--- a/internal/simadapter/actions.go
+++ b/internal/simadapter/actions.go
@@ -6,11 +6,11 @@
 	"bendtrestle/balancer"
 )
 
-// The router as balancer.Host: each call is a line of the reply.
+// router implements balancer.Host: each call writes one line of the reply.
 
 var _ balancer.Host = (*router)(nil)
 
-// line starts a line of the reply that names the router.
+// line starts a line of the reply that contains the router's number.
 func (r *router) line(name string) *replyWriter {
 	return r.session.reply.line(name).uint("router", r.id)
 }
@@ -20,17 +20,17 @@
 	r.line(actionStartAttempt).uint("txn", request).uint("server", server).time("limit", timeout).end()
 }
 
-// CancelAttempt stops waiting for an attempt.
+// CancelAttempt cancels an attempt.
 func (r *router) CancelAttempt(request uint64, number int) {
 	r.line(actionCancelAttempt).uint("txn", request).uint("n", uint64(number)).end()
 }
 
-// Reject answers a request; the simulator takes no reason.
+// Reject rejects a request. The simulator's action has no field for the reason.
 func (r *router) Reject(request uint64, retryAfter float64, _ balancer.RejectReason) {
 	r.line(actionReject).uint("txn", request).time("pause", retryAfter).end()
 }
 
-// Fail answers a request whose outcome is unknown.
+// Fail answers a request whose outcome is unknown with an error.
 func (r *router) Fail(request uint64) {
 	r.line(actionFail).uint("txn", request).end()
 }
@@ -46,12 +46,12 @@
 	r.line(actionProbe).uint("server", server).end()
 }
 
-// SetTimer asks for a WAKE.
+// SetTimer requests a WAKE event after a delay in seconds.
 func (r *router) SetTimer(delay float64, name string) {
 	r.line(actionSetTimer).time("delay", delay).text("name", name).end()
 }
 
-// WatchEndpoints asks for the endpoint list, or stops that.
+// WatchEndpoints starts or stops the updates of the endpoint list.
 func (r *router) WatchEndpoints(on bool) {
 	r.line(actionWatchEndpoints).flag("want", on).end()
 }
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -8,14 +8,14 @@
 	"bendtrestle/internal/settings"
 )
 
-// router is one router of the simulation: its balancer, and the balancer's host.
+// router is one router of the simulation. It holds the router's balancer and is that balancer's host.
 type router struct {
 	session  *session
 	id       uint64
 	balancer *balancer.Balancer // nil if its start panicked
 }
 
-// reportPanic turns a panic of the balancer into a report for its router.
+// reportPanic makes a call and reports a panic of the balancer as FATAL for its router.
 func (r *router) reportPanic(call func()) {
 	defer func() {
 		if cause := recover(); cause != nil {
@@ -25,7 +25,7 @@
 	call()
 }
 
-// handleEvent makes the call that an event stands for. An event with a fault in a field that is read makes none.
+// handleEvent makes the balancer call for an event. If a field that it reads is malformed, it makes no call.
 func (r *router) handleEvent(name string, fields *settings.Object) {
 	switch name {
 	case eventListUpdate:
--- a/internal/simadapter/golden_test.go
+++ b/internal/simadapter/golden_test.go
@@ -7,10 +7,10 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/session.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "rewrite testdata/session.golden from the current output")
 
-// The simulator reads the replies: a session with every event, setting and kind of endpoint list is answered to
-// the byte as the build of 15122f5 answered it.
+// The simulator parses the replies. For a session with every event, setting and kind of endpoint list, they are
+// byte for byte those of the build of commit 15122f5.
 func TestGoldenSession(t *testing.T) {
 	input, err := os.Open("testdata/session.jsonl")
 	if err != nil {
@@ -34,10 +34,10 @@
 	got := bytes.Split(reply.Bytes(), []byte("\n"))
 	for i, line := range bytes.Split(want, []byte("\n")) {
 		if i >= len(got) || !bytes.Equal(got[i], line) {
-			t.Fatalf("line %d of the reply differs, want %s", i+1, line)
+			t.Fatalf("line %d of the reply differs from the golden file, want %s", i+1, line)
 		}
 	}
 	if len(reply.Bytes()) != len(want) {
-		t.Errorf("%d bytes, want %d", reply.Len(), len(want))
+		t.Errorf("got a reply of %d bytes, want %d", reply.Len(), len(want))
 	}
 }
--- a/internal/simadapter/names.go
+++ b/internal/simadapter/names.go
@@ -2,7 +2,7 @@
 
 import "bendtrestle/balancer"
 
-// Events of the simulator.
+// Names of the simulator's events.
 const (
 	eventBatchStart   = "CLOCK"            // begins a batch
 	eventBatchEnd     = "YOUR_TURN"        // ends a batch
@@ -19,7 +19,7 @@
 	eventGossip       = "MESSAGE"          // OnGossip
 )
 
-// Actions, as the simulator names them in the reply.
+// Names of the actions and of the other lines in the reply.
 const (
 	actionStartAttempt   = "CALL_OUT"
 	actionCancelAttempt  = "WITHDRAW"
@@ -34,7 +34,7 @@
 	replyPanic     = "FATAL"
 )
 
-// requiresRouter holds the events that must name a router; others may, and are ignored without one.
+// requiresRouter holds the events in which the field "router" is required. Other events are ignored without it.
 var requiresRouter = map[string]bool{
 	eventRouterStart: true,
 	eventRouterKill:  true,
@@ -48,7 +48,7 @@
 	eventGossip:      true,
 }
 
-// outcomes maps how attempts and probes end. A name that is not here reads as balancer.OutcomeUnknown.
+// outcomes maps the outcomes of attempts and probes. Any other name means balancer.OutcomeUnknown.
 var outcomes = map[string]balancer.Outcome{
 	"served":          balancer.Succeeded,
 	"server_error":    balancer.ServerError,
@@ -61,13 +61,13 @@
 	"not_stored":      balancer.CacheMiss,
 }
 
-// endpointStates maps what a list says of a server. A name that is not here reads as balancer.Removed.
+// endpointStates maps the states of servers in an endpoint list. Any other name means balancer.Removed.
 var endpointStates = map[string]balancer.EndpointState{
 	"in_service":  balancer.Ready,
 	"terminating": balancer.Draining,
 }
 
-// endpointUpdates maps the kinds of list update. Another name is a fault.
+// endpointUpdates maps the kinds of list update. Any other name is an error.
 var endpointUpdates = map[string]balancer.EndpointUpdate{
 	"diff":     balancer.UpdateDelta,
 	"snapshot": balancer.UpdateFull,
--- a/internal/simadapter/reply.go
+++ b/internal/simadapter/reply.go
@@ -7,8 +7,8 @@
 	"strconv"
 )
 
-// replyWriter writes JSON lines, one at a time: line starts one, end ends it. Fields stand in the order of the
-// calls.
+// replyWriter writes JSON lines, one at a time: line starts a line, end finishes it. Fields are written in the order
+// of the calls.
 type replyWriter struct {
 	out    *bufio.Writer
 	buffer []byte // the line so far
@@ -53,7 +53,7 @@
 	return w
 }
 
-// end writes the line. An error stays with the writer until it is flushed.
+// end writes the line. bufio.Writer keeps a write error and returns it from Flush.
 func (w *replyWriter) end() {
 	w.buffer = append(w.buffer, '}', '\n')
 	w.out.Write(w.buffer)
--- a/internal/simadapter/session.go
+++ b/internal/simadapter/session.go
@@ -12,9 +12,9 @@
 	"github.com/valyala/fastjson"
 )
 
-const bufferSize = 1 << 16 // bytes, of the input and of the reply
+const bufferSize = 1 << 16 // bytes, of the input buffer and of the reply buffer
 
-// Faults in the lines and their order; faults in fields are errors of package settings.
+// Errors in lines and in their order. Errors in fields come from package settings.
 var (
 	errInputEnded   = errors.New("input ended inside a batch")
 	errNotAnObject  = errors.New("malformed line: not an object")
@@ -22,7 +22,7 @@
 	errOutsideBatch = errors.New("outside a batch")
 )
 
-// session is one conversation. The routers that it hosts share nothing but the sheets, which no one changes.
+// session is one run of Serve. Its routers share only the endpoint lists, which are immutable.
 type session struct {
 	reply         replyWriter
 	routers       map[uint64]*router
@@ -41,7 +41,7 @@
 	}
 }
 
-// Serve answers batches until the input ends. It returns nil when the input ends between two batches.
+// Serve answers batches until the input ends. It returns nil if the input ends between two batches.
 func Serve(in io.Reader, out io.Writer) error {
 	s := newSession(out)
 	lines := bufio.NewReaderSize(in, bufferSize)
@@ -83,7 +83,7 @@
 	}
 }
 
-// handleLine takes one line: a batch's begin or end, or an event of it.
+// handleLine handles one line: the begin or end of a batch, or an event in it.
 func (s *session) handleLine(value *fastjson.Value) error {
 	name := string(value.GetStringBytes("m"))
 	fields := settings.New(value, name)
@@ -108,7 +108,7 @@
 	return fields.Err()
 }
 
-// handleEvent hands one event to the router that it names.
+// handleEvent passes one event to its router.
 func (s *session) handleEvent(name string, fields *settings.Object) {
 	if name == eventEndpointList {
 		s.endpointLists[fields.ID("table")] = readEndpoints(fields)
--- a/internal/simadapter/session_test.go
+++ b/internal/simadapter/session_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// The lines of a session with one router and one server.
+// Lines of a session with one router and one server.
 const (
 	startLines = `{"m":"CLOCK","clock":1000000000,"turn":1}
 {"m":"SHEET","table":0,"members":[{"server":7,"mode":"in_service","capacityHint":1}]}
@@ -19,7 +19,7 @@
 	beginLine = `{"m":"CLOCK","clock":1000000000,"turn":1}` + "\n"
 )
 
-// serve plays a session and gives the reply, or the error.
+// serve runs a session and returns the reply, or the text of the error.
 func serve(in string) string {
 	var out strings.Builder
 	if err := Serve(strings.NewReader(in), &out); err != nil {
@@ -47,14 +47,14 @@
 		{"a peer's gossip", startLines + `{"m":"MESSAGE","router":3,"srcPeer":1,"body":"BwAAAP8="}` + "\n" + endLine,
 			done},
 		{"not base64", startLines + `{"m":"MESSAGE","router":3,"body":"?"}` + "\n", "MESSAGE: body: not base64"},
-		{"a probe's end", startLines + `{"m":"PROBE_RESULT","router":3,"server":7,"reason":"served"}` + "\n" + endLine,
+		{"probe result", startLines + `{"m":"PROBE_RESULT","router":3,"server":7,"reason":"served"}` + "\n" + endLine,
 			done},
 		{"killed", startLines + kill + requestLine + endLine, done},
-		{"killed and back", startLines + endLine + killedFirst + requestLine + endLine, done + attempt + done},
-		{"replaced sheet", startLines + replacedSheet + requestLine + endLine,
+		{"killed and started again", startLines + endLine + killedFirst + requestLine + endLine, done + attempt + done},
+		{"replaced endpoint list", startLines + replacedSheet + requestLine + endLine,
 			strings.Replace(attempt, ":7,", ":8,", 1) + done},
 		{"not JSON", "{\n", "malformed line: "},
-		{"not a batch", endLine, "YOUR_TURN: outside a batch"},
+		{"event outside a batch", endLine, "YOUR_TURN: outside a batch"},
 		{"batch in a batch", beginLine + beginLine, "CLOCK: inside a batch"},
 		{"end inside a batch", startLines, "input ended inside a batch"},
 		{"missing field", startLines + `{"m":"ACCEPT","router":3,"band":"view"}` + "\n", "ACCEPT: txn: missing"},
@@ -89,6 +89,6 @@
 	}
 	in.WriteString(endLine)
 	if got := serve(in.String()); !strings.HasSuffix(got, `{"m":"OK","turn":1}`+"\n") {
-		t.Errorf("the reply ends in %q", got[max(0, len(got)-100):])
+		t.Errorf("got a reply that ends with %q, want one that ends with OK", got[max(0, len(got)-100):])
 	}
 }
--- a/internal/tomlfile/lines.go
+++ b/internal/tomlfile/lines.go
@@ -6,11 +6,11 @@
 	"github.com/pelletier/go-toml/v2/unstable"
 )
 
-// keyLines returns the line of each key and table of a text that parses.
+// keyLines returns the line of each key and table of a valid TOML text, by its path.
 func keyLines(text []byte) map[string]int {
 	lines := map[string]int{}
-	tables := map[string]int{} // of each array of tables, how many there were so far
-	table := ""                // that the present key stands in
+	tables := map[string]int{} // number of tables so far in each array of tables
+	table := ""                // path of the table that contains the current key
 	parser := unstable.Parser{}
 	parser.Reset(text)
 	for parser.NextExpression() {
@@ -36,8 +36,8 @@
 	return lines
 }
 
-// keyOf returns the path of an expression's key, and its line. A table within one of an array belongs to the last of
-// them: team.type is team.1.type.
+// keyOf returns the path and the line of an expression's key. A table inside an array of tables belongs to the last
+// table of the array: with two teams, team.type is team.1.type.
 func keyOf(parser *unstable.Parser, expression *unstable.Node, tables map[string]int) (path string, line int) {
 	for keys := expression.Key(); keys.Next(); {
 		if line == 0 {
--- a/internal/tomlfile/tomlfile.go
+++ b/internal/tomlfile/tomlfile.go
@@ -1,8 +1,8 @@
-// Package tomlfile reads the TOML files that people write, and reports each fault with file, line and key, as a
-// configerror.FieldError: what does not parse, keys that nobody knows, and what a reader finds wrong with a value.
+// Package tomlfile reads TOML files and reports each fault as a configerror.FieldError with file, line and key: syntax
+// errors, unknown keys, and values that the caller rejects.
 //
-// A File is made by Read or Parse, which fill a struct by its toml tags. The reader then checks the struct and reports
-// what is wrong by Fault or Want; Err returns all that was reported, a line each. A File is used by one goroutine.
+// Read and Parse fill a struct by its toml tags and return a File. The caller then checks the struct and reports faults
+// by Fault or Want; Err returns all that were reported, one on each line. A File is used by one goroutine.
 package tomlfile
 
 import (
@@ -20,7 +20,7 @@
 // File is one file that has been read.
 type File struct {
 	name   string
-	lines  map[string]int // of each key; tables of an array are numbered from 0: "fault.2.kind"
+	lines  map[string]int // line of each key; tables of an array are numbered from 0: "fault.2.kind"
 	faults []error
 }
 
@@ -33,7 +33,7 @@
 	return Parse(path, text, value)
 }
 
-// Parse reads a text into value. The error has all unknown keys, or else the first value that cannot be read.
+// Parse reads a text into value. The error joins all unknown keys, or is about the first value that cannot be decoded.
 func Parse(name string, text []byte, value any) (*File, error) {
 	decoder := toml.NewDecoder(bytes.NewReader(text)).DisallowUnknownFields()
 	err := decoder.Decode(value)
@@ -43,7 +43,7 @@
 	return &File{name: name, lines: keyLines(text)}, nil
 }
 
-// decodingError returns the library's errors as FieldErrors.
+// decodingError converts an error of the TOML library to FieldErrors.
 func decodingError(name string, err error) error {
 	var unknown *toml.StrictMissingError
 	if errors.As(err, &unknown) {
@@ -65,7 +65,8 @@
 
 func joinKey(parts []string) string { return strings.Join(parts, ".") }
 
-// Line returns the line of a key; where it does not stand in the file, that of the table that would hold it, or 0.
+// Line returns the line of a key. For a key that is not in the file it returns the line of the innermost enclosing
+// table that is in the file, or 0.
 func (f *File) Line(key string) int {
 	for {
 		line := f.lines[key]
@@ -80,10 +81,10 @@
 	}
 }
 
-// Has reports whether a key stands in the file.
+// Has reports whether a key is in the file.
 func (f *File) Has(key string) bool { return f.lines[key] > 0 }
 
-// Fault reports what is wrong with a key, in words.
+// Fault reports a problem with a key.
 func (f *File) Fault(key, format string, args ...any) {
 	f.report(&configerror.FieldError{Key: key, Problem: fmt.Sprintf(format, args...)})
 }
@@ -99,7 +100,7 @@
 	f.faults = append(f.faults, fault)
 }
 
-// formatValue returns a value as messages show it: texts in quotes.
+// formatValue formats a value for a message: strings in quotes, other values as fmt.Sprint does.
 func formatValue(value any) string {
 	text, isText := value.(string)
 	if isText {
@@ -108,5 +109,5 @@
 	return fmt.Sprint(value)
 }
 
-// Err returns all faults, a line each; nil: none was reported.
+// Err returns all reported faults as one error with a line for each, or nil if there are none.
 func (f *File) Err() error { return errors.Join(f.faults...) }
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -44,11 +44,11 @@
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 	if !f.Has("item.0.kind") || f.Has("item.1.kind") {
-		t.Error("what stands in the file is not known")
+		t.Error("Has: got false for a key in the file, or true for one that is not")
 	}
 }
 
-// Whoever reads a file can tell its faults apart by their fields.
+// Callers can inspect the fields of each fault, those reported by the caller and those found by Parse.
 func TestErrReturnsFieldErrors(t *testing.T) {
 	var s sample
 	f, err := Parse("f", []byte("[part]\nsize = -1\n"), &s)
@@ -66,6 +66,6 @@
 	}
 	_, err = Parse("f", []byte("nome = 1\n"), &s)
 	if !errors.As(err, &fault) || fault.Key != "nome" || fault.Line != 1 || fault.Problem != "unknown key" {
-		t.Errorf("an unknown key gets %+v", err)
+		t.Errorf("unknown key: got %+v, want a FieldError for nome in line 1", err)
 	}
 }
