--- a/internal/operatorconfig/features.go
+++ b/internal/operatorconfig/features.go
@@ -43,7 +43,7 @@
 }
 
 const (
-	defaultSlowStartRouters = 64     // above it, servers that warm up get far less load than they can bear (docs/design.md)
+	defaultSlowStartRouters = 64     // above it, servers that warm up are used far below their capacity (docs/design.md)
 	maxSlowStartRouters     = 100000 // more than the routers of any fleet
 )
 
--- a/internal/operatorconfig/file.go
+++ b/internal/operatorconfig/file.go
@@ -100,7 +100,7 @@
 // checkName checks a name that is used in keys, in the protocol and in the names of metrics.
 func (f *File) checkName(key, text string) {
 	if text == "" || strings.ContainsAny(text, " ,=/\r\n") {
-		f.toml.Want(key, text, "a non-empty name without spaces, commas, slashes, equals signs or line breaks")
+		f.toml.Want(key, text, "a name without spaces, commas, slashes, equals signs or line breaks")
 	}
 }
 
--- a/internal/operatorconfig/file_test.go
+++ b/internal/operatorconfig/file_test.go
@@ -117,7 +117,7 @@
 			`"a" already belongs to team a; this route would never match`},
 		{"budgets above the capacity",
 			poolTable + teamTable("a", byTenantA+classTable) + teamTable("b", byTenantB+classTable),
-			`with it the budgets of pool "p" add up to 4, more than its capacity of 3`},
+			`with this budget the budgets of pool "p" add up to 4, more than its capacity of 3`},
 		{"a team twice", poolTable + teamTable("a", byTenantA+classTable) + teamTable("a", byTenantB+classTable),
 			`team.1.name: duplicate name "a"`},
 		{"no such pool", teamTable("a", byTenantA+classTable), `"p" is not the name of a pool`},
--- a/internal/operatorconfig/teams.go
+++ b/internal/operatorconfig/teams.go
@@ -134,7 +134,7 @@
 func (f *File) checkCapacity(key func(string) string, team Team, capacity, sum float64) {
 	limit := capacity * budgetTolerance
 	if capacity > 0 && sum > limit && sum-team.Budget <= limit {
-		f.toml.Fault(key("budget"), "with it the budgets of pool %q add up to %v, more than its capacity of %v",
+		f.toml.Fault(key("budget"), "with this budget the budgets of pool %q add up to %v, more than its capacity of %v",
 			team.Pool, sum, capacity)
 	}
 }
