--- a/internal/simadapter/names.go
+++ b/internal/simadapter/names.go
@@ -2,24 +2,24 @@
 
 import "bendtrestle/balancer"
 
-// Events of the simulator.
+// Names of the simulator's events.
 const (
-	eventClock       = "CLOCK"            // begins a batch
-	eventYourTurn    = "YOUR_TURN"        // ends a batch
-	eventSheet       = "SHEET"            // an endpoint list
-	eventEnlist      = "ENLIST"           // balancer.New
-	eventKill        = "KILL"             // the process of a router ends
-	eventListUpdate  = "DIRECTORY_UPDATE" // OnEndpoints
-	eventRequest     = "ACCEPT"           // OnRequest
-	eventStreamStart = "HEAD_RECEIVED"    // OnStreamStart
-	eventAttemptEnd  = "SETTLED"          // OnAttemptEnd
-	eventClientGone  = "GONE"             // OnClientGone
-	eventTimer       = "WAKE"             // OnTimer
-	eventProbeResult = "PROBE_RESULT"     // OnProbeResult
-	eventGossip      = "MESSAGE"          // OnGossip
+	eventBatchStart   = "CLOCK"            // begins a batch
+	eventBatchEnd     = "YOUR_TURN"        // ends a batch
+	eventEndpointList = "SHEET"            // an endpoint list
+	eventRouterStart  = "ENLIST"           // balancer.New
+	eventRouterKill   = "KILL"             // the process of a router ends
+	eventListUpdate   = "DIRECTORY_UPDATE" // OnEndpoints
+	eventRequest      = "ACCEPT"           // OnRequest
+	eventStreamStart  = "HEAD_RECEIVED"    // OnStreamStart
+	eventAttemptEnd   = "SETTLED"          // OnAttemptEnd
+	eventClientGone   = "GONE"             // OnClientGone
+	eventTimer        = "WAKE"             // OnTimer
+	eventProbeResult  = "PROBE_RESULT"     // OnProbeResult
+	eventGossip       = "MESSAGE"          // OnGossip
 )
 
-// Actions, as the simulator names them in the reply.
+// Names of the actions and of the other lines in the reply.
 const (
 	actionStartAttempt   = "CALL_OUT"
 	actionCancelAttempt  = "WITHDRAW"
@@ -34,10 +34,10 @@
 	replyPanic     = "FATAL"
 )
 
-// namesRouter holds the events that must name a router; others may, and are ignored without one.
-var namesRouter = map[string]bool{
-	eventEnlist:      true,
-	eventKill:        true,
+// requiresRouter holds the events in which the field "router" is required. Other events are ignored without it.
+var requiresRouter = map[string]bool{
+	eventRouterStart: true,
+	eventRouterKill:  true,
 	eventListUpdate:  true,
 	eventRequest:     true,
 	eventStreamStart: true,
@@ -48,7 +48,7 @@
 	eventGossip:      true,
 }
 
-// outcomes maps how attempts and probes end. A name that is not here reads as balancer.OutcomeUnknown.
+// outcomes maps the outcomes of attempts and probes. Any other name means balancer.OutcomeUnknown.
 var outcomes = map[string]balancer.Outcome{
 	"served":          balancer.Succeeded,
 	"server_error":    balancer.ServerError,
@@ -61,13 +61,13 @@
 	"not_stored":      balancer.CacheMiss,
 }
 
-// endpointStates maps what a list says of a server. A name that is not here reads as balancer.Removed.
+// endpointStates maps the states of servers in an endpoint list. Any other name means balancer.Removed.
 var endpointStates = map[string]balancer.EndpointState{
 	"in_service":  balancer.Ready,
 	"terminating": balancer.Draining,
 }
 
-// endpointUpdates maps the kinds of list update. Another name is a fault.
+// endpointUpdates maps the kinds of list update. Any other name is an error.
 var endpointUpdates = map[string]balancer.EndpointUpdate{
 	"diff":     balancer.UpdateDelta,
 	"snapshot": balancer.UpdateFull,
--- a/internal/tomlfile/tomlfile_test.go
+++ b/internal/tomlfile/tomlfile_test.go
@@ -13,7 +13,7 @@
 	Item []struct{ Kind string }
 }
 
-func TestFaultsNameLineAndKey(t *testing.T) {
+func TestErrorsNameLineAndKey(t *testing.T) {
 	for text, want := range map[string]string{
 		"name = 3": "f:1: name: cannot decode TOML integer into " +
 			"struct field tomlfile.sample.Name of type string",
@@ -44,12 +44,12 @@
 		t.Errorf("got\n%s\nwant\n%s", got, want)
 	}
 	if !f.Has("item.0.kind") || f.Has("item.1.kind") {
-		t.Error("what stands in the file is not known")
+		t.Error("Has: got false for a key in the file, or true for one that is not")
 	}
 }
 
-// Whoever reads a file can tell its faults apart by their fields.
-func TestFaultsAreFieldErrors(t *testing.T) {
+// Callers can inspect the fields of each fault, those reported by the caller and those found by Parse.
+func TestErrReturnsFieldErrors(t *testing.T) {
 	var s sample
 	f, err := Parse("f", []byte("[part]\nsize = -1\n"), &s)
 	if err != nil {
@@ -66,6 +66,6 @@
 	}
 	_, err = Parse("f", []byte("nome = 1\n"), &s)
 	if !errors.As(err, &fault) || fault.Key != "nome" || fault.Line != 1 || fault.Problem != "unknown key" {
-		t.Errorf("an unknown key gets %+v", err)
+		t.Errorf("unknown key: got %+v, want a FieldError for nome in line 1", err)
 	}
 }
