--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -2,9 +2,9 @@
 
 import "golang.org/x/sys/unix"
 
-// onPeerEnd takes the other side's end of the connection, a dial that failed, or a write that failed. netpoll tells
-// of the end of a socket that it does not read at once, whatever stands before it; where that is still wanted it is
-// read first.
+// onPeerEnd handles the peer's end of the connection, a dial that failed, or a write that failed. For a socket that
+// it does not read, netpoll reports the end immediately, even if unread bytes precede it. If the connection's owner
+// wants those bytes (drainsInput), they are read first.
 func (c *Conn) onPeerEnd() {
 	wanted := c.drainsInput && c.open && c.finishTimer == nil
 	if !wanted {
@@ -18,7 +18,7 @@
 	c.changeReadingLater()
 }
 
-// closeAndNotify closes the connection and, unless it was finishing, notifies the handler after the present callback.
+// closeAndNotify closes the connection and, unless it was finishing, notifies the handler after the current callback.
 func (c *Conn) closeAndNotify() {
 	if c.closed {
 		return
@@ -30,10 +30,10 @@
 	}
 }
 
-// Finish ends the sending, and the connection once the other side has ended, too, or after so many seconds: if it
-// is closed with input unread, or some comes just then, the kernel resets it, and what the other side has not read
-// yet may be lost to it. What still comes is dropped, and the handler hears nothing more. Where something waits to
-// be written the connection is closed at once and that is lost, as by Close.
+// Finish half-closes the connection for writing. It closes the connection when the peer has ended it, too, or after
+// within seconds. Closing it immediately could lose data: if input is unread or arrives at that moment, the kernel
+// resets the connection, and the peer may lose what it has not read yet. Further input is dropped, and the handler is
+// not called again. If bytes still wait to be written, Finish does what Close does: those bytes are lost.
 func (c *Conn) Finish(within float64) {
 	if c.closed || c.finishTimer != nil {
 		return
@@ -50,8 +50,9 @@
 	c.Resume()
 }
 
-// Close ends the connection; what it had not written is lost. The other side learns of it at once: an attempt that
-// follows elsewhere must not run beside the one given up. The handler hears nothing more. Closing twice does nothing.
+// Close ends the connection; unwritten bytes are lost. It shuts the socket down immediately, so that the peer is
+// notified before a retry on another connection starts: a retry must not run in parallel with the abandoned attempt.
+// The handler is not called again. Closing twice does nothing.
 func (c *Conn) Close() {
 	if c.closed {
 		return
@@ -65,16 +66,15 @@
 	c.loop.releaseLater(c)
 }
 
-// Forget has the kernel drop what the other side has not taken when the connection ends. Without it that would go on
-// being sent for minutes where nothing comes through, and would reach the other side once it is back.
+// Forget makes the kernel drop bytes that the peer has not acknowledged when the connection ends. Otherwise the
+// kernel retransmits them for minutes while the peer is unreachable, and delivers them when it is reachable again.
 func (c *Conn) Forget() {
 	if !c.closed {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
 }
 
-// Reset ends the connection as a process that dies does: the other side gets a reset, and what it had not read is
-// lost.
+// Reset ends the connection as the death of a process does: the peer gets a reset, and what it has not read is lost.
 func (c *Conn) Reset() {
 	if c.closed {
 		return
--- a/internal/eventloop/close_test.go
+++ b/internal/eventloop/close_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A connection closed in its own callback is released, and its handler hears nothing more.
-func TestCloseInItsOwnCallback(t *testing.T) {
+// A connection that is closed within its own callback is released, and its handler is not called again.
+func TestCloseWithinCallbackReleasesConnection(t *testing.T) {
 	l := startLoop(t)
 	addr, events := serve(t, l, func(c *Conn) { c.Close() })
 	for range 100 {
@@ -29,15 +29,16 @@
 	await(t, events, "done")
 }
 
-// The other side learns of a close before anything else is done: the callback that closed is not over yet.
-func TestCloseIsToldAtOnce(t *testing.T) {
+// The peer must see the end of a connection before the callback that called Close returns: a retry that starts in the
+// same callback must not run in parallel with the abandoned attempt.
+func TestCloseShutsSocketDownBeforeCallbackReturns(t *testing.T) {
 	noticed := make(chan bool)
 	addr, events := serve(t, startLoop(t), func(c *Conn) {
 		c.Close()
 		select {
 		case <-noticed:
 		case <-time.After(5 * time.Second):
-			t.Error("the other side did not notice while the callback ran")
+			t.Error("the peer did not see the end while the callback ran")
 		}
 	})
 	conn, err := net.Dial("tcp", addr)
@@ -46,10 +47,10 @@
 	}
 	conn.Write([]byte("x"))
 	if _, err := conn.Read(make([]byte, 1)); !errors.Is(err, io.EOF) {
-		t.Errorf("got %v", err)
+		t.Errorf("Read after Close: got error %v, want EOF", err)
 	}
 	noticed <- true
 	if len(events) > 0 {
-		t.Errorf("after Close came %s", <-events)
+		t.Errorf("the handler got %s after Close", <-events)
 	}
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -7,50 +7,50 @@
 	"golang.org/x/sys/unix"
 )
 
-// bufferBound is a connection's share of memory a direction, in bytes: a value of 64 KiB passes through in a few
-// turns, and a thousand full connections hold 32 MB.
+// bufferBound is the maximum size of a connection's buffer per direction, in bytes. A value of 64 KiB passes through
+// in a few rounds, and a thousand connections with full buffers use 32 MB.
 const bufferBound = 16 << 10
 
-// Handler takes what happens on a connection, on the loop. Nothing is called after Close or Finish.
+// Handler receives the events of a connection, on the loop's goroutine. It is not called after Close or Finish.
 type Handler interface {
-	Opened()  // the dialled connection is up; not called for an accepted one
-	Input()   // In holds more
-	Flushed() // bytes have been taken by the kernel
-	Closed()  // the other side has ended the connection, or it never came up; it is closed already
+	Opened()  // the dialled connection is established; not called for an accepted one
+	Input()   // In holds more bytes
+	Flushed() // the kernel has accepted bytes
+	Closed()  // the peer has ended the connection, or it was never established; it is closed already
 }
 
-// Conn is one TCP connection with a ring buffer a direction. All its methods belong to the loop's goroutine.
+// Conn is one TCP connection with a ring buffer per direction. Its methods are called on the loop's goroutine only.
 //
-// Its phases: connecting (dialled, not open yet), open, and then one of three ends. Close and Reset end it at once.
-// Finish half-closes it and waits for the other side's end. The other side's end closes it, for a dialled connection
-// only when what came before that end has been read.
+// Its phases are connecting (dialled, not open yet), open, and then one of three ends. Close and Reset end it
+// immediately. Finish half-closes it and waits for the peer's end. The peer's end closes it; a dialled connection is
+// closed only when the bytes that precede that end have been read.
 type Conn struct {
-	In      *ringbuffer.Buffer // what has come; the handler drops what it has taken
-	out     *ringbuffer.Buffer // what the kernel has not taken
+	In      *ringbuffer.Buffer // bytes received; the handler drops those that it has processed
+	out     *ringbuffer.Buffer // bytes that the kernel has not accepted yet
 	loop    *Loop
 	fd      int
 	op      *netpoll.FDOperator
 	handler Handler
 
 	// Phases.
-	open        bool // it is up: accepted, or the dial has succeeded
+	open        bool // accepted, or the dial has succeeded
 	closed      bool
-	peerEnded   bool   // the other side has ended it, and what came before that is still being read
-	finishTimer *Timer // set by Finish: the handler hears nothing more; nil: not finishing
+	peerEnded   bool   // the peer has ended the connection, and the bytes before that end are still being read
+	finishTimer *Timer // set by Finish, after which the handler is not called; nil: not finishing
 
 	// Reading.
 	paused      bool
 	inputHeld   bool // the handler leaves bytes in In on purpose (Hold)
-	drainsInput bool // Closed is called behind all that came before the other side's end
+	drainsInput bool // Closed is called only after all bytes before the peer's end have been read
 
 	// Writing.
-	awaitsWritable bool   // netpoll watches for the socket to take more
-	writeFailed    bool   // a failure is on its way to the handler
-	resetSeen      bool   // the kernel told of a reset or another failure, which it does once
-	sent           uint64 // bytes that the kernel has taken
+	awaitsWritable bool   // netpoll watches whether the socket is writable
+	writeFailed    bool   // a write has failed, and the handler is about to be notified
+	resetSeen      bool   // the kernel has reported a reset or another failure, which it does only once
+	sent           uint64 // bytes that the kernel has accepted
 }
 
-// newConn makes a connection on a descriptor, not watched yet and without a handler.
+// newConn returns a connection for a descriptor. It is not watched yet and has no handler.
 func (l *Loop) newConn(fd int) *Conn {
 	l.descriptors.open++
 	c := &Conn{
@@ -62,7 +62,7 @@
 	}
 	unix.SetsockoptInt(fd, unix.IPPROTO_TCP, unix.TCP_NODELAY, 1)
 	c.op.FD = fd
-	c.op.OnHup = func(netpoll.Poll) error { // netpoll calls it off the loop
+	c.op.OnHup = func(netpoll.Poll) error { // netpoll calls it on another goroutine
 		l.Post(c.onPeerEnd)
 		return nil
 	}
--- a/internal/eventloop/conn_test.go
+++ b/internal/eventloop/conn_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// What comes can be written back, and the client's end is notified.
-func TestEchoAndTheClientsEnd(t *testing.T) {
+// Received bytes can be written back, and Closed is called when the client closes.
+func TestEchoAndPeerClose(t *testing.T) {
 	addr, events := serve(t, startLoop(t), echo)
 	conn, err := net.Dial("tcp", addr)
 	if err != nil {
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -8,8 +8,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// Refused tells of a dial's error whether the other side, or the way there, caused it; otherwise this process lacks
-// something.
+// Refused reports whether an error of Dial was caused by the peer or by the network. Other errors are caused by this
+// process or host, for instance a lack of descriptors.
 func Refused(err error) bool {
 	return errors.Is(err, unix.ECONNREFUSED) ||
 		errors.Is(err, unix.ENETUNREACH) ||
@@ -17,7 +17,7 @@
 		errors.Is(err, unix.ECONNRESET)
 }
 
-// socketAddress gives an address as the kernel has it.
+// socketAddress converts an address to the kernel's form.
 func socketAddress(addr netip.AddrPort) (family int, address unix.Sockaddr) {
 	port := int(addr.Port())
 	if addr.Addr().Is4() {
@@ -26,13 +26,13 @@
 	return unix.AF_INET6, &unix.SockaddrInet6{Port: port, Addr: addr.Addr().As16()}
 }
 
-// Dial begins a connection to an address. It does not wait: the handler's Opened or Closed follows.
+// Dial starts connecting to an address and does not wait for the result: the handler's Opened or Closed follows.
 //
-// Whoever dials reads what it asked for: an end that comes behind bytes that are not read yet, for they are held
-// (Hold) or the connection is paused, is notified once they have been.
+// The dialling side reads all of the response that it requested. If the peer ends the connection while bytes before
+// that end are unread, because they are held (Hold) or the connection is paused, Closed is called after they are read.
 //
-// Errors: unix.EMFILE where the limit of descriptors is reached, unix.EADDRNOTAVAIL for an invalid address,
-// otherwise the kernel's; then the handler is not called. Refused tells the kernel's errors apart.
+// Dial returns unix.EMFILE if the limit of descriptors is reached, unix.EADDRNOTAVAIL for an invalid address, and
+// otherwise the kernel's error, which Refused classifies. After an error the handler is not called.
 func (l *Loop) Dial(addr netip.AddrPort, handler Handler) (*Conn, error) {
 	if !addr.IsValid() {
 		return nil, unix.EADDRNOTAVAIL
@@ -59,7 +59,7 @@
 	return c, nil
 }
 
-// startConnect makes a socket whose connection is under way.
+// startConnect opens a socket and starts connecting it.
 func startConnect(addr netip.AddrPort) (fd int, err error) {
 	family, address := socketAddress(addr)
 	fd, err = unix.Socket(family, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
@@ -74,7 +74,7 @@
 	return fd, nil
 }
 
-// onConnectDone takes the end of a dial, successful or not.
+// onConnectDone handles the end of a dial, successful or not.
 func (c *Conn) onConnectDone() {
 	if c.closed || c.open {
 		return
@@ -92,7 +92,7 @@
 	c.handler.Opened()
 }
 
-// socketFailed tells whether the kernel has an error for the socket, which it then forgets.
+// socketFailed reports whether the socket has a pending error. Reading the error clears it.
 func (c *Conn) socketFailed() bool {
 	failure, err := unix.GetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_ERROR)
 	return err != nil || failure != 0
--- a/internal/eventloop/dial_test.go
+++ b/internal/eventloop/dial_test.go
@@ -6,7 +6,7 @@
 	"testing"
 )
 
-// A dialled connection is notified as opened, is written to and is answered.
+// Opened is called for a dialled connection; then it can be written to, and Input is called for the response.
 func TestDial(t *testing.T) {
 	l := startLoop(t)
 	addr, _ := serve(t, l, echo)
@@ -23,14 +23,14 @@
 	l.Post(func() {
 		handler.conn.Write([]byte("hello"))
 		if handler.conn.Sent() != 5 {
-			t.Errorf("%d bytes left of 5", handler.conn.Sent())
+			t.Errorf("Sent: got %d bytes, want 5", handler.conn.Sent())
 		}
 	})
 	await(t, events, "input")
 }
 
-// A refused connection is notified as closed, and the dial does not wait for it.
-func TestRefused(t *testing.T) {
+// A refused connection is reported by Closed or by Dial's error, and Dial does not wait for it.
+func TestRefusedDialIsReported(t *testing.T) {
 	l := startLoop(t)
 	free, _ := net.Listen("tcp", "127.0.0.1:0")
 	addr := netip.MustParseAddrPort(free.Addr().String())
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -5,28 +5,27 @@
 //
 // A Loop is netpoll's Poll, run by the goroutine that calls Loop.Run. Each readiness of a socket, each expired
 // timer and each function given to Loop.Post is a callback on that goroutine, one after another. Two descriptors of
-// the loop's own bring in the rest: an eventfd wakes it for posted functions and for changes that must wait until
-// the present callback is over, a timerfd drives one heap of timers. Functions given to Loop.Later run after the
-// present callback, before the next one: whoever learns of a result must not be called back by the code that it is
-// calling.
+// the loop's own deliver the other events: an eventfd wakes it for posted functions and for changes that must wait
+// until the current callback has returned, and a timerfd drives one heap of timers. Functions given to Loop.Later run
+// after the current callback and before the next one, so that a function which produces a result does not call back
+// into its caller.
 //
 // # What may be called from where
 //
 // Loop.Post and Loop.Now may be called from any goroutine. LogTo is called before any loop is made, Loop.Guard
-// before Run. Everything else, all methods of Conn, Listener and Timer among them, and the methods of a Handler,
-// belongs to the goroutine of the loop, or to that which prepares the loop before Run. Held and Refused touch no
-// loop.
+// before Run. Everything else, including all methods of Conn, Listener and Timer and the methods of a Handler, is
+// called on the loop's goroutine, or before Run on the goroutine that prepares the loop. Held and Refused use no loop.
 //
 // # netpoll
 //
-// A Conn stands one level below netpoll's own Connection, which reads without a bound, and blocks to flush and to
-// dial (docs/sockets.md has the figures). Each socket has an FDOperator, the set of functions that the Poll calls:
-// Inputs and Outputs give the free and the held slices of the connection's two ring buffers, InputAck and OutputAck
-// tell how many bytes the kernel moved, OnHup tells of the end of the connection. netpoll calls OnHup by a
-// goroutine of its own, so it only posts.
+// A Conn uses the level below netpoll's own Connection, which reads without a bound and blocks in flush and dial
+// (docs/sockets.md has measurements). Each socket has an FDOperator, the set of functions that the Poll calls: Inputs
+// and Outputs return the free and the held slices of the connection's two ring buffers, InputAck and OutputAck receive
+// the number of bytes that the kernel moved, and OnHup reports the end of the connection. netpoll calls OnHup on a
+// goroutine of its own, so OnHup only posts.
 //
-// netpoll waits for an operator's callback to end before it lets go of the operator, and would wait for ever inside
-// one. So a change of what is watched (Conn.Pause, Conn.Resume) and the release of a closed socket happen in the
-// callback of the eventfd. A closed socket's descriptor and operator are freed a round later still, for events that
-// netpoll has at hand may still name them.
+// netpoll waits for an operator's callback to return before it detaches the operator, so detaching it within that
+// callback would block forever. Therefore changes of what is watched (Conn.Pause, Conn.Resume) and the release of
+// closed sockets happen in the callback of the eventfd. A closed socket's descriptor and operator are freed one round
+// later, because events that netpoll has already fetched may still refer to them.
 package eventloop
--- a/internal/eventloop/helpers_test.go
+++ b/internal/eventloop/helpers_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// recordingHandler sends the name of what happens to its connection to a channel, and calls input for Input.
+// recordingHandler sends the names of its connection's events to a channel, and calls input for Input.
 type recordingHandler struct {
 	conn   *Conn
 	events chan string
@@ -29,7 +29,7 @@
 	return l
 }
 
-// await waits for the next event and fails where it is another than want.
+// await waits for the next event and fails if it isn't want.
 func await(t *testing.T, from chan string, want string) {
 	t.Helper()
 	select {
@@ -38,7 +38,7 @@
 			t.Fatalf("got %s, want %s", got, want)
 		}
 	case <-time.After(5 * time.Second):
-		t.Fatalf("no %s", want)
+		t.Fatalf("got no event within 5 s, want %s", want)
 	}
 }
 
@@ -64,7 +64,7 @@
 	return addr, events
 }
 
-// echo writes back what has come, as far as it is taken.
+// echo writes the received bytes back, as far as Write accepts them.
 func echo(c *Conn) {
 	for _, part := range c.In.Held(nil) {
 		n := c.Write(part)
@@ -75,7 +75,7 @@
 	}
 }
 
-// connectTwo gives two clients' ends of connections, which the loop has accepted, and its own.
+// connectTwo makes two connections that the loop has accepted, and returns both ends of each.
 func connectTwo(t *testing.T, l *Loop, input func(*Conn)) (clients []*net.TCPConn, served []*Conn, events chan string) {
 	t.Helper()
 	accepted := make(chan *Conn, 2)
@@ -101,7 +101,7 @@
 	return clients, served, events
 }
 
-// runOnLoop calls on the loop and waits for the call to end.
+// runOnLoop runs a function on the loop and waits until it returns.
 func runOnLoop(l *Loop, call func()) {
 	done := make(chan bool)
 	l.Post(func() {
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -12,30 +12,33 @@
 )
 
 const (
-	// acceptRetryDelay is how long, in seconds, a listener without room accepts nothing: a few of the shortest requests.
+	// acceptRetryDelay is how long, in seconds, a listener without room stops accepting. It is the duration of a few of
+	// the shortest requests.
 	acceptRetryDelay = 0.02
 
-	// acceptRetryDelayClosing is the same, in seconds, where closed connections are released in a round or two.
+	// acceptRetryDelayClosing is used instead, in seconds, while closed connections wait for the release of their
+	// descriptors, which takes a round or two.
 	acceptRetryDelayClosing = 0.001
 
-	// backlogFile holds the longest queue of connections to accept that the kernel allows.
+	// backlogFile holds the kernel's limit of the accept queue's length.
 	backlogFile = "/proc/sys/net/core/somaxconn"
 )
 
-// Listener accepts connections. Its socket is made here: netpoll's own listener closes its descriptor twice, and in
-// between the number may be another's. The methods of a nil Listener do nothing, but for Descriptor, which needs one.
+// Listener accepts connections. It opens its socket itself: netpoll's own listener closes its descriptor twice, and by
+// the second time the number may have been reused for another file. The methods of a nil Listener do nothing, except
+// Descriptor, which needs a non-nil one.
 type Listener struct {
 	loop      *Loop
 	fd        int
 	op        *netpoll.FDOperator
 	hasRoom   func() bool
 	accepted  func(*Conn) Handler
-	suspended bool // it accepts nothing now
+	suspended bool // it does not accept connections at present
 	closed    bool
 }
 
-// Listen accepts at an address and port while room tells that there is some. For each connection accepted is called,
-// which gives its handler. Both are called on the loop.
+// Listen accepts connections at an address and port while room returns true. It calls accepted for each connection,
+// which returns the connection's handler. Both functions are called on the loop.
 func (l *Loop) Listen(addr string, room func() bool, accepted func(*Conn) Handler) (*Listener, error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -49,8 +52,8 @@
 	return s, s.Resume()
 }
 
-// Adopt accepts, once Resume is called, at a socket that another process listens at, too. The descriptor is the
-// listener's from here on, also after an error, which closes it.
+// Adopt returns a suspended listener for a socket that another process may also listen on; Resume starts accepting.
+// Adopt takes ownership of the descriptor and closes it if it returns an error.
 func (l *Loop) Adopt(fd int, room func() bool, accepted func(*Conn) Handler) (*Listener, error) {
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
@@ -61,7 +64,7 @@
 	return l.newListener(fd, room, accepted), nil
 }
 
-// newListener makes a listener that is suspended.
+// newListener returns a suspended listener.
 func (l *Loop) newListener(fd int, room func() bool, accepted func(*Conn) Handler) *Listener {
 	s := &Listener{loop: l, fd: fd, op: l.poll.Alloc(), hasRoom: room, accepted: accepted, suspended: true}
 	s.op.FD = fd
@@ -72,8 +75,8 @@
 	return s
 }
 
-// Held tells whether some process listens at an address, and if so, by a non-nil error, why it cannot be shared
-// with it. Any goroutine may call it.
+// Held reports whether a process already listens at an address. If so and the address cannot be shared with that
+// process, the error says why. Any goroutine may call it.
 func Held(addr string) (held bool, err error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
@@ -81,7 +84,7 @@
 	}
 	err = tryBind(address, unix.SO_REUSEADDR)
 	if err != unix.EADDRINUSE {
-		return false, nil // what else is wrong is told by listening
+		return false, nil // Listen reports any other error
 	}
 	return true, os.NewSyscallError("listen at "+addr, tryBind(address, unix.SO_REUSEPORT))
 }
@@ -106,7 +109,7 @@
 		return 0, err
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	// The next process joins at the address, where it cannot be handed this socket.
+	// The successor process can listen at the same address if this socket cannot be handed over to it.
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEPORT, 1)
 	err = unix.Bind(fd, socketAddr)
 	if err == nil {
@@ -119,7 +122,7 @@
 	return fd, nil
 }
 
-// longestBacklog is as long a queue of connections to accept as the kernel allows.
+// longestBacklog returns the longest accept queue that the kernel allows.
 func longestBacklog() int {
 	text, err := os.ReadFile(backlogFile)
 	if err != nil {
@@ -132,12 +135,12 @@
 	return allowed
 }
 
-// Descriptor gives a copy that another process may adopt; who has it closes it.
+// Descriptor returns a duplicate of the socket's descriptor, which another process may adopt. The caller closes it.
 func (s *Listener) Descriptor() (int, error) {
 	return unix.FcntlInt(uintptr(s.fd), unix.F_DUPFD_CLOEXEC, 0)
 }
 
-// Suspend accepts nothing more; what comes waits, for another process or for Resume.
+// Suspend stops accepting. New connections wait for another process that listens on the socket, or for Resume.
 func (s *Listener) Suspend() {
 	if s == nil || s.suspended || s.closed {
 		return
@@ -146,7 +149,7 @@
 	s.stopWatching()
 }
 
-// Resume accepts from now on. The error is netpoll's, where it cannot watch the socket.
+// Resume starts accepting again. It returns netpoll's error if netpoll cannot watch the socket.
 func (s *Listener) Resume() error {
 	if s == nil || !s.suspended || s.closed {
 		return nil
@@ -155,12 +158,12 @@
 	return s.watch()
 }
 
-// watch has acceptAll called whenever connections have come.
+// watch has acceptAll called whenever connections wait to be accepted.
 func (s *Listener) watch() error { return s.loop.poll.Control(s.op, netpoll.PollReadable) }
 
 func (s *Listener) stopWatching() { s.loop.poll.Control(s.op, netpoll.PollDetach) }
 
-// acceptAll accepts all connections that have come. Without room or descriptors it stops for a moment.
+// acceptAll accepts all waiting connections. Without room or descriptors it stops and retries later.
 func (s *Listener) acceptAll() {
 	for !s.closed && !s.suspended {
 		if s.loop.atDescriptorLimit() || !s.hasRoom() {
@@ -171,7 +174,7 @@
 		switch err {
 		case nil:
 			s.serve(fd)
-		case unix.EINTR, unix.ECONNABORTED: // this one alone
+		case unix.EINTR, unix.ECONNABORTED: // affects only this connection
 		case unix.EAGAIN:
 			return
 		default:
@@ -181,7 +184,7 @@
 	}
 }
 
-// serve begins a connection that has been accepted.
+// serve starts serving a connection that has been accepted.
 func (s *Listener) serve(fd int) {
 	c := s.loop.newConn(fd)
 	c.setOpen()
@@ -192,7 +195,7 @@
 	}
 }
 
-// retryLater stops watching for connections, for a moment.
+// retryLater stops watching for connections and starts again after a short delay.
 func (s *Listener) retryLater() {
 	s.stopWatching()
 	delay := acceptRetryDelay
@@ -206,8 +209,8 @@
 	})
 }
 
-// Close accepts what has come so far and no more; where it is suspended, what has come waits for who else listens.
-// Closing twice does nothing.
+// Close accepts the connections that are waiting and then closes the listener. If it is suspended, waiting connections
+// are left for other processes that listen on the socket. Closing twice does nothing.
 func (s *Listener) Close() {
 	if s == nil || s.closed {
 		return
--- a/internal/eventloop/listener_test.go
+++ b/internal/eventloop/listener_test.go
@@ -5,7 +5,8 @@
 	"testing"
 )
 
-// A listener closes its descriptor once: a second time it would close what another goroutine has opened meanwhile.
+// A listener closes its descriptor only once: a second close would close a file that another goroutine has opened
+// under the same number meanwhile.
 func TestListenerClosesItsDescriptorOnce(t *testing.T) {
 	l, err := New()
 	if err != nil {
@@ -14,7 +15,7 @@
 	go l.Run()
 	defer l.Post(l.Stop)
 	stop, broken := make(chan bool), make(chan error, 1)
-	go func() { // it opens files all the time, and finds whether one is closed under it
+	go func() { // opens files continuously, and detects whether one of them is closed by the listener
 		for {
 			select {
 			case <-stop:
@@ -52,6 +53,6 @@
 	}
 	close(stop)
 	if err := <-broken; err != nil {
-		t.Errorf("another's file was closed: %v", err)
+		t.Errorf("a file of another goroutine was closed: %v", err)
 	}
 }
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -14,13 +14,13 @@
 
 const nanosecondsPerSecond = 1e9
 
-// openPoll makes a poll of netpoll's that this package runs itself. The library keeps its polls to its own
-// Connection, which reads without a bound, blocks to flush and to dial (docs/sockets.md).
+// openPoll opens one of netpoll's polls, which this package runs itself. The library exposes its polls only through
+// its own Connection, which reads without a bound and blocks in flush and dial (docs/sockets.md).
 //
 //go:linkname openPoll github.com/cloudwego/netpoll.openPoll
 func openPoll() (netpoll.Poll, error)
 
-// Loop runs callbacks. All its methods but Post and Now belong to its goroutine.
+// Loop runs callbacks. All its methods except Post and Now are called on its goroutine.
 type Loop struct {
 	poll      netpoll.Poll
 	wakeFD    int       // an eventfd
@@ -32,10 +32,10 @@
 	postedLock sync.Mutex
 	posted     []func() // by any goroutine, guarded by postedLock
 
-	deferred []func() // to be called after the present callback
+	deferred []func() // to be called after the current callback
 
 	timers      timerQueue
-	readChanges []*Conn // connections that stop reading or read on, with the next wake
+	readChanges []*Conn // connections that pause or resume reading at the next wake
 	descriptors descriptorCount
 	closing     closingConns
 }
@@ -45,7 +45,7 @@
 	return netpoll.Configure(netpoll.Config{LoggerOutput: w, LoadBalance: netpoll.RoundRobin})
 }
 
-// New makes a loop; Run runs it.
+// New returns a loop; Run runs it.
 func New() (*Loop, error) {
 	l := &Loop{startedAt: time.Now()}
 	l.startUnix = float64(l.startedAt.UnixNano()) / nanosecondsPerSecond
@@ -69,7 +69,7 @@
 	return l, l.register(l.timers.alarmFD, l.onAlarm)
 }
 
-// register has readable called on the loop whenever fd can be read.
+// register has the function readable called on the loop whenever fd is readable.
 func (l *Loop) register(fd int, readable func()) error {
 	op := l.poll.Alloc()
 	op.FD = fd
@@ -80,27 +80,27 @@
 	return l.poll.Control(op, netpoll.PollReadable)
 }
 
-// Run serves until Stop. The goroutine that calls it is the loop's.
+// Run runs the loop until Stop. The goroutine that calls it is the loop's goroutine.
 func (l *Loop) Run() error {
 	l.setAlarm()
 	return l.poll.Wait()
 }
 
-// Stop ends Run after the present callback.
+// Stop ends Run after the current callback.
 func (l *Loop) Stop() {
 	l.stopped = true
 	l.poll.Close()
 }
 
-// Now is the time in Unix seconds: the wall clock's at the start, from there on by the monotonic clock. Any goroutine
-// may call it.
+// Now returns the time in Unix seconds: the wall clock's time at the start of the loop, advanced by the monotonic
+// clock. Any goroutine may call it.
 func (l *Loop) Now() float64 { return l.startUnix + time.Since(l.startedAt).Seconds() }
 
-// Guard has fault called with what a callback panicked with and its stack, instead of ending the process and with it
-// the work of all other callbacks. It is called before Run.
+// Guard has the function fault called with the value and the stack of a callback's panic. Otherwise a panic would end
+// the process and with it the work of all other callbacks. Guard is called before Run.
 func (l *Loop) Guard(fault func(what any, stack []byte)) { l.onPanic = fault }
 
-// call runs one function under the guard.
+// call runs one function and recovers its panic if Guard has set a function for that.
 func (l *Loop) call(f func()) {
 	if l.onPanic != nil {
 		defer func() {
@@ -113,7 +113,7 @@
 	f()
 }
 
-// dispatch runs a callback and then what it, and what follows from it, has deferred.
+// dispatch runs a callback and then the functions that it has deferred, including those that they defer themselves.
 func (l *Loop) dispatch(callback func()) {
 	if l.stopped {
 		return
@@ -129,7 +129,7 @@
 	l.setAlarm()
 }
 
-// Later calls f after the present callback: what a call learns must not call back into its caller.
+// Later calls f after the current callback, so that a function does not call back into its caller.
 func (l *Loop) Later(f func()) { l.deferred = append(l.deferred, f) }
 
 // Post calls f on the loop. Any goroutine may call it.
@@ -140,14 +140,14 @@
 	l.wake()
 }
 
-// wake has onWake called on the loop, once for any number of wakes before it.
+// wake has onWake called on the loop, once for any number of wakes that precede the call.
 func (l *Loop) wake() {
 	var increment [8]byte
 	binary.NativeEndian.PutUint64(increment[:], 1)
-	unix.Write(l.wakeFD, increment[:]) // fails only where it is set already
+	unix.Write(l.wakeFD, increment[:]) // fails only if a wake is already pending
 }
 
-// onWake applies what had to wait for the end of a callback, then calls what was posted.
+// onWake applies the changes that had to wait for the end of a callback, then calls the posted functions.
 func (l *Loop) onWake() {
 	var count [8]byte
 	unix.Read(l.wakeFD, count[:])
@@ -162,11 +162,11 @@
 	}
 }
 
-// applyReadChanges brings netpoll in line with pauses and their ends. It runs in no callback of the connections'
-// operators: netpoll would wait for that to end.
+// applyReadChanges applies paused and resumed reading to netpoll. It does not run within a callback of the
+// connections' operators: netpoll would wait for that callback to return.
 func (l *Loop) applyReadChanges() {
 	changed := l.readChanges
-	l.readChanges = nil // a handler may change others, or the same again
+	l.readChanges = nil // a handler may pause or resume connections meanwhile, the same ones included
 	for _, c := range changed {
 		c.applyReadChange()
 	}
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -2,8 +2,8 @@
 
 import "testing"
 
-// A callback that panics (posted, of a timer or deferred) keeps none of the others from being called.
-func TestAGuardedLoopGoesOn(t *testing.T) {
+// After a callback has panicked (a posted function, a timer's or a deferred one), all other callbacks are still called.
+func TestGuardedLoopContinuesAfterPanic(t *testing.T) {
 	l, err := New()
 	if err != nil {
 		t.Fatal(err)
@@ -28,6 +28,6 @@
 		got[(<-faults).(string)]++
 	}
 	if got["timer"] != 2 || got["later"] != 2 || got["posted"] != 2 {
-		t.Errorf("got %v", got)
+		t.Errorf("got the events and panics %v, want 2 each of timer, later and posted", got)
 	}
 }
--- a/internal/eventloop/peek.go
+++ b/internal/eventloop/peek.go
@@ -2,8 +2,8 @@
 
 import "golang.org/x/sys/unix"
 
-// peek looks at the next unread byte of the socket without taking it: n is 1 where there is one, 0 at the other
-// side's end; err is EAGAIN where there is neither.
+// peek looks for the next unread byte of the socket without consuming it: n is 1 if there is one and 0 at the peer's
+// end; err is EAGAIN if there is neither.
 func (c *Conn) peek() (n int, err error) {
 	var next [1]byte
 	n, _, err = unix.Recvfrom(c.fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
@@ -13,23 +13,23 @@
 	return n, err
 }
 
-// temporary tells whether an error of a system call says nothing of the connection: there is nothing now, or a signal
-// interrupted the call.
+// temporary reports whether a system call's error is no failure of the connection: no data is available at present, or
+// a signal interrupted the call.
 func temporary(err error) bool { return err == unix.EAGAIN || err == unix.EINTR }
 
-// Quiet tells that neither In nor the socket holds anything unread and that the socket has not ended.
+// Quiet reports whether neither In nor the socket holds unread bytes and the peer has not ended the connection.
 func (c *Conn) Quiet() bool {
 	_, err := c.peek()
 	return c.In.Len() == 0 && err == unix.EAGAIN
 }
 
-// Unread tells whether the socket holds bytes that have not been read.
+// Unread reports whether the socket holds bytes that have not been read.
 func (c *Conn) Unread() bool {
 	n, err := c.peek()
 	return err == nil && n > 0
 }
 
-// Ended tells whether the other side has ended the connection and the socket holds nothing before that.
+// Ended reports whether the peer has ended the connection and the socket holds no unread bytes before that end.
 func (c *Conn) Ended() bool {
 	n, err := c.peek()
 	if err != nil {
@@ -38,9 +38,9 @@
 	return n == 0
 }
 
-// Gone tells whether the other side has ended the connection, also where the socket holds unread bytes before that:
-// those may be more than is read at once, or nothing is read just now. An end that the kernel has not taken yet,
-// for the bytes before it fill all that it holds unread, is not known here.
+// Gone reports whether the peer has ended the connection, even if the socket holds unread bytes before that end:
+// there may be more of them than one read returns, or reading may be paused. It does not detect an end that the kernel
+// has not received yet because the bytes before it fill the receive buffer.
 func (c *Conn) Gone() bool {
 	n, err := c.peek()
 	if err != nil {
@@ -54,10 +54,10 @@
 	return err == nil && ready > 0
 }
 
-// ByReset tells of a connection that has ended whether that was a reset: then what came before it is incomplete.
+// ByReset reports whether a connection that has ended was reset. In that case the bytes received are incomplete.
 func (c *Conn) ByReset() bool {
 	if c.socketFailed() {
-		c.resetSeen = true // where nothing has been read since, so that it was not told yet
+		c.resetSeen = true // no read has reported the error so far
 	}
 	return c.resetSeen
 }
--- a/internal/eventloop/peek_test.go
+++ b/internal/eventloop/peek_test.go
@@ -6,7 +6,7 @@
 	"time"
 )
 
-// Gone sees the other side's end also behind unread bytes and on a paused connection; unread bytes alone are no end.
+// Gone detects the peer's end behind unread bytes, too, and on a paused connection. Unread bytes alone are no end.
 func TestGone(t *testing.T) {
 	l := startLoop(t)
 	for name, test := range map[string]struct {
@@ -27,7 +27,7 @@
 	} {
 		for _, paused := range []bool{false, true} {
 			clients, served, _ := connectTwo(t, l, func(*Conn) {})
-			runOnLoop(l, func() { // the loop waits here, and hears of nothing
+			runOnLoop(l, func() { // blocks the loop, so that it receives no events meanwhile
 				if paused {
 					served[0].Pause()
 				}
@@ -36,17 +36,17 @@
 					time.Sleep(time.Millisecond)
 				}
 				if served[0].Gone() != test.gone {
-					t.Errorf("%s, paused %v: Gone is %v", name, paused, !test.gone)
+					t.Errorf("%s, paused %v: Gone: got %v, want %v", name, paused, !test.gone, test.gone)
 				}
 			})
 		}
 	}
 }
 
-// netpoll tells of an end by a goroutine, which waits for the loop where that has the only processor: with a busy loop
-// an end came long after what followed it on other connections. So the loop takes an end in the round in which it is
-// there to be read.
-func TestAnEndIsTakenInItsRound(t *testing.T) {
+// netpoll reports a peer's end on another goroutine, which does not run while a busy loop occupies the only processor:
+// the end was handled long after later events of other connections. So the loop handles an end in the same round in
+// which it becomes readable.
+func TestPeerEndIsHandledInTheRoundItBecomesReadable(t *testing.T) {
 	for name, end := range map[string]func(conn *net.TCPConn){
 		"an end":  func(conn *net.TCPConn) { conn.CloseWrite() },
 		"a reset": func(conn *net.TCPConn) { conn.SetLinger(0); conn.Close() },
@@ -70,7 +70,7 @@
 			}
 		})
 		if n := <-eventsBefore; n != 1 {
-			t.Errorf("%s was notified %d times before what came after it", name, n)
+			t.Errorf("%s: got %d events before the next connection's input, want 1", name, n)
 		}
 		await(t, received, "closed")
 	}
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -5,7 +5,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// readBuffers gives netpoll the memory to read into; none: it does not read.
+// readBuffers returns the memory that netpoll reads into; without any, netpoll does not read.
 func (c *Conn) readBuffers(slices [][]byte) [][]byte {
 	if c.closed || c.paused || c.peerEnded {
 		return nil
@@ -13,8 +13,8 @@
 	return c.In.Free(slices[:0])
 }
 
-// onRead takes from netpoll how many bytes came; 0 at the other side's end and where there was nothing, below 0 at a
-// failure.
+// onRead receives from netpoll the number of bytes read: 0 at the peer's end and if there was nothing to read, below 0
+// after a failure.
 func (c *Conn) onRead(n int) error {
 	if n <= 0 {
 		c.onNothingRead(n)
@@ -29,8 +29,8 @@
 	return nil
 }
 
-// onNothingRead takes an end in the round in which it is there to be read: OnHup comes by a goroutine, which waits
-// for the loop's where that has the only processor.
+// onNothingRead handles the peer's end in the same round in which it becomes readable. netpoll calls OnHup on another
+// goroutine, which does not run while the loop's goroutine occupies the only processor.
 func (c *Conn) onNothingRead(n int) {
 	if n < 0 {
 		c.resetSeen = true
@@ -40,7 +40,7 @@
 	}
 }
 
-// deliverInput hands on what has come, and stops reading where there is no room for more.
+// deliverInput notifies the handler of the bytes in In, and pauses reading if In is full afterwards.
 func (c *Conn) deliverInput() {
 	if !c.closed {
 		c.handler.Input()
@@ -50,10 +50,10 @@
 	}
 }
 
-// Pause stops reading, once the present callback is over.
+// Pause stops reading after the current callback.
 func (c *Conn) Pause() { c.setPaused(true) }
 
-// Resume reads on, once the present callback is over.
+// Resume continues reading after the current callback.
 func (c *Conn) Resume() { c.setPaused(false) }
 
 func (c *Conn) setPaused(paused bool) {
@@ -64,8 +64,8 @@
 	c.changeReadingLater()
 }
 
-// Hold tells that the handler leaves bytes in In until it has room for them (on), or does so no more: an end behind
-// them waits so long.
+// Hold sets whether the handler deliberately leaves bytes in In until it has room for them. While it does, the peer's
+// end that follows those bytes is not handled.
 func (c *Conn) Hold(on bool) {
 	c.inputHeld = on
 	if !on && c.peerEnded {
@@ -79,13 +79,13 @@
 	c.loop.wake()
 }
 
-// applyReadChange brings netpoll in line with a pause or its end. netpoll has no mode without reading, so a paused
-// socket is watched for its end alone and for room to write, edge by edge.
+// applyReadChange applies paused or resumed reading to netpoll. netpoll has no mode without reading, so a paused
+// socket is watched, edge-triggered, only for the peer's end and for writability.
 func (c *Conn) applyReadChange() {
 	if c.closed {
 		return
 	}
-	if c.peerEnded { // it may be notified of a failed write, with netpoll still watching
+	if c.peerEnded { // netpoll may still watch the socket if the end was noticed by a failed write
 		c.op.Control(netpoll.PollDetach)
 		c.loop.call(c.drainInput)
 		return
@@ -100,8 +100,8 @@
 	c.updateWriteInterest()
 }
 
-// drainInput reads what came before the other side's end, a buffer at a time, so that the handler can make room in
-// between; then it closes the connection.
+// drainInput reads the bytes before the peer's end, one buffer at a time so that the handler can make room in between,
+// and then closes the connection.
 func (c *Conn) drainInput() {
 	if c.closed || c.paused || c.inputHeld || c.In.Room() == 0 {
 		return
--- a/internal/eventloop/read_test.go
+++ b/internal/eventloop/read_test.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// A full buffer must stop the reading, hold the sender up and lose nothing; resumed, the rest comes.
-func TestFullMeansStopReading(t *testing.T) {
+// A full buffer must stop reading, so that the sender is blocked and no byte is lost. After Resume the rest arrives.
+func TestFullBufferStopsReading(t *testing.T) {
 	l := startLoop(t)
 	filled := make(chan *Conn, 1)
 	held := true
@@ -34,7 +34,7 @@
 	time.Sleep(50 * time.Millisecond)
 	l.Post(func() {
 		if c.In.Len() != bufferBound {
-			t.Errorf("%d bytes are held, the bound is %d", c.In.Len(), bufferBound)
+			t.Errorf("the buffer holds %d bytes, want %d", c.In.Len(), bufferBound)
 		}
 		held = false
 		c.Resume()
@@ -43,7 +43,7 @@
 	await(t, events, "closed")
 	l.Post(func() {
 		if total != size {
-			t.Errorf("%d bytes came of %d", total, size)
+			t.Errorf("received %d bytes, want %d", total, size)
 		}
 		events <- "counted"
 	})
--- a/internal/eventloop/release_test.go
+++ b/internal/eventloop/release_test.go
@@ -9,8 +9,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// At the bound nothing is dialled or accepted, also while what was closed is not released; once it is, both go on.
-func TestNoMoreDescriptorsThanTheBound(t *testing.T) {
+// At the limit of descriptors nothing is dialled or accepted. A closed connection counts until its descriptor is
+// released; after that, dialling and accepting work again.
+func TestDescriptorLimit(t *testing.T) {
 	l := startLoop(t)
 	addr, _ := serve(t, l, echo)
 	other, err := net.Listen("tcp", "127.0.0.1:0")
@@ -43,19 +44,19 @@
 	}
 	defer conn.Close()
 	conn.Write([]byte("x"))
-	for range 5 { // the listener sees it meanwhile, and stops for a moment
+	for range 5 { // the listener sees the waiting connection meanwhile and pauses accepting
 		if err := dial(func() { time.Sleep(5 * time.Millisecond) }); err != unix.EMFILE || l.descriptors.open != 1 {
-			t.Errorf("at the bound a dial gets %v, and %d are held", err, l.descriptors.open)
+			t.Errorf("at the limit: got dial error %v and %d descriptors, want EMFILE and 1", err, l.descriptors.open)
 		}
 	}
 	if err := dial(func() { dialled.Close() }); err != unix.EMFILE {
-		t.Errorf("in the round of a close a dial gets %v", err)
+		t.Errorf("in the round of a close: got dial error %v, want EMFILE", err)
 	}
 	conn.SetDeadline(time.Now().Add(5 * time.Second))
-	if _, err := conn.Read(make([]byte, 1)); err != nil { // it has the place now
-		t.Errorf("with room again it is not accepted: %v", err)
+	if _, err := conn.Read(make([]byte, 1)); err != nil { // the waiting connection is accepted now
+		t.Errorf("below the limit the connection is not accepted: %v", err)
 	}
 	if err := dial(func() { l.Limit(2) }); err != nil {
-		t.Errorf("with room again a dial gets %v", err)
+		t.Errorf("below the limit: got dial error %v, want none", err)
 	}
 }
--- a/internal/eventloop/timer.go
+++ b/internal/eventloop/timer.go
@@ -7,12 +7,12 @@
 )
 
 const (
-	notQueued = -1 // Timer.index of one that is not set
+	notQueued = -1 // Timer.index of a timer that is not set
 
 	minAlarmDelay = 1e-6 // seconds: a timerfd set to 0 is disarmed
 )
 
-// Timer calls back once, on the loop, at a time that can be moved.
+// Timer calls a function once, on the loop, at a time that can be changed until then.
 type Timer struct {
 	loop     *Loop
 	callback func()
@@ -20,17 +20,17 @@
 	index    int     // in the loop's heap, or notQueued
 }
 
-// timerQueue holds a loop's timers and the one alarm that stands for them.
+// timerQueue holds a loop's timers and the timerfd alarm that they share.
 type timerQueue struct {
 	alarmFD int       // a timerfd
 	heap    timerHeap // the first to expire first
 	alarmAt float64   // when the alarm goes off, in the seconds of Loop.Now; 0: not set
 }
 
-// Timer makes one that is not set.
+// Timer returns a timer that is not set.
 func (l *Loop) Timer(f func()) *Timer { return &Timer{loop: l, callback: f, index: notQueued} }
 
-// After calls f after delay seconds; it cannot be taken back.
+// After calls f after delay seconds; this cannot be cancelled.
 func (l *Loop) After(delay float64, f func()) { l.Timer(f).Set(l.Now() + delay) }
 
 // Set sets the timer, or moves it, to a time in the seconds of Loop.Now. It is called on the loop, or before the loop
@@ -44,14 +44,14 @@
 	}
 }
 
-// Stop takes it back. It does nothing where the timer is not set.
+// Stop cancels the timer. It does nothing if the timer is not set.
 func (t *Timer) Stop() {
 	if t.index != notQueued {
 		heap.Remove(&t.loop.timers.heap, t.index)
 	}
 }
 
-// onAlarm calls back the timers that have expired.
+// onAlarm calls the functions of the timers that have expired.
 func (l *Loop) onAlarm() {
 	var count [8]byte
 	unix.Read(l.timers.alarmFD, count[:])
@@ -63,8 +63,9 @@
 	}
 }
 
-// setAlarm sets the one alarm to the first timer. One set earlier stays and goes off for nothing: most timers are
-// taken back long before their time, and setting it for each of them would cost more.
+// setAlarm sets the alarm to the first timer's time. An alarm that is set to an earlier time stays, even if it then
+// finds no expired timer: most timers are cancelled long before they expire, and resetting the alarm for each of them
+// would cost more.
 func (l *Loop) setAlarm() {
 	if len(l.timers.heap) == 0 {
 		return
@@ -79,7 +80,7 @@
 	unix.TimerfdSettime(l.timers.alarmFD, 0, &unix.ItimerSpec{Value: unix.NsecToTimespec(nanoseconds)}, nil)
 }
 
-// timerHeap is a heap by time of expiry, of timers that know their place in it.
+// timerHeap is a heap of timers, ordered by time of expiry. Each timer holds its index in the heap.
 type timerHeap []*Timer
 
 func (h timerHeap) Len() int           { return len(h) }
@@ -91,14 +92,14 @@
 	h[j].index = j
 }
 
-// Push is called by container/heap alone.
+// Push is called by container/heap only.
 func (h *timerHeap) Push(x any) {
 	timer := x.(*Timer)
 	timer.index = len(*h)
 	*h = append(*h, timer)
 }
 
-// Pop is called by container/heap alone.
+// Pop is called by container/heap only.
 func (h *timerHeap) Pop() any {
 	last := len(*h) - 1
 	timer := (*h)[last]
--- a/internal/eventloop/timer_test.go
+++ b/internal/eventloop/timer_test.go
@@ -5,6 +5,7 @@
 	"testing"
 )
 
+// Timers expire in the order of their times, not before them; a moved timer expires at its new time, a stopped one not.
 func TestTimers(t *testing.T) {
 	l := startLoop(t)
 	var order []int
@@ -14,7 +15,7 @@
 		l.After(0.03, func() {
 			order = append(order, 3)
 			if took := l.Now() - start; took < 0.03 || took > 1 {
-				t.Errorf("30 ms took %f", took)
+				t.Errorf("a timer of 0.03 s expired after %f s, want 0.03 s to 1 s", took)
 			}
 			done <- "ended"
 		})
@@ -28,6 +29,6 @@
 	})
 	await(t, done, "ended")
 	if !slices.Equal(order, []int{1, 2, 3}) {
-		t.Errorf("the timers went off as %v", order)
+		t.Errorf("the timers expired in the order %v, want [1 2 3]", order)
 	}
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -5,7 +5,7 @@
 	"golang.org/x/sys/unix"
 )
 
-// writeBuffers gives netpoll what waits to be written. The second result is always false: no zero copy.
+// writeBuffers returns the bytes that netpoll is to write. The second result is always false: no zero copy.
 func (c *Conn) writeBuffers(slices [][]byte) ([][]byte, bool) {
 	if c.closed {
 		return nil, false
@@ -13,13 +13,13 @@
 	return c.out.Held(slices[:0]), false
 }
 
-// onWritten takes from netpoll how many bytes the kernel has taken.
+// onWritten receives from netpoll how many bytes the kernel has accepted.
 func (c *Conn) onWritten(n int) error {
 	c.loop.dispatch(func() { c.dropWritten(n) })
 	return nil
 }
 
-// dropWritten lets go of n bytes that the kernel has taken, and notifies the handler.
+// dropWritten drops n bytes that the kernel has accepted from the buffer, and notifies the handler.
 func (c *Conn) dropWritten(n int) {
 	if c.closed || c.finishTimer != nil || n <= 0 {
 		return
@@ -32,7 +32,7 @@
 	}
 }
 
-// updateWriteInterest has netpoll watch for the socket to take more while there is more, and then no longer.
+// updateWriteInterest has netpoll watch whether the socket is writable while, and only while, bytes wait to be written.
 func (c *Conn) updateWriteInterest() {
 	more := c.out.Len() > 0
 	if more == c.awaitsWritable {
@@ -49,9 +49,9 @@
 	c.loop.poll.Control(c.op, event)
 }
 
-// Write takes as much of p as the kernel and the buffer hold, and returns how many bytes that was; if not all,
-// Flushed follows. A failure is notified by Closed, not before the present callback is over. Where nothing waits
-// before it, p goes to the kernel as it is, and only what that does not take is copied.
+// Write accepts as much of p as the kernel and the buffer have room for, and returns that number of bytes; if it is
+// less than len(p), Flushed follows. A failure is reported by Closed after the current callback. If the buffer is
+// empty, p is written to the kernel directly, and only the rest that the kernel does not accept is copied.
 func (c *Conn) Write(p []byte) (taken int) {
 	if len(p) > 0 && c.out.Len() == 0 && c.open && !c.closed && !c.writeFailed {
 		taken = c.writeToKernel(p)
@@ -64,7 +64,7 @@
 	return taken
 }
 
-// writeToKernel hands bytes to the kernel and returns how many it took.
+// writeToKernel writes bytes to the socket and returns how many the kernel accepted.
 func (c *Conn) writeToKernel(p []byte) int {
 	n, err := unix.Write(c.fd, p)
 	if n > 0 {
@@ -73,20 +73,20 @@
 	}
 	if err != unix.EAGAIN && err != unix.EINTR {
 		c.writeFailed = true
-		c.resetSeen = true // the kernel may tell of it here alone
+		c.resetSeen = true // the kernel may report it only here
 		c.loop.Later(c.onPeerEnd)
 	}
 	return 0
 }
 
-// Sent counts the bytes that the kernel has taken.
+// Sent returns how many bytes the kernel has accepted.
 func (c *Conn) Sent() uint64 { return c.sent }
 
-// Unsent is how many bytes wait to be taken by the kernel.
+// Unsent returns how many bytes wait for the kernel to accept them.
 func (c *Conn) Unsent() int { return c.out.Len() }
 
-// Untaken is how many bytes the other side has still to take: those that wait here, and as far as the kernel tells
-// those that it holds.
+// Untaken returns how many bytes the peer has not acknowledged: those that wait in the buffer and, if the kernel
+// reports it, those in the kernel's send queue.
 func (c *Conn) Untaken() int {
 	queued, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if c.closed || err != nil {
@@ -95,14 +95,14 @@
 	return c.out.Len() + queued
 }
 
-// TakeBack drops what the kernel has not taken.
+// TakeBack drops the bytes that the kernel has not accepted.
 func (c *Conn) TakeBack() {
 	c.out.Drop(c.out.Len())
 	c.updateWriteInterest()
 }
 
-// Deepen lets the kernel hold so many bytes that the other side has not read, as far as it allows: it goes on sending
-// them when this process has ended.
+// Deepen sets the size of the kernel's send buffer, up to the kernel's limit. The kernel goes on sending the bytes in
+// that buffer after this process has ended.
 func (c *Conn) Deepen(bytes int) {
 	if !c.closed {
 		unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bytes)
--- a/internal/eventloop/write_test.go
+++ b/internal/eventloop/write_test.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// What waits for a slow reader is written as it reads, also while its connection is paused.
+// Bytes that wait for a slow reader are written as it reads, even while reading from its connection is paused.
 func TestSlowReaderWhilePaused(t *testing.T) {
 	l := startLoop(t)
 	const size = 8 << 20
@@ -34,6 +34,6 @@
 	conn.Write([]byte("x"))
 	conn.SetReadDeadline(time.Now().Add(10 * time.Second))
 	if n, err := io.CopyN(io.Discard, conn, size); err != nil {
-		t.Errorf("%d bytes of %d, %v", n, size, err)
+		t.Errorf("read %d bytes, want %d: %v", n, size, err)
 	}
 }
--- a/internal/ringbuffer/buffer.go
+++ b/internal/ringbuffer/buffer.go
@@ -1,29 +1,31 @@
 package ringbuffer
 
 const (
-	// initialBytes is the size of the first allocation: a command without a value, or several answers without one.
+	// initialBytes is the size of the first allocation. It fits a command without a value, or several replies without
+	// one.
 	initialBytes = 512
 
-	// sparseReadDivisor tells a small read: one of less than the allocation divided by it ends the offer of larger reads.
+	// sparseReadDivisor defines a small read: one of fewer bytes than the allocation divided by it. After a small read,
+	// larger reads are not offered any more.
 	sparseReadDivisor = 4
 )
 
-// Buffer holds bytes in their order. It starts without memory and doubles up to its bound as it fills.
+// Buffer is a queue of bytes. It starts without memory and doubles its memory, up to its bound, as it fills.
 type Buffer struct {
 	memory   []byte
 	start    int // offset in memory of the first byte held
 	length   int // bytes held
-	bound    int // bytes, most that memory grows to
-	nextRead int // bytes, least that the next read is offered; 0: no such wish
+	bound    int // bytes, maximum size of memory
+	nextRead int // bytes, minimum that the next read is offered; 0: no minimum
 }
 
-// New makes a buffer of at most bound bytes.
+// New returns a buffer of at most bound bytes.
 func New(bound int) *Buffer { return &Buffer{bound: bound} }
 
-// Len is how many bytes it holds.
+// Len returns how many bytes the buffer holds.
 func (b *Buffer) Len() int { return b.length }
 
-// Room is how many more bytes it would take.
+// Room returns how many more bytes the buffer accepts.
 func (b *Buffer) Room() int { return b.bound - b.length }
 
 // segment appends to slices the n bytes that begin offset bytes after the first one held: one slice, or two where
@@ -41,20 +43,21 @@
 	return append(slices, b.memory[from:], b.memory[:wrapped])
 }
 
-// Held appends to slices the bytes that it holds, in order, and returns the result. They are valid until the buffer
-// is next changed.
+// Held appends to slices the bytes that the buffer holds, in order, and returns the result. They are valid until the
+// next change of the buffer.
 func (b *Buffer) Held(slices [][]byte) [][]byte { return b.segment(slices, 0, b.length) }
 
-// Free appends to slices the memory that may be filled, in order, and returns the result; full memory grows first, as
-// far as the bound allows. Fill then tells how many bytes were laid there.
+// Free appends to slices the memory that may be filled, in order, and returns the result. Memory that is full, or
+// smaller than the next read is offered, grows first, as far as the bound allows. Fill then adds the bytes that were
+// put there.
 func (b *Buffer) Free(slices [][]byte) [][]byte {
 	b.reserve(max(1, b.nextRead-b.length))
 	return b.segment(slices, b.length, len(b.memory)-b.length)
 }
 
-// Fill takes n bytes that were laid into Free's slices. Where they fill the memory more is to come: the next read
-// is offered twice as much, also if these are dropped at once. Otherwise a megabyte would be read initialBytes at a
-// time.
+// Fill adds n bytes that were put into Free's slices. If they fill the memory, more bytes are expected: the next read
+// is offered twice as much memory, even if these bytes are dropped before it. Otherwise a megabyte would be read
+// initialBytes at a time.
 func (b *Buffer) Fill(n int) {
 	b.length += n
 	switch {
@@ -65,8 +68,8 @@
 	}
 }
 
-// Drop lets go of the first n bytes; n is at most Len. An empty buffer that had grown gives its memory back, unless
-// the last read filled it.
+// Drop discards the first n bytes; n is at most Len. A buffer that is empty then and had grown releases its memory,
+// unless the next read is to be offered that much (see Fill).
 func (b *Buffer) Drop(n int) {
 	if n == 0 {
 		return
@@ -82,7 +85,7 @@
 	}
 }
 
-// Write copies as much of p as there is room for, and returns how many bytes that was.
+// Write appends as much of p as there is room for, and returns that number of bytes.
 func (b *Buffer) Write(p []byte) int {
 	p = p[:min(len(p), b.Room())]
 	if len(p) == 0 {
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -5,7 +5,7 @@
 	"testing"
 )
 
-// A bounded buffer must give back what it was given, in order, however it wraps and grows.
+// A bounded buffer must return the bytes that were put in, in order, however it wraps and grows.
 func TestBytesKeepTheirOrder(t *testing.T) {
 	b := New(2000)
 	var given, got []byte
@@ -32,14 +32,15 @@
 		got = append(got, part...)
 	}
 	if !bytes.Equal(given, got) {
-		t.Error("the bytes came out changed")
+		t.Error("the bytes read differ from the bytes written")
 	}
 }
 
+// A buffer accepts no more than its bound, and an empty one that had grown releases its memory.
 func TestBound(t *testing.T) {
 	b := New(1000)
 	if n := b.Write(make([]byte, 3000)); n != 1000 || b.Room() != 0 || len(b.Free(nil)) != 0 {
-		t.Errorf("took %d, room for %d, %d free slices", n, b.Room(), len(b.Free(nil)))
+		t.Errorf("got %d bytes written, room for %d, %d free slices, want 1000, 0, 0", n, b.Room(), len(b.Free(nil)))
 	}
 	b.Drop(1000)
 	if b.Len() != 0 || b.memory != nil {
@@ -47,8 +48,8 @@
 	}
 }
 
-// A buffer that each read fills offers more to the next, though it is emptied at once, up to its bound; once less comes
-// it gives the memory back.
+// A buffer that each read fills offers more memory to the next read, up to its bound, even though it is emptied in
+// between. After a small read it releases the memory.
 func TestFilledBufferOffersMore(t *testing.T) {
 	b := New(5000)
 	read := func(most int) (n int) {
@@ -62,14 +63,14 @@
 	}
 	for _, want := range []int{512, 1024, 2048, 4096, 5000, 5000} {
 		if n := read(1 << 20); n != want {
-			t.Errorf("it is offered %d bytes, want %d", n, want)
+			t.Errorf("the read is offered %d bytes, want %d", n, want)
 		}
 	}
 	read(100)
 	if b.memory != nil {
-		t.Errorf("with little to read it holds %d bytes", len(b.memory))
+		t.Errorf("after a small read the buffer keeps %d bytes of memory, want none", len(b.memory))
 	}
 	if n := read(1 << 20); n != initialBytes {
-		t.Errorf("after that it is offered %d bytes", n)
+		t.Errorf("the read after the small one is offered %d bytes, want %d", n, initialBytes)
 	}
 }
