--- a/internal/eventloop/peek.go
+++ b/internal/eventloop/peek.go
@@ -38,10 +38,10 @@
 	return n == 0
 }
 
-// Gone reports whether the peer has ended the connection, even if the socket holds unread bytes before that end:
+// PeerClosed reports whether the peer has ended the connection, even if the socket holds unread bytes before that end:
 // there may be more of them than one read returns, or reading may be paused. It does not detect an end that the kernel
 // has not received yet because the bytes before it fill the receive buffer.
-func (c *Conn) Gone() bool {
+func (c *Conn) PeerClosed() bool {
 	n, err := c.peek()
 	if err != nil {
 		return !temporary(err)
--- a/internal/eventloop/peek_test.go
+++ b/internal/eventloop/peek_test.go
@@ -32,10 +32,10 @@
 					served[0].Pause()
 				}
 				test.act(clients[0])
-				for i := 0; i < 2000 && test.gone && !served[0].Gone(); i++ {
+				for i := 0; i < 2000 && test.gone && !served[0].PeerClosed(); i++ {
 					time.Sleep(time.Millisecond)
 				}
-				if served[0].Gone() != test.gone {
+				if served[0].PeerClosed() != test.gone {
 					t.Errorf("%s, paused %v: Gone: got %v, want %v", name, paused, !test.gone, test.gone)
 				}
 			})
@@ -61,7 +61,7 @@
 		events = received
 		runOnLoop(l, func() {
 			end(clients[0])
-			for !served[0].Gone() {
+			for !served[0].PeerClosed() {
 				time.Sleep(time.Millisecond)
 			}
 			clients[1].Write([]byte{0})
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -85,9 +85,9 @@
 // Unsent returns how many bytes wait for the kernel to accept them.
 func (c *Conn) Unsent() int { return c.out.Len() }
 
-// Untaken returns how many bytes the peer has not acknowledged: those that wait in the buffer and, if the kernel
+// Unacknowledged returns how many bytes the peer has not acknowledged: those that wait in the buffer and, if the kernel
 // reports it, those in the kernel's send queue.
-func (c *Conn) Untaken() int {
+func (c *Conn) Unacknowledged() int {
 	queued, err := unix.IoctlGetInt(c.fd, unix.SIOCOUTQ)
 	if c.closed || err != nil {
 		queued = 0
@@ -101,9 +101,9 @@
 	c.updateWriteInterest()
 }
 
-// Deepen sets the size of the kernel's send buffer, up to the kernel's limit. The kernel goes on sending the bytes in
+// ExpandSendBuffer sets the size of the kernel's send buffer, up to the kernel's limit. The kernel goes on sending the bytes in
 // that buffer after this process has ended.
-func (c *Conn) Deepen(bytes int) {
+func (c *Conn) ExpandSendBuffer(bytes int) {
 	if !c.closed {
 		unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bytes)
 	}
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -40,7 +40,7 @@
 // connection is closed after the present callback.
 func (a *answer) Disconnected() bool {
 	c := a.conn
-	if c.isOpen() && !c.conn.Gone() {
+	if c.isOpen() && !c.conn.PeerClosed() {
 		return false
 	}
 	c.frontend.loop.Later(c.close)
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -30,7 +30,7 @@
 	lastActive   float64 // when a byte last came or left
 	acceptedAt   float64
 	commandBegan float64 // when the command that is not complete yet began
-	untaken      int     // written bytes that the client had not taken when that was last looked at
+	unacknowledged      int     // written bytes that the client had not taken when that was last looked at
 }
 
 // output is what is owed to the client.
@@ -46,7 +46,7 @@
 // also if more is unread than was read at once: the commands may have waited in the socket, or for the accept, and
 // nobody waits for them any more.
 func (c *ClientConn) Input() {
-	if c.conn.Gone() {
+	if c.conn.PeerClosed() {
 		c.close()
 		return
 	}
--- a/internal/frontend/cut.go
+++ b/internal/frontend/cut.go
@@ -9,11 +9,11 @@
 	ClientDisconnected CutReason = iota // the client closed or reset the connection
 	AnswerUnread                        // the client read nothing of its answer for too long
 	BodyBroken                          // the rest of a value will not come
-	cutReasons
+	cutReasonCount
 )
 
 // CutReasonNames names the reasons, by their numbers, as figures and logs show them.
-var CutReasonNames = [cutReasons]string{"client_left", "unread", "value_cut"}
+var CutReasonNames = [cutReasonCount]string{"client_left", "unread", "value_cut"}
 
 // CutConnections returns how many connections ended with an answer owed, by CutReason, since the start.
-func (f *Frontend) CutConnections() [cutReasons]uint64 { return f.cutConnections }
+func (f *Frontend) CutConnections() [cutReasonCount]uint64 { return f.cutConnections }
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -49,7 +49,7 @@
 		}
 		first := c.segments[0]
 		length := first.body.Length()
-		c.conn.Deepen(length)
+		c.conn.ExpandSendBuffer(length)
 		c.sendBufferExtended = true
 		f.kernelBodyBytes += length - first.answer.bodyBytes
 	}
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -217,7 +217,7 @@
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
 	for c := range s.connections {
-		for !c.conn.Gone() {
+		for !c.conn.PeerClosed() {
 			time.Sleep(time.Millisecond)
 		}
 	}
--- a/internal/frontend/outcomes.go
+++ b/internal/frontend/outcomes.go
@@ -13,8 +13,8 @@
 	outcomeFailed
 )
 
-func (o *Outcomes) count(how outcome) {
-	switch how {
+func (o *Outcomes) count(kind outcome) {
+	switch kind {
 	case outcomeSucceeded:
 		o.Succeeded++
 	case outcomeRejected:
@@ -34,11 +34,11 @@
 }
 
 // countOutcome counts the end of a request. The classes are those of the settings and of the quotas, so they are few.
-func (f *Frontend) countOutcome(class string, how outcome) {
+func (f *Frontend) countOutcome(class string, kind outcome) {
 	outcomes := f.outcomes[class]
 	if outcomes == nil {
 		outcomes = &Outcomes{}
 		f.outcomes[class] = outcomes
 	}
-	outcomes.count(how)
+	outcomes.count(kind)
 }
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -82,7 +82,7 @@
 		conn, _ := s.dial()
 		fmt.Fprintf(conn, "mg k v Oa Pc=t\r\n")
 		c.end(s, conn, <-s.started)
-		var want, got [cutReasons]uint64
+		var want, got [cutReasonCount]uint64
 		want[c.want] = 1
 		for i, left := 0, 1; i < 500 && left > 0; i++ {
 			s.onLoop(func() { got, left = s.CutConnections(), s.Connections() })
--- a/internal/frontend/tileserver/codec.go
+++ b/internal/frontend/tileserver/codec.go
@@ -96,7 +96,7 @@
 	if err != nil {
 		return &tiles.Fault{
 			Status:  http.StatusBadRequest,
-			Code:    tiles.Invalid,
+			Code:    tiles.InvalidParameter,
 			Locator: k.server.waitHeader,
 			Text:    "the time to wait is not a number above 0",
 		}
@@ -106,7 +106,7 @@
 		Key:      tile.Key(),
 		Flags:    k.forwarded.String(),
 		TimeLeft: timeLeft,
-		Figures:  answerForm(k.head, keep),
+		Figures:  answerFigures(k.head, keep),
 	}
 	route := k.conn.Route("", request.Key)
 	if route == nil {
@@ -121,7 +121,7 @@
 }
 
 func notFound(text string) *tiles.Fault {
-	return &tiles.Fault{Status: http.StatusNotFound, Code: tiles.NotApplied, Text: text}
+	return &tiles.Fault{Status: http.StatusNotFound, Code: tiles.NoApplicableCode, Text: text}
 }
 
 func (k *codec) answerHealth(keep bool) {
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -76,12 +76,12 @@
 	var text bytes.Buffer
 	line := func(name string, parts ...[]byte) { fmt.Fprintf(&text, "%s: %q\n", name, parts) }
 	line("unreadable", codec.ProtocolError(errors.New("strange")))
-	line("no such method", codec.ProtocolError(&http1.Fault{Status: 405, Why: "only GET and HEAD"}))
-	line("too long", codec.ProtocolError(&http1.Fault{Status: 431, Why: "too long"}))
+	line("no such method", codec.ProtocolError(&http1.Fault{Status: 405, Reason: "only GET and HEAD"}))
+	line("too long", codec.ProtocolError(&http1.Fault{Status: 431, Reason: "too long"}))
 	line("unfinished", codec.CommandTimeout())
 	for _, head := range []bool{false, true} {
 		for _, keep := range []bool{true, false} {
-			request := &requestcore.Request{Figures: answerForm(head, keep)}
+			request := &requestcore.Request{Figures: answerFigures(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
 			tile := requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")}
 			line(name+"tile", codec.Succeeded(request, tile)...)
--- a/internal/frontend/tileserver/request.go
+++ b/internal/frontend/tileserver/request.go
@@ -14,8 +14,8 @@
 	figuresClose = " close" // last, if the connection is closed after the answer
 )
 
-// answerForm returns a request's Figures.
-func answerForm(head, keep bool) string {
+// answerFigures returns a request's Figures.
+func answerFigures(head, keep bool) string {
 	figures := ""
 	if head {
 		figures = figuresHead
@@ -31,8 +31,8 @@
 	return strings.HasPrefix(request.Figures, figuresHead)
 }
 
-// isLast reports whether the connection is closed after the answer.
-func isLast(request *requestcore.Request) bool {
+// closesConnection reports whether the connection is closed after the answer.
+func closesConnection(request *requestcore.Request) bool {
 	return strings.HasSuffix(request.Figures, figuresClose)
 }
 
--- a/internal/frontend/tileserver/response.go
+++ b/internal/frontend/tileserver/response.go
@@ -10,12 +10,12 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// notStored are the headers of an answer that no cache may keep.
-const notStored = "Content-Type: text/plain\r\nCache-Control: no-store\r\n"
+// noStoreHeaders are the headers of an answer that no cache may keep.
+const noStoreHeaders = "Content-Type: text/plain\r\nCache-Control: no-store\r\n"
 
 // formatResponse writes an answer. The headers end in CRLF each; without a body if only the head is asked for.
-func formatResponse(status int, headers string, body []byte, head, last bool) []byte {
-	text := formatHead(status, headers, len(body), last)
+func formatResponse(status int, headers string, body []byte, head, closing bool) []byte {
+	text := formatHead(status, headers, len(body), closing)
 	if !head {
 		text = append(text, body...)
 	}
@@ -23,12 +23,12 @@
 }
 
 // formatHead writes an answer's head, for a body of so many bytes.
-func formatHead(status int, headers string, length int, last bool) []byte {
+func formatHead(status int, headers string, length int, closing bool) []byte {
 	text := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, http.StatusText(status), headers)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
 		text = fmt.Appendf(text, "Content-Length: %d\r\n", length)
 	}
-	if last {
+	if closing {
 		text = append(text, "Connection: close\r\n"...)
 	}
 	return append(text, "\r\n"...)
@@ -56,7 +56,7 @@
 
 // Succeeded passes on a tile server's result.
 func (k *codec) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
-	head := formatHead(result.Status, result.Head, len(result.Value), isLast(request))
+	head := formatHead(result.Status, result.Head, len(result.Value), closesConnection(request))
 	if isHead(request) || len(result.Value) == 0 {
 		return [][]byte{head}
 	}
@@ -66,11 +66,11 @@
 // Rejected answers when to retry, in whole seconds, as HTTP has it.
 func (k *codec) Rejected(request *requestcore.Request, retryAfter float64) []byte {
 	seconds := max(1, int(math.Ceil(retryAfter)))
-	headers := fmt.Sprintf(notStored+"Retry-After: %d\r\n", seconds)
-	return formatResponse(http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), isLast(request))
+	headers := fmt.Sprintf(noStoreHeaders+"Retry-After: %d\r\n", seconds)
+	return formatResponse(http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), closesConnection(request))
 }
 
 // Failed answers that the outcome is unknown.
 func (k *codec) Failed(request *requestcore.Request) []byte {
-	return formatResponse(http.StatusBadGateway, notStored, []byte("failed\n"), isHead(request), isLast(request))
+	return formatResponse(http.StatusBadGateway, noStoreHeaders, []byte("failed\n"), isHead(request), closesConnection(request))
 }
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -31,11 +31,11 @@
 // only once that is a good part of what the kernel holds: with a slow reader seconds later. So the kernel is asked.
 func (c *ClientConn) checkUnreadAnswer(now float64) {
 	if now-c.lastActive > idleAfterSeconds {
-		untaken := c.conn.Untaken()
-		if untaken < c.untaken {
+		untaken := c.conn.Unacknowledged()
+		if untaken < c.unacknowledged {
 			c.lastActive = now
 		}
-		c.untaken = untaken
+		c.unacknowledged = untaken
 	}
 	if now-c.lastActive > unreadAnswerSeconds {
 		c.cutReason = AnswerUnread
--- a/internal/http1/fault.go
+++ b/internal/http1/fault.go
@@ -3,11 +3,11 @@
 // Fault is what cannot be read, and the HTTP status that tells its sender.
 type Fault struct {
 	Status int
-	Why    string
+	Reason    string
 }
 
 // Error gives the reason.
-func (f *Fault) Error() string { return f.Why }
+func (f *Fault) Error() string { return f.Reason }
 
 // The faults of lines and headers.
 var (
@@ -49,4 +49,4 @@
 )
 
 // badResponse is a fault of a server: its client is told 502.
-func badResponse(why string) *Fault { return &Fault{502, why} }
+func badResponse(reason string) *Fault { return &Fault{502, reason} }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -77,7 +77,7 @@
 	}
 	for _, test := range tests {
 		for _, piece := range []int{1, 7, 4000} {
-			if got := told(&requests{}, test.stream, piece, 8192, &notes{}); got != test.want {
+			if got := readInPieces(&requests{}, test.stream, piece, 8192, &recorder{}); got != test.want {
 				t.Errorf("%.80q in pieces of %d:\ngot  %s\nwant %s", test.stream, piece, got, test.want)
 			}
 		}
@@ -131,7 +131,7 @@
 	}
 	for _, test := range tests {
 		for _, piece := range []int{1, 7, 4000} {
-			if got := told(&responses{}, test.stream, piece, 8192, &notes{bound: 1000}); got != test.want {
+			if got := readInPieces(&responses{}, test.stream, piece, 8192, &recorder{bound: 1000}); got != test.want {
 				t.Errorf("%.80q in pieces of %d:\ngot  %s\nwant %s", test.stream, piece, got, test.want)
 			}
 		}
@@ -140,13 +140,13 @@
 
 // A body without a length goes on until the connection ends; any other answer cut by that is not whole.
 func TestUntilTheEnd(t *testing.T) {
-	r, n := &responses{}, &notes{}
-	told(r, "HTTP/1.1 200 OK\r\n\r\nhello", 3, 512, n)
+	r, n := &responses{}, &recorder{}
+	readInPieces(r, "HTTP/1.1 200 OK\r\n\r\nhello", 3, 512, n)
 	if !r.Closed(n) || n.String() != `200 "hello" keep false; ` {
 		t.Errorf("it was told %s", n)
 	}
-	r, n = &responses{}, &notes{}
-	told(r, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", 3, 512, n)
+	r, n = &responses{}, &recorder{}
+	readInPieces(r, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", 3, 512, n)
 	if r.Closed(n) || !r.Begun() {
 		t.Error("a cut body is taken for whole")
 	}
@@ -167,14 +167,14 @@
 		var text bytes.Buffer
 		request.Write(&text)
 		want := fmt.Sprintf("%s %s", request.Method, target)
-		if got := told(&requests{}, text.String(), 1+i%50, 4096, &notes{}); !strings.HasPrefix(got, want) ||
+		if got := readInPieces(&requests{}, text.String(), 1+i%50, 4096, &recorder{}); !strings.HasPrefix(got, want) ||
 			!strings.HasSuffix(got, fmt.Sprintf("keep %t; ", i%3 != 0)) {
 			t.Fatalf("%q is read as %s", text.String(), got)
 		}
 		// One byte is changed: if both still read it, they agree on method and target.
 		changed := text.Bytes()
 		changed[chance.IntN(len(changed))] = byte(chance.IntN(256))
-		mine := told(&requests{}, string(changed), 4096, 8192, &notes{})
+		mine := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
 		theirs, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
 		if strings.HasSuffix(mine, "; ") && err == nil && theirs.URL.Host == "" &&
 			!strings.HasPrefix(mine, theirs.Method+" "+theirs.RequestURI) {
@@ -200,7 +200,7 @@
 		if i%2 == 1 && len(body) == 0 { // the library writes no length then, or 0
 			continue
 		}
-		if got := told(&responses{}, text.String(), 1+i%700, 4096, &notes{}); got != want {
+		if got := readInPieces(&responses{}, text.String(), 1+i%700, 4096, &recorder{}); got != want {
 			t.Fatalf("%.200q is read as %.200s, want %.200s", text.String(), got, want)
 		}
 	}
@@ -218,8 +218,8 @@
 			func() reader { return &responses{} },
 		}
 		for _, newReader := range newReaders {
-			inPieces := told(newReader(), stream, piece, 64, &notes{bound: 1000})
-			whole := told(newReader(), stream, 64, 64, &notes{bound: 1000})
+			inPieces := readInPieces(newReader(), stream, piece, 64, &recorder{bound: 1000})
+			whole := readInPieces(newReader(), stream, 64, 64, &recorder{bound: 1000})
 			if inPieces != whole {
 				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, inPieces, whole)
 			}
@@ -229,10 +229,10 @@
 
 func BenchmarkRequest(b *testing.B) {
 	stream := "GET /roads/12/2345/1456.png HTTP/1.1\r\nHost: a\r\nAccept: image/png\r\nIf-None-Match: \"abc\"\r\n\r\n"
-	r, n := &requests{}, &notes{}
+	r, n := &requests{}, &recorder{}
 	b.ReportAllocs()
 	for range b.N {
 		n.Reset()
-		told(r, stream, len(stream), 4096, n)
+		readInPieces(r, stream, len(stream), 4096, n)
 	}
 }
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,9 +7,9 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Requests is called with a client's requests: Begin, then each header, then Request once all of it has come. The calls
+// RequestHandler is called with a client's requests: Begin, then each header, then Request once all of it has come. The calls
 // come from within RequestReader.Read.
-type Requests interface {
+type RequestHandler interface {
 	Begin(method, target string)
 	Header(name, value string) // the name in lower case
 	Request(keep bool)         // keep: the connection stays open after its answer
@@ -30,7 +30,7 @@
 var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"}
 
 // Read goes on with the request at hand; true once all of it was handed on. After a fault nothing more can be read.
-func (r *RequestReader) Read(in *ringbuffer.Buffer, to Requests) (bool, error) {
+func (r *RequestReader) Read(in *ringbuffer.Buffer, to RequestHandler) (bool, error) {
 	for {
 		line, complete, fault := r.readNextLine(in)
 		if fault != nil {
@@ -43,7 +43,7 @@
 			r.resetLine()
 			return true, r.finish(to)
 		}
-		fault = r.takeLine(line, to)
+		fault = r.handleLine(line, to)
 		if fault != nil {
 			return false, fault
 		}
@@ -58,18 +58,18 @@
 	return r.readLine(in, maxRequestLine, errRequestLineTooLong)
 }
 
-// takeLine takes a line that does not end the request. Empty lines before a request are ignored.
-func (r *RequestReader) takeLine(line []byte, to Requests) *Fault {
+// handleLine takes a line that does not end the request. Empty lines before a request are ignored.
+func (r *RequestReader) handleLine(line []byte, to RequestHandler) *Fault {
 	if r.begun {
-		return r.takeHeader(line, to)
+		return r.handleHeader(line, to)
 	}
 	if len(line) == 0 {
 		return nil
 	}
-	return r.takeRequestLine(line, to)
+	return r.handleRequestLine(line, to)
 }
 
-func (r *RequestReader) takeRequestLine(line []byte, to Requests) *Fault {
+func (r *RequestReader) handleRequestLine(line []byte, to RequestHandler) *Fault {
 	method, rest, hasTarget := bytes.Cut(line, []byte(" "))
 	target, version, hasVersion := bytes.Cut(rest, []byte(" "))
 	if !hasTarget || !hasVersion || !isMethod(method) || bytes.IndexByte(version, ' ') >= 0 {
@@ -149,7 +149,7 @@
 	return authority[pathStart:]
 }
 
-func (r *RequestReader) takeHeader(line []byte, to Requests) *Fault {
+func (r *RequestReader) handleHeader(line []byte, to RequestHandler) *Fault {
 	if !r.head.countHeader(line) {
 		return errHeadersTooLong
 	}
@@ -161,7 +161,7 @@
 	case "host":
 		r.hostCount++
 	case "content-length":
-		fault = r.takeLength(value)
+		fault = r.handleContentLength(value)
 	case "transfer-encoding":
 		fault = errTransferCoding
 		if r.hasLength {
@@ -179,8 +179,8 @@
 	return nil
 }
 
-// takeLength takes a Content-Length: it may be there once, and be 0.
-func (r *RequestReader) takeLength(value []byte) *Fault {
+// handleContentLength takes a Content-Length: it may be there once, and be 0.
+func (r *RequestReader) handleContentLength(value []byte) *Fault {
 	length, err := parseDigits(value, maxLengthDigits)
 	if err != nil || r.hasLength {
 		return errLength
@@ -193,7 +193,7 @@
 }
 
 // finish ends the request at hand. HTTP/1.1 demands one Host header, HTTP/1.0 allows it to be missing.
-func (r *RequestReader) finish(to Requests) error {
+func (r *RequestReader) finish(to RequestHandler) error {
 	r.begun = false
 	if r.head.minorVersion == 1 && r.hostCount != 1 || r.hostCount > 1 {
 		return errHost
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -96,7 +96,7 @@
 	if !complete {
 		return needsInput, nil
 	}
-	step, err := r.takeLine(line, to)
+	step, err := r.handleLine(line, to)
 	r.resetLine()
 	return step, err
 }
@@ -131,17 +131,17 @@
 	return advanced, nil
 }
 
-func (r *ResponseReader) takeLine(line []byte, to Replies) (progress, error) {
+func (r *ResponseReader) handleLine(line []byte, to Replies) (progress, error) {
 	switch r.phase {
 	case atStatus:
-		return advanced, r.takeStatus(line, to)
+		return advanced, r.handleStatusLine(line, to)
 	case inHeaders:
 		if len(line) == 0 {
 			return r.endHeaders(to)
 		}
-		return advanced, r.takeHeader(line, to)
+		return advanced, r.handleHeader(line, to)
 	case atChunkLength:
-		return advanced, r.takeChunkLength(line)
+		return advanced, r.handleChunkLength(line)
 	case afterChunk:
 		if len(line) > 0 {
 			return advanced, errChunkEnd
@@ -158,7 +158,7 @@
 	return advanced, nil
 }
 
-func (r *ResponseReader) takeStatus(line []byte, to Replies) error {
+func (r *ResponseReader) handleStatusLine(line []byte, to Replies) error {
 	code, minorVersion, valid := parseStatusLine(line)
 	if !valid {
 		return errStatusLine
@@ -207,17 +207,17 @@
 	return int(number), int(minor - '0'), true
 }
 
-func (r *ResponseReader) takeHeader(line []byte, to Replies) error {
+func (r *ResponseReader) handleHeader(line []byte, to Replies) error {
 	if !r.head.countHeader(line) {
 		return errResponseHeadersTooLong
 	}
 	name, value, fault := splitHeader(line)
 	if fault != nil {
-		return badResponse(fault.Why)
+		return badResponse(fault.Reason)
 	}
 	switch string(name) {
 	case "content-length":
-		return r.takeLength(value)
+		return r.handleContentLength(value)
 	case "transfer-encoding":
 		if r.hasLength || r.chunked || !bytes.EqualFold(value, []byte("chunked")) {
 			return errResponseCoding
@@ -234,7 +234,7 @@
 	return nil
 }
 
-func (r *ResponseReader) takeLength(value []byte) error {
+func (r *ResponseReader) handleContentLength(value []byte) error {
 	length, err := parseDigits(value, maxLengthDigits)
 	if err != nil || r.hasLength || r.chunked {
 		return errResponseLength
@@ -279,8 +279,8 @@
 	return advanced, nil
 }
 
-// takeChunkLength takes a chunk's length; extensions behind it are ignored. A length of 0 ends the body.
-func (r *ResponseReader) takeChunkLength(line []byte) error {
+// handleChunkLength takes a chunk's length; extensions behind it are ignored. A length of 0 ends the body.
+func (r *ResponseReader) handleChunkLength(line []byte) error {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
 	if len(digits) == 0 || len(digits) > maxChunkDigits {
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -7,9 +7,9 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Commands is called with a client's commands: id is the flag O, figures the list of names and values of the
+// CommandHandler is called with a client's commands: id is the flag O, figures the list of names and values of the
 // flag P, flags all but that one.
-type Commands interface {
+type CommandHandler interface {
 	Get(key, id, flags, figures string)
 	Set(key, id, flags, figures string, value []byte)
 	Noop()
@@ -32,7 +32,7 @@
 func (r *CommandReader) Begun() bool { return r.begun() }
 
 // Read hands on the next command; false while it is not complete. After an error nothing more can be read.
-func (r *CommandReader) Read(in *ringbuffer.Buffer, to Commands) (bool, error) {
+func (r *CommandReader) Read(in *ringbuffer.Buffer, to CommandHandler) (bool, error) {
 	if r.skipBytes > 0 {
 		return r.skipValue(in, to), nil
 	}
@@ -44,7 +44,7 @@
 	case verb == "mn" && len(fields) == 1:
 		to.Noop()
 	case verb == "mg" && len(fields) >= 2:
-		takeGet(fields, to)
+		handleGet(fields, to)
 	case verb == "ms" && len(fields) >= 3:
 		return r.readSet(in, fields, to)
 	default:
@@ -54,8 +54,8 @@
 	return true, nil
 }
 
-// takeGet hands on a read: mg <key> <flags>.
-func takeGet(fields [][]byte, to Commands) {
+// handleGet hands on a read: mg <key> <flags>.
+func handleGet(fields [][]byte, to CommandHandler) {
 	flags, fault := parseFlags(fields[1], fields[2:])
 	if fault != "" {
 		to.Bad(fault)
@@ -65,7 +65,7 @@
 }
 
 // readSet hands on a write once its value has come: ms <key> <length> <flags>.
-func (r *CommandReader) readSet(in *ringbuffer.Buffer, fields [][]byte, to Commands) (bool, error) {
+func (r *CommandReader) readSet(in *ringbuffer.Buffer, fields [][]byte, to CommandHandler) (bool, error) {
 	longLength := longValueLength(fields[2])
 	if longLength > 0 && !r.reserved {
 		r.reserved = to.Reserve(longLength)
@@ -90,7 +90,7 @@
 }
 
 // skipValue skips what has come of a value for which there is no memory; true once all of it is skipped.
-func (r *CommandReader) skipValue(in *ringbuffer.Buffer, to Commands) bool {
+func (r *CommandReader) skipValue(in *ringbuffer.Buffer, to CommandHandler) bool {
 	skipped := min(in.Len(), r.skipBytes)
 	in.Drop(skipped)
 	r.skipBytes -= skipped
--- a/internal/meta/helpers_test.go
+++ b/internal/meta/helpers_test.go
@@ -7,9 +7,9 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// inParts feeds parts one after another and gives the calls, or the error.
-func inParts(parts []string, next reader) string {
-	var c calls
+// readParts feeds parts one after another and gives the calls, or the error.
+func readParts(parts []string, next reader) string {
+	var c recordedCalls
 	in := ringbuffer.New(64)
 	for _, part := range parts {
 		for len(part) > 0 {
@@ -24,11 +24,11 @@
 	return strings.Join(c, "; ")
 }
 
-// cutAnywhere feeds a stream each byte by itself, and cut at every place and at every two.
-func cutAnywhere(t *testing.T, stream, want string, fresh func() reader) {
+// checkCutAnywhere feeds a stream each byte by itself, and cut at every place and at every two.
+func checkCutAnywhere(t *testing.T, stream, want string, fresh func() reader) {
 	t.Helper()
 	check := func(parts ...string) {
-		if got := inParts(parts, fresh()); got != want {
+		if got := readParts(parts, fresh()); got != want {
 			t.Errorf("%q: got %s, want %s", parts, got, want)
 		}
 	}
@@ -40,14 +40,14 @@
 	}
 }
 
-// orders gives all orders of words.
-func orders(words ...string) (all [][]string) {
+// permutations gives all permutations of words.
+func permutations(words ...string) (all [][]string) {
 	if len(words) == 0 {
 		return [][]string{nil}
 	}
 	for i, first := range words {
 		rest := append(append([]string{}, words[:i]...), words[i+1:]...)
-		for _, o := range orders(rest...) {
+		for _, o := range permutations(rest...) {
 			all = append(all, append([]string{first}, o...))
 		}
 	}
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -8,58 +8,58 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// calls notes what it is called with.
-type calls []string
+// recordedCalls notes what it is called with.
+type recordedCalls []string
 
-func (c *calls) note(format string, with ...any) { *c = append(*c, fmt.Sprintf(format, with...)) }
-func (c *calls) Get(key, id, flags, figures string) {
+func (c *recordedCalls) note(format string, with ...any) { *c = append(*c, fmt.Sprintf(format, with...)) }
+func (c *recordedCalls) Get(key, id, flags, figures string) {
 	c.note("get %s %s [%s] %s", key, id, flags, figures)
 }
-func (c *calls) Set(key, id, flags, figures string, value []byte) {
+func (c *recordedCalls) Set(key, id, flags, figures string, value []byte) {
 	c.note("set %s %s [%s] %s %q", key, id, flags, figures, value)
 }
-func (c *calls) Noop()             { c.note("noop") }
-func (c *calls) Bad(answer string) { c.note("bad %s", answer) }
-func (c *calls) Refused()          { c.note("refused") }
-func (c *calls) Reserve(length int) bool {
+func (c *recordedCalls) Noop()             { c.note("noop") }
+func (c *recordedCalls) Bad(answer string) { c.note("bad %s", answer) }
+func (c *recordedCalls) Refused()          { c.note("refused") }
+func (c *recordedCalls) Reserve(length int) bool {
 	c.note("reserve %d", length)
 	return length != 70000
 }
-func (c *calls) Value(id string, value []byte) { c.note("value %s %q", id, value) }
-func (c *calls) Long(id string, length int)    { c.note("long %s %d", id, length) }
-func (c *calls) Part(part []byte) int          { return len(part) }
-func (c *calls) LongEnd()                      { c.note("end") }
-func (c *calls) Stored(id, receipt string)     { c.note("stored %s %s", id, receipt) }
-func (c *calls) Busy(int)                      { c.note("busy") }
-func (c *calls) Failed()                       { c.note("failed") }
-func (c *calls) Ready()                        { c.note("ready") }
-func (c *calls) Other(line string)             { c.note("other %s", line) }
+func (c *recordedCalls) Value(id string, value []byte) { c.note("value %s %q", id, value) }
+func (c *recordedCalls) Long(id string, length int)    { c.note("long %s %d", id, length) }
+func (c *recordedCalls) Part(part []byte) int          { return len(part) }
+func (c *recordedCalls) LongEnd()                      { c.note("end") }
+func (c *recordedCalls) Stored(id, receipt string)     { c.note("stored %s %s", id, receipt) }
+func (c *recordedCalls) Busy(int)                      { c.note("busy") }
+func (c *recordedCalls) Failed()                       { c.note("failed") }
+func (c *recordedCalls) Ready()                        { c.note("ready") }
+func (c *recordedCalls) Other(line string)             { c.note("other %s", line) }
 
 // reader reads one message.
-type reader func(*ringbuffer.Buffer, *calls) (bool, error)
+type reader func(*ringbuffer.Buffer, *recordedCalls) (bool, error)
 
 func commands() reader {
 	var r CommandReader
-	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *recordedCalls) (bool, error) { return r.Read(in, c) }
 }
 
 func replies() reader {
 	var r ReplyReader
-	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *recordedCalls) (bool, error) { return r.Read(in, c) }
 }
 
-func inPieces(t *testing.T, stream, want string, fresh func() reader) {
+func checkInPieces(t *testing.T, stream, want string, fresh func() reader) {
 	t.Helper()
 	for piece := 1; piece < 64; piece++ {
-		if got := read(stream, piece, fresh()); got != want {
+		if got := readInPieces(stream, piece, fresh()); got != want {
 			t.Errorf("%.60q in pieces of %d: got %s, want %s", stream, piece, got, want)
 		}
 	}
 }
 
-// read feeds a stream in pieces of so many bytes and gives the calls, or the error.
-func read(stream string, piece int, next reader) string {
-	var c calls
+// readInPieces feeds a stream in pieces of so many bytes and gives the calls, or the error.
+func readInPieces(stream string, piece int, next reader) string {
+	var c recordedCalls
 	in := ringbuffer.New(64)
 	for len(stream) > 0 {
 		n := in.Write([]byte(stream[:min(piece, len(stream))]))
@@ -94,7 +94,7 @@
 		{"ms k 65536 Oa\r\n" + strings.Repeat("x", 99), ""},
 	}
 	for _, test := range tests {
-		inPieces(t, test.stream, test.want, commands)
+		checkInPieces(t, test.stream, test.want, commands)
 	}
 }
 
@@ -121,7 +121,7 @@
 		{"VA 4194305 Oa\r\nhe", "a value is too long"},
 	}
 	for _, test := range tests {
-		inPieces(t, test.stream, test.want, replies)
+		checkInPieces(t, test.stream, test.want, replies)
 	}
 }
 
@@ -150,8 +150,8 @@
 	f.Fuzz(func(t *testing.T, stream string, piece int) {
 		piece = 1 + int(uint(piece)%60)
 		for _, fresh := range []func() reader{commands, replies} {
-			inPieces := read(stream, piece, fresh())
-			whole := read(stream, 64, fresh())
+			inPieces := readInPieces(stream, piece, fresh())
+			whole := readInPieces(stream, 64, fresh())
 			if inPieces != whole {
 				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, inPieces, whole)
 			}
--- a/internal/meta/pieces_test.go
+++ b/internal/meta/pieces_test.go
@@ -9,35 +9,35 @@
 // anywhere, is read as the same command.
 func TestCommandsOfEveryFormCutAnywhere(t *testing.T) {
 	for _, end := range []string{"\r\n", "\n"} {
-		for _, figures := range orders("c=read", "d=480", "r=1") {
+		for _, figures := range permutations("c=read", "d=480", "r=1") {
 			p := strings.Join(figures, ",")
-			for _, flags := range orders("v", "Oa1", "P"+p) {
+			for _, flags := range permutations("v", "Oa1", "P"+p) {
 				others := strings.Join(without(flags, "P"+p), " ")
 				all := strings.Join(flags, " ")
 				setFlags := strings.Join(without(flags, "v"), " ")
 				stream := "mg k " + all + end + "ms k 3 " + setFlags + end + "m\r\n\r\n" + "mn" + end
 				want := "get k a1 [" + others + "] " + p + `; set k a1 [Oa1] ` + p + ` "m\r\n"; noop`
-				cutAnywhere(t, stream, want, commands)
+				checkCutAnywhere(t, stream, want, commands)
 			}
 		}
 	}
 	// What looks like a command, a flag or an end within a value or a key is none.
-	cutAnywhere(t, "ms Ok 12 Oa Pc=x\r\nmg k v\r\nmn\r\n\r\nmg Pk v Ob\r\n",
+	checkCutAnywhere(t, "ms Ok 12 Oa Pc=x\r\nmg k v\r\nmn\r\n\r\nmg Pk v Ob\r\n",
 		`set Ok a [Oa] c=x "mg k v\r\nmn\r\n"; get Pk b [v Ob] `, commands)
-	cutAnywhere(t, "mg  k   v  Oa \r\nms k 0 Oa\r\n\r\nmn \r\n", `get k a [v Oa] ; set k a [Oa]  ""; noop`, commands)
+	checkCutAnywhere(t, "mg  k   v  Oa \r\nms k 0 Oa\r\n\r\nmn \r\n", `get k a [v Oa] ; set k a [Oa]  ""; noop`, commands)
 	// A bad one in between costs itself alone.
-	cutAnywhere(t, "mn\r\nhello\r\n\r\nmg\r\nmg k v\r\nmn\r\n",
+	checkCutAnywhere(t, "mn\r\nhello\r\n\r\nmg\r\nmg k v\r\nmn\r\n",
 		"noop; bad ERROR; bad ERROR; bad ERROR; bad CLIENT_ERROR the flag O is missing; noop", commands)
 }
 
 // The same for replies, with the flags of how a read went in any order, and several in one segment.
 func TestRepliesOfEveryFormCutAnywhere(t *testing.T) {
-	for _, flags := range orders("Oa", "h0", "Z") {
-		cutAnywhere(t, "VA 4 "+strings.Join(flags, " ")+"\r\nV\r\n\n\r\nMN\r\n", `value a "V\r\n\n"; ready`, replies)
+	for _, flags := range permutations("Oa", "h0", "Z") {
+		checkCutAnywhere(t, "VA 4 "+strings.Join(flags, " ")+"\r\nV\r\n\n\r\nMN\r\n", `value a "V\r\n\n"; ready`, replies)
 	}
-	for _, flags := range orders("Oc1", "cO77") {
-		cutAnywhere(t, "HD "+strings.Join(flags, " ")+"\r\nVA 0 Ob h1\r\n\r\n", `stored c1 O77; value b ""`, replies)
+	for _, flags := range permutations("Oc1", "cO77") {
+		checkCutAnywhere(t, "HD "+strings.Join(flags, " ")+"\r\nVA 0 Ob h1\r\n\r\n", `stored c1 O77; value b ""`, replies)
 	}
-	cutAnywhere(t, "SERVER_ERROR busy\r\nSERVER_ERROR failed\r\nSERVER_ERROR busy 20\r\nHD Oa c7\r\n",
+	checkCutAnywhere(t, "SERVER_ERROR busy\r\nSERVER_ERROR failed\r\nSERVER_ERROR busy 20\r\nHD Oa c7\r\n",
 		"busy; failed; busy; stored a 7", replies)
 }
--- a/internal/meta/reply.go
+++ b/internal/meta/reply.go
@@ -62,7 +62,7 @@
 	if verb == "VA" && len(fields) >= 2 {
 		return r.readValueReply(in, fields, to)
 	}
-	r.takeLine(verb, fields, to)
+	r.handleLine(verb, fields, to)
 	r.nextMessage()
 	return true, nil
 }
@@ -87,8 +87,8 @@
 	return true, nil
 }
 
-// takeLine hands on a reply that has no value.
-func (r *ReplyReader) takeLine(verb string, fields [][]byte, to Replies) {
+// handleLine hands on a reply that has no value.
+func (r *ReplyReader) handleLine(verb string, fields [][]byte, to Replies) {
 	switch {
 	case verb == "HD":
 		to.Stored(flagValue(fields[1:], idFlag), flagValue(fields[1:], receiptFlag))
--- a/internal/tiles/fault.go
+++ b/internal/tiles/fault.go
@@ -19,11 +19,11 @@
 
 // The standard's exception codes.
 const (
-	Missing      = "MissingParameterValue"
-	Invalid      = "InvalidParameterValue"
+	MissingParameter      = "MissingParameterValue"
+	InvalidParameter      = "InvalidParameterValue"
 	OutOfRange   = "TileOutOfRange"
 	NotSupported = "OperationNotSupported"
-	NotApplied   = "NoApplicableCode"
+	NoApplicableCode   = "NoApplicableCode"
 )
 
 // XML writes an exception report.
@@ -53,12 +53,12 @@
 
 // missingParameter tells that a parameter is not given.
 func missingParameter(name string) *Fault {
-	return reportedFault(Missing, name, name+" is missing")
+	return reportedFault(MissingParameter, name, name+" is missing")
 }
 
 // invalidParameter tells that a parameter cannot have a value.
 func invalidParameter(name, value string) *Fault {
-	return reportedFault(Invalid, name, fmt.Sprintf("%s cannot be %.40q", name, value))
+	return reportedFault(InvalidParameter, name, fmt.Sprintf("%s cannot be %.40q", name, value))
 }
 
 // unsupportedOperation tells that the service does not have an operation of WMTS.
--- a/internal/tiles/golden_test.go
+++ b/internal/tiles/golden_test.go
@@ -43,7 +43,7 @@
 		"/roads/3/0/0.png?a=1&A=2", "/roads/3/0/0.png?style=x", "/clinics/8/191/111.png?time=1",
 		"/wmts", "/wmts?service=WMS&request=x", "/wmts?service=WMTS&request=GetFeatureInfo",
 		"/wmts?service=WMTS&request=x", "/wmts?a=%zz", "/wmts?service=WMTS&request=GetTile",
-		pairs + "&layer=x",
+		kvpTarget + "&layer=x",
 		restStart + "%zz", restStart + "rivers", restStart + "roads",
 		restStart + "roads/x/GoogleMapsCompatible/3/5/2.png",
 		restStart + "roads/default/GoogleMapsCompatible/3/5/2.gif", restStart + "roads/default/x/3/5/2.png",
@@ -58,7 +58,7 @@
 		"version", "layer", "style", "format", "tilematrixset", "tilematrix", "tilerow", "tilecol",
 	}
 	for _, parameter := range tileParameterNames {
-		targets = append(targets, pairs+"&"+parameter+"=twice")
+		targets = append(targets, kvpTarget+"&"+parameter+"=twice")
 		targets = append(targets, withParameter(parameter, "x"), withParameter(parameter, ""))
 	}
 	var text bytes.Buffer
--- a/internal/tiles/helpers_test.go
+++ b/internal/tiles/helpers_test.go
@@ -18,8 +18,8 @@
 		{Name: "fine", Scale: 5e5, Left: 0, Top: 1e6, Width: 4, Height: 6, Side: 256}}}})
 }
 
-// asked gives a tile's key, or the fault's status, code and locator.
-func asked(s *Service, target string) string {
+// parseSummary gives a tile's key, or the fault's status, code and locator.
+func parseSummary(s *Service, target string) string {
 	a, fault := s.Parse(target)
 	switch {
 	case fault != nil && fault.Report:
@@ -34,10 +34,10 @@
 
 // withParameter gives the target pairs with another value of a parameter.
 func withParameter(name, value string) string {
-	return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(pairs, "$1="+value)
+	return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(kvpTarget, "$1="+value)
 }
 
 // withoutParameter gives the target pairs without a parameter.
 func withoutParameter(name string) string {
-	return regexp.MustCompile("&"+name+"=[^&]*").ReplaceAllString(pairs, "")
+	return regexp.MustCompile("&"+name+"=[^&]*").ReplaceAllString(kvpTarget, "")
 }
--- a/internal/tiles/key.go
+++ b/internal/tiles/key.go
@@ -16,11 +16,11 @@
 func (t Tile) Key() string {
 	mark := ""
 	if t.Twice {
-		mark = doubleSizeMark
+		mark = doubleSizeSuffix
 	}
 	dimensions := ""
-	if len(t.Dims) > 0 {
-		dimensions = "?" + strings.Join(t.Dims, "&")
+	if len(t.Dimensions) > 0 {
+		dimensions = "?" + strings.Join(t.Dimensions, "&")
 	}
 	const format = "%s/%s/%s/%s/%d/%d%s.%s%s"
 	return fmt.Sprintf(format, t.Layer, t.Style, t.Set, t.Matrix, t.Col, t.Row, mark, t.Format, dimensions)
@@ -30,7 +30,7 @@
 func Named(key string) (t Tile, ok bool) {
 	path, dimensions, hasDimensions := strings.Cut(key, "?")
 	if hasDimensions {
-		t.Dims = strings.Split(dimensions, "&")
+		t.Dimensions = strings.Split(dimensions, "&")
 	}
 	segments := strings.Split(path, "/")
 	if len(segments) != keySegments {
@@ -40,7 +40,7 @@
 	if !found {
 		return t, false
 	}
-	rowText, t.Twice = strings.CutSuffix(rowText, doubleSizeMark)
+	rowText, t.Twice = strings.CutSuffix(rowText, doubleSizeSuffix)
 	col, colErr := strconv.Atoi(segments[4])
 	row, rowErr := strconv.Atoi(rowText)
 	t.Layer = segments[0]
--- a/internal/tiles/kvp.go
+++ b/internal/tiles/kvp.go
@@ -13,55 +13,55 @@
 	"Version", "Layer", "Style", "Format", "TileMatrixSet", "TileMatrix", "TileRow", "TileCol",
 }
 
-// parsePairs reads a WMTS request by key-value pairs.
-func (s *Service) parsePairs(query string) (Asked, *Fault) {
+// parseKVP reads a WMTS request by key-value pairs.
+func (s *Service) parseKVP(query string) (ParsedTarget, *Fault) {
 	values, fault := parseQuery(query)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	for _, name := range []string{"Service", "Request"} {
 		if values[strings.ToLower(name)] == "" {
-			return Asked{}, missingParameter(name)
+			return ParsedTarget{}, missingParameter(name)
 		}
 	}
 	if !strings.EqualFold(values["service"], "WMTS") {
-		return Asked{}, invalidParameter("Service", values["service"])
+		return ParsedTarget{}, invalidParameter("Service", values["service"])
 	}
 	operation := values["request"]
 	switch operation {
 	case "GetCapabilities":
-		return Asked{Capabilities: true}, nil
+		return ParsedTarget{Capabilities: true}, nil
 	case "GetTile":
 		return s.parseGetTile(values)
 	case "GetFeatureInfo":
-		return Asked{}, unsupportedOperation("GetFeatureInfo is not offered")
+		return ParsedTarget{}, unsupportedOperation("GetFeatureInfo is not offered")
 	}
-	return Asked{}, unsupportedOperation(fmt.Sprintf("there is no operation %.40q", operation))
+	return ParsedTarget{}, unsupportedOperation(fmt.Sprintf("there is no operation %.40q", operation))
 }
 
 // parseGetTile reads the parameters of GetTile; their names are in lower case.
-func (s *Service) parseGetTile(values map[string]string) (Asked, *Fault) {
+func (s *Service) parseGetTile(values map[string]string) (ParsedTarget, *Fault) {
 	fault := checkTileParameters(values)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	layer := s.Layer(values["layer"])
 	if layer == nil {
-		return Asked{}, invalidParameter("Layer", values["layer"])
+		return ParsedTarget{}, invalidParameter("Layer", values["layer"])
 	}
 	tile, fault := layer.parseTileParameters(values)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = s.resolveSet(layer, &tile)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = layer.setDimensionsFromQuery(&tile, values)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
-	return Asked{Tile: tile}, nil
+	return ParsedTarget{Tile: tile}, nil
 }
 
 // checkTileParameters checks that all parameters of GetTile are given, and the version. Only the style may be empty.
--- a/internal/tiles/parse.go
+++ b/internal/tiles/parse.go
@@ -22,20 +22,20 @@
 	restCapabilitiesPath = "/wmts/1.0.0/WMTSCapabilities.xml"
 )
 
-// Asked is what an address asks for: a tile, or the service's capabilities document.
-type Asked struct {
+// ParsedTarget is what an address asks for: a tile, or the service's capabilities document.
+type ParsedTarget struct {
 	Tile         Tile
 	Capabilities bool
 }
 
 // Parse reads a request's target. The fault is nil if the target is understood.
-func (s *Service) Parse(target string) (Asked, *Fault) {
+func (s *Service) Parse(target string) (ParsedTarget, *Fault) {
 	path, query, _ := strings.Cut(target, "?")
 	switch {
 	case path == wmtsPath || path == wmtsPath+"/":
-		return s.parsePairs(query)
+		return s.parseKVP(query)
 	case path == restCapabilitiesPath:
-		return Asked{Capabilities: true}, nil
+		return ParsedTarget{Capabilities: true}, nil
 	case strings.HasPrefix(path, restPath):
 		return s.parseREST(path[len(restPath):])
 	}
@@ -49,7 +49,7 @@
 		text, err := url.PathUnescape(segment)
 		if err != nil {
 			fault := plainFault(http.StatusBadRequest, "an escape in the path cannot be read")
-			fault.Code = Invalid
+			fault.Code = InvalidParameter
 			return nil, fault
 		}
 		segments[i] = text
@@ -90,7 +90,7 @@
 		if repeated || nameErr != nil || valueErr != nil || len(values) >= maxQueryParameters {
 			locator := name[:min(len(name), maxLocatorBytes)]
 			const text = "a parameter is there twice, cannot be read, or is one too many"
-			return nil, reportedFault(Invalid, locator, text)
+			return nil, reportedFault(InvalidParameter, locator, text)
 		}
 		values[name] = value
 	}
@@ -101,7 +101,7 @@
 func (s *Service) resolveSet(layer *Layer, tile *Tile) *Fault {
 	if !slices.Contains(layer.matrixSets(), tile.Set) {
 		text := fmt.Sprintf("the layer is not in the set %.40q", tile.Set)
-		return reportedFault(Invalid, "TileMatrixSet", text)
+		return reportedFault(InvalidParameter, "TileMatrixSet", text)
 	}
 	if tile.Set == GoogleTwice {
 		tile.Set = Google
@@ -115,7 +115,7 @@
 	set := s.Set(tile.Set)
 	zoom := slices.IndexFunc(set.Matrices, func(m Matrix) bool { return m.Name == tile.Matrix })
 	if zoom < layer.MinZoom || zoom > layer.MaxZoom || zoom < 0 {
-		return reportedFault(Invalid, "TileMatrix", fmt.Sprintf("the layer has no zoom level %.20q", tile.Matrix))
+		return reportedFault(InvalidParameter, "TileMatrix", fmt.Sprintf("the layer has no zoom level %.20q", tile.Matrix))
 	}
 	limits := layer.limits(set, &set.Matrices[zoom])
 	if tile.Row < limits.firstRow || tile.Row > limits.lastRow {
@@ -140,7 +140,7 @@
 		if !slices.Contains(dimension.Values, selected) {
 			return invalidParameter(dimension.Name, selected)
 		}
-		tile.Dims = append(tile.Dims, dimension.Name+"="+selected)
+		tile.Dimensions = append(tile.Dimensions, dimension.Name+"="+selected)
 	}
 	return nil
 }
--- a/internal/tiles/rest.go
+++ b/internal/tiles/rest.go
@@ -21,59 +21,59 @@
 )
 
 // parseREST reads {Layer}/{Style}/{dimensions}/{TileMatrixSet}/{TileMatrix}/{TileRow}/{TileCol}.{format}.
-func (s *Service) parseREST(path string) (Asked, *Fault) {
+func (s *Service) parseREST(path string) (ParsedTarget, *Fault) {
 	segments, fault := pathSegments(path)
 	if fault != nil {
 		fault.Report = true
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	layer := s.Layer(segments[restLayer])
 	if layer == nil {
-		return Asked{}, invalidParameter("Layer", segments[restLayer])
+		return ParsedTarget{}, invalidParameter("Layer", segments[restLayer])
 	}
-	want := restSegments + len(layer.Dimensions)
-	if len(segments) != want {
+	wantSegments := restSegments + len(layer.Dimensions)
+	if len(segments) != wantSegments {
 		const format = "the path has %d parts behind the version, this layer's tiles have %d"
-		fault = reportedFault(Missing, "TileCol", fmt.Sprintf(format, len(segments), want))
+		fault = reportedFault(MissingParameter, "TileCol", fmt.Sprintf(format, len(segments), wantSegments))
 		fault.Status = http.StatusNotFound
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	tile, fault := layer.parseRESTSegments(segments)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = s.resolveSet(layer, &tile)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = layer.setDimensions(&tile, func(index int) string { return segments[restDimensions+index] })
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
-	return Asked{Tile: tile}, nil
+	return ParsedTarget{Tile: tile}, nil
 }
 
 // parseRESTSegments reads a tile of a layer. Its matrix set, position and dimensions are not checked yet.
 func (l *Layer) parseRESTSegments(segments []string) (Tile, *Fault) {
-	behindDimensions := segments[len(l.Dimensions):]
+	afterDimensions := segments[len(l.Dimensions):]
 	tile := Tile{
 		Layer:  l.Name,
 		Style:  segments[restStyle],
-		Set:    behindDimensions[restSet],
-		Matrix: behindDimensions[restMatrix],
+		Set:    afterDimensions[restSet],
+		Matrix: afterDimensions[restMatrix],
 	}
 	if !slices.Contains(l.Styles, tile.Style) {
 		return Tile{}, invalidParameter("Style", tile.Style)
 	}
-	col, extension, _ := strings.Cut(behindDimensions[restCol], ".")
+	col, extension, _ := strings.Cut(afterDimensions[restCol], ".")
 	tile.Format = formatName(extension)
 	if !slices.Contains(l.Formats, tile.Format) {
 		return Tile{}, invalidParameter("Format", extension)
 	}
 	var ok bool
-	tile.Row, ok = parseNumber(behindDimensions[restRow])
+	tile.Row, ok = parseNumber(afterDimensions[restRow])
 	if !ok {
-		return Tile{}, invalidParameter("TileRow", behindDimensions[restRow])
+		return Tile{}, invalidParameter("TileRow", afterDimensions[restRow])
 	}
 	tile.Col, ok = parseNumber(col)
 	if !ok {
--- a/internal/tiles/scheme.go
+++ b/internal/tiles/scheme.go
@@ -12,20 +12,20 @@
 // The schemes.
 const (
 	XYZ   Scheme = "xyz"
-	Pairs Scheme = "wmts-kvp"
-	Rest  Scheme = "wmts-rest"
+	KVP Scheme = "wmts-kvp"
+	REST  Scheme = "wmts-rest"
 )
 
 // Schemes are all schemes.
-var Schemes = []Scheme{XYZ, Pairs, Rest}
+var Schemes = []Scheme{XYZ, KVP, REST}
 
 // Address writes a tile's target under a scheme. XYZ paths have no place for a style other than the default one: it is
 // in the query, as are the dimensions' values.
 func (s Scheme) Address(t Tile) string {
 	switch s {
-	case Pairs:
-		return pairsAddress(t)
-	case Rest:
+	case KVP:
+		return kvpAddress(t)
+	case REST:
 		return restAddress(t)
 	}
 	return xyzAddress(t)
@@ -39,7 +39,7 @@
 	return t.Set
 }
 
-func pairsAddress(t Tile) string {
+func kvpAddress(t Tile) string {
 	const format = wmtsPath + "?service=WMTS&request=GetTile&version=" + wmtsVersion +
 		"&layer=%s&style=%s&format=%s&tilematrixset=%s&tilematrix=%s&tilerow=%d&tilecol=%d"
 	text := fmt.Sprintf(format,
@@ -50,7 +50,7 @@
 		url.QueryEscape(t.Matrix),
 		t.Row,
 		t.Col)
-	for _, pair := range t.Dims { // words, which need no escape
+	for _, pair := range t.Dimensions { // words, which need no escape
 		text += "&" + pair
 	}
 	return text
@@ -58,7 +58,7 @@
 
 func restAddress(t Tile) string {
 	segments := []string{t.Layer, t.Style}
-	for _, pair := range t.Dims {
+	for _, pair := range t.Dimensions {
 		_, value, _ := strings.Cut(pair, "=")
 		segments = append(segments, value)
 	}
@@ -69,12 +69,12 @@
 func xyzAddress(t Tile) string {
 	mark := ""
 	if t.Twice {
-		mark = doubleSizeMark
+		mark = doubleSizeSuffix
 	}
 	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, mark, t.Format)
-	if t.Style == defaultName && len(t.Dims) == 0 {
+	if t.Style == defaultName && len(t.Dimensions) == 0 {
 		return text
 	}
-	query := append([]string{"style=" + t.Style}, t.Dims...)
+	query := append([]string{"style=" + t.Style}, t.Dimensions...)
 	return text + "?" + strings.Join(query, "&")
 }
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -10,7 +10,7 @@
 	"testing"
 )
 
-const pairs = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
+const kvpTarget = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
 	"&tilematrixset=GoogleMapsCompatible&tilematrix=3&tilerow=5&tilecol=2"
 
 // The same tile under any scheme is one key; names are in any case and any order.
@@ -18,7 +18,7 @@
 	s := service()
 	for want, targets := range map[string][]string{
 		"roads/default/GoogleMapsCompatible/3/2/5.png": {
-			"/roads/3/2/5.png", "/%72oads/3/2/5.png", pairs, pairs + "&extra=1",
+			"/roads/3/2/5.png", "/%72oads/3/2/5.png", kvpTarget, kvpTarget + "&extra=1",
 			"/wmts?TILECOL=2&TileRow=5&tilematrix=3&TILEMATRIXSET=GoogleMapsCompatible" +
 				"&FORMAT=image%2Fpng&STYLE=&LAYER=roads&VERSION=1.0.0&REQUEST=GetTile&SERVICE=wmts",
 			"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png"},
@@ -34,7 +34,7 @@
 		"grid/plain/grid/fine/3/5.png":              {"/wmts/1.0.0/grid/plain/grid/fine/5/3.png"},
 	} {
 		for _, target := range targets {
-			if got := asked(s, target); got != want {
+			if got := parseSummary(s, target); got != want {
 				t.Errorf("%s is %s, want %s", target, got, want)
 			}
 		}
@@ -46,7 +46,7 @@
 			if scheme == XYZ && tile.Set != Google {
 				continue // its paths have no word for another set
 			}
-			if got := asked(s, scheme.Address(tile)); got != want {
+			if got := parseSummary(s, scheme.Address(tile)); got != want {
 				t.Errorf("%s by %s is asked as %s, read as %s", want, scheme, scheme.Address(tile), got)
 			}
 		}
@@ -105,8 +105,8 @@
 		withParameter("tilecol", "8"):                              "4 TileOutOfRange TileCol",
 		withParameter("tilerow", "-1"):                             "4 InvalidParameterValue TileRow",
 		withParameter("tilecol", "1e3"):                            "4 InvalidParameterValue TileCol",
-		pairs + "&Layer=roads":                                     "4 InvalidParameterValue layer",
-		pairs + "&%zz=1":                                           "4 InvalidParameterValue ",
+		kvpTarget + "&Layer=roads":                                     "4 InvalidParameterValue layer",
+		kvpTarget + "&%zz=1":                                           "4 InvalidParameterValue ",
 		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5":       "4 MissingParameterValue TileCol",
 		"/wmts/1.0.0/rivers/a/b/3/5/2.png":                         "4 InvalidParameterValue Layer",
 		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/9/2.png": "4 TileOutOfRange TileRow",
@@ -114,7 +114,7 @@
 		"/wmts/1.0.0/grid/plain/grid/fine/5/4.png":                 "4 TileOutOfRange TileCol",
 		"/wmts/1.0.0/clinics/night/1999/GoogleMapsCompatible/8/111/191.png": "4 InvalidParameterValue Time",
 	} {
-		if got := asked(s, target); got != want {
+		if got := parseSummary(s, target); got != want {
 			t.Errorf("%.120s\ngot  %s\nwant %s", target, got, want)
 		}
 	}
@@ -192,7 +192,7 @@
 }
 
 func TestReport(t *testing.T) {
-	f := Fault{Code: Invalid, Locator: "Layer", Text: `Layer cannot be "<x>"`}
+	f := Fault{Code: InvalidParameter, Locator: "Layer", Text: `Layer cannot be "<x>"`}
 	text := string(f.XML())
 	const start = `exceptionCode="InvalidParameterValue" locator="Layer"`
 	if !strings.Contains(text, start) || !strings.Contains(text, "&lt;x&gt;") {
@@ -211,7 +211,7 @@
 		}.Key()
 		tile, _ := Named(want)
 		for _, scheme := range Schemes {
-			if got := asked(s, scheme.Address(tile)); got != want {
+			if got := parseSummary(s, scheme.Address(tile)); got != want {
 				t.Fatalf("%s by %s is read as %s", want, scheme, got)
 			}
 		}
@@ -222,7 +222,7 @@
 func FuzzParse(f *testing.F) {
 	s := service()
 	for _, target := range []string{
-		"/roads/3/2/5.png", pairs, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%",
+		"/roads/3/2/5.png", kvpTarget, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%",
 	} {
 		f.Add(target)
 	}
@@ -241,7 +241,7 @@
 		if len(key) > 250 || strings.ContainsAny(key, " \r\n") {
 			t.Errorf("%q has the key %q", target, key)
 		}
-		if got := asked(s, Pairs.Address(a.Tile)); got != key {
+		if got := parseSummary(s, KVP.Address(a.Tile)); got != key {
 			t.Errorf("%q has the key %s, asked for anew %s", target, key, got)
 		}
 	})
@@ -251,7 +251,7 @@
 	s := service()
 	for name, target := range map[string]string{
 		"xyz":   "/roads/12/2345/1456.png",
-		"pairs": strings.Replace(pairs, "tilematrix=3", "tilematrix=12", 1),
+		"pairs": strings.Replace(kvpTarget, "tilematrix=3", "tilematrix=12", 1),
 		"rest":  "/wmts/1.0.0/roads/default/GoogleMapsCompatible/12/1456/2345.png",
 	} {
 		b.Run(name, func(b *testing.B) {
--- a/internal/tiles/xyz.go
+++ b/internal/tiles/xyz.go
@@ -16,39 +16,39 @@
 	xyzSegments
 )
 
-const doubleSizeMark = "@2x"
+const doubleSizeSuffix = "@2x"
 
 // parseXYZ reads /{layer}/{z}/{x}/{y}.{format} and /{layer}/{z}/{x}/{y}@2x.{format}; dimensions are in the query.
-func (s *Service) parseXYZ(path, query string) (Asked, *Fault) {
+func (s *Service) parseXYZ(path, query string) (ParsedTarget, *Fault) {
 	segments, fault := pathSegments(strings.TrimPrefix(path, "/"))
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	if len(segments) != xyzSegments {
 		const text = "no tile has such an address: /{layer}/{z}/{x}/{y}.{format}"
-		return Asked{}, plainFault(http.StatusNotFound, text)
+		return ParsedTarget{}, plainFault(http.StatusNotFound, text)
 	}
 	layer := s.Layer(segments[xyzLayer])
 	if layer == nil {
 		text := fmt.Sprintf("there is no layer %.40q", segments[xyzLayer])
-		return Asked{}, plainFault(http.StatusNotFound, text)
+		return ParsedTarget{}, plainFault(http.StatusNotFound, text)
 	}
 	tile, fault := layer.parseXYZSegments(segments)
 	if fault != nil {
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = s.checkPosition(layer, &tile)
 	if fault != nil {
 		fault.Status = http.StatusNotFound
 		fault.Report = false
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
 	fault = layer.setXYZQuery(&tile, query)
 	if fault != nil {
 		fault.Report = false
-		return Asked{}, fault
+		return ParsedTarget{}, fault
 	}
-	return Asked{Tile: tile}, nil
+	return ParsedTarget{Tile: tile}, nil
 }
 
 // parseXYZSegments reads a tile from the segments of a path, in the layer's default style and first matrix set.
@@ -59,7 +59,7 @@
 		return Tile{}, plainFault(http.StatusBadRequest, "the zoom level is not a whole number")
 	}
 	row, extension, _ := strings.Cut(segments[xyzRow], ".")
-	row, tile.Twice = strings.CutSuffix(row, doubleSizeMark)
+	row, tile.Twice = strings.CutSuffix(row, doubleSizeSuffix)
 	var colOK, rowOK bool
 	tile.Col, colOK = parseNumber(segments[xyzCol])
 	tile.Row, rowOK = parseNumber(row)
