--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -27,10 +27,10 @@
 
 // activity is when bytes were last seen on a connection, by the loop's clock.
 type activity struct {
-	lastActive   float64 // when a byte last came or left
-	acceptedAt   float64
-	commandBegan float64 // when the command that is not complete yet began
-	unacknowledged      int     // written bytes that the client had not taken when that was last looked at
+	lastActive     float64 // when a byte last came or left
+	acceptedAt     float64
+	commandBegan   float64 // when the command that is not complete yet began
+	unacknowledged int     // written bytes that the client had not taken when that was last looked at
 }
 
 // output is what is owed to the client.
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -29,8 +29,8 @@
 
 // endCounts counts how requests and connections ended, since the start.
 type endCounts struct {
-	outcomes       map[string]*Outcomes // by the class that clients name
-	cutConnections [cutReasonCount]uint64   // connections that ended with an answer owed, by CutReason
+	outcomes       map[string]*Outcomes   // by the class that clients name
+	cutConnections [cutReasonCount]uint64 // connections that ended with an answer owed, by CutReason
 }
 
 // New makes a frontend without connections, and starts its sweep on the loop.
--- a/internal/http1/fault.go
+++ b/internal/http1/fault.go
@@ -1,12 +1,12 @@
 package http1
 
-// Fault is what cannot be read, and the HTTP status that tells its sender.
+// Fault is the error of an invalid message: its reason, and the HTTP status of the response to it.
 type Fault struct {
 	Status int
-	Reason    string
+	Reason string
 }
 
-// Error gives the reason.
+// Error returns the reason.
 func (f *Fault) Error() string { return f.Reason }
 
 // The faults of lines and headers.
@@ -48,5 +48,5 @@
 	errUnexpectedChunks       = badResponse("chunks where there can be no body")
 )
 
-// badResponse is a fault of a server: its client is told 502.
+// badResponse returns the fault of a server's response, for which the client gets status 502.
 func badResponse(reason string) *Fault { return &Fault{502, reason} }
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Whatever pieces it comes in, a request is read alike.
+// A request must be read the same way whatever pieces it arrives in, and an invalid one must be a fault.
 func TestRequests(t *testing.T) {
 	const host = "Host: a\r\n"
 	tests := []struct{ stream, want string }{
@@ -84,6 +84,7 @@
 	}
 }
 
+// A response must be read the same way whatever pieces it arrives in, and an invalid one must be a fault.
 func TestResponses(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{
@@ -138,23 +139,25 @@
 	}
 }
 
-// A body without a length goes on until the connection ends; any other answer cut by that is not whole.
-func TestUntilTheEnd(t *testing.T) {
+// A body without a length ends with the connection. Any other response that the end of the connection interrupts is
+// incomplete.
+func TestBodyUntilClose(t *testing.T) {
 	r, n := &responses{}, &recorder{}
 	readInPieces(r, "HTTP/1.1 200 OK\r\n\r\nhello", 3, 512, n)
 	if !r.Closed(n) || n.String() != `200 "hello" keep false; ` {
-		t.Errorf("it was told %s", n)
+		t.Errorf("a body without a length: got %s, want it complete after the end of the connection", n)
 	}
 	r, n = &responses{}, &recorder{}
 	readInPieces(r, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", 3, 512, n)
 	if r.Closed(n) || !r.Begun() {
-		t.Error("a cut body is taken for whole")
+		t.Error("a body shorter than its stated length is taken for complete")
 	}
 }
 
-// Thousands of requests: what the standard library writes is read with the same meaning, and what it refuses of what is
-// changed at random is not read as something else.
-func TestAgainstTheStandardLibrary(t *testing.T) {
+// Requests and responses that the standard library writes, thousands of each, must be read with the same meaning. After
+// a random change of one byte in a request, this package and the standard library must agree on its method and target
+// if both accept it: a request must not be ambiguous.
+func TestAgainstStandardLibrary(t *testing.T) {
 	chance := rand.New(rand.NewPCG(1, 2))
 	for i := range 3000 {
 		target := fmt.Sprintf("/layer-%d/%d/%d/%d.png?x=%d", i%7, chance.IntN(20), chance.IntN(1000), chance.IntN(1000), i)
@@ -169,16 +172,16 @@
 		want := fmt.Sprintf("%s %s", request.Method, target)
 		if got := readInPieces(&requests{}, text.String(), 1+i%50, 4096, &recorder{}); !strings.HasPrefix(got, want) ||
 			!strings.HasSuffix(got, fmt.Sprintf("keep %t; ", i%3 != 0)) {
-			t.Fatalf("%q is read as %s", text.String(), got)
+			t.Fatalf("%q: got %s, want %s and keep %t", text.String(), got, want, i%3 != 0)
 		}
-		// One byte is changed: if both still read it, they agree on method and target.
+		// One byte is changed: if both still accept the request, they agree on method and target.
 		changed := text.Bytes()
 		changed[chance.IntN(len(changed))] = byte(chance.IntN(256))
 		mine := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
 		theirs, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
 		if strings.HasSuffix(mine, "; ") && err == nil && theirs.URL.Host == "" &&
 			!strings.HasPrefix(mine, theirs.Method+" "+theirs.RequestURI) {
-			t.Fatalf("%q is read as %s, and by the standard library as %s %s", changed, mine, theirs.Method, theirs.RequestURI)
+			t.Fatalf("%q: got %s, the standard library got %s %s", changed, mine, theirs.Method, theirs.RequestURI)
 		}
 	}
 	for i := range 3000 {
@@ -197,16 +200,16 @@
 		var text bytes.Buffer
 		answer.Write(&text)
 		want := fmt.Sprintf("%d [etag: %d] %q keep true; ", answer.StatusCode, i, body)
-		if i%2 == 1 && len(body) == 0 { // the library writes no length then, or 0
+		if i%2 == 1 && len(body) == 0 { // the library then writes either no length or a length of 0
 			continue
 		}
 		if got := readInPieces(&responses{}, text.String(), 1+i%700, 4096, &recorder{}); got != want {
-			t.Fatalf("%.200q is read as %.200s, want %.200s", text.String(), got, want)
+			t.Fatalf("%.200q: got %.200s, want %.200s", text.String(), got, want)
 		}
 	}
 }
 
-// Whatever comes, cut wherever, is read alike and stops no reader.
+// A reader must not panic on any input, and must read it the same way however it is cut into pieces.
 func FuzzReaders(f *testing.F) {
 	f.Add("GET /a/1/2/3.png HTTP/1.1\r\nHost: a\r\n\r\n", 3)
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 2)
--- a/internal/http1/line.go
+++ b/internal/http1/line.go
@@ -7,22 +7,23 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// The bounds of what is taken in.
+// The maximum sizes of messages.
 const (
-	maxRequestLine  = 4096     // bytes: several times the longest tile addresses
+	maxRequestLine  = 4096     // bytes: several times the length of the longest tile addresses
 	maxHeaderLine   = 4096     // bytes
 	maxHeaderBytes  = 16 << 10 // of one message
 	maxHeaderCount  = 64       // of one message
-	maxLengthDigits = 18       // of a Content-Length: it fits an int64
+	maxLengthDigits = 18       // of a Content-Length, so that it fits an int64
 )
 
 var errNotNumber = errors.New("not a length")
 
-// lineReader cuts a stream into lines. An incomplete one waits in it, so that the buffer before it can be smaller.
+// lineReader splits a stream into lines. It stores an incomplete line, so that the input buffer can be smaller than a
+// line.
 type lineReader struct{ line []byte }
 
-// readLine gives the next line without its end, or false while it is not complete. A line of more than maxBytes is the
-// fault tooLong.
+// readLine returns the next line without its end, or false while it is incomplete. For a line of more than maxBytes it
+// returns the fault tooLong.
 func (l *lineReader) readLine(in *ringbuffer.Buffer, maxBytes int, tooLong *Fault) ([]byte, bool, *Fault) {
 	for {
 		var parts [2][]byte
@@ -46,7 +47,7 @@
 	}
 }
 
-// completeLine checks a line that has come with its end, and cuts the end off.
+// completeLine checks a complete line and removes its line end.
 func (l *lineReader) completeLine() ([]byte, bool, *Fault) {
 	line, framed := bytes.CutSuffix(l.line, []byte("\r\n"))
 	if !framed {
@@ -60,10 +61,10 @@
 	return line, true, nil
 }
 
-// resetLine makes ready for the next line; the one before is overwritten.
+// resetLine prepares for the next line, which overwrites the current one.
 func (l *lineReader) resetLine() { l.line = l.line[:0] }
 
-// isToken tells whether a byte may stand in a method or in a header's name.
+// isToken reports whether a byte is allowed in a method or in a header's name.
 func isToken(b byte) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
@@ -72,7 +73,7 @@
 	return bytes.IndexByte([]byte("!#$%&'*+-.^_`|~"), b) >= 0
 }
 
-// parseDigits reads a whole number of at most maxDigits digits, which are not more than maxLengthDigits.
+// parseDigits parses a whole number of at most maxDigits digits; maxDigits is at most maxLengthDigits.
 func parseDigits(text []byte, maxDigits int) (int64, error) {
 	if len(text) == 0 || len(text) > maxDigits {
 		return 0, errNotNumber
--- a/internal/http1/request.go
+++ b/internal/http1/request.go
@@ -7,29 +7,30 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// RequestHandler is called with a client's requests: Begin, then each header, then Request once all of it has come. The calls
-// come from within RequestReader.Read.
+// RequestHandler handles a client's requests. RequestReader.Read calls Begin, then Header for each header, and Request
+// when the request is complete.
 type RequestHandler interface {
 	Begin(method, target string)
 	Header(name, value string) // the name in lower case
 	Request(keep bool)         // keep: the connection stays open after its answer
 }
 
-// RequestReader reads a client's requests, which have no bodies here. The zero value is ready for use.
+// RequestReader parses a client's requests, which must not have bodies. The zero value is ready for use.
 type RequestReader struct {
 	lineReader
 	head      messageHead
 	hostCount int
-	begun     bool // the request line has come
+	begun     bool // the request line has been read
 	hasLength bool
 }
 
-// Begun tells whether a request has begun and is not complete.
+// Begun reports whether a request has begun and is not complete.
 func (r *RequestReader) Begun() bool { return r.begun || len(r.line) > 0 }
 
 var knownMethods = []string{"GET", "HEAD", "POST", "PUT", "DELETE", "OPTIONS", "PATCH", "TRACE", "CONNECT"}
 
-// Read goes on with the request at hand; true once all of it was handed on. After a fault nothing more can be read.
+// Read continues with the current request, and returns true when all of it has been passed on. After a fault the
+// stream cannot be read any further.
 func (r *RequestReader) Read(in *ringbuffer.Buffer, to RequestHandler) (bool, error) {
 	for {
 		line, complete, fault := r.readNextLine(in)
@@ -58,7 +59,7 @@
 	return r.readLine(in, maxRequestLine, errRequestLineTooLong)
 }
 
-// handleLine takes a line that does not end the request. Empty lines before a request are ignored.
+// handleLine handles a line that does not end the request. Empty lines before a request are ignored.
 func (r *RequestReader) handleLine(line []byte, to RequestHandler) *Fault {
 	if r.begun {
 		return r.handleHeader(line, to)
@@ -107,7 +108,7 @@
 	return len(text) > 0
 }
 
-// parseVersion gives the minor version of HTTP/1.
+// parseVersion returns the minor version of HTTP/1.
 func parseVersion(version []byte) (int, *Fault) {
 	switch {
 	case bytes.Equal(version, []byte("HTTP/1.1")):
@@ -120,7 +121,7 @@
 	return 0, errRequestLine
 }
 
-// parseTarget gives the path and query of a request's target, which may be in the absolute form that proxies get.
+// parseTarget returns the path and query of a request's target, which may be in the absolute form used with proxies.
 func parseTarget(target []byte) ([]byte, *Fault) {
 	path := cutAuthority(target)
 	if len(path) == 0 || path[0] != '/' {
@@ -134,7 +135,7 @@
 	return path, nil
 }
 
-// cutAuthority cuts the scheme and the authority off a target in the absolute form.
+// cutAuthority removes the scheme and the authority from a target in the absolute form.
 func cutAuthority(target []byte) []byte {
 	const separator = "://"
 	schemeEnd := bytes.Index(target, []byte(separator))
@@ -179,7 +180,7 @@
 	return nil
 }
 
-// handleContentLength takes a Content-Length: it may be there once, and be 0.
+// handleContentLength checks a Content-Length header, which may occur once and must be 0.
 func (r *RequestReader) handleContentLength(value []byte) *Fault {
 	length, err := parseDigits(value, maxLengthDigits)
 	if err != nil || r.hasLength {
@@ -192,7 +193,7 @@
 	return nil
 }
 
-// finish ends the request at hand. HTTP/1.1 demands one Host header, HTTP/1.0 allows it to be missing.
+// finish ends the current request. HTTP/1.1 requires one Host header, HTTP/1.0 allows it to be missing.
 func (r *RequestReader) finish(to RequestHandler) error {
 	r.begun = false
 	if r.head.minorVersion == 1 && r.hostCount != 1 || r.hostCount > 1 {
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -7,17 +7,17 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Replies is called with a server's responses: Status, then each header, then Length if it is stated, then parts of the
-// body, then End. The calls come from within ResponseReader.Read and ResponseReader.Closed.
+// Replies handles a server's responses. ResponseReader.Read and ResponseReader.Closed call Status, then Header for each
+// header, then Length if the response states it, then Body for each part of the body, then End.
 type Replies interface {
 	Status(code int)
-	Header(name, value string) // the name in lower case; none that are of this connection alone
-	Length(n int64) error      // of the body; an error ends the reading, and nothing of the body was taken in
-	Body(part []byte) error    // valid during the call; an error ends the reading
-	End(keep bool)             // keep: the connection can carry another request
+	Header(name, value string) // the name in lower case; hop-by-hop headers are left out
+	Length(n int64) error      // of the body; an error ends the reading before any of the body is read
+	Body(part []byte) error    // part is valid during the call; an error ends the reading
+	End(keep bool)             // keep: the connection can be used for another request
 }
 
-// ResponseReader reads a server's responses to GET requests. The zero value is ready for use.
+// ResponseReader parses a server's responses to GET requests. The zero value is ready for use.
 type ResponseReader struct {
 	lineReader
 	head          messageHead
@@ -25,9 +25,9 @@
 	hasLength     bool
 	chunked       bool
 	code          int
-	informational int   // responses of the kind 1xx before the one at hand
+	informational int   // number of 1xx responses before the final one
 	length        int64 // stated, of the body
-	remaining     int64 // bytes of the body, or of the chunk
+	remaining     int64 // bytes of the body, or of the chunk, still to be read
 }
 
 // responsePhase is which part of a response comes next.
@@ -39,12 +39,12 @@
 	inBody
 	atChunkLength
 	inChunk
-	afterChunk // the line end behind a chunk's bytes
+	afterChunk // the line end after a chunk's bytes
 	inTrailers
-	inBodyUntilClose // the body goes on until the connection ends
+	inBodyUntilClose // the body ends with the connection
 )
 
-// progress is what a step of a reader came to.
+// progress is the result of a step of a reader.
 type progress int
 
 const (
@@ -54,14 +54,14 @@
 )
 
 const (
-	maxInformational = 4 // responses of the kind 1xx: more are no use to anybody
+	maxInformational = 4 // 1xx responses before the final one; a client has no use for more
 	maxChunkDigits   = 8 // hexadecimal
 )
 
-// Begun tells whether a response has begun and is not complete.
+// Begun reports whether a response has begun and is not complete.
 func (r *ResponseReader) Begun() bool { return r.phase != atStatus || len(r.line) > 0 }
 
-// Closed takes the connection's end: true if that ends the response at hand as it should.
+// Closed handles the end of the connection, and reports whether that completes the current response.
 func (r *ResponseReader) Closed(to Replies) bool {
 	if r.phase != inBodyUntilClose {
 		return false
@@ -71,7 +71,8 @@
 	return true
 }
 
-// Read goes on with the response at hand; true once all of it was handed on. After an error nothing more can be read.
+// Read continues with the current response, and returns true when all of it has been passed on. After an error the
+// stream cannot be read any further.
 func (r *ResponseReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	for {
 		step, err := r.step(in, to)
@@ -101,7 +102,7 @@
 	return step, err
 }
 
-// readBody hands on what has come of a body or of a chunk.
+// readBody passes on the received bytes of a body or of a chunk.
 func (r *ResponseReader) readBody(in *ringbuffer.Buffer, to Replies) (progress, error) {
 	var parts [2][]byte
 	held := in.Held(parts[:0])
@@ -180,10 +181,10 @@
 	return nil
 }
 
-// isFinal tells whether the response is the answer itself, not one of the kind 1xx before it.
+// isFinal reports whether the response is the final one, not a 1xx response before it.
 func (r *ResponseReader) isFinal() bool { return r.code >= 200 }
 
-// parseStatusLine reads "HTTP/1.x 200", alone or with a reason behind a space.
+// parseStatusLine parses "HTTP/1.x 200", optionally followed by a space and a reason.
 func parseStatusLine(line []byte) (code, minorVersion int, valid bool) {
 	const (
 		prefix    = "HTTP/1."
@@ -225,7 +226,7 @@
 		r.chunked = true
 	case "connection":
 		r.head.setConnection(value)
-	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade": // of this connection alone
+	case "keep-alive", "proxy-connection", "te", "trailer", "upgrade": // hop-by-hop headers
 	default:
 		if r.isFinal() {
 			to.Header(string(name), string(value))
@@ -244,13 +245,13 @@
 	return nil
 }
 
-// endHeaders takes the end of the headers: it tells how the body comes.
+// endHeaders handles the end of the headers and determines how the body is delimited.
 func (r *ResponseReader) endHeaders(to Replies) (progress, error) {
 	switch {
 	case !r.isFinal():
 		r.phase = atStatus
 		return advanced, nil
-	case r.code == 204 || r.code == 304: // they have no body, whatever length they state
+	case r.code == 204 || r.code == 304: // no body, whatever length the headers state
 		if r.chunked {
 			return advanced, errUnexpectedChunks
 		}
@@ -265,7 +266,7 @@
 	return advanced, nil
 }
 
-// beginBody begins a body of a stated length.
+// beginBody starts a body of a stated length.
 func (r *ResponseReader) beginBody(to Replies) (progress, error) {
 	err := to.Length(r.length)
 	if err != nil {
@@ -279,7 +280,7 @@
 	return advanced, nil
 }
 
-// handleChunkLength takes a chunk's length; extensions behind it are ignored. A length of 0 ends the body.
+// handleChunkLength parses a chunk's length and ignores extensions after it. A length of 0 ends the body.
 func (r *ResponseReader) handleChunkLength(line []byte) error {
 	digits, _, _ := bytes.Cut(line, []byte(";"))
 	digits = bytes.TrimRight(digits, " \t")
@@ -298,7 +299,7 @@
 	return nil
 }
 
-// finish ends the response at hand.
+// finish ends the current response.
 func (r *ResponseReader) finish(to Replies) progress {
 	r.phase = atStatus
 	r.informational = 0
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -7,31 +7,32 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// CommandHandler is called with a client's commands: id is the flag O, figures the list of names and values of the
-// flag P, flags all but that one.
+// CommandHandler handles a client's commands. In its methods id is the value of the flag O, figures the list of names
+// and values in the flag P, and flags all flags except P.
 type CommandHandler interface {
 	Get(key, id, flags, figures string)
 	Set(key, id, flags, figures string, value []byte)
 	Noop()
-	Bad(answer string) // a command that can't be used, and what its sender is told
+	Bad(answer string) // an invalid command; answer is the error for its sender
 
-	// Reserve sets memory apart for a value of more than ValueBound, which begins; false: there is none, and it is
-	// skipped.
+	// Reserve reserves memory for a value longer than ValueBound, which is about to be received. If it returns false,
+	// there is no memory, and the value is skipped.
 	Reserve(length int) bool
-	Refused() // such a value has been skipped
+	Refused() // a value for which Reserve returned false has been skipped
 }
 
 // CommandReader reads a client's commands. The zero value is ready for use.
 type CommandReader struct {
 	messageReader
-	reserved  bool // there is memory for the long value at hand
-	skipBytes int  // of a value, with its line end, for which there was no memory
+	reserved  bool // memory is reserved for the current long value
+	skipBytes int  // bytes still to skip of a value without memory and of its line end
 }
 
-// Begun tells whether a command has begun and is not complete.
+// Begun reports whether a command has begun and is not complete.
 func (r *CommandReader) Begun() bool { return r.begun() }
 
-// Read hands on the next command; false while it is not complete. After an error nothing more can be read.
+// Read passes the next command to a handler, and returns false while it is incomplete. After an error the stream
+// cannot be read any further.
 func (r *CommandReader) Read(in *ringbuffer.Buffer, to CommandHandler) (bool, error) {
 	if r.skipBytes > 0 {
 		return r.skipValue(in, to), nil
@@ -54,7 +55,7 @@
 	return true, nil
 }
 
-// handleGet hands on a read: mg <key> <flags>.
+// handleGet handles a read: mg <key> <flags>.
 func handleGet(fields [][]byte, to CommandHandler) {
 	flags, fault := parseFlags(fields[1], fields[2:])
 	if fault != "" {
@@ -64,7 +65,7 @@
 	to.Get(string(fields[1]), flags.id, flags.others, flags.figures)
 }
 
-// readSet hands on a write once its value has come: ms <key> <length> <flags>.
+// readSet handles a write after its value has been received: ms <key> <length> <flags>.
 func (r *CommandReader) readSet(in *ringbuffer.Buffer, fields [][]byte, to CommandHandler) (bool, error) {
 	longLength := longValueLength(fields[2])
 	if longLength > 0 && !r.reserved {
@@ -89,7 +90,8 @@
 	return true, nil
 }
 
-// skipValue skips what has come of a value for which there is no memory; true once all of it is skipped.
+// skipValue skips the received bytes of a value for which there is no memory. It returns true when the value is
+// skipped as a whole.
 func (r *CommandReader) skipValue(in *ringbuffer.Buffer, to CommandHandler) bool {
 	skipped := min(in.Len(), r.skipBytes)
 	in.Drop(skipped)
@@ -106,10 +108,10 @@
 type commandFlags struct {
 	id      string
 	figures string
-	others  string // all but the figures, the id included
+	others  string // all flags except the figures, including the id
 }
 
-// parseFlags reads a command's flags. The fault is what the sender of an unusable command is told, else empty.
+// parseFlags parses a command's flags. If they are invalid, fault is the error for the command's sender.
 func parseFlags(key []byte, fields [][]byte) (flags commandFlags, fault string) {
 	if len(key) > maxKeyBytes {
 		return commandFlags{}, "CLIENT_ERROR the key is too long"
--- a/internal/meta/doc.go
+++ b/internal/meta/doc.go
@@ -1,10 +1,10 @@
-// Package meta speaks the meta commands of the memcache text protocol. It cuts a byte stream, in whatever pieces it
-// comes, into commands or replies, whose fields go straight into the caller's Commands or Replies, and it writes both.
+// Package meta parses and formats the meta commands of the memcache text protocol. Its readers parse a byte stream,
+// which may arrive in pieces of any size, and pass commands or replies to the caller's CommandHandler or Replies.
 //
-// A line, a key and a value are bounded (maxLineBytes, maxKeyBytes, LongBound). A value of up to ValueBound bytes is
-// collected in the reader. A longer one in a command needs memory that the caller reserves, else it is skipped; in a
-// reply it is passed on in parts. After an error nothing more can be read from the stream.
+// Lines, keys and values have a maximum size (maxLineBytes, maxKeyBytes, LongBound). A value of up to ValueBound bytes
+// is buffered in the reader. A longer value of a command needs memory that the caller reserves, otherwise it is
+// skipped; a longer value of a reply is passed on in parts. After an error the stream cannot be read any further.
 //
-// The package does no I/O. A reader belongs to one connection and is called by the goroutine that owns it; the calls
-// to Commands and Replies come from within its Read.
+// The package does no I/O. A reader belongs to one connection and is called by the goroutine that owns it. Its Read
+// calls the methods of CommandHandler and Replies.
 package meta
--- a/internal/meta/figures.go
+++ b/internal/meta/figures.go
@@ -3,12 +3,12 @@
 import "strings"
 
 const (
-	idFlag      = 'O' // opaque: comes back with the reply
+	idFlag      = 'O' // opaque: the reply repeats it
 	figuresFlag = 'P' // the list of names and values
-	receiptFlag = 'c' // of a stored value
+	receiptFlag = 'c' // the receipt of a stored value
 )
 
-// flagValue gives the value of the flag that begins with a letter, empty if there is none.
+// flagValue returns the value of the flag that begins with a letter, or an empty string if there is none.
 func flagValue(fields [][]byte, letter byte) string {
 	for _, field := range fields {
 		if field[0] == letter {
@@ -18,7 +18,7 @@
 	return ""
 }
 
-// Figure reads one of a list of names and values, as in "c=read,d=480", and tells whether it is there.
+// Figure returns the value of a name in a list such as "c=read,d=480", and whether the list has it.
 func Figure(figures, name string) (value string, there bool) {
 	for figure := range strings.SplitSeq(figures, ",") {
 		figureName, figureValue, hasValue := strings.Cut(figure, "=")
@@ -29,7 +29,7 @@
 	return "", false
 }
 
-// WithFigure sets one of a list of names and values, and leaves the others as they are.
+// WithFigure returns a list of names and values with the value of one name set and the others unchanged.
 func WithFigure(figures, name, value string) string {
 	var all []string
 	for figure := range strings.SplitSeq(figures, ",") {
--- a/internal/meta/helpers_test.go
+++ b/internal/meta/helpers_test.go
@@ -7,7 +7,7 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// readParts feeds parts one after another and gives the calls, or the error.
+// readParts feeds parts one after another to a reader and returns the recorded calls, or the error.
 func readParts(parts []string, next reader) string {
 	var c recordedCalls
 	in := ringbuffer.New(64)
@@ -24,7 +24,7 @@
 	return strings.Join(c, "; ")
 }
 
-// checkCutAnywhere feeds a stream each byte by itself, and cut at every place and at every two.
+// checkCutAnywhere feeds a stream byte by byte, then cut at every position and at every two positions.
 func checkCutAnywhere(t *testing.T, stream, want string, fresh func() reader) {
 	t.Helper()
 	check := func(parts ...string) {
@@ -54,7 +54,7 @@
 	return all
 }
 
-// without gives all words but one.
+// without returns all words except one.
 func without(words []string, one string) (all []string) {
 	for _, w := range words {
 		if w != one {
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -8,10 +8,12 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// recordedCalls notes what it is called with.
+// recordedCalls is a CommandHandler and Replies that records its calls.
 type recordedCalls []string
 
-func (c *recordedCalls) note(format string, with ...any) { *c = append(*c, fmt.Sprintf(format, with...)) }
+func (c *recordedCalls) note(format string, with ...any) {
+	*c = append(*c, fmt.Sprintf(format, with...))
+}
 func (c *recordedCalls) Get(key, id, flags, figures string) {
 	c.note("get %s %s [%s] %s", key, id, flags, figures)
 }
@@ -48,6 +50,7 @@
 	return func(in *ringbuffer.Buffer, c *recordedCalls) (bool, error) { return r.Read(in, c) }
 }
 
+// checkInPieces feeds a stream in pieces of 1 to 63 bytes.
 func checkInPieces(t *testing.T, stream, want string, fresh func() reader) {
 	t.Helper()
 	for piece := 1; piece < 64; piece++ {
@@ -57,7 +60,7 @@
 	}
 }
 
-// readInPieces feeds a stream in pieces of so many bytes and gives the calls, or the error.
+// readInPieces feeds a stream in pieces of a given number of bytes and returns the recorded calls, or the error.
 func readInPieces(stream string, piece int, next reader) string {
 	var c recordedCalls
 	in := ringbuffer.New(64)
@@ -73,7 +76,8 @@
 	return strings.Join(c, "; ")
 }
 
-// However a stream is cut, the commands are the same; one that cannot be followed is an error, never a guess.
+// However a stream is cut into pieces, the reader must pass on the same commands, and a malformed stream must be an
+// error.
 func TestCommands(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{"mn\r\n", "noop"},
@@ -98,6 +102,8 @@
 	}
 }
 
+// However a stream is cut into pieces, the reader must pass on the same replies, and a malformed stream must be an
+// error.
 func TestReplies(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{"VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\n", `value a "hello"; stored b 77`},
@@ -106,7 +112,7 @@
 		{"SERVER_ERROR failed\r\nSERVER_ERROR out of memory\r\n", "failed; other SERVER_ERROR out of memory"},
 		{"VA 3000000000 Oa\r\nxxx", "a value's length cannot be read"},
 		{"EN\r\n", "no reply begins so"},
-		// At once, not at an end of the line that may never come.
+		// Rejected by the first bytes, because the end of the line may never arrive.
 		{"\x00", "no reply begins so"},
 		{"VB 5", "no reply begins so"},
 		{"VA\r\n", "no reply begins so"},
@@ -125,8 +131,8 @@
 	}
 }
 
-// A command goes on unchanged but for the time that the router will wait.
-func TestPassedOn(t *testing.T) {
+// A forwarded command is unchanged except for the time that the router will wait.
+func TestForwardedCommandIsUnchanged(t *testing.T) {
 	figures := WithFigure("c=read,d=480,k=9,r=1", "d", "77")
 	if got, want := string(AppendGet(nil, "k", "v Oa", figures)), "mg k v Oa Pc=read,k=9,r=1,d=77\r\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -135,15 +141,15 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if got, there := Figure("c=read,d=480,dd=1", "d"); got != "480" || !there {
-		t.Errorf("d reads as %s", got)
+		t.Errorf("Figure d: got %q, %v, want 480, true", got, there)
 	}
 	if got := string(AppendBusy(AppendStored(AppendValue(nil, "a", 3), "b", "7"), 12)); got !=
 		"VA 3 Oa\r\nHD Ob c7\r\nSERVER_ERROR busy 12\r\n" {
-		t.Errorf("answers read %s", got)
+		t.Errorf("replies: got %q, want VA 3 Oa, HD Ob c7 and SERVER_ERROR busy 12", got)
 	}
 }
 
-// Whatever comes, cut wherever, is read alike and stops no reader.
+// A reader must not panic on any input, and must read it the same way however it is cut into pieces.
 func FuzzReaders(f *testing.F) {
 	f.Add("ms k 5 Oa Pc=put,d=9\r\nhello\r\nmn\r\n", 3)
 	f.Add("VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\nSERVER_ERROR busy\r\n", 2)
--- a/internal/meta/pieces_test.go
+++ b/internal/meta/pieces_test.go
@@ -5,8 +5,8 @@
 	"testing"
 )
 
-// Every form that the protocol allows, its flags and figures in any order, several of them in one segment, cut
-// anywhere, is read as the same command.
+// A command in any form that the protocol allows must be read as the same command: with its flags and figures in any
+// order, with several commands in one segment, and cut at any position.
 func TestCommandsOfEveryFormCutAnywhere(t *testing.T) {
 	for _, end := range []string{"\r\n", "\n"} {
 		for _, figures := range permutations("c=read", "d=480", "r=1") {
@@ -21,16 +21,16 @@
 			}
 		}
 	}
-	// What looks like a command, a flag or an end within a value or a key is none.
+	// Text within a value or a key that looks like a command, a flag or a line end is part of the value or the key.
 	checkCutAnywhere(t, "ms Ok 12 Oa Pc=x\r\nmg k v\r\nmn\r\n\r\nmg Pk v Ob\r\n",
 		`set Ok a [Oa] c=x "mg k v\r\nmn\r\n"; get Pk b [v Ob] `, commands)
 	checkCutAnywhere(t, "mg  k   v  Oa \r\nms k 0 Oa\r\n\r\nmn \r\n", `get k a [v Oa] ; set k a [Oa]  ""; noop`, commands)
-	// A bad one in between costs itself alone.
+	// An invalid command does not affect the commands around it.
 	checkCutAnywhere(t, "mn\r\nhello\r\n\r\nmg\r\nmg k v\r\nmn\r\n",
 		"noop; bad ERROR; bad ERROR; bad ERROR; bad CLIENT_ERROR the flag O is missing; noop", commands)
 }
 
-// The same for replies, with the flags of how a read went in any order, and several in one segment.
+// A reply in any form that the protocol allows must be read as the same reply, wherever the stream is cut.
 func TestRepliesOfEveryFormCutAnywhere(t *testing.T) {
 	for _, flags := range permutations("Oa", "h0", "Z") {
 		checkCutAnywhere(t, "VA 4 "+strings.Join(flags, " ")+"\r\nV\r\n\n\r\nMN\r\n", `value a "V\r\n\n"; ready`, replies)
--- a/internal/meta/reply.go
+++ b/internal/meta/reply.go
@@ -8,26 +8,26 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Replies is called with a cache server's replies, in the order of the commands.
+// Replies handles a cache server's replies, in the order of the commands.
 type Replies interface {
 	Value(id string, value []byte)
-	Long(id string, length int) // a value of more than ValueBound begins
-	Part(part []byte) int       // takes the next bytes of it, as many as it has capacity for
-	LongEnd()                   // all of it has come
+	Long(id string, length int) // a value longer than ValueBound begins
+	Part(part []byte) int       // the next bytes of it; returns how many of them it had capacity for
+	LongEnd()                   // the value is complete
 	Stored(id, receipt string)
-	Busy(after int) // milliseconds, 0 if it does not say
+	Busy(after int) // milliseconds until a retry, 0 if the server states none
 	Failed()
 	Ready()       // the answer to mn
-	Other(string) // a line with no meaning here
+	Other(string) // any other line
 }
 
 // ReplyReader reads a cache server's replies. The zero value is ready for use.
 type ReplyReader struct {
 	messageReader
-	remaining int // bytes of a long value, with its line end, that have not come
+	remaining int // bytes of a long value and its line end that have not been received
 }
 
-// Begun tells whether a reply has begun and is not complete.
+// Begun reports whether a reply has begun and is not complete.
 func (r *ReplyReader) Begun() bool { return r.begun() }
 
 var (
@@ -35,7 +35,7 @@
 	replyPrefixes   = []string{"VA ", "HD ", "SERVER_ERROR ", "MN\r\n", "MN\n"}
 )
 
-// mayBeReply tells whether the beginning of a line can be that of a reply.
+// mayBeReply reports whether an incomplete line may be the beginning of a reply.
 func mayBeReply(line []byte) bool {
 	for _, prefix := range replyPrefixes {
 		length := min(len(prefix), len(line))
@@ -46,8 +46,9 @@
 	return false
 }
 
-// Read hands on the next reply; false while it is not complete. After an error nothing more can be read. Noise is
-// told by its first bytes: a caller that waits for the end of a line that never ends would wait until its deadline.
+// Read passes the next reply to a handler, and returns false while it is incomplete. After an error the stream cannot
+// be read any further. A line that cannot be a reply is rejected by its first bytes: if its end never arrived, the
+// caller would wait for it until its deadline.
 func (r *ReplyReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	if r.remaining > 0 {
 		return r.passLongValue(in, to)
@@ -67,11 +68,11 @@
 	return true, nil
 }
 
-// readValueReply hands on a value: VA <length> <flags>.
+// readValueReply handles a value: VA <length> <flags>.
 func (r *ReplyReader) readValueReply(in *ringbuffer.Buffer, fields [][]byte, to Replies) (bool, error) {
 	longLength := longValueLength(fields[1])
 	if longLength > 0 {
-		if in.Len() == 0 { // a line without a byte of its value begins nothing yet: a retry is still possible
+		if in.Len() == 0 { // the value begins with its first byte: until then a retry is still possible
 			return false, nil
 		}
 		r.remaining = longLength + len(lineEnd)
@@ -87,7 +88,7 @@
 	return true, nil
 }
 
-// handleLine hands on a reply that has no value.
+// handleLine handles a reply without a value.
 func (r *ReplyReader) handleLine(verb string, fields [][]byte, to Replies) {
 	switch {
 	case verb == "HD":
@@ -103,16 +104,17 @@
 	}
 }
 
-// parseBusyDelay gives the milliseconds that a busy server tells, 0 if it tells none that are usable.
+// parseBusyDelay returns the delay that a busy server states, in milliseconds, or 0 if it states no valid one.
 func parseBusyDelay(fields [][]byte) int {
 	if len(fields) == 0 {
 		return 0
 	}
-	milliseconds, _ := strconv.Atoi(string(fields[0])) // out of range: the nearest int
+	milliseconds, _ := strconv.Atoi(string(fields[0])) // the nearest int if out of range
 	return max(0, milliseconds)
 }
 
-// passLongValue hands on what has come of a long value, as far as it is taken; true once all of it is.
+// passLongValue passes the received bytes of a long value on, as far as the handler has capacity. It returns true when
+// the value is complete.
 func (r *ReplyReader) passLongValue(in *ringbuffer.Buffer, to Replies) (bool, error) {
 	for r.remaining > 0 {
 		var parts [2][]byte
--- a/internal/meta/stream.go
+++ b/internal/meta/stream.go
@@ -8,9 +8,9 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// The bounds of a value, in bytes.
+// The maximum sizes of values, in bytes.
 const (
-	ValueBound = 64 << 10 // a longer value is a long one
+	ValueBound = 64 << 10 // of a value that is buffered; a longer value is a long value
 	LongBound  = 4 << 20  // of a long value
 )
 
@@ -18,14 +18,14 @@
 	maxLineBytes = 2048
 	maxKeyBytes  = 250
 
-	// initialValueBytes bounds the memory that a stated length alone gets; more is allocated as the bytes come.
+	// initialValueBytes limits the memory that is allocated for a stated length. More is allocated as bytes arrive.
 	initialValueBytes = 4 << 10
 
-	maxLengthBits = 31 // of a stated length: it fits an int everywhere
+	maxLengthBits = 31 // of a stated length, so that it fits an int on every platform
 	lineEnd       = "\r\n"
 )
 
-// A stream that breaks these rules cannot be followed any further.
+// Errors of the stream's format. After one of them the stream cannot be read any further.
 var (
 	errLineTooLong  = errors.New("a line is too long")
 	errValueTooLong = errors.New("a value is too long")
@@ -33,16 +33,16 @@
 	errLength       = errors.New("a value's length cannot be read")
 )
 
-// messageReader cuts a stream into lines and the values behind them. An incomplete message waits in it, so that the
-// buffer before it can be smaller than the message.
+// messageReader splits a stream into lines and the values that follow them. It stores an incomplete message, so that
+// the input buffer can be smaller than the message.
 type messageReader struct {
 	line         []byte
 	lineComplete bool   // the line is complete, its value is not
 	value        []byte // with its line end
 }
 
-// readLine gives the next line's verb and all its fields, the verb included, or false while it is not complete. Called
-// again before nextMessage, it gives the same line.
+// readLine returns the verb and all fields, including the verb, of the next line, or false while the line is
+// incomplete. Called again before nextMessage, it returns the same line.
 func (m *messageReader) readLine(in *ringbuffer.Buffer) (verb string, fields [][]byte, complete bool, err error) {
 	for !m.lineComplete {
 		var parts [2][]byte
@@ -69,8 +69,8 @@
 	return verb, fields, true, nil
 }
 
-// readValue gives the value behind a line, of the length that the line states, or false while it is not complete. A
-// value of more than maxBytes is an error.
+// readValue returns the value that follows a line and has the length stated in it, or false while the value is
+// incomplete. A value of more than maxBytes is an error.
 func (m *messageReader) readValue(in *ringbuffer.Buffer, stated []byte, maxBytes uint64) ([]byte, bool, error) {
 	length, err := strconv.ParseUint(string(stated), 10, maxLengthBits)
 	if err != nil {
@@ -100,17 +100,17 @@
 	return value, true, nil
 }
 
-// nextMessage makes ready for the next message.
+// nextMessage resets the reader for the next message.
 func (m *messageReader) nextMessage() {
 	m.line = m.line[:0]
 	m.lineComplete = false
 	m.value = nil
 }
 
-// begun tells whether a message has begun and is not complete.
+// begun reports whether a message has begun and is not complete.
 func (m *messageReader) begun() bool { return len(m.line) > 0 || m.lineComplete }
 
-// longValueLength gives a stated length that makes a value a long one, else 0.
+// longValueLength returns a stated length if it is that of a long value, and 0 otherwise.
 func longValueLength(stated []byte) int {
 	length, err := strconv.ParseUint(string(stated), 10, maxLengthBits)
 	if err != nil || length <= ValueBound || length > LongBound {
--- a/internal/meta/write.go
+++ b/internal/meta/write.go
@@ -2,14 +2,14 @@
 
 import "strconv"
 
-// AppendGet writes the command for a read.
+// AppendGet appends the command for a read.
 func AppendGet(to []byte, key, flags, figures string) []byte {
 	to = append(to, "mg "...)
 	to = append(to, key...)
 	return appendFlags(to, flags, figures)
 }
 
-// AppendSet writes the command for a write, without the value and its line end.
+// AppendSet appends the command for a write, without the value and its line end.
 func AppendSet(to []byte, key, flags, figures string, length int) []byte {
 	to = append(to, "ms "...)
 	to = append(to, key...)
@@ -18,7 +18,7 @@
 	return appendFlags(to, flags, figures)
 }
 
-// appendFlags writes the flags of a command and the end of its line.
+// appendFlags appends the flags of a command and its line end.
 func appendFlags(to []byte, flags, figures string) []byte {
 	to = append(to, ' ')
 	to = append(to, flags...)
@@ -27,7 +27,7 @@
 	return append(to, lineEnd...)
 }
 
-// AppendValue writes the line before a value.
+// AppendValue appends the line that precedes a value.
 func AppendValue(to []byte, id string, length int) []byte {
 	to = append(to, "VA "...)
 	to = strconv.AppendInt(to, int64(length), 10)
@@ -36,7 +36,7 @@
 	return append(to, lineEnd...)
 }
 
-// AppendStored writes the answer to a write.
+// AppendStored appends the reply to a write.
 func AppendStored(to []byte, id, receipt string) []byte {
 	to = append(to, "HD "...)
 	to = append(to, idFlag)
@@ -46,7 +46,8 @@
 	return append(to, lineEnd...)
 }
 
-// AppendBusy writes that a retry is safe, after so many milliseconds if that is not 0.
+// AppendBusy appends the reply that a request is rejected and that a retry is safe; after, if above 0, is the delay
+// before the retry in milliseconds.
 func AppendBusy(to []byte, after int) []byte {
 	to = append(to, "SERVER_ERROR busy"...)
 	if after > 0 {
--- a/internal/tiles/fault.go
+++ b/internal/tiles/fault.go
@@ -19,11 +19,11 @@
 
 // The standard's exception codes.
 const (
-	MissingParameter      = "MissingParameterValue"
-	InvalidParameter      = "InvalidParameterValue"
-	OutOfRange   = "TileOutOfRange"
-	NotSupported = "OperationNotSupported"
-	NoApplicableCode   = "NoApplicableCode"
+	MissingParameter = "MissingParameterValue"
+	InvalidParameter = "InvalidParameterValue"
+	OutOfRange       = "TileOutOfRange"
+	NotSupported     = "OperationNotSupported"
+	NoApplicableCode = "NoApplicableCode"
 )
 
 // XML writes an exception report.
--- a/internal/tiles/scheme.go
+++ b/internal/tiles/scheme.go
@@ -11,9 +11,9 @@
 
 // The schemes.
 const (
-	XYZ   Scheme = "xyz"
-	KVP Scheme = "wmts-kvp"
-	REST  Scheme = "wmts-rest"
+	XYZ  Scheme = "xyz"
+	KVP  Scheme = "wmts-kvp"
+	REST Scheme = "wmts-rest"
 )
 
 // Schemes are all schemes.
--- a/internal/tiles/tiles.go
+++ b/internal/tiles/tiles.go
@@ -54,7 +54,7 @@
 	Layer, Style, Set, Matrix, Format string
 	Col, Row                          int
 	Twice                             bool     // of double size
-	Dimensions                              []string // name=value, in the layer's order
+	Dimensions                        []string // name=value, in the layer's order
 }
 
 // Google is the set that XYZ paths mean, by its name in the standard; GoogleTwice its tiles of double size.
