--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -13,7 +13,7 @@
 	"bendtrestle/internal/requestcore"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "regenerate testdata/*.golden from the current code")
 
 // golden compares bytes with a file that the build of 15122f5 wrote.
 func golden(t *testing.T, name string, got []byte) {
--- a/internal/frontend/tileserver/codec.go
+++ b/internal/frontend/tileserver/codec.go
@@ -12,25 +12,25 @@
 	"bendtrestle/internal/tiles"
 )
 
-// healthPath is where a client asks whether the router serves.
+// healthPath is the path of health checks.
 const healthPath = "/health"
 
-// codec is the frontend.Codec of one connection, and the http1.Requests that its reader calls.
+// codec is the frontend.Codec of one connection, and its reader's http1.RequestHandler.
 type codec struct {
 	server *Server
 	conn   *frontend.ClientConn
 	reader http1.RequestReader
 
-	// The request that is being read.
+	// The current request.
 	head      bool // its method is HEAD
 	target    string
 	host      string
 	wait      string          // the wait header's value; empty: not stated
-	forwarded strings.Builder // headers that go on to the tile server as they are
+	forwarded strings.Builder // headers that are forwarded to the tile server unchanged
 }
 
-// forwardedHeaders are the headers of a request that tile servers get as they are: conditions, coding, and the name by
-// which a request can be followed.
+// forwardedHeaders are the request headers that are forwarded to tile servers unchanged: conditions, content
+// negotiation, and the id by which a request can be traced. The keys are in lower case, the values as they are sent.
 var forwardedHeaders = map[string]string{
 	"if-none-match":     "If-None-Match",
 	"if-modified-since": "If-Modified-Since",
@@ -43,7 +43,7 @@
 
 func (k *codec) InCommand() bool { return k.reader.Begun() }
 
-// Begin takes a request line.
+// Begin handles a request line.
 func (k *codec) Begin(method, target string) {
 	k.head = method == http.MethodHead
 	k.target = target
@@ -52,7 +52,7 @@
 	k.forwarded.Reset()
 }
 
-// Header takes a header, whose name is in lower case.
+// Header handles a header, whose name is in lower case.
 func (k *codec) Header(name, value string) {
 	properName, forwarded := forwardedHeaders[name]
 	if forwarded {
@@ -66,7 +66,8 @@
 	}
 }
 
-// Request takes the end of a request. The connection is kept for another one, or closed after the answer.
+// Request handles the end of a request. keep: the connection stays open for another one; otherwise it is closed after
+// the answer.
 func (k *codec) Request(keep bool) {
 	if !keep {
 		k.conn.CloseAfterAnswers()
@@ -75,22 +76,22 @@
 		k.answerHealth(keep)
 		return
 	}
-	asked, fault := k.server.service.Parse(k.target)
+	parsed, fault := k.server.service.Parse(k.target)
 	if fault != nil {
 		k.answerFault(fault, keep)
 		return
 	}
-	if asked.Capabilities {
+	if parsed.Capabilities {
 		k.answerCapabilities(keep)
 		return
 	}
-	fault = k.submit(asked.Tile, keep)
+	fault = k.submit(parsed.Tile, keep)
 	if fault != nil {
 		k.answerFault(fault, keep)
 	}
 }
 
-// submit submits the request for a tile, or returns why it cannot be meant.
+// submit submits the request for a tile, or returns the fault for which it cannot.
 func (k *codec) submit(tile tiles.Tile, keep bool) *tiles.Fault {
 	timeLeft, err := parseWait(k.wait)
 	if err != nil {
@@ -116,7 +117,7 @@
 	if !known {
 		return notFound("no contract holds for this traffic type")
 	}
-	k.conn.Submit(route, request, maxDeadline) // it has no id, so none is repeated
+	k.conn.Submit(route, request, maxDeadline) // never false: without an id it cannot repeat one
 	return nil
 }
 
@@ -139,7 +140,7 @@
 	k.answer(http.StatusOK, "application/xml", "", description, keep)
 }
 
-// answerFault answers what cannot be meant: by a report where the standard wants one, else in plain text.
+// answerFault answers an invalid request, by an exception report if the standard requires one, otherwise in plain text.
 func (k *codec) answerFault(fault *tiles.Fault, keep bool) {
 	k.conn.MarkEstablished()
 	if fault.Report {
@@ -149,7 +150,7 @@
 	k.answer(fault.Status, "text/plain; charset=utf-8", "", []byte(fault.Text+"\n"), keep)
 }
 
-// answer answers the request without a tile server. The headers beside the content type end in CRLF each.
+// answer answers the request without a tile server. Each of the headers, which follow the content type, ends in CRLF.
 func (k *codec) answer(status int, contentType, headers string, body []byte, keep bool) {
 	k.conn.Answer(formatResponse(status, "Content-Type: "+contentType+"\r\n"+headers, body, k.head, !keep))
 }
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -19,9 +19,9 @@
 	"bendtrestle/internal/tiles"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "regenerate testdata/*.golden from the current code")
 
-// golden compares bytes with a file that the build of 15122f5 wrote.
+// golden compares bytes with a golden file, which the build of 15122f5 wrote.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -39,7 +39,7 @@
 	}
 }
 
-// echoRoute answers each request with what was submitted.
+// echoRoute answers each request with the submitted request as text.
 type echoRoute struct{}
 
 func (echoRoute) MaxDeadline(class string) (float64, bool) { return 5, class == "tile" }
@@ -53,7 +53,7 @@
 	return nil, 0
 }
 
-// echoDispatcher routes all but what comes in at the listener "closed".
+// echoDispatcher routes all requests except those of the listener "closed".
 type echoDispatcher struct{}
 
 func (echoDispatcher) Route(listener, _, _ string) requestcore.Route {
@@ -70,7 +70,7 @@
 		Styles: []string{"default"}, Sets: []string{tiles.Google}, MaxZoom: 18}}, nil)
 }
 
-// TestGoldenTileAnswers holds the bytes of each answer that the codec writes to a request that was submitted.
+// TestGoldenTileAnswers compares the bytes of each kind of answer that the codec returns.
 func TestGoldenTileAnswers(t *testing.T) {
 	codec := New(goldenService(), "tile", "X-Wait").Protocol(nil)
 	var text bytes.Buffer
@@ -96,7 +96,7 @@
 	golden(t, "tile-answers", text.Bytes())
 }
 
-// TestGoldenTileConversation holds the bytes of the answers as clients of the two protocols of tiles read them.
+// TestGoldenTileConversation compares the bytes of the answers that clients of both tile protocols receive.
 func TestGoldenTileConversation(t *testing.T) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -125,7 +125,7 @@
 		}
 	})
 	var text bytes.Buffer
-	ask := func(name, listener, request string) {
+	exchange := func(name, listener, request string) {
 		conn, err := net.Dial("tcp", addresses[listener])
 		if err != nil {
 			t.Fatal(err)
@@ -138,31 +138,31 @@
 	}
 	const end = "Connection: close\r\n\r\n"
 	const tile = "GET /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"
-	ask("starting", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("starting", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
 	onLoop(front.SetReady)
-	ask("serving", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("serving, head", "", "HEAD /health HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("two requests", "", "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /health HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("unknown class", "", tile+end)
+	exchange("serving", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("serving, head", "", "HEAD /health HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("two requests", "", "GET /health HTTP/1.1\r\nHost: a\r\n\r\nGET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("unknown class", "", tile+end)
 	onLoop(func() { server.Configure(goldenService(), "tile", "X-Wait") })
-	ask("tile", "", tile+end)
-	ask("tile, head", "", "HEAD /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\n"+
+	exchange("tile", "", tile+end)
+	exchange("tile, head", "", "HEAD /roads/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("tile with headers", "", tile+"X-Wait: 250\r\nAccept: image/*\r\nIf-None-Match: \"x\"\r\n"+
 		"Cookie: c\r\nX-Request-Id: 7\r\n"+
 		"If-Modified-Since: d\r\nAccept-Encoding: gzip\r\n"+end)
 	for _, wait := range []string{"0", "-1", "soon", "1e3", "NaN", "99999", "."} {
-		ask("wait "+wait, "", tile+"X-Wait: "+wait+"\r\n"+end)
+		exchange("wait "+wait, "", tile+"X-Wait: "+wait+"\r\n"+end)
 	}
-	ask("no route", "closed", tile+end)
-	ask("no such layer", "", "GET /rivers/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("no such path", "", "GET /x HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("report", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetTile HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("no route", "closed", tile+end)
+	exchange("no such layer", "", "GET /rivers/3/1/2.png HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("no such path", "", "GET /x HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("report", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetTile HTTP/1.1\r\nHost: a\r\n"+end)
 	for _, host := range []string{"tiles.example:80", "[::1]:80", "a<b"} {
-		ask("capabilities", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetCapabilities HTTP/1.1\r\nHost: "+host+"\r\n"+end)
+		exchange("capabilities", "", "GET /wmts?SERVICE=WMTS&REQUEST=GetCapabilities HTTP/1.1\r\nHost: "+host+"\r\n"+end)
 	}
-	ask("other method", "", "PUT / HTTP/1.1\r\nHost: a\r\n"+end)
-	ask("not HTTP", "", "nonsense\r\n\r\n")
+	exchange("other method", "", "PUT / HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("not HTTP", "", "nonsense\r\n\r\n")
 	onLoop(func() { front.SetDraining(true) })
-	ask("draining", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
+	exchange("draining", "", "GET /health HTTP/1.1\r\nHost: a\r\n"+end)
 	golden(t, "tile-conversation", text.Bytes())
 }
--- a/internal/frontend/tileserver/request.go
+++ b/internal/frontend/tileserver/request.go
@@ -8,9 +8,9 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// What an answer needs to know of its request, as the request's Figures.
+// The properties of a request that its answer depends on. They are stored in the request's Figures.
 const (
-	figuresHead  = "head"   // first, if only the head is asked for
+	figuresHead  = "head"   // first, if the method is HEAD
 	figuresClose = " close" // last, if the connection is closed after the answer
 )
 
@@ -26,7 +26,7 @@
 	return figures
 }
 
-// isHead reports whether only the head of the answer is asked for.
+// isHead reports whether the request's method is HEAD, so that the answer has no body.
 func isHead(request *requestcore.Request) bool {
 	return strings.HasPrefix(request.Figures, figuresHead)
 }
@@ -38,7 +38,7 @@
 
 var errBadWait = errors.New("not a number above 0")
 
-// parseWait returns how long a client waits, in seconds, from the milliseconds that it states; 0 if it states none.
+// parseWait parses the wait header's value in milliseconds and returns it in seconds, 0 if the value is empty.
 func parseWait(text string) (seconds float64, err error) {
 	if text == "" {
 		return 0, nil
@@ -50,7 +50,8 @@
 	return milliseconds / 1e3, nil
 }
 
-// safeHost returns a host that may stand in a description. One with any unusual character is not repeated.
+// safeHost returns the host for addresses in the capabilities document. A host with any character other than those of
+// host names and ports is replaced by localhost.
 func safeHost(host string) string {
 	for i := range len(host) {
 		if !isHostByte(host[i]) {
--- a/internal/frontend/tileserver/response.go
+++ b/internal/frontend/tileserver/response.go
@@ -10,10 +10,11 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// noStoreHeaders are the headers of an answer that no cache may keep.
+// noStoreHeaders are the headers of an answer that caches must not store.
 const noStoreHeaders = "Content-Type: text/plain\r\nCache-Control: no-store\r\n"
 
-// formatResponse writes an answer. The headers end in CRLF each; without a body if only the head is asked for.
+// formatResponse returns a response. Each of the headers ends in CRLF. The body is left out if head is set, for the
+// method HEAD.
 func formatResponse(status int, headers string, body []byte, head, closing bool) []byte {
 	text := formatHead(status, headers, len(body), closing)
 	if !head {
@@ -22,7 +23,7 @@
 	return text
 }
 
-// formatHead writes an answer's head, for a body of so many bytes.
+// formatHead returns the status line and headers of a response with a body of length bytes.
 func formatHead(status int, headers string, length int, closing bool) []byte {
 	text := fmt.Appendf(nil, "HTTP/1.1 %d %s\r\n%s", status, http.StatusText(status), headers)
 	if status != http.StatusNoContent && status != http.StatusNotModified {
@@ -34,7 +35,7 @@
 	return append(text, "\r\n"...)
 }
 
-// ProtocolError answers what cannot be read; the connection is closed after it.
+// ProtocolError returns the answer to a stream that cannot be parsed; the connection is closed after it.
 func (k *codec) ProtocolError(err error) []byte {
 	status := http.StatusBadRequest
 	var fault *http1.Fault
@@ -48,13 +49,14 @@
 	return formatResponse(status, headers, []byte(err.Error()+"\n"), false, true)
 }
 
-// CommandTimeout answers a request that does not become complete; the connection is closed after it.
+// CommandTimeout returns the answer to a request that did not become complete in time; the connection is closed after
+// it.
 func (k *codec) CommandTimeout() []byte {
 	body := []byte("the request does not go on\n")
 	return formatResponse(http.StatusRequestTimeout, "Content-Type: text/plain\r\n", body, false, true)
 }
 
-// Succeeded passes on a tile server's result.
+// Succeeded returns the answer with a tile server's result.
 func (k *codec) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
 	head := formatHead(result.Status, result.Head, len(result.Value), closesConnection(request))
 	if isHead(request) || len(result.Value) == 0 {
@@ -63,14 +65,14 @@
 	return [][]byte{head, result.Value}
 }
 
-// Rejected answers when to retry, in whole seconds, as HTTP has it.
+// Rejected returns the answer to a rejected request, with the time until a retry in whole seconds, as HTTP requires.
 func (k *codec) Rejected(request *requestcore.Request, retryAfter float64) []byte {
 	seconds := max(1, int(math.Ceil(retryAfter)))
 	headers := fmt.Sprintf(noStoreHeaders+"Retry-After: %d\r\n", seconds)
 	return formatResponse(http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), closesConnection(request))
 }
 
-// Failed answers that the outcome is unknown.
+// Failed returns the answer to a request whose outcome is unknown.
 func (k *codec) Failed(request *requestcore.Request) []byte {
 	return formatResponse(http.StatusBadGateway, noStoreHeaders, []byte("failed\n"), isHead(request), closesConnection(request))
 }
--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -40,7 +40,8 @@
 
 func (r *responses) read(in *ringbuffer.Buffer, n *recorder) (bool, error) { return r.Read(in, n) }
 
-// readInPieces gives what a reader says of a stream that comes in pieces; a fault is readInPieces with its status.
+// readInPieces feeds a stream in pieces to a reader and returns the recorded calls, followed by the error, if any. A
+// fault is shown with its status.
 func readInPieces(r reader, stream string, piece, ringSize int, n *recorder) string {
 	in := ringbuffer.New(ringSize)
 	for len(stream) > 0 {
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -158,9 +158,9 @@
 // a random change of one byte in a request, this package and the standard library must agree on its method and target
 // if both accept it: a request must not be ambiguous.
 func TestAgainstStandardLibrary(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
+	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 3000 {
-		target := fmt.Sprintf("/layer-%d/%d/%d/%d.png?x=%d", i%7, chance.IntN(20), chance.IntN(1000), chance.IntN(1000), i)
+		target := fmt.Sprintf("/layer-%d/%d/%d/%d.png?x=%d", i%7, rng.IntN(20), rng.IntN(1000), rng.IntN(1000), i)
 		request, err := http.NewRequest([]string{"GET", "HEAD"}[i%2], "http://host"+target, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -176,7 +176,7 @@
 		}
 		// One byte is changed: if both still accept the request, they agree on method and target.
 		changed := text.Bytes()
-		changed[chance.IntN(len(changed))] = byte(chance.IntN(256))
+		changed[rng.IntN(len(changed))] = byte(rng.IntN(256))
 		mine := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
 		theirs, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
 		if strings.HasSuffix(mine, "; ") && err == nil && theirs.URL.Host == "" &&
@@ -185,7 +185,7 @@
 		}
 	}
 	for i := range 3000 {
-		body := strings.Repeat("x", chance.IntN(3000))
+		body := strings.Repeat("x", rng.IntN(3000))
 		answer := http.Response{
 			StatusCode:    []int{200, 404, 503}[i%3],
 			ProtoMajor:    1,
--- a/internal/meta/helpers_test.go
+++ b/internal/meta/helpers_test.go
@@ -40,7 +40,7 @@
 	}
 }
 
-// permutations gives all permutations of words.
+// permutations returns all orders of words.
 func permutations(words ...string) (all [][]string) {
 	if len(words) == 0 {
 		return [][]string{nil}
--- a/internal/tiles/capabilities.go
+++ b/internal/tiles/capabilities.go
@@ -7,21 +7,20 @@
 	"strings"
 )
 
-// document is an XML document as it is written, a line at a time.
+// document is an XML document that is written line by line.
 type document struct{ text bytes.Buffer }
 
-// line writes one line.
 func (d *document) line(format string, values ...any) {
 	fmt.Fprintf(&d.text, format+"\n", values...)
 }
 
 func escapeXML(text string) string {
 	var escaped bytes.Buffer
-	xml.EscapeText(&escaped, []byte(text)) // into memory: it cannot fail
+	xml.EscapeText(&escaped, []byte(text)) // cannot fail: it writes to memory
 	return escaped.String()
 }
 
-// Capabilities writes the service's capabilities document; base is its address, such as http://host.
+// Capabilities returns the service's capabilities document; base is the service's address, such as http://host.
 func (s *Service) Capabilities(base string) []byte {
 	var doc document
 	doc.line(`<?xml version="1.0" encoding="UTF-8"?>`)
@@ -114,7 +113,7 @@
 	d.line(`</Dimension>`)
 }
 
-// writeLimits writes which tiles of a matrix set a layer has.
+// writeLimits writes the range of a layer's tiles in a matrix set.
 func (d *document) writeLimits(layer *Layer, set *Set) {
 	d.line(`<TileMatrixSetLink><TileMatrixSet>%s</TileMatrixSet><TileMatrixSetLimits>`, set.Name)
 	for zoom := layer.MinZoom; zoom <= layer.MaxZoom && zoom < len(set.Matrices); zoom++ {
@@ -145,7 +144,7 @@
 	d.line(`</TileMatrixSet>`)
 }
 
-// template is the address of a layer's tiles by the standard's placeholders.
+// template returns the address of a layer's tiles with the standard's placeholders.
 func (l *Layer) template(base, extension string) string {
 	var dimensions strings.Builder
 	for _, dimension := range l.Dimensions {
--- a/internal/tiles/fault.go
+++ b/internal/tiles/fault.go
@@ -5,16 +5,16 @@
 	"net/http"
 )
 
-// Fault is what is wrong with an address, in the standard's words.
+// Fault is the error of an invalid address, in the terms of the WMTS standard.
 type Fault struct {
 	Status  int    // of HTTP
 	Code    string // one of the standard's exception codes, or empty
-	Locator string // the parameter at fault, or empty
-	Text    string // for a person
-	Report  bool   // answered by an exception report, as WMTS wants it; else in plain text
+	Locator string // the invalid parameter, or empty
+	Text    string // human-readable
+	Report  bool   // the response is an exception report, as WMTS requires; otherwise plain text
 }
 
-// Error gives the fault's text.
+// Error returns the fault's text.
 func (f *Fault) Error() string { return f.Text }
 
 // The standard's exception codes.
@@ -26,7 +26,7 @@
 	NoApplicableCode = "NoApplicableCode"
 )
 
-// XML writes an exception report.
+// XML returns the fault as an exception report.
 func (f *Fault) XML() []byte {
 	locator := ""
 	if f.Locator != "" {
@@ -41,27 +41,27 @@
 `, f.Code, locator, escapeXML(f.Text))
 }
 
-// plainFault is answered in plain text.
+// plainFault returns a fault whose response is plain text.
 func plainFault(status int, text string) *Fault {
 	return &Fault{Status: status, Text: text}
 }
 
-// reportedFault is answered by an exception report with the status 400.
+// reportedFault returns a fault whose response is an exception report with status 400.
 func reportedFault(code, locator, text string) *Fault {
 	return &Fault{Status: http.StatusBadRequest, Code: code, Locator: locator, Text: text, Report: true}
 }
 
-// missingParameter tells that a parameter is not given.
+// missingParameter returns the fault of a request that lacks a parameter.
 func missingParameter(name string) *Fault {
 	return reportedFault(MissingParameter, name, name+" is missing")
 }
 
-// invalidParameter tells that a parameter cannot have a value.
+// invalidParameter returns the fault of a parameter with an invalid value.
 func invalidParameter(name, value string) *Fault {
 	return reportedFault(InvalidParameter, name, fmt.Sprintf("%s cannot be %.40q", name, value))
 }
 
-// unsupportedOperation tells that the service does not have an operation of WMTS.
+// unsupportedOperation returns the fault of a WMTS operation that the service does not support.
 func unsupportedOperation(text string) *Fault {
 	fault := reportedFault(NotSupported, "Request", text)
 	fault.Status = http.StatusNotImplemented
--- a/internal/tiles/golden_test.go
+++ b/internal/tiles/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "regenerate testdata/*.golden from the current code")
 
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
@@ -29,12 +29,12 @@
 	}
 }
 
-// Clients read the capabilities document: its bytes are fixed.
+// Clients parse the capabilities document, so its bytes must not change by accident.
 func TestCapabilitiesBytes(t *testing.T) {
 	checkGolden(t, "capabilities.golden", service().Capabilities("http://host:8080/?a&b"))
 }
 
-// Clients read the text of a fault: each kind is written with its status and its exception report.
+// Clients read the faults' texts: each kind of fault must keep its status, its text and its exception report.
 func TestFaultBytes(t *testing.T) {
 	const restStart = "/wmts/1.0.0/"
 	targets := []string{
@@ -73,7 +73,7 @@
 	checkGolden(t, "faults.golden", text.Bytes())
 }
 
-// Tile servers are asked by these bytes.
+// Tile servers parse the addresses of requests, so their bytes must not change by accident.
 func TestAddressBytes(t *testing.T) {
 	var text bytes.Buffer
 	for _, key := range []string{
--- a/internal/tiles/helpers_test.go
+++ b/internal/tiles/helpers_test.go
@@ -2,7 +2,7 @@
 
 import "regexp"
 
-// service has a plain layer, one with all there is, and one in a set of its own.
+// service returns a service with a plain layer, one with all features, and one in a matrix set of its own.
 func service() *Service {
 	return New("Roads & clinics", []*Layer{
 		{Name: "roads", Title: "Roads", Formats: []string{"png", "jpg"}, Styles: []string{"default"},
@@ -18,7 +18,8 @@
 		{Name: "fine", Scale: 5e5, Left: 0, Top: 1e6, Width: 4, Height: 6, Side: 256}}}})
 }
 
-// parseSummary gives a tile's key, or the fault's status, code and locator.
+// parseSummary parses a target and returns the tile's key, "capabilities", or the first digit of the fault's status and
+// then the fault's code and locator, or its text if it has no report.
 func parseSummary(s *Service, target string) string {
 	a, fault := s.Parse(target)
 	switch {
@@ -32,12 +33,12 @@
 	return a.Tile.Key()
 }
 
-// withParameter gives the target pairs with another value of a parameter.
+// withParameter returns kvpTarget with another value of a parameter.
 func withParameter(name, value string) string {
 	return regexp.MustCompile("([?&]"+name+")=[^&]*").ReplaceAllString(kvpTarget, "$1="+value)
 }
 
-// withoutParameter gives the target pairs without a parameter.
+// withoutParameter returns kvpTarget without a parameter.
 func withoutParameter(name string) string {
 	return regexp.MustCompile("&"+name+"=[^&]*").ReplaceAllString(kvpTarget, "")
 }
--- a/internal/tiles/key.go
+++ b/internal/tiles/key.go
@@ -7,26 +7,26 @@
 )
 
 const (
-	maxWordBytes = 40 // of a name that stands in keys and addresses
-	keySegments  = 6  // layer, style, set, matrix, column; row, mark and format
+	maxWordBytes = 40 // of a name in keys and addresses
+	keySegments  = 6  // layer, style, set, matrix, column; row with double-size suffix and format
 )
 
-// Key is a tile's name, the same under every scheme: layer/style/set/matrix/col/row, @2x, format, dimensions. It holds
-// no space, so that it can be a key of any protocol.
+// Key returns the tile's name, which is the same in all schemes: layer/style/set/matrix/col/row, @2x, format,
+// dimensions. It contains no space, so that it can be a key in any protocol.
 func (t Tile) Key() string {
-	mark := ""
+	suffix := ""
 	if t.Twice {
-		mark = doubleSizeSuffix
+		suffix = doubleSizeSuffix
 	}
 	dimensions := ""
 	if len(t.Dimensions) > 0 {
 		dimensions = "?" + strings.Join(t.Dimensions, "&")
 	}
 	const format = "%s/%s/%s/%s/%d/%d%s.%s%s"
-	return fmt.Sprintf(format, t.Layer, t.Style, t.Set, t.Matrix, t.Col, t.Row, mark, t.Format, dimensions)
+	return fmt.Sprintf(format, t.Layer, t.Style, t.Set, t.Matrix, t.Col, t.Row, suffix, t.Format, dimensions)
 }
 
-// Named reads a key back; ok is false if the text is none.
+// Named parses a key; ok is false if the text is not a key.
 func Named(key string) (t Tile, ok bool) {
 	path, dimensions, hasDimensions := strings.Cut(key, "?")
 	if hasDimensions {
@@ -53,7 +53,8 @@
 	return t, colErr == nil && rowErr == nil
 }
 
-// Word tells whether a text may name a layer, a style, a set or a value: it then needs no escape anywhere.
+// Word reports whether a text is allowed as the name of a layer, a style, a set or a dimension's value. Such a text
+// needs no escaping in keys and addresses.
 func Word(text string) bool {
 	if text == "" || len(text) > maxWordBytes || text == "." || text == ".." {
 		return false
--- a/internal/tiles/kvp.go
+++ b/internal/tiles/kvp.go
@@ -8,12 +8,12 @@
 
 const wmtsVersion = "1.0.0"
 
-// tileParameters are what GetTile must name, in the order in which they are checked.
+// tileParameters are the parameters that GetTile requires, in the order in which they are checked.
 var tileParameters = []string{
 	"Version", "Layer", "Style", "Format", "TileMatrixSet", "TileMatrix", "TileRow", "TileCol",
 }
 
-// parseKVP reads a WMTS request by key-value pairs.
+// parseKVP parses a WMTS request in the form of key-value pairs.
 func (s *Service) parseKVP(query string) (ParsedTarget, *Fault) {
 	values, fault := parseQuery(query)
 	if fault != nil {
@@ -39,7 +39,7 @@
 	return ParsedTarget{}, unsupportedOperation(fmt.Sprintf("there is no operation %.40q", operation))
 }
 
-// parseGetTile reads the parameters of GetTile; their names are in lower case.
+// parseGetTile parses the parameters of GetTile; the names in values are in lower case.
 func (s *Service) parseGetTile(values map[string]string) (ParsedTarget, *Fault) {
 	fault := checkTileParameters(values)
 	if fault != nil {
@@ -64,7 +64,8 @@
 	return ParsedTarget{Tile: tile}, nil
 }
 
-// checkTileParameters checks that all parameters of GetTile are given, and the version. Only the style may be empty.
+// checkTileParameters checks that all parameters of GetTile are present and that the version is supported. Only the
+// style may be empty.
 func checkTileParameters(values map[string]string) *Fault {
 	for _, name := range tileParameters {
 		value, given := values[strings.ToLower(name)]
@@ -78,11 +79,11 @@
 	return nil
 }
 
-// parseTileParameters reads a tile of a layer. Its matrix set and position are not checked yet.
+// parseTileParameters parses a tile of a layer. It does not check the matrix set and the position.
 func (l *Layer) parseTileParameters(values map[string]string) (Tile, *Fault) {
 	tile := Tile{Layer: l.Name, Style: values["style"], Set: values["tilematrixset"], Matrix: values["tilematrix"]}
 	tile.Format = formatName(values["format"])
-	if tile.Style == "" { // the standard's word for the default style
+	if tile.Style == "" { // the default style, by the standard
 		tile.Style = l.Styles[0]
 	}
 	if !slices.Contains(l.Styles, tile.Style) {
--- a/internal/tiles/parse.go
+++ b/internal/tiles/parse.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxNumberDigits    = 9  // of a zoom level, a column or a row: it fits an int of 32 bits
+	maxNumberDigits    = 9  // of a zoom level, a column or a row, so that it fits an int of 32 bits
 	maxQueryParameters = 32 // of one request
-	maxLocatorBytes    = 40 // of a parameter's name that is sent back in a fault
+	maxLocatorBytes    = 40 // of a parameter's name that a fault returns to the client
 )
 
 // The paths of WMTS.
@@ -22,13 +22,13 @@
 	restCapabilitiesPath = "/wmts/1.0.0/WMTSCapabilities.xml"
 )
 
-// ParsedTarget is what an address asks for: a tile, or the service's capabilities document.
+// ParsedTarget is what a request target refers to: a tile, or the service's capabilities document.
 type ParsedTarget struct {
 	Tile         Tile
 	Capabilities bool
 }
 
-// Parse reads a request's target. The fault is nil if the target is understood.
+// Parse parses a request's target. The fault is nil if the target is valid.
 func (s *Service) Parse(target string) (ParsedTarget, *Fault) {
 	path, query, _ := strings.Cut(target, "?")
 	switch {
@@ -42,7 +42,7 @@
 	return s.parseXYZ(path, query)
 }
 
-// pathSegments cuts a path at its slashes and undoes the escapes of each segment.
+// pathSegments splits a path at its slashes and unescapes each segment.
 func pathSegments(path string) ([]string, *Fault) {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
@@ -57,7 +57,7 @@
 	return segments, nil
 }
 
-// parseNumber reads a whole number as the schemes write it: digits alone, without leading zeros.
+// parseNumber parses a whole number as the schemes write it: only digits, without leading zeros.
 func parseNumber(text string) (int, bool) {
 	if text == "" || len(text) > maxNumberDigits {
 		return 0, false
@@ -74,8 +74,8 @@
 	return number, err == nil
 }
 
-// parseQuery reads key-value pairs. Names are in any case and any order, each at most once; they are lower case in the
-// result.
+// parseQuery parses key-value pairs. Names may be in any case and any order, but each may occur only once. The result
+// has them in lower case.
 func parseQuery(query string) (map[string]string, *Fault) {
 	values := map[string]string{}
 	for pair := range strings.SplitSeq(query, "&") {
@@ -97,7 +97,7 @@
 	return values, nil
 }
 
-// resolveSet turns the matrix set of double-size tiles into the tile's mark, and checks the tile's position.
+// resolveSet replaces the matrix set of double-size tiles by the tile's field Twice, and checks the tile's position.
 func (s *Service) resolveSet(layer *Layer, tile *Tile) *Fault {
 	if !slices.Contains(layer.matrixSets(), tile.Set) {
 		text := fmt.Sprintf("the layer is not in the set %.40q", tile.Set)
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// setDimensions gives a tile the values of its layer's dimensions. The function value tells what the request has for
-// the dimension of an index; an empty value means the dimension's default.
+// setDimensions sets a tile's values of its layer's dimensions. The function value returns the request's value for the
+// dimension with an index; an empty value means the dimension's default.
 func (l *Layer) setDimensions(tile *Tile, value func(index int) string) *Fault {
 	for i, dimension := range l.Dimensions {
 		selected := value(i)
@@ -145,7 +145,7 @@
 	return nil
 }
 
-// setDimensionsFromQuery gives a tile the dimensions' values that a query names.
+// setDimensionsFromQuery sets a tile's dimensions from the values of a query.
 func (l *Layer) setDimensionsFromQuery(tile *Tile, values map[string]string) *Fault {
 	return l.setDimensions(tile, func(index int) string {
 		return values[strings.ToLower(l.Dimensions[index].Name)]
--- a/internal/tiles/rest.go
+++ b/internal/tiles/rest.go
@@ -7,8 +7,8 @@
 	"strings"
 )
 
-// The segments of a RESTful path behind the version. The dimensions' values stand between the style and the matrix
-// set: the segments from there on are counted without them.
+// The segments of a RESTful path after the version. The dimensions' values come between the style and the matrix set;
+// the numbers of the segments after them leave them out.
 const (
 	restLayer = iota
 	restStyle
@@ -20,7 +20,7 @@
 	restDimensions = restSet
 )
 
-// parseREST reads {Layer}/{Style}/{dimensions}/{TileMatrixSet}/{TileMatrix}/{TileRow}/{TileCol}.{format}.
+// parseREST parses {Layer}/{Style}/{dimensions}/{TileMatrixSet}/{TileMatrix}/{TileRow}/{TileCol}.{format}.
 func (s *Service) parseREST(path string) (ParsedTarget, *Fault) {
 	segments, fault := pathSegments(path)
 	if fault != nil {
@@ -53,7 +53,7 @@
 	return ParsedTarget{Tile: tile}, nil
 }
 
-// parseRESTSegments reads a tile of a layer. Its matrix set, position and dimensions are not checked yet.
+// parseRESTSegments parses a tile of a layer. It does not check the matrix set, the position and the dimensions.
 func (l *Layer) parseRESTSegments(segments []string) (Tile, *Fault) {
 	afterDimensions := segments[len(l.Dimensions):]
 	tile := Tile{
--- a/internal/tiles/scheme.go
+++ b/internal/tiles/scheme.go
@@ -6,7 +6,7 @@
 	"strings"
 )
 
-// Scheme is how tile servers want to be asked.
+// Scheme is the form of the addresses that a tile server accepts.
 type Scheme string
 
 // The schemes.
@@ -19,8 +19,8 @@
 // Schemes are all schemes.
 var Schemes = []Scheme{XYZ, KVP, REST}
 
-// Address writes a tile's target under a scheme. XYZ paths have no place for a style other than the default one: it is
-// in the query, as are the dimensions' values.
+// Address returns the target of a tile's request in a scheme. XYZ paths have no segment for a style other than the
+// default one or for the dimensions' values: they are in the query.
 func (s Scheme) Address(t Tile) string {
 	switch s {
 	case KVP:
@@ -31,7 +31,7 @@
 	return xyzAddress(t)
 }
 
-// wmtsSetName gives the name by which WMTS knows a tile's matrix set.
+// wmtsSetName returns the WMTS name of a tile's matrix set.
 func wmtsSetName(t Tile) string {
 	if t.Twice {
 		return GoogleTwice
@@ -50,7 +50,7 @@
 		url.QueryEscape(t.Matrix),
 		t.Row,
 		t.Col)
-	for _, pair := range t.Dimensions { // words, which need no escape
+	for _, pair := range t.Dimensions { // names and values need no escaping (Word)
 		text += "&" + pair
 	}
 	return text
@@ -67,11 +67,11 @@
 }
 
 func xyzAddress(t Tile) string {
-	mark := ""
+	suffix := ""
 	if t.Twice {
-		mark = doubleSizeSuffix
+		suffix = doubleSizeSuffix
 	}
-	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, mark, t.Format)
+	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, suffix, t.Format)
 	if t.Style == defaultName && len(t.Dimensions) == 0 {
 		return text
 	}
--- a/internal/tiles/tiles.go
+++ b/internal/tiles/tiles.go
@@ -7,7 +7,7 @@
 	"strings"
 )
 
-// Service is the layers that a frontend offers.
+// Service is a tile service: the layers that a frontend offers and their matrix sets.
 type Service struct {
 	Title  string
 	Layers []*Layer
@@ -19,15 +19,15 @@
 	Name, Title string
 	Formats     []string // png, jpg, webp, pbf; the first is the default
 	Styles      []string // the first is the default
-	Sets        []string // matrix sets; the first is the one that XYZ paths mean
-	MinZoom     int      // by the matrices' numbers in their set
+	Sets        []string // matrix sets; XYZ paths refer to the first
+	MinZoom     int      // index of the matrix in its set, as MaxZoom
 	MaxZoom     int
-	Bounds      []float64 // west, south, east, north in degrees; none: the whole world
-	Retina      bool      // double-size tiles are there, too
+	Bounds      []float64 // west, south, east, north in degrees; empty: the whole world
+	Retina      bool      // double-size tiles are available, too
 	Dimensions  []Dimension
 }
 
-// Dimension is a further choice, such as a time.
+// Dimension is a further parameter of a layer's tiles, such as the time.
 type Dimension struct {
 	Name   string
 	Values []string // the first is the default
@@ -37,19 +37,19 @@
 type Set struct {
 	Name, CRS   string
 	Matrices    []Matrix
-	webMercator bool // bounds of layers can be turned into limits
+	webMercator bool // the matrices are Web Mercator: a layer's bounds can be converted to limits
 }
 
 // Matrix is one zoom level.
 type Matrix struct {
 	Name          string
-	Scale         float64 // denominator
+	Scale         float64 // scale denominator
 	Left, Top     float64 // of the top left corner, in units of the set's CRS
 	Width, Height int     // in tiles
 	Side          int     // of a tile, in pixels
 }
 
-// Tile is one tile.
+// Tile identifies one tile.
 type Tile struct {
 	Layer, Style, Set, Matrix, Format string
 	Col, Row                          int
@@ -57,7 +57,7 @@
 	Dimensions                        []string // name=value, in the layer's order
 }
 
-// Google is the set that XYZ paths mean, by its name in the standard; GoogleTwice its tiles of double size.
+// Google is the standard's name of the Web Mercator matrix set. GoogleTwice is the same set with double-size tiles.
 const (
 	Google      = "GoogleMapsCompatible"
 	GoogleTwice = "GoogleMapsCompatible-2x"
@@ -71,9 +71,10 @@
 	boundsLength      = 4                 // west, south, east, north
 )
 
-const defaultName = "default" // the standard's name for a style or a value that needs none
+const defaultName = "default" // the standard's name of the default style or value
 
-// googleSet makes a Web Mercator set of tiles of so many pixels; scale is the denominator of zoom level 0.
+// googleSet returns a Web Mercator set with tiles of side by side pixels; scale is the scale denominator of zoom level
+// 0.
 func googleSet(name string, side int, scale float64) *Set {
 	set := &Set{Name: name, CRS: "urn:ogc:def:crs:EPSG::3857", webMercator: true}
 	for zoom := range webMercatorZooms {
@@ -90,7 +91,7 @@
 	return set
 }
 
-// New makes a service of layers and of matrix sets beyond the two that are always there.
+// New returns a service with layers, the two Google sets and more matrix sets.
 func New(title string, layers []*Layer, more []*Set) *Service {
 	sets := []*Set{
 		googleSet(Google, tileSide, topScale),
@@ -99,7 +100,7 @@
 	return &Service{Title: title, Layers: layers, Sets: append(sets, more...)}
 }
 
-// Layer gives a layer by name, nil if there is none.
+// Layer returns the layer with a name, or nil if there is none.
 func (s *Service) Layer(name string) *Layer {
 	i := slices.IndexFunc(s.Layers, func(layer *Layer) bool { return layer.Name == name })
 	if i < 0 {
@@ -108,7 +109,7 @@
 	return s.Layers[i]
 }
 
-// Set gives a matrix set by name, nil if there is none.
+// Set returns the matrix set with a name, or nil if there is none.
 func (s *Service) Set(name string) *Set {
 	i := slices.IndexFunc(s.Sets, func(set *Set) bool { return set.Name == name })
 	if i < 0 {
@@ -117,7 +118,7 @@
 	return s.Sets[i]
 }
 
-// matrixSets are the names of all sets in which a layer's tiles may be requested.
+// matrixSets returns the names of all sets in which a layer's tiles may be requested.
 func (l *Layer) matrixSets() []string {
 	if l.Retina && slices.Contains(l.Sets, Google) {
 		return append(slices.Clone(l.Sets), GoogleTwice)
@@ -125,13 +126,13 @@
 	return l.Sets
 }
 
-// tileLimits are the columns and rows of a matrix that a layer has, the last ones included.
+// tileLimits are the first and the last columns and rows of a matrix that a layer has, both included.
 type tileLimits struct {
 	firstCol, lastCol int
 	firstRow, lastRow int
 }
 
-// limits gives the part of a matrix that a layer's bounds cover.
+// limits returns the range of a matrix's tiles that a layer's bounds cover.
 func (l *Layer) limits(set *Set, matrix *Matrix) tileLimits {
 	if !set.webMercator || len(l.Bounds) != boundsLength {
 		return tileLimits{lastCol: matrix.Width - 1, lastRow: matrix.Height - 1}
@@ -145,13 +146,13 @@
 	}
 }
 
-// column gives the column of a longitude in degrees, in a matrix of Web Mercator.
+// column returns the column of a longitude in degrees, in a matrix of Web Mercator.
 func (m *Matrix) column(longitude float64) int {
 	column := int(math.Floor((longitude + 180) / 360 * float64(m.Width)))
 	return min(max(column, 0), m.Width-1)
 }
 
-// row gives the row of a latitude in degrees, in a matrix of Web Mercator.
+// row returns the row of a latitude in degrees, in a matrix of Web Mercator.
 func (m *Matrix) row(latitude float64) int {
 	radians := latitude * math.Pi / 180
 	row := int(math.Floor((1 - math.Log(math.Tan(radians)+1/math.Cos(radians))/math.Pi) / 2 * float64(m.Height)))
@@ -166,7 +167,7 @@
 	"pbf":  "application/vnd.mapbox-vector-tile",
 }
 
-// formatName gives a format's name by its extension or media type; empty if it is none.
+// formatName returns the name of the format with an extension or media type, or an empty string if there is none.
 func formatName(text string) string {
 	text = strings.ToLower(text)
 	if text == "jpeg" {
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -13,8 +13,8 @@
 const kvpTarget = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
 	"&tilematrixset=GoogleMapsCompatible&tilematrix=3&tilerow=5&tilecol=2"
 
-// The same tile under any scheme is one key; names are in any case and any order.
-func TestOneKey(t *testing.T) {
+// A tile must have the same key in all schemes, with the parameters' names in any case and any order.
+func TestSameKeyInAllSchemes(t *testing.T) {
 	s := service()
 	for want, targets := range map[string][]string{
 		"roads/default/GoogleMapsCompatible/3/2/5.png": {
@@ -35,25 +35,26 @@
 	} {
 		for _, target := range targets {
 			if got := parseSummary(s, target); got != want {
-				t.Errorf("%s is %s, want %s", target, got, want)
+				t.Errorf("%s: got %s, want %s", target, got, want)
 			}
 		}
 		tile, ok := Named(want)
 		if !ok || tile.Key() != want {
-			t.Errorf("%s reads back as %+v", want, tile)
+			t.Errorf("Named(%s): got %+v, %v, want the tile with that key", want, tile, ok)
 		}
 		for _, scheme := range Schemes {
 			if scheme == XYZ && tile.Set != Google {
-				continue // its paths have no word for another set
+				continue // XYZ paths cannot name another set
 			}
 			if got := parseSummary(s, scheme.Address(tile)); got != want {
-				t.Errorf("%s by %s is asked as %s, read as %s", want, scheme, scheme.Address(tile), got)
+				t.Errorf("%s: address %s is parsed as %s, want %s", scheme, scheme.Address(tile), got, want)
 			}
 		}
 	}
 }
 
-// The standard's errors, and what no scheme can mean: each a clean answer.
+// Invalid parameters must be reported with the standard's exception codes, and addresses that are invalid in every
+// scheme with a plain text.
 func TestFaults(t *testing.T) {
 	const noSuchAddress = "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}"
 	s := service()
@@ -120,9 +121,9 @@
 	}
 }
 
-// Every address that the description names, with its placeholders filled in, is read as the tile that it means, and all
-// of it is well-formed.
-func TestCapabilitiesCanBeFollowed(t *testing.T) {
+// The capabilities document must be well-formed, and every address in it, with its placeholders filled in, must be
+// parsed as the tile that it describes.
+func TestCapabilitiesAddressesAreParsed(t *testing.T) {
 	s := service()
 	text := s.Capabilities("http://127.0.0.1:8080")
 	for d := xml.NewDecoder(strings.NewReader(string(text))); ; {
@@ -158,7 +159,7 @@
 	if err := xml.Unmarshal(text, &c); err != nil {
 		t.Fatal(err)
 	}
-	followed := 0
+	parsed := 0
 	for _, l := range c.Contents.Layer {
 		for _, link := range l.TileMatrixSetLink {
 			for _, m := range link.TileMatrixLimits {
@@ -178,47 +179,50 @@
 						a, fault := s.Parse(target)
 						if fault != nil || a.Tile.Layer != l.Identifier ||
 							a.Tile.Row != m.MaxTileRow || a.Tile.Col != m.MinTileCol {
-							t.Fatalf("%s is read as %+v, %v", target, a, fault)
+							t.Fatalf("%s: got %+v, %v, want layer %s, row %d, column %d",
+								target, a, fault, l.Identifier, m.MaxTileRow, m.MinTileCol)
 						}
-						followed++
+						parsed++
 					}
 				}
 			}
 		}
 	}
-	if followed < 60 || len(c.Contents.TileMatrixSet) != 3 {
-		t.Errorf("%d addresses were followed, %d sets described", followed, len(c.Contents.TileMatrixSet))
+	if parsed < 60 || len(c.Contents.TileMatrixSet) != 3 {
+		t.Errorf("got %d addresses and %d sets, want at least 60 and 3", parsed, len(c.Contents.TileMatrixSet))
 	}
 }
 
+// An exception report must contain the code and the locator, and must escape the text.
 func TestReport(t *testing.T) {
 	f := Fault{Code: InvalidParameter, Locator: "Layer", Text: `Layer cannot be "<x>"`}
 	text := string(f.XML())
 	const start = `exceptionCode="InvalidParameterValue" locator="Layer"`
 	if !strings.Contains(text, start) || !strings.Contains(text, "&lt;x&gt;") {
-		t.Errorf("the report is %s", text)
+		t.Errorf("got %s, want it to contain %s and the escaped text", text, start)
 	}
 }
 
-// Any tile, under any scheme, is read back as itself.
-func TestAnyTile(t *testing.T) {
-	s, chance := service(), rand.New(rand.NewPCG(1, 1))
+// The address of any tile in any scheme must be parsed as the same tile.
+func TestAddressRoundTrip(t *testing.T) {
+	s, rng := service(), rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
-		z := chance.IntN(19)
+		z := rng.IntN(19)
 		want := Tile{
 			Layer: "roads", Style: "default", Set: Google, Matrix: strconv.Itoa(z),
-			Col: chance.IntN(1 << z), Row: chance.IntN(1 << z), Format: []string{"png", "jpg"}[chance.IntN(2)],
+			Col: rng.IntN(1 << z), Row: rng.IntN(1 << z), Format: []string{"png", "jpg"}[rng.IntN(2)],
 		}.Key()
 		tile, _ := Named(want)
 		for _, scheme := range Schemes {
 			if got := parseSummary(s, scheme.Address(tile)); got != want {
-				t.Fatalf("%s by %s is read as %s", want, scheme, got)
+				t.Fatalf("%s: got %s, want %s", scheme, got, want)
 			}
 		}
 	}
 }
 
-// No address stops the reader, and whatever is taken for a tile names one that can be asked for under every scheme.
+// Parse must not panic on any target, and the key of a tile that it accepts must be valid in all protocols and must be
+// the same when the tile is requested as key-value pairs.
 func FuzzParse(f *testing.F) {
 	s := service()
 	for _, target := range []string{
@@ -230,7 +234,8 @@
 		a, fault := s.Parse(target)
 		if fault != nil {
 			if fault.Status < 400 || fault.Status > 599 || fault.Text == "" || len(fault.XML()) > 4000 {
-				t.Errorf("%q: %+v", target, fault)
+				t.Errorf("%q: got fault %+v, want status 400 to 599, a text, a report of at most 4000 bytes",
+					target, fault)
 			}
 			return
 		}
@@ -239,10 +244,10 @@
 		}
 		key := a.Tile.Key()
 		if len(key) > 250 || strings.ContainsAny(key, " \r\n") {
-			t.Errorf("%q has the key %q", target, key)
+			t.Errorf("%q: got key %q, want at most 250 bytes without spaces and line ends", target, key)
 		}
 		if got := parseSummary(s, KVP.Address(a.Tile)); got != key {
-			t.Errorf("%q has the key %s, asked for anew %s", target, key, got)
+			t.Errorf("%q: got key %s as key-value pairs, want %s", target, got, key)
 		}
 	})
 }
--- a/internal/tiles/xyz.go
+++ b/internal/tiles/xyz.go
@@ -12,13 +12,14 @@
 	xyzLayer = iota
 	xyzZoom
 	xyzCol
-	xyzRow // with the mark of double-size tiles and the format
+	xyzRow // with the suffix of double-size tiles and the format
 	xyzSegments
 )
 
 const doubleSizeSuffix = "@2x"
 
-// parseXYZ reads /{layer}/{z}/{x}/{y}.{format} and /{layer}/{z}/{x}/{y}@2x.{format}; dimensions are in the query.
+// parseXYZ parses /{layer}/{z}/{x}/{y}.{format} and /{layer}/{z}/{x}/{y}@2x.{format}; style and dimensions are in the
+// query.
 func (s *Service) parseXYZ(path, query string) (ParsedTarget, *Fault) {
 	segments, fault := pathSegments(strings.TrimPrefix(path, "/"))
 	if fault != nil {
@@ -51,7 +52,7 @@
 	return ParsedTarget{Tile: tile}, nil
 }
 
-// parseXYZSegments reads a tile from the segments of a path, in the layer's default style and first matrix set.
+// parseXYZSegments parses a tile from the segments of a path, in the layer's default style and first matrix set.
 func (l *Layer) parseXYZSegments(segments []string) (Tile, *Fault) {
 	tile := Tile{Layer: l.Name, Style: l.Styles[0], Set: l.Sets[0], Matrix: segments[xyzZoom]}
 	_, zoomOK := parseNumber(segments[xyzZoom])
@@ -77,7 +78,7 @@
 	return tile, nil
 }
 
-// setXYZQuery gives a tile the style and the dimensions' values that the query of an XYZ path names.
+// setXYZQuery sets a tile's style and dimensions from the query of an XYZ path.
 func (l *Layer) setXYZQuery(tile *Tile, query string) *Fault {
 	values, fault := parseQuery(query)
 	if fault != nil {
