--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -101,8 +101,8 @@
 	c.updateWriteInterest()
 }
 
-// ExpandSendBuffer sets the size of the kernel's send buffer, up to the kernel's limit. The kernel goes on sending the bytes in
-// that buffer after this process has ended.
+// ExpandSendBuffer sets the size of the kernel's send buffer, up to the kernel's limit. The kernel goes on sending the
+// bytes in that buffer after this process has ended.
 func (c *Conn) ExpandSendBuffer(bytes int) {
 	if !c.closed {
 		unix.SetsockoptInt(c.fd, unix.SOL_SOCKET, unix.SO_SNDBUF, bytes)
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -2,21 +2,22 @@
 
 import "bendtrestle/internal/eventloop"
 
-// CanAccept reports whether another connection may be accepted; listeners ask before each accept. Closed connections
-// count until the loop has released their descriptors: else those that make room in one round would be held twice.
+// CanAccept reports whether another connection may be accepted; listeners call it before each accept. A closed
+// connection counts until the loop has released its descriptor: otherwise the descriptors of connections evicted within
+// one round and those of their successors would exceed the limit.
 func (f *Frontend) CanAccept() bool {
 	descriptors := len(f.connections) + f.loop.Finishing() + f.loop.Closing()
 	return descriptors < f.limits.Connections+f.limits.RejectConnections
 }
 
-// Acceptor returns the function that takes the connections of a listener. The name of the listener is the one that the
-// dispatcher knows it by.
+// Acceptor returns the function that handles the accepted connections of a listener. The dispatcher identifies the
+// listener by its name.
 func (f *Frontend) Acceptor(listener string, protocol Protocol) func(*eventloop.Conn) eventloop.Handler {
 	return func(conn *eventloop.Conn) eventloop.Handler { return f.accept(conn, listener, protocol) }
 }
 
-// accept admits a connection, or marks it as over the limit. From half of the places on a new connection makes an idle
-// one give way: clients may hold only so many descriptors themselves.
+// accept admits a connection, or marks it as over the limit. If at least half of the limit is used, a new connection
+// evicts an idle one, because clients have a limited number of descriptors themselves.
 func (f *Frontend) accept(conn *eventloop.Conn, listener string, protocol Protocol) eventloop.Handler {
 	now := f.loop.Now()
 	c := &ClientConn{frontend: f, conn: conn, listener: listener}
@@ -36,8 +37,8 @@
 	return c
 }
 
-// evictIdle closes the connection that is idle for longest, and reports whether there was one. Connections that sent
-// nothing usable so far go first, for they take no usual client's place.
+// evictIdle closes the connection that has been idle for longest, and reports whether there was one. Connections that
+// have sent no valid command are closed first, so that they do not displace established clients.
 func (f *Frontend) evictIdle() bool {
 	now := f.loop.Now()
 	var victim *ClientConn
@@ -53,7 +54,7 @@
 	return true
 }
 
-// isEvictedBefore reports whether a connection makes room rather than another one; nil: there is no other yet.
+// isEvictedBefore reports whether a connection is evicted rather than another one; other is nil if there is none yet.
 func (c *ClientConn) isEvictedBefore(other *ClientConn) bool {
 	if other == nil {
 		return true
@@ -64,7 +65,8 @@
 	return c.lastActive < other.lastActive
 }
 
-// isEvictable reports whether a connection may be closed for room. One that has just come is about to be written to.
+// isEvictable reports whether a connection may be closed to make room. A client that has just connected is about to
+// send its first command.
 func (c *ClientConn) isEvictable(now float64) bool {
 	return now-c.lastActive > evictableAfterSeconds && (c.isIdle() || c.isSilent())
 }
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -2,42 +2,42 @@
 
 import "bendtrestle/internal/requestcore"
 
-// answer is what is owed for one command. It is the requestcore.Client of the command's request, and the
-// requestcore.BodySink of a value that is passed on as it comes.
+// answer is the answer to one command. It is the requestcore.Client of the command's request, and the
+// requestcore.BodySink of a value that is passed on while it is received.
 type answer struct {
 	conn      *ClientConn
-	core      *requestcore.Core // has the request; nil: there is none, or it was answered at once
-	requestID uint64            // of the core
+	core      *requestcore.Core // processes the request; nil: no request, or it was answered within Submit
+	requestID uint64            // the request's id in the core
 	route     requestcore.Route
 	request   *requestcore.Request // nil: the command was answered without one
-	class     string               // as the client names it; a quota renames it in the request
+	class     string               // the class that the client named; a quota replaces it in the request
 	outcome   outcome
 	heldBytes int // bytes of a write's value, held until the answer
 	parts     [][]byte
-	body      requestcore.BodyStream // follows the first part; nil: there is none
+	body      requestcore.BodyStream // follows the first part; nil: none
 	bodyBytes int                    // bytes of the body that were written
 }
 
-// Succeeded passes on a server's result, or begins to.
+// Succeeded answers with a server's result; a body stream follows later.
 func (a *answer) Succeeded(result requestcore.Result) {
 	a.body = result.Body
 	a.complete(a.conn.codec.Succeeded(a.request, result)...)
 }
 
-// Rejected says that a retry is safe, after so many seconds.
+// Rejected answers that the request was not executed and that a retry is safe, after retryAfter seconds.
 func (a *answer) Rejected(retryAfter float64) {
 	a.outcome = outcomeRejected
 	a.complete(a.conn.codec.Rejected(a.request, retryAfter))
 }
 
-// Failed says that it is unknown whether the request was executed.
+// Failed answers that it is unknown whether the request was executed.
 func (a *answer) Failed() {
 	a.outcome = outcomeFailed
 	a.complete(a.conn.codec.Failed(a.request))
 }
 
-// Disconnected reports whether the client has ended the connection. If the loop has not told of that yet, the
-// connection is closed after the present callback.
+// Disconnected reports whether the client has ended the connection. If the loop has not reported that yet, the
+// connection is closed after the current callback.
 func (a *answer) Disconnected() bool {
 	c := a.conn
 	if c.isOpen() && !c.conn.PeerClosed() {
@@ -47,7 +47,7 @@
 	return true
 }
 
-// complete takes the answer's text and writes what is due on the connection.
+// complete sets the answer's text, and writes all answers of the connection that are due.
 func (a *answer) complete(parts ...[]byte) {
 	a.parts = parts
 	a.addHeldBytes(-a.heldBytes)
@@ -64,7 +64,7 @@
 	c.Flushed()
 }
 
-// discard gives up an answer that is complete and not queued.
+// discard drops an answer that is complete and not queued, and releases what it holds.
 func (a *answer) discard() {
 	if a.body != nil {
 		a.body.Discard()
@@ -74,7 +74,7 @@
 	}
 }
 
-// abandon gives up an answer whose client has disconnected, complete or not.
+// abandon drops an answer whose client has disconnected, and cancels its request if it is not complete.
 func (a *answer) abandon() {
 	a.countEnd(false)
 	if a.parts != nil {
@@ -87,14 +87,14 @@
 	}
 }
 
-// addHeldBytes counts bytes held for the answer's route. What is answered without a route is not counted.
+// addHeldBytes adds to the bytes held for the answer's route. Answers without a route are not counted.
 func (a *answer) addHeldBytes(n int) {
 	if a.route != nil {
 		a.route.AddHeldBytes(n)
 	}
 }
 
-// countEnd counts a request as its last byte leaves, or as its client disconnects before that.
+// countEnd counts the end of a request: when its last byte is written, or when its client disconnects before that.
 func (a *answer) countEnd(delivered bool) {
 	if a.request == nil {
 		return
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -2,8 +2,8 @@
 
 import "bendtrestle/internal/eventloop"
 
-// ClientConn is one client's connection. The event loop calls it as an eventloop.Handler; its codec calls it with the
-// commands that it reads. All on the loop's goroutine.
+// ClientConn is one client's connection. The event loop calls it as an eventloop.Handler, and its codec calls it with
+// the commands that it reads. All calls are made on the loop's goroutine.
 type ClientConn struct {
 	frontend *Frontend
 	conn     *eventloop.Conn
@@ -13,38 +13,38 @@
 	activity
 	output
 	reservedBytes int       // bytes reserved for the long write that is being received
-	badCommands   int       // commands that could not be used
-	cutReason     CutReason // why the connection ends, if it does with an answer owed
+	badCommands   int       // invalid commands received
+	cutReason     CutReason // why the connection ends, if an answer is owed on it
 
-	admitted           bool // it has a place at its listener, which is given back at the end
-	established        bool // a request of it was taken, or it asked whether the router serves
+	admitted           bool // counted by the dispatcher for its listener until it is closed
+	established        bool // it has submitted a request or a health check
 	overLimit          bool // beyond the limit of connections: its requests are rejected and it is closed
-	receivesLongWrite  bool // it is sending a long write
-	closing            bool // nothing more is read, and it is closed once all answers are written
+	receivesLongWrite  bool // a long write is being received
+	closing            bool // no more commands are read, and it is closed when all answers are written
 	bodyStarted        bool // the body stream that is the first segment is being read
-	sendBufferExtended bool // the kernel's send buffer takes all of that body
+	sendBufferExtended bool // the kernel's send buffer was extended to hold all of that body
 }
 
-// activity is when bytes were last seen on a connection, by the loop's clock.
+// activity holds the times of a connection's last events, by the loop's clock.
 type activity struct {
-	lastActive     float64 // when a byte last came or left
+	lastActive     float64 // when a byte was last received or written
 	acceptedAt     float64
-	commandBegan   float64 // when the command that is not complete yet began
-	unacknowledged int     // written bytes that the client had not taken when that was last looked at
+	commandBegan   float64 // when the command that is incomplete now began
+	unacknowledged int     // written bytes that the client had not acknowledged at the last check
 }
 
-// output is what is owed to the client.
+// output holds the answers that are owed to the client.
 type output struct {
-	answers  []*answer // not complete, or behind one that is not; in the order of the commands
+	answers  []*answer // incomplete ones and those after an incomplete one, in the order of the commands
 	segments []segment // of complete answers, not in the connection's buffer yet
 }
 
-// Opened is for dialled connections; the event loop does not call it here.
+// Opened does nothing: the event loop calls it for dialled connections only.
 func (c *ClientConn) Opened() {}
 
-// Input reads commands while not too many answers are owed. If the client has disconnected behind them, none is taken,
-// also if more is unread than was read at once: the commands may have waited in the socket, or for the accept, and
-// nobody waits for them any more.
+// Input reads commands until too many answers are owed. If the client has disconnected after sending them, it submits
+// none of them, even if more bytes are unread than one read returns: the commands may have waited in the socket or for
+// the accept, and no client waits for their answers any more.
 func (c *ClientConn) Input() {
 	if c.conn.PeerClosed() {
 		c.close()
@@ -59,7 +59,8 @@
 	}
 }
 
-// readCommands hands on what has come, and reports whether what is incomplete now, if anything, has begun with it.
+// readCommands has the codec read the received bytes. It reports whether the command that is incomplete afterwards, if
+// any, began with these bytes.
 func (c *ClientConn) readCommands() (begun bool) {
 	begun = !c.codec.InCommand()
 	for c.conn.In.Len() > 0 && !c.isFull() && !c.closing {
@@ -73,7 +74,7 @@
 	return begun
 }
 
-// resumeInput reads what was left in the buffer while the connection was full.
+// resumeInput reads the bytes that were left in the buffer while the connection was full.
 func (c *ClientConn) resumeInput() {
 	if c.isOpen() && c.conn.In.Len() > 0 {
 		c.Input()
@@ -83,13 +84,13 @@
 // isOpen reports whether the connection has not ended.
 func (c *ClientConn) isOpen() bool { return c.frontend.connections[c] }
 
-// isFull reports whether so much is owed that no command is read.
+// isFull reports whether so many answers are owed that no more commands are read.
 func (c *ClientConn) isFull() bool { return len(c.answers) >= maxOwedAnswers || len(c.segments) > 0 }
 
-// owesNothing reports whether each command that was read has its answer, in the connection's buffer at least.
+// owesNothing reports whether the answers to all commands read are written, at least to the connection's buffer.
 func (c *ClientConn) owesNothing() bool { return len(c.answers) == 0 && len(c.segments) == 0 }
 
-// isIdle reports whether nothing is owed and no command has begun.
+// isIdle reports whether no answer is owed or unsent and no command has begun.
 func (c *ClientConn) isIdle() bool {
 	if !c.owesNothing() || c.conn.Unsent() > 0 {
 		return false
@@ -97,17 +98,17 @@
 	return c.closing || !c.codec.InCommand() && c.conn.Quiet()
 }
 
-// isSilent reports whether nothing usable has come so far, and nothing is unread.
+// isSilent reports whether the client has sent no valid command so far, and nothing is owed or unread.
 func (c *ClientConn) isSilent() bool {
 	return !c.established && c.owesNothing() && !c.conn.Unread()
 }
 
-// MarkEstablished notes that the client asked something as a usual one does. For room, connections that did not are
-// closed first.
+// MarkEstablished marks the connection as one that has sent a valid command. Connections that have not are evicted
+// first.
 func (c *ClientConn) MarkEstablished() { c.established = true }
 
-// NotServingReason returns why the router takes no clients now, empty if it does. The client has asked as a usual one
-// does, so it counts as established.
+// NotServingReason returns why the router does not serve clients now, or an empty string if it does. It is called for a
+// health check, which marks the connection as established.
 func (c *ClientConn) NotServingReason() string {
 	c.MarkEstablished()
 	switch {
@@ -119,14 +120,14 @@
 	return ""
 }
 
-// Answer answers a command without a request.
+// Answer answers a command that needs no request.
 func (c *ClientConn) Answer(text []byte) {
 	a := &answer{conn: c}
 	c.answers = append(c.answers, a)
 	a.complete(text)
 }
 
-// AnswerBadCommand answers a command that cannot be used. After a few of them the connection is closed.
+// AnswerBadCommand answers an invalid command. After maxBadCommands of them the connection is closed.
 func (c *ClientConn) AnswerBadCommand(text []byte) {
 	c.badCommands++
 	if c.badCommands >= maxBadCommands {
@@ -135,5 +136,5 @@
 	c.Answer(text)
 }
 
-// CloseAfterAnswers reads nothing more, and closes the connection once all is answered.
+// CloseAfterAnswers stops reading commands, and closes the connection when all answers are written.
 func (c *ClientConn) CloseAfterAnswers() { c.closing = true }
--- a/internal/frontend/close.go
+++ b/internal/frontend/close.go
@@ -1,7 +1,8 @@
 package frontend
 
-// closeIfIdle closes an idle connection if nothing more is read from it, or idle ones are being closed. A client that
-// has just connected sends at once; closed now, it would have come for nothing.
+// closeIfIdle closes an idle connection if no more commands are read from it, or if idle connections are being closed.
+// In the latter case it keeps a connection that was accepted less than idleAfterSeconds ago and has sent no valid
+// command, because its client is about to send one.
 func (c *ClientConn) closeIfIdle() {
 	f := c.frontend
 	fresh := !c.established && f.loop.Now()-c.acceptedAt < idleAfterSeconds
@@ -13,7 +14,8 @@
 	}
 }
 
-// closeGracefully ends the connection so that the client can read all its answers, also if it goes on sending.
+// closeGracefully ends the connection in such a way that the client can read all its answers, even if it goes on
+// sending.
 func (c *ClientConn) closeGracefully() {
 	c.conn.Finish(lingerSeconds)
 	c.Closed()
@@ -24,7 +26,7 @@
 	c.Closed()
 }
 
-// Closed forgets the connection and gives back all that it holds. The event loop calls it when the client has
+// Closed removes the connection and releases all that it holds. The event loop calls it when the client has
 // disconnected. A second call does nothing.
 func (c *ClientConn) Closed() {
 	f := c.frontend
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -1,17 +1,19 @@
 package frontend
 
-// servingState says whether clients are served, and how the process ends. New clients are told by NotServingReason.
+// servingState holds whether clients are served, and how the process shuts down. NotServingReason derives the answer to
+// health checks from it.
 type servingState struct {
-	ready         bool    // the start is over
-	draining      bool    // clients are sent to other routers
+	ready         bool    // the router has started up
+	draining      bool    // clients are to use other routers
 	closingIdle   bool    // connections are closed as they become idle
-	finalDeadline float64 // by when all is answered, for the process ends, by the loop's clock; 0: it does not end
+	finalDeadline float64 // when the process ends, by the loop's clock: all requests are answered by then; 0: not set
 }
 
-// SetReady tells clients from now on that the router serves.
+// SetReady makes health checks report that the router serves clients.
 func (f *Frontend) SetReady() { f.ready = true }
 
-// SetDraining tells clients from now on that they are sent away, or that they are taken again.
+// SetDraining sets whether health checks report that the router is draining. Without draining, idle connections are not
+// closed any more, either.
 func (f *Frontend) SetDraining(on bool) {
 	f.draining = on
 	if !on {
@@ -19,7 +21,7 @@
 	}
 }
 
-// SetFinalDeadline sets when the process ends, by the loop's clock: what is taken from now on is answered by then.
+// SetFinalDeadline sets when the process ends, by the loop's clock. Requests submitted from now on are answered by then.
 func (f *Frontend) SetFinalDeadline(at float64) { f.finalDeadline = at }
 
 // CloseIdle closes idle connections, now and as they become idle.
@@ -30,8 +32,8 @@
 	}
 }
 
-// StopReading reads nothing more from the connections that there are, and closes each after the answers owed on it: a
-// client that never pauses would be served for ever.
+// StopReading stops reading from all connections, and closes each when the answers owed on it are written. Otherwise a
+// client that sends commands without a pause would be served forever.
 func (f *Frontend) StopReading() {
 	for c := range f.connections {
 		c.closing = true
@@ -40,8 +42,8 @@
 	}
 }
 
-// ExtendSendBuffers lets the kernel take what is left of body streams, up to so many bytes in all: the process may be
-// killed before slow clients have read them, and the kernel goes on sending after that.
+// ExtendSendBuffers extends the kernel's send buffers so that they hold the rest of body streams, up to a total number
+// of bytes: the process may be killed before slow clients have read them, and the kernel goes on sending after that.
 func (f *Frontend) ExtendSendBuffers(bytes int) {
 	for c := range f.connections {
 		if !c.bodyStarted || c.sendBufferExtended || f.kernelBodyBytes >= bytes {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -5,7 +5,7 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Frontend is all client connections. It belongs to the loop's goroutine.
+// Frontend serves all client connections. It is used on the loop's goroutine only.
 type Frontend struct {
 	loop        *eventloop.Loop
 	dispatcher  requestcore.Dispatcher
@@ -18,22 +18,22 @@
 	recentIDs recentIDs
 }
 
-// openWork is what has begun and not ended.
+// openWork counts open requests, body streams and reserved memory.
 type openWork struct {
-	openRequests    int  // requests that were submitted or rejected and whose last byte has not left
-	openBodies      int  // body streams on their way to clients
-	kernelBodyBytes int  // bytes of them that the kernel's send buffers were extended for
+	openRequests    int  // requests that were submitted or rejected and whose last byte is not written
+	openBodies      int  // body streams that are being sent to clients
+	kernelBodyBytes int  // bytes of them for which the kernel's send buffers were extended
 	longWriteBytes  int  // bytes reserved for long writes
-	capacityMissed  bool // a request found no capacity since the last sweep
+	capacityMissed  bool // a request was rejected for lack of capacity since the last sweep
 }
 
 // endCounts counts how requests and connections ended, since the start.
 type endCounts struct {
 	outcomes       map[string]*Outcomes   // by the class that clients name
-	cutConnections [cutReasonCount]uint64 // connections that ended with an answer owed, by CutReason
+	cutConnections [cutReasonCount]uint64 // connections that ended while an answer was owed, by CutReason
 }
 
-// New makes a frontend without connections, and starts its sweep on the loop.
+// New returns a frontend without connections, and starts its sweep on the loop.
 func New(loop *eventloop.Loop, dispatcher requestcore.Dispatcher, limits Limits) *Frontend {
 	f := &Frontend{
 		loop:        loop,
@@ -47,10 +47,10 @@
 	return f
 }
 
-// OpenRequests returns how many requests were taken and have not ended: their last byte has not left.
+// OpenRequests returns how many requests have not ended: the last byte of their answers is not written.
 func (f *Frontend) OpenRequests() int { return f.openRequests }
 
-// OpenBodyStreams returns how many body streams are on their way to clients.
+// OpenBodyStreams returns how many body streams are being sent to clients.
 func (f *Frontend) OpenBodyStreams() int { return f.openBodies }
 
 // Connections returns how many clients are connected.
--- a/internal/frontend/longwrite.go
+++ b/internal/frontend/longwrite.go
@@ -1,7 +1,7 @@
 package frontend
 
-// ReserveLongWrite reserves memory for a long write that begins, and reports whether there was any. Either way the
-// write may take the time of a long one.
+// ReserveLongWrite reserves memory for a long write that begins, and reports whether there was enough. In both cases
+// the timeouts of long writes apply to the command.
 func (c *ClientConn) ReserveLongWrite(bytes int) bool {
 	f := c.frontend
 	c.receivesLongWrite = true
@@ -13,7 +13,7 @@
 	return true
 }
 
-// ReleaseLongWrite gives back what was reserved: the command is over. Without a long write it does nothing.
+// ReleaseLongWrite releases the reserved memory at the end of the command. Without a long write it does nothing.
 func (c *ClientConn) ReleaseLongWrite() {
 	c.frontend.longWriteBytes -= c.reservedBytes
 	c.reservedBytes = 0
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -12,7 +12,7 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// The answers to commands that cannot be used.
+// The answers to invalid commands.
 const (
 	answerNoQuota      = "CLIENT_ERROR no contract holds for this traffic"
 	answerUnknownClass = "CLIENT_ERROR the type c is unknown"
@@ -20,7 +20,7 @@
 	answerRepeatedID   = "CLIENT_ERROR the id O is another operation's"
 )
 
-// The names of a command's figures that are read here.
+// The names of the figures of a command (see meta.CommandHandler) that the router reads.
 const (
 	classFigure    = "c"
 	tenantFigure   = "tenant"
@@ -29,10 +29,10 @@
 
 var errBadTimeLeft = errors.New("not a number of 0 or more")
 
-// Memcache is the platform's protocol: the meta commands of the memcache text protocol.
+// Memcache returns a codec of the platform's protocol: the meta commands of the memcache text protocol.
 func Memcache(c *ClientConn) Codec { return &memcache{conn: c} }
 
-// memcache is the Codec, and the meta.Commands that its reader calls.
+// memcache is a Codec, and its reader's meta.CommandHandler.
 type memcache struct {
 	conn   *ClientConn
 	reader meta.CommandReader
@@ -53,7 +53,7 @@
 	m.conn.ReleaseLongWrite()
 }
 
-// Noop answers whether the router serves.
+// Noop answers a health check.
 func (m *memcache) Noop() {
 	reason := m.conn.NotServingReason()
 	if reason != "" {
@@ -66,13 +66,13 @@
 // Reserve reserves memory for a long write.
 func (m *memcache) Reserve(length int) bool { return m.conn.ReserveLongWrite(length) }
 
-// Refused answers the end of a long write for which there was no memory.
+// Refused rejects a long write for which there was no memory, after its value has been skipped.
 func (m *memcache) Refused() {
 	m.conn.Answer(meta.AppendBusy(nil, 0))
 	m.conn.ReleaseLongWrite()
 }
 
-// Bad answers a command that cannot be used.
+// Bad answers an invalid command.
 func (m *memcache) Bad(text string) {
 	m.conn.AnswerBadCommand([]byte(text + "\r\n"))
 	m.conn.ReleaseLongWrite()
@@ -87,7 +87,7 @@
 		return
 	}
 	maxDeadline, known := route.MaxDeadline(request.Class)
-	if !known { // no cache server could use it either
+	if !known { // no cache server accepts it, either
 		m.Bad(answerUnknownClass)
 		return
 	}
@@ -102,8 +102,8 @@
 	}
 }
 
-// parseTimeLeft returns how long a client waits, in seconds; 0 if it does not say. A client with less than a
-// millisecond left, in the last of its attempts, says 0 by the wire's unit: that is a time, and over.
+// parseTimeLeft returns how long a client waits, in seconds, or 0 if it states no time. A client with less than a
+// millisecond left, in its last attempt, states 0, because the protocol's unit is milliseconds: its time has expired.
 func parseTimeLeft(figures string) (seconds float64, err error) {
 	text, stated := meta.Figure(figures, timeLeftFigure)
 	if !stated {
@@ -116,33 +116,33 @@
 	return cmp.Or(milliseconds/1e3, expired), nil
 }
 
-// ProtocolError answers a stream that cannot be followed any more.
+// ProtocolError returns the answer to a stream that cannot be read any further.
 func (m *memcache) ProtocolError(err error) []byte {
 	return []byte("CLIENT_ERROR " + err.Error() + "\r\n")
 }
 
-// CommandTimeout answers a command that does not become complete.
+// CommandTimeout returns the answer to a command that did not become complete in time.
 func (m *memcache) CommandTimeout() []byte {
 	return []byte("CLIENT_ERROR the command does not go on\r\n")
 }
 
-// Succeeded answers with a value, or with a write's receipt.
+// Succeeded returns the answer with a value, or with a write's receipt.
 func (m *memcache) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
 	if request.Write {
 		return [][]byte{meta.AppendStored(nil, request.ID, result.Receipt)}
 	}
-	if result.Body != nil { // its bytes come between the two parts
+	if result.Body != nil { // the body's bytes are written between the two parts
 		return [][]byte{meta.AppendValue(nil, request.ID, result.Body.Length()), []byte("\r\n")}
 	}
 	return [][]byte{meta.AppendValue(nil, request.ID, len(result.Value)), result.Value, []byte("\r\n")}
 }
 
-// Rejected answers when to retry, in milliseconds.
+// Rejected returns the answer to a rejected request, with the time until a retry in milliseconds.
 func (m *memcache) Rejected(_ *requestcore.Request, retryAfter float64) []byte {
 	return meta.AppendBusy(nil, int(math.Ceil(retryAfter*1e3)))
 }
 
-// Failed answers that the outcome is unknown.
+// Failed returns the answer to a request whose outcome is unknown.
 func (m *memcache) Failed(*requestcore.Request) []byte {
 	return []byte("SERVER_ERROR failed\r\n")
 }
--- a/internal/frontend/outcomes.go
+++ b/internal/frontend/outcomes.go
@@ -1,10 +1,10 @@
 package frontend
 
 // Outcomes counts how requests of a class ended: with a server's result, rejected (a retry is safe), or failed (it is
-// unknown whether it was executed). Requests whose client left before its answer are not counted.
+// unknown whether the request was executed). Requests whose client disconnected before the answer are not counted.
 type Outcomes struct{ Succeeded, Rejected, Failed uint64 }
 
-// outcome is how a request's answer counts.
+// outcome is the kind of a request's answer.
 type outcome int
 
 const (
@@ -24,7 +24,7 @@
 	}
 }
 
-// OutcomesOf returns how requests of a class ended since the start.
+// OutcomesOf returns the counts of the outcomes of a class since the start.
 func (f *Frontend) OutcomesOf(class string) Outcomes {
 	outcomes := f.outcomes[class]
 	if outcomes == nil {
@@ -33,7 +33,8 @@
 	return *outcomes
 }
 
-// countOutcome counts the end of a request. The classes are those of the settings and of the quotas, so they are few.
+// countOutcome counts the end of a request. The map stays small, because only classes of the settings and of the quotas
+// occur.
 func (f *Frontend) countOutcome(class string, kind outcome) {
 	outcomes := f.outcomes[class]
 	if outcomes == nil {
--- a/internal/frontend/output.go
+++ b/internal/frontend/output.go
@@ -4,13 +4,13 @@
 
 // segment is a part of a complete answer that is not in the connection's buffer yet: a text, or a body stream.
 type segment struct {
-	text   []byte // what is left of it
+	text   []byte // the rest of the text that is not written yet
 	answer *answer
-	last   bool                   // with it the answer has left
-	body   requestcore.BodyStream // in place of a text
+	last   bool                   // it is the answer's last segment
+	body   requestcore.BodyStream // instead of a text
 }
 
-// queueCompleteAnswers moves the answers that are complete, up to the first that is not, into segments.
+// queueCompleteAnswers converts the answers before the first incomplete one to segments.
 func (c *ClientConn) queueCompleteAnswers() {
 	for len(c.answers) > 0 && c.answers[0].parts != nil {
 		c.queueAnswer(c.answers[0])
@@ -29,8 +29,8 @@
 	}
 }
 
-// Flushed fills the connection's buffer from the segments, and reads on if that was held up. The event loop calls it
-// when the buffer has room again.
+// Flushed writes the segments to the connection's buffer, and resumes reading if too many owed answers had paused it.
+// The event loop calls it when the buffer has room again.
 func (c *ClientConn) Flushed() {
 	if !c.writeSegments() {
 		return
@@ -46,7 +46,7 @@
 	}
 }
 
-// writeSegments writes while there is room, and reports whether no segment is left.
+// writeSegments writes segments while the buffer has room, and reports whether none is left.
 func (c *ClientConn) writeSegments() (done bool) {
 	for len(c.segments) > 0 {
 		first := &c.segments[0]
@@ -65,7 +65,7 @@
 	return true
 }
 
-// writeText writes a segment's text as far as there is room, and reports whether all of it is written.
+// writeText writes a segment's text as far as the buffer has room, and reports whether all of it is written.
 func (c *ClientConn) writeText(s *segment) (done bool) {
 	n := c.conn.Write(s.text)
 	s.answer.addHeldBytes(-n)
@@ -76,7 +76,7 @@
 	return len(s.text) == 0
 }
 
-// continueBody starts the body stream that is the first segment, or goes on with it.
+// continueBody starts or resumes the body stream that is the first segment.
 func (c *ClientConn) continueBody(s *segment) {
 	body := s.body
 	if c.bodyStarted {
@@ -92,7 +92,7 @@
 	})
 }
 
-// OnPart writes some of the body, and returns how many bytes there was room for.
+// OnPart writes a part of the body, and returns how many bytes there was room for.
 func (a *answer) OnPart(part []byte) int {
 	c := a.conn
 	n := c.conn.Write(part)
@@ -103,7 +103,7 @@
 	return n
 }
 
-// OnComplete ends the body; what is owed behind it goes on.
+// OnComplete ends the body, and writes the segments after it.
 func (a *answer) OnComplete() {
 	c := a.conn
 	if !c.isOpen() {
@@ -116,7 +116,7 @@
 	c.Flushed()
 }
 
-// OnBroken closes the connection: only by that can the client tell that the value is not complete.
+// OnBroken closes the connection, because the client cannot detect an incomplete value in any other way.
 func (a *answer) OnBroken() {
 	c := a.conn
 	if !c.isOpen() {
@@ -126,7 +126,7 @@
 	a.countEnd(true)
 	c.frontend.openBodies--
 	c.segments = c.segments[1:]
-	c.segments[0].last = false // it is the end of this answer, which is counted already
+	c.segments[0].last = false // the rest of this answer, whose end is counted already
 	c.cutReason = BodyBroken
 	c.close()
 }
--- a/internal/frontend/submit.go
+++ b/internal/frontend/submit.go
@@ -6,17 +6,17 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Route returns who takes a request of this client; nil: nobody does.
+// Route returns the route for a request of this client, or nil if there is none.
 func (c *ClientConn) Route(tenant, key string) requestcore.Route {
 	return c.frontend.dispatcher.Route(c.listener, tenant, key)
 }
 
-// Submit hands a request to its route, or rejects it where there is no capacity or no time left. The client waits for
-// the request's TimeLeft (0: not stated), but at most maxDeadline seconds, which is the class's limit (0: none). It
-// returns false, and has done nothing, if another request had the same id lately.
+// Submit submits a request to its route, or rejects it if there is no capacity or no time left. The client waits for
+// the request's TimeLeft (0: not stated), but at most maxDeadline seconds, which is the class's limit (0: none). If a
+// recent request had the same id, Submit does nothing and returns false.
 //
-// A request without time left is rejected here: its client is as good as any, and the balancer would take a request
-// that it can't serve as a sign of overload.
+// A request without time left is rejected here and not by the balancer, which would take a request that it cannot serve
+// as a sign of overload. It is no invalid command of the client.
 func (c *ClientConn) Submit(route requestcore.Route, request *requestcore.Request, maxDeadline float64) bool {
 	f := c.frontend
 	expired := f.limitTimeLeft(request, maxDeadline)
@@ -33,13 +33,13 @@
 		a.Rejected(0)
 		return true
 	}
-	a.heldBytes = len(request.Value) // before Submit, which may answer it at once
+	a.heldBytes = len(request.Value) // set before Submit, which may answer before it returns
 	a.addHeldBytes(a.heldBytes)
 	a.core, a.requestID = route.Submit(request, a)
 	return true
 }
 
-// limitTimeLeft sets how long a request may take, and reports whether its time is over already.
+// limitTimeLeft limits how long a request may take, and reports whether its time has expired already.
 func (f *Frontend) limitTimeLeft(request *requestcore.Request, maxDeadline float64) (expired bool) {
 	expired = request.TimeLeft < 0
 	if request.TimeLeft == 0 {
--- a/internal/frontend/tileserver/response.go
+++ b/internal/frontend/tileserver/response.go
@@ -69,10 +69,12 @@
 func (k *codec) Rejected(request *requestcore.Request, retryAfter float64) []byte {
 	seconds := max(1, int(math.Ceil(retryAfter)))
 	headers := fmt.Sprintf(noStoreHeaders+"Retry-After: %d\r\n", seconds)
-	return formatResponse(http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), closesConnection(request))
+	return formatResponse(
+		http.StatusServiceUnavailable, headers, []byte("busy\n"), isHead(request), closesConnection(request))
 }
 
 // Failed returns the answer to a request whose outcome is unknown.
 func (k *codec) Failed(request *requestcore.Request) []byte {
-	return formatResponse(http.StatusBadGateway, noStoreHeaders, []byte("failed\n"), isHead(request), closesConnection(request))
+	return formatResponse(
+		http.StatusBadGateway, noStoreHeaders, []byte("failed\n"), isHead(request), closesConnection(request))
 }
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -1,8 +1,8 @@
 package frontend
 
-// sweep closes, several times a second, the connections that hold memory or a place for nothing: of clients that read
-// none of their answers, say nothing, or do not finish a command, and idle ones. What is unread in the socket is no
-// silence: the loop may have been stopped meanwhile.
+// sweep runs every sweepSeconds and closes connections that use memory or a place without need: those whose clients do
+// not read their answers, send nothing, or do not finish a command, and idle ones. A connection with unread bytes in
+// the socket does not time out for silence: the loop may have been stopped since they arrived.
 func (f *Frontend) sweep() {
 	now := f.loop.Now()
 	for c := range f.connections {
@@ -27,15 +27,16 @@
 	}
 }
 
-// checkUnreadAnswer closes a connection whose client reads nothing of its answers. The loop tells of room in the kernel
-// only once that is a good part of what the kernel holds: with a slow reader seconds later. So the kernel is asked.
+// checkUnreadAnswer closes a connection whose client does not read its answers. The loop reports room in the kernel's
+// send buffer only when a large part of it is free, with a slow reader seconds later. Therefore the number of
+// unacknowledged bytes is read from the kernel.
 func (c *ClientConn) checkUnreadAnswer(now float64) {
 	if now-c.lastActive > idleAfterSeconds {
-		untaken := c.conn.Unacknowledged()
-		if untaken < c.unacknowledged {
+		unacknowledged := c.conn.Unacknowledged()
+		if unacknowledged < c.unacknowledged {
 			c.lastActive = now
 		}
-		c.unacknowledged = untaken
+		c.unacknowledged = unacknowledged
 	}
 	if now-c.lastActive > unreadAnswerSeconds {
 		c.cutReason = AnswerUnread
@@ -43,7 +44,7 @@
 	}
 }
 
-// isCommandTimedOut reports whether a command has begun and did not become complete in time.
+// isCommandTimedOut reports whether a command has begun and has not become complete in time.
 func (c *ClientConn) isCommandTimedOut(now float64) bool {
 	if len(c.answers) > 0 || !c.codec.InCommand() {
 		return false
@@ -58,13 +59,14 @@
 	return now-c.lastActive > longWriteStallSeconds || sinceBegan > longWriteSeconds
 }
 
-// isFirstCommandTimedOut reports whether nothing usable has come since the accept, for as long as a command may take.
+// isFirstCommandTimedOut reports whether the client has sent no valid command within commandSeconds after the accept.
 func (c *ClientConn) isFirstCommandTimedOut(now float64) bool {
 	return len(c.answers) == 0 && !c.established && now-c.acceptedAt > commandSeconds && !c.conn.Unread()
 }
 
-// isUnneeded reports whether an idle connection is closed: it is over the limit, idle ones are being closed, or it has
-// been idle for long, which is less where more than half of the places are taken.
+// isUnneeded reports whether a connection is idle and is to be closed: because it is over the limit, because idle ones
+// are being closed, or because it has been idle for too long. The allowed time is shorter if more than half of the limit
+// is used.
 func (c *ClientConn) isUnneeded(now float64) bool {
 	f := c.frontend
 	silence := now - c.lastActive
@@ -76,9 +78,10 @@
 	return unneeded && c.isIdle()
 }
 
-// closeSlowestReader closes the client that has read nothing for longest, if what is held for such clients takes half
-// of the memory for values (which is as much as that for long writes): all others would be rejected for as long as
-// these are waited for. It closes one at a time, for closing loses what the client is owed.
+// closeSlowestReader closes the connection of the client that has not read for longest, if the answers held for such
+// clients use half of the memory for values (which has the size of the memory for long writes). Otherwise all other
+// requests would be rejected until these clients read or time out. It closes one connection at a time, because that
+// loses the answers owed on it.
 func (f *Frontend) closeSlowestReader() {
 	now := f.loop.Now()
 	var slowest *ClientConn
@@ -97,7 +100,8 @@
 	}
 }
 
-// isSlowReader reports whether a client leaves held answers unread. The bytes of a body stream are not held.
+// isSlowReader reports whether a client leaves answers unread that are held in memory. Bytes of a body stream are not
+// held.
 func (c *ClientConn) isSlowReader(now float64) bool {
 	return len(c.segments) > 0 && !c.bodyStarted && now-c.lastActive > idleAfterSeconds
 }
