--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -7,7 +7,8 @@
 	"testing"
 )
 
-// At a limit of requests or of memory a request is rejected: it was surely not executed.
+// At the limit of open requests or of held bytes a request must be rejected, which tells the client that it was not
+// executed and that a retry is safe.
 func TestRejectedAtLimit(t *testing.T) {
 	connections := Limits{Connections: 10, RejectConnections: 1}
 	for name, limits := range map[string]testLimits{
@@ -21,13 +22,14 @@
 		expect(t, in, "HD O1 c1\r\nSERVER_ERROR busy\r\n")
 		s.onLoop(func() {
 			if s.dispatcher.held != 0 {
-				t.Errorf("%s: %d bytes count as held", name, s.dispatcher.held)
+				t.Errorf("%s: %d bytes are counted as held, want 0", name, s.dispatcher.held)
 			}
 		})
 	}
 }
 
-// A connection over the limit is rejected while the others are busy. Once one is idle, that one makes room.
+// While all other connections are busy, the requests of a connection over the limit are rejected and it is closed. When
+// another connection is idle, that one is evicted instead.
 func TestConnectionsOverLimit(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 1, RejectConnections: 1}, 10, 1 << 20})
 	old, oldIn := s.dial()
@@ -37,7 +39,7 @@
 	fmt.Fprintf(conn, "mg k v O2 Pc=t\r\n")
 	expect(t, in, "SERVER_ERROR busy\r\n")
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("the connection over the limit stays, %v", err)
+		t.Errorf("the connection over the limit: got read error %v, want EOF", err)
 	}
 	s.succeed(h, "x")
 	expect(t, oldIn, "VA 1 O1\r\nx\r\n")
@@ -46,16 +48,17 @@
 			c.lastActive -= 2 * evictableAfterSeconds
 		}
 	})
-	conn, in = s.dial() // the old one has been idle for a while and makes room
+	conn, in = s.dial() // the old one is idle and is evicted
 	fmt.Fprintf(conn, "mn\r\n")
 	expect(t, in, "SERVER_ERROR starting\r\n")
 	if _, err := oldIn.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection stays, %v", err)
+		t.Errorf("the idle connection: got read error %v, want EOF", err)
 	}
 }
 
-// Less than a millisecond is left in the last of a client's attempts, and the wire says 0: it is rejected at once,
-// its connection is served on, and neither the balancer nor a cache server hears of it.
+// In its last attempt a client may have less than a millisecond left, which it sends as 0. Such a request must be
+// rejected immediately, and the connection must stay usable. The request must reach neither the balancer nor a cache
+// server.
 func TestExpiredRequestIsRejected(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -65,7 +68,7 @@
 	}
 	s.onLoop(func() {
 		if n := s.dispatcher.core.Counts.Taken; n > 0 || len(s.started) > 0 {
-			t.Errorf("%d requests were taken, %d forwarded", n, len(s.started))
+			t.Errorf("got %d requests in the core and %d attempts, want none", n, len(s.started))
 		}
 	})
 	fmt.Fprintf(conn, "mg k v Ox Pc=t,d=100\r\n")
@@ -73,8 +76,8 @@
 	expect(t, in, "VA 1 Ox\r\nx\r\n")
 }
 
-// An id that was submitted lately is no new request's: a cache server would reject it, which would look like a fault
-// of that server.
+// A request with the id of a recent one is an invalid command. A cache server would reject it, which would look like
+// overload of that server.
 func TestRepeatedID(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -89,8 +92,9 @@
 	expect(t, badIn, "CLIENT_ERROR the id O is another operation's\r\n")
 }
 
-// Clients that ask once and stay come faster than idle connections time out. Long before all places are taken each
-// new one takes the place of the longest idle, for clients hold only a part of the descriptors themselves.
+// Clients that send one command and stay connected may arrive faster than idle connections time out. From half of the
+// limit on, each new connection must evict the one that has been idle for longest, because clients have a limited number
+// of descriptors themselves.
 func TestIdleEvictedFromHalfOfLimit(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 4, RejectConnections: 1}, 10, 1 << 20})
 	var first *bufio.Reader
@@ -108,28 +112,29 @@
 		})
 	}
 	if _, err := first.ReadByte(); err != io.EOF {
-		t.Errorf("the longest idle stays, %v", err)
+		t.Errorf("the connection idle for longest: got read error %v, want EOF", err)
 	}
 	s.onLoop(func() {
 		if s.Connections() != 2 {
-			t.Errorf("%d are left", s.Connections())
+			t.Errorf("got %d connections, want 2", s.Connections())
 		}
 	})
 }
 
-// As many clients connect at once as there are idle connections, which all make room. With those that are closed and
-// not released yet, no more descriptors are held than there are places; and each client is served.
-func TestEvictionHoldsNoDescriptorTwice(t *testing.T) {
-	const places, spare = 20, 1
-	s := startServer(t, testLimits{Limits{Connections: places, RejectConnections: spare}, 10, 1 << 20})
-	for range places {
+// Within one round, twice as many clients connect as there are idle connections, so that all idle ones are evicted.
+// Evicted connections whose descriptors are not released yet must count: the descriptors in use must not exceed the
+// limit, and each client must be served.
+func TestEvictionKeepsDescriptorLimit(t *testing.T) {
+	const limit, spare = 20, 1
+	s := startServer(t, testLimits{Limits{Connections: limit, RejectConnections: spare}, 10, 1 << 20})
+	for range limit {
 		conn, in := s.dial()
 		fmt.Fprintf(conn, "mn\r\n")
 		expect(t, in, "SERVER_ERROR starting\r\n")
 	}
 	mostDescriptors := 0
-	stopped := make(chan bool)
-	goOn := make(chan bool)
+	blocked := make(chan bool)
+	resume := make(chan bool)
 	s.loop.Post(func() {
 		for c := range s.connections {
 			c.lastActive -= 2 * evictableAfterSeconds
@@ -138,29 +143,29 @@
 			descriptors := len(s.connections) + 1 + s.loop.Finishing() + s.loop.Closing()
 			mostDescriptors = max(mostDescriptors, descriptors)
 		}
-		close(stopped)
-		<-goOn
+		close(blocked)
+		<-resume
 	})
-	<-stopped
+	<-blocked
 	var ins []*bufio.Reader
-	for range 2 * places {
+	for range 2 * limit {
 		conn, in := s.dial()
 		fmt.Fprintf(conn, "mn\r\n")
 		ins = append(ins, in)
 	}
-	close(goOn)
+	close(resume)
 	for _, in := range ins {
 		expect(t, in, "SERVER_ERROR starting\r\n")
 	}
 	s.onLoop(func() {
-		if mostDescriptors > places+spare {
-			t.Errorf("%d descriptors are held, %d are the clients'", mostDescriptors, places+spare)
+		if mostDescriptors > limit+spare {
+			t.Errorf("got up to %d descriptors in use, want at most %d", mostDescriptors, limit+spare)
 		}
 	})
 }
 
-// Of the connections that hold the places, one that never sent anything usable is evicted first, however short its
-// silence is.
+// A connection that has sent no valid command must be evicted before established ones, even if they have been idle for
+// longer.
 func TestSilentConnectionsEvictedFirst(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 2, RejectConnections: 1}, 10, 1 << 20})
 	usual, usualIn := s.dial()
@@ -182,7 +187,7 @@
 	fmt.Fprintf(next, "mn\r\n")
 	expect(t, nextIn, "SERVER_ERROR starting\r\n")
 	if _, err := silent.ReadByte(); err != io.EOF {
-		t.Errorf("one that says nothing stays, %v", err)
+		t.Errorf("the silent connection: got read error %v, want EOF", err)
 	}
 	fmt.Fprintf(usual, "mn\r\n")
 	expect(t, usualIn, "SERVER_ERROR starting\r\n")
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -11,14 +11,15 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// The second command is answered first by the server; the client reads the answers in the order of its commands.
+// If the server answers the second command first, the client must still receive the answers in the order of its
+// commands.
 func TestAnswersInOrderOfCommands(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
 	fmt.Fprintf(conn, "mg k v O1 Pc=t\r\nms k 2 O2 Pc=t\r\nhi\r\nnews\r\nmn\r\n")
 	first, second := <-s.started, <-s.started
 	if first.request.Key != "k" || first.request.Write || !second.request.Write || string(second.request.Value) != "hi" {
-		t.Errorf("took %+v and %+v", first.request, second.request)
+		t.Errorf("got requests %+v and %+v, want a read of k and a write of hi", first.request, second.request)
 	}
 	s.succeed(second, "7")
 	s.succeed(first, "a value")
@@ -26,14 +27,15 @@
 	s.onLoop(func() {
 		s.SetReady()
 		if s.dispatcher.held != 0 {
-			t.Errorf("%d bytes count as held, though all is written", s.dispatcher.held)
+			t.Errorf("%d bytes are counted as held after all answers are written, want 0", s.dispatcher.held)
 		}
 	})
 	fmt.Fprintf(conn, "mn\r\n")
 	expect(t, in, "MN\r\n")
 }
 
-// Far more commands than may be owed come at once: reading stops, and goes on as answers leave.
+// When a client sends far more commands than answers may be owed, reading must pause at that limit and resume as
+// answers are written.
 func TestReadingPausesAtMaxOwedAnswers(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -50,7 +52,7 @@
 	expect(t, in, answers.String())
 }
 
-// The largest value is longer than a connection's buffer: it must pass complete both ways.
+// A value that is longer than a connection's buffer must pass unchanged in both directions.
 func TestLargestValue(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -58,14 +60,14 @@
 	fmt.Fprintf(conn, "ms k 65536 O1 Pc=t\r\n%s\r\nmg k v O2 Pc=t\r\n", value)
 	h := <-s.started
 	if string(h.request.Value) != value {
-		t.Errorf("%d bytes came in, changed", len(h.request.Value))
+		t.Errorf("got another value, of %d bytes, want the %d bytes sent", len(h.request.Value), len(value))
 	}
 	s.succeed(h, "1")
 	s.succeed(<-s.started, value)
 	expect(t, in, "HD O1 c1\r\nVA 65536 O2\r\n"+value+"\r\n")
 }
 
-// Commands that cannot be used are answered, and nothing goes on to a cache server.
+// Invalid commands must be answered with an error and must not be forwarded to a cache server.
 func TestMalformedCommands(t *testing.T) {
 	for text, answer := range map[string]string{
 		strings.Repeat("x", 5000):          "CLIENT_ERROR a line is too long\r\n",
@@ -82,26 +84,26 @@
 		io.WriteString(conn, text)
 		expect(t, in, answer)
 		if len(s.started) > 0 {
-			t.Errorf("%.40q went on to a cache server", text)
+			t.Errorf("%.40q: got an attempt at a cache server, want none", text)
 		}
 	}
 }
 
-// A client that keeps sending unusable commands is answered a few times, then its connection is closed, whatever else
-// it sent.
-func TestBadCommandsEndConnection(t *testing.T) {
+// A client that keeps sending invalid commands must be answered at most maxBadCommands times; then its connection must
+// be closed, whatever else it has sent.
+func TestBadCommandsCloseConnection(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
 	io.WriteString(conn, strings.Repeat("mg k v O1 Pc=tt,d=100\r\n", 500))
 	all, _ := io.ReadAll(in)
 	if n := strings.Count(string(all), "CLIENT_ERROR"); n > maxBadCommands || len(s.started) > 0 {
-		t.Errorf("%d errors were answered, %d requests taken", n, len(s.started))
+		t.Errorf("got %d errors and %d attempts, want at most %d and 0", n, len(s.started), maxBadCommands)
 	}
 }
 
-// Long writes come complete as far as memory is reserved for them; one beyond it is rejected, and what follows it is
-// read on. The memory is free again once the write has gone on, its client has disconnected, or its body has stalled
-// for long.
+// A long write is received if memory can be reserved for it. Otherwise it is rejected, and the commands after it are
+// read. The memory must be released when the write is submitted, when its client disconnects, and when its body has
+// stalled or taken too long.
 func TestLongWrites(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10, RejectConnections: 1, LongWriteBytes: 300000}, 100, 1 << 20})
 	expectReserved := func(want int) {
@@ -109,7 +111,7 @@
 		for got, i := -1, 0; got != want; i++ {
 			s.onLoop(func() { got = s.longWriteBytes })
 			if i > 2000 {
-				t.Fatalf("%d bytes are reserved, want %d", got, want)
+				t.Fatalf("got %d reserved bytes, want %d", got, want)
 			}
 			time.Sleep(time.Millisecond)
 		}
@@ -125,7 +127,7 @@
 	h := <-s.started
 	expectReserved(0)
 	if string(h.request.Value) != body {
-		t.Errorf("%d bytes came", len(h.request.Value))
+		t.Errorf("got another value, of %d bytes, want the %d bytes sent", len(h.request.Value), len(body))
 	}
 	s.loop.Post(func() { h.observer.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
 	expect(t, in, "HD O1 cr\r\n")
@@ -157,8 +159,8 @@
 	}
 }
 
-// A command comes in two pieces, cut anywhere, and one behind it with its last: nothing is submitted before the last
-// byte, and then all of it.
+// A command arrives in two pieces, cut at any position, and the second piece also contains the next command. No request
+// must be submitted before the first command's last byte, and then the request must be complete.
 func TestCommandInTwoPieces(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -180,14 +182,14 @@
 				})
 			}
 			if n := len(s.started); n > 0 {
-				t.Fatalf("%s: %q is taken for a command", form, text[:cut])
+				t.Fatalf("%s: %q is taken for a complete command", form, text[:cut])
 			}
 			io.WriteString(conn, text[cut:]+"mn\r\n")
 			h := <-s.started
 			got := h.request
 			sameValue := !write || string(got.Value) == "m\r\n\r"
 			if got.Key != "key" || got.ID != id || got.Write != write || !sameValue || got.Class != "t" {
-				t.Fatalf("%s cut at %d is taken as %+v", form, cut, got)
+				t.Fatalf("%s cut at %d: got request %+v, want the one sent", form, cut, got)
 			}
 			answer := "VA 1 O" + id + "\r\nx\r\n"
 			if write {
@@ -195,7 +197,7 @@
 			}
 			s.succeed(h, "x")
 			expect(t, in, answer+"SERVER_ERROR starting\r\n")
-			s.onLoop(func() { clear(s.recentIDs.slots[:]) }) // the next form has the same
+			s.onLoop(func() { clear(s.recentIDs.slots[:]) }) // the next form uses the same ids
 		}
 	}
 }
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -12,7 +12,7 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// A client disconnects: its attempt is cancelled and its connection forgotten.
+// When a client disconnects, its attempt must be cancelled and its connection removed.
 func TestClientDisconnectCancelsAttempt(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, _ := s.dial()
@@ -20,19 +20,19 @@
 	h := <-s.started
 	conn.Close()
 	if got := <-h.cancelled; got != "dropped" {
-		t.Error(got)
+		t.Errorf("the attempt: got %s, want dropped", got)
 	}
 	s.onLoop(func() {
 		if s.Connections() != 0 {
-			t.Errorf("%d clients are left", s.Connections())
+			t.Errorf("got %d connections, want 0", s.Connections())
 		}
 	})
 }
 
-// A client disconnects while its command waits: unread in the socket, behind the accept, or behind the answers that
-// are owed to it. Nothing is forwarded for it, in the very round in which its end can be seen.
+// A client disconnects while its command waits: unread in the socket, for the accept, or for answers that are owed to
+// it. Its command must not be forwarded, even in the round in which the disconnect becomes visible.
 func TestCommandOfDisconnectedClientIsNotSubmitted(t *testing.T) {
-	for name, cross := range map[string]func(s testServer) func(){
+	for name, disconnect := range map[string]func(s testServer) func(){
 		"unread in the socket": func(s testServer) func() {
 			conn, in := s.dial()
 			fmt.Fprintf(conn, "mn\r\n")
@@ -49,7 +49,7 @@
 				closeWrite(t, conn)
 			}
 		},
-		"before more than is read at once": func(s testServer) func() { // a connection's first buffer is smaller
+		"before more than one read returns": func(s testServer) func() { // a connection's first buffer is smaller
 			return func() {
 				conn, _ := s.dial()
 				for i := range 2 * maxOwedAnswers {
@@ -65,7 +65,7 @@
 				closeWrite(t, conn)
 			}
 		},
-		"unread, and its end is a reset": func(s testServer) func() {
+		"unread, with a reset": func(s testServer) func() {
 			conn, in := s.dial()
 			fmt.Fprintf(conn, "mn\r\n")
 			expect(t, in, "SERVER_ERROR starting\r\n")
@@ -74,7 +74,7 @@
 				s.reset(conn)
 			}
 		},
-		"behind what is owed": func(s testServer) func() {
+		"behind owed answers": func(s testServer) func() {
 			conn, _ := s.dial()
 			var commands strings.Builder
 			for i := range maxOwedAnswers + 8 {
@@ -94,16 +94,16 @@
 		},
 	} {
 		s := startServer(t, ampleLimits)
-		s.onLoop(cross(s))
+		s.onLoop(disconnect(s))
 		s.waitForNoClients()
 		if n := len(s.started); n > 0 {
-			t.Errorf("%s: %d attempts were started for a client that is gone", name, n)
+			t.Errorf("%s: got %d attempts for a disconnected client, want 0", name, n)
 		}
 	}
 }
 
-// A client disconnects in the round in which its answer comes: it counts as gone or as answered, once, and nothing of
-// it stays.
+// A client disconnects in the same round in which its answer arrives. The request must be counted as ended once, and
+// neither requests nor held bytes nor the connection may remain.
 func TestAnswerAndDisconnectInOneRound(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, _ := s.dial()
@@ -117,15 +117,15 @@
 	s.onLoop(func() {
 		inCore := s.dispatcher.core.OpenRequests()
 		if s.openRequests != 0 || s.dispatcher.held != 0 || len(s.connections) > 0 || inCore != 0 {
-			t.Errorf("%d requests, %d in the core, and %d bytes stay, of %d clients",
+			t.Errorf("%d requests, %d in the core, %d held bytes and %d connections remain, want none",
 				s.openRequests, inCore, s.dispatcher.held, len(s.connections))
 		}
 	})
 }
 
-// A client disconnects whose connection is not read, for as much is owed to it as may be: its attempts are cancelled
-// in that round.
-func TestDisconnectOfPausedConnectionIsSeen(t *testing.T) {
+// A client disconnects while its connection is not read, because the limit of owed answers is reached. The disconnect
+// must still be detected and the client's attempts cancelled.
+func TestDisconnectOfPausedConnectionIsDetected(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, _ := s.dial()
 	var commands strings.Builder
@@ -148,18 +148,18 @@
 	}
 	s.onLoop(func() {})
 	if n := len(s.started); n > 0 {
-		t.Errorf("%d more were started", n)
+		t.Errorf("got %d more attempts, want 0", n)
 	}
 }
 
-// An attempt fails in the round in which its client's end has come and the loop has not told of it, for it was
-// stopped: there is no retry, whatever the end looks like. While the client is there, there is one.
+// An attempt fails after its client's disconnect has arrived but before the loop, which was blocked, has reported it.
+// There must be no retry, whatever form the disconnect has. For a connected client there must be one.
 func TestNoRetryForDisconnectedClient(t *testing.T) {
-	for name, cross := range map[string]func(s testServer, conn net.Conn){
+	for name, disconnect := range map[string]func(s testServer, conn net.Conn){
 		"it stays":  func(testServer, net.Conn) {},
 		"it closes": func(_ testServer, conn net.Conn) { closeWrite(t, conn) },
 		"it resets": func(s testServer, conn net.Conn) { s.reset(conn) },
-		"it says more and closes": func(_ testServer, conn net.Conn) {
+		"it sends more and closes": func(_ testServer, conn net.Conn) {
 			fmt.Fprintf(conn, "mg k v O2 Pc=t\r\n")
 			closeWrite(t, conn)
 		},
@@ -182,7 +182,7 @@
 		fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
 		h := <-s.started
 		s.onLoop(func() {
-			cross(s, conn)
+			disconnect(s, conn)
 			h.observer.OnAttemptEnd(balancer.ConnectFailed, requestcore.Result{})
 		})
 		if name == "it stays" {
@@ -191,21 +191,22 @@
 		}
 		s.waitForNoClients()
 		if n := len(s.started); n > 0 {
-			t.Errorf("%s: %d retries were started", name, n)
+			t.Errorf("%s: got %d retries, want 0", name, n)
 		}
 		s.onLoop(func() {})
 		s.onLoop(func() {
 			if s.openRequests != 0 || s.dispatcher.core.OpenRequests() != 0 {
-				t.Errorf("%s: %d requests stay, %d in the core", name, s.openRequests, s.dispatcher.core.OpenRequests())
+				t.Errorf("%s: %d requests remain, %d in the core, want none",
+					name, s.openRequests, s.dispatcher.core.OpenRequests())
 			}
 		})
 	}
 }
 
-// More than the kernel takes is before a client's end, so that the end cannot have come while the connection is
-// paused. The first answer that is written is refused by a reset, for nobody is there to read it, and nothing more is
-// submitted of what the client had sent.
-func TestHiddenDisconnectIsSeenByFirstAnswer(t *testing.T) {
+// A client sends more than the kernel's receive buffer holds and disconnects, so that its end cannot arrive while the
+// connection is paused. The first answer written is refused by a reset, because the client's socket is closed. Then no
+// more of its commands may be submitted, and its attempts must be cancelled.
+func TestHiddenDisconnectIsDetectedByFirstAnswer(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, _ := s.dial()
 	var commands strings.Builder
@@ -221,7 +222,7 @@
 	s.succeed(all[0], "x")
 	s.waitForNoClients()
 	if n := len(s.started); n > 0 {
-		t.Errorf("%d more were started", n)
+		t.Errorf("got %d more attempts, want 0", n)
 	}
 	for i, h := range all[1:] {
 		if len(h.cancelled) == 0 {
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -13,8 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// When idle connections are closed, those that are idle are at once, others after their answer, one with a begun
-// command after the answer to that, and so is one that has just connected to send its first.
+// CloseIdle must close idle connections immediately and busy ones after their answer. A connection with an incomplete
+// command, and one whose client has just connected to send its first, must be closed only after the answer to that
+// command.
 func TestCloseIdle(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	used, idle := s.dial()
@@ -39,7 +40,7 @@
 	time.Sleep(20 * time.Millisecond)
 	s.onLoop(s.CloseIdle)
 	if _, err := idle.ReadByte(); err != io.EOF {
-		t.Errorf("the idle connection stays, %v", err)
+		t.Errorf("the idle connection: got read error %v, want EOF", err)
 	}
 	s.succeed(h, "x")
 	expect(t, busyIn, "VA 1 O1\r\nx\r\n")
@@ -51,17 +52,17 @@
 	expect(t, freshIn, "VA 1 O3\r\nz\r\n")
 	for _, in := range []*bufio.Reader{busyIn, begunIn, freshIn} {
 		if _, err := in.ReadByte(); err != io.EOF {
-			t.Errorf("an answered connection stays, %v", err)
+			t.Errorf("an answered connection: got read error %v, want EOF", err)
 		}
 	}
 }
 
-// A connection that is closed with input unread is reset by the kernel, and what its client has not read yet is lost:
-// also a good answer before the bad command that ends it. Here the client reads only once the frontend is done with
-// it.
-func TestAnswersAreReadThoughInputIsLeft(t *testing.T) {
+// If a connection is closed with input unread, the kernel resets it, and the client loses answers that it has not read
+// yet, including valid ones before the bad command that ends the connection. Here the client starts to read only after
+// the frontend has ended the connection.
+func TestClosingWithUnreadInputKeepsAnswers(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10}, 1000, 8 << 20})
-	// With a small receive buffer most of the answers wait on the other side.
+	// With a small receive buffer at the client most of the answers wait in the router's kernel.
 	narrow := net.Dialer{Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, 4096) })
 	}}
@@ -88,11 +89,13 @@
 	all, err := io.ReadAll(conn)
 	endsInErrors := strings.HasSuffix(string(all), strings.Repeat("ERROR\r\n", maxBadCommands))
 	if err != nil || len(all) < answers*length || !endsInErrors {
-		t.Errorf("it reads %d bytes, then %v", len(all), err)
+		t.Errorf("got %d bytes, then error %v, want at least %d bytes that end in %d errors, then EOF",
+			len(all), err, answers*length, maxBadCommands)
 	}
 }
 
-// A client that does not close its side after its last answer is not waited for without end, and counts meanwhile.
+// After the last answer, a client that does not close its side must be waited for only for a limited time. Meanwhile its
+// connection must count towards the limit.
 func TestLingeringConnectionIsClosed(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -100,15 +103,15 @@
 	expect(t, in, "SERVER_ERROR starting\r\n")
 	s.onLoop(s.CloseIdle)
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("it is not told of the end: %v", err)
+		t.Errorf("after CloseIdle: got read error %v, want EOF", err)
 	}
 	s.onLoop(func() {
 		if n := s.loop.Finishing(); n != 1 || len(s.connections) > 0 {
-			t.Errorf("%d connections wait for their clients' ends, %d are open", n, len(s.connections))
+			t.Errorf("got %d half-closed and %d open connections, want 1 and 0", n, len(s.connections))
 		}
 		s.limits = Limits{Connections: 1}
 		if s.CanAccept() {
-			t.Error("it takes no place while it waits")
+			t.Error("the half-closed connection does not count towards the limit")
 		}
 	})
 	for i := 0; ; i++ {
@@ -118,13 +121,14 @@
 			return
 		}
 		if i > 500 {
-			t.Fatal("it is waited for without end")
+			t.Fatal("the half-closed connection is not closed")
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// While the process ends, what is taken is answered before that, and what comes too late is rejected at once.
+// During shutdown a request's time must be limited to the time until the final deadline, and a request after that
+// deadline must be rejected immediately.
 func TestFinalDeadline(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -132,7 +136,7 @@
 	fmt.Fprintf(conn, "mg k v O1 Pc=t,d=900000\r\n")
 	h := <-s.started
 	if h.request.TimeLeft > 100 {
-		t.Errorf("it may take %v s", h.request.TimeLeft)
+		t.Errorf("got a time left of %v s, want at most 100 s", h.request.TimeLeft)
 	}
 	s.succeed(h, "x")
 	expect(t, in, "VA 1 O1\r\nx\r\n")
@@ -141,8 +145,8 @@
 	expect(t, in, "SERVER_ERROR busy\r\n")
 }
 
-// A command arrives as idle connections are closed, by their age, for room, or while draining: the connection that it
-// is unread in is not closed.
+// A command arrives while idle connections are being closed: because they are idle for too long, to make room, or while
+// draining. A connection with an unread command must not be closed.
 func TestCommandCrossingIdleCloseIsServed(t *testing.T) {
 	for name, closing := range map[string]func(s testServer){
 		"by its age":  func(s testServer) { s.sweep() },
--- a/internal/frontend/golden_test.go
+++ b/internal/frontend/golden_test.go
@@ -15,7 +15,7 @@
 
 var writeGolden = flag.Bool("write-golden", false, "regenerate testdata/*.golden from the current code")
 
-// golden compares bytes with a file that the build of 15122f5 wrote.
+// golden compares bytes with a golden file, which the build of 15122f5 wrote.
 func golden(t *testing.T, name string, got []byte) {
 	t.Helper()
 	path := filepath.Join("testdata", name+".golden")
@@ -33,7 +33,7 @@
 	}
 }
 
-// bodyOfLength is a body stream of which only the length is asked.
+// bodyOfLength is a body stream of which only the length is read.
 type bodyOfLength int
 
 func (b bodyOfLength) Length() int                     { return int(b) }
@@ -41,7 +41,7 @@
 func (bodyOfLength) ResumeReading()                    {}
 func (bodyOfLength) Discard()                          {}
 
-// TestGoldenMemcacheAnswers holds the bytes of each answer that the memcache codec writes.
+// TestGoldenMemcacheAnswers compares the bytes of each kind of answer that the memcache codec returns.
 func TestGoldenMemcacheAnswers(t *testing.T) {
 	codec := Memcache(nil)
 	read := &requestcore.Request{ID: "r1"}
@@ -62,7 +62,7 @@
 	golden(t, "memcache-answers", text.Bytes())
 }
 
-// TestGoldenMemcacheConversation holds the bytes of the answers that need no server, as a client reads them.
+// TestGoldenMemcacheConversation compares the bytes that a client receives for commands that need no cache server.
 func TestGoldenMemcacheConversation(t *testing.T) {
 	var text bytes.Buffer
 	untilClosed := func(s testServer, name, commands string) {
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -18,7 +18,7 @@
 // heldUpstream holds attempts until the test ends them. It is the requestcore.Upstream of a testServer.
 type heldUpstream struct{ started chan *heldAttempt }
 
-// heldAttempt is an attempt that waits for the test.
+// heldAttempt is an attempt whose end the test decides.
 type heldAttempt struct {
 	request   *requestcore.Request
 	observer  requestcore.AttemptObserver
@@ -38,7 +38,7 @@
 func (h *heldAttempt) Cancel()         { h.cancelled <- "dropped" }
 func (h *heldAttempt) CancelIfUnsent() {}
 
-// testLimits are the limits of a frontend and of its dispatcher.
+// testLimits are the limits of a frontend and of its testDispatcher.
 type testLimits struct {
 	Limits
 	openRequests, heldBytes int
@@ -51,7 +51,7 @@
 	testLimits
 	core    *requestcore.Core
 	held    int    // bytes
-	onAdmit func() // called as a connection comes; nil: nothing is
+	onAdmit func() // called when a connection is accepted; may be nil
 }
 
 func (d *testDispatcher) Route(_, tenant, _ string) requestcore.Route {
@@ -82,7 +82,7 @@
 	return d.core, d.core.Submit(request, client)
 }
 
-// testServer is a frontend on a loop, with one cache server.
+// testServer is a frontend on a loop, whose attempts are held.
 type testServer struct {
 	*Frontend
 	dispatcher *testDispatcher
@@ -119,7 +119,7 @@
 	return s
 }
 
-// newTestCore makes a core with one endpoint and the class "t".
+// newTestCore returns a core with one endpoint and the class "t".
 func newTestCore(loop *eventloop.Loop, upstream requestcore.Upstream) *requestcore.Core {
 	class := balancer.TrafficClass{
 		Name:             "t",
@@ -158,27 +158,27 @@
 	})
 }
 
-// onLoop calls a function on the loop's goroutine and waits for its end.
+// onLoop runs a function on the loop's goroutine and waits until it returns.
 func (s testServer) onLoop(call func()) {
 	done := make(chan bool)
 	s.loop.Post(func() { call(); close(done) })
 	<-done
 }
 
-// expect reads as many bytes as a text has and compares them.
+// expect reads as many bytes as the text has and reports an error if they differ.
 func expect(t *testing.T, in io.Reader, text string) {
 	t.Helper()
 	got := make([]byte, len(text))
 	n, err := io.ReadFull(in, got)
 	if string(got) != text {
-		t.Errorf("got %.200q, %d bytes of %d, want %.200q, %v", got[:n], n, len(text), text, err)
+		t.Errorf("got %.200q (%d of %d bytes, error %v), want %.200q", got[:n], n, len(text), err, text)
 	}
 }
 
-// result is what the cache server makes of a request.
+// result is a cache server's result of a request.
 var result = requestcore.Result{Value: []byte("x")}
 
-// brokenBody is a body stream that breaks off after a byte.
+// brokenBody is a body stream that breaks after one byte.
 type brokenBody struct{}
 
 func (brokenBody) Length() int    { return 99999 }
@@ -189,12 +189,12 @@
 	sink.OnBroken()
 }
 
-// closeWrite ends a client's sending and waits until the other side's kernel knows.
+// closeWrite half-closes a client's connection and waits until the peer's kernel has acknowledged that.
 func closeWrite(t *testing.T, conn net.Conn) {
 	t.Helper()
 	conn.(*net.TCPConn).CloseWrite()
 	raw, _ := conn.(*net.TCPConn).SyscallConn()
-	const finWait2, closed = 5, 7 // of the kernel's states; closed: it was even answered by a reset
+	const finWait2, closed = 5, 7 // TCP states of the kernel; closed: the peer has answered with a reset
 	for i := 0; ; i++ {
 		state := uint8(0)
 		raw.Control(func(fd uintptr) {
@@ -206,13 +206,13 @@
 			return
 		}
 		if i > 5000 {
-			t.Fatalf("the end is not acknowledged, state %d", state)
+			t.Fatalf("the half-close is not acknowledged: TCP state %d", state)
 		}
 		time.Sleep(time.Millisecond)
 	}
 }
 
-// reset ends a client by a reset and waits, on the loop, until it has come.
+// reset resets a client's connection and waits, on the loop, until the reset has arrived.
 func (s testServer) reset(conn net.Conn) {
 	conn.(*net.TCPConn).SetLinger(0)
 	conn.Close()
@@ -223,7 +223,7 @@
 	}
 }
 
-// expectServed reports an error unless the command O1 is served.
+// expectServed reports an error unless the command with id 1 is served within 5 s.
 func (s testServer) expectServed(name string, in io.Reader) {
 	s.t.Helper()
 	select {
@@ -231,17 +231,17 @@
 		s.succeed(h, "x")
 		expect(s.t, in, "VA 1 O1\r\nx\r\n")
 	case <-time.After(5 * time.Second):
-		s.t.Errorf("%s: the command is not served", name)
+		s.t.Errorf("%s: the command is not served within 5 s", name)
 	}
 }
 
-// waitForNoClients waits until no client is left.
+// waitForNoClients waits until all connections are closed.
 func (s testServer) waitForNoClients() {
 	s.t.Helper()
 	for i, n := 0, 1; n > 0; i++ {
 		s.onLoop(func() { n = len(s.connections) })
 		if i > 5000 {
-			s.t.Fatalf("%d connections stay", n)
+			s.t.Fatalf("got %d connections, want 0", n)
 		}
 		time.Sleep(time.Millisecond)
 	}
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -11,7 +11,8 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// Each request that was taken counts once, as its client saw it end; none stays open, and nothing stays held.
+// Each submitted request must be counted once, by the outcome that its client received. None may stay open, and no
+// bytes may stay held.
 func TestOutcomes(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10, RejectConnections: 1}, 1, 1 << 20})
 	conn, in := s.dial()
@@ -24,7 +25,7 @@
 	}
 	s.succeed(begin("1"), "x")
 	expect(t, in, "VA 1 O1\r\nx\r\n")
-	settle(begin("2"), balancer.Cancelled, requestcore.Result{}) // and no other server
+	settle(begin("2"), balancer.Cancelled, requestcore.Result{}) // there is no other server for a retry
 	expect(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	// No capacity, no such class, a repeated id.
@@ -51,24 +52,24 @@
 			break
 		}
 		if i > 200 {
-			t.Fatalf("%d are open, %d bytes held, outcomes are %+v", open, held, outcomes)
+			t.Fatalf("got %d open requests, %d held bytes and outcomes %+v, want 0, 0 and 1, 3, 2", open, held, outcomes)
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
 }
 
-// Each connection that ends with an answer owed is counted by the reason.
+// Each connection that ends while an answer is owed must be counted by its reason.
 func TestCutConnectionsByReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(s testServer, conn net.Conn, h *heldAttempt)
 		want CutReason
 	}{
 		"its client disconnects": {func(_ testServer, conn net.Conn, _ *heldAttempt) { conn.Close() }, ClientDisconnected},
-		"a body that breaks off": {func(s testServer, _ net.Conn, h *heldAttempt) {
+		"a body that breaks": {func(s testServer, _ net.Conn, h *heldAttempt) {
 			s.loop.Post(func() { h.observer.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Body: brokenBody{}}) })
 		}, BodyBroken},
 		"a client that reads nothing": {func(s testServer, _ net.Conn, h *heldAttempt) {
-			s.succeed(h, strings.Repeat("x", 32<<20)) // beyond what the kernel holds
+			s.succeed(h, strings.Repeat("x", 32<<20)) // more than the kernel's buffers hold
 			s.onLoop(func() {})
 			s.onLoop(func() {
 				for c := range s.connections {
@@ -89,7 +90,7 @@
 			time.Sleep(10 * time.Millisecond)
 		}
 		if got != want {
-			t.Errorf("%s: %v are counted, want %v of %v", name, got, want, CutReasonNames)
+			t.Errorf("%s: got the counts %v, want %v, of %v", name, got, want, CutReasonNames)
 		}
 	}
 }
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -9,8 +9,8 @@
 	"time"
 )
 
-// A client that says nothing, or half a command, must not hold a place or memory for long, also if a byte comes now
-// and then.
+// A client that sends nothing, or only a part of a command, must not use up a connection or memory for long, even if it
+// sends a byte from time to time.
 func TestSilentAndIncompleteCommandsTimeOut(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	_, silent := s.dial()
@@ -27,17 +27,18 @@
 		s.sweep()
 	})
 	if _, err := silent.ReadByte(); err != io.EOF {
-		t.Errorf("one that says nothing stays, %v", err)
+		t.Errorf("the silent connection: got read error %v, want EOF", err)
 	}
 	expect(t, halfIn, "CLIENT_ERROR the command does not go on\r\n")
 	if _, err := halfIn.ReadByte(); err != io.EOF {
-		t.Errorf("one with half a command stays, %v", err)
+		t.Errorf("the connection with a part of a command: got read error %v, want EOF", err)
 	}
 	fmt.Fprintf(usual, "mn\r\n")
 	expect(t, usualIn, "SERVER_ERROR starting\r\n")
 }
 
-// Clients that asked once and stay would hold ever more places, each of which is one that others lack.
+// Clients that send one request and stay connected would use up the limit of connections. Idle connections must be
+// closed, but not while an answer is owed.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -48,7 +49,7 @@
 			c.lastActive -= 2 * idleTimeoutSeconds
 			c.acceptedAt -= 2 * idleTimeoutSeconds
 		}
-		s.sweep() // it waits for an answer
+		s.sweep() // must not close the connection: its client waits for an answer
 	})
 	s.succeed(h, "x")
 	expect(t, in, "VA 1 O1\r\nx\r\n")
@@ -59,11 +60,12 @@
 		s.sweep()
 	})
 	if _, err := in.ReadByte(); err != io.EOF {
-		t.Errorf("an idle connection stays, %v", err)
+		t.Errorf("the idle connection: got read error %v, want EOF", err)
 	}
 }
 
-// A client that reads nothing holds memory: after a while it is cut.
+// A client that does not read its answers must not hold memory for long: its connection is closed after
+// unreadAnswerSeconds.
 func TestUnreadAnswerTimesOut(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10}, 1000, 64 << 20})
 	conn, _ := s.dial()
@@ -83,17 +85,17 @@
 		}
 		s.sweep()
 		if s.Connections() != 0 || s.dispatcher.held != 0 {
-			t.Errorf("%d clients are left, %d bytes held", s.Connections(), s.dispatcher.held)
+			t.Errorf("got %d connections and %d held bytes, want 0 and 0", s.Connections(), s.dispatcher.held)
 		}
 	})
 	if !stuck {
-		t.Error("commands were read though no answer was")
+		t.Error("all commands were read although the client read no answer")
 	}
 }
 
-// The loop was stopped for long, and the rest of a command, or a client's first, is unread as timeouts are looked at:
-// that is no silence.
-func TestUnreadInputIsNoSilence(t *testing.T) {
+// After the loop was blocked for long, the rest of a command, or a client's first command, may be unread when the
+// timeouts are checked. Such a connection must not time out.
+func TestUnreadInputPreventsTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, rest string
 		look        func(s testServer)
@@ -129,16 +131,16 @@
 	}
 }
 
-// A client reads an answer so slowly that the kernel tells of no room for longer than the timeout of unread answers:
-// it is not cut, until it reads nothing.
-func TestSlowReaderIsNotCut(t *testing.T) {
+// A client may read an answer so slowly that the kernel reports no room for longer than the timeout of unread answers.
+// Its connection must not be closed while it reads, only when it has stopped reading.
+func TestSlowReaderIsNotClosed(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10}, 10, 64 << 20})
 	conn, in := s.dial()
 	conn.(*net.TCPConn).SetReadBuffer(64 << 10)
 	fmt.Fprintf(conn, "mg k v Oa Pc=t\r\n")
 	s.succeed(<-s.started, strings.Repeat("x", 32<<20))
 	in.ReadByte()
-	time.Sleep(50 * time.Millisecond) // the kernel holds what it takes
+	time.Sleep(50 * time.Millisecond) // the kernel's buffers are full after that
 	swept := func() (left int) {
 		s.onLoop(func() {
 			for c := range s.connections {
@@ -159,18 +161,19 @@
 		io.CopyN(io.Discard, in, 256<<10)
 		time.Sleep(50 * time.Millisecond)
 		if swept() != 1 {
-			t.Fatal("it is cut while it reads")
+			t.Fatal("the connection is closed while its client reads")
 		}
 	}
 	time.Sleep(300 * time.Millisecond)
 	swept()
 	if swept() != 0 {
-		t.Error("it is kept though it reads nothing")
+		t.Error("the connection is not closed although its client does not read")
 	}
 }
 
-// Clients that read nothing hold all the memory there is for values: others are not rejected for as long as such are
-// waited for otherwise. While nobody is rejected they are.
+// Clients that do not read may hold all memory for values. When a request is rejected for lack of it, the slowest reader
+// must be closed, so that others are not rejected until the timeout of unread answers. While no request is rejected, it
+// must not be closed.
 func TestSlowReadersDoNotHoldAllCapacity(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10, LongWriteBytes: 1 << 20}, 1000, 1 << 20})
 	slow, _ := s.dial()
@@ -178,9 +181,9 @@
 		fmt.Fprintf(slow, "mg k v Os%d Pc=t\r\n", i)
 	}
 	for range 4 {
-		s.succeed(<-s.started, strings.Repeat("v", 8<<20)) // beyond what the kernel holds
+		s.succeed(<-s.started, strings.Repeat("v", 8<<20)) // more than the kernel's buffers hold
 	}
-	// Until the kernel takes no more.
+	// Waits until the kernel accepts no more bytes.
 	for still, last := 0, uint64(0); still < 5; time.Sleep(20 * time.Millisecond) {
 		s.onLoop(func() {
 			for c := range s.connections {
@@ -206,13 +209,13 @@
 		}
 	})
 	if sweep() != 1 {
-		t.Error("it is closed though nobody lacks capacity")
+		t.Error("the slow reader is closed although no request was rejected")
 	}
 	conn, in := s.dial()
 	fmt.Fprintf(conn, "mg k v O0 Pc=t\r\n")
 	expect(t, in, "SERVER_ERROR busy\r\n")
 	if sweep() != 1 {
-		t.Error("a client that reads nothing holds all capacity")
+		t.Error("the slow reader is not closed although a request was rejected")
 	}
 	fmt.Fprintf(conn, "mg k v O1 Pc=t\r\n")
 	s.expectServed("after that", in)
