--- a/internal/eventloop/peek_test.go
+++ b/internal/eventloop/peek_test.go
@@ -6,8 +6,9 @@
 	"time"
 )
 
-// Gone detects the peer's end behind unread bytes, too, and on a paused connection. Unread bytes alone are no end.
-func TestGone(t *testing.T) {
+// PeerClosed must detect the peer's end behind unread bytes, too, and on a paused connection. Unread bytes alone are no
+// end.
+func TestPeerClosed(t *testing.T) {
 	l := startLoop(t)
 	for name, test := range map[string]struct {
 		act  func(conn *net.TCPConn)
@@ -36,7 +37,7 @@
 					time.Sleep(time.Millisecond)
 				}
 				if served[0].PeerClosed() != test.gone {
-					t.Errorf("%s, paused %v: Gone: got %v, want %v", name, paused, !test.gone, test.gone)
+					t.Errorf("%s, paused %v: PeerClosed: got %v, want the opposite", name, paused, !test.gone)
 				}
 			})
 		}
--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -93,8 +93,8 @@
 }
 
 // Clients that send one command and stay connected may arrive faster than idle connections time out. From half of the
-// limit on, each new connection must evict the one that has been idle for longest, because clients have a limited number
-// of descriptors themselves.
+// limit on, each new connection must evict the one that has been idle for longest, because clients have only a limited
+// number of descriptors themselves.
 func TestIdleEvictedFromHalfOfLimit(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 4, RejectConnections: 1}, 10, 1 << 20})
 	var first *bufio.Reader
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -60,7 +60,7 @@
 	fmt.Fprintf(conn, "ms k 65536 O1 Pc=t\r\n%s\r\nmg k v O2 Pc=t\r\n", value)
 	h := <-s.started
 	if string(h.request.Value) != value {
-		t.Errorf("got another value, of %d bytes, want the %d bytes sent", len(h.request.Value), len(value))
+		t.Errorf("got a value of %d bytes, want the 65536 bytes sent", len(h.request.Value))
 	}
 	s.succeed(h, "1")
 	s.succeed(<-s.started, value)
@@ -97,7 +97,7 @@
 	io.WriteString(conn, strings.Repeat("mg k v O1 Pc=tt,d=100\r\n", 500))
 	all, _ := io.ReadAll(in)
 	if n := strings.Count(string(all), "CLIENT_ERROR"); n > maxBadCommands || len(s.started) > 0 {
-		t.Errorf("got %d errors and %d attempts, want at most %d and 0", n, len(s.started), maxBadCommands)
+		t.Errorf("got %d errors and %d attempts, want at most maxBadCommands and 0", n, len(s.started))
 	}
 }
 
@@ -127,7 +127,7 @@
 	h := <-s.started
 	expectReserved(0)
 	if string(h.request.Value) != body {
-		t.Errorf("got another value, of %d bytes, want the %d bytes sent", len(h.request.Value), len(body))
+		t.Errorf("got a value of %d bytes, want the 200000 bytes sent", len(h.request.Value))
 	}
 	s.loop.Post(func() { h.observer.OnAttemptEnd(balancer.Succeeded, requestcore.Result{Receipt: "r"}) })
 	expect(t, in, "HD O1 cr\r\n")
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -20,7 +20,7 @@
 	h := <-s.started
 	conn.Close()
 	if got := <-h.cancelled; got != "dropped" {
-		t.Errorf("the attempt: got %s, want dropped", got)
+		t.Error("the attempt's end: want dropped, got", got)
 	}
 	s.onLoop(func() {
 		if s.Connections() != 0 {
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -21,7 +21,8 @@
 	}
 }
 
-// SetFinalDeadline sets when the process ends, by the loop's clock. Requests submitted from now on are answered by then.
+// SetFinalDeadline sets when the process ends, by the loop's clock. Requests submitted from now on are answered before
+// that.
 func (f *Frontend) SetFinalDeadline(at float64) { f.finalDeadline = at }
 
 // CloseIdle closes idle connections, now and as they become idle.
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -89,13 +89,12 @@
 	all, err := io.ReadAll(conn)
 	endsInErrors := strings.HasSuffix(string(all), strings.Repeat("ERROR\r\n", maxBadCommands))
 	if err != nil || len(all) < answers*length || !endsInErrors {
-		t.Errorf("got %d bytes, then error %v, want at least %d bytes that end in %d errors, then EOF",
-			len(all), err, answers*length, maxBadCommands)
+		t.Errorf("got %d bytes, then error %v, want all answers, then maxBadCommands errors and EOF", len(all), err)
 	}
 }
 
-// After the last answer, a client that does not close its side must be waited for only for a limited time. Meanwhile its
-// connection must count towards the limit.
+// After the last answer, the frontend must wait only for a limited time for a client that does not close its side.
+// Meanwhile the connection must count towards the limit.
 func TestLingeringConnectionIsClosed(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -171,7 +171,7 @@
 	got := make([]byte, len(text))
 	n, err := io.ReadFull(in, got)
 	if string(got) != text {
-		t.Errorf("got %.200q (%d of %d bytes, error %v), want %.200q", got[:n], n, len(text), err, text)
+		t.Errorf("got %.200q, %d bytes of %d, want %.200q; read error %v", got[:n], n, len(text), text, err)
 	}
 }
 
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -65,8 +65,8 @@
 }
 
 // isUnneeded reports whether a connection is idle and is to be closed: because it is over the limit, because idle ones
-// are being closed, or because it has been idle for too long. The allowed time is shorter if more than half of the limit
-// is used.
+// are being closed, or because it has been idle for too long. The allowed time is shorter if more than half of the
+// limit is used.
 func (c *ClientConn) isUnneeded(now float64) bool {
 	f := c.frontend
 	silence := now - c.lastActive
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -171,9 +171,9 @@
 	}
 }
 
-// Clients that do not read may hold all memory for values. When a request is rejected for lack of it, the slowest reader
-// must be closed, so that others are not rejected until the timeout of unread answers. While no request is rejected, it
-// must not be closed.
+// Clients that do not read may hold all memory for values. When a request is rejected for lack of it, the slowest
+// reader must be closed, so that others are not rejected until the timeout of unread answers. While no request is
+// rejected, it must not be closed.
 func TestSlowReadersDoNotHoldAllCapacity(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 10, LongWriteBytes: 1 << 20}, 1000, 1 << 20})
 	slow, _ := s.dial()
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -172,7 +172,7 @@
 		want := fmt.Sprintf("%s %s", request.Method, target)
 		if got := readInPieces(&requests{}, text.String(), 1+i%50, 4096, &recorder{}); !strings.HasPrefix(got, want) ||
 			!strings.HasSuffix(got, fmt.Sprintf("keep %t; ", i%3 != 0)) {
-			t.Fatalf("%q: got %s, want %s and keep %t", text.String(), got, want, i%3 != 0)
+			t.Fatalf("%q: got %s, want its method, target and keep-alive", text.String(), got)
 		}
 		// One byte is changed: if both still accept the request, they agree on method and target.
 		changed := text.Bytes()
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -141,7 +141,7 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if got, there := Figure("c=read,d=480,dd=1", "d"); got != "480" || !there {
-		t.Errorf("Figure d: got %q, %v, want 480, true", got, there)
+		t.Errorf("Figure d: got %q, want 480", got)
 	}
 	if got := string(AppendBusy(AppendStored(AppendValue(nil, "a", 3), "b", "7"), 12)); got !=
 		"VA 3 Oa\r\nHD Ob c7\r\nSERVER_ERROR busy 12\r\n" {
--- a/internal/ringbuffer/buffer_test.go
+++ b/internal/ringbuffer/buffer_test.go
@@ -71,6 +71,6 @@
 		t.Errorf("after a small read the buffer keeps %d bytes of memory, want none", len(b.memory))
 	}
 	if n := read(1 << 20); n != initialBytes {
-		t.Errorf("the read after the small one is offered %d bytes, want %d", n, initialBytes)
+		t.Errorf("the read after the small one is offered %d bytes, want initialBytes", n)
 	}
 }
--- a/internal/tiles/capabilities.go
+++ b/internal/tiles/capabilities.go
@@ -10,6 +10,7 @@
 // document is an XML document that is written line by line.
 type document struct{ text bytes.Buffer }
 
+// line writes one formatted line.
 func (d *document) line(format string, values ...any) {
 	fmt.Fprintf(&d.text, format+"\n", values...)
 }
--- a/internal/tiles/key.go
+++ b/internal/tiles/key.go
@@ -19,8 +19,8 @@
 		suffix = doubleSizeSuffix
 	}
 	dimensions := ""
-	if len(t.Dimensions) > 0 {
-		dimensions = "?" + strings.Join(t.Dimensions, "&")
+	if len(t.DimensionValues) > 0 {
+		dimensions = "?" + strings.Join(t.DimensionValues, "&")
 	}
 	const format = "%s/%s/%s/%s/%d/%d%s.%s%s"
 	return fmt.Sprintf(format, t.Layer, t.Style, t.Set, t.Matrix, t.Col, t.Row, suffix, t.Format, dimensions)
@@ -30,7 +30,7 @@
 func Named(key string) (t Tile, ok bool) {
 	path, dimensions, hasDimensions := strings.Cut(key, "?")
 	if hasDimensions {
-		t.Dimensions = strings.Split(dimensions, "&")
+		t.DimensionValues = strings.Split(dimensions, "&")
 	}
 	segments := strings.Split(path, "/")
 	if len(segments) != keySegments {
--- a/internal/tiles/parse.go
+++ b/internal/tiles/parse.go
@@ -140,7 +140,7 @@
 		if !slices.Contains(dimension.Values, selected) {
 			return invalidParameter(dimension.Name, selected)
 		}
-		tile.Dimensions = append(tile.Dimensions, dimension.Name+"="+selected)
+		tile.DimensionValues = append(tile.DimensionValues, dimension.Name+"="+selected)
 	}
 	return nil
 }
--- a/internal/tiles/scheme.go
+++ b/internal/tiles/scheme.go
@@ -50,7 +50,7 @@
 		url.QueryEscape(t.Matrix),
 		t.Row,
 		t.Col)
-	for _, pair := range t.Dimensions { // names and values need no escaping (Word)
+	for _, pair := range t.DimensionValues { // names and values need no escaping (Word)
 		text += "&" + pair
 	}
 	return text
@@ -58,7 +58,7 @@
 
 func restAddress(t Tile) string {
 	segments := []string{t.Layer, t.Style}
-	for _, pair := range t.Dimensions {
+	for _, pair := range t.DimensionValues {
 		_, value, _ := strings.Cut(pair, "=")
 		segments = append(segments, value)
 	}
@@ -72,9 +72,9 @@
 		suffix = doubleSizeSuffix
 	}
 	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, suffix, t.Format)
-	if t.Style == defaultName && len(t.Dimensions) == 0 {
+	if t.Style == defaultName && len(t.DimensionValues) == 0 {
 		return text
 	}
-	query := append([]string{"style=" + t.Style}, t.Dimensions...)
+	query := append([]string{"style=" + t.Style}, t.DimensionValues...)
 	return text + "?" + strings.Join(query, "&")
 }
--- a/internal/tiles/tiles.go
+++ b/internal/tiles/tiles.go
@@ -54,7 +54,7 @@
 	Layer, Style, Set, Matrix, Format string
 	Col, Row                          int
 	Twice                             bool     // of double size
-	Dimensions                        []string // name=value, in the layer's order
+	DimensionValues                   []string // name=value, in the layer's order
 }
 
 // Google is the standard's name of the Web Mercator matrix set. GoogleTwice is the same set with double-size tiles.
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -40,14 +40,14 @@
 		}
 		tile, ok := Named(want)
 		if !ok || tile.Key() != want {
-			t.Errorf("Named(%s): got %+v, %v, want the tile with that key", want, tile, ok)
+			t.Errorf("Named(%s): got %+v, want the tile with that key", want, tile)
 		}
 		for _, scheme := range Schemes {
 			if scheme == XYZ && tile.Set != Google {
 				continue // XYZ paths cannot name another set
 			}
 			if got := parseSummary(s, scheme.Address(tile)); got != want {
-				t.Errorf("%s: address %s is parsed as %s, want %s", scheme, scheme.Address(tile), got, want)
+				t.Errorf("want %s in scheme %s: address %s, got %s", want, scheme, scheme.Address(tile), got)
 			}
 		}
 	}
@@ -179,8 +179,7 @@
 						a, fault := s.Parse(target)
 						if fault != nil || a.Tile.Layer != l.Identifier ||
 							a.Tile.Row != m.MaxTileRow || a.Tile.Col != m.MinTileCol {
-							t.Fatalf("%s: got %+v, %v, want layer %s, row %d, column %d",
-								target, a, fault, l.Identifier, m.MaxTileRow, m.MinTileCol)
+							t.Fatalf("%s: got %+v, fault %v, want the tile of this address", target, a, fault)
 						}
 						parsed++
 					}
@@ -199,7 +198,7 @@
 	text := string(f.XML())
 	const start = `exceptionCode="InvalidParameterValue" locator="Layer"`
 	if !strings.Contains(text, start) || !strings.Contains(text, "&lt;x&gt;") {
-		t.Errorf("got %s, want it to contain %s and the escaped text", text, start)
+		t.Errorf("got %s, want the code, the locator and the escaped text", text)
 	}
 }
 
@@ -215,7 +214,7 @@
 		tile, _ := Named(want)
 		for _, scheme := range Schemes {
 			if got := parseSummary(s, scheme.Address(tile)); got != want {
-				t.Fatalf("%s: got %s, want %s", scheme, got, want)
+				t.Fatalf("want %s in scheme %s, got %s", want, scheme, got)
 			}
 		}
 	}
@@ -247,7 +246,7 @@
 			t.Errorf("%q: got key %q, want at most 250 bytes without spaces and line ends", target, key)
 		}
 		if got := parseSummary(s, KVP.Address(a.Tile)); got != key {
-			t.Errorf("%q: got key %s as key-value pairs, want %s", target, got, key)
+			t.Errorf("%q: want key %s, got %s for its address as key-value pairs", target, key, got)
 		}
 	})
 }
