--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -46,7 +46,7 @@
 	// Writing.
 	awaitsWritable bool   // netpoll watches whether the socket is writable
 	writeFailed    bool   // a write has failed, and the handler is about to be notified
-	resetSeen      bool   // the kernel has reported a reset or another failure, which it does only once
+	resetReported  bool   // the kernel has reported a reset or another failure, which it does only once
 	sent           uint64 // bytes that the kernel has accepted
 }
 
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -27,7 +27,7 @@
 	startedAt time.Time // with the monotonic clock
 	startUnix float64   // Unix seconds at startedAt
 	stopped   bool
-	onPanic   func(what any, stack []byte) // nil: a callback that panics ends the process
+	onPanic   func(value any, stack []byte) // nil: a callback that panics ends the process
 
 	postedLock sync.Mutex
 	posted     []func() // by any goroutine, guarded by postedLock
@@ -98,15 +98,15 @@
 
 // Guard has the function fault called with the value and the stack of a callback's panic. Otherwise a panic would end
 // the process and with it the work of all other callbacks. Guard is called before Run.
-func (l *Loop) Guard(fault func(what any, stack []byte)) { l.onPanic = fault }
+func (l *Loop) Guard(fault func(value any, stack []byte)) { l.onPanic = fault }
 
 // call runs one function and recovers its panic if Guard has set a function for that.
 func (l *Loop) call(f func()) {
 	if l.onPanic != nil {
 		defer func() {
-			what := recover()
-			if what != nil {
-				l.onPanic(what, debug.Stack())
+			value := recover()
+			if value != nil {
+				l.onPanic(value, debug.Stack())
 			}
 		}()
 	}
--- a/internal/eventloop/peek.go
+++ b/internal/eventloop/peek.go
@@ -8,7 +8,7 @@
 	var next [1]byte
 	n, _, err = unix.Recvfrom(c.fd, next[:], unix.MSG_PEEK|unix.MSG_DONTWAIT)
 	if err != nil && !temporary(err) {
-		c.resetSeen = true
+		c.resetReported = true
 	}
 	return n, err
 }
@@ -57,7 +57,7 @@
 // ByReset reports whether a connection that has ended was reset. In that case the bytes received are incomplete.
 func (c *Conn) ByReset() bool {
 	if c.socketFailed() {
-		c.resetSeen = true // no read has reported the error so far
+		c.resetReported = true // no read has reported the error so far
 	}
-	return c.resetSeen
+	return c.resetReported
 }
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -33,7 +33,7 @@
 // goroutine, which does not run while the loop's goroutine occupies the only processor.
 func (c *Conn) onNothingRead(n int) {
 	if n < 0 {
-		c.resetSeen = true
+		c.resetReported = true
 	}
 	if !c.closed && c.Ended() {
 		c.loop.dispatch(c.onPeerEnd)
@@ -114,7 +114,7 @@
 		c.deliverInput()
 	case err != unix.EINTR:
 		if err != nil && err != unix.EAGAIN {
-			c.resetSeen = true
+			c.resetReported = true
 		}
 		c.closeAndNotify()
 		return
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -73,7 +73,7 @@
 	}
 	if err != unix.EAGAIN && err != unix.EINTR {
 		c.writeFailed = true
-		c.resetSeen = true // the kernel may report it only here
+		c.resetReported = true // the kernel may report it only here
 		c.loop.Later(c.onPeerEnd)
 	}
 	return 0
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -14,7 +14,7 @@
 	output
 	reservedBytes int       // bytes reserved for the long write that is being received
 	badCommands   int       // invalid commands received
-	cutReason     CutReason // why the connection ends, if an answer is owed on it
+	cutReason     CutReason // why the connection ends, if an answer is pending on it
 
 	admitted           bool // counted by the dispatcher for its listener until it is closed
 	established        bool // it has submitted a request or a health check
@@ -33,7 +33,7 @@
 	unacknowledged int     // written bytes that the client had not acknowledged at the last check
 }
 
-// output holds the answers that are owed to the client.
+// output holds the answers that are pending for the client.
 type output struct {
 	answers  []*answer // incomplete ones and those after an incomplete one, in the order of the commands
 	segments []segment // of complete answers, not in the connection's buffer yet
@@ -42,7 +42,7 @@
 // Opened does nothing: the event loop calls it for dialled connections only.
 func (c *ClientConn) Opened() {}
 
-// Input reads commands until too many answers are owed. If the client has disconnected after sending them, it submits
+// Input reads commands until too many answers are pending. If the client has disconnected after sending them, it submits
 // none of them, even if more bytes are unread than one read returns: the commands may have waited in the socket or for
 // the accept, and no client waits for their answers any more.
 func (c *ClientConn) Input() {
@@ -84,23 +84,23 @@
 // isOpen reports whether the connection has not ended.
 func (c *ClientConn) isOpen() bool { return c.frontend.connections[c] }
 
-// isFull reports whether so many answers are owed that no more commands are read.
-func (c *ClientConn) isFull() bool { return len(c.answers) >= maxOwedAnswers || len(c.segments) > 0 }
+// isFull reports whether so many answers are pending that no more commands are read.
+func (c *ClientConn) isFull() bool { return len(c.answers) >= maxPendingAnswers || len(c.segments) > 0 }
 
-// owesNothing reports whether the answers to all commands read are written, at least to the connection's buffer.
-func (c *ClientConn) owesNothing() bool { return len(c.answers) == 0 && len(c.segments) == 0 }
+// hasNoPendingAnswers reports whether the answers to all commands read are written, at least to the connection's buffer.
+func (c *ClientConn) hasNoPendingAnswers() bool { return len(c.answers) == 0 && len(c.segments) == 0 }
 
-// isIdle reports whether no answer is owed or unsent and no command has begun.
+// isIdle reports whether no answer is pending or unsent and no command has begun.
 func (c *ClientConn) isIdle() bool {
-	if !c.owesNothing() || c.conn.Unsent() > 0 {
+	if !c.hasNoPendingAnswers() || c.conn.Unsent() > 0 {
 		return false
 	}
 	return c.closing || !c.codec.InCommand() && c.conn.Quiet()
 }
 
-// isSilent reports whether the client has sent no valid command so far, and nothing is owed or unread.
+// isSilent reports whether the client has sent no valid command so far, and nothing is pending or unread.
 func (c *ClientConn) isSilent() bool {
-	return !c.established && c.owesNothing() && !c.conn.Unread()
+	return !c.established && c.hasNoPendingAnswers() && !c.conn.Unread()
 }
 
 // MarkEstablished marks the connection as one that has sent a valid command. Connections that have not are evicted
--- a/internal/frontend/close.go
+++ b/internal/frontend/close.go
@@ -34,7 +34,7 @@
 		return
 	}
 	delete(f.connections, c)
-	if !c.owesNothing() || c.conn.Unsent() > 0 {
+	if !c.hasNoPendingAnswers() || c.conn.Unsent() > 0 {
 		f.cutConnections[c.cutReason]++
 	}
 	c.ReleaseLongWrite()
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -34,12 +34,12 @@
 	expect(t, in, "MN\r\n")
 }
 
-// When a client sends far more commands than answers may be owed, reading must pause at that limit and resume as
+// When a client sends far more commands than answers may be pending, reading must pause at that limit and resume as
 // answers are written.
 func TestReadingPausesAtMaxOwedAnswers(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
-	const all = 5 * maxOwedAnswers
+	const all = 5 * maxPendingAnswers
 	var commands, answers strings.Builder
 	for i := range all {
 		fmt.Fprintf(&commands, "mg k v O%d Pc=t\r\n", i)
--- a/internal/frontend/config.go
+++ b/internal/frontend/config.go
@@ -20,8 +20,8 @@
 
 // Limits of one connection and of its requests.
 const (
-	// maxOwedAnswers is how many answers may be owed on a connection. Then its next commands are not read.
-	maxOwedAnswers = 32
+	// maxPendingAnswers is how many answers may be pending on a connection. Then its next commands are not read.
+	maxPendingAnswers = 32
 	// maxBadCommands is after how many invalid commands a connection is closed. It is above 1 because a person may
 	// mistype.
 	maxBadCommands = 3
--- a/internal/frontend/cut.go
+++ b/internal/frontend/cut.go
@@ -1,6 +1,6 @@
 package frontend
 
-// CutReason is the reason why a client's connection ended while an answer was owed on it.
+// CutReason is the reason why a client's connection ended while an answer was pending on it.
 type CutReason int
 
 // The reasons. The zero value applies unless the frontend sets another one before it closes the connection itself;
@@ -15,5 +15,5 @@
 // CutReasonNames are the names of the reasons in metrics and logs, indexed by CutReason.
 var CutReasonNames = [cutReasonCount]string{"client_left", "unread", "value_cut"}
 
-// CutConnections returns how many connections ended while an answer was owed, indexed by CutReason, since the start.
+// CutConnections returns how many connections ended while an answer was pending, indexed by CutReason, since the start.
 func (f *Frontend) CutConnections() [cutReasonCount]uint64 { return f.cutConnections }
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -29,7 +29,7 @@
 	})
 }
 
-// A client disconnects while its command waits: unread in the socket, for the accept, or for answers that are owed to
+// A client disconnects while its command waits: unread in the socket, for the accept, or for answers that are pending for
 // it. Its command must not be forwarded, even in the round in which the disconnect becomes visible.
 func TestCommandOfDisconnectedClientIsNotSubmitted(t *testing.T) {
 	for name, disconnect := range map[string]func(s testServer) func(){
@@ -52,7 +52,7 @@
 		"before more than one read returns": func(s testServer) func() { // a connection's first buffer is smaller
 			return func() {
 				conn, _ := s.dial()
-				for i := range 2 * maxOwedAnswers {
+				for i := range 2 * maxPendingAnswers {
 					fmt.Fprintf(conn, "mg k v O%d Pc=t\r\n", i)
 				}
 				closeWrite(t, conn)
@@ -74,15 +74,15 @@
 				s.reset(conn)
 			}
 		},
-		"behind owed answers": func(s testServer) func() {
+		"behind pending answers": func(s testServer) func() {
 			conn, _ := s.dial()
 			var commands strings.Builder
-			for i := range maxOwedAnswers + 8 {
+			for i := range maxPendingAnswers + 8 {
 				fmt.Fprintf(&commands, "mg k v O%d Pc=t\r\n", i)
 			}
 			io.WriteString(conn, commands.String())
 			var all []*heldAttempt
-			for range maxOwedAnswers {
+			for range maxPendingAnswers {
 				all = append(all, <-s.started)
 			}
 			return func() {
@@ -123,7 +123,7 @@
 	})
 }
 
-// A client disconnects while its connection is not read, because the limit of owed answers is reached. The disconnect
+// A client disconnects while its connection is not read, because the limit of pending answers is reached. The disconnect
 // must still be detected and the client's attempts cancelled.
 func TestDisconnectOfPausedConnectionIsDetected(t *testing.T) {
 	s := startServer(t, ampleLimits)
@@ -134,7 +134,7 @@
 	}
 	io.WriteString(conn, commands.String())
 	var all []*heldAttempt
-	for range maxOwedAnswers {
+	for range maxPendingAnswers {
 		all = append(all, <-s.started)
 	}
 	s.onLoop(func() {})
@@ -215,7 +215,7 @@
 	}
 	go io.WriteString(conn, commands.String())
 	var all []*heldAttempt
-	for range maxOwedAnswers {
+	for range maxPendingAnswers {
 		all = append(all, <-s.started)
 	}
 	conn.Close()
--- a/internal/frontend/drain.go
+++ b/internal/frontend/drain.go
@@ -33,7 +33,7 @@
 	}
 }
 
-// StopReading stops reading from all connections, and closes each when the answers owed on it are written. Otherwise a
+// StopReading stops reading from all connections, and closes each when its pending answers are written. Otherwise a
 // client that sends commands without a pause would be served forever.
 func (f *Frontend) StopReading() {
 	for c := range f.connections {
--- a/internal/frontend/frontend.go
+++ b/internal/frontend/frontend.go
@@ -30,7 +30,7 @@
 // endCounts counts how requests and connections ended, since the start.
 type endCounts struct {
 	outcomes       map[string]*Outcomes   // by the class that clients name
-	cutConnections [cutReasonCount]uint64 // connections that ended while an answer was owed, by CutReason
+	cutConnections [cutReasonCount]uint64 // connections that ended while an answer was pending, by CutReason
 }
 
 // New returns a frontend without connections, and starts its sweep on the loop.
--- a/internal/frontend/outcomes_test.go
+++ b/internal/frontend/outcomes_test.go
@@ -20,12 +20,12 @@
 		fmt.Fprintf(conn, "mg k v O%s Pc=t,d=4000\r\n", id)
 		return <-s.started
 	}
-	settle := func(h *heldAttempt, outcome balancer.Outcome, result requestcore.Result) {
+	endAttempt := func(h *heldAttempt, outcome balancer.Outcome, result requestcore.Result) {
 		s.loop.Post(func() { h.observer.OnAttemptEnd(outcome, result) })
 	}
 	s.succeed(begin("1"), "x")
 	expect(t, in, "VA 1 O1\r\nx\r\n")
-	settle(begin("2"), balancer.Cancelled, requestcore.Result{}) // there is no other server for a retry
+	endAttempt(begin("2"), balancer.Cancelled, requestcore.Result{}) // there is no other server for a retry
 	expect(t, in, "SERVER_ERROR busy\r\n")
 	third := begin("3")
 	// No capacity, no such class, a repeated id.
@@ -33,9 +33,9 @@
 	s.loop.Post(func() { s.dispatcher.core.Fail(3) })
 	expect(t, in, "SERVER_ERROR failed\r\nSERVER_ERROR busy\r\n"+
 		"CLIENT_ERROR the type c is unknown\r\nSERVER_ERROR busy\r\n")
-	settle(third, balancer.Cancelled, requestcore.Result{})
+	endAttempt(third, balancer.Cancelled, requestcore.Result{})
 	conn, in = s.dial()
-	settle(begin("6"), balancer.Succeeded, requestcore.Result{Body: brokenBody{}})
+	endAttempt(begin("6"), balancer.Succeeded, requestcore.Result{Body: brokenBody{}})
 	expect(t, in, "VA 99999 O6\r\nx")
 	conn, _ = s.dial()
 	begin("7")
@@ -58,7 +58,7 @@
 	}
 }
 
-// Each connection that ends while an answer is owed must be counted by its reason.
+// Each connection that ends while an answer is pending must be counted by its reason.
 func TestCutConnectionsByReason(t *testing.T) {
 	for name, c := range map[string]struct {
 		end  func(s testServer, conn net.Conn, h *heldAttempt)
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -16,9 +16,9 @@
 	_, silent := s.dial()
 	half, halfIn := s.dial()
 	fmt.Fprintf(half, "mg k")
-	usual, usualIn := s.dial()
-	fmt.Fprintf(usual, "mn\r\n")
-	expect(t, usualIn, "SERVER_ERROR starting\r\n")
+	established, establishedIn := s.dial()
+	fmt.Fprintf(established, "mn\r\n")
+	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
 	s.onLoop(func() {
 		for c := range s.connections {
 			c.acceptedAt -= commandSeconds + 0.1
@@ -33,12 +33,12 @@
 	if _, err := halfIn.ReadByte(); err != io.EOF {
 		t.Errorf("the connection with a part of a command: got read error %v, want EOF", err)
 	}
-	fmt.Fprintf(usual, "mn\r\n")
-	expect(t, usualIn, "SERVER_ERROR starting\r\n")
+	fmt.Fprintf(established, "mn\r\n")
+	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
 }
 
 // Clients that send one request and stay connected would use up the limit of connections. Idle connections must be
-// closed, but not while an answer is owed.
+// closed, but not while an answer is pending.
 func TestIdleConnectionsTimeOut(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, in := s.dial()
@@ -98,7 +98,7 @@
 func TestUnreadInputPreventsTimeout(t *testing.T) {
 	for name, c := range map[string]struct {
 		first, rest string
-		look        func(s testServer)
+		check       func(s testServer)
 	}{
 		"half a command": {"mg k v", " O1 Pc=t\r\n", func(s testServer) { s.sweep() }},
 		"a first one":    {"", "mg k v O1 Pc=t\r\n", func(s testServer) { s.sweep() }},
@@ -125,7 +125,7 @@
 				c.acceptedAt -= 100
 				c.commandBegan -= 100
 			}
-			c.look(s)
+			c.check(s)
 		})
 		s.expectServed(name, in)
 	}
--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -177,11 +177,11 @@
 		// One byte is changed: if both still accept the request, they agree on method and target.
 		changed := text.Bytes()
 		changed[rng.IntN(len(changed))] = byte(rng.IntN(256))
-		mine := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
-		theirs, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
-		if strings.HasSuffix(mine, "; ") && err == nil && theirs.URL.Host == "" &&
-			!strings.HasPrefix(mine, theirs.Method+" "+theirs.RequestURI) {
-			t.Fatalf("%q: got %s, the standard library got %s %s", changed, mine, theirs.Method, theirs.RequestURI)
+		parsed := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
+		standard, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
+		if strings.HasSuffix(parsed, "; ") && err == nil && standard.URL.Host == "" &&
+			!strings.HasPrefix(parsed, standard.Method+" "+standard.RequestURI) {
+			t.Fatalf("%q: got %s, the standard library got %s %s", changed, parsed, standard.Method, standard.RequestURI)
 		}
 	}
 	for i := range 3000 {
