--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -58,7 +58,7 @@
 	listens, err := unix.GetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_ACCEPTCONN)
 	if err != nil || listens == 0 {
 		unix.Close(fd)
-		return nil, errors.New("the socket handed over does not listen")
+		return nil, errors.New("the inherited socket is not a listening socket")
 	}
 	unix.SetNonblock(fd, true)
 	return l.newListener(fd, room, accepted), nil
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -42,9 +42,9 @@
 // Opened does nothing: the event loop calls it for dialled connections only.
 func (c *ClientConn) Opened() {}
 
-// Input reads commands until too many answers are pending. If the client has disconnected after sending them, it submits
-// none of them, even if more bytes are unread than one read returns: the commands may have waited in the socket or for
-// the accept, and no client waits for their answers any more.
+// Input reads commands until too many answers are pending. If the client has disconnected after sending them, it
+// submits none of them, even if more bytes are unread than one read returns: the commands may have waited in the
+// socket or for the accept, and no client waits for their answers any more.
 func (c *ClientConn) Input() {
 	if c.conn.PeerClosed() {
 		c.close()
@@ -87,7 +87,8 @@
 // isFull reports whether so many answers are pending that no more commands are read.
 func (c *ClientConn) isFull() bool { return len(c.answers) >= maxPendingAnswers || len(c.segments) > 0 }
 
-// hasNoPendingAnswers reports whether the answers to all commands read are written, at least to the connection's buffer.
+// hasNoPendingAnswers reports whether the answers to all commands read are written, at least to the connection's
+// buffer.
 func (c *ClientConn) hasNoPendingAnswers() bool { return len(c.answers) == 0 && len(c.segments) == 0 }
 
 // isIdle reports whether no answer is pending or unsent and no command has begun.
--- a/internal/frontend/disconnect_test.go
+++ b/internal/frontend/disconnect_test.go
@@ -29,8 +29,8 @@
 	})
 }
 
-// A client disconnects while its command waits: unread in the socket, for the accept, or for answers that are pending for
-// it. Its command must not be forwarded, even in the round in which the disconnect becomes visible.
+// A client disconnects while its command waits: unread in the socket, for the accept, or for answers that are pending
+// for it. Its command must not be forwarded, even in the round in which the disconnect becomes visible.
 func TestCommandOfDisconnectedClientIsNotSubmitted(t *testing.T) {
 	for name, disconnect := range map[string]func(s testServer) func(){
 		"unread in the socket": func(s testServer) func() {
@@ -123,8 +123,8 @@
 	})
 }
 
-// A client disconnects while its connection is not read, because the limit of pending answers is reached. The disconnect
-// must still be detected and the client's attempts cancelled.
+// A client disconnects while its connection is not read, because the limit of pending answers is reached. The
+// disconnect must still be detected and the client's attempts cancelled.
 func TestDisconnectOfPausedConnectionIsDetected(t *testing.T) {
 	s := startServer(t, ampleLimits)
 	conn, _ := s.dial()
--- a/internal/frontend/output.go
+++ b/internal/frontend/output.go
@@ -29,8 +29,8 @@
 	}
 }
 
-// Flushed writes the segments to the connection's buffer, and resumes reading if too many pending answers had paused it.
-// The event loop calls it when the buffer has room again.
+// Flushed writes the segments to the connection's buffer, and resumes reading if too many pending answers had paused
+// it. The event loop calls it when the buffer has room again.
 func (c *ClientConn) Flushed() {
 	if !c.writeSegments() {
 		return
--- a/internal/http1/line.go
+++ b/internal/http1/line.go
@@ -16,7 +16,7 @@
 	maxLengthDigits = 18       // of a Content-Length, so that it fits an int64
 )
 
-var errNotNumber = errors.New("not a length")
+var errNotNumber = errors.New("not a whole number within the digit limit")
 
 // lineReader splits a stream into lines. It stores an incomplete line, so that the input buffer can be smaller than a
 // line.
