--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -168,9 +168,9 @@
 // longer.
 func TestSilentConnectionsEvictedFirst(t *testing.T) {
 	s := startServer(t, testLimits{Limits{Connections: 2, RejectConnections: 1}, 10, 1 << 20})
-	established, establishedIn := s.dial()
-	fmt.Fprintf(established, "mn\r\n")
-	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
+	served, servedIn := s.dial()
+	fmt.Fprintf(served, "mn\r\n")
+	expect(t, servedIn, "SERVER_ERROR starting\r\n")
 	_, silent := s.dial()
 	for n := 0; n < 2; {
 		s.onLoop(func() { n = s.Connections() })
@@ -189,6 +189,6 @@
 	if _, err := silent.ReadByte(); err != io.EOF {
 		t.Errorf("the silent connection: got read error %v, want EOF", err)
 	}
-	fmt.Fprintf(established, "mn\r\n")
-	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
+	fmt.Fprintf(served, "mn\r\n")
+	expect(t, servedIn, "SERVER_ERROR starting\r\n")
 }
--- a/internal/frontend/timeouts.go
+++ b/internal/frontend/timeouts.go
@@ -80,8 +80,8 @@
 
 // closeSlowestReader closes the connection of the client that has not read for longest, if the answers held for such
 // clients use half of the memory for values (which has the size of the memory for long writes). Otherwise all other
-// requests would be rejected until these clients read or time out. It closes only one connection at a
-// time, because closing it loses the pending answers.
+// requests would be rejected until these clients read or time out. It closes only one connection at a time,
+// because closing it loses the pending answers.
 func (f *Frontend) closeSlowestReader() {
 	now := f.loop.Now()
 	var slowest *ClientConn
--- a/internal/frontend/timeouts_test.go
+++ b/internal/frontend/timeouts_test.go
@@ -16,9 +16,9 @@
 	_, silent := s.dial()
 	half, halfIn := s.dial()
 	fmt.Fprintf(half, "mg k")
-	established, establishedIn := s.dial()
-	fmt.Fprintf(established, "mn\r\n")
-	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
+	served, servedIn := s.dial()
+	fmt.Fprintf(served, "mn\r\n")
+	expect(t, servedIn, "SERVER_ERROR starting\r\n")
 	s.onLoop(func() {
 		for c := range s.connections {
 			c.acceptedAt -= commandSeconds + 0.1
@@ -33,8 +33,8 @@
 	if _, err := halfIn.ReadByte(); err != io.EOF {
 		t.Errorf("the connection with a part of a command: got read error %v, want EOF", err)
 	}
-	fmt.Fprintf(established, "mn\r\n")
-	expect(t, establishedIn, "SERVER_ERROR starting\r\n")
+	fmt.Fprintf(served, "mn\r\n")
+	expect(t, servedIn, "SERVER_ERROR starting\r\n")
 }
 
 // Clients that send one request and stay connected would use up the limit of connections. Idle connections must be
