--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -74,7 +74,7 @@
 	}
 }
 
-// Reset ends the connection as the death of a process does: the peer gets a reset, and what it has not read is lost.
+// Reset ends the connection as the death of its process does: the peer gets a reset and loses what it has not read.
 func (c *Conn) Reset() {
 	if c.closed {
 		return
--- a/internal/tiles/rest.go
+++ b/internal/tiles/rest.go
@@ -8,7 +8,7 @@
 )
 
 // The segments of a RESTful path after the version. The dimensions' values come between the style and the matrix set;
-// the numbers of the segments after them leave them out.
+// the segments after them are numbered as if there were none.
 const (
 	restLayer = iota
 	restStyle
--- a/internal/tiles/tiles.go
+++ b/internal/tiles/tiles.go
@@ -57,7 +57,8 @@
 	DimensionValues                   []string // name=value, in the layer's order
 }
 
-// Google is the standard's name of the Web Mercator matrix set. GoogleTwice is the same set with double-size tiles.
+// Google is the standard's name of the Web Mercator matrix set, which XYZ paths refer to. GoogleTwice is the set of its
+// double-size tiles.
 const (
 	Google      = "GoogleMapsCompatible"
 	GoogleTwice = "GoogleMapsCompatible-2x"
@@ -73,8 +74,8 @@
 
 const defaultName = "default" // the standard's name of the default style or value
 
-// googleSet returns a Web Mercator set with tiles of side by side pixels; scale is the scale denominator of zoom level
-// 0.
+// googleSet returns a Web Mercator set of square tiles; side is their width and height in pixels, scale the scale
+// denominator of zoom level 0.
 func googleSet(name string, side int, scale float64) *Set {
 	set := &Set{Name: name, CRS: "urn:ogc:def:crs:EPSG::3857", webMercator: true}
 	for zoom := range webMercatorZooms {
