--- a/internal/http1/http1_test.go
+++ b/internal/http1/http1_test.go
@@ -11,7 +11,7 @@
 	"testing"
 )
 
-// Whatever pieces it comes in, a request is read alike.
+// A request must be read the same way whatever pieces it arrives in, and an invalid one must be a fault.
 func TestRequests(t *testing.T) {
 	const host = "Host: a\r\n"
 	tests := []struct{ stream, want string }{
@@ -77,13 +77,14 @@
 	}
 	for _, test := range tests {
 		for _, piece := range []int{1, 7, 4000} {
-			if got := told(&requests{}, test.stream, piece, 8192, &notes{}); got != test.want {
+			if got := readInPieces(&requests{}, test.stream, piece, 8192, &recorder{}); got != test.want {
 				t.Errorf("%.80q in pieces of %d:\ngot  %s\nwant %s", test.stream, piece, got, test.want)
 			}
 		}
 	}
 }
 
+// A response must be read the same way whatever pieces it arrives in, and an invalid one must be a fault.
 func TestResponses(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{
@@ -131,33 +132,35 @@
 	}
 	for _, test := range tests {
 		for _, piece := range []int{1, 7, 4000} {
-			if got := told(&responses{}, test.stream, piece, 8192, &notes{bound: 1000}); got != test.want {
+			if got := readInPieces(&responses{}, test.stream, piece, 8192, &recorder{bound: 1000}); got != test.want {
 				t.Errorf("%.80q in pieces of %d:\ngot  %s\nwant %s", test.stream, piece, got, test.want)
 			}
 		}
 	}
 }
 
-// A body without a length goes on until the connection ends; any other answer cut by that is not whole.
-func TestUntilTheEnd(t *testing.T) {
-	r, n := &responses{}, &notes{}
-	told(r, "HTTP/1.1 200 OK\r\n\r\nhello", 3, 512, n)
+// A body without a length ends with the connection. Any other response that the end of the connection interrupts is
+// incomplete.
+func TestBodyUntilClose(t *testing.T) {
+	r, n := &responses{}, &recorder{}
+	readInPieces(r, "HTTP/1.1 200 OK\r\n\r\nhello", 3, 512, n)
 	if !r.Closed(n) || n.String() != `200 "hello" keep false; ` {
-		t.Errorf("it was told %s", n)
+		t.Errorf("a body without a length: got %s, want it complete after the end of the connection", n)
 	}
-	r, n = &responses{}, &notes{}
-	told(r, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", 3, 512, n)
+	r, n = &responses{}, &recorder{}
+	readInPieces(r, "HTTP/1.1 200 OK\r\nContent-Length: 9\r\n\r\nhello", 3, 512, n)
 	if r.Closed(n) || !r.Begun() {
-		t.Error("a cut body is taken for whole")
+		t.Error("a body shorter than its stated length is taken for complete")
 	}
 }
 
-// Thousands of requests: what the standard library writes is read with the same meaning, and what it refuses of what is
-// changed at random is not read as something else.
-func TestAgainstTheStandardLibrary(t *testing.T) {
-	chance := rand.New(rand.NewPCG(1, 2))
+// Requests and responses that the standard library writes, thousands of each, must be read with the same meaning. After
+// a random change of one byte in a request, this package and the standard library must agree on its method and target
+// if both accept it: a request must not be ambiguous.
+func TestAgainstStandardLibrary(t *testing.T) {
+	rng := rand.New(rand.NewPCG(1, 2))
 	for i := range 3000 {
-		target := fmt.Sprintf("/layer-%d/%d/%d/%d.png?x=%d", i%7, chance.IntN(20), chance.IntN(1000), chance.IntN(1000), i)
+		target := fmt.Sprintf("/layer-%d/%d/%d/%d.png?x=%d", i%7, rng.IntN(20), rng.IntN(1000), rng.IntN(1000), i)
 		request, err := http.NewRequest([]string{"GET", "HEAD"}[i%2], "http://host"+target, nil)
 		if err != nil {
 			t.Fatal(err)
@@ -167,22 +170,22 @@
 		var text bytes.Buffer
 		request.Write(&text)
 		want := fmt.Sprintf("%s %s", request.Method, target)
-		if got := told(&requests{}, text.String(), 1+i%50, 4096, &notes{}); !strings.HasPrefix(got, want) ||
+		if got := readInPieces(&requests{}, text.String(), 1+i%50, 4096, &recorder{}); !strings.HasPrefix(got, want) ||
 			!strings.HasSuffix(got, fmt.Sprintf("keep %t; ", i%3 != 0)) {
-			t.Fatalf("%q is read as %s", text.String(), got)
+			t.Fatalf("%q: got %s, want its method, target and keep-alive", text.String(), got)
 		}
-		// One byte is changed: if both still read it, they agree on method and target.
+		// One byte is changed: if both still accept the request, they agree on method and target.
 		changed := text.Bytes()
-		changed[chance.IntN(len(changed))] = byte(chance.IntN(256))
-		mine := told(&requests{}, string(changed), 4096, 8192, &notes{})
-		theirs, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
-		if strings.HasSuffix(mine, "; ") && err == nil && theirs.URL.Host == "" &&
-			!strings.HasPrefix(mine, theirs.Method+" "+theirs.RequestURI) {
-			t.Fatalf("%q is read as %s, and by the standard library as %s %s", changed, mine, theirs.Method, theirs.RequestURI)
+		changed[rng.IntN(len(changed))] = byte(rng.IntN(256))
+		parsed := readInPieces(&requests{}, string(changed), 4096, 8192, &recorder{})
+		standard, err := http.ReadRequest(bufio.NewReader(bytes.NewReader(changed)))
+		if strings.HasSuffix(parsed, "; ") && err == nil && standard.URL.Host == "" &&
+			!strings.HasPrefix(parsed, standard.Method+" "+standard.RequestURI) {
+			t.Fatalf("%q: got %s, the standard library got %s %s", changed, parsed, standard.Method, standard.RequestURI)
 		}
 	}
 	for i := range 3000 {
-		body := strings.Repeat("x", chance.IntN(3000))
+		body := strings.Repeat("x", rng.IntN(3000))
 		answer := http.Response{
 			StatusCode:    []int{200, 404, 503}[i%3],
 			ProtoMajor:    1,
@@ -197,16 +200,16 @@
 		var text bytes.Buffer
 		answer.Write(&text)
 		want := fmt.Sprintf("%d [etag: %d] %q keep true; ", answer.StatusCode, i, body)
-		if i%2 == 1 && len(body) == 0 { // the library writes no length then, or 0
+		if i%2 == 1 && len(body) == 0 { // the library then writes either no length or a length of 0
 			continue
 		}
-		if got := told(&responses{}, text.String(), 1+i%700, 4096, &notes{}); got != want {
-			t.Fatalf("%.200q is read as %.200s, want %.200s", text.String(), got, want)
+		if got := readInPieces(&responses{}, text.String(), 1+i%700, 4096, &recorder{}); got != want {
+			t.Fatalf("%.200q: got %.200s, want %.200s", text.String(), got, want)
 		}
 	}
 }
 
-// Whatever comes, cut wherever, is read alike and stops no reader.
+// A reader must not panic on any input, and must read it the same way however it is cut into pieces.
 func FuzzReaders(f *testing.F) {
 	f.Add("GET /a/1/2/3.png HTTP/1.1\r\nHost: a\r\n\r\n", 3)
 	f.Add("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n3\r\nabc\r\n0\r\n\r\n", 2)
@@ -218,8 +221,8 @@
 			func() reader { return &responses{} },
 		}
 		for _, newReader := range newReaders {
-			inPieces := told(newReader(), stream, piece, 64, &notes{bound: 1000})
-			whole := told(newReader(), stream, 64, 64, &notes{bound: 1000})
+			inPieces := readInPieces(newReader(), stream, piece, 64, &recorder{bound: 1000})
+			whole := readInPieces(newReader(), stream, 64, 64, &recorder{bound: 1000})
 			if inPieces != whole {
 				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, inPieces, whole)
 			}
@@ -229,10 +232,10 @@
 
 func BenchmarkRequest(b *testing.B) {
 	stream := "GET /roads/12/2345/1456.png HTTP/1.1\r\nHost: a\r\nAccept: image/png\r\nIf-None-Match: \"abc\"\r\n\r\n"
-	r, n := &requests{}, &notes{}
+	r, n := &requests{}, &recorder{}
 	b.ReportAllocs()
 	for range b.N {
 		n.Reset()
-		told(r, stream, len(stream), 4096, n)
+		readInPieces(r, stream, len(stream), 4096, n)
 	}
 }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -8,58 +8,61 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// calls notes what it is called with.
-type calls []string
+// recordedCalls is a CommandHandler and Replies that records its calls.
+type recordedCalls []string
 
-func (c *calls) note(format string, with ...any) { *c = append(*c, fmt.Sprintf(format, with...)) }
-func (c *calls) Get(key, id, flags, figures string) {
+func (c *recordedCalls) note(format string, with ...any) {
+	*c = append(*c, fmt.Sprintf(format, with...))
+}
+func (c *recordedCalls) Get(key, id, flags, figures string) {
 	c.note("get %s %s [%s] %s", key, id, flags, figures)
 }
-func (c *calls) Set(key, id, flags, figures string, value []byte) {
+func (c *recordedCalls) Set(key, id, flags, figures string, value []byte) {
 	c.note("set %s %s [%s] %s %q", key, id, flags, figures, value)
 }
-func (c *calls) Noop()             { c.note("noop") }
-func (c *calls) Bad(answer string) { c.note("bad %s", answer) }
-func (c *calls) Refused()          { c.note("refused") }
-func (c *calls) Reserve(length int) bool {
+func (c *recordedCalls) Noop()             { c.note("noop") }
+func (c *recordedCalls) Bad(answer string) { c.note("bad %s", answer) }
+func (c *recordedCalls) Refused()          { c.note("refused") }
+func (c *recordedCalls) Reserve(length int) bool {
 	c.note("reserve %d", length)
 	return length != 70000
 }
-func (c *calls) Value(id string, value []byte) { c.note("value %s %q", id, value) }
-func (c *calls) Long(id string, length int)    { c.note("long %s %d", id, length) }
-func (c *calls) Part(part []byte) int          { return len(part) }
-func (c *calls) LongEnd()                      { c.note("end") }
-func (c *calls) Stored(id, receipt string)     { c.note("stored %s %s", id, receipt) }
-func (c *calls) Busy(int)                      { c.note("busy") }
-func (c *calls) Failed()                       { c.note("failed") }
-func (c *calls) Ready()                        { c.note("ready") }
-func (c *calls) Other(line string)             { c.note("other %s", line) }
+func (c *recordedCalls) Value(id string, value []byte) { c.note("value %s %q", id, value) }
+func (c *recordedCalls) Long(id string, length int)    { c.note("long %s %d", id, length) }
+func (c *recordedCalls) Part(part []byte) int          { return len(part) }
+func (c *recordedCalls) LongEnd()                      { c.note("end") }
+func (c *recordedCalls) Stored(id, receipt string)     { c.note("stored %s %s", id, receipt) }
+func (c *recordedCalls) Busy(int)                      { c.note("busy") }
+func (c *recordedCalls) Failed()                       { c.note("failed") }
+func (c *recordedCalls) Ready()                        { c.note("ready") }
+func (c *recordedCalls) Other(line string)             { c.note("other %s", line) }
 
 // reader reads one message.
-type reader func(*ringbuffer.Buffer, *calls) (bool, error)
+type reader func(*ringbuffer.Buffer, *recordedCalls) (bool, error)
 
 func commands() reader {
 	var r CommandReader
-	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *recordedCalls) (bool, error) { return r.Read(in, c) }
 }
 
 func replies() reader {
 	var r ReplyReader
-	return func(in *ringbuffer.Buffer, c *calls) (bool, error) { return r.Read(in, c) }
+	return func(in *ringbuffer.Buffer, c *recordedCalls) (bool, error) { return r.Read(in, c) }
 }
 
-func inPieces(t *testing.T, stream, want string, fresh func() reader) {
+// checkInPieces feeds a stream in pieces of 1 to 63 bytes.
+func checkInPieces(t *testing.T, stream, want string, fresh func() reader) {
 	t.Helper()
 	for piece := 1; piece < 64; piece++ {
-		if got := read(stream, piece, fresh()); got != want {
+		if got := readInPieces(stream, piece, fresh()); got != want {
 			t.Errorf("%.60q in pieces of %d: got %s, want %s", stream, piece, got, want)
 		}
 	}
 }
 
-// read feeds a stream in pieces of so many bytes and gives the calls, or the error.
-func read(stream string, piece int, next reader) string {
-	var c calls
+// readInPieces feeds a stream in pieces of a given number of bytes and returns the recorded calls, or the error.
+func readInPieces(stream string, piece int, next reader) string {
+	var c recordedCalls
 	in := ringbuffer.New(64)
 	for len(stream) > 0 {
 		n := in.Write([]byte(stream[:min(piece, len(stream))]))
@@ -73,7 +76,8 @@
 	return strings.Join(c, "; ")
 }
 
-// However a stream is cut, the commands are the same; one that cannot be followed is an error, never a guess.
+// However a stream is cut into pieces, the reader must pass on the same commands, and a malformed stream must be an
+// error.
 func TestCommands(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{"mn\r\n", "noop"},
@@ -94,10 +98,12 @@
 		{"ms k 65536 Oa\r\n" + strings.Repeat("x", 99), ""},
 	}
 	for _, test := range tests {
-		inPieces(t, test.stream, test.want, commands)
+		checkInPieces(t, test.stream, test.want, commands)
 	}
 }
 
+// However a stream is cut into pieces, the reader must pass on the same replies, and a malformed stream must be an
+// error.
 func TestReplies(t *testing.T) {
 	tests := []struct{ stream, want string }{
 		{"VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\n", `value a "hello"; stored b 77`},
@@ -106,7 +112,7 @@
 		{"SERVER_ERROR failed\r\nSERVER_ERROR out of memory\r\n", "failed; other SERVER_ERROR out of memory"},
 		{"VA 3000000000 Oa\r\nxxx", "a value's length cannot be read"},
 		{"EN\r\n", "no reply begins so"},
-		// At once, not at an end of the line that may never come.
+		// Rejected by the first bytes, because the end of the line may never arrive.
 		{"\x00", "no reply begins so"},
 		{"VB 5", "no reply begins so"},
 		{"VA\r\n", "no reply begins so"},
@@ -121,12 +127,12 @@
 		{"VA 4194305 Oa\r\nhe", "a value is too long"},
 	}
 	for _, test := range tests {
-		inPieces(t, test.stream, test.want, replies)
+		checkInPieces(t, test.stream, test.want, replies)
 	}
 }
 
-// A command goes on unchanged but for the time that the router will wait.
-func TestPassedOn(t *testing.T) {
+// A forwarded command is unchanged except for the time that the router will wait.
+func TestForwardedCommandIsUnchanged(t *testing.T) {
 	figures := WithFigure("c=read,d=480,k=9,r=1", "d", "77")
 	if got, want := string(AppendGet(nil, "k", "v Oa", figures)), "mg k v Oa Pc=read,k=9,r=1,d=77\r\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
@@ -135,23 +141,23 @@
 		t.Errorf("got %s, want %s", got, want)
 	}
 	if got, there := Figure("c=read,d=480,dd=1", "d"); got != "480" || !there {
-		t.Errorf("d reads as %s", got)
+		t.Errorf("Figure d: got %q, want 480", got)
 	}
 	if got := string(AppendBusy(AppendStored(AppendValue(nil, "a", 3), "b", "7"), 12)); got !=
 		"VA 3 Oa\r\nHD Ob c7\r\nSERVER_ERROR busy 12\r\n" {
-		t.Errorf("answers read %s", got)
+		t.Errorf("replies: got %q, want VA 3 Oa, HD Ob c7 and SERVER_ERROR busy 12", got)
 	}
 }
 
-// Whatever comes, cut wherever, is read alike and stops no reader.
+// A reader must not panic on any input, and must read it the same way however it is cut into pieces.
 func FuzzReaders(f *testing.F) {
 	f.Add("ms k 5 Oa Pc=put,d=9\r\nhello\r\nmn\r\n", 3)
 	f.Add("VA 5 Oa h1\r\nhello\r\nHD Ob c77\r\nSERVER_ERROR busy\r\n", 2)
 	f.Fuzz(func(t *testing.T, stream string, piece int) {
 		piece = 1 + int(uint(piece)%60)
 		for _, fresh := range []func() reader{commands, replies} {
-			inPieces := read(stream, piece, fresh())
-			whole := read(stream, 64, fresh())
+			inPieces := readInPieces(stream, piece, fresh())
+			whole := readInPieces(stream, 64, fresh())
 			if inPieces != whole {
 				t.Errorf("%q in pieces of %d: got %s, whole %s", stream, piece, inPieces, whole)
 			}
--- a/internal/tiles/golden_test.go
+++ b/internal/tiles/golden_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var writeGolden = flag.Bool("write-golden", false, "write testdata/*.golden anew, from the code as it is")
+var writeGolden = flag.Bool("write-golden", false, "regenerate testdata/*.golden from the current code")
 
 func checkGolden(t *testing.T, name string, got []byte) {
 	t.Helper()
@@ -29,12 +29,12 @@
 	}
 }
 
-// Clients read the capabilities document: its bytes are fixed.
+// Clients parse the capabilities document, so its bytes must not change by accident.
 func TestCapabilitiesBytes(t *testing.T) {
 	checkGolden(t, "capabilities.golden", service().Capabilities("http://host:8080/?a&b"))
 }
 
-// Clients read the text of a fault: each kind is written with its status and its exception report.
+// Clients read the faults' texts: each kind of fault must keep its status, its text and its exception report.
 func TestFaultBytes(t *testing.T) {
 	const restStart = "/wmts/1.0.0/"
 	targets := []string{
@@ -43,7 +43,7 @@
 		"/roads/3/0/0.png?a=1&A=2", "/roads/3/0/0.png?style=x", "/clinics/8/191/111.png?time=1",
 		"/wmts", "/wmts?service=WMS&request=x", "/wmts?service=WMTS&request=GetFeatureInfo",
 		"/wmts?service=WMTS&request=x", "/wmts?a=%zz", "/wmts?service=WMTS&request=GetTile",
-		pairs + "&layer=x",
+		kvpTarget + "&layer=x",
 		restStart + "%zz", restStart + "rivers", restStart + "roads",
 		restStart + "roads/x/GoogleMapsCompatible/3/5/2.png",
 		restStart + "roads/default/GoogleMapsCompatible/3/5/2.gif", restStart + "roads/default/x/3/5/2.png",
@@ -58,7 +58,7 @@
 		"version", "layer", "style", "format", "tilematrixset", "tilematrix", "tilerow", "tilecol",
 	}
 	for _, parameter := range tileParameterNames {
-		targets = append(targets, pairs+"&"+parameter+"=twice")
+		targets = append(targets, kvpTarget+"&"+parameter+"=twice")
 		targets = append(targets, withParameter(parameter, "x"), withParameter(parameter, ""))
 	}
 	var text bytes.Buffer
@@ -73,7 +73,7 @@
 	checkGolden(t, "faults.golden", text.Bytes())
 }
 
-// Tile servers are asked by these bytes.
+// Tile servers parse the addresses of requests, so their bytes must not change by accident.
 func TestAddressBytes(t *testing.T) {
 	var text bytes.Buffer
 	for _, key := range []string{
--- a/internal/tiles/parse.go
+++ b/internal/tiles/parse.go
@@ -10,9 +10,9 @@
 )
 
 const (
-	maxNumberDigits    = 9  // of a zoom level, a column or a row: it fits an int of 32 bits
+	maxNumberDigits    = 9  // of a zoom level, a column or a row, so that it fits an int of 32 bits
 	maxQueryParameters = 32 // of one request
-	maxLocatorBytes    = 40 // of a parameter's name that is sent back in a fault
+	maxLocatorBytes    = 40 // of a parameter's name that a fault returns to the client
 )
 
 // The paths of WMTS.
@@ -22,34 +22,34 @@
 	restCapabilitiesPath = "/wmts/1.0.0/WMTSCapabilities.xml"
 )
 
-// Asked is what an address asks for: a tile, or the service's capabilities document.
-type Asked struct {
+// ParsedTarget is what a request target refers to: a tile, or the service's capabilities document.
+type ParsedTarget struct {
 	Tile         Tile
 	Capabilities bool
 }
 
-// Parse reads a request's target. The fault is nil if the target is understood.
-func (s *Service) Parse(target string) (Asked, *Fault) {
+// Parse parses a request's target. The fault is nil if the target is valid.
+func (s *Service) Parse(target string) (ParsedTarget, *Fault) {
 	path, query, _ := strings.Cut(target, "?")
 	switch {
 	case path == wmtsPath || path == wmtsPath+"/":
-		return s.parsePairs(query)
+		return s.parseKVP(query)
 	case path == restCapabilitiesPath:
-		return Asked{Capabilities: true}, nil
+		return ParsedTarget{Capabilities: true}, nil
 	case strings.HasPrefix(path, restPath):
 		return s.parseREST(path[len(restPath):])
 	}
 	return s.parseXYZ(path, query)
 }
 
-// pathSegments cuts a path at its slashes and undoes the escapes of each segment.
+// pathSegments splits a path at its slashes and unescapes each segment.
 func pathSegments(path string) ([]string, *Fault) {
 	segments := strings.Split(path, "/")
 	for i, segment := range segments {
 		text, err := url.PathUnescape(segment)
 		if err != nil {
 			fault := plainFault(http.StatusBadRequest, "an escape in the path cannot be read")
-			fault.Code = Invalid
+			fault.Code = InvalidParameter
 			return nil, fault
 		}
 		segments[i] = text
@@ -57,7 +57,7 @@
 	return segments, nil
 }
 
-// parseNumber reads a whole number as the schemes write it: digits alone, without leading zeros.
+// parseNumber parses a whole number as the schemes write it: only digits, without leading zeros.
 func parseNumber(text string) (int, bool) {
 	if text == "" || len(text) > maxNumberDigits {
 		return 0, false
@@ -74,8 +74,8 @@
 	return number, err == nil
 }
 
-// parseQuery reads key-value pairs. Names are in any case and any order, each at most once; they are lower case in the
-// result.
+// parseQuery parses key-value pairs. Names may be in any case and any order, but each may occur only once. The result
+// has them in lower case.
 func parseQuery(query string) (map[string]string, *Fault) {
 	values := map[string]string{}
 	for pair := range strings.SplitSeq(query, "&") {
@@ -90,18 +90,18 @@
 		if repeated || nameErr != nil || valueErr != nil || len(values) >= maxQueryParameters {
 			locator := name[:min(len(name), maxLocatorBytes)]
 			const text = "a parameter is there twice, cannot be read, or is one too many"
-			return nil, reportedFault(Invalid, locator, text)
+			return nil, reportedFault(InvalidParameter, locator, text)
 		}
 		values[name] = value
 	}
 	return values, nil
 }
 
-// resolveSet turns the matrix set of double-size tiles into the tile's mark, and checks the tile's position.
+// resolveSet replaces the matrix set of double-size tiles by the tile's field Twice, and checks the tile's position.
 func (s *Service) resolveSet(layer *Layer, tile *Tile) *Fault {
 	if !slices.Contains(layer.matrixSets(), tile.Set) {
 		text := fmt.Sprintf("the layer is not in the set %.40q", tile.Set)
-		return reportedFault(Invalid, "TileMatrixSet", text)
+		return reportedFault(InvalidParameter, "TileMatrixSet", text)
 	}
 	if tile.Set == GoogleTwice {
 		tile.Set = Google
@@ -115,7 +115,7 @@
 	set := s.Set(tile.Set)
 	zoom := slices.IndexFunc(set.Matrices, func(m Matrix) bool { return m.Name == tile.Matrix })
 	if zoom < layer.MinZoom || zoom > layer.MaxZoom || zoom < 0 {
-		return reportedFault(Invalid, "TileMatrix", fmt.Sprintf("the layer has no zoom level %.20q", tile.Matrix))
+		return reportedFault(InvalidParameter, "TileMatrix", fmt.Sprintf("the layer has no zoom level %.20q", tile.Matrix))
 	}
 	limits := layer.limits(set, &set.Matrices[zoom])
 	if tile.Row < limits.firstRow || tile.Row > limits.lastRow {
@@ -129,8 +129,8 @@
 	return nil
 }
 
-// setDimensions gives a tile the values of its layer's dimensions. The function value tells what the request has for
-// the dimension of an index; an empty value means the dimension's default.
+// setDimensions sets a tile's values of its layer's dimensions. The function value returns the request's value for the
+// dimension with an index; an empty value means the dimension's default.
 func (l *Layer) setDimensions(tile *Tile, value func(index int) string) *Fault {
 	for i, dimension := range l.Dimensions {
 		selected := value(i)
@@ -140,12 +140,12 @@
 		if !slices.Contains(dimension.Values, selected) {
 			return invalidParameter(dimension.Name, selected)
 		}
-		tile.Dims = append(tile.Dims, dimension.Name+"="+selected)
+		tile.DimensionValues = append(tile.DimensionValues, dimension.Name+"="+selected)
 	}
 	return nil
 }
 
-// setDimensionsFromQuery gives a tile the dimensions' values that a query names.
+// setDimensionsFromQuery sets a tile's dimensions from the values of a query.
 func (l *Layer) setDimensionsFromQuery(tile *Tile, values map[string]string) *Fault {
 	return l.setDimensions(tile, func(index int) string {
 		return values[strings.ToLower(l.Dimensions[index].Name)]
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -10,15 +10,15 @@
 	"testing"
 )
 
-const pairs = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
+const kvpTarget = "/wmts?service=WMTS&request=GetTile&version=1.0.0&layer=roads&style=default&format=image/png" +
 	"&tilematrixset=GoogleMapsCompatible&tilematrix=3&tilerow=5&tilecol=2"
 
-// The same tile under any scheme is one key; names are in any case and any order.
-func TestOneKey(t *testing.T) {
+// A tile must have the same key in all schemes, with the parameters' names in any case and any order.
+func TestSameKeyInAllSchemes(t *testing.T) {
 	s := service()
 	for want, targets := range map[string][]string{
 		"roads/default/GoogleMapsCompatible/3/2/5.png": {
-			"/roads/3/2/5.png", "/%72oads/3/2/5.png", pairs, pairs + "&extra=1",
+			"/roads/3/2/5.png", "/%72oads/3/2/5.png", kvpTarget, kvpTarget + "&extra=1",
 			"/wmts?TILECOL=2&TileRow=5&tilematrix=3&TILEMATRIXSET=GoogleMapsCompatible" +
 				"&FORMAT=image%2Fpng&STYLE=&LAYER=roads&VERSION=1.0.0&REQUEST=GetTile&SERVICE=wmts",
 			"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png"},
@@ -34,26 +34,27 @@
 		"grid/plain/grid/fine/3/5.png":              {"/wmts/1.0.0/grid/plain/grid/fine/5/3.png"},
 	} {
 		for _, target := range targets {
-			if got := asked(s, target); got != want {
-				t.Errorf("%s is %s, want %s", target, got, want)
+			if got := parseSummary(s, target); got != want {
+				t.Errorf("%s: got %s, want %s", target, got, want)
 			}
 		}
 		tile, ok := Named(want)
 		if !ok || tile.Key() != want {
-			t.Errorf("%s reads back as %+v", want, tile)
+			t.Errorf("Named(%s): got %+v, want the tile with that key", want, tile)
 		}
 		for _, scheme := range Schemes {
 			if scheme == XYZ && tile.Set != Google {
-				continue // its paths have no word for another set
+				continue // XYZ paths cannot name another set
 			}
-			if got := asked(s, scheme.Address(tile)); got != want {
-				t.Errorf("%s by %s is asked as %s, read as %s", want, scheme, scheme.Address(tile), got)
+			if got := parseSummary(s, scheme.Address(tile)); got != want {
+				t.Errorf("want %s in scheme %s: address %s, got %s", want, scheme, scheme.Address(tile), got)
 			}
 		}
 	}
 }
 
-// The standard's errors, and what no scheme can mean: each a clean answer.
+// Invalid parameters must be reported with the standard's exception codes, and addresses that are invalid in every
+// scheme with a plain text.
 func TestFaults(t *testing.T) {
 	const noSuchAddress = "4 no tile has such an address: /{layer}/{z}/{x}/{y}.{format}"
 	s := service()
@@ -105,8 +106,8 @@
 		withParameter("tilecol", "8"):                              "4 TileOutOfRange TileCol",
 		withParameter("tilerow", "-1"):                             "4 InvalidParameterValue TileRow",
 		withParameter("tilecol", "1e3"):                            "4 InvalidParameterValue TileCol",
-		pairs + "&Layer=roads":                                     "4 InvalidParameterValue layer",
-		pairs + "&%zz=1":                                           "4 InvalidParameterValue ",
+		kvpTarget + "&Layer=roads":                                 "4 InvalidParameterValue layer",
+		kvpTarget + "&%zz=1":                                       "4 InvalidParameterValue ",
 		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5":       "4 MissingParameterValue TileCol",
 		"/wmts/1.0.0/rivers/a/b/3/5/2.png":                         "4 InvalidParameterValue Layer",
 		"/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/9/2.png": "4 TileOutOfRange TileRow",
@@ -114,15 +115,15 @@
 		"/wmts/1.0.0/grid/plain/grid/fine/5/4.png":                 "4 TileOutOfRange TileCol",
 		"/wmts/1.0.0/clinics/night/1999/GoogleMapsCompatible/8/111/191.png": "4 InvalidParameterValue Time",
 	} {
-		if got := asked(s, target); got != want {
+		if got := parseSummary(s, target); got != want {
 			t.Errorf("%.120s\ngot  %s\nwant %s", target, got, want)
 		}
 	}
 }
 
-// Every address that the description names, with its placeholders filled in, is read as the tile that it means, and all
-// of it is well-formed.
-func TestCapabilitiesCanBeFollowed(t *testing.T) {
+// The capabilities document must be well-formed, and every address in it, with its placeholders filled in, must be
+// parsed as the tile that it describes.
+func TestCapabilitiesAddressesAreParsed(t *testing.T) {
 	s := service()
 	text := s.Capabilities("http://127.0.0.1:8080")
 	for d := xml.NewDecoder(strings.NewReader(string(text))); ; {
@@ -158,7 +159,7 @@
 	if err := xml.Unmarshal(text, &c); err != nil {
 		t.Fatal(err)
 	}
-	followed := 0
+	parsed := 0
 	for _, l := range c.Contents.Layer {
 		for _, link := range l.TileMatrixSetLink {
 			for _, m := range link.TileMatrixLimits {
@@ -178,51 +179,53 @@
 						a, fault := s.Parse(target)
 						if fault != nil || a.Tile.Layer != l.Identifier ||
 							a.Tile.Row != m.MaxTileRow || a.Tile.Col != m.MinTileCol {
-							t.Fatalf("%s is read as %+v, %v", target, a, fault)
+							t.Fatalf("%s: got %+v, fault %v, want the tile of this address", target, a, fault)
 						}
-						followed++
+						parsed++
 					}
 				}
 			}
 		}
 	}
-	if followed < 60 || len(c.Contents.TileMatrixSet) != 3 {
-		t.Errorf("%d addresses were followed, %d sets described", followed, len(c.Contents.TileMatrixSet))
+	if parsed < 60 || len(c.Contents.TileMatrixSet) != 3 {
+		t.Errorf("got %d addresses and %d sets, want at least 60 and 3", parsed, len(c.Contents.TileMatrixSet))
 	}
 }
 
+// An exception report must contain the code and the locator, and must escape the text.
 func TestReport(t *testing.T) {
-	f := Fault{Code: Invalid, Locator: "Layer", Text: `Layer cannot be "<x>"`}
+	f := Fault{Code: InvalidParameter, Locator: "Layer", Text: `Layer cannot be "<x>"`}
 	text := string(f.XML())
 	const start = `exceptionCode="InvalidParameterValue" locator="Layer"`
 	if !strings.Contains(text, start) || !strings.Contains(text, "&lt;x&gt;") {
-		t.Errorf("the report is %s", text)
+		t.Errorf("got %s, want the code, the locator and the escaped text", text)
 	}
 }
 
-// Any tile, under any scheme, is read back as itself.
-func TestAnyTile(t *testing.T) {
-	s, chance := service(), rand.New(rand.NewPCG(1, 1))
+// The address of any tile in any scheme must be parsed as the same tile.
+func TestAddressRoundTrip(t *testing.T) {
+	s, rng := service(), rand.New(rand.NewPCG(1, 1))
 	for range 20000 {
-		z := chance.IntN(19)
+		z := rng.IntN(19)
 		want := Tile{
 			Layer: "roads", Style: "default", Set: Google, Matrix: strconv.Itoa(z),
-			Col: chance.IntN(1 << z), Row: chance.IntN(1 << z), Format: []string{"png", "jpg"}[chance.IntN(2)],
+			Col: rng.IntN(1 << z), Row: rng.IntN(1 << z), Format: []string{"png", "jpg"}[rng.IntN(2)],
 		}.Key()
 		tile, _ := Named(want)
 		for _, scheme := range Schemes {
-			if got := asked(s, scheme.Address(tile)); got != want {
-				t.Fatalf("%s by %s is read as %s", want, scheme, got)
+			if got := parseSummary(s, scheme.Address(tile)); got != want {
+				t.Fatalf("want %s in scheme %s, got %s", want, scheme, got)
 			}
 		}
 	}
 }
 
-// No address stops the reader, and whatever is taken for a tile names one that can be asked for under every scheme.
+// Parse must not panic on any target, and the key of a tile that it accepts must be valid in all protocols and must be
+// the same when the tile is requested as key-value pairs.
 func FuzzParse(f *testing.F) {
 	s := service()
 	for _, target := range []string{
-		"/roads/3/2/5.png", pairs, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%",
+		"/roads/3/2/5.png", kvpTarget, "/wmts/1.0.0/roads/default/GoogleMapsCompatible/3/5/2.png", "/%/", "/wmts?a=%",
 	} {
 		f.Add(target)
 	}
@@ -230,7 +233,8 @@
 		a, fault := s.Parse(target)
 		if fault != nil {
 			if fault.Status < 400 || fault.Status > 599 || fault.Text == "" || len(fault.XML()) > 4000 {
-				t.Errorf("%q: %+v", target, fault)
+				t.Errorf("%q: got fault %+v, want status 400 to 599, a text, a report of at most 4000 bytes",
+					target, fault)
 			}
 			return
 		}
@@ -239,10 +243,10 @@
 		}
 		key := a.Tile.Key()
 		if len(key) > 250 || strings.ContainsAny(key, " \r\n") {
-			t.Errorf("%q has the key %q", target, key)
+			t.Errorf("%q: got key %q, want at most 250 bytes without spaces and line ends", target, key)
 		}
-		if got := asked(s, Pairs.Address(a.Tile)); got != key {
-			t.Errorf("%q has the key %s, asked for anew %s", target, key, got)
+		if got := parseSummary(s, KVP.Address(a.Tile)); got != key {
+			t.Errorf("%q: want key %s, got %s for its address as key-value pairs", target, key, got)
 		}
 	})
 }
@@ -251,7 +255,7 @@
 	s := service()
 	for name, target := range map[string]string{
 		"xyz":   "/roads/12/2345/1456.png",
-		"pairs": strings.Replace(pairs, "tilematrix=3", "tilematrix=12", 1),
+		"pairs": strings.Replace(kvpTarget, "tilematrix=3", "tilematrix=12", 1),
 		"rest":  "/wmts/1.0.0/roads/default/GoogleMapsCompatible/12/1456/2345.png",
 	} {
 		b.Run(name, func(b *testing.B) {
