--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -65,21 +65,21 @@
 
 // Op is an operation as its client sees it: all its tries together.
 type Op struct {
-	N     int
-	Type  *TrafficType
-	Key   string
-	Mark  string
-	Due   float64 // when it was to be sent
-	Tries []*Try
-	Done  float64 // when it was over
-	How   End     // of its last try
+	N              int
+	Type           *TrafficType
+	Key            string
+	IdempotencyKey string
+	Due            float64 // when it was to be sent
+	Tries          []*Try
+	Done           float64 // when it was over
+	How            End     // of its last try
 }
 
 // Took is how long it took from when it was due, but for the time in which its client did not read.
 func (o *Op) Took() float64 {
 	took := o.Done - o.Due
-	for _, t := range o.Tries {
-		took -= t.Rested
+	for _, attempt := range o.Tries {
+		took -= attempt.ReadPaused
 	}
 	return took
 }
@@ -92,32 +92,32 @@
 
 // Try is one command of a client.
 type Try struct {
-	Op      *Op
-	ID      string
-	Router  int
-	Began   float64
-	Sent    float64 // when its last byte had been written; 0: never
-	Wait    float64 // seconds that its client waits
-	Ended   float64
-	How     End
-	After   int     // milliseconds after which it may come back, as the router said
-	Got     uint32  // a checksum of the value or the receipt
-	Again   bool    // its kept connection had been closed, and it was sent once more ...
-	AgainAt float64 // ... then
-	strange string  // an answer that means nothing, or what is wrong with a long value
-
-	Reading Reading // how it takes a long value; zero: as it comes
-	Length  int     // bytes of the long value that began to come; 0: none did
-	Came    int     // so many of these did
-	Begun   uint32  // by which that value is known, once its head had come: Execution.Made of who made it
-	Rested  float64 // seconds in which its client did not read
+	Op        *Op
+	ID        string
+	Router    int
+	Began     float64
+	Sent      float64 // when its last byte had been written; 0: never
+	Wait      float64 // seconds that its client waits
+	Ended     float64
+	How       End
+	After     int     // milliseconds after which it may come back, as the router said
+	Got       uint32  // a checksum of the value or the receipt
+	Again     bool    // its kept connection had been closed, and it was sent once more ...
+	AgainAt   float64 // ... then
+	malformed string  // an answer that means nothing, or what is wrong with a long value
+
+	Reading    Reading // how it takes a long value; zero: as it comes
+	Length     int     // bytes of the long value that began to come; 0: none did
+	Came       int     // so many of these did
+	Begun      uint32  // by which that value is known, once its head had come: Execution.Made of who made it
+	ReadPaused float64 // seconds in which its client did not read
 }
 
 // Strange is an answer that should not be, if it got one.
-func (t *Try) Strange() string { return t.strange }
+func (t *Try) Strange() string { return t.malformed }
 
 // Garble notes that an answer is not as it was made, and how.
-func (t *Try) Garble(how string) { t.strange, t.Got = how, 0 }
+func (t *Try) Garble(how string) { t.malformed, t.Got = how, 0 }
 
 // ClientBook is what the clients saw. It belongs to their loop.
 type ClientBook struct {
@@ -130,103 +130,103 @@
 
 // Clients send operations to routers, open loop: what comes when is drawn ahead and waits for no answer.
 type Clients struct {
-	loop    *eventloop.Loop
-	load    Load
-	routers []*door
-	tiles   map[string][]*door // the same routers, where they take a team's map tiles
-	book    *ClientBook
-	chance  *rand.Rand // for what does not belong to the arrivals
-	popular []float64  // sums of the keys' popularity
-	flows   []*flow
-	until   float64
-	ids     uint32
-	open    int
-	late    Lateness
-
-	hot      []hotKey
-	surges   []surge
-	readings []Reading
+	loop                 *eventloop.Loop
+	load                 Load
+	routers              []*routerTarget
+	tileRouters          map[string][]*routerTarget // the same routers, where they take a team's map tiles
+	records              *ClientBook
+	rng                  *rand.Rand // for what does not belong to the arrivals
+	cumulativePopularity []float64  // sums of the keys' popularity
+	arrivals             []*arrivalProcess
+	arrivalsEnd          float64
+	lastID               uint32
+	openRequests         int
+	lateness             Lateness
+
+	hotKeys       []hotKey
+	surges        []surge
+	readBehaviors []Reading
 }
 
 // flow is the arrivals of one traffic type.
-type flow struct {
-	c      *Clients
-	t      *TrafficType
-	part   float64
-	chance *rand.Rand
-	due    float64
-	timer  *eventloop.Timer
+type arrivalProcess struct {
+	clients     *Clients
+	trafficType *TrafficType
+	fraction    float64
+	rng         *rand.Rand
+	due         float64
+	timer       *eventloop.Timer
 }
 
 type hotKey struct {
-	key  string
-	part float64
+	key      string
+	fraction float64
 }
 
 type surge struct {
-	kind, tenant string // either may be empty: any
-	factor       float64
+	trafficType, tenant string // either may be empty: any
+	factor              float64
 }
 
 // door is one router as its clients see it.
-type door struct {
-	c     *Clients
-	n     int
-	addr  netip.AddrPort
-	idle  []*clientConn
-	open  int
-	shunt float64 // not asked until then, after it refused
-	part  float64
+type routerTarget struct {
+	clients    *Clients
+	index      int
+	addr       netip.AddrPort
+	idle       []*clientConn
+	openConns  int
+	avoidUntil float64 // not asked until then, after it refused
+	weight     float64
 }
 
 // NewClients makes clients of the routers at these addresses.
 func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
-	c := &Clients{loop: loop, load: load, book: &ClientBook{}, chance: rand.New(rand.NewPCG(seed, 1)),
-		ids: uint32(seed) ^ 0x5bd1e995}
+	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
+		lastID: uint32(seed) ^ 0x5bd1e995}
 	for n, text := range routers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("router %s: %w", text, err)
 		}
-		d := &door{c: c, n: n, addr: addr, part: 1}
+		target := &routerTarget{clients: c, index: n, addr: addr, weight: 1}
 		if len(load.Skew) > 0 {
-			d.part = load.Skew[n%len(load.Skew)]
+			target.weight = load.Skew[n%len(load.Skew)]
 		}
-		c.routers = append(c.routers, d)
+		c.routers = append(c.routers, target)
 	}
-	c.tiles = map[string][]*door{}
+	c.tileRouters = map[string][]*routerTarget{}
 	for team, all := range tileFronts {
 		for n, text := range all {
 			addr, err := netip.ParseAddrPort(text)
 			if err != nil {
 				return nil, fmt.Errorf("router %s: %w", text, err)
 			}
-			c.tiles[team] = append(c.tiles[team], &door{c: c, n: n, addr: addr, part: c.routers[n].part})
+			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: n, addr: addr, weight: c.routers[n].weight})
 		}
 	}
 	sum := 0.0
 	for i := range max(1, load.Keys) {
 		sum += math.Pow(float64(i+1), -load.Zipf)
-		c.popular = append(c.popular, sum)
+		c.cumulativePopularity = append(c.cumulativePopularity, sum)
 	}
 	shares := 0.0
 	for _, t := range load.Types {
 		shares += t.Share
 	}
 	for i, t := range load.Types {
-		f := &flow{c: c, t: t, part: t.Share / shares, chance: rand.New(rand.NewPCG(seed, uint64(100+i)))}
-		f.timer = loop.Timer(f.arrive)
-		c.flows = append(c.flows, f)
+		arrivals := &arrivalProcess{clients: c, trafficType: t, fraction: t.Share / shares, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+		arrivals.timer = loop.Timer(arrivals.arrive)
+		c.arrivals = append(c.arrivals, arrivals)
 	}
-	c.late.watch(loop)
+	c.lateness.start(loop)
 	return c, nil
 }
 
 // Book is what they saw. It is read once the loop has ended, or on it.
-func (c *Clients) Book() *ClientBook { return c.book }
+func (c *Clients) Book() *ClientBook { return c.records }
 
 // Late is how late their loop was.
-func (c *Clients) Late() *Lateness { return &c.late }
+func (c *Clients) Late() *Lateness { return &c.lateness }
 
 // Key names the n-th most popular key.
 func Key(n int) string { return "clinic-" + strconv.Itoa(n) }
@@ -234,176 +234,178 @@
 // Start lets operations arrive from now on, for so many seconds.
 func (c *Clients) Start(seconds float64) {
 	now := c.loop.Now()
-	c.until = now + seconds
-	for _, f := range c.flows {
-		f.due = now
-		f.plan()
+	c.arrivalsEnd = now + seconds
+	for _, arrivals := range c.arrivals {
+		arrivals.due = now
+		arrivals.scheduleNext()
 	}
 }
 
 // Busy tells whether operations are still to come or open.
-func (c *Clients) Busy() bool { return c.open > 0 || c.loop.Now() < c.until }
+func (c *Clients) Busy() bool { return c.openRequests > 0 || c.loop.Now() < c.arrivalsEnd }
 
 // Stop lets nothing more arrive.
-func (c *Clients) Stop() { c.until = 0 }
+func (c *Clients) Stop() { c.arrivalsEnd = 0 }
 
 // plan draws when the next operation is due.
-func (f *flow) plan() {
-	rate := f.c.load.Rate * f.part
-	for _, s := range f.c.surges {
-		if (s.kind == "" || s.kind == f.t.Name) && (s.tenant == "" || s.tenant == f.t.Tenant) {
+func (f *arrivalProcess) scheduleNext() {
+	rate := f.clients.load.Rate * f.fraction
+	for _, s := range f.clients.surges {
+		if (s.trafficType == "" || s.trafficType == f.trafficType.Name) && (s.tenant == "" || s.tenant == f.trafficType.Tenant) {
 			rate *= s.factor
 		}
 	}
 	if rate <= 0 {
 		return
 	}
-	if f.due += f.chance.ExpFloat64() / rate; f.due < f.c.until {
+	if f.due += f.rng.ExpFloat64() / rate; f.due < f.clients.arrivalsEnd {
 		f.timer.Set(f.due)
 	}
 }
 
 // replan lets a change of the rate act at once, not only after the next arrival.
-func (c *Clients) replan() {
-	for _, f := range c.flows {
-		f.timer.Stop()
-		f.due = c.loop.Now()
-		f.plan()
+func (c *Clients) rescheduleArrivals() {
+	for _, arrivals := range c.arrivals {
+		arrivals.timer.Stop()
+		arrivals.due = c.loop.Now()
+		arrivals.scheduleNext()
 	}
 }
 
-func (f *flow) arrive() {
-	for now := f.c.loop.Now(); f.due <= now && f.due < f.c.until; {
+func (f *arrivalProcess) arrive() {
+	for now := f.clients.loop.Now(); f.due <= now && f.due < f.clients.arrivalsEnd; {
 		before := f.due
-		f.c.begin(f)
-		if f.plan(); f.due == before {
+		f.clients.startRequest(f)
+		if f.scheduleNext(); f.due == before {
 			return
 		}
 	}
 }
 
 // begin makes an operation.
-func (c *Clients) begin(f *flow) {
-	if len(c.book.Ops) >= bookBound {
-		c.book.Overflow = true
+func (c *Clients) startRequest(arrivals *arrivalProcess) {
+	if len(c.records.Ops) >= maxRecords {
+		c.records.Overflow = true
 		return
 	}
-	o := &Op{N: len(c.book.Ops), Type: f.t, Due: f.due}
-	n := sort.SearchFloat64s(c.popular, f.chance.Float64()*c.popular[len(c.popular)-1])
-	o.Key = Key(min(n, len(c.popular)-1))
-	draw := f.chance.Float64() // in any case: a hot key changes nothing else
-	for _, h := range c.hot {
-		if draw >= 0 && draw < h.part {
-			o.Key = h.key
+	request := &Op{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
+	n := sort.SearchFloat64s(c.cumulativePopularity, arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
+	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
+	draw := arrivals.rng.Float64() // in any case: a hot key changes nothing else
+	for _, h := range c.hotKeys {
+		if draw >= 0 && draw < h.fraction {
+			request.Key = h.key
 		}
-		draw -= h.part
+		draw -= h.fraction
 	}
-	if f.t.Effect == balancer.IdempotencyKeyed {
-		o.Mark = c.id()
+	if arrivals.trafficType.Effect == balancer.IdempotencyKeyed {
+		request.IdempotencyKey = c.newID()
 	}
-	c.book.Ops = append(c.book.Ops, o)
-	c.book.Lateness = append(c.book.Lateness, c.loop.Now()-f.due)
-	c.open++
-	c.try(o)
+	c.records.Ops = append(c.records.Ops, request)
+	c.records.Lateness = append(c.records.Lateness, c.loop.Now()-arrivals.due)
+	c.openRequests++
+	c.startAttempt(request)
 }
 
-func (c *Clients) id() string {
-	c.ids++
+func (c *Clients) newID() string {
+	c.lastID++
 	var b [8]byte
 	for i := range b {
-		b[i] = byte(c.ids >> (8 * (i % 4)))
+		b[i] = byte(c.lastID >> (8 * (i % 4)))
 	}
-	return fmt.Sprintf("%08x%08x", c.ids, crc32.ChecksumIEEE(b[:]))
+	return fmt.Sprintf("%08x%08x", c.lastID, crc32.ChecksumIEEE(b[:]))
 }
 
 // choose deals out a router, as a front does that notices refusals.
-func (c *Clients) choose(routers []*door) *door {
+func (c *Clients) chooseRouter(routers []*routerTarget) *routerTarget {
 	sum, now := 0.0, c.loop.Now()
-	for _, d := range routers {
-		if now >= d.shunt {
-			sum += d.part
+	for _, target := range routers {
+		if now >= target.avoidUntil {
+			sum += target.weight
 		}
 	}
 	if sum == 0 {
-		return routers[c.chance.IntN(len(routers))]
+		return routers[c.rng.IntN(len(routers))]
 	}
-	x := c.chance.Float64() * sum
-	for _, d := range routers {
-		if now < d.shunt {
+	x := c.rng.Float64() * sum
+	for _, target := range routers {
+		if now < target.avoidUntil {
 			continue
 		}
-		if x -= d.part; x < 0 {
-			return d
+		if x -= target.weight; x < 0 {
+			return target
 		}
 	}
 	return routers[len(routers)-1]
 }
 
 // left is how long a client has for an operation, all its tries together.
-func (c *Clients) left(o *Op) float64 { return o.Due + o.Type.HardStop - c.loop.Now() }
+func (c *Clients) remaining(request *Op) float64 {
+	return request.Due + request.Type.HardStop - c.loop.Now()
+}
 
-func (c *Clients) try(o *Op) {
-	t := &Try{Op: o, ID: c.id(), Began: c.loop.Now()}
-	t.Wait = c.left(o)
+func (c *Clients) startAttempt(request *Op) {
+	attempt := &Try{Op: request, ID: c.newID(), Began: c.loop.Now()}
+	attempt.Wait = c.remaining(request)
 	if c.load.TryShare > 0 && c.load.Retries > 0 {
-		t.Wait = min(t.Wait, c.load.TryShare*o.Type.HardStop)
+		attempt.Wait = min(attempt.Wait, c.load.TryShare*request.Type.HardStop)
 	}
-	o.Tries = append(o.Tries, t)
-	if t.Wait < 1e-3 {
-		c.over(t, NoConnection)
+	request.Tries = append(request.Tries, attempt)
+	if attempt.Wait < 1e-3 {
+		c.attemptEnded(attempt, NoConnection)
 		return
 	}
 	doors := c.routers
-	if o.Type.Scheme != "" {
-		doors = c.tiles[o.Type.Tenant]
+	if request.Type.Scheme != "" {
+		doors = c.tileRouters[request.Type.Tenant]
 	}
-	d := c.choose(doors)
-	t.Router = d.n
-	c.read(t)
-	d.send(t)
+	target := c.chooseRouter(doors)
+	attempt.Router = target.index
+	c.drawReadBehavior(attempt)
+	target.sendAttempt(attempt)
 }
 
 // read draws how a try takes its long value.
-func (c *Clients) read(t *Try) {
-	k := t.Op.Type
-	if len(c.readings) == 0 || k.Write || k.Scheme != "" || k.Size <= meta.ValueBound {
+func (c *Clients) drawReadBehavior(attempt *Try) {
+	k := attempt.Op.Type
+	if len(c.readBehaviors) == 0 || k.Write || k.Scheme != "" || k.Size <= meta.ValueBound {
 		return
 	}
-	x := c.chance.Float64()
-	for _, how := range c.readings {
+	x := c.rng.Float64()
+	for _, how := range c.readBehaviors {
 		if x -= how.Part; x < 0 {
-			t.Reading = how
+			attempt.Reading = how
 			return
 		}
 	}
 }
 
 // over takes a try's end, and tries again if that may help.
-func (c *Clients) over(t *Try, how End) {
-	if t.How != Waiting {
+func (c *Clients) attemptEnded(attempt *Try, how End) {
+	if attempt.How != Waiting {
 		return
 	}
-	t.How, t.Ended = how, c.loop.Now()
-	o := t.Op
-	if pause := c.pause(t); pause >= 0 && how != Finished && len(o.Tries) <= c.load.Retries && c.left(o) > pause+1e-3 {
-		c.loop.After(pause, func() { c.try(o) })
+	attempt.How, attempt.Ended = how, c.loop.Now()
+	request := attempt.Op
+	if pause := c.retryDelay(attempt); pause >= 0 && how != Finished && len(request.Tries) <= c.load.Retries && c.remaining(request) > pause+1e-3 {
+		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
-	o.How, o.Done = how, t.Ended
-	c.open--
+	request.How, request.Done = how, attempt.Ended
+	c.openRequests--
 }
 
 // pause is how long a client waits before it tries again; below 0 if it must not.
-func (c *Clients) pause(t *Try) float64 {
+func (c *Clients) retryDelay(attempt *Try) float64 {
 	switch {
-	case t.How == Left:
+	case attempt.How == Left:
 		return -1
-	case t.Op.Type.Effect == balancer.AtMostOnce && t.How != Declined && t.How != NoConnection:
+	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
 		return -1 // it may have run
-	case t.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-t.Op.Due > t.Op.Type.Window*0.9:
+	case attempt.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Op.Due > attempt.Op.Type.Window*0.9:
 		return -1 // nobody would know it for a repeat
-	case t.After > 0 && c.chance.Float64() < c.load.Honour:
-		return float64(t.After) / 1e3
+	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
+		return float64(attempt.After) / 1e3
 	}
 	return c.load.Pause
 }
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -12,8 +12,8 @@
 )
 
 // router answers each command as a test says: the text, or nothing, or the connection's end at "close".
-func router(t *testing.T, reply func(n int, line, id string) string) string {
-	ln, err := net.Listen("tcp", strings.Replace(place(), "11300", "11211", 1))
+func startRouter(t *testing.T, reply func(n int, line, id string) string) string {
+	ln, err := net.Listen("tcp", strings.Replace(testAddress(), "11300", "11211", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -49,7 +49,7 @@
 }
 
 // loaded runs clients against a router for a while and gives their book.
-func loaded(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
+func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
@@ -68,25 +68,25 @@
 	return c.Book()
 }
 
-func load(rate float64) Load {
-	return Load{Types: []*TrafficType{read}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01, Use: Kept, Most: 20}
+func testLoad(rate float64) Load {
+	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01, Use: Kept, Most: 20}
 }
 
-func value(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
+func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
 
 // Arrivals wait for no answer: what is due comes, also while nothing is answered, and the keys are drawn by popularity.
 func TestOpenLoop(t *testing.T) {
-	l := load(300)
+	l := testLoad(300)
 	l.Most = 1000
-	book := loaded(t, l, 0.5, router(t, func(int, string, string) string { return "" }))
+	book := runClients(t, l, 0.5, startRouter(t, func(int, string, string) string { return "" }))
 	if n := len(book.Ops); n < 100 || n > 200 {
 		t.Errorf("%d operations in half a second at 300 a second", n)
 	}
 	keys := map[string]int{}
-	for _, o := range book.Ops {
-		keys[o.Key]++
-		if o.How != Silent && o.How != NoConnection {
-			t.Fatalf("an unanswered operation ended as %v", o.How)
+	for _, request := range book.Ops {
+		keys[request.Key]++
+		if request.How != Silent && request.How != NoConnection {
+			t.Fatalf("an unanswered operation ended as %v", request.How)
 		}
 	}
 	if keys[Key(0)] < 2*keys[Key(9)] {
@@ -96,43 +96,43 @@
 
 // A declined operation comes back when it was told to, an at-most-once one only where it surely never ran.
 func TestRetries(t *testing.T) {
-	book := loaded(t, func() Load { l := load(20); l.Honour = 1; return l }(), 0.4,
-		router(t, func(n int, _, id string) string {
+	book := runClients(t, func() Load { l := testLoad(20); l.Honour = 1; return l }(), 0.4,
+		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
 			}
-			return value(id)
+			return valueReply(id)
 		}))
 	first := book.Ops[0].Tries
 	if len(first) != 2 || first[0].How != Declined || first[1].How != Finished || first[1].Began-first[0].Ended < 0.079 {
 		t.Errorf("a declined operation went on as %+v", first)
 	}
-	once := *read
+	once := *readType
 	once.Effect = 0
-	l := load(20)
+	l := testLoad(20)
 	l.Types = []*TrafficType{&once}
-	for _, o := range loaded(t, l, 0.3, router(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
-		if len(o.Tries) != 1 || o.How != Terminated {
-			t.Errorf("a terminated at-most-once operation went on: %d tries", len(o.Tries))
+	for _, request := range runClients(t, l, 0.3, startRouter(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
+		if len(request.Tries) != 1 || request.How != Terminated {
+			t.Errorf("a terminated at-most-once operation went on: %d tries", len(request.Tries))
 		}
 	}
 }
 
 // A second answer is noted; a kept connection closed under a command sends it once more, under its id.
 func TestTwiceAndAgain(t *testing.T) {
-	book := loaded(t, load(20), 0.3, router(t, func(n int, _, id string) string { return value(id) + value(id) }))
+	book := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string { return valueReply(id) + valueReply(id) }))
 	if len(book.Twice) == 0 {
 		t.Error("second answers were not noted")
 	}
-	book = loaded(t, load(20), 0.3, router(t, func(n int, _, id string) string {
+	book = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		if n == 2 {
 			return "close"
 		}
-		return value(id)
+		return valueReply(id)
 	}))
 	again := 0
-	for _, o := range book.Ops {
-		for _, try := range o.Tries {
+	for _, request := range book.Ops {
+		for _, try := range request.Tries {
 			if try.Again {
 				again++
 			}
@@ -148,15 +148,15 @@
 
 // A surge multiplies arrivals at once; a hot key draws its part; both end.
 func TestSurgeAndHeat(t *testing.T) {
-	c, err := NewClients(mustLoop(t), 5, load(100), []string{"127.0.0.1:1"}, nil)
+	c, err := NewClients(newLoop(t), 5, testLoad(100), []string{"127.0.0.1:1"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.until = c.loop.Now() + 1000
+	c.arrivalsEnd = c.loop.Now() + 1000
 	count := func() (n, hot int) {
-		f, from := c.flows[0], c.loop.Now()
-		f.due = from
-		for f.plan(); f.due < from+20; f.plan() {
+		arrivals, from := c.arrivals[0], c.loop.Now()
+		arrivals.due = from
+		for arrivals.scheduleNext(); arrivals.due < from+20; arrivals.scheduleNext() {
 			n++
 		}
 		return n, 0
@@ -172,19 +172,19 @@
 	endHeat := c.Heat("hot", 0.5)
 	hot := 0
 	for range 200 {
-		c.begin(c.flows[0])
+		c.startRequest(c.arrivals[0])
 	}
-	for _, o := range c.book.Ops {
-		if o.Key == "hot" {
+	for _, request := range c.records.Ops {
+		if request.Key == "hot" {
 			hot++
 		}
 	}
-	if endHeat(); hot < 60 || hot > 140 || len(c.hot) != 0 {
+	if endHeat(); hot < 60 || hot > 140 || len(c.hotKeys) != 0 {
 		t.Errorf("%d of 200 asked for the hot key", hot)
 	}
 }
 
-func mustLoop(t *testing.T) *eventloop.Loop {
+func newLoop(t *testing.T) *eventloop.Loop {
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -14,70 +14,70 @@
 )
 
 // clientSpeech is the protocol of one connection of a client.
-type clientSpeech interface {
-	command(t *Try, left float64) [][]byte
+type clientProtocol interface {
+	encodeRequest(attempt *Try, left float64) [][]byte
 	read(in *ringbuffer.Buffer) (whole bool, err error)
 	closed() bool // the connection has ended; true if that ended an answer as it should
 }
 
 // memcacheClient is the meta commands of the memcache text protocol.
 type memcacheClient struct {
-	c      *clientConn
+	conn   *clientConn
 	reader meta.ReplyReader
-	long   string // the id of a long value that is on its way
+	longID string // the id of a long value that is on its way
 	check  Check  // of it
 }
 
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 func (m *memcacheClient) closed() bool                             { return false }
 
-func (m *memcacheClient) command(t *Try, left float64) [][]byte {
-	o := t.Op
-	figures := fmt.Sprintf("c=%s,d=%d", o.Type.Name, int(math.Ceil(left*1e3)))
-	if o.Type.Tenant != "" {
-		figures += ",tenant=" + o.Type.Tenant
+func (m *memcacheClient) encodeRequest(attempt *Try, left float64) [][]byte {
+	request := attempt.Op
+	figures := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(left*1e3)))
+	if request.Type.Tenant != "" {
+		figures += ",tenant=" + request.Type.Tenant
 	}
-	if o.Mark != "" {
-		figures += ",k=" + o.Mark
+	if request.IdempotencyKey != "" {
+		figures += ",k=" + request.IdempotencyKey
 	}
-	if len(o.Tries) > 1 {
+	if len(request.Tries) > 1 {
 		figures += ",r=1"
 	}
-	if !o.Type.Write {
-		return [][]byte{meta.AppendGet(nil, o.Key, "v O"+t.ID, figures)}
+	if !request.Type.Write {
+		return [][]byte{meta.AppendGet(nil, request.Key, "v O"+attempt.ID, figures)}
 	}
-	text, end := meta.AppendSet(nil, o.Key, "O"+t.ID, figures, o.Type.Size), []byte("\r\n")
-	if o.Type.Size > meta.ValueBound {
-		v := NewValue(o.Key, t.ID, "its client", uint64(len(o.Tries)), o.Type.Size)
+	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, figures, request.Type.Size), []byte("\r\n")
+	if request.Type.Size > meta.ValueBound {
+		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Tries)), request.Type.Size)
 		return append(append([][]byte{text}, v.Pieces()...), end)
 	}
-	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, o.Type.Size)...), end...)}
+	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, request.Type.Size)...), end...)}
 }
 
 // Value takes a read's answer.
 func (m *memcacheClient) Value(id string, value []byte) {
-	if m.c.due(id) {
-		m.c.try.Got = crc32.ChecksumIEEE(value)
-		m.c.answered(Finished)
+	if m.conn.expectsAnswer(id) {
+		m.conn.attempt.Got = crc32.ChecksumIEEE(value)
+		m.conn.attemptAnswered(Finished)
 	}
 }
 
 // Long takes the beginning of a long value.
 func (m *memcacheClient) Long(id string, length int) {
-	m.long, m.check = id, Check{Length: length}
-	if t := m.c.try; t != nil && id == t.ID {
-		t.Length = length
+	m.longID, m.check = id, Check{Length: length}
+	if attempt := m.conn.attempt; attempt != nil && id == attempt.ID {
+		attempt.Length = length
 	}
 }
 
 // Part takes some of a long value.
 func (m *memcacheClient) Part(part []byte) int {
 	m.check.Take(part)
-	if t := m.c.try; t != nil && m.long == t.ID {
-		t.Came, t.Begun, m.c.moved = m.check.Came, m.check.Sum(), m.c.d.c.loop.Now()
-		if m.c.leaves > 0 && t.Came >= m.c.leaves {
-			m.c.finish(Left)
-			m.c.close()
+	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
+		attempt.Came, attempt.Begun, m.conn.lastByteAt = m.check.Came, m.check.Sum(), m.conn.target.clients.loop.Now()
+		if m.conn.leaveAfterBytes > 0 && attempt.Came >= m.conn.leaveAfterBytes {
+			m.conn.finishAttempt(Left)
+			m.conn.close()
 		}
 	}
 	return len(part)
@@ -85,37 +85,37 @@
 
 // LongEnd takes a read's long answer. One that is not what its head says has no sum, for nobody made it.
 func (m *memcacheClient) LongEnd() {
-	if m.c.closed || !m.c.due(m.long) {
+	if m.conn.closed || !m.conn.expectsAnswer(m.longID) {
 		return
 	}
-	if t := m.c.try; m.check.End() == "" {
-		t.Got = m.check.Sum()
+	if attempt := m.conn.attempt; m.check.End() == "" {
+		attempt.Got = m.check.Sum()
 	} else {
-		t.Garble(m.check.Wrong())
+		attempt.Garble(m.check.Mismatch())
 	}
-	m.c.answered(Finished)
+	m.conn.attemptAnswered(Finished)
 }
 
 // Stored takes a write's answer.
 func (m *memcacheClient) Stored(id, receipt string) {
-	if m.c.due(id) {
-		m.c.try.Got = crc32.ChecksumIEEE([]byte(receipt))
-		m.c.answered(Finished)
+	if m.conn.expectsAnswer(id) {
+		m.conn.attempt.Got = crc32.ChecksumIEEE([]byte(receipt))
+		m.conn.attemptAnswered(Finished)
 	}
 }
 
 // Busy takes that trying again is harmless.
 func (m *memcacheClient) Busy(after int) {
-	if m.c.due("") {
-		m.c.try.After = after
-		m.c.answered(Declined)
+	if m.conn.expectsAnswer("") {
+		m.conn.attempt.After = after
+		m.conn.attemptAnswered(Declined)
 	}
 }
 
 // Failed takes that nothing is promised.
 func (m *memcacheClient) Failed() {
-	if m.c.due("") {
-		m.c.answered(Terminated)
+	if m.conn.expectsAnswer("") {
+		m.conn.attemptAnswered(Terminated)
 	}
 }
 
@@ -124,8 +124,8 @@
 
 // Other takes any other line.
 func (m *memcacheClient) Other(line string) {
-	if m.c.due("") {
-		m.c.strange(line)
+	if m.conn.expectsAnswer("") {
+		m.conn.rejectAnswer(line)
 	}
 }
 
@@ -134,7 +134,7 @@
 
 // tileClient is HTTP, by one of the schemes.
 type tileClient struct {
-	c      *clientConn
+	conn   *clientConn
 	reader http1.ResponseReader
 	status int
 	after  int
@@ -149,10 +149,10 @@
 	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64, Row: 1750 + n/64, Format: "png"}
 }
 
-func (k *tileClient) command(t *Try, left float64) [][]byte {
-	n, _ := strconv.Atoi(t.Op.Key[len("clinic-"):])
-	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n", t.Op.Type.Scheme.Address(TileAt(n)),
-		t.ID, WaitHeader, int(math.Ceil(left*1e3)))}
+func (k *tileClient) encodeRequest(attempt *Try, left float64) [][]byte {
+	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
+	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n", attempt.Op.Type.Scheme.Address(TileAt(n)),
+		attempt.ID, WaitHeader, int(math.Ceil(left*1e3)))}
 }
 
 // Status begins an answer.
@@ -177,23 +177,23 @@
 
 // End takes the end of an answer.
 func (k *tileClient) End(keep bool) {
-	if !k.c.due("") {
+	if !k.conn.expectsAnswer("") {
 		return
 	}
 	switch k.status {
 	case 200:
-		k.c.try.Got = crc32.ChecksumIEEE(k.body)
-		k.c.answered(Finished)
+		k.conn.attempt.Got = crc32.ChecksumIEEE(k.body)
+		k.conn.attemptAnswered(Finished)
 	case 503:
-		k.c.try.After = k.after
-		k.c.answered(Declined)
+		k.conn.attempt.After = k.after
+		k.conn.attemptAnswered(Declined)
 	case 502, 504:
-		k.c.answered(Terminated)
+		k.conn.attemptAnswered(Terminated)
 	default:
-		k.c.strange("the status " + strconv.Itoa(k.status))
+		k.conn.rejectAnswer("the status " + strconv.Itoa(k.status))
 		return
 	}
 	if !keep {
-		k.c.close()
+		k.conn.close()
 	}
 }
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -11,113 +11,123 @@
 // Stall lets a cache server's cores stand still; it goes on accepting and reading.
 func (s *Server) Stall() (end func()) {
 	s.stalled++
-	s.retime()
-	return func() { s.stalled--; s.retime() }
+	s.updateRate()
+	return func() { s.stalled--; s.updateRate() }
 }
 
 // Slow makes its cores so many times slower.
 func (s *Server) Slow(factor float64) (end func()) {
-	s.slow = append(s.slow, factor)
-	s.retime()
+	s.slowFactors = append(s.slowFactors, factor)
+	s.updateRate()
 	return func() {
-		i := slices.Index(s.slow, factor)
-		s.slow = slices.Delete(s.slow, i, i+1)
-		s.retime()
+		i := slices.Index(s.slowFactors, factor)
+		s.slowFactors = slices.Delete(s.slowFactors, i, i+1)
+		s.updateRate()
 	}
 }
 
 // Crash ends its process: connections are reset, new ones refused; afterwards it starts anew, cold and empty.
 func (s *Server) Crash() (end func() error) {
 	s.crash()
-	return s.revive
+	return s.restart
 }
 
 // Vanish cuts its machine off: what is open is silent, what is new never comes up; afterwards what was open is reset.
 func (s *Server) Vanish() (end func() error, err error) {
-	return s.reappear, s.vanish()
+	return s.becomeReachable, s.becomeUnreachable()
 }
 
 // Refuse makes it refuse new connections; those that it has go on.
 func (s *Server) Refuse() (end func() error) {
 	s.refusing++
-	s.attend()
-	return func() error { s.refusing--; return s.attend() }
+	s.updateListening()
+	return func() error { s.refusing--; return s.updateListening() }
 }
 
 // part adds to a part and gives the way back.
-func part(of *float64, more float64) (end func()) {
+func addFraction(of *float64, more float64) (end func()) {
 	*of += more
 	return func() { *of = max(0, *of-more) }
 }
 
 // Spoil makes a part of its answers noise, Fail errors, Reset a connection's end.
-func (s *Server) Spoil(more float64) (end func()) { return part(&s.spoil, more) }
+func (s *Server) Spoil(more float64) (end func()) { return addFraction(&s.corruptFraction, more) }
 
 // Fail makes a part of its answers errors.
-func (s *Server) Fail(more float64) (end func()) { return part(&s.fail, more) }
+func (s *Server) Fail(more float64) (end func()) { return addFraction(&s.failFraction, more) }
 
 // Reset makes a part of its answers the end of their connection.
-func (s *Server) Reset(more float64) (end func()) { return part(&s.reset, more) }
+func (s *Server) Reset(more float64) (end func()) { return addFraction(&s.resetFraction, more) }
 
 // CloseBehind makes a part of its long values the last on their connection: it gives them whole and closes in order.
-func (s *Server) CloseBehind(more float64) (end func()) { return part(&s.ends[closes], more) }
+func (s *Server) CloseBehind(more float64) (end func()) {
+	return addFraction(&s.endingFractions[closesAfterValue], more)
+}
 
 // ResetBehind makes it give a part of them whole and reset the connection, 0.05 s after its kernel has taken the last byte.
-func (s *Server) ResetBehind(more float64) (end func()) { return part(&s.ends[resets], more) }
+func (s *Server) ResetBehind(more float64) (end func()) {
+	return addFraction(&s.endingFractions[resetsAfterValue], more)
+}
 
 // BreakOff makes it close in order within a part of them.
-func (s *Server) BreakOff(more float64) (end func()) { return part(&s.ends[breaksOff], more) }
+func (s *Server) BreakOff(more float64) (end func()) {
+	return addFraction(&s.endingFractions[closesWithinValue], more)
+}
 
 // ResetUnder makes it reset the connection within a part of them.
-func (s *Server) ResetUnder(more float64) (end func()) { return part(&s.ends[resetUnder], more) }
+func (s *Server) ResetUnder(more float64) (end func()) {
+	return addFraction(&s.endingFractions[resetsWithinValue], more)
+}
 
 // Cease makes it say no more within a part of them, on a connection that stays.
-func (s *Server) Cease(more float64) (end func()) { return part(&s.ends[ceases], more) }
+func (s *Server) Cease(more float64) (end func()) {
+	return addFraction(&s.endingFractions[stallsWithinValue], more)
+}
 
 // Drain makes the list say that it wants nothing new.
 func (s *Server) Drain() {
 	if s.mode == Ready {
 		s.mode = Draining
-		s.f.list.change(s)
+		s.fleet.list.recordChange(s)
 	}
 }
 
 // Undrain takes that back.
 func (s *Server) Undrain() {
-	if s.mode == Draining && !s.over {
+	if s.mode == Draining && !s.removed {
 		s.mode = Ready
-		s.f.list.change(s)
+		s.fleet.list.recordChange(s)
 	}
 }
 
 // Leave ends it for good.
-func (s *Server) Leave() { s.leave() }
+func (s *Server) Leave() { s.remove() }
 
 // Stall lets the origin stand still.
 func (l *Ledger) Stall() (end func()) {
 	l.stalled++
-	l.retime()
-	return func() { l.stalled--; l.retime() }
+	l.updateRate()
+	return func() { l.stalled--; l.updateRate() }
 }
 
 // Slow makes it so many times slower.
 func (l *Ledger) Slow(factor float64) (end func()) {
-	l.slow = append(l.slow, factor)
-	l.retime()
+	l.slowFactors = append(l.slowFactors, factor)
+	l.updateRate()
 	return func() {
-		i := slices.Index(l.slow, factor)
-		l.slow = slices.Delete(l.slow, i, i+1)
-		l.retime()
+		i := slices.Index(l.slowFactors, factor)
+		l.slowFactors = slices.Delete(l.slowFactors, i, i+1)
+		l.updateRate()
 	}
 }
 
 // Ledger is the origin.
-func (f *Fleet) Ledger() *Ledger { return f.ledger }
+func (f *Fleet) Ledger() *Ledger { return f.origin }
 
 // Silence lets an agent accept and say nothing.
 func (a *Agent) Silence() (end func()) {
-	a.with(func() { a.silent++ })
-	return func() { a.with(func() { a.silent-- }) }
+	a.withLock(func() { a.silent++ })
+	return func() { a.withLock(func() { a.silent-- }) }
 }
 
 // Refuse lets it refuse connections and end those it has.
@@ -128,11 +138,11 @@
 
 // Delay lets news take so many seconds longer.
 func (a *Agent) Delay(more float64) (end func()) {
-	a.with(func() { a.behind = append(a.behind, more) })
+	a.withLock(func() { a.extraDelays = append(a.extraDelays, more) })
 	return func() {
-		a.with(func() {
-			i := slices.Index(a.behind, more)
-			a.behind = slices.Delete(a.behind, i, i+1)
+		a.withLock(func() {
+			i := slices.Index(a.extraDelays, more)
+			a.extraDelays = slices.Delete(a.extraDelays, i, i+1)
 		})
 	}
 }
@@ -140,28 +150,28 @@
 // Freeze lets it learn nothing more.
 func (a *Agent) Freeze() (end func()) {
 	var at int
-	a.with(func() { at = a.generation(); a.frozen = append(a.frozen, at) })
+	a.withLock(func() { at = a.generation(); a.frozenAt = append(a.frozenAt, at) })
 	return func() {
-		a.with(func() {
-			i := slices.Index(a.frozen, at)
-			a.frozen = slices.Delete(a.frozen, i, i+1)
+		a.withLock(func() {
+			i := slices.Index(a.frozenAt, at)
+			a.frozenAt = slices.Delete(a.frozenAt, i, i+1)
 		})
 	}
 }
 
 // Older lets it answer with the list as it was so many changes ago.
 func (a *Agent) Older(changes int) (end func()) {
-	a.with(func() { a.old += changes })
-	return func() { a.with(func() { a.old -= changes }) }
+	a.withLock(func() { a.generationsBehind += changes })
+	return func() { a.withLock(func() { a.generationsBehind -= changes }) }
 }
 
 // Heat lets a part of all operations ask for one key.
 func (c *Clients) Heat(key string, part float64) (end func()) {
 	h := hotKey{key, part}
-	c.hot = append(c.hot, h)
+	c.hotKeys = append(c.hotKeys, h)
 	return func() {
-		i := slices.Index(c.hot, h)
-		c.hot = slices.Delete(c.hot, i, i+1)
+		i := slices.Index(c.hotKeys, h)
+		c.hotKeys = slices.Delete(c.hotKeys, i, i+1)
 	}
 }
 
@@ -169,11 +179,11 @@
 func (c *Clients) Surge(kind, tenant string, factor float64) (end func()) {
 	s := surge{kind, tenant, factor}
 	c.surges = append(c.surges, s)
-	c.replan()
+	c.rescheduleArrivals()
 	return func() {
 		i := slices.Index(c.surges, s)
 		c.surges = slices.Delete(c.surges, i, i+1)
-		c.replan()
+		c.rescheduleArrivals()
 	}
 }
 
@@ -187,12 +197,12 @@
 
 // Read lets a part of the reads take long values so. Where several are on, each has its part.
 func (c *Clients) Read(how Reading) (end func()) {
-	c.readings = append(c.readings, how)
+	c.readBehaviors = append(c.readBehaviors, how)
 	return func() {
-		i := slices.Index(c.readings, how)
-		c.readings = slices.Delete(c.readings, i, i+1)
+		i := slices.Index(c.readBehaviors, how)
+		c.readBehaviors = slices.Delete(c.readBehaviors, i, i+1)
 	}
 }
 
 // NextName names the server that comes next.
-func (f *Fleet) NextName() string { return fmt.Sprintf("%ss-%03d", f.named, len(f.servers)) }
+func (f *Fleet) NextName() string { return fmt.Sprintf("%ss-%03d", f.namePrefix, len(f.servers)) }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -13,33 +13,33 @@
 
 // Fleet is the cache servers, their origin and the list that names them, all on one loop.
 type Fleet struct {
-	loop           *eventloop.Loop
-	types          map[string]*TrafficType
-	servers        []*Server // in the order in which they came, also those that have gone
-	ledger         *Ledger
-	list           *List
-	book           *Book
-	memories       map[string]*memory
-	seed           uint64
-	serials        uint64
-	named          string         // what its servers' names begin with
-	tiles          *tiles.Service // they speak HTTP, and serve these layers
-	tileType       *TrafficType   // of their tiles
-	pictures       map[string][]byte
-	drainTurnsAway bool // a draining cache server turns new commands away
-	late           Lateness
+	loop            *eventloop.Loop
+	types           map[string]*TrafficType
+	servers         []*Server // in the order in which they came, also those that have gone
+	origin          *Ledger
+	list            *List
+	records         *Book
+	dedupTables     map[string]*dedupTable
+	seed            uint64
+	lastSerial      uint64
+	namePrefix      string         // what its servers' names begin with
+	tileService     *tiles.Service // they speak HTTP, and serve these layers
+	tileType        *TrafficType   // of their tiles
+	tileImages      map[string][]byte
+	drainingRejects bool // a draining cache server turns new commands away
+	lateness        Lateness
 }
 
 // NewFleet makes one without servers. Listed is the list service's usual delay.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	f := &Fleet{loop: loop, types: map[string]*TrafficType{}, book: &Book{}, memories: map[string]*memory{}, seed: seed}
+	f := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{}, dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, t := range types {
 		f.types[t.Name] = t
 	}
-	f.ledger = newLedger(loop, ledger, f.book, f.Chance("ledger"))
+	f.origin = newLedger(loop, ledger, f.records, f.Chance("ledger"))
 	f.list = newList(loop.Now, listed, f.Chance("list"))
-	f.late.watch(loop)
-	f.sweep()
+	f.lateness.start(loop)
+	f.closeIdleConns()
 	return f
 }
 
@@ -49,21 +49,21 @@
 }
 
 // Named makes its servers' names begin with something, so that those of several fleets differ.
-func (f *Fleet) Named(begin string) { f.named = begin }
+func (f *Fleet) Named(begin string) { f.namePrefix = begin }
 
 // ServeTiles makes all of them tile servers.
 func (f *Fleet) ServeTiles(service *tiles.Service, t *TrafficType) {
-	f.tiles, f.tileType, f.pictures = service, t, map[string][]byte{}
+	f.tileService, f.tileType, f.tileImages = service, t, map[string][]byte{}
 }
 
 // Book is what was seen. It is read once the loop has ended, or on it.
-func (f *Fleet) Book() *Book { return f.book }
+func (f *Fleet) Book() *Book { return f.records }
 
 // List is the list service.
 func (f *Fleet) List() *List { return f.list }
 
 // Late is how late the loop was.
-func (f *Fleet) Late() *Lateness { return &f.late }
+func (f *Fleet) Late() *Lateness { return &f.lateness }
 
 // Servers gives all that ever were.
 func (f *Fleet) Servers() []*Server { return f.servers }
@@ -71,7 +71,7 @@
 // Serving gives those that are listed as ready.
 func (f *Fleet) Serving() (in []*Server) {
 	for _, s := range f.servers {
-		if s.mode == Ready && !s.over {
+		if s.mode == Ready && !s.removed {
 			in = append(in, s)
 		}
 	}
@@ -81,14 +81,14 @@
 // Add starts a cache server: a cold one, or one that has run for long.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
 	s := newServer(f, spec, f.Chance(spec.Name))
-	if err := s.attend(); err != nil {
+	if err := s.updateListening(); err != nil {
 		return nil, fmt.Errorf("cache server %s: %w", spec.Name, err)
 	}
 	f.servers = append(f.servers, s)
 	if cold {
-		s.cold()
+		s.startCold()
 	}
-	f.list.change(s)
+	f.list.recordChange(s)
 	return s, nil
 }
 
@@ -96,18 +96,18 @@
 func (f *Fleet) Fill(keys []string) {
 	for _, s := range f.servers {
 		for _, k := range keys {
-			s.kept.put(k)
+			s.cache.put(k)
 		}
 	}
 }
 
-func (f *Fleet) serial() uint64 {
-	f.serials++
-	return f.serials
+func (f *Fleet) nextSerial() uint64 {
+	f.lastSerial++
+	return f.lastSerial
 }
 
 // memory gives what those know who drop the repeats of a numbered type that come to s.
-func (f *Fleet) memory(s *Server, t *TrafficType) *memory {
+func (f *Fleet) dedupTable(s *Server, t *TrafficType) *dedupTable {
 	if t.Effect != balancer.IdempotencyKeyed {
 		return nil
 	}
@@ -118,40 +118,40 @@
 	case balancer.ScopeCell:
 		name += fmt.Sprintf("/cell/%s/%d", s.Zone, s.Cell)
 	}
-	if f.memories[name] == nil {
-		f.memories[name] = &memory{marks: map[string]marked{}}
+	if f.dedupTables[name] == nil {
+		f.dedupTables[name] = &dedupTable{entries: map[string]dedupEntry{}}
 	}
-	return f.memories[name]
+	return f.dedupTables[name]
 }
 
 // drop makes all copies of a key void.
-func (f *Fleet) drop(key string) {
+func (f *Fleet) invalidate(key string) {
 	for _, s := range f.servers {
-		s.kept.drop(key)
+		s.cache.drop(key)
 	}
 }
 
 // sweep closes what has stood idle for long.
-func (f *Fleet) sweep() {
+func (f *Fleet) closeIdleConns() {
 	now := f.loop.Now()
 	for _, s := range f.servers {
 		for c := range s.conns {
-			if s.Idle > 0 && s.vanished == 0 && c.idle() && now-c.used > s.Idle {
-				c.lose(false)
+			if s.Idle > 0 && s.unreachable == 0 && c.idle() && now-c.lastBusy > s.Idle {
+				c.disconnect(false)
 			}
 		}
 	}
-	f.loop.After(0.5, f.sweep)
+	f.loop.After(0.5, f.closeIdleConns)
 }
 
 // Close ends all.
 func (f *Fleet) Close() {
 	f.list.close()
 	for _, s := range f.servers {
-		s.over = true
-		s.die()
-		s.vanished = 0
-		s.attend()
+		s.removed = true
+		s.dropConnections()
+		s.unreachable = 0
+		s.updateListening()
 	}
 }
 
@@ -163,20 +163,20 @@
 	At    []float64
 }
 
-const ticking = 0.01 // between two looks: a tenth of the shortest promised times
+const latenessInterval = 0.01 // between two looks: a tenth of the shortest promised times
 
-func (l *Lateness) watch(loop *eventloop.Loop) {
-	l.loop, l.due = loop, loop.Now()+ticking
-	loop.After(ticking, l.tick)
+func (l *Lateness) start(loop *eventloop.Loop) {
+	l.loop, l.due = loop, loop.Now()+latenessInterval
+	loop.After(latenessInterval, l.tick)
 }
 
 func (l *Lateness) tick() {
 	now := l.loop.Now()
-	if len(l.Times) < bookBound {
+	if len(l.Times) < maxRecords {
 		l.Times, l.At = append(l.Times, now-l.due), append(l.At, now)
 	}
-	l.due = now + ticking
-	l.loop.After(ticking, l.tick)
+	l.due = now + latenessInterval
+	l.loop.After(latenessInterval, l.tick)
 }
 
 // Part gives the lateness that so large a part of the looks did not exceed.
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -16,30 +16,30 @@
 	"bendtrestle/internal/eventloop"
 )
 
-var read = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
-var put = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
+var readType = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
+var putType = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
 	Promised: 0.2, HardStop: 0.5, Benefit: 1}
 
-var places atomic.Int32
+var lastTestAddress atomic.Int32
 
 // place gives an address of its own for each test.
-func place() string {
-	return fmt.Sprintf("127.%d.%d.%d:11300", 220+os.Getpid()%30, 1+os.Getpid()%200, places.Add(1))
+func testAddress() string {
+	return fmt.Sprintf("127.%d.%d.%d:11300", 220+os.Getpid()%30, 1+os.Getpid()%200, lastTestAddress.Add(1))
 }
 
 func spec(name string) Spec {
-	return Spec{Name: name, Addr: place(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10, Connections: 20, Keep: 100,
+	return Spec{Name: name, Addr: testAddress(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10, Connections: 20, Keep: 100,
 		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, Fall: 0.5}}
 }
 
 // running gives a fleet whose loop runs, with one server for each spec.
-func running(t *testing.T, specs ...Spec) (*Fleet, []*Server) {
+func startFleet(t *testing.T, specs ...Spec) (*Fleet, []*Server) {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFleet(loop, 1, []*TrafficType{read, put}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2, Time: 0.2, Halt: 0.3}, Delay{})
+	f := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2, Time: 0.2, Halt: 0.3}, Delay{})
 	var all []*Server
 	for _, s := range specs {
 		server, err := f.Add(s, false)
@@ -51,7 +51,7 @@
 	ended := make(chan error)
 	go func() { ended <- loop.Run() }()
 	t.Cleanup(func() {
-		f.on(f.Close)
+		f.runOnLoop(f.Close)
 		loop.Post(loop.Stop)
 		<-ended
 	})
@@ -59,61 +59,63 @@
 }
 
 // on runs something on the fleet's loop.
-func (f *Fleet) on(do func()) {
+func (f *Fleet) runOnLoop(do func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { do(); close(done) })
 	<-done
 }
 
 // caller is a connection to a stand-in.
-type caller struct {
+type testConn struct {
 	net.Conn
 	*bufio.Reader
 	t *testing.T
 }
 
-func call(t *testing.T, addr string) *caller {
+func dialServer(t *testing.T, addr string) *testConn {
 	t.Helper()
 	conn, err := net.DialTimeout("tcp", addr, time.Second)
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { conn.Close() })
-	return &caller{conn, bufio.NewReader(conn), t}
+	return &testConn{conn, bufio.NewReader(conn), t}
 }
 
-func (c *caller) say(format string, about ...any) { fmt.Fprintf(c.Conn, format+"\r\n", about...) }
+func (c *testConn) sendLine(format string, about ...any) {
+	fmt.Fprintf(c.Conn, format+"\r\n", about...)
+}
 
 // line reads a line within a time; an error tells of the connection's end or of silence.
-func (c *caller) line(within time.Duration) (string, error) {
+func (c *testConn) readLine(within time.Duration) (string, error) {
 	c.SetReadDeadline(time.Now().Add(within))
 	text, err := c.ReadString('\n')
 	return strings.TrimSpace(text), err
 }
 
 // get reads a key and gives the first word of the answer.
-func (c *caller) get(id string) string {
+func (c *testConn) get(id string) string {
 	c.t.Helper()
-	c.say("mg key v O%s Pc=read,d=400", id)
-	text, err := c.line(time.Second)
+	c.sendLine("mg key v O%s Pc=read,d=400", id)
+	text, err := c.readLine(time.Second)
 	if err != nil {
 		return err.Error()
 	}
 	if strings.HasPrefix(text, "VA ") {
-		c.line(time.Second)
+		c.readLine(time.Second)
 		return "VA"
 	}
 	return text
 }
 
 // members asks the list service.
-func members(t *testing.T, a *Agent, query string) (out answer) {
+func queryList(t *testing.T, a *Agent, query string) (out listResponse) {
 	t.Helper()
 	client := http.Client{Timeout: 300 * time.Millisecond}
 	defer client.CloseIdleConnections()
 	got, err := client.Get("http://" + a.Addr() + "/catalog/members" + query)
 	if err != nil {
-		return answer{Generation: -1}
+		return listResponse{Generation: -1}
 	}
 	defer got.Body.Close()
 	if err := json.NewDecoder(got.Body).Decode(&out); err != nil {
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -17,22 +17,22 @@
 
 // Ledger is the origin: slow, a few at once, and it stops for a while when pushed past its bound.
 type Ledger struct {
-	loop    *eventloop.Loop
-	spec    LedgerSpec
-	work    processor
-	tip     Tip
-	chance  *rand.Rand
-	book    *Book
-	halted  bool
-	stalled int
-	slow    []float64
-	recent  []Fetch // that came within the time of the rule
+	loop        *eventloop.Loop
+	spec        LedgerSpec
+	processor   processor
+	overload    OverloadDetector
+	rng         *rand.Rand
+	records     *Book
+	halted      bool
+	stalled     int
+	slowFactors []float64
+	recent      []Fetch // that came within the time of the rule
 }
 
 func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, chance *rand.Rand) *Ledger {
-	return &Ledger{loop: loop, spec: spec, book: book, chance: chance,
-		tip:  Tip{Multiple: spec.Multiple, Time: spec.Time},
-		work: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
+	return &Ledger{loop: loop, spec: spec, records: book, rng: chance,
+		overload:  OverloadDetector{Multiple: spec.Multiple, Time: spec.Time},
+		processor: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
 }
 
 // fetch calls done when the origin has answered, or never if cancelled before.
@@ -43,17 +43,17 @@
 
 func (l *Ledger) call(s *Server, write bool, done func()) *job {
 	now := l.loop.Now()
-	f := Fetch{At: now, Server: s, Cold: !write && s.warmth(now) < 1, Write: write}
-	l.book.Fetches = append(l.book.Fetches, f)
+	f := Fetch{At: now, Server: s, Cold: !write && s.capacityFraction(now) < 1, Write: write}
+	l.records.Fetches = append(l.records.Fetches, f)
 	l.recent = append(l.recent, f)
 	for len(l.recent) > 0 && l.recent[0].At < now-l.spec.Time {
 		l.recent = l.recent[1:]
 	}
-	takes := l.spec.Takes * (0.5 + l.chance.Float64())
-	if l.tip.Comes(now, takes, float64(l.work.cores)) && !l.halted {
+	takes := l.spec.Takes * (0.5 + l.rng.Float64())
+	if l.overload.Add(now, takes, float64(l.processor.cores)) && !l.halted {
 		l.halt(now)
 	}
-	return l.work.add(takes, func() bool { return true }, done)
+	return l.processor.add(takes, func() bool { return true }, done)
 }
 
 // halt stops it for the stated time.
@@ -64,23 +64,23 @@
 			cold++
 		}
 	}
-	l.book.Halts = append(l.book.Halts, Halt{At: now, ColdPart: float64(cold) / float64(max(1, len(l.recent)))})
+	l.records.Halts = append(l.records.Halts, Halt{At: now, ColdPart: float64(cold) / float64(max(1, len(l.recent)))})
 	l.halted = true
-	l.retime()
+	l.updateRate()
 	l.loop.After(l.spec.Halt, func() {
 		l.halted = false
-		l.tip.Forget()
-		l.retime()
+		l.overload.Reset()
+		l.updateRate()
 	})
 }
 
-func (l *Ledger) retime() {
+func (l *Ledger) updateRate() {
 	rate := 1.0
-	for _, f := range l.slow {
+	for _, f := range l.slowFactors {
 		rate /= f
 	}
 	if l.halted || l.stalled > 0 {
 		rate = 0
 	}
-	l.work.setRate(rate)
+	l.processor.setRate(rate)
 }
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -13,34 +13,34 @@
 	"bendtrestle/internal/meta"
 )
 
-const mega = 1 << 20
+const mebibyte = 1 << 20
 
-var bulk = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mega, Promised: 5, HardStop: 5, Benefit: 1}
-var load4 = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
+var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte, Promised: 5, HardStop: 5, Benefit: 1}
+var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
 	HardStop: 5, Benefit: 1}
 
 // bulky gives a fleet of one server that has long values.
-func bulky(t *testing.T) (*Fleet, *Server) {
-	f, all := running(t, spec("s-1"))
-	f.on(func() { f.types["bulk"], f.types["bulkput"] = bulk, load4 })
+func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
+	f, all := startFleet(t, spec("s-1"))
+	f.runOnLoop(func() { f.types["bulk"], f.types["bulkput"] = longReadType, longWriteType })
 	return f, all[0]
 }
 
 // fetch asks for a long value and reads until its connection ends or it is whole.
-func fetch(t *testing.T, addr, id string) (c *caller, got Check, err error) {
+func fetchLongValue(t *testing.T, addr, id string) (c *testConn, got Check, err error) {
 	t.Helper()
-	c = call(t, addr)
+	c = dialServer(t, addr)
 	c.SetDeadline(time.Now().Add(10 * time.Second))
 	fmt.Fprintf(c.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
 	head, err := c.ReadString('\n')
-	if want := fmt.Sprintf("VA %d O%s\r\n", mega, id); head != want || err != nil {
+	if want := fmt.Sprintf("VA %d O%s\r\n", mebibyte, id); head != want || err != nil {
 		t.Fatalf("the answer begins %q, %v; want %q", head, err, want)
 	}
-	got.Length = mega
+	got.Length = mebibyte
 	buf := make([]byte, 10000)
-	for got.Came < mega && err == nil {
+	for got.Came < mebibyte && err == nil {
 		var n int
-		n, err = c.Reader.Read(buf[:min(len(buf), mega-got.Came)])
+		n, err = c.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
 		got.Take(buf[:n])
 	}
 	return c, got, err
@@ -48,29 +48,29 @@
 
 // A long value is given whole and as its head says; the book knows when.
 func TestLongValueIsGiven(t *testing.T) {
-	f, s := bulky(t)
-	c, got, err := fetch(t, s.Addr, "a")
+	f, s := startLongValueFleet(t)
+	c, got, err := fetchLongValue(t, s.Addr, "a")
 	if wrong := got.End(); err != nil || wrong != "" || !strings.HasPrefix(got.Head(), "key for a by s-1, ") {
 		t.Errorf("%v, %s, %q", err, wrong, got.Head())
 	}
-	if end, _ := c.line(soon); end != "" {
+	if end, _ := c.readLine(replyTimeout); end != "" {
 		t.Errorf("behind it comes %q", end)
 	}
 	if next := c.get("b"); next != "VA" {
 		t.Errorf("the next answer is %s", next)
 	}
-	f.on(func() {
-		x := f.book.Executions[0]
-		if x.Made != got.Sum() || x.Length != mega || x.Whole == 0 || x.Broke != 0 {
-			t.Errorf("the book has %+v", x)
+	f.runOnLoop(func() {
+		execution := f.records.Executions[0]
+		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
+			t.Errorf("the book has %+v", execution)
 		}
 	})
 }
 
 // A long write is taken whole and without being held; what is wrong with it is in the book.
 func TestLongValueIsTaken(t *testing.T) {
-	f, s := bulky(t)
-	c := call(t, s.Addr)
+	f, s := startLongValueFleet(t)
+	c := dialServer(t, s.Addr)
 	v := NewValue("k", "a", "its client", 1, meta.LongBound)
 	for _, change := range []bool{false, true} {
 		fmt.Fprintf(c.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", v.Len())
@@ -79,12 +79,12 @@
 			whole[3<<20]++
 		}
 		c.Conn.Write(append(whole, "\r\n"...))
-		if got, err := c.line(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
+		if got, err := c.readLine(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
 			t.Fatalf("it says %q, %v", got, err)
 		}
 	}
-	f.on(func() {
-		x := f.book.Executions
+	f.runOnLoop(func() {
+		x := f.records.Executions
 		if x[0].Damaged != "" || !strings.Contains(x[1].Damaged, "byte 3145728 of 4194304") {
 			t.Errorf("the book has %q and %q", x[0].Damaged, x[1].Damaged)
 		}
@@ -106,14 +106,14 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s := bulky(t)
+			f, s := startLongValueFleet(t)
 			var end func()
-			f.on(func() { end = c.begin(s) })
-			conn := call(t, s.Addr)
+			f.runOnLoop(func() { end = c.begin(s) })
+			conn := dialServer(t, s.Addr)
 			fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
 			conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 			text, err := io.ReadAll(conn.Reader)
-			full := len(text) == len(fmt.Sprintf("VA %d Oa\r\n\r\n", mega))+mega
+			full := len(text) == len(fmt.Sprintf("VA %d Oa\r\n\r\n", mebibyte))+mebibyte
 			if err == nil {
 				err = io.EOF
 			}
@@ -121,14 +121,14 @@
 			if sure && full != c.whole || !strings.Contains(err.Error(), c.end) {
 				t.Errorf("%d bytes came, whole %v, and then %v", len(text), full, err)
 			}
-			f.on(func() {
-				x := f.book.Executions[0]
-				if x.How != Answered || (x.Whole > 0) != c.whole || (x.Broke > 0) != c.broke {
-					t.Errorf("the book has whole %v, broke %v: %+v", x.Whole, x.Broke, x)
+			f.runOnLoop(func() {
+				execution := f.records.Executions[0]
+				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
+					t.Errorf("the book has whole %v, broke %v: %+v", execution.Whole, execution.Broke, execution)
 				}
 				end()
 			})
-			if _, got, err := fetch(t, s.Addr, "b"); err != nil || got.End() != "" {
+			if _, got, err := fetchLongValue(t, s.Addr, "b"); err != nil || got.End() != "" {
 				t.Errorf("after the fault's end: %v, %s", err, got.End())
 			}
 		})
@@ -141,9 +141,9 @@
 		end   func(f *Fleet, s *Server, conn net.Conn)
 		broke bool
 	}{
-		"it dies": {func(f *Fleet, s *Server, _ net.Conn) { f.on(func() { s.Crash() }) }, true},
+		"it dies": {func(f *Fleet, s *Server, _ net.Conn) { f.runOnLoop(func() { s.Crash() }) }, true},
 		"it is cut off": {func(f *Fleet, s *Server, _ net.Conn) {
-			f.on(func() {
+			f.runOnLoop(func() {
 				if _, err := s.Vanish(); err != nil {
 					t.Error(err)
 				}
@@ -151,27 +151,27 @@
 		}, true},
 		"its reader goes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
 	} {
-		f, s := bulky(t)
-		f.on(func() {
+		f, s := startLongValueFleet(t)
+		f.runOnLoop(func() {
 			f.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
 		})
-		conn := call(t, s.Addr)
+		conn := dialServer(t, s.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
-		if _, err := conn.line(soon); err != nil {
+		if _, err := conn.readLine(replyTimeout); err != nil {
 			t.Fatal(err)
 		}
 		c.end(f, s, conn.Conn)
 		gone := func() (out bool) {
-			f.on(func() { x := f.book.Executions[0]; out = x.Broke > 0 || len(s.conns) == 0 })
+			f.runOnLoop(func() { execution := f.records.Executions[0]; out = execution.Broke > 0 || len(s.conns) == 0 })
 			return out
 		}
 		for until := time.Now().Add(5 * time.Second); !gone() && time.Now().Before(until); {
 			time.Sleep(5 * time.Millisecond)
 		}
-		f.on(func() {
-			if x := f.book.Executions[0]; x.Whole > 0 || (x.Broke > 0) != c.broke {
-				t.Errorf("%s: the book has whole %v, broke %v", name, x.Whole, x.Broke)
+		f.runOnLoop(func() {
+			if execution := f.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
+				t.Errorf("%s: the book has whole %v, broke %v", name, execution.Whole, execution.Broke)
 			}
 		})
 	}
@@ -199,7 +199,7 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ln, err := net.Listen("tcp", strings.Replace(place(), "11300", "11211", 1))
+			ln, err := net.Listen("tcp", strings.Replace(testAddress(), "11300", "11211", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -223,7 +223,7 @@
 					}()
 				}
 			}()
-			loop := mustLoop(t)
+			loop := newLoop(t)
 			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{kind}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
@@ -244,12 +244,12 @@
 			if len(clients.Book().Ops) == 0 {
 				t.Fatal("nothing came")
 			}
-			for _, o := range clients.Book().Ops {
-				try := o.Tries[0]
+			for _, request := range clients.Book().Ops {
+				try := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if o.How != c.end || len(o.Tries) != 1 || try.Length != size || (try.Came == size) != (c.end == Finished || name == "no end of the value") ||
-					(try.Got != 0) != whole || (try.Rested > 0) != c.rests {
-					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", o.How, len(o.Tries), try.Came, try.Length, try.Got, try.Rested,
+				if request.How != c.end || len(request.Tries) != 1 || try.Length != size || (try.Came == size) != (c.end == Finished || name == "no end of the value") ||
+					(try.Got != 0) != whole || (try.ReadPaused > 0) != c.rests {
+					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", request.How, len(request.Tries), try.Came, try.Length, try.Got, try.ReadPaused,
 						try.Strange())
 				}
 			}
@@ -259,9 +259,9 @@
 
 // Long writes go out whole, and nothing of them is held.
 func TestLongWritesOfClients(t *testing.T) {
-	f, s := bulky(t)
-	loop := mustLoop(t)
-	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{load4}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{s.Addr}, nil)
+	f, s := startLongValueFleet(t)
+	loop := newLoop(t)
+	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{s.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,18 +275,18 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, o := range clients.Book().Ops {
-		if o.How != Finished {
-			t.Errorf("a write ended as %v %s", o.How, o.Tries[0].Strange())
+	for _, request := range clients.Book().Ops {
+		if request.How != Finished {
+			t.Errorf("a write ended as %v %s", request.How, request.Tries[0].Strange())
 		}
 	}
-	f.on(func() {
-		for _, x := range f.book.Executions {
-			if x.Damaged != "" || !x.Effect {
-				t.Errorf("a write came as %q, effect %v", x.Damaged, x.Effect)
+	f.runOnLoop(func() {
+		for _, execution := range f.records.Executions {
+			if execution.Damaged != "" || !execution.Effect {
+				t.Errorf("a write came as %q, effect %v", execution.Damaged, execution.Effect)
 			}
 		}
-		if len(f.book.Executions) == 0 {
+		if len(f.records.Executions) == 0 {
 			t.Error("nothing came")
 		}
 	})
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -15,13 +15,13 @@
 		{"far above", 1, false, 1},
 		{"above, with a pause", 0.03, true, 0},
 	} {
-		tip, fell := Tip{Multiple: 2, Time: 1}, 0.0
+		tip, fell := OverloadDetector{Multiple: 2, Time: 1}, 0.0
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			if c.pause && i%90 >= 75 {
 				continue // for longer than a tenth of the time
 			}
-			if tip.Comes(now, c.work, 1) && fell == 0 {
+			if tip.Add(now, c.work, 1) && fell == 0 {
 				fell = now - 100
 			}
 		}
@@ -48,31 +48,31 @@
 
 // A mark is known up to its window's edge, not at it, and is forgotten then.
 func TestMemoryAtTheWindowsEdge(t *testing.T) {
-	m := &memory{marks: map[string]marked{}}
-	m.take(10, "k", "7", 5)
-	if receipt, known := m.repeat(14.999, "k"); !known || receipt != "7" {
+	m := &dedupTable{entries: map[string]dedupEntry{}}
+	m.add(10, "k", "7", 5)
+	if receipt, known := m.lookup(14.999, "k"); !known || receipt != "7" {
 		t.Error("a repeat within the window is not known")
 	}
-	if _, known := m.repeat(15, "k"); known {
+	if _, known := m.lookup(15, "k"); known {
 		t.Error("a repeat at the window's end is still known")
 	}
-	m.take(15, "other", "8", 5)
-	if len(m.marks) != 1 || len(m.order) != 1 {
-		t.Errorf("%d marks are kept", len(m.marks))
+	m.add(15, "other", "8", 5)
+	if len(m.entries) != 1 || len(m.order) != 1 {
+		t.Errorf("%d marks are kept", len(m.entries))
 	}
 }
 
 // Faults on one server may overlap and end in the other order: its rate is always that of those that are on.
 func TestFaultsOverlap(t *testing.T) {
-	f, all := running(t, spec("s-1"))
+	f, all := startFleet(t, spec("s-1"))
 	s := all[0]
 	rate := func(want float64) {
 		t.Helper()
-		if s.work.rate != want {
-			t.Errorf("the rate is %v, want %v", s.work.rate, want)
+		if s.processor.rate != want {
+			t.Errorf("the rate is %v, want %v", s.processor.rate, want)
 		}
 	}
-	f.on(func() {
+	f.runOnLoop(func() {
 		endA := s.Slow(4)
 		endB := s.Slow(2)
 		rate(0.125)
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -13,7 +13,7 @@
 )
 
 // socket is a client's connection to a router: a sock.Conn, or a plain one.
-type socket interface {
+type clientSocket interface {
 	Write(p []byte) (taken int)
 	Sent() uint64 // bytes that the kernel has taken
 	Quiet() bool  // nothing is unread, and it has not ended
@@ -21,34 +21,34 @@
 }
 
 const (
-	plainTurn   = 16 << 10 // bytes read at once, as much as other clients' rings hold
-	plainWindow = 64 << 10 // bytes that the kernel holds for one who reads slowly: beyond these the router waits
-	steps       = 20       // turns a second in which a slow reader reads
+	plainReadSize      = 16 << 10 // bytes read at once, as much as other clients' rings hold
+	plainReceiveBuffer = 64 << 10 // bytes that the kernel holds for one who reads slowly: beyond these the router waits
+	slowReadsPerSecond = 20       // turns a second in which a slow reader reads
 )
 
 // plainConn is a connection of one who reads in a way of its own, by the runtime's sockets on a goroutine: it reads when it likes, and
 // its end comes behind all that came before it, however long that lay unread. It carries one command.
 type plainConn struct {
-	in    *ringbuffer.Buffer
-	loop  *eventloop.Loop
-	h     *clientConn
-	how   Reading
-	half  int // bytes after which it pauses
-	sent  uint64
-	say   chan []byte
-	quit  chan struct{}
-	close sync.Once
+	in         *ringbuffer.Buffer
+	loop       *eventloop.Loop
+	client     *clientConn
+	reading    Reading
+	pauseAfter int // bytes after which it pauses
+	sent       uint64
+	outgoing   chan []byte
+	closed     chan struct{}
+	closeOnce  sync.Once
 }
 
 func dialPlain(loop *eventloop.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
-	p := &plainConn{in: ringbuffer.New(plainTurn), loop: loop, h: h, how: how, half: half, say: make(chan []byte, 1), quit: make(chan struct{})}
+	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: h, reading: how, pauseAfter: half, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
 	return p
 }
 
 // Write takes the command, all of it. Those of reads are short.
 func (p *plainConn) Write(text []byte) int {
-	p.say <- text
+	p.outgoing <- text
 	return len(text)
 }
 
@@ -59,13 +59,13 @@
 func (p *plainConn) Quiet() bool { return false }
 
 // Close ends it.
-func (p *plainConn) Close() { p.close.Do(func() { close(p.quit) }) }
+func (p *plainConn) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
 // on runs something on the loop, unless the connection is closed by then, and waits for it; false: it is closed.
-func (p *plainConn) on(do func()) bool {
+func (p *plainConn) runOnLoop(do func()) bool {
 	done := make(chan struct{})
 	p.loop.Post(func() {
-		if !p.h.closed {
+		if !p.client.closed {
 			do()
 		}
 		close(done)
@@ -73,31 +73,31 @@
 	select {
 	case <-done:
 		return true
-	case <-p.quit:
+	case <-p.closed:
 		return false
 	}
 }
 
 func (p *plainConn) run(addr string) {
 	small := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainWindow) })
+		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainReceiveBuffer) })
 	}}
 	conn, err := small.Dial("tcp", addr)
 	if err != nil {
-		p.on(p.h.Closed)
+		p.runOnLoop(p.client.Closed)
 		return
 	}
-	go func() { <-p.quit; conn.Close() }()
-	if !p.on(p.h.Opened) {
+	go func() { <-p.closed; conn.Close() }()
+	if !p.runOnLoop(p.client.Opened) {
 		return
 	}
 	select {
-	case text := <-p.say:
+	case text := <-p.outgoing:
 		n, err := conn.Write(text)
-		if err == nil && !p.on(func() { p.sent += uint64(n); p.h.Flushed() }) {
+		if err == nil && !p.runOnLoop(func() { p.sent += uint64(n); p.client.Flushed() }) {
 			return
 		}
-	case <-p.quit:
+	case <-p.closed:
 		return
 	}
 	p.read(conn)
@@ -105,31 +105,31 @@
 
 // read takes what comes, at the pace of this client, and then the end.
 func (p *plainConn) read(conn net.Conn) {
-	turn := plainTurn
-	if p.how.Rate > 0 {
-		turn = min(turn, max(1, int(p.how.Rate/steps)))
+	turn := plainReadSize
+	if p.reading.Rate > 0 {
+		turn = min(turn, max(1, int(p.reading.Rate/slowReadsPerSecond)))
 	}
-	buf, came, paused := make([]byte, turn), 0, p.how.Pause == 0
+	buf, came, paused := make([]byte, turn), 0, p.reading.Pause == 0
 	for {
 		n, err := conn.Read(buf)
 		if err != nil {
-			p.on(p.h.Closed)
+			p.runOnLoop(p.client.Closed)
 			return
 		}
 		rest := time.Duration(0)
-		if came += n; p.how.Rate > 0 {
-			rest = time.Duration(float64(n) / p.how.Rate * float64(time.Second))
+		if came += n; p.reading.Rate > 0 {
+			rest = time.Duration(float64(n) / p.reading.Rate * float64(time.Second))
 		}
-		if !paused && came >= p.half {
+		if !paused && came >= p.pauseAfter {
 			paused = true
-			rest += time.Duration(p.how.Pause * float64(time.Second))
+			rest += time.Duration(p.reading.Pause * float64(time.Second))
 		}
-		if !p.on(func() { p.in.Write(buf[:n]); p.h.Input(); p.h.rests(rest.Seconds()) }) {
+		if !p.runOnLoop(func() { p.in.Write(buf[:n]); p.client.Input(); p.client.addReadPause(rest.Seconds()) }) {
 			return
 		}
 		select {
 		case <-time.After(rest):
-		case <-p.quit:
+		case <-p.closed:
 			return
 		}
 	}
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -17,39 +17,39 @@
 
 // job is work to be done. begin is asked when a core takes it up: false lets it go; done follows its end.
 type job struct {
-	left, since float64
-	timer       *eventloop.Timer
-	begin       func() bool
-	done        func()
+	remaining, updatedAt float64
+	timer                *eventloop.Timer
+	onStart              func() bool
+	onDone               func()
 }
 
 func (p *processor) add(work float64, begin func() bool, done func()) *job {
-	j := &job{left: work, begin: begin, done: done}
-	j.timer = p.loop.Timer(func() { p.end(j) })
+	j := &job{remaining: work, onStart: begin, onDone: done}
+	j.timer = p.loop.Timer(func() { p.finish(j) })
 	p.waiting = append(p.waiting, j)
-	p.next()
+	p.startWaiting()
 	return j
 }
 
 // next gives free cores what waits. A machine that stands still takes nothing up.
-func (p *processor) next() {
+func (p *processor) startWaiting() {
 	for p.rate > 0 && len(p.running) < p.cores && len(p.waiting) > 0 {
 		j := p.waiting[0]
 		p.waiting = p.waiting[1:]
-		if !j.begin() {
+		if !j.onStart() {
 			continue
 		}
-		j.since = p.loop.Now()
+		j.updatedAt = p.loop.Now()
 		p.running = append(p.running, j)
-		j.timer.Set(j.since + j.left/p.rate)
+		j.timer.Set(j.updatedAt + j.remaining/p.rate)
 	}
 }
 
-func (p *processor) end(j *job) {
+func (p *processor) finish(j *job) {
 	if i := slices.Index(p.running, j); i >= 0 {
 		p.running = slices.Delete(p.running, i, i+1)
-		p.next()
-		j.done()
+		p.startWaiting()
+		j.onDone()
 	}
 }
 
@@ -60,12 +60,12 @@
 		p.waiting = slices.Delete(p.waiting, i, i+1)
 	} else if i := slices.Index(p.running, j); i >= 0 {
 		p.running = slices.Delete(p.running, i, i+1)
-		p.next()
+		p.startWaiting()
 	}
 }
 
 // clear takes all back.
-func (p *processor) clear() {
+func (p *processor) cancelAll() {
 	for _, j := range p.running {
 		j.timer.Stop()
 	}
@@ -76,11 +76,11 @@
 func (p *processor) setRate(rate float64) {
 	now := p.loop.Now()
 	for _, j := range p.running {
-		j.left, j.since = max(0, j.left-(now-j.since)*p.rate), now
+		j.remaining, j.updatedAt = max(0, j.remaining-(now-j.updatedAt)*p.rate), now
 		if j.timer.Stop(); rate > 0 {
-			j.timer.Set(now + j.left/rate)
+			j.timer.Set(now + j.remaining/rate)
 		}
 	}
 	p.rate = rate
-	p.next()
+	p.startWaiting()
 }
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -45,33 +45,33 @@
 // Server is one cache server.
 type Server struct {
 	Spec
-	f       *Fleet
-	chance  *rand.Rand
-	work    processor
-	kept    *store
-	tip     Tip
-	ln      *eventloop.Listener
-	silent  *silence // while it has vanished
-	conns   map[*serverConn]bool
-	mode    Mode    // as it would have the list say
-	started float64 // Unix seconds; 0: long ago
-	fallen  bool
-
-	lastListed  Mode // as the list last had it
-	lastStarted float64
-	over        bool // gone for good
+	fleet           *Fleet
+	rng             *rand.Rand
+	processor       processor
+	cache           *store
+	overload        OverloadDetector
+	listener        *eventloop.Listener
+	unreachableAddr *unreachableAddr // while it has vanished
+	conns           map[*serverConn]bool
+	mode            Mode    // as it would have the list say
+	started         float64 // Unix seconds; 0: long ago
+	collapsed       bool
+
+	lastListed      Mode // as the list last had it
+	lastListedStart float64
+	removed         bool // gone for good
 
 	// The faults on it: each is begun and ended on its own, and they may overlap in any order.
-	stalled, vanished, refusing, dead int
-	slow                              []float64
-	spoil, fail, reset                float64          // the part of answers that are spoilt, are errors, or reset instead
-	ends                              [endings]float64 // the part of long values that end so
+	stalled, unreachable, refusing, crashed      int
+	slowFactors                                  []float64
+	corruptFraction, failFraction, resetFraction float64              // the part of answers that are spoilt, are errors, or reset instead
+	endingFractions                              [endingCount]float64 // the part of long values that end so
 }
 
 func newServer(f *Fleet, spec Spec, chance *rand.Rand) *Server {
-	s := &Server{Spec: spec, f: f, chance: chance, kept: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
-		tip: Tip{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
-	s.work = processor{loop: f.loop, cores: max(1, spec.Cores), rate: spec.Speed}
+	s := &Server{Spec: spec, fleet: f, rng: chance, cache: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
+		overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
+	s.processor = processor{loop: f.loop, cores: max(1, spec.Cores), rate: spec.Speed}
 	return s
 }
 
@@ -79,10 +79,10 @@
 func (s *Server) Started() float64 { return s.started }
 
 // Fallen tells that it was pushed over while it was cold.
-func (s *Server) Fallen() bool { return s.fallen }
+func (s *Server) Collapsed() bool { return s.collapsed }
 
 // warmth is the part of its capacity that it has.
-func (s *Server) warmth(now float64) float64 {
+func (s *Server) capacityFraction(now float64) float64 {
 	if s.started == 0 || now-s.started >= s.Cold.Warm {
 		return 1
 	}
@@ -90,142 +90,142 @@
 }
 
 // retime brings its cores in line with its warmth and the faults on it.
-func (s *Server) retime() {
-	rate := s.Speed * s.warmth(s.f.loop.Now())
-	for _, factor := range s.slow {
+func (s *Server) updateRate() {
+	rate := s.Speed * s.capacityFraction(s.fleet.loop.Now())
+	for _, factor := range s.slowFactors {
 		rate /= factor
 	}
-	if s.stalled > 0 || s.dead > 0 || s.fallen {
+	if s.stalled > 0 || s.crashed > 0 || s.collapsed {
 		rate = 0
 	}
-	s.work.setRate(rate)
+	s.processor.setRate(rate)
 }
 
 // warm follows the warm-up in steps.
-func (s *Server) warm() {
-	s.retime()
-	if now := s.f.loop.Now(); s.warmth(now) < 1 && !s.over {
-		s.f.loop.After(s.Cold.Warm/50, s.warm)
+func (s *Server) warmUp() {
+	s.updateRate()
+	if now := s.fleet.loop.Now(); s.capacityFraction(now) < 1 && !s.removed {
+		s.fleet.loop.After(s.Cold.Warm/50, s.warmUp)
 	}
 }
 
 // cold makes it one that has just started, with nothing kept.
-func (s *Server) cold() {
-	s.started = s.f.loop.Now()
-	s.kept = newStore(s.Keep)
-	s.tip.Forget()
-	s.warm()
+func (s *Server) startCold() {
+	s.started = s.fleet.loop.Now()
+	s.cache = newStore(s.Keep)
+	s.overload.Reset()
+	s.warmUp()
 }
 
 // attend listens, is silent or refuses, as the faults have it.
-func (s *Server) attend() error {
-	vanished := s.vanished > 0 && s.dead == 0
-	listen := s.vanished == 0 && s.dead == 0 && s.refusing == 0 && !s.fallen && !s.over
-	if !listen && s.ln != nil {
-		s.ln.Close()
-		s.ln = nil
+func (s *Server) updateListening() error {
+	vanished := s.unreachable > 0 && s.crashed == 0
+	listen := s.unreachable == 0 && s.crashed == 0 && s.refusing == 0 && !s.collapsed && !s.removed
+	if !listen && s.listener != nil {
+		s.listener.Close()
+		s.listener = nil
 	}
-	if !vanished && s.silent != nil {
-		s.silent.end()
-		s.silent = nil
+	if !vanished && s.unreachableAddr != nil {
+		s.unreachableAddr.release()
+		s.unreachableAddr = nil
 	}
 	var err error
-	if vanished && s.silent == nil && !s.over {
-		s.silent, err = beSilent(s.Addr)
+	if vanished && s.unreachableAddr == nil && !s.removed {
+		s.unreachableAddr, err = holdUnreachable(s.Addr)
 	}
-	if listen && s.ln == nil {
-		s.ln, err = s.f.loop.Listen(s.Addr, func() bool { return true }, s.accepted)
+	if listen && s.listener == nil {
+		s.listener, err = s.fleet.loop.Listen(s.Addr, func() bool { return true }, s.accepted)
 	}
 	for c := range s.conns {
-		c.mute(vanished)
+		c.setUnreachable(vanished)
 	}
 	return err
 }
 
-const unseen = 5 // seconds until the list's makers take a machine that says nothing for gone
+const unreachableListDelay = 5 // seconds until the list's makers take a machine that says nothing for gone
 
 // vanish is a machine that is cut off: it says nothing, and is given up after a while.
-func (s *Server) vanish() error {
-	s.vanished++
-	s.f.loop.After(unseen, func() { s.f.list.change(s) })
-	return s.attend()
+func (s *Server) becomeUnreachable() error {
+	s.unreachable++
+	s.fleet.loop.After(unreachableListDelay, func() { s.fleet.list.recordChange(s) })
+	return s.updateListening()
 }
 
-func (s *Server) reappear() error {
-	s.vanished--
-	s.f.list.change(s)
-	return s.attend()
+func (s *Server) becomeReachable() error {
+	s.unreachable--
+	s.fleet.list.recordChange(s)
+	return s.updateListening()
 }
 
 // listed is what the list's makers know: whether a process runs, and what its operators want.
-func (s *Server) listed() Mode {
-	if s.dead > 0 || s.fallen || s.over || s.vanished > 0 {
+func (s *Server) listedMode() Mode {
+	if s.crashed > 0 || s.collapsed || s.removed || s.unreachable > 0 {
 		return Gone
 	}
 	return s.mode
 }
 
 // die resets all connections; what ran or waited is gone.
-func (s *Server) die() {
+func (s *Server) dropConnections() {
 	for c := range s.conns {
-		c.lose(true)
+		c.disconnect(true)
 	}
-	s.work.clear()
+	s.processor.cancelAll()
 }
 
 // crash is a process that dies; back follows after a while, by revive.
 func (s *Server) crash() {
-	s.dead++
-	s.die()
-	s.attend()
-	s.retime()
-	s.f.list.change(s)
+	s.crashed++
+	s.dropConnections()
+	s.updateListening()
+	s.updateRate()
+	s.fleet.list.recordChange(s)
 }
 
 // revive ends a crash: it starts anew, cold.
-func (s *Server) revive() error {
-	if s.dead--; s.dead > 0 || s.over {
+func (s *Server) restart() error {
+	if s.crashed--; s.crashed > 0 || s.removed {
 		return nil
 	}
-	s.fallen = false
-	s.cold()
-	err := s.attend()
-	s.f.list.change(s)
+	s.collapsed = false
+	s.startCold()
+	err := s.updateListening()
+	s.fleet.list.recordChange(s)
 	return err
 }
 
 // fall is a cold cache server that was pushed over: it stays down.
-func (s *Server) fall() {
-	s.f.book.Falls = append(s.f.book.Falls, Fall{At: s.f.loop.Now(), Server: s})
-	s.fallen = true
-	s.die()
-	s.attend()
-	s.f.list.change(s)
+func (s *Server) collapse() {
+	s.fleet.records.Falls = append(s.fleet.records.Falls, Fall{At: s.fleet.loop.Now(), Server: s})
+	s.collapsed = true
+	s.dropConnections()
+	s.updateListening()
+	s.fleet.list.recordChange(s)
 }
 
 // leave ends it for good.
-func (s *Server) leave() {
-	s.over = true
-	s.die()
-	s.attend()
+func (s *Server) remove() {
+	s.removed = true
+	s.dropConnections()
+	s.updateListening()
 	s.mode = Gone
-	s.f.list.change(s)
+	s.fleet.list.recordChange(s)
 }
 
 // comes takes note of the work that is sent to it, and tells whether that pushed it over.
-func (s *Server) comes(work float64) bool {
-	now := s.f.loop.Now()
-	if s.warmth(now) >= 1 || s.fallen {
+func (s *Server) addLoad(work float64) bool {
+	now := s.fleet.loop.Now()
+	if s.capacityFraction(now) >= 1 || s.collapsed {
 		return false
 	}
-	if s.tip.Comes(now, work, float64(s.work.cores)*s.Speed*s.warmth(now)) {
-		s.fall()
+	if s.overload.Add(now, work, float64(s.processor.cores)*s.Speed*s.capacityFraction(now)) {
+		s.collapse()
 		return true
 	}
 	return false
 }
 
 // value makes a read's answer: who made it for which try of what, filled up to its size.
-func (s *Server) value(x *Execution, key string) Value {
-	return NewValue(key, x.ID, s.Name, s.f.serial(), x.Type.Size)
+func (s *Server) newValue(execution *Execution, key string) Value {
+	return NewValue(key, execution.ID, s.Name, s.fleet.nextSerial(), execution.Type.Size)
 }
--- a/internal/emulator/silence.go
+++ b/internal/emulator/silence.go
@@ -8,16 +8,16 @@
 
 // silence holds an address at which connections neither come up nor are refused, as at a machine that has vanished: it
 // listens with the shortest queue, fills that itself and accepts nobody, so that the kernel drops whoever comes after.
-type silence struct{ fds []int }
+type unreachableAddr struct{ fds []int }
 
-func beSilent(addr string) (*silence, error) {
+func holdUnreachable(addr string) (*unreachableAddr, error) {
 	at, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
 	to := &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-	q := &silence{}
-	fd, err := q.socket()
+	q := &unreachableAddr{}
+	fd, err := q.newSocket()
 	if err != nil {
 		return nil, err
 	}
@@ -26,17 +26,17 @@
 		err = unix.Listen(fd, 0)
 	}
 	for range 3 { // a queue of length 0 holds one, and a second is half open
-		if c, failed := q.socket(); failed == nil {
+		if c, failed := q.newSocket(); failed == nil {
 			unix.Connect(c, to) // in progress, for ever
 		}
 	}
 	if err != nil {
-		q.end()
+		q.release()
 	}
 	return q, err
 }
 
-func (q *silence) socket() (int, error) {
+func (q *unreachableAddr) newSocket() (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		q.fds = append(q.fds, fd)
@@ -44,7 +44,7 @@
 	return fd, err
 }
 
-func (q *silence) end() {
+func (q *unreachableAddr) release() {
 	for _, fd := range q.fds {
 		unix.Close(fd)
 	}
@@ -53,9 +53,9 @@
 
 // BeSilent holds an address as a vanished machine would, until end is called.
 func BeSilent(addr string) (end func(), err error) {
-	q, err := beSilent(addr)
+	q, err := holdUnreachable(addr)
 	if err != nil {
 		return func() {}, err
 	}
-	return q.end, nil
+	return q.release, nil
 }
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -38,7 +38,7 @@
 }
 
 // draw gives an operation's work: log-normal, so that it is never below 0 and its tail is long.
-func (t *TrafficType) draw(chance *rand.Rand) float64 {
+func (t *TrafficType) drawWork(chance *rand.Rand) float64 {
 	if t.Spread <= 0 {
 		return t.Work
 	}
@@ -65,24 +65,24 @@
 
 // Execution is what a cache server saw of one command.
 type Execution struct {
-	ID          string // the client's, new with each try
-	Mark        string // by which a numbered operation's repeats are known
-	Server      *Server
-	Type        *TrafficType
-	First, Last float64 // when its first byte was read, and its last
-	Began       float64 // when a core took it up; 0: never
-	End         float64
-	How         How
-	Miss        bool
-	Cold        bool   // the cache server was not warm when it came
-	Effect      bool   // a write took effect
-	Repeat      bool   // a write that was known by its mark and had no effect of its own
-	Made        uint32 // a checksum of the answer's value or receipt
-	Work        float64
-	Length      int     // bytes of the long value that it was answered with; 0: it was none
-	Whole       float64 // when the kernel had taken the last byte of that; 0: never
-	Broke       float64 // when the server's side ended, or ceased to give, what it might not have got across; 0: it never did
-	Damaged     string  // what was wrong with the long value that a write brought
+	ID             string // the client's, new with each try
+	IdempotencyKey string // by which a numbered operation's repeats are known
+	Server         *Server
+	Type           *TrafficType
+	First, Last    float64 // when its first byte was read, and its last
+	Began          float64 // when a core took it up; 0: never
+	End            float64
+	How            How
+	Miss           bool
+	Cold           bool   // the cache server was not warm when it came
+	Effect         bool   // a write took effect
+	Repeat         bool   // a write that was known by its mark and had no effect of its own
+	Made           uint32 // a checksum of the answer's value or receipt
+	Work           float64
+	Length         int     // bytes of the long value that it was answered with; 0: it was none
+	Whole          float64 // when the kernel had taken the last byte of that; 0: never
+	Broke          float64 // when the server's side ended, or ceased to give, what it might not have got across; 0: it never did
+	Damaged        string  // what was wrong with the long value that a write brought
 }
 
 // MayHaveRun tells that the cache server cannot say it never ran.
@@ -99,7 +99,7 @@
 	Overflow   bool // there was more than the book holds: the run is void
 }
 
-const bookBound = 2_000_000 // executions: 20 minutes at some 1,600 a second, about 400 MB
+const maxRecords = 2_000_000 // executions: 20 minutes at some 1,600 a second, about 400 MB
 
 // Fetch is one call of the origin by a cache server.
 type Fetch struct {
@@ -138,10 +138,10 @@
 	b.Overflow = b.Overflow || o.Overflow
 }
 
-func (b *Book) open(x *Execution) {
-	if len(b.Executions) >= bookBound {
+func (b *Book) open(execution *Execution) {
+	if len(b.Executions) >= maxRecords {
 		b.Overflow = true
 		return
 	}
-	b.Executions = append(b.Executions, x)
+	b.Executions = append(b.Executions, execution)
 }
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -41,28 +41,28 @@
 }
 
 // memory is what a group of cache servers knows of numbered operations: which marks it took, when, and what it answered.
-type memory struct {
-	marks map[string]marked
-	order []string // as they came
+type dedupTable struct {
+	entries map[string]dedupEntry
+	order   []string // as they came
 }
 
-type marked struct {
-	until   float64
+type dedupEntry struct {
+	expires float64
 	receipt string
 }
 
 // repeat gives the receipt of a mark that was taken within its window.
-func (m *memory) repeat(now float64, mark string) (receipt string, known bool) {
-	at, known := m.marks[mark]
-	return at.receipt, known && now < at.until
+func (m *dedupTable) lookup(now float64, mark string) (receipt string, known bool) {
+	at, known := m.entries[mark]
+	return at.receipt, known && now < at.expires
 }
 
 // take remembers a mark, and forgets those whose window is over.
-func (m *memory) take(now float64, mark, receipt string, window float64) {
-	for len(m.order) > 0 && m.marks[m.order[0]].until <= now {
-		delete(m.marks, m.order[0])
+func (m *dedupTable) add(now float64, mark, receipt string, window float64) {
+	for len(m.order) > 0 && m.entries[m.order[0]].expires <= now {
+		delete(m.entries, m.order[0])
 		m.order = m.order[1:]
 	}
-	m.marks[mark] = marked{now + window, receipt}
+	m.entries[mark] = dedupEntry{now + window, receipt}
 	m.order = append(m.order, mark)
 }
--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -17,76 +17,76 @@
 )
 
 // tileSpeech is HTTP of a tile server: any scheme, conditional requests, and tiles that are drawn from their addresses.
-type tileSpeech struct {
-	c      *serverConn
+type tileServer struct {
+	conn   *serverConn
 	reader http1.RequestReader
 	target string
 	id     string
 	wait   string
-	tag    string // of which the sender has a copy
+	etag   string // of which the sender has a copy
 }
 
-func (t *tileSpeech) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
-func (t *tileSpeech) begun() bool                              { return t.reader.Begun() }
-func (t *tileSpeech) busy() string {
+func (t *tileServer) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
+func (t *tileServer) begun() bool                              { return t.reader.Begun() }
+func (t *tileServer) busyReply() string {
 	return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 }
-func (t *tileSpeech) failed() string {
+func (t *tileServer) failedReply() string {
 	return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 }
 
 // Begin takes a request line.
-func (t *tileSpeech) Begin(_, target string) { t.target, t.id, t.wait, t.tag = target, "", "", "" }
+func (t *tileServer) Begin(_, target string) { t.target, t.id, t.wait, t.etag = target, "", "", "" }
 
 // Header takes a header.
-func (t *tileSpeech) Header(name, value string) {
+func (t *tileServer) Header(name, value string) {
 	switch name {
 	case "x-request-id":
 		t.id = value
 	case "x-wait-ms":
 		t.wait = value
 	case "if-none-match":
-		t.tag = value
+		t.etag = value
 	}
 }
 
 // Request takes the end of a request.
-func (t *tileSpeech) Request(bool) {
-	f := t.c.s.f
+func (t *tileServer) Request(bool) {
+	f := t.conn.server.fleet
 	if t.target == "/" {
-		f.book.Probes++
-		t.c.say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
+		f.records.Probes++
+		t.conn.replyText("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 		return
 	}
-	asked, fault := f.tiles.Parse(t.target)
+	asked, fault := f.tileService.Parse(t.target)
 	if fault != nil || asked.Capabilities || f.tileType == nil {
-		t.c.say("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+		t.conn.replyText("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 where it is not said
-	t.c.take(f.tileType, asked.Tile.Key(), t.id, "", ms/1e3, asked.Tile, "")
-	if len(t.c.replies) > 0 {
-		t.c.replies[len(t.c.replies)-1].tag = t.tag
+	t.conn.startExecution(f.tileType, asked.Tile.Key(), t.id, "", ms/1e3, asked.Tile, "")
+	if len(t.conn.replies) > 0 {
+		t.conn.replies[len(t.conn.replies)-1].etag = t.etag
 	}
 }
 
 // value draws a tile. Its picture is its address's; a note within the file tells who made it for whom.
-func (t *tileSpeech) value(r *reply) ([][]byte, uint32) {
-	tile := r.extra.(tiles.Tile)
-	s := t.c.s
+func (t *tileServer) encodeValue(r *reply) ([][]byte, uint32) {
+	tile := r.protocolData.(tiles.Tile)
+	s := t.conn.server
 	etag := fmt.Sprintf("%q", fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(r.key))))
-	if r.tag == etag {
+	if r.etag == etag {
 		return [][]byte{[]byte("HTTP/1.1 304 Not Modified\r\nETag: " + etag + "\r\n\r\n")}, 0
 	}
-	note := fmt.Sprintf("server %s, for %s, number %d", s.Name, r.x.ID, s.f.serial())
-	body := annotate(s.f.picture(tile), note, r.x.Type.Size)
+	note := fmt.Sprintf("server %s, for %s, number %d", s.Name, r.execution.ID, s.fleet.nextSerial())
+	body := annotate(s.fleet.tileImage(tile), note, r.execution.Type.Size)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n", etag, len(body))
 	return [][]byte{[]byte(head), body}, crc32.ChecksumIEEE(body)
 }
 
 // spoiled makes noise of an answer: no status line, two lengths, one far too long, chunks that do not fit, a part.
-func (t *tileSpeech) spoiled(text string) string {
-	switch t.c.s.chance.IntN(5) {
+func (t *tileServer) corrupt(text string) string {
+	switch t.conn.server.rng.IntN(5) {
 	case 0:
 		return "\x00\xff~~ noise\r\n"
 	case 1:
@@ -99,16 +99,16 @@
 	return text[:len(text)/2]
 }
 
-const pictures = 4096 // that are kept: several views' worth, of some 1 KB each
+const maxTileImages = 4096 // that are kept: several views' worth, of some 1 KB each
 
 // picture draws a tile: a colour that its column and row give, and its address, so that a person sees which it is.
-func (f *Fleet) picture(t tiles.Tile) []byte {
+func (f *Fleet) tileImage(t tiles.Tile) []byte {
 	key := t.Key()
-	if p := f.pictures[key]; p != nil {
+	if p := f.tileImages[key]; p != nil {
 		return p
 	}
-	if len(f.pictures) >= pictures {
-		clear(f.pictures)
+	if len(f.tileImages) >= maxTileImages {
+		clear(f.tileImages)
 	}
 	side := 256
 	if t.Twice {
@@ -122,11 +122,11 @@
 		img.SetColorIndex(0, i, 1)
 	}
 	for n, line := range []string{t.Layer, "Z" + t.Matrix, "X" + strconv.Itoa(t.Col), "Y" + strconv.Itoa(t.Row)} {
-		write(img, 20, 30+n*50, strings.ToUpper(line), side/64)
+		drawText(img, 20, 30+n*50, strings.ToUpper(line), side/64)
 	}
 	var b bytes.Buffer
 	(&png.Encoder{CompressionLevel: png.BestSpeed}).Encode(&b, img) // into memory
-	f.pictures[key] = b.Bytes()
+	f.tileImages[key] = b.Bytes()
 	return b.Bytes()
 }
 
@@ -158,9 +158,9 @@
 }
 
 // write draws letters of three columns and five rows, each dot of so many pixels.
-func write(img *image.Paletted, x, y int, text string, dot int) {
+func drawText(img *image.Paletted, x, y int, text string, dot int) {
 	for _, r := range text {
-		bits := letters[r]
+		bits := glyphs[r]
 		for i := range 15 {
 			if bits>>(14-i)&1 == 1 {
 				for dx := range dot {
@@ -175,7 +175,7 @@
 }
 
 // letters are dots, row by row.
-var letters = map[rune]uint16{
+var glyphs = map[rune]uint16{
 	'0': 0b111101101101111, '1': 0b010110010010111, '2': 0b111001111100111, '3': 0b111001111001111, '4': 0b101101111001001,
 	'5': 0b111100111001111, '6': 0b111100111101111, '7': 0b111001010010010, '8': 0b111101111101111, '9': 0b111101111001111,
 	'A': 0b010101111101101, 'B': 0b110101110101110, 'C': 0b011100100100011, 'D': 0b110101101101110, 'E': 0b111100110100111,
--- a/internal/emulator/value.go
+++ b/internal/emulator/value.go
@@ -11,12 +11,12 @@
 
 // round is after how many bytes what fills values comes again: a prime, so that no buffer, page or block fits into it, and a part
 // that is left out, comes twice or comes in another place is seen. What is held of all values together is this much.
-const round = 65521
+const fillerPeriod = 65521
 
 // noise is what fills them: letters and digits, so that a person can look at a value.
-var noise = func() []byte {
+var filler = func() []byte {
 	const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
-	b, x := make([]byte, round), uint64(0x9e3779b97f4a7c15) // xorshift, from any number but 0
+	b, x := make([]byte, fillerPeriod), uint64(0x9e3779b97f4a7c15) // xorshift, from any number but 0
 	for i := range b {
 		x ^= x << 13
 		x ^= x >> 7
@@ -27,7 +27,7 @@
 }()
 
 // headBound is what the text at a value's beginning has at most: a key, an id and a name with some words.
-const headBound = 512
+const maxHeadBytes = 512
 
 // A head ends so, for the first time.
 var headEnd = []byte(". ")
@@ -52,8 +52,8 @@
 // Pieces gives its bytes in slices that nobody may change.
 func (v Value) Pieces() [][]byte {
 	all := [][]byte{v.head}
-	for at, left := start(v.head), v.length-len(v.head); left > 0; at = 0 {
-		piece := noise[at:min(round, at+left)]
+	for at, left := fillerOffset(v.head), v.length-len(v.head); left > 0; at = 0 {
+		piece := filler[at:min(fillerPeriod, at+left)]
 		all = append(all, piece)
 		left -= len(piece)
 	}
@@ -74,7 +74,7 @@
 }
 
 // start is where in the noise a value with this head begins.
-func start(head []byte) int { return int(crc32.ChecksumIEEE(head) % round) }
+func fillerOffset(head []byte) int { return int(crc32.ChecksumIEEE(head) % fillerPeriod) }
 
 func longSum(head []byte, length int) uint32 {
 	return crc32.Update(crc32.ChecksumIEEE(head), crc32.IEEETable, binary.LittleEndian.AppendUint64(nil, uint64(length)))
@@ -82,26 +82,26 @@
 
 // Check reads a long value as it comes and holds nothing of it but its head. It begins with the length that was stated.
 type Check struct {
-	Length int
-	Came   int // bytes so far
-	head   []byte
-	at     int // where the noise goes on; of use once the head is whole
-	known  bool
-	wrong  string
+	Length    int
+	Came      int // bytes so far
+	head      []byte
+	fillerPos int // where the noise goes on; of use once the head is whole
+	headRead  bool
+	mismatch  string
 }
 
 // Take looks at the next bytes.
 func (c *Check) Take(part []byte) {
-	for len(part) > 0 && c.wrong == "" {
+	for len(part) > 0 && c.mismatch == "" {
 		n := 0
-		if !c.known {
-			if n = c.takeHead(part); c.known {
-				c.at = start(c.head)
+		if !c.headRead {
+			if n = c.readHead(part); c.headRead {
+				c.fillerPos = fillerOffset(c.head)
 			}
 		} else {
-			n = min(len(part), round-c.at)
+			n = min(len(part), fillerPeriod-c.fillerPos)
 			c.compare(part[:n])
-			c.at = (c.at + n) % round
+			c.fillerPos = (c.fillerPos + n) % fillerPeriod
 		}
 		c.Came += n
 		part = part[n:]
@@ -111,32 +111,32 @@
 
 // compare tells the first byte that is not the rule's.
 func (c *Check) compare(part []byte) {
-	if bytes.Equal(part, noise[c.at:c.at+len(part)]) {
+	if bytes.Equal(part, filler[c.fillerPos:c.fillerPos+len(part)]) {
 		return
 	}
 	for i, b := range part {
-		if want := noise[c.at+i]; b != want {
-			c.wrong = fmt.Sprintf("byte %d of %d is %#02x and ought to be %#02x", c.Came+i, c.Length, b, want)
+		if want := filler[c.fillerPos+i]; b != want {
+			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x and ought to be %#02x", c.Came+i, c.Length, b, want)
 			return
 		}
 	}
 }
 
 // takeHead takes bytes up to the head's end.
-func (c *Check) takeHead(part []byte) int {
+func (c *Check) readHead(part []byte) int {
 	before := len(c.head)
-	c.head = append(c.head, part[:min(len(part), headBound-before)]...)
+	c.head = append(c.head, part[:min(len(part), maxHeadBytes-before)]...)
 	if end := bytes.Index(c.head, headEnd); end >= 0 {
-		c.head, c.known = c.head[:end+len(headEnd)], true
-	} else if len(c.head) == headBound {
-		c.wrong = "no value begins so"
+		c.head, c.headRead = c.head[:end+len(headEnd)], true
+	} else if len(c.head) == maxHeadBytes {
+		c.mismatch = "no value begins so"
 	}
 	return len(c.head) - before
 }
 
 // Sum is by which the value is known, once its head has come; before that 0.
 func (c *Check) Sum() uint32 {
-	if !c.known {
+	if !c.headRead {
 		return 0
 	}
 	return longSum(c.head, c.Length)
@@ -146,12 +146,12 @@
 func (c *Check) Head() string { return string(c.head) }
 
 // Wrong tells what is wrong with what has come; empty: nothing.
-func (c *Check) Wrong() string { return c.wrong }
+func (c *Check) Mismatch() string { return c.mismatch }
 
 // End takes the end, and tells what is wrong with the whole; empty: nothing.
 func (c *Check) End() string {
-	if c.wrong == "" && c.Came != c.Length {
-		c.wrong = fmt.Sprintf("%d bytes came of %d", c.Came, c.Length)
+	if c.mismatch == "" && c.Came != c.Length {
+		c.mismatch = fmt.Sprintf("%d bytes came of %d", c.Came, c.Length)
 	}
-	return c.wrong
+	return c.mismatch
 }
--- a/internal/emulator/value_test.go
+++ b/internal/emulator/value_test.go
@@ -31,7 +31,7 @@
 		}
 		return ""
 	}
-	for _, piece := range []int{1, 7, 4096, 16384, round, 1 << 20} {
+	for _, piece := range []int{1, 7, 4096, 16384, fillerPeriod, 1 << 20} {
 		if wrong := verdict(whole, piece); wrong != "" {
 			t.Errorf("in pieces of %d: %s", piece, wrong)
 		}
@@ -42,7 +42,7 @@
 		"the last byte":    changed(func(b []byte) []byte { b[len(b)-1]++; return b }),
 		"a block left out": changed(func(b []byte) []byte { return append(b[:32768], b[32768+16384:]...) }),
 		"a block twice":    changed(func(b []byte) []byte { copy(b[65536:], b[49152:65536]); return b }),
-		"a round left out": changed(func(b []byte) []byte { return append(b[:200000], b[200000+round:]...) }),
+		"a round left out": changed(func(b []byte) []byte { return append(b[:200000], b[200000+fillerPeriod:]...) }),
 		"the end left out": whole[:len(whole)-1],
 		"one byte more":    append(bytes.Clone(whole), 0),
 		"another's head":   changed(func(b []byte) []byte { b[0] = 'C'; return b }),
