--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -75,22 +75,22 @@
 	loop := c.target.clients.loop
 	c.attempt = attempt
 	c.leavesEarly = c.target.clients.load.Impatient > 0 && c.target.clients.rng.Float64() < c.target.clients.load.Impatient
-	left := max(1e-3, attempt.Began+attempt.Wait-loop.Now())
+	remaining := max(1e-3, attempt.Began+attempt.Wait-loop.Now())
 	c.attemptEnd = c.conn.Sent()
-	for _, part := range c.protocol.encodeRequest(attempt, left) {
-		c.out.add(part)
-		c.attemptEnd += uint64(len(part))
+	for _, piece := range c.protocol.encodeRequest(attempt, remaining) {
+		c.out.add(piece)
+		c.attemptEnd += uint64(len(piece))
 	}
 	if c.leaveAfterBytes = 0; attempt.Reading.Leave {
 		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Op.Type.Size-1)
 	}
 	c.timer = loop.Timer(c.onTimeout)
 	if c.leavesEarly {
-		left *= c.target.clients.rng.Float64()
+		remaining *= c.target.clients.rng.Float64()
 	} else {
-		left += Tolerance
+		remaining += Tolerance
 	}
-	c.timer.Set(loop.Now() + left)
+	c.timer.Set(loop.Now() + remaining)
 	if c.connected {
 		c.Flushed()
 	}
@@ -132,12 +132,12 @@
 }
 
 // finish ends the present try.
-func (c *clientConn) finishAttempt(how End) {
+func (c *clientConn) finishAttempt(end End) {
 	attempt := c.attempt
 	c.attempt = nil
 	c.timer.Stop()
 	c.lastAnsweredID = attempt.ID
-	c.target.clients.attemptEnded(attempt, how)
+	c.target.clients.attemptEnded(attempt, end)
 }
 
 // Input reads answers.
@@ -151,11 +151,11 @@
 }
 
 // answered takes the answer to the present try, and uses the connection on as this kind of client does.
-func (c *clientConn) attemptAnswered(how End) {
+func (c *clientConn) attemptAnswered(end End) {
 	c.answeredAttempts++
 	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // it was answered before all of it was written
 	plain := c.attempt.Reading.needsPlainConn()
-	c.finishAttempt(how)
+	c.finishAttempt(end)
 	switch use := c.target.clients.load.Use; {
 	case use == New || plain || unsent:
 		c.close()
@@ -180,9 +180,9 @@
 }
 
 // strange takes what means nothing: any other line is a failure.
-func (c *clientConn) rejectAnswer(what string) {
+func (c *clientConn) rejectAnswer(description string) {
 	if attempt := c.attempt; attempt != nil {
-		if attempt.malformed = what; attempt.Length > 0 {
+		if attempt.malformed = description; attempt.Length > 0 {
 			c.finishAttempt(Cut)
 		} else {
 			c.finishAttempt(Terminated)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -117,7 +117,7 @@
 func (t *Try) Strange() string { return t.malformed }
 
 // Garble notes that an answer is not as it was made, and how.
-func (t *Try) Garble(how string) { t.malformed, t.Got = how, 0 }
+func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
 
 // ClientBook is what the clients saw. It belongs to their loop.
 type ClientBook struct {
@@ -183,25 +183,25 @@
 func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
 	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
 		lastID: uint32(seed) ^ 0x5bd1e995}
-	for n, text := range routers {
+	for index, text := range routers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("router %s: %w", text, err)
 		}
-		target := &routerTarget{clients: c, index: n, addr: addr, weight: 1}
+		target := &routerTarget{clients: c, index: index, addr: addr, weight: 1}
 		if len(load.Skew) > 0 {
-			target.weight = load.Skew[n%len(load.Skew)]
+			target.weight = load.Skew[index%len(load.Skew)]
 		}
 		c.routers = append(c.routers, target)
 	}
 	c.tileRouters = map[string][]*routerTarget{}
-	for team, all := range tileFronts {
-		for n, text := range all {
+	for team, addresses := range tileFronts {
+		for index, text := range addresses {
 			addr, err := netip.ParseAddrPort(text)
 			if err != nil {
 				return nil, fmt.Errorf("router %s: %w", text, err)
 			}
-			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: n, addr: addr, weight: c.routers[n].weight})
+			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: index, addr: addr, weight: c.routers[index].weight})
 		}
 	}
 	sum := 0.0
@@ -209,12 +209,12 @@
 		sum += math.Pow(float64(i+1), -load.Zipf)
 		c.cumulativePopularity = append(c.cumulativePopularity, sum)
 	}
-	shares := 0.0
-	for _, t := range load.Types {
-		shares += t.Share
+	totalShare := 0.0
+	for _, trafficType := range load.Types {
+		totalShare += trafficType.Share
 	}
-	for i, t := range load.Types {
-		arrivals := &arrivalProcess{clients: c, trafficType: t, fraction: t.Share / shares, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+	for i, trafficType := range load.Types {
+		arrivals := &arrivalProcess{clients: c, trafficType: trafficType, fraction: trafficType.Share / totalShare, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
 		arrivals.timer = loop.Timer(arrivals.arrive)
 		c.arrivals = append(c.arrivals, arrivals)
 	}
@@ -292,11 +292,11 @@
 	n := sort.SearchFloat64s(c.cumulativePopularity, arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
 	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
 	draw := arrivals.rng.Float64() // in any case: a hot key changes nothing else
-	for _, h := range c.hotKeys {
-		if draw >= 0 && draw < h.fraction {
-			request.Key = h.key
+	for _, hot := range c.hotKeys {
+		if draw >= 0 && draw < hot.fraction {
+			request.Key = hot.key
 		}
-		draw -= h.fraction
+		draw -= hot.fraction
 	}
 	if arrivals.trafficType.Effect == balancer.IdempotencyKeyed {
 		request.IdempotencyKey = c.newID()
@@ -327,12 +327,12 @@
 	if sum == 0 {
 		return routers[c.rng.IntN(len(routers))]
 	}
-	x := c.rng.Float64() * sum
+	draw := c.rng.Float64() * sum
 	for _, target := range routers {
 		if now < target.avoidUntil {
 			continue
 		}
-		if x -= target.weight; x < 0 {
+		if draw -= target.weight; draw < 0 {
 			return target
 		}
 	}
@@ -355,11 +355,11 @@
 		c.attemptEnded(attempt, NoConnection)
 		return
 	}
-	doors := c.routers
+	routers := c.routers
 	if request.Type.Scheme != "" {
-		doors = c.tileRouters[request.Type.Tenant]
+		routers = c.tileRouters[request.Type.Tenant]
 	}
-	target := c.chooseRouter(doors)
+	target := c.chooseRouter(routers)
 	attempt.Router = target.index
 	c.drawReadBehavior(attempt)
 	target.sendAttempt(attempt)
@@ -367,31 +367,31 @@
 
 // read draws how a try takes its long value.
 func (c *Clients) drawReadBehavior(attempt *Try) {
-	k := attempt.Op.Type
-	if len(c.readBehaviors) == 0 || k.Write || k.Scheme != "" || k.Size <= meta.ValueBound {
+	trafficType := attempt.Op.Type
+	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
 		return
 	}
-	x := c.rng.Float64()
-	for _, how := range c.readBehaviors {
-		if x -= how.Part; x < 0 {
-			attempt.Reading = how
+	draw := c.rng.Float64()
+	for _, behavior := range c.readBehaviors {
+		if draw -= behavior.Part; draw < 0 {
+			attempt.Reading = behavior
 			return
 		}
 	}
 }
 
 // over takes a try's end, and tries again if that may help.
-func (c *Clients) attemptEnded(attempt *Try, how End) {
+func (c *Clients) attemptEnded(attempt *Try, end End) {
 	if attempt.How != Waiting {
 		return
 	}
-	attempt.How, attempt.Ended = how, c.loop.Now()
+	attempt.How, attempt.Ended = end, c.loop.Now()
 	request := attempt.Op
-	if pause := c.retryDelay(attempt); pause >= 0 && how != Finished && len(request.Tries) <= c.load.Retries && c.remaining(request) > pause+1e-3 {
+	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries && c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
-	request.How, request.Done = how, attempt.Ended
+	request.How, request.Done = end, attempt.Ended
 	c.openRequests--
 }
 
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	var asked int
+	var requests int
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -34,8 +34,8 @@
 							id = f[1:]
 						}
 					}
-					asked++
-					text := reply(asked, in.Text(), id)
+					requests++
+					text := reply(requests, in.Text(), id)
 					if text == "close" {
 						conn.Close()
 						return
@@ -55,17 +55,17 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := NewClients(loop, 5, load, routers, nil)
+	clients, err := NewClients(loop, 5, load, routers, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error)
 	go func() { ended <- loop.Run() }()
-	loop.Post(func() { c.Start(seconds) })
+	loop.Post(func() { clients.Start(seconds) })
 	time.Sleep(time.Duration((seconds + 0.7) * float64(time.Second)))
 	loop.Post(loop.Stop)
 	<-ended
-	return c.Book()
+	return clients.Book()
 }
 
 func testLoad(rate float64) Load {
@@ -75,10 +75,10 @@
 func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
 
 // Arrivals wait for no answer: what is due comes, also while nothing is answered, and the keys are drawn by popularity.
-func TestOpenLoop(t *testing.T) {
-	l := testLoad(300)
-	l.Most = 1000
-	book := runClients(t, l, 0.5, startRouter(t, func(int, string, string) string { return "" }))
+func TestArrivalsAreOpenLoop(t *testing.T) {
+	load := testLoad(300)
+	load.Most = 1000
+	book := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
 	if n := len(book.Ops); n < 100 || n > 200 {
 		t.Errorf("%d operations in half a second at 300 a second", n)
 	}
@@ -95,8 +95,8 @@
 }
 
 // A declined operation comes back when it was told to, an at-most-once one only where it surely never ran.
-func TestRetries(t *testing.T) {
-	book := runClients(t, func() Load { l := testLoad(20); l.Honour = 1; return l }(), 0.4,
+func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
+	book := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
 		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
@@ -109,9 +109,9 @@
 	}
 	once := *readType
 	once.Effect = 0
-	l := testLoad(20)
-	l.Types = []*TrafficType{&once}
-	for _, request := range runClients(t, l, 0.3, startRouter(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
+	load := testLoad(20)
+	load.Types = []*TrafficType{&once}
+	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
 		if len(request.Tries) != 1 || request.How != Terminated {
 			t.Errorf("a terminated at-most-once operation went on: %d tries", len(request.Tries))
 		}
@@ -119,7 +119,7 @@
 }
 
 // A second answer is noted; a kept connection closed under a command sends it once more, under its id.
-func TestTwiceAndAgain(t *testing.T) {
+func TestDuplicateAnswersAndResendOnClosedConnection(t *testing.T) {
 	book := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string { return valueReply(id) + valueReply(id) }))
 	if len(book.Twice) == 0 {
 		t.Error("second answers were not noted")
@@ -130,31 +130,31 @@
 		}
 		return valueReply(id)
 	}))
-	again := 0
+	resent := 0
 	for _, request := range book.Ops {
-		for _, try := range request.Tries {
-			if try.Again {
-				again++
+		for _, attempt := range request.Tries {
+			if attempt.Again {
+				resent++
 			}
-			if try.How != Finished {
-				t.Errorf("a try ended as %v", try.How)
+			if attempt.How != Finished {
+				t.Errorf("a try ended as %v", attempt.How)
 			}
 		}
 	}
-	if again != 1 {
-		t.Errorf("%d tries went out once more, want 1", again)
+	if resent != 1 {
+		t.Errorf("%d tries went out once more, want 1", resent)
 	}
 }
 
 // A surge multiplies arrivals at once; a hot key draws its part; both end.
-func TestSurgeAndHeat(t *testing.T) {
-	c, err := NewClients(newLoop(t), 5, testLoad(100), []string{"127.0.0.1:1"}, nil)
+func TestSurgeAndHotKey(t *testing.T) {
+	clients, err := NewClients(newLoop(t), 5, testLoad(100), []string{"127.0.0.1:1"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.arrivalsEnd = c.loop.Now() + 1000
+	clients.arrivalsEnd = clients.loop.Now() + 1000
 	count := func() (n, hot int) {
-		arrivals, from := c.arrivals[0], c.loop.Now()
+		arrivals, from := clients.arrivals[0], clients.loop.Now()
 		arrivals.due = from
 		for arrivals.scheduleNext(); arrivals.due < from+20; arrivals.scheduleNext() {
 			n++
@@ -162,24 +162,24 @@
 		return n, 0
 	}
 	usual, _ := count()
-	end := c.Surge("read", "", 5)
+	end := clients.Surge("read", "", 5)
 	surged, _ := count()
 	end()
 	after, _ := count()
 	if surged < 4*usual || after > 2*usual {
 		t.Errorf("arrivals: %d, in the surge %d, after it %d", usual, surged, after)
 	}
-	endHeat := c.Heat("hot", 0.5)
+	endHeat := clients.Heat("hot", 0.5)
 	hot := 0
 	for range 200 {
-		c.startRequest(c.arrivals[0])
+		clients.startRequest(clients.arrivals[0])
 	}
-	for _, request := range c.records.Ops {
+	for _, request := range clients.records.Ops {
 		if request.Key == "hot" {
 			hot++
 		}
 	}
-	if endHeat(); hot < 60 || hot > 140 || len(c.hotKeys) != 0 {
+	if endHeat(); hot < 60 || hot > 140 || len(clients.hotKeys) != 0 {
 		t.Errorf("%d of 200 asked for the hot key", hot)
 	}
 }
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -31,22 +31,22 @@
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 func (m *memcacheClient) closed() bool                             { return false }
 
-func (m *memcacheClient) encodeRequest(attempt *Try, left float64) [][]byte {
+func (m *memcacheClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
 	request := attempt.Op
-	figures := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(left*1e3)))
+	parameters := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(remaining*1e3)))
 	if request.Type.Tenant != "" {
-		figures += ",tenant=" + request.Type.Tenant
+		parameters += ",tenant=" + request.Type.Tenant
 	}
 	if request.IdempotencyKey != "" {
-		figures += ",k=" + request.IdempotencyKey
+		parameters += ",k=" + request.IdempotencyKey
 	}
 	if len(request.Tries) > 1 {
-		figures += ",r=1"
+		parameters += ",r=1"
 	}
 	if !request.Type.Write {
-		return [][]byte{meta.AppendGet(nil, request.Key, "v O"+attempt.ID, figures)}
+		return [][]byte{meta.AppendGet(nil, request.Key, "v O"+attempt.ID, parameters)}
 	}
-	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, figures, request.Type.Size), []byte("\r\n")
+	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, parameters, request.Type.Size), []byte("\r\n")
 	if request.Type.Size > meta.ValueBound {
 		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Tries)), request.Type.Size)
 		return append(append([][]byte{text}, v.Pieces()...), end)
@@ -149,10 +149,10 @@
 	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64, Row: 1750 + n/64, Format: "png"}
 }
 
-func (k *tileClient) encodeRequest(attempt *Try, left float64) [][]byte {
+func (k *tileClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
 	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n", attempt.Op.Type.Scheme.Address(TileAt(n)),
-		attempt.ID, WaitHeader, int(math.Ceil(left*1e3)))}
+		attempt.ID, WaitHeader, int(math.Ceil(remaining*1e3)))}
 }
 
 // Status begins an answer.
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -45,43 +45,45 @@
 }
 
 // part adds to a part and gives the way back.
-func addFraction(of *float64, more float64) (end func()) {
-	*of += more
-	return func() { *of = max(0, *of-more) }
+func addFraction(fraction *float64, amount float64) (end func()) {
+	*fraction += amount
+	return func() { *fraction = max(0, *fraction-amount) }
 }
 
 // Spoil makes a part of its answers noise, Fail errors, Reset a connection's end.
-func (s *Server) Spoil(more float64) (end func()) { return addFraction(&s.corruptFraction, more) }
+func (s *Server) Spoil(fraction float64) (end func()) {
+	return addFraction(&s.corruptFraction, fraction)
+}
 
 // Fail makes a part of its answers errors.
-func (s *Server) Fail(more float64) (end func()) { return addFraction(&s.failFraction, more) }
+func (s *Server) Fail(fraction float64) (end func()) { return addFraction(&s.failFraction, fraction) }
 
 // Reset makes a part of its answers the end of their connection.
-func (s *Server) Reset(more float64) (end func()) { return addFraction(&s.resetFraction, more) }
+func (s *Server) Reset(fraction float64) (end func()) { return addFraction(&s.resetFraction, fraction) }
 
 // CloseBehind makes a part of its long values the last on their connection: it gives them whole and closes in order.
-func (s *Server) CloseBehind(more float64) (end func()) {
-	return addFraction(&s.endingFractions[closesAfterValue], more)
+func (s *Server) CloseBehind(fraction float64) (end func()) {
+	return addFraction(&s.endingFractions[closesAfterValue], fraction)
 }
 
 // ResetBehind makes it give a part of them whole and reset the connection, 0.05 s after its kernel has taken the last byte.
-func (s *Server) ResetBehind(more float64) (end func()) {
-	return addFraction(&s.endingFractions[resetsAfterValue], more)
+func (s *Server) ResetBehind(fraction float64) (end func()) {
+	return addFraction(&s.endingFractions[resetsAfterValue], fraction)
 }
 
 // BreakOff makes it close in order within a part of them.
-func (s *Server) BreakOff(more float64) (end func()) {
-	return addFraction(&s.endingFractions[closesWithinValue], more)
+func (s *Server) BreakOff(fraction float64) (end func()) {
+	return addFraction(&s.endingFractions[closesWithinValue], fraction)
 }
 
 // ResetUnder makes it reset the connection within a part of them.
-func (s *Server) ResetUnder(more float64) (end func()) {
-	return addFraction(&s.endingFractions[resetsWithinValue], more)
+func (s *Server) ResetUnder(fraction float64) (end func()) {
+	return addFraction(&s.endingFractions[resetsWithinValue], fraction)
 }
 
 // Cease makes it say no more within a part of them, on a connection that stays.
-func (s *Server) Cease(more float64) (end func()) {
-	return addFraction(&s.endingFractions[stallsWithinValue], more)
+func (s *Server) Cease(fraction float64) (end func()) {
+	return addFraction(&s.endingFractions[stallsWithinValue], fraction)
 }
 
 // Drain makes the list say that it wants nothing new.
@@ -137,11 +139,11 @@
 }
 
 // Delay lets news take so many seconds longer.
-func (a *Agent) Delay(more float64) (end func()) {
-	a.withLock(func() { a.extraDelays = append(a.extraDelays, more) })
+func (a *Agent) Delay(extra float64) (end func()) {
+	a.withLock(func() { a.extraDelays = append(a.extraDelays, extra) })
 	return func() {
 		a.withLock(func() {
-			i := slices.Index(a.extraDelays, more)
+			i := slices.Index(a.extraDelays, extra)
 			a.extraDelays = slices.Delete(a.extraDelays, i, i+1)
 		})
 	}
@@ -166,22 +168,22 @@
 }
 
 // Heat lets a part of all operations ask for one key.
-func (c *Clients) Heat(key string, part float64) (end func()) {
-	h := hotKey{key, part}
-	c.hotKeys = append(c.hotKeys, h)
+func (c *Clients) Heat(key string, fraction float64) (end func()) {
+	hot := hotKey{key, fraction}
+	c.hotKeys = append(c.hotKeys, hot)
 	return func() {
-		i := slices.Index(c.hotKeys, h)
+		i := slices.Index(c.hotKeys, hot)
 		c.hotKeys = slices.Delete(c.hotKeys, i, i+1)
 	}
 }
 
 // Surge multiplies the arrivals of a traffic type, of a tenant, or of all where both are empty.
-func (c *Clients) Surge(kind, tenant string, factor float64) (end func()) {
-	s := surge{kind, tenant, factor}
-	c.surges = append(c.surges, s)
+func (c *Clients) Surge(trafficType, tenant string, factor float64) (end func()) {
+	added := surge{trafficType, tenant, factor}
+	c.surges = append(c.surges, added)
 	c.rescheduleArrivals()
 	return func() {
-		i := slices.Index(c.surges, s)
+		i := slices.Index(c.surges, added)
 		c.surges = slices.Delete(c.surges, i, i+1)
 		c.rescheduleArrivals()
 	}
@@ -196,10 +198,10 @@
 }
 
 // Read lets a part of the reads take long values so. Where several are on, each has its part.
-func (c *Clients) Read(how Reading) (end func()) {
-	c.readBehaviors = append(c.readBehaviors, how)
+func (c *Clients) Read(behavior Reading) (end func()) {
+	c.readBehaviors = append(c.readBehaviors, behavior)
 	return func() {
-		i := slices.Index(c.readBehaviors, how)
+		i := slices.Index(c.readBehaviors, behavior)
 		c.readBehaviors = slices.Delete(c.readBehaviors, i, i+1)
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -32,15 +32,15 @@
 
 // NewFleet makes one without servers. Listed is the list service's usual delay.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	f := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{}, dedupTables: map[string]*dedupTable{}, seed: seed}
-	for _, t := range types {
-		f.types[t.Name] = t
+	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{}, dedupTables: map[string]*dedupTable{}, seed: seed}
+	for _, trafficType := range types {
+		fleet.types[trafficType.Name] = trafficType
 	}
-	f.origin = newLedger(loop, ledger, f.records, f.Chance("ledger"))
-	f.list = newList(loop.Now, listed, f.Chance("list"))
-	f.lateness.start(loop)
-	f.closeIdleConns()
-	return f
+	fleet.origin = newLedger(loop, ledger, fleet.records, fleet.Chance("ledger"))
+	fleet.list = newList(loop.Now, listed, fleet.Chance("list"))
+	fleet.lateness.start(loop)
+	fleet.closeIdleConns()
+	return fleet
 }
 
 // Chance gives a source of chance of its own by name, so that what one part draws changes no other.
@@ -49,11 +49,11 @@
 }
 
 // Named makes its servers' names begin with something, so that those of several fleets differ.
-func (f *Fleet) Named(begin string) { f.namePrefix = begin }
+func (f *Fleet) Named(prefix string) { f.namePrefix = prefix }
 
 // ServeTiles makes all of them tile servers.
-func (f *Fleet) ServeTiles(service *tiles.Service, t *TrafficType) {
-	f.tileService, f.tileType, f.tileImages = service, t, map[string][]byte{}
+func (f *Fleet) ServeTiles(service *tiles.Service, trafficType *TrafficType) {
+	f.tileService, f.tileType, f.tileImages = service, trafficType, map[string][]byte{}
 }
 
 // Book is what was seen. It is read once the loop has ended, or on it.
@@ -69,13 +69,13 @@
 func (f *Fleet) Servers() []*Server { return f.servers }
 
 // Serving gives those that are listed as ready.
-func (f *Fleet) Serving() (in []*Server) {
+func (f *Fleet) Serving() (ready []*Server) {
 	for _, s := range f.servers {
 		if s.mode == Ready && !s.removed {
-			in = append(in, s)
+			ready = append(ready, s)
 		}
 	}
-	return in
+	return ready
 }
 
 // Add starts a cache server: a cold one, or one that has run for long.
@@ -107,12 +107,12 @@
 }
 
 // memory gives what those know who drop the repeats of a numbered type that come to s.
-func (f *Fleet) dedupTable(s *Server, t *TrafficType) *dedupTable {
-	if t.Effect != balancer.IdempotencyKeyed {
+func (f *Fleet) dedupTable(s *Server, trafficType *TrafficType) *dedupTable {
+	if trafficType.Effect != balancer.IdempotencyKeyed {
 		return nil
 	}
-	name := t.Name
-	switch t.Group {
+	name := trafficType.Name
+	switch trafficType.Group {
 	case balancer.ScopeZone:
 		name += "/zone/" + s.Zone
 	case balancer.ScopeCell:
@@ -180,11 +180,11 @@
 }
 
 // Part gives the lateness that so large a part of the looks did not exceed.
-func (l *Lateness) Part(part float64) float64 {
+func (l *Lateness) Part(fraction float64) float64 {
 	if len(l.Times) == 0 {
 		return 0
 	}
 	sorted := append([]float64(nil), l.Times...)
 	sort.Float64s(sorted)
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -39,23 +39,23 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	f := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2, Time: 0.2, Halt: 0.3}, Delay{})
-	var all []*Server
+	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2, Time: 0.2, Halt: 0.3}, Delay{})
+	var servers []*Server
 	for _, s := range specs {
-		server, err := f.Add(s, false)
+		server, err := fleet.Add(s, false)
 		if err != nil {
 			t.Fatal(err)
 		}
-		all = append(all, server)
+		servers = append(servers, server)
 	}
 	ended := make(chan error)
 	go func() { ended <- loop.Run() }()
 	t.Cleanup(func() {
-		f.runOnLoop(f.Close)
+		fleet.runOnLoop(fleet.Close)
 		loop.Post(loop.Stop)
 		<-ended
 	})
-	return f, all
+	return fleet, servers
 }
 
 // on runs something on the fleet's loop.
@@ -82,8 +82,8 @@
 	return &testConn{conn, bufio.NewReader(conn), t}
 }
 
-func (c *testConn) sendLine(format string, about ...any) {
-	fmt.Fprintf(c.Conn, format+"\r\n", about...)
+func (c *testConn) sendLine(format string, args ...any) {
+	fmt.Fprintf(c.Conn, format+"\r\n", args...)
 }
 
 // line reads a line within a time; an error tells of the connection's end or of silence.
@@ -109,11 +109,11 @@
 }
 
 // members asks the list service.
-func queryList(t *testing.T, a *Agent, query string) (out listResponse) {
+func queryList(t *testing.T, agent *Agent, query string) (out listResponse) {
 	t.Helper()
 	client := http.Client{Timeout: 300 * time.Millisecond}
 	defer client.CloseIdleConnections()
-	got, err := client.Get("http://" + a.Addr() + "/catalog/members" + query)
+	got, err := client.Get("http://" + agent.Addr() + "/catalog/members" + query)
 	if err != nil {
 		return listResponse{Generation: -1}
 	}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -29,8 +29,8 @@
 	recent      []Fetch // that came within the time of the rule
 }
 
-func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, chance *rand.Rand) *Ledger {
-	return &Ledger{loop: loop, spec: spec, records: book, rng: chance,
+func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, rng *rand.Rand) *Ledger {
+	return &Ledger{loop: loop, spec: spec, records: book, rng: rng,
 		overload:  OverloadDetector{Multiple: spec.Multiple, Time: spec.Time},
 		processor: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
 }
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -42,17 +42,17 @@
 }
 
 // take queues a call: it tells for how long, or that the call is turned away.
-func (l *List) admitCall(now float64) (wait float64, taken bool) {
+func (l *List) admitCall(now float64) (wait float64, admitted bool) {
 	if l.callRate <= 0 {
 		return 0, true
 	}
 	l.busyUntil = max(l.busyUntil, now)
-	if taken = l.busyUntil+1/l.callRate-now <= maxCallWait; taken {
+	if admitted = l.busyUntil+1/l.callRate-now <= maxCallWait; admitted {
 		l.busyUntil += 1 / l.callRate
 	} else {
 		l.busyUntil += rejectCost / l.callRate
 	}
-	return l.busyUntil - now, taken
+	return l.busyUntil - now, admitted
 }
 
 type listChange struct {
@@ -86,8 +86,8 @@
 	Mode   Mode
 }
 
-func newList(now func() float64, delay Delay, chance *rand.Rand) *List {
-	return &List{now: now, delay: delay, rng: chance}
+func newList(now func() float64, delay Delay, rng *rand.Rand) *List {
+	return &List{now: now, delay: delay, rng: rng}
 }
 
 // change takes what has become of a server.
@@ -101,8 +101,8 @@
 	s.lastListed, s.lastListedStart = mode, s.started
 	l.changes = append(l.changes, listChange{at: l.now(), entry: listEntry{ID: s.Name, Addr: s.Addr, Zone: s.Zone,
 		Machine: s.Machine, Cell: s.Cell, Mode: mode, Weight: s.Weight, Started: int64(s.started * 1e3)}, server: s})
-	for _, a := range l.agents {
-		a.scheduleChanges()
+	for _, agent := range l.agents {
+		agent.scheduleChanges()
 	}
 }
 
@@ -128,18 +128,18 @@
 // Agent makes one for a router at an address. What was the case before is known at once.
 func (l *List) Agent(addr string) (*Agent, error) {
 	l.mu.Lock()
-	a := &Agent{list: l, addr: addr, reportedModes: map[string]Mode{}}
+	agent := &Agent{list: l, addr: addr, reportedModes: map[string]Mode{}}
 	for range l.changes {
-		a.visibleAt = append(a.visibleAt, 0)
+		agent.visibleAt = append(agent.visibleAt, 0)
 	}
-	a.reportedGeneration = len(l.changes)
-	l.agents = append(l.agents, a)
+	agent.reportedGeneration = len(l.changes)
+	l.agents = append(l.agents, agent)
 	l.mu.Unlock()
-	return a, a.listen(addr)
+	return agent, agent.listen(addr)
 }
 
 // Via has the agent name other addresses of cache servers: those at which its router alone reaches them.
-func (a *Agent) Via(via func(s *Server) string) { a.withLock(func() { a.addressOf = via }) }
+func (a *Agent) Via(addressOf func(s *Server) string) { a.withLock(func() { a.addressOf = addressOf }) }
 
 // plan draws when the agent learns of the newest change.
 func (a *Agent) scheduleChanges() {
@@ -177,15 +177,15 @@
 // generation is the newest that it knows.
 func (a *Agent) generation() int {
 	now := a.list.now()
-	for _, more := range a.extraDelays {
-		now -= more
+	for _, extra := range a.extraDelays {
+		now -= extra
 	}
 	n := 0
 	for n < len(a.visibleAt) && a.visibleAt[n] <= now {
 		n++
 	}
-	for _, most := range a.frozenAt {
-		n = min(n, most)
+	for _, limit := range a.frozenAt {
+		n = min(n, limit)
 	}
 	if a.generationsBehind > 0 {
 		n = max(0, n-a.generationsBehind)
@@ -194,40 +194,40 @@
 }
 
 // since gives what changed after a generation, or the whole list.
-func (a *Agent) responseSince(from, to int, whole bool) listResponse {
-	last, order := map[string]listEntry{}, []string(nil)
+func (a *Agent) responseSince(from, to int, full bool) listResponse {
+	latest, order := map[string]listEntry{}, []string(nil)
 	for _, c := range a.list.changes[from:to] {
-		if _, there := last[c.entry.ID]; !there {
+		if _, seen := latest[c.entry.ID]; !seen {
 			order = append(order, c.entry.ID)
 		}
-		if last[c.entry.ID] = c.entry; a.addressOf != nil {
+		if latest[c.entry.ID] = c.entry; a.addressOf != nil {
 			e := c.entry
 			e.Addr = a.addressOf(c.server)
-			last[e.ID] = e
+			latest[e.ID] = e
 		}
 	}
-	out := listResponse{Generation: to, Full: whole, Entries: []listEntry{}}
+	response := listResponse{Generation: to, Full: full, Entries: []listEntry{}}
 	for _, id := range order {
-		if e := last[id]; !whole || e.Mode != Gone {
-			out.Entries = append(out.Entries, e)
+		if e := latest[id]; !full || e.Mode != Gone {
+			response.Entries = append(response.Entries, e)
 		}
 	}
-	return out
+	return response
 }
 
 const pollInterval = 2 * time.Millisecond // between two looks for news: far below the delays of any list
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
-	from, asked := strconv.Atoi(r.URL.Query().Get("from"))
-	hold, _ := strconv.ParseFloat(r.URL.Query().Get("hold_ms"), 64)
+	from, parseError := strconv.Atoi(r.URL.Query().Get("from"))
+	holdMillis, _ := strconv.ParseFloat(r.URL.Query().Get("hold_ms"), 64)
 	a.list.mu.Lock()
 	now := a.list.now()
-	wait, taken := 0.0, true
-	if asked != nil || now-a.lastReport > watchGap {
-		wait, taken = a.list.admitCall(now)
+	wait, admitted := 0.0, true
+	if parseError != nil || now-a.lastReport > watchGap {
+		wait, admitted = a.list.admitCall(now)
 	}
 	a.list.mu.Unlock()
-	if !taken {
+	if !admitted {
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
@@ -236,18 +236,18 @@
 		return
 	case <-time.After(time.Duration(wait * float64(time.Second))):
 	}
-	until := a.list.now() + min(max(hold, 0), 60e3)/1e3
+	holdUntil := a.list.now() + min(max(holdMillis, 0), 60e3)/1e3
 	for {
 		a.list.mu.Lock()
 		newest, silent := a.generation(), a.silent > 0
-		whole := asked != nil || from < 0 || from > len(a.list.changes) || newest < from && a.generationsBehind > 0
-		if !silent && (whole || newest > from || a.list.now() >= until) {
-			if whole {
+		full := parseError != nil || from < 0 || from > len(a.list.changes) || newest < from && a.generationsBehind > 0
+		if !silent && (full || newest > from || a.list.now() >= holdUntil) {
+			if full {
 				from = 0
 			}
-			out := a.responseSince(min(from, newest), newest, whole)
+			response := a.responseSince(min(from, newest), newest, full)
 			a.list.mu.Unlock()
-			a.write(w, out)
+			a.write(w, response)
 			return
 		}
 		a.list.mu.Unlock()
@@ -260,8 +260,8 @@
 }
 
 // write sends an answer and notes what it told.
-func (a *Agent) write(w http.ResponseWriter, out listResponse) {
-	body, _ := json.Marshal(out) // plain fields only
+func (a *Agent) write(w http.ResponseWriter, response listResponse) {
+	body, _ := json.Marshal(response) // plain fields only
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := w.Write(body); err != nil {
@@ -269,32 +269,32 @@
 	}
 	w.(http.Flusher).Flush()
 	a.list.mu.Lock()
-	a.recordReports(out)
-	a.reportedGeneration, a.lastReport = out.Generation, a.list.now()
+	a.recordReports(response)
+	a.reportedGeneration, a.lastReport = response.Generation, a.list.now()
 	a.list.mu.Unlock()
 }
 
-func (a *Agent) recordReports(out listResponse) {
-	now, named := a.list.now(), map[string]bool{}
-	for _, e := range out.Entries {
-		named[e.ID] = true
+func (a *Agent) recordReports(response listResponse) {
+	now, listed := a.list.now(), map[string]bool{}
+	for _, e := range response.Entries {
+		listed[e.ID] = true
 		a.recordReport(now, e.ID, e.Mode)
 	}
-	if out.Full {
+	if response.Full {
 		for id := range a.reportedModes {
-			if !named[id] {
+			if !listed[id] {
 				a.recordReport(now, id, Gone)
 			}
 		}
 	}
 }
 
-func (a *Agent) recordReport(now float64, id string, mode Mode) {
-	if a.reportedModes[id] == mode || a.reportedModes[id] == "" && mode == Gone {
+func (a *Agent) recordReport(now float64, server string, mode Mode) {
+	if a.reportedModes[server] == mode || a.reportedModes[server] == "" && mode == Gone {
 		return
 	}
-	a.reportedModes[id] = mode
-	a.reports = append(a.reports, Told{At: now, Server: id, Mode: mode})
+	a.reportedModes[server] = mode
+	a.reports = append(a.reports, Told{At: now, Server: server, Mode: mode})
 }
 
 // Told gives what was told, in its order.
@@ -313,8 +313,8 @@
 	if a.list.callRate > 0 {
 		newest = a.reportedGeneration // nobody else asks, so nothing later has come to the router's machine
 	}
-	out := a.responseSince(0, newest, true)
-	body, _ := json.Marshal(out)
+	response := a.responseSince(0, newest, true)
+	body, _ := json.Marshal(response)
 	return body
 }
 
@@ -349,9 +349,9 @@
 func (a *Agent) accept() error {
 	a.list.mu.Lock()
 	a.refusing--
-	still, addr := a.refusing > 0, a.addr
+	stillRefusing, addr := a.refusing > 0, a.addr
 	a.list.mu.Unlock()
-	if still {
+	if stillRefusing {
 		return nil
 	}
 	return a.listen(addr)
@@ -361,8 +361,8 @@
 	l.mu.Lock()
 	agents := l.agents
 	l.mu.Unlock()
-	for _, a := range agents {
-		for _, server := range a.servers {
+	for _, agent := range agents {
+		for _, server := range agent.servers {
 			server.Close()
 		}
 	}
--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -31,30 +31,30 @@
 const closeLinger = 12
 
 // draw lets a long value end as the faults have it, and gives what of it is written.
-func (r *reply) drawEnding(text [][]byte) [][]byte {
-	x := r.conn.server.rng.Float64()
-	for how, part := range r.conn.server.endingFractions {
-		if x -= part; part > 0 && x < 0 {
+func (r *reply) drawEnding(reply [][]byte) [][]byte {
+	draw := r.conn.server.rng.Float64()
+	for how, fraction := range r.conn.server.endingFractions {
+		if draw -= fraction; fraction > 0 && draw < 0 {
 			r.ending = ending(how)
 			break
 		}
 	}
 	if r.ending < closesWithinValue {
-		return text
+		return reply
 	}
-	head := len(text[0])
-	return prefix(text, head+1+r.conn.server.rng.IntN(r.execution.Length-1)) // a head and a byte: else it has not begun
+	head := len(reply[0])
+	return prefix(reply, head+1+r.conn.server.rng.IntN(r.execution.Length-1)) // a head and a byte: else it has not begun
 }
 
 // cut gives the first n bytes of a text.
 func prefix(text [][]byte, n int) (first [][]byte) {
-	for _, part := range text {
+	for _, piece := range text {
 		if n <= 0 {
 			break
 		}
-		part = part[:min(n, len(part))]
-		n -= len(part)
-		first = append(first, part)
+		piece = piece[:min(n, len(piece))]
+		n -= len(piece)
+		first = append(first, piece)
 	}
 	return first
 }
@@ -66,14 +66,14 @@
 func (c *serverConn) handleSentValues() {
 	now := c.server.fleet.loop.Now()
 	for !c.closed && len(c.unsentLong) > 0 && c.conn.Sent() >= c.unsentLong[0].endOffset {
-		r := c.unsentLong[0]
+		reply := c.unsentLong[0]
 		c.unsentLong = c.unsentLong[1:]
-		if r.ending < closesWithinValue {
-			r.execution.Whole = now
+		if reply.ending < closesWithinValue {
+			reply.execution.Whole = now
 		} else {
-			r.execution.Broke = now
+			reply.execution.Broke = now
 		}
-		switch r.ending {
+		switch reply.ending {
 		case closesAfterValue:
 			c.conn.Finish(closeLinger)
 			c.Closed()
@@ -93,13 +93,13 @@
 
 // broke notes that the long values on their way end here; a reset may also take what the other side has not read of the last one.
 func (c *serverConn) markBroken(reset bool) {
-	all := c.unsentLong
-	if reset && c.lastLong != nil && len(all) == 0 {
-		all = []*reply{c.lastLong}
+	broken := c.unsentLong
+	if reset && c.lastLong != nil && len(broken) == 0 {
+		broken = []*reply{c.lastLong}
 	}
-	for _, r := range all {
-		if r.execution.Broke == 0 {
-			r.execution.Broke = c.server.fleet.loop.Now()
+	for _, reply := range broken {
+		if reply.execution.Broke == 0 {
+			reply.execution.Broke = c.server.fleet.loop.Now()
 		}
 	}
 }
@@ -143,11 +143,11 @@
 }
 
 // read takes what has come of the value, and hands the command on once it is whole.
-func (l *longWrite) read(in *ringbuffer.Buffer, m *memcacheServer) (bool, error) {
+func (l *longWrite) read(in *ringbuffer.Buffer, protocol *memcacheServer) (bool, error) {
 	var parts [2][]byte
-	for _, part := range in.Held(parts[:0]) {
-		n := min(len(part), l.remaining)
-		l.check.Take(part[:min(n, max(0, l.remaining-len("\r\n")))])
+	for _, piece := range in.Held(parts[:0]) {
+		n := min(len(piece), l.remaining)
+		l.check.Take(piece[:min(n, max(0, l.remaining-len("\r\n")))])
 		l.remaining -= n
 		in.Drop(n)
 		if l.remaining == 0 && n > 0 {
@@ -159,17 +159,17 @@
 	}
 	fields := bytes.Fields(l.line)
 	l.line = nil
-	id, figures := "", ""
-	for _, f := range fields[3:] {
-		switch f[0] {
+	id, parameters := "", ""
+	for _, field := range fields[3:] {
+		switch field[0] {
 		case 'O':
-			id = string(f[1:])
+			id = string(field[1:])
 		case 'P':
-			figures = string(f[1:])
+			parameters = string(field[1:])
 		}
 	}
-	m.damage = l.check.End()
-	m.startCommand(string(fields[1]), id, figures, true)
-	m.damage = ""
+	protocol.damage = l.check.End()
+	protocol.startCommand(string(fields[1]), id, parameters, true)
+	protocol.damage = ""
 	return true, nil
 }
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -21,18 +21,18 @@
 
 // bulky gives a fleet of one server that has long values.
 func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
-	f, all := startFleet(t, spec("s-1"))
-	f.runOnLoop(func() { f.types["bulk"], f.types["bulkput"] = longReadType, longWriteType })
-	return f, all[0]
+	fleet, all := startFleet(t, spec("s-1"))
+	fleet.runOnLoop(func() { fleet.types["bulk"], fleet.types["bulkput"] = longReadType, longWriteType })
+	return fleet, all[0]
 }
 
 // fetch asks for a long value and reads until its connection ends or it is whole.
-func fetchLongValue(t *testing.T, addr, id string) (c *testConn, got Check, err error) {
+func fetchLongValue(t *testing.T, addr, id string) (conn *testConn, got Check, err error) {
 	t.Helper()
-	c = dialServer(t, addr)
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
-	head, err := c.ReadString('\n')
+	conn = dialServer(t, addr)
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(conn.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
+	head, err := conn.ReadString('\n')
 	if want := fmt.Sprintf("VA %d O%s\r\n", mebibyte, id); head != want || err != nil {
 		t.Fatalf("the answer begins %q, %v; want %q", head, err, want)
 	}
@@ -40,27 +40,27 @@
 	buf := make([]byte, 10000)
 	for got.Came < mebibyte && err == nil {
 		var n int
-		n, err = c.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
+		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
 		got.Take(buf[:n])
 	}
-	return c, got, err
+	return conn, got, err
 }
 
 // A long value is given whole and as its head says; the book knows when.
-func TestLongValueIsGiven(t *testing.T) {
-	f, s := startLongValueFleet(t)
-	c, got, err := fetchLongValue(t, s.Addr, "a")
+func TestLongValueRead(t *testing.T) {
+	fleet, s := startLongValueFleet(t)
+	conn, got, err := fetchLongValue(t, s.Addr, "a")
 	if wrong := got.End(); err != nil || wrong != "" || !strings.HasPrefix(got.Head(), "key for a by s-1, ") {
 		t.Errorf("%v, %s, %q", err, wrong, got.Head())
 	}
-	if end, _ := c.readLine(replyTimeout); end != "" {
+	if end, _ := conn.readLine(replyTimeout); end != "" {
 		t.Errorf("behind it comes %q", end)
 	}
-	if next := c.get("b"); next != "VA" {
+	if next := conn.get("b"); next != "VA" {
 		t.Errorf("the next answer is %s", next)
 	}
-	f.runOnLoop(func() {
-		execution := f.records.Executions[0]
+	fleet.runOnLoop(func() {
+		execution := fleet.records.Executions[0]
 		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
 			t.Errorf("the book has %+v", execution)
 		}
@@ -68,31 +68,31 @@
 }
 
 // A long write is taken whole and without being held; what is wrong with it is in the book.
-func TestLongValueIsTaken(t *testing.T) {
-	f, s := startLongValueFleet(t)
-	c := dialServer(t, s.Addr)
-	v := NewValue("k", "a", "its client", 1, meta.LongBound)
+func TestLongValueWrite(t *testing.T) {
+	fleet, s := startLongValueFleet(t)
+	conn := dialServer(t, s.Addr)
+	value := NewValue("k", "a", "its client", 1, meta.LongBound)
 	for _, change := range []bool{false, true} {
-		fmt.Fprintf(c.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", v.Len())
-		whole := bytes.Join(v.Pieces(), nil)
+		fmt.Fprintf(conn.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", value.Len())
+		whole := bytes.Join(value.Pieces(), nil)
 		if change {
 			whole[3<<20]++
 		}
-		c.Conn.Write(append(whole, "\r\n"...))
-		if got, err := c.readLine(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
+		conn.Conn.Write(append(whole, "\r\n"...))
+		if got, err := conn.readLine(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
 			t.Fatalf("it says %q, %v", got, err)
 		}
 	}
-	f.runOnLoop(func() {
-		x := f.records.Executions
-		if x[0].Damaged != "" || !strings.Contains(x[1].Damaged, "byte 3145728 of 4194304") {
-			t.Errorf("the book has %q and %q", x[0].Damaged, x[1].Damaged)
+	fleet.runOnLoop(func() {
+		executions := fleet.records.Executions
+		if executions[0].Damaged != "" || !strings.Contains(executions[1].Damaged, "byte 3145728 of 4194304") {
+			t.Errorf("the book has %q and %q", executions[0].Damaged, executions[1].Damaged)
 		}
 	})
 }
 
 // Each way in which a server's connection ends at a long value is seen on the socket, and the book tells whose doing it was.
-func TestEndsOfLongValues(t *testing.T) {
+func TestLongValueConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		begin        func(s *Server) func()
 		whole, broke bool
@@ -106,9 +106,9 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s := startLongValueFleet(t)
+			fleet, s := startLongValueFleet(t)
 			var end func()
-			f.runOnLoop(func() { end = c.begin(s) })
+			fleet.runOnLoop(func() { end = c.begin(s) })
 			conn := dialServer(t, s.Addr)
 			fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
 			conn.SetReadDeadline(time.Now().Add(2 * time.Second))
@@ -121,8 +121,8 @@
 			if sure && full != c.whole || !strings.Contains(err.Error(), c.end) {
 				t.Errorf("%d bytes came, whole %v, and then %v", len(text), full, err)
 			}
-			f.runOnLoop(func() {
-				execution := f.records.Executions[0]
+			fleet.runOnLoop(func() {
+				execution := fleet.records.Executions[0]
 				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
 					t.Errorf("the book has whole %v, broke %v: %+v", execution.Whole, execution.Broke, execution)
 				}
@@ -136,14 +136,14 @@
 }
 
 // A server that dies under a value, or whose machine is cut off, broke it off; one whose reader goes away did not.
-func TestWhoEndsALongValue(t *testing.T) {
+func TestInterruptedLongValueIsAttributed(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   func(f *Fleet, s *Server, conn net.Conn)
+		end   func(fleet *Fleet, s *Server, conn net.Conn)
 		broke bool
 	}{
-		"it dies": {func(f *Fleet, s *Server, _ net.Conn) { f.runOnLoop(func() { s.Crash() }) }, true},
-		"it is cut off": {func(f *Fleet, s *Server, _ net.Conn) {
-			f.runOnLoop(func() {
+		"it dies": {func(fleet *Fleet, s *Server, _ net.Conn) { fleet.runOnLoop(func() { s.Crash() }) }, true},
+		"it is cut off": {func(fleet *Fleet, s *Server, _ net.Conn) {
+			fleet.runOnLoop(func() {
 				if _, err := s.Vanish(); err != nil {
 					t.Error(err)
 				}
@@ -151,9 +151,9 @@
 		}, true},
 		"its reader goes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
 	} {
-		f, s := startLongValueFleet(t)
-		f.runOnLoop(func() {
-			f.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
+		fleet, s := startLongValueFleet(t)
+		fleet.runOnLoop(func() {
+			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
 		})
 		conn := dialServer(t, s.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -161,16 +161,16 @@
 		if _, err := conn.readLine(replyTimeout); err != nil {
 			t.Fatal(err)
 		}
-		c.end(f, s, conn.Conn)
+		c.end(fleet, s, conn.Conn)
 		gone := func() (out bool) {
-			f.runOnLoop(func() { execution := f.records.Executions[0]; out = execution.Broke > 0 || len(s.conns) == 0 })
+			fleet.runOnLoop(func() { execution := fleet.records.Executions[0]; out = execution.Broke > 0 || len(s.conns) == 0 })
 			return out
 		}
 		for until := time.Now().Add(5 * time.Second); !gone() && time.Now().Before(until); {
 			time.Sleep(5 * time.Millisecond)
 		}
-		f.runOnLoop(func() {
-			if execution := f.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
+		fleet.runOnLoop(func() {
+			if execution := fleet.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
 				t.Errorf("%s: the book has whole %v, broke %v", name, execution.Whole, execution.Broke)
 			}
 		})
@@ -179,9 +179,9 @@
 
 // Clients that read slowly or pause have all of a value, also from a router that closes right behind it; one that leaves within it
 // has left, one whose router ends within it was cut, and one that got other bytes did not get what its server made.
-func TestReadingsOfLongValues(t *testing.T) {
+func TestClientReadBehaviors(t *testing.T) {
 	const size = 300_000
-	kind := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
+	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
 	for name, c := range map[string]struct {
 		how   Reading
 		reply func(text string) string
@@ -224,7 +224,7 @@
 				}
 			}()
 			loop := newLoop(t)
-			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{kind}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{ln.Addr().String()}, nil)
+			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -245,12 +245,12 @@
 				t.Fatal("nothing came")
 			}
 			for _, request := range clients.Book().Ops {
-				try := request.Tries[0]
+				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if request.How != c.end || len(request.Tries) != 1 || try.Length != size || (try.Came == size) != (c.end == Finished || name == "no end of the value") ||
-					(try.Got != 0) != whole || (try.ReadPaused > 0) != c.rests {
-					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", request.How, len(request.Tries), try.Came, try.Length, try.Got, try.ReadPaused,
-						try.Strange())
+				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size || (attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
+					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
+					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
+						attempt.Strange())
 				}
 			}
 		})
@@ -258,8 +258,8 @@
 }
 
 // Long writes go out whole, and nothing of them is held.
-func TestLongWritesOfClients(t *testing.T) {
-	f, s := startLongValueFleet(t)
+func TestClientLongWrites(t *testing.T) {
+	fleet, s := startLongValueFleet(t)
 	loop := newLoop(t)
 	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{s.Addr}, nil)
 	if err != nil {
@@ -280,13 +280,13 @@
 			t.Errorf("a write ended as %v %s", request.How, request.Tries[0].Strange())
 		}
 	}
-	f.runOnLoop(func() {
-		for _, execution := range f.records.Executions {
+	fleet.runOnLoop(func() {
+		for _, execution := range fleet.records.Executions {
 			if execution.Damaged != "" || !execution.Effect {
 				t.Errorf("a write came as %q, effect %v", execution.Damaged, execution.Effect)
 			}
 		}
-		if len(f.records.Executions) == 0 {
+		if len(fleet.records.Executions) == 0 {
 			t.Error("nothing came")
 		}
 	})
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -3,7 +3,7 @@
 import "testing"
 
 // What is exactly the multiple does not tip; a little more for the whole time does; a pause in between starts it anew.
-func TestTip(t *testing.T) {
+func TestOverloadDetector(t *testing.T) {
 	for _, c := range []struct {
 		name      string
 		work      float64 // each 10 ms, where 0.02 is the multiple; at a tenth's edges one may fall beside it
@@ -15,64 +15,64 @@
 		{"far above", 1, false, 1},
 		{"above, with a pause", 0.03, true, 0},
 	} {
-		tip, fell := OverloadDetector{Multiple: 2, Time: 1}, 0.0
+		detector, detectedAt := OverloadDetector{Multiple: 2, Time: 1}, 0.0
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			if c.pause && i%90 >= 75 {
 				continue // for longer than a tenth of the time
 			}
-			if tip.Add(now, c.work, 1) && fell == 0 {
-				fell = now - 100
+			if detector.Add(now, c.work, 1) && detectedAt == 0 {
+				detectedAt = now - 100
 			}
 		}
-		if c.wantAfter == 0 && fell != 0 || c.wantAfter > 0 && (fell < c.wantAfter-0.05 || fell > c.wantAfter+0.15) {
-			t.Errorf("%s: it fell after %.2f s, want %v", c.name, fell, c.wantAfter)
+		if c.wantAfter == 0 && detectedAt != 0 || c.wantAfter > 0 && (detectedAt < c.wantAfter-0.05 || detectedAt > c.wantAfter+0.15) {
+			t.Errorf("%s: it fell after %.2f s, want %v", c.name, detectedAt, c.wantAfter)
 		}
 	}
 }
 
-func TestStoreForgetsTheLeastRecentlyUsed(t *testing.T) {
-	s := newStore(2)
-	s.put("a")
-	s.put("b")
-	s.has("a")
-	s.put("c")
-	if !s.has("a") || s.has("b") || !s.has("c") {
+func TestStoreEvictsLeastRecentlyUsed(t *testing.T) {
+	cache := newStore(2)
+	cache.put("a")
+	cache.put("b")
+	cache.has("a")
+	cache.put("c")
+	if !cache.has("a") || cache.has("b") || !cache.has("c") {
 		t.Error("the one used last was dropped")
 	}
-	s.drop("a")
-	if s.has("a") || len(s.at) != 1 {
+	cache.drop("a")
+	if cache.has("a") || len(cache.at) != 1 {
 		t.Error("a dropped key is held")
 	}
 }
 
 // A mark is known up to its window's edge, not at it, and is forgotten then.
-func TestMemoryAtTheWindowsEdge(t *testing.T) {
-	m := &dedupTable{entries: map[string]dedupEntry{}}
-	m.add(10, "k", "7", 5)
-	if receipt, known := m.lookup(14.999, "k"); !known || receipt != "7" {
+func TestDedupTableExpiresAtWindowEnd(t *testing.T) {
+	table := &dedupTable{entries: map[string]dedupEntry{}}
+	table.add(10, "k", "7", 5)
+	if receipt, known := table.lookup(14.999, "k"); !known || receipt != "7" {
 		t.Error("a repeat within the window is not known")
 	}
-	if _, known := m.lookup(15, "k"); known {
+	if _, known := table.lookup(15, "k"); known {
 		t.Error("a repeat at the window's end is still known")
 	}
-	m.add(15, "other", "8", 5)
-	if len(m.entries) != 1 || len(m.order) != 1 {
-		t.Errorf("%d marks are kept", len(m.entries))
+	table.add(15, "other", "8", 5)
+	if len(table.entries) != 1 || len(table.order) != 1 {
+		t.Errorf("%d marks are kept", len(table.entries))
 	}
 }
 
 // Faults on one server may overlap and end in the other order: its rate is always that of those that are on.
-func TestFaultsOverlap(t *testing.T) {
-	f, all := startFleet(t, spec("s-1"))
-	s := all[0]
+func TestOverlappingServerFaults(t *testing.T) {
+	fleet, servers := startFleet(t, spec("s-1"))
+	s := servers[0]
 	rate := func(want float64) {
 		t.Helper()
 		if s.processor.rate != want {
 			t.Errorf("the rate is %v, want %v", s.processor.rate, want)
 		}
 	}
-	f.runOnLoop(func() {
+	fleet.runOnLoop(func() {
 		endA := s.Slow(4)
 		endB := s.Slow(2)
 		rate(0.125)
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -40,8 +40,8 @@
 	closeOnce  sync.Once
 }
 
-func dialPlain(loop *eventloop.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
-	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: h, reading: how, pauseAfter: half, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
+func dialPlain(loop *eventloop.Loop, addr string, reading Reading, pauseAfter int, client *clientConn) *plainConn {
+	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading, pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
 	return p
 }
@@ -79,10 +79,10 @@
 }
 
 func (p *plainConn) run(addr string) {
-	small := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
+	dialer := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainReceiveBuffer) })
 	}}
-	conn, err := small.Dial("tcp", addr)
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
 		p.runOnLoop(p.client.Closed)
 		return
@@ -105,30 +105,30 @@
 
 // read takes what comes, at the pace of this client, and then the end.
 func (p *plainConn) read(conn net.Conn) {
-	turn := plainReadSize
+	size := plainReadSize
 	if p.reading.Rate > 0 {
-		turn = min(turn, max(1, int(p.reading.Rate/slowReadsPerSecond)))
+		size = min(size, max(1, int(p.reading.Rate/slowReadsPerSecond)))
 	}
-	buf, came, paused := make([]byte, turn), 0, p.reading.Pause == 0
+	buf, received, paused := make([]byte, size), 0, p.reading.Pause == 0
 	for {
 		n, err := conn.Read(buf)
 		if err != nil {
 			p.runOnLoop(p.client.Closed)
 			return
 		}
-		rest := time.Duration(0)
-		if came += n; p.reading.Rate > 0 {
-			rest = time.Duration(float64(n) / p.reading.Rate * float64(time.Second))
+		delay := time.Duration(0)
+		if received += n; p.reading.Rate > 0 {
+			delay = time.Duration(float64(n) / p.reading.Rate * float64(time.Second))
 		}
-		if !paused && came >= p.pauseAfter {
+		if !paused && received >= p.pauseAfter {
 			paused = true
-			rest += time.Duration(p.reading.Pause * float64(time.Second))
+			delay += time.Duration(p.reading.Pause * float64(time.Second))
 		}
-		if !p.runOnLoop(func() { p.in.Write(buf[:n]); p.client.Input(); p.client.addReadPause(rest.Seconds()) }) {
+		if !p.runOnLoop(func() { p.in.Write(buf[:n]); p.client.Input(); p.client.addReadPause(delay.Seconds()) }) {
 			return
 		}
 		select {
-		case <-time.After(rest):
+		case <-time.After(delay):
 		case <-p.closed:
 			return
 		}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -68,11 +68,11 @@
 	endingFractions                              [endingCount]float64 // the part of long values that end so
 }
 
-func newServer(f *Fleet, spec Spec, chance *rand.Rand) *Server {
-	s := &Server{Spec: spec, fleet: f, rng: chance, cache: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
+func newServer(fleet *Fleet, spec Spec, rng *rand.Rand) *Server {
+	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
 		overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
-	s.processor = processor{loop: f.loop, cores: max(1, spec.Cores), rate: spec.Speed}
-	return s
+	server.processor = processor{loop: fleet.loop, cores: max(1, spec.Cores), rate: spec.Speed}
+	return server
 }
 
 // Started is when it last started, 0 for long ago.
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -67,7 +67,7 @@
 		if !c.protocol.begun() {
 			c.firstByteAt = c.server.fleet.loop.Now()
 		}
-		held := c.conn.In.Len()
+		before := c.conn.In.Len()
 		if _, err := c.protocol.read(c.conn.In); err != nil {
 			c.disconnect(false)
 			return
@@ -75,7 +75,7 @@
 		if c.closed {
 			return
 		}
-		if c.conn.In.Len() == held {
+		if c.conn.In.Len() == before {
 			break // a long write's line that has not come whole
 		}
 	}
@@ -98,14 +98,14 @@
 }
 
 // take begins an execution; left is how long its sender waits, 0 if it does not say; damage is what was wrong with its value.
-func (c *serverConn) startExecution(t *TrafficType, key, id, mark string, left float64, extra any, damage string) {
+func (c *serverConn) startExecution(trafficType *TrafficType, key, id, idempotencyKey string, remaining float64, extra any, damage string) {
 	s, now := c.server, c.server.fleet.loop.Now()
-	execution := &Execution{ID: id, Server: s, Type: t, First: c.firstByteAt, Last: now, Cold: s.capacityFraction(now) < 1, Work: t.drawWork(s.rng)}
-	execution.IdempotencyKey, execution.Damaged = mark, damage
+	execution := &Execution{ID: id, Server: s, Type: trafficType, First: c.firstByteAt, Last: now, Cold: s.capacityFraction(now) < 1, Work: trafficType.drawWork(s.rng)}
+	execution.IdempotencyKey, execution.Damaged = idempotencyKey, damage
 	s.fleet.records.open(execution)
 	r := &reply{conn: c, execution: execution, key: key, protocolData: extra}
-	if left > 0 {
-		r.deadline = now + left
+	if remaining > 0 {
+		r.deadline = now + remaining
 	}
 	c.replies = append(c.replies, r)
 	work := execution.Work
@@ -186,11 +186,11 @@
 }
 
 // finish gives an answer, or what a fault makes of it.
-func (r *reply) finish(how How, text ...[]byte) {
+func (r *reply) finish(outcome How, text ...[]byte) {
 	s := r.conn.server
 	r.execution.End = s.fleet.loop.Now()
-	r.execution.How = how
-	if how == Answered && !r.conn.closed {
+	r.execution.How = outcome
+	if outcome == Answered && !r.conn.closed {
 		if s.rng.Float64() < s.resetFraction {
 			r.execution.How = Failed
 			r.conn.disconnect(true)
@@ -215,14 +215,14 @@
 	}
 	c.lastBusy = c.server.fleet.loop.Now()
 	for len(c.replies) > 0 && c.replies[0].text != nil && (c.lastLong == nil || c.lastLong.ending == staysOpen) {
-		r := c.replies[0]
-		for _, part := range r.text {
-			c.out.add(part)
-			c.written += uint64(len(part))
+		reply := c.replies[0]
+		for _, piece := range reply.text {
+			c.out.add(piece)
+			c.written += uint64(len(piece))
 		}
-		if c.replies = c.replies[1:]; r.execution != nil && r.execution.Length > 0 {
-			r.endOffset = c.written
-			c.unsentLong, c.lastLong = append(c.unsentLong, r), r
+		if c.replies = c.replies[1:]; reply.execution != nil && reply.execution.Length > 0 {
+			reply.endOffset = c.written
+			c.unsentLong, c.lastLong = append(c.unsentLong, reply), reply
 		}
 		if c.server.unreachable == 0 {
 			c.out.flush()
@@ -270,18 +270,18 @@
 	}
 	c.closed = true
 	delete(c.server.conns, c)
-	for _, r := range c.replies {
-		if r.execution == nil || r.text != nil || r.execution.How != Open {
+	for _, reply := range c.replies {
+		if reply.execution == nil || reply.text != nil || reply.execution.How != Open {
 			continue
 		}
 		if !c.server.Cancels && c.server.crashed == 0 && !c.server.collapsed {
 			continue // it goes on, for nobody
 		}
-		if r.execution.How, r.execution.End = Cancelled, c.server.fleet.loop.Now(); r.job != nil {
-			c.server.processor.cancel(r.job)
+		if reply.execution.How, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
+			c.server.processor.cancel(reply.job)
 		}
-		if r.fetch != nil {
-			c.server.fleet.origin.processor.cancel(r.fetch)
+		if reply.fetch != nil {
+			c.server.fleet.origin.processor.cancel(reply.fetch)
 		}
 	}
 }
--- a/internal/emulator/silence.go
+++ b/internal/emulator/silence.go
@@ -11,29 +11,29 @@
 type unreachableAddr struct{ fds []int }
 
 func holdUnreachable(addr string) (*unreachableAddr, error) {
-	at, err := netip.ParseAddrPort(addr)
+	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	to := &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-	q := &unreachableAddr{}
-	fd, err := q.newSocket()
+	sockaddr := &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
+	held := &unreachableAddr{}
+	fd, err := held.newSocket()
 	if err != nil {
 		return nil, err
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, to); err == nil {
+	if err = unix.Bind(fd, sockaddr); err == nil {
 		err = unix.Listen(fd, 0)
 	}
 	for range 3 { // a queue of length 0 holds one, and a second is half open
-		if c, failed := q.newSocket(); failed == nil {
-			unix.Connect(c, to) // in progress, for ever
+		if c, failed := held.newSocket(); failed == nil {
+			unix.Connect(c, sockaddr) // in progress, for ever
 		}
 	}
 	if err != nil {
-		q.release()
+		held.release()
 	}
-	return q, err
+	return held, err
 }
 
 func (q *unreachableAddr) newSocket() (int, error) {
@@ -53,9 +53,9 @@
 
 // BeSilent holds an address as a vanished machine would, until end is called.
 func BeSilent(addr string) (end func(), err error) {
-	q, err := holdUnreachable(addr)
+	held, err := holdUnreachable(addr)
 	if err != nil {
 		return func() {}, err
 	}
-	return q.release, nil
+	return held.release, nil
 }
--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -37,11 +37,13 @@
 func (m *memcacheServer) failedReply() string { return "SERVER_ERROR failed\r\n" }
 
 // Get takes a read.
-func (m *memcacheServer) Get(key, id, _, figures string) { m.startCommand(key, id, figures, false) }
+func (m *memcacheServer) Get(key, id, _, parameters string) {
+	m.startCommand(key, id, parameters, false)
+}
 
 // Set takes a write.
-func (m *memcacheServer) Set(key, id, _, figures string, _ []byte) {
-	m.startCommand(key, id, figures, true)
+func (m *memcacheServer) Set(key, id, _, parameters string, _ []byte) {
+	m.startCommand(key, id, parameters, true)
 }
 
 // Reserve never comes: long writes are read apart.
@@ -59,17 +61,17 @@
 // Bad answers what it does not know.
 func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
 
-func (m *memcacheServer) startCommand(key, id, figures string, write bool) {
-	kind, _ := meta.Figure(figures, "c")
-	t := m.conn.server.fleet.types[kind]
-	if t == nil || t.Write != write {
+func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
+	className, _ := meta.Figure(parameters, "c")
+	trafficType := m.conn.server.fleet.types[className]
+	if trafficType == nil || trafficType.Write != write {
 		m.conn.replyText("CLIENT_ERROR the type c is unknown\r\n")
 		return
 	}
-	mark, _ := meta.Figure(figures, "k")
-	d, _ := meta.Figure(figures, "d")
-	ms, _ := strconv.ParseFloat(d, 64) // 0 where it is not said
-	m.conn.startExecution(t, key, id, mark, ms/1e3, nil, m.damage)
+	idempotencyKey, _ := meta.Figure(parameters, "k")
+	deadline, _ := meta.Figure(parameters, "d")
+	ms, _ := strconv.ParseFloat(deadline, 64) // 0 where it is not said
+	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
 
 func (m *memcacheServer) encodeValue(r *reply) ([][]byte, uint32) {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -38,12 +38,12 @@
 }
 
 // draw gives an operation's work: log-normal, so that it is never below 0 and its tail is long.
-func (t *TrafficType) drawWork(chance *rand.Rand) float64 {
+func (t *TrafficType) drawWork(rng *rand.Rand) float64 {
 	if t.Spread <= 0 {
 		return t.Work
 	}
-	s := math.Sqrt(math.Log(1 + t.Spread*t.Spread))
-	return t.Work * math.Exp(s*chance.NormFloat64()-s*s/2)
+	sigma := math.Sqrt(math.Log(1 + t.Spread*t.Spread))
+	return t.Work * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
 // How tells what became of an execution at a cache server.
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -52,17 +52,17 @@
 }
 
 // repeat gives the receipt of a mark that was taken within its window.
-func (m *dedupTable) lookup(now float64, mark string) (receipt string, known bool) {
-	at, known := m.entries[mark]
-	return at.receipt, known && now < at.expires
+func (m *dedupTable) lookup(now float64, key string) (receipt string, known bool) {
+	entry, known := m.entries[key]
+	return entry.receipt, known && now < entry.expires
 }
 
 // take remembers a mark, and forgets those whose window is over.
-func (m *dedupTable) add(now float64, mark, receipt string, window float64) {
+func (m *dedupTable) add(now float64, key, receipt string, window float64) {
 	for len(m.order) > 0 && m.entries[m.order[0]].expires <= now {
 		delete(m.entries, m.order[0])
 		m.order = m.order[1:]
 	}
-	m.entries[mark] = dedupEntry{now + window, receipt}
-	m.order = append(m.order, mark)
+	m.entries[key] = dedupEntry{now + window, receipt}
+	m.order = append(m.order, key)
 }
--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -52,19 +52,19 @@
 
 // Request takes the end of a request.
 func (t *tileServer) Request(bool) {
-	f := t.conn.server.fleet
+	fleet := t.conn.server.fleet
 	if t.target == "/" {
-		f.records.Probes++
+		fleet.records.Probes++
 		t.conn.replyText("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 		return
 	}
-	asked, fault := f.tileService.Parse(t.target)
-	if fault != nil || asked.Capabilities || f.tileType == nil {
+	request, parseError := fleet.tileService.Parse(t.target)
+	if parseError != nil || request.Capabilities || fleet.tileType == nil {
 		t.conn.replyText("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
 	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 where it is not said
-	t.conn.startExecution(f.tileType, asked.Tile.Key(), t.id, "", ms/1e3, asked.Tile, "")
+	t.conn.startExecution(fleet.tileType, request.Tile.Key(), t.id, "", ms/1e3, request.Tile, "")
 	if len(t.conn.replies) > 0 {
 		t.conn.replies[len(t.conn.replies)-1].etag = t.etag
 	}
@@ -104,8 +104,8 @@
 // picture draws a tile: a colour that its column and row give, and its address, so that a person sees which it is.
 func (f *Fleet) tileImage(t tiles.Tile) []byte {
 	key := t.Key()
-	if p := f.tileImages[key]; p != nil {
-		return p
+	if cached := f.tileImages[key]; cached != nil {
+		return cached
 	}
 	if len(f.tileImages) >= maxTileImages {
 		clear(f.tileImages)
@@ -124,10 +124,10 @@
 	for n, line := range []string{t.Layer, "Z" + t.Matrix, "X" + strconv.Itoa(t.Col), "Y" + strconv.Itoa(t.Row)} {
 		drawText(img, 20, 30+n*50, strings.ToUpper(line), side/64)
 	}
-	var b bytes.Buffer
-	(&png.Encoder{CompressionLevel: png.BestSpeed}).Encode(&b, img) // into memory
-	f.tileImages[key] = b.Bytes()
-	return b.Bytes()
+	var encoded bytes.Buffer
+	(&png.Encoder{CompressionLevel: png.BestSpeed}).Encode(&encoded, img) // into memory
+	f.tileImages[key] = encoded.Bytes()
+	return encoded.Bytes()
 }
 
 // annotate puts a note into a PNG, before its end, filled up so that the file has a size at least.
--- a/internal/emulator/tip.go
+++ b/internal/emulator/tip.go
@@ -17,10 +17,10 @@
 	if t.windowStart == 0 {
 		t.windowStart, t.windowCapacity = now, capacity
 	}
-	tenth := t.Time / 10
-	for ; now-t.windowStart >= tenth; t.windowStart += tenth {
-		const doubt = 1 + 1e-9 // sums of parts that make exactly the multiple may lie a little above
-		if t.windowLoad > t.Multiple*t.windowCapacity*tenth*doubt {
+	window := t.Time / 10
+	for ; now-t.windowStart >= window; t.windowStart += window {
+		const roundingSlack = 1 + 1e-9 // sums of parts that make exactly the multiple may lie a little above
+		if t.windowLoad > t.Multiple*t.windowCapacity*window*roundingSlack {
 			t.overloadedWindows++
 		} else {
 			t.overloadedWindows = 0
@@ -31,7 +31,7 @@
 			return true
 		}
 		if now-t.windowStart > 2*t.Time { // nothing came for long
-			t.windowStart, t.overloadedWindows = now-tenth, 0
+			t.windowStart, t.overloadedWindows = now-window, 0
 		}
 	}
 	t.windowLoad += work
--- a/internal/emulator/value.go
+++ b/internal/emulator/value.go
@@ -40,10 +40,10 @@
 }
 
 // NewValue makes a value of so many bytes; one whose head is longer is its head alone.
-func NewValue(key, id, by string, number uint64, size int) Value {
-	v := Value{head: fmt.Appendf(nil, "%s for %s by %s, number %d. ", key, id, by, number)}
-	v.length = max(size, len(v.head))
-	return v
+func NewValue(key, id, maker string, number uint64, size int) Value {
+	value := Value{head: fmt.Appendf(nil, "%s for %s by %s, number %d. ", key, id, maker, number)}
+	value.length = max(size, len(value.head))
+	return value
 }
 
 // Len is how many bytes it has.
@@ -51,13 +51,13 @@
 
 // Pieces gives its bytes in slices that nobody may change.
 func (v Value) Pieces() [][]byte {
-	all := [][]byte{v.head}
-	for at, left := fillerOffset(v.head), v.length-len(v.head); left > 0; at = 0 {
-		piece := filler[at:min(fillerPeriod, at+left)]
-		all = append(all, piece)
-		left -= len(piece)
+	pieces := [][]byte{v.head}
+	for offset, remaining := fillerOffset(v.head), v.length-len(v.head); remaining > 0; offset = 0 {
+		piece := filler[offset:min(fillerPeriod, offset+remaining)]
+		pieces = append(pieces, piece)
+		remaining -= len(piece)
 	}
-	return all
+	return pieces
 }
 
 // Sum is by which it is known: a checksum of all of a short one; of a long one of its head and its length, for the rest follows
@@ -91,30 +91,30 @@
 }
 
 // Take looks at the next bytes.
-func (c *Check) Take(part []byte) {
-	for len(part) > 0 && c.mismatch == "" {
+func (c *Check) Take(piece []byte) {
+	for len(piece) > 0 && c.mismatch == "" {
 		n := 0
 		if !c.headRead {
-			if n = c.readHead(part); c.headRead {
+			if n = c.readHead(piece); c.headRead {
 				c.fillerPos = fillerOffset(c.head)
 			}
 		} else {
-			n = min(len(part), fillerPeriod-c.fillerPos)
-			c.compare(part[:n])
+			n = min(len(piece), fillerPeriod-c.fillerPos)
+			c.compare(piece[:n])
 			c.fillerPos = (c.fillerPos + n) % fillerPeriod
 		}
 		c.Came += n
-		part = part[n:]
+		piece = piece[n:]
 	}
-	c.Came += len(part)
+	c.Came += len(piece)
 }
 
 // compare tells the first byte that is not the rule's.
-func (c *Check) compare(part []byte) {
-	if bytes.Equal(part, filler[c.fillerPos:c.fillerPos+len(part)]) {
+func (c *Check) compare(piece []byte) {
+	if bytes.Equal(piece, filler[c.fillerPos:c.fillerPos+len(piece)]) {
 		return
 	}
-	for i, b := range part {
+	for i, b := range piece {
 		if want := filler[c.fillerPos+i]; b != want {
 			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x and ought to be %#02x", c.Came+i, c.Length, b, want)
 			return
@@ -123,9 +123,9 @@
 }
 
 // takeHead takes bytes up to the head's end.
-func (c *Check) readHead(part []byte) int {
+func (c *Check) readHead(piece []byte) int {
 	before := len(c.head)
-	c.head = append(c.head, part[:min(len(part), maxHeadBytes-before)]...)
+	c.head = append(c.head, piece[:min(len(piece), maxHeadBytes-before)]...)
 	if end := bytes.Index(c.head, headEnd); end >= 0 {
 		c.head, c.headRead = c.head[:end+len(headEnd)], true
 	} else if len(c.head) == maxHeadBytes {
--- a/internal/emulator/value_test.go
+++ b/internal/emulator/value_test.go
@@ -10,29 +10,29 @@
 )
 
 // A value reads the same however it is cut, and whatever is left out, doubled, swapped or changed of it is seen.
-func TestLongValueIsChecked(t *testing.T) {
-	v := NewValue("clinic-7", "id", "s-001", 5, 1<<20)
-	whole := bytes.Join(v.Pieces(), nil)
-	if len(whole) != 1<<20 || v.Len() != len(whole) {
-		t.Fatalf("it has %d bytes and says %d", len(whole), v.Len())
+func TestCheckDetectsDamagedLongValue(t *testing.T) {
+	value := NewValue("clinic-7", "id", "s-001", 5, 1<<20)
+	whole := bytes.Join(value.Pieces(), nil)
+	if len(whole) != 1<<20 || value.Len() != len(whole) {
+		t.Fatalf("it has %d bytes and says %d", len(whole), value.Len())
 	}
-	verdict := func(text []byte, piece int) string {
-		c := Check{Length: v.Len()}
+	mismatch := func(text []byte, piece int) string {
+		check := Check{Length: value.Len()}
 		for len(text) > 0 {
 			n := min(piece, len(text))
-			c.Take(text[:n])
+			check.Take(text[:n])
 			text = text[n:]
 		}
-		if wrong := c.End(); wrong != "" {
+		if wrong := check.End(); wrong != "" {
 			return wrong
 		}
-		if c.Sum() != v.Sum() {
+		if check.Sum() != value.Sum() {
 			return "another sum"
 		}
 		return ""
 	}
 	for _, piece := range []int{1, 7, 4096, 16384, fillerPeriod, 1 << 20} {
-		if wrong := verdict(whole, piece); wrong != "" {
+		if wrong := mismatch(whole, piece); wrong != "" {
 			t.Errorf("in pieces of %d: %s", piece, wrong)
 		}
 	}
@@ -49,30 +49,30 @@
 		"no head":          bytes.Repeat([]byte{'.'}, len(whole)),
 	} {
 		for _, piece := range []int{16384, 1 << 20} {
-			if verdict(text, piece) == "" {
+			if mismatch(text, piece) == "" {
 				t.Errorf("%s was not seen", name)
 			}
 		}
 	}
-	if wrong := verdict(changed(func(b []byte) []byte { b[700000] ^= 4; return b }), 5000); !strings.Contains(wrong, "byte 700000 of 1048576") {
+	if wrong := mismatch(changed(func(b []byte) []byte { b[700000] ^= 4; return b }), 5000); !strings.Contains(wrong, "byte 700000 of 1048576") {
 		t.Errorf("a changed byte is told as %q", wrong)
 	}
 }
 
 // Short values are known by all of their bytes, as those are that come whole.
-func TestShortValueSum(t *testing.T) {
+func TestCheckAcceptsShortValues(t *testing.T) {
 	for _, size := range []int{0, 100, meta.ValueBound} {
-		v := NewValue("k", "id", "s", 1, size)
-		c := Check{Length: v.Len()}
-		c.Take(bytes.Join(v.Pieces(), nil))
-		if wrong := c.End(); wrong != "" || v.Len() < size {
-			t.Errorf("of %d bytes: %d, %s", size, v.Len(), wrong)
+		value := NewValue("k", "id", "s", 1, size)
+		check := Check{Length: value.Len()}
+		check.Take(bytes.Join(value.Pieces(), nil))
+		if wrong := check.End(); wrong != "" || value.Len() < size {
+			t.Errorf("of %d bytes: %d, %s", size, value.Len(), wrong)
 		}
 	}
 }
 
 // However many long values there are, what is held of each is some hundred bytes and a list of slices.
-func TestLongValuesTakeNoMemory(t *testing.T) {
+func TestLongValuesShareFillerMemory(t *testing.T) {
 	var before, after runtime.MemStats
 	runtime.GC()
 	runtime.ReadMemStats(&before)
