--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -8,7 +8,7 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// clientConn is one connection of a client to a router. It carries one try at a time.
+// clientConn is one connection of a client to a router. It carries one attempt at a time.
 type clientConn struct {
 	target           *routerTarget
 	conn             clientSocket
@@ -16,21 +16,22 @@
 	out              output
 	protocol         clientProtocol
 	connected        bool
-	answeredAttempts int    // tries that were answered on it
-	lastAnsweredID   string // the id of the try that was answered last
+	answeredAttempts int    // number of attempts answered on this connection
+	lastAnsweredID   string // ID of the attempt that ended last
 	attempt          *Try
-	attemptEnd       uint64           // where the try's last byte stands in what was written
-	timer            *eventloop.Timer // until the client leaves
-	leavesEarly      bool             // before its time is up
-	lastByteAt       float64          // when a byte of a long value last came
-	leaveAfterBytes  int              // bytes of a long value after which its client leaves; 0: it does not
+	attemptEnd       uint64           // offset of the attempt's last byte among all bytes written
+	timer            *eventloop.Timer // fires when the client stops waiting
+	leavesEarly      bool             // the client disconnects before its timeout
+	lastByteAt       float64          // when the last byte of a long value was received
+	leaveAfterBytes  int              // bytes of a long value after which the client disconnects; 0: it does not
 	closed           bool
 }
 
-// stuck is how many seconds a client waits for the next byte of a long value: longer than a router waits for a server's, which is 5.
+// valueStallTimeout is for how many seconds a client waits for the next byte of a long value. It is longer than the
+// 5 s for which a router waits for the next byte from a server.
 const valueStallTimeout = 7
 
-// send puts a try on an idle connection, or on a new one.
+// sendAttempt sends an attempt on an idle connection, or on a new one if there is none.
 func (d *routerTarget) sendAttempt(attempt *Try) {
 	for len(d.idle) > 0 && !attempt.Reading.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
@@ -43,6 +44,7 @@
 	d.dialAttempt(attempt)
 }
 
+// dialAttempt sends an attempt on a new connection. It fails with NoConnection at the connection limit.
 func (d *routerTarget) dialAttempt(attempt *Try) {
 	c := &clientConn{target: d}
 	if c.protocol = (&memcacheClient{conn: c}); attempt.Op.Type.Scheme != "" {
@@ -96,13 +98,13 @@
 	}
 }
 
-// Opened takes that the connection is up.
+// Opened handles the establishment of the connection.
 func (c *clientConn) Opened() {
 	c.connected = true
 	c.Flushed()
 }
 
-// Flushed writes on, and notes when a try was written whole.
+// Flushed writes pending data, and records when the attempt's last byte was written.
 func (c *clientConn) Flushed() {
 	c.out.flush()
 	if c.attempt != nil && c.attempt.Sent == 0 && c.conn.Sent() >= c.attemptEnd {
@@ -110,7 +112,7 @@
 	}
 }
 
-// overdue takes the time when the client goes away.
+// onTimeout ends the attempt when the client stops waiting for it.
 func (c *clientConn) onTimeout() {
 	switch attempt := c.attempt; {
 	case attempt == nil:
@@ -131,7 +133,7 @@
 	c.close()
 }
 
-// finish ends the present try.
+// finishAttempt ends the current attempt.
 func (c *clientConn) finishAttempt(end End) {
 	attempt := c.attempt
 	c.attempt = nil
@@ -140,7 +142,7 @@
 	c.target.clients.attemptEnded(attempt, end)
 }
 
-// Input reads answers.
+// Input reads and handles answers.
 func (c *clientConn) Input() {
 	for c.in.Len() > 0 && !c.closed {
 		if _, err := c.protocol.read(c.in); err != nil {
@@ -150,10 +152,10 @@
 	}
 }
 
-// answered takes the answer to the present try, and uses the connection on as this kind of client does.
+// attemptAnswered ends the current attempt, then closes or keeps the connection as Load.Use has it.
 func (c *clientConn) attemptAnswered(end End) {
 	c.answeredAttempts++
-	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // it was answered before all of it was written
+	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // answered before it was written completely
 	plain := c.attempt.Reading.needsPlainConn()
 	c.finishAttempt(end)
 	switch use := c.target.clients.load.Use; {
@@ -165,7 +167,8 @@
 	}
 }
 
-// due tells whether an answer with this id, if it has one, is owed. One that is not is an answer too many.
+// expectsAnswer reports whether an answer with this ID (empty: an answer without an ID) belongs to the current attempt.
+// An answer received without a current attempt is recorded as a duplicate.
 func (c *clientConn) expectsAnswer(id string) bool {
 	if c.attempt != nil && (id == "" || id == c.attempt.ID) {
 		return true
@@ -174,12 +177,13 @@
 		c.target.clients.records.Twice = append(c.target.clients.records.Twice, c.lastAnsweredID)
 		c.close()
 	} else {
-		c.rejectAnswer("an answer with the id " + id)
+		c.rejectAnswer("answer with unexpected ID " + id)
 	}
 	return false
 }
 
-// strange takes what means nothing: any other line is a failure.
+// rejectAnswer fails the current attempt because of an answer that the protocol does not allow, and closes the
+// connection.
 func (c *clientConn) rejectAnswer(description string) {
 	if attempt := c.attempt; attempt != nil {
 		if attempt.malformed = description; attempt.Length > 0 {
@@ -191,8 +195,8 @@
 	c.close()
 }
 
-// Closed takes the router's end of the connection. One that crosses a command that was not read is no loss: the command
-// goes out once more.
+// Closed handles the end of the connection by the router. If a reused connection was closed before the command was
+// answered, the command is sent once more on a new connection, unless it is at most once and may have run.
 func (c *clientConn) Closed() {
 	if c.closed {
 		return
@@ -214,7 +218,7 @@
 		target.clients.attemptEnded(attempt, NoConnection)
 	case attempt.Length > 0:
 		target.clients.attemptEnded(attempt, Cut)
-	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read, and have run
+	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
 		target.clients.attemptEnded(attempt, Lost)
 	case reused && !attempt.Again && attempt.Began+attempt.Wait > target.clients.loop.Now():
 		attempt.Again, attempt.AgainAt = true, target.clients.loop.Now()
@@ -237,10 +241,10 @@
 	c.conn.Close()
 }
 
-// plain tells whether it takes a connection of its own kind.
+// needsPlainConn reports whether this way of reading needs a plainConn.
 func (r Reading) needsPlainConn() bool { return r.Rate > 0 || r.Pause > 0 }
 
-// rests notes that the client reads nothing for so many seconds.
+// addReadPause records that the client does not read for this many seconds.
 func (c *clientConn) addReadPause(seconds float64) {
 	if c.attempt != nil && c.attempt.Length > 0 {
 		c.attempt.ReadPaused += seconds
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -14,68 +14,70 @@
 	"bendtrestle/internal/meta"
 )
 
-// Connections tells how clients use theirs.
+// Connections is how clients use their connections.
 type Connections string
 
-// The ways.
+// The ways in which clients use connections.
 const (
-	Kept Connections = "kept" // for the next operation
-	New  Connections = "new"  // one for each try
-	Once Connections = "once" // used for one try, and left open for good
+	Kept Connections = "kept" // reused for the next request
+	New  Connections = "new"  // a new one for each attempt
+	Once Connections = "once" // used for one attempt, then left open and idle
 )
 
-// Load describes the clients.
+// Load describes the clients and the requests that they send.
 type Load struct {
 	Types     []*TrafficType
-	Rate      float64 // operations a second
+	Rate      float64 // requests per second
 	Keys      int
-	Zipf      float64 // the exponent of the keys' popularity, 0: all alike
-	Retries   int     // after the first try
-	TryShare  float64 // part of the hard stop for which a try waits
+	Zipf      float64 // exponent of the keys' Zipf distribution; 0: uniform
+	Retries   int     // most retries of a request
+	TryShare  float64 // an attempt's timeout as a fraction of the request's deadline
 	Pause     float64 // seconds before a retry
-	Honour    float64 // part of the clients that come back when they are told to
-	Impatient float64 // part of the tries that are left before their time is up
+	Honour    float64 // fraction of retries that wait as long as the router asked
+	Impatient float64 // fraction of attempts whose client disconnects before the timeout
 	Use       Connections
-	Most      int       // connections to one router
-	Skew      []float64 // the routers' parts of the arrivals, as weights; none: all alike
+	Most      int       // most connections to one router; 0: no limit
+	Skew      []float64 // relative weights of the routers in the choice of a router; empty: equal
 }
 
-// End tells how a try ended for its client.
+// End is how an attempt ended for its client.
 type End int
 
-// The ends of a try.
+// The ends of an attempt.
 const (
 	Waiting      End = iota
-	Finished         // the router gave a value or a receipt
-	Declined         // trying again is harmless
-	Terminated       // no promise
-	NoConnection     // it never reached a router
-	Left             // the client went away before its time was up
+	Finished         // the router returned a value or a receipt
+	Declined         // rejected: a retry is safe
+	Terminated       // failed: the outcome is unknown
+	NoConnection     // not sent: it did not reach a router
+	Left             // the client disconnected before its timeout
 	Lost             // the connection ended without an answer
-	Silent           // no answer in time, or within a value nothing more
-	Cut              // the connection ended within a value
+	Silent           // no answer in time, or a value stopped arriving
+	Cut              // the connection ended within a value, or the value's end was malformed
 )
 
 func (e End) String() string {
-	return [...]string{"waiting", "finished", "declined", "terminated", "no connection", "left", "lost", "silent", "cut"}[e]
+	return [...]string{"waiting", "finished", "declined", "terminated", "no connection", "left", "lost", "silent",
+		"cut"}[e]
 }
 
-// Tolerance is how much later than its time an answer may come without being missed: what sockets and timers take.
+// Tolerance is for how many seconds after the attempt's timeout a client still accepts an answer. It covers the delays
+// of sockets and timers.
 const Tolerance = 0.05
 
-// Op is an operation as its client sees it: all its tries together.
+// Op is a request as its client sees it, with all its attempts.
 type Op struct {
 	N              int
 	Type           *TrafficType
 	Key            string
 	IdempotencyKey string
-	Due            float64 // when it was to be sent
+	Due            float64 // when it was scheduled to be sent
 	Tries          []*Try
-	Done           float64 // when it was over
-	How            End     // of its last try
+	Done           float64 // when its last attempt ended
+	How            End     // of its last attempt
 }
 
-// Took is how long it took from when it was due, but for the time in which its client did not read.
+// Took returns the request's latency since it was due, without the time in which its client did not read.
 func (o *Op) Took() float64 {
 	took := o.Done - o.Due
 	for _, attempt := range o.Tries {
@@ -84,59 +86,59 @@
 	return took
 }
 
-// Served tells whether it was answered with what was asked for, and in the promised time.
+// Served reports whether the request finished, and whether it finished within its latency objective.
 func (o *Op) Served() (any, inTime bool) {
 	any = o.How == Finished
 	return any, any && o.Took() <= o.Type.Promised
 }
 
-// Try is one command of a client.
+// Try is one attempt of a client at one router.
 type Try struct {
 	Op        *Op
 	ID        string
 	Router    int
 	Began     float64
-	Sent      float64 // when its last byte had been written; 0: never
-	Wait      float64 // seconds that its client waits
+	Sent      float64 // when its last byte was written; 0: never
+	Wait      float64 // timeout in seconds
 	Ended     float64
 	How       End
-	After     int     // milliseconds after which it may come back, as the router said
-	Got       uint32  // a checksum of the value or the receipt
-	Again     bool    // its kept connection had been closed, and it was sent once more ...
-	AgainAt   float64 // ... then
-	malformed string  // an answer that means nothing, or what is wrong with a long value
-
-	Reading    Reading // how it takes a long value; zero: as it comes
-	Length     int     // bytes of the long value that began to come; 0: none did
-	Came       int     // so many of these did
-	Begun      uint32  // by which that value is known, once its head had come: Execution.Made of who made it
+	After     int     // milliseconds after which the router allows a retry; 0: not stated
+	Got       uint32  // checksum of the value or the receipt
+	Again     bool    // it was sent once more because its reused connection had been closed ...
+	AgainAt   float64 // ... at this time
+	malformed string  // what is wrong with the answer; empty: nothing
+
+	Reading    Reading // how it reads a long value; zero value: without delay
+	Length     int     // stated length in bytes of the long value that began to arrive; 0: none
+	Came       int     // bytes of it that were received
+	Begun      uint32  // checksum of that value, once its head was received; equals Execution.Made of its execution
 	ReadPaused float64 // seconds in which its client did not read
 }
 
-// Strange is an answer that should not be, if it got one.
+// Strange returns what is wrong with the answer; empty: nothing.
 func (t *Try) Strange() string { return t.malformed }
 
-// Garble notes that an answer is not as it was made, and how.
+// Garble records that the answer differs from the one that was made, and how.
 func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
 
-// ClientBook is what the clients saw. It belongs to their loop.
+// ClientBook holds the records of the clients. Only their event loop may access it while it runs.
 type ClientBook struct {
 	Ops       []*Op
-	Twice     []string // ids of tries that were answered again
+	Twice     []string // IDs of attempts that were answered more than once
 	Lateness  []float64
 	LateSends int
 	Overflow  bool
 }
 
-// Clients send operations to routers, open loop: what comes when is drawn ahead and waits for no answer.
+// Clients send requests to routers in an open loop: arrival times are drawn at random and don't depend on answers.
 type Clients struct {
 	loop                 *eventloop.Loop
 	load                 Load
 	routers              []*routerTarget
-	tileRouters          map[string][]*routerTarget // the same routers, where they take a team's map tiles
+	tileRouters          map[string][]*routerTarget // the same routers' addresses for each team's map tiles, by team
 	records              *ClientBook
-	rng                  *rand.Rand // for what does not belong to the arrivals
-	cumulativePopularity []float64  // sums of the keys' popularity
+	rng                  *rand.Rand // for everything but the arrivals
+	cumulativePopularity []float64  // cumulative sums of the keys' weights
 	arrivals             []*arrivalProcess
 	arrivalsEnd          float64
 	lastID               uint32
@@ -148,7 +150,7 @@
 	readBehaviors []Reading
 }
 
-// flow is the arrivals of one traffic type.
+// arrivalProcess is the Poisson process by which requests of one traffic type arrive.
 type arrivalProcess struct {
 	clients     *Clients
 	trafficType *TrafficType
@@ -164,23 +166,24 @@
 }
 
 type surge struct {
-	trafficType, tenant string // either may be empty: any
+	trafficType, tenant string // empty: any
 	factor              float64
 }
 
-// door is one router as its clients see it.
+// routerTarget is one router as its clients see it.
 type routerTarget struct {
 	clients    *Clients
 	index      int
 	addr       netip.AddrPort
 	idle       []*clientConn
 	openConns  int
-	avoidUntil float64 // not asked until then, after it refused
+	avoidUntil float64 // not chosen until then, after it refused a connection
 	weight     float64
 }
 
-// NewClients makes clients of the routers at these addresses.
-func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
+// NewClients returns clients of the routers at these addresses.
+func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string,
+	tileFronts map[string][]string) (*Clients, error) {
 	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
 		lastID: uint32(seed) ^ 0x5bd1e995}
 	for index, text := range routers {
@@ -201,7 +204,8 @@
 			if err != nil {
 				return nil, fmt.Errorf("router %s: %w", text, err)
 			}
-			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: index, addr: addr, weight: c.routers[index].weight})
+			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: index, addr: addr,
+				weight: c.routers[index].weight})
 		}
 	}
 	sum := 0.0
@@ -214,7 +218,8 @@
 		totalShare += trafficType.Share
 	}
 	for i, trafficType := range load.Types {
-		arrivals := &arrivalProcess{clients: c, trafficType: trafficType, fraction: trafficType.Share / totalShare, rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+		arrivals := &arrivalProcess{clients: c, trafficType: trafficType, fraction: trafficType.Share / totalShare,
+			rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
 		arrivals.timer = loop.Timer(arrivals.arrive)
 		c.arrivals = append(c.arrivals, arrivals)
 	}
@@ -222,16 +227,16 @@
 	return c, nil
 }
 
-// Book is what they saw. It is read once the loop has ended, or on it.
+// Book returns the records. They may be read on the loop, or once the loop has ended.
 func (c *Clients) Book() *ClientBook { return c.records }
 
-// Late is how late their loop was.
+// Late returns how late the clients' loop was.
 func (c *Clients) Late() *Lateness { return &c.lateness }
 
-// Key names the n-th most popular key.
+// Key returns the n-th most popular key.
 func Key(n int) string { return "clinic-" + strconv.Itoa(n) }
 
-// Start lets operations arrive from now on, for so many seconds.
+// Start lets requests arrive for this many seconds from now.
 func (c *Clients) Start(seconds float64) {
 	now := c.loop.Now()
 	c.arrivalsEnd = now + seconds
@@ -241,17 +246,18 @@
 	}
 }
 
-// Busy tells whether operations are still to come or open.
+// Busy reports whether requests are in flight or still to arrive.
 func (c *Clients) Busy() bool { return c.openRequests > 0 || c.loop.Now() < c.arrivalsEnd }
 
-// Stop lets nothing more arrive.
+// Stop ends the arrivals.
 func (c *Clients) Stop() { c.arrivalsEnd = 0 }
 
-// plan draws when the next operation is due.
+// scheduleNext draws when the next request is due.
 func (f *arrivalProcess) scheduleNext() {
 	rate := f.clients.load.Rate * f.fraction
 	for _, s := range f.clients.surges {
-		if (s.trafficType == "" || s.trafficType == f.trafficType.Name) && (s.tenant == "" || s.tenant == f.trafficType.Tenant) {
+		if (s.trafficType == "" || s.trafficType == f.trafficType.Name) &&
+			(s.tenant == "" || s.tenant == f.trafficType.Tenant) {
 			rate *= s.factor
 		}
 	}
@@ -263,7 +269,7 @@
 	}
 }
 
-// replan lets a change of the rate act at once, not only after the next arrival.
+// rescheduleArrivals draws the next arrivals again, so that a changed rate takes effect before the next arrival.
 func (c *Clients) rescheduleArrivals() {
 	for _, arrivals := range c.arrivals {
 		arrivals.timer.Stop()
@@ -272,6 +278,7 @@
 	}
 }
 
+// arrive starts all requests that are due.
 func (f *arrivalProcess) arrive() {
 	for now := f.clients.loop.Now(); f.due <= now && f.due < f.clients.arrivalsEnd; {
 		before := f.due
@@ -282,16 +289,17 @@
 	}
 }
 
-// begin makes an operation.
+// startRequest draws a request and starts its first attempt.
 func (c *Clients) startRequest(arrivals *arrivalProcess) {
 	if len(c.records.Ops) >= maxRecords {
 		c.records.Overflow = true
 		return
 	}
 	request := &Op{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
-	n := sort.SearchFloat64s(c.cumulativePopularity, arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
+	n := sort.SearchFloat64s(c.cumulativePopularity,
+		arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
 	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
-	draw := arrivals.rng.Float64() // in any case: a hot key changes nothing else
+	draw := arrivals.rng.Float64() // drawn even without hot keys, so that a hot key doesn't change the other draws
 	for _, hot := range c.hotKeys {
 		if draw >= 0 && draw < hot.fraction {
 			request.Key = hot.key
@@ -316,7 +324,7 @@
 	return fmt.Sprintf("%08x%08x", c.lastID, crc32.ChecksumIEEE(b[:]))
 }
 
-// choose deals out a router, as a front does that notices refusals.
+// chooseRouter draws a router by weight, as a load balancer does that avoids routers which refused a connection.
 func (c *Clients) chooseRouter(routers []*routerTarget) *routerTarget {
 	sum, now := 0.0, c.loop.Now()
 	for _, target := range routers {
@@ -339,7 +347,7 @@
 	return routers[len(routers)-1]
 }
 
-// left is how long a client has for an operation, all its tries together.
+// remaining returns the seconds until the request's deadline.
 func (c *Clients) remaining(request *Op) float64 {
 	return request.Due + request.Type.HardStop - c.loop.Now()
 }
@@ -365,7 +373,7 @@
 	target.sendAttempt(attempt)
 }
 
-// read draws how a try takes its long value.
+// drawReadBehavior draws how an attempt reads its long value.
 func (c *Clients) drawReadBehavior(attempt *Try) {
 	trafficType := attempt.Op.Type
 	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
@@ -380,14 +388,15 @@
 	}
 }
 
-// over takes a try's end, and tries again if that may help.
+// attemptEnded records an attempt's end, and retries the request if that is allowed and there is time.
 func (c *Clients) attemptEnded(attempt *Try, end End) {
 	if attempt.How != Waiting {
 		return
 	}
 	attempt.How, attempt.Ended = end, c.loop.Now()
 	request := attempt.Op
-	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries && c.remaining(request) > pause+1e-3 {
+	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
+		c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
@@ -395,7 +404,7 @@
 	c.openRequests--
 }
 
-// pause is how long a client waits before it tries again; below 0 if it must not.
+// retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
 func (c *Clients) retryDelay(attempt *Try) float64 {
 	switch {
 	case attempt.How == Left:
@@ -403,7 +412,7 @@
 	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
 		return -1 // it may have run
 	case attempt.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Op.Due > attempt.Op.Type.Window*0.9:
-		return -1 // nobody would know it for a repeat
+		return -1 // near the end of the deduplication window a repeat may no longer be recognised
 	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
 		return float64(attempt.After) / 1e3
 	}
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -11,7 +11,8 @@
 	"bendtrestle/internal/eventloop"
 )
 
-// router answers each command as a test says: the text, or nothing, or the connection's end at "close".
+// startRouter starts a fake router that answers the n-th command with the text that reply returns. It answers nothing
+// if that is empty, and closes the connection if it is "close".
 func startRouter(t *testing.T, reply func(n int, line, id string) string) string {
 	ln, err := net.Listen("tcp", strings.Replace(testAddress(), "11300", "11211", 1))
 	if err != nil {
@@ -48,7 +49,7 @@
 	return ln.Addr().String()
 }
 
-// loaded runs clients against a router for a while and gives their book.
+// runClients runs clients against routers for this many seconds and returns their records.
 func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
 	t.Helper()
 	loop, err := eventloop.New()
@@ -69,32 +70,36 @@
 }
 
 func testLoad(rate float64) Load {
-	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01, Use: Kept, Most: 20}
+	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01,
+		Use: Kept, Most: 20}
 }
 
 func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
 
-// Arrivals wait for no answer: what is due comes, also while nothing is answered, and the keys are drawn by popularity.
+// Requests arrive at the configured rate even if the router answers none of them, and keys are drawn by popularity. A
+// closed loop would lower the load while a router is slow.
 func TestArrivalsAreOpenLoop(t *testing.T) {
 	load := testLoad(300)
 	load.Most = 1000
 	book := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
 	if n := len(book.Ops); n < 100 || n > 200 {
-		t.Errorf("%d operations in half a second at 300 a second", n)
+		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
 	}
 	keys := map[string]int{}
 	for _, request := range book.Ops {
 		keys[request.Key]++
 		if request.How != Silent && request.How != NoConnection {
-			t.Fatalf("an unanswered operation ended as %v", request.How)
+			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.How)
 		}
 	}
 	if keys[Key(0)] < 2*keys[Key(9)] {
-		t.Errorf("the most popular key came %d times, the tenth %d times", keys[Key(0)], keys[Key(9)])
+		t.Errorf("the most popular key was drawn %d times, the tenth %d times; want at least a factor of 2", keys[Key(0)],
+			keys[Key(9)])
 	}
 }
 
-// A declined operation comes back when it was told to, an at-most-once one only where it surely never ran.
+// A rejected request is retried after the delay that the router asked for. An at-most-once request is not retried after
+// a failure, because it may have run.
 func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
 	book := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
 		startRouter(t, func(n int, _, id string) string {
@@ -105,24 +110,29 @@
 		}))
 	first := book.Ops[0].Tries
 	if len(first) != 2 || first[0].How != Declined || first[1].How != Finished || first[1].Began-first[0].Ended < 0.079 {
-		t.Errorf("a declined operation went on as %+v", first)
+		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
 	once := *readType
 	once.Effect = 0
 	load := testLoad(20)
 	load.Types = []*TrafficType{&once}
-	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
+	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
+		return "SERVER_ERROR failed\r\n"
+	})).Ops {
 		if len(request.Tries) != 1 || request.How != Terminated {
-			t.Errorf("a terminated at-most-once operation went on: %d tries", len(request.Tries))
+			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Tries))
 		}
 	}
 }
 
-// A second answer is noted; a kept connection closed under a command sends it once more, under its id.
+// A second answer to an attempt is recorded. If a reused connection is closed before the answer, the attempt is sent
+// once more under the same ID.
 func TestDuplicateAnswersAndResendOnClosedConnection(t *testing.T) {
-	book := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string { return valueReply(id) + valueReply(id) }))
+	book := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
+		return valueReply(id) + valueReply(id)
+	}))
 	if len(book.Twice) == 0 {
-		t.Error("second answers were not noted")
+		t.Error("got no records of duplicate answers, want some")
 	}
 	book = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		if n == 2 {
@@ -137,16 +147,16 @@
 				resent++
 			}
 			if attempt.How != Finished {
-				t.Errorf("a try ended as %v", attempt.How)
+				t.Errorf("an attempt ended as %v, want finished", attempt.How)
 			}
 		}
 	}
 	if resent != 1 {
-		t.Errorf("%d tries went out once more, want 1", resent)
+		t.Errorf("%d attempts were sent once more, want 1", resent)
 	}
 }
 
-// A surge multiplies arrivals at once; a hot key draws its part; both end.
+// A surge multiplies the arrival rate immediately. A hot key receives its fraction of the requests. Both end.
 func TestSurgeAndHotKey(t *testing.T) {
 	clients, err := NewClients(newLoop(t), 5, testLoad(100), []string{"127.0.0.1:1"}, nil)
 	if err != nil {
@@ -167,7 +177,8 @@
 	end()
 	after, _ := count()
 	if surged < 4*usual || after > 2*usual {
-		t.Errorf("arrivals: %d, in the surge %d, after it %d", usual, surged, after)
+		t.Errorf("arrivals in 20 s: %d, during a surge by 5 %d, after it %d; want at least 4 times, at most 2 times as many",
+			usual, surged, after)
 	}
 	endHeat := clients.Heat("hot", 0.5)
 	hot := 0
@@ -180,7 +191,7 @@
 		}
 	}
 	if endHeat(); hot < 60 || hot > 140 || len(clients.hotKeys) != 0 {
-		t.Errorf("%d of 200 asked for the hot key", hot)
+		t.Errorf("%d of 200 requests used the hot key, want 60 to 140 and no hot key left after its end", hot)
 	}
 }
 
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -13,19 +13,19 @@
 	"bendtrestle/internal/tiles"
 )
 
-// clientSpeech is the protocol of one connection of a client.
+// clientProtocol is the client side of the protocol of one connection.
 type clientProtocol interface {
 	encodeRequest(attempt *Try, left float64) [][]byte
 	read(in *ringbuffer.Buffer) (whole bool, err error)
-	closed() bool // the connection has ended; true if that ended an answer as it should
+	closed() bool // handles the connection's end; true if that completed an answer
 }
 
-// memcacheClient is the meta commands of the memcache text protocol.
+// memcacheClient is the client side of the meta commands of the memcache text protocol.
 type memcacheClient struct {
 	conn   *clientConn
 	reader meta.ReplyReader
-	longID string // the id of a long value that is on its way
-	check  Check  // of it
+	longID string // ID of the long value that is being received
+	check  Check  // of that value
 }
 
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
@@ -54,7 +54,7 @@
 	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, request.Type.Size)...), end...)}
 }
 
-// Value takes a read's answer.
+// Value handles a read's answer.
 func (m *memcacheClient) Value(id string, value []byte) {
 	if m.conn.expectsAnswer(id) {
 		m.conn.attempt.Got = crc32.ChecksumIEEE(value)
@@ -62,7 +62,7 @@
 	}
 }
 
-// Long takes the beginning of a long value.
+// Long handles the beginning of a long value.
 func (m *memcacheClient) Long(id string, length int) {
 	m.longID, m.check = id, Check{Length: length}
 	if attempt := m.conn.attempt; attempt != nil && id == attempt.ID {
@@ -70,7 +70,7 @@
 	}
 }
 
-// Part takes some of a long value.
+// Part handles a piece of a long value.
 func (m *memcacheClient) Part(part []byte) int {
 	m.check.Take(part)
 	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
@@ -83,7 +83,8 @@
 	return len(part)
 }
 
-// LongEnd takes a read's long answer. One that is not what its head says has no sum, for nobody made it.
+// LongEnd handles the end of a read's long value. A value that does not match its head is recorded as malformed and
+// gets no checksum, because no server made it.
 func (m *memcacheClient) LongEnd() {
 	if m.conn.closed || !m.conn.expectsAnswer(m.longID) {
 		return
@@ -96,7 +97,7 @@
 	m.conn.attemptAnswered(Finished)
 }
 
-// Stored takes a write's answer.
+// Stored handles a write's answer.
 func (m *memcacheClient) Stored(id, receipt string) {
 	if m.conn.expectsAnswer(id) {
 		m.conn.attempt.Got = crc32.ChecksumIEEE([]byte(receipt))
@@ -104,7 +105,7 @@
 	}
 }
 
-// Busy takes that trying again is harmless.
+// Busy handles a rejection. A retry is safe.
 func (m *memcacheClient) Busy(after int) {
 	if m.conn.expectsAnswer("") {
 		m.conn.attempt.After = after
@@ -112,27 +113,27 @@
 	}
 }
 
-// Failed takes that nothing is promised.
+// Failed handles a failure. The outcome is unknown.
 func (m *memcacheClient) Failed() {
 	if m.conn.expectsAnswer("") {
 		m.conn.attemptAnswered(Terminated)
 	}
 }
 
-// Ready is for probes.
+// Ready is the answer to a probe, which clients don't send.
 func (m *memcacheClient) Ready() {}
 
-// Other takes any other line.
+// Other rejects any other line.
 func (m *memcacheClient) Other(line string) {
 	if m.conn.expectsAnswer("") {
 		m.conn.rejectAnswer(line)
 	}
 }
 
-// WaitHeader is by which clients of tiles say how many milliseconds they wait.
+// WaitHeader is the header in which tile clients state their timeout in milliseconds.
 const WaitHeader = "X-Wait-Ms"
 
-// tileClient is HTTP, by one of the schemes.
+// tileClient is the client side of HTTP requests for tiles, in any of the address schemes.
 type tileClient struct {
 	conn   *clientConn
 	reader http1.ResponseReader
@@ -144,21 +145,23 @@
 func (k *tileClient) read(in *ringbuffer.Buffer) (bool, error) { return k.reader.Read(in, k) }
 func (k *tileClient) closed() bool                             { return k.reader.Closed(k) }
 
-// TileAt gives the n-th most popular tile of a layer: views of a region lie side by side.
+// TileAt returns the n-th most popular tile of a layer. Popular tiles are adjacent, as in views of one region.
 func TileAt(n int) tiles.Tile {
-	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64, Row: 1750 + n/64, Format: "png"}
+	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64,
+		Row: 1750 + n/64, Format: "png"}
 }
 
 func (k *tileClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
 	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
-	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n", attempt.Op.Type.Scheme.Address(TileAt(n)),
+	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n",
+		attempt.Op.Type.Scheme.Address(TileAt(n)),
 		attempt.ID, WaitHeader, int(math.Ceil(remaining*1e3)))}
 }
 
-// Status begins an answer.
+// Status handles an answer's status line.
 func (k *tileClient) Status(code int) { k.status, k.after, k.body = code, 0, nil }
 
-// Header takes a header.
+// Header handles a header.
 func (k *tileClient) Header(name, value string) {
 	if name == "retry-after" {
 		seconds, _ := strconv.Atoi(value)
@@ -166,16 +169,16 @@
 	}
 }
 
-// Length takes any length.
+// Length accepts any length.
 func (k *tileClient) Length(int64) error { return nil }
 
-// Body takes a part of a tile.
+// Body handles a piece of a tile.
 func (k *tileClient) Body(part []byte) error {
 	k.body = append(k.body, part...)
 	return nil
 }
 
-// End takes the end of an answer.
+// End handles the end of an answer.
 func (k *tileClient) End(keep bool) {
 	if !k.conn.expectsAnswer("") {
 		return
@@ -190,7 +193,7 @@
 	case 502, 504:
 		k.conn.attemptAnswered(Terminated)
 	default:
-		k.conn.rejectAnswer("the status " + strconv.Itoa(k.status))
+		k.conn.rejectAnswer("unexpected HTTP status " + strconv.Itoa(k.status))
 		return
 	}
 	if !keep {
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -5,17 +5,17 @@
 	"slices"
 )
 
-// The faults. Each is begun by a call and ended by the call that this gives back; any number may be on at once, also on
-// one target, and end in any order.
+// The faults. A call begins a fault and returns the function that ends it. Any number of faults may be active together,
+// also on one target, and they may end in any order.
 
-// Stall lets a cache server's cores stand still; it goes on accepting and reading.
+// Stall stops a cache server's cores. It still accepts connections and reads commands.
 func (s *Server) Stall() (end func()) {
 	s.stalled++
 	s.updateRate()
 	return func() { s.stalled--; s.updateRate() }
 }
 
-// Slow makes its cores so many times slower.
+// Slow makes the server's cores slower by this factor.
 func (s *Server) Slow(factor float64) (end func()) {
 	s.slowFactors = append(s.slowFactors, factor)
 	s.updateRate()
@@ -26,67 +26,71 @@
 	}
 }
 
-// Crash ends its process: connections are reset, new ones refused; afterwards it starts anew, cold and empty.
+// Crash ends the server's process: connections are reset, new ones refused. At the fault's end it restarts cold and
+// empty.
 func (s *Server) Crash() (end func() error) {
 	s.crash()
 	return s.restart
 }
 
-// Vanish cuts its machine off: what is open is silent, what is new never comes up; afterwards what was open is reset.
+// Vanish cuts the server's machine off from the network: open connections fall silent and new ones are never
+// established. At the fault's end the connections that were open are reset.
 func (s *Server) Vanish() (end func() error, err error) {
 	return s.becomeReachable, s.becomeUnreachable()
 }
 
-// Refuse makes it refuse new connections; those that it has go on.
+// Refuse makes the server refuse new connections. Open connections keep working.
 func (s *Server) Refuse() (end func() error) {
 	s.refusing++
 	s.updateListening()
 	return func() error { s.refusing--; return s.updateListening() }
 }
 
-// part adds to a part and gives the way back.
+// addFraction adds to a fraction and returns the function that subtracts it again.
 func addFraction(fraction *float64, amount float64) (end func()) {
 	*fraction += amount
 	return func() { *fraction = max(0, *fraction-amount) }
 }
 
-// Spoil makes a part of its answers noise, Fail errors, Reset a connection's end.
+// Spoil replaces a fraction of the server's answers by malformed ones.
 func (s *Server) Spoil(fraction float64) (end func()) {
 	return addFraction(&s.corruptFraction, fraction)
 }
 
-// Fail makes a part of its answers errors.
+// Fail replaces a fraction of the server's answers by errors.
 func (s *Server) Fail(fraction float64) (end func()) { return addFraction(&s.failFraction, fraction) }
 
-// Reset makes a part of its answers the end of their connection.
+// Reset makes the server reset the connection instead of sending a fraction of its answers.
 func (s *Server) Reset(fraction float64) (end func()) { return addFraction(&s.resetFraction, fraction) }
 
-// CloseBehind makes a part of its long values the last on their connection: it gives them whole and closes in order.
+// CloseBehind makes the server close the connection in order after a fraction of its long values, which it sends
+// completely.
 func (s *Server) CloseBehind(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[closesAfterValue], fraction)
 }
 
-// ResetBehind makes it give a part of them whole and reset the connection, 0.05 s after its kernel has taken the last byte.
+// ResetBehind makes the server reset the connection after a fraction of its long values, which it sends completely. The
+// reset follows 0.05 s after its kernel has taken the last byte.
 func (s *Server) ResetBehind(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[resetsAfterValue], fraction)
 }
 
-// BreakOff makes it close in order within a part of them.
+// BreakOff makes the server close the connection in order within a fraction of its long values.
 func (s *Server) BreakOff(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[closesWithinValue], fraction)
 }
 
-// ResetUnder makes it reset the connection within a part of them.
+// ResetUnder makes the server reset the connection within a fraction of its long values.
 func (s *Server) ResetUnder(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[resetsWithinValue], fraction)
 }
 
-// Cease makes it say no more within a part of them, on a connection that stays.
+// Cease makes the server stop sending within a fraction of its long values. The connection stays open.
 func (s *Server) Cease(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[stallsWithinValue], fraction)
 }
 
-// Drain makes the list say that it wants nothing new.
+// Drain makes the list service list a ready server as draining.
 func (s *Server) Drain() {
 	if s.mode == Ready {
 		s.mode = Draining
@@ -94,7 +98,7 @@
 	}
 }
 
-// Undrain takes that back.
+// Undrain makes the list service list a draining server as ready again.
 func (s *Server) Undrain() {
 	if s.mode == Draining && !s.removed {
 		s.mode = Ready
@@ -102,17 +106,17 @@
 	}
 }
 
-// Leave ends it for good.
+// Leave removes the server permanently.
 func (s *Server) Leave() { s.remove() }
 
-// Stall lets the origin stand still.
+// Stall stops the origin's work.
 func (l *Ledger) Stall() (end func()) {
 	l.stalled++
 	l.updateRate()
 	return func() { l.stalled--; l.updateRate() }
 }
 
-// Slow makes it so many times slower.
+// Slow makes the origin slower by this factor.
 func (l *Ledger) Slow(factor float64) (end func()) {
 	l.slowFactors = append(l.slowFactors, factor)
 	l.updateRate()
@@ -123,22 +127,22 @@
 	}
 }
 
-// Ledger is the origin.
+// Ledger returns the origin.
 func (f *Fleet) Ledger() *Ledger { return f.origin }
 
-// Silence lets an agent accept and say nothing.
+// Silence makes the agent accept calls without answering them.
 func (a *Agent) Silence() (end func()) {
 	a.withLock(func() { a.silent++ })
 	return func() { a.withLock(func() { a.silent-- }) }
 }
 
-// Refuse lets it refuse connections and end those it has.
+// Refuse makes the agent refuse new connections and close open ones.
 func (a *Agent) Refuse() (end func() error) {
 	a.refuse()
 	return a.accept
 }
 
-// Delay lets news take so many seconds longer.
+// Delay makes changes reach the agent this many seconds later.
 func (a *Agent) Delay(extra float64) (end func()) {
 	a.withLock(func() { a.extraDelays = append(a.extraDelays, extra) })
 	return func() {
@@ -149,7 +153,7 @@
 	}
 }
 
-// Freeze lets it learn nothing more.
+// Freeze keeps the agent at its current generation.
 func (a *Agent) Freeze() (end func()) {
 	var at int
 	a.withLock(func() { at = a.generation(); a.frozenAt = append(a.frozenAt, at) })
@@ -161,13 +165,13 @@
 	}
 }
 
-// Older lets it answer with the list as it was so many changes ago.
+// Older makes the agent answer with the list as it was this many changes ago.
 func (a *Agent) Older(changes int) (end func()) {
 	a.withLock(func() { a.generationsBehind += changes })
 	return func() { a.withLock(func() { a.generationsBehind -= changes }) }
 }
 
-// Heat lets a part of all operations ask for one key.
+// Heat makes a fraction of all requests use one hot key.
 func (c *Clients) Heat(key string, fraction float64) (end func()) {
 	hot := hotKey{key, fraction}
 	c.hotKeys = append(c.hotKeys, hot)
@@ -177,7 +181,7 @@
 	}
 }
 
-// Surge multiplies the arrivals of a traffic type, of a tenant, or of all where both are empty.
+// Surge multiplies the arrival rate of a traffic type, of a tenant, or of all requests if both are empty.
 func (c *Clients) Surge(trafficType, tenant string, factor float64) (end func()) {
 	added := surge{trafficType, tenant, factor}
 	c.surges = append(c.surges, added)
@@ -189,15 +193,16 @@
 	}
 }
 
-// Reading is how a part of the clients' reads take long values.
+// Reading is how a fraction of the clients' reads receive long values.
 type Reading struct {
-	Part  float64 // of the tries of reads
-	Rate  float64 // bytes a second; 0: as they come
-	Pause float64 // seconds for which it reads nothing, once, within the value
-	Leave bool    // it goes away within the value
+	Part  float64 // fraction of the read attempts
+	Rate  float64 // bytes per second; 0: no limit
+	Pause float64 // seconds for which the client stops reading, once within the value
+	Leave bool    // the client disconnects within the value
 }
 
-// Read lets a part of the reads take long values so. Where several are on, each has its part.
+// Read makes a fraction of the reads receive long values in this way. Several ways may be active, each with its
+// fraction.
 func (c *Clients) Read(behavior Reading) (end func()) {
 	c.readBehaviors = append(c.readBehaviors, behavior)
 	return func() {
@@ -206,5 +211,5 @@
 	}
 }
 
-// NextName names the server that comes next.
+// NextName returns the name for the next server that is added.
 func (f *Fleet) NextName() string { return fmt.Sprintf("%ss-%03d", f.namePrefix, len(f.servers)) }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -11,28 +11,29 @@
 	"bendtrestle/internal/tiles"
 )
 
-// Fleet is the cache servers, their origin and the list that names them, all on one loop.
+// Fleet is the cache servers, their origin and the list service, all on one event loop.
 type Fleet struct {
 	loop            *eventloop.Loop
 	types           map[string]*TrafficType
-	servers         []*Server // in the order in which they came, also those that have gone
+	servers         []*Server // in the order in which they were added, including removed ones
 	origin          *Ledger
 	list            *List
 	records         *Book
 	dedupTables     map[string]*dedupTable
 	seed            uint64
 	lastSerial      uint64
-	namePrefix      string         // what its servers' names begin with
-	tileService     *tiles.Service // they speak HTTP, and serve these layers
+	namePrefix      string         // prefix of its servers' names
+	tileService     *tiles.Service // if set, the servers speak HTTP and serve these layers
 	tileType        *TrafficType   // of their tiles
 	tileImages      map[string][]byte
-	drainingRejects bool // a draining cache server turns new commands away
+	drainingRejects bool // a draining cache server rejects new commands
 	lateness        Lateness
 }
 
-// NewFleet makes one without servers. Listed is the list service's usual delay.
+// NewFleet returns a fleet without servers. The list service's usual delay is listed.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{}, dedupTables: map[string]*dedupTable{}, seed: seed}
+	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{},
+		dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
 	}
@@ -43,32 +44,33 @@
 	return fleet
 }
 
-// Chance gives a source of chance of its own by name, so that what one part draws changes no other.
+// Chance returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
+// don't change those of another.
 func (f *Fleet) Chance(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(f.seed, uint64(crc32.ChecksumIEEE([]byte(name)))))
 }
 
-// Named makes its servers' names begin with something, so that those of several fleets differ.
+// Named sets a prefix of the servers' names, so that the names of several fleets differ.
 func (f *Fleet) Named(prefix string) { f.namePrefix = prefix }
 
-// ServeTiles makes all of them tile servers.
+// ServeTiles makes all servers tile servers.
 func (f *Fleet) ServeTiles(service *tiles.Service, trafficType *TrafficType) {
 	f.tileService, f.tileType, f.tileImages = service, trafficType, map[string][]byte{}
 }
 
-// Book is what was seen. It is read once the loop has ended, or on it.
+// Book returns the fleet's records. They may be read on the loop, or once the loop has ended.
 func (f *Fleet) Book() *Book { return f.records }
 
-// List is the list service.
+// List returns the list service.
 func (f *Fleet) List() *List { return f.list }
 
-// Late is how late the loop was.
+// Late returns how late the loop was.
 func (f *Fleet) Late() *Lateness { return &f.lateness }
 
-// Servers gives all that ever were.
+// Servers returns all servers, including removed ones.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Serving gives those that are listed as ready.
+// Serving returns the servers that are ready.
 func (f *Fleet) Serving() (ready []*Server) {
 	for _, s := range f.servers {
 		if s.mode == Ready && !s.removed {
@@ -78,7 +80,7 @@
 	return ready
 }
 
-// Add starts a cache server: a cold one, or one that has run for long.
+// Add starts a cache server, either cold or at full capacity.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
 	s := newServer(f, spec, f.Chance(spec.Name))
 	if err := s.updateListening(); err != nil {
@@ -92,7 +94,7 @@
 	return s, nil
 }
 
-// Fill lets servers hold keys from the start, as those that have run for long do.
+// Fill puts keys into the caches of all servers, as if they had run for a long time.
 func (f *Fleet) Fill(keys []string) {
 	for _, s := range f.servers {
 		for _, k := range keys {
@@ -106,7 +108,8 @@
 	return f.lastSerial
 }
 
-// memory gives what those know who drop the repeats of a numbered type that come to s.
+// dedupTable returns the deduplication table of the scope in which server s recognises repeats of an idempotency-keyed
+// traffic type; nil for other types.
 func (f *Fleet) dedupTable(s *Server, trafficType *TrafficType) *dedupTable {
 	if trafficType.Effect != balancer.IdempotencyKeyed {
 		return nil
@@ -124,14 +127,14 @@
 	return f.dedupTables[name]
 }
 
-// drop makes all copies of a key void.
+// invalidate removes a key from the caches of all servers.
 func (f *Fleet) invalidate(key string) {
 	for _, s := range f.servers {
 		s.cache.drop(key)
 	}
 }
 
-// sweep closes what has stood idle for long.
+// closeIdleConns closes connections that have been idle for longer than their server's bound, twice per second.
 func (f *Fleet) closeIdleConns() {
 	now := f.loop.Now()
 	for _, s := range f.servers {
@@ -144,7 +147,7 @@
 	f.loop.After(0.5, f.closeIdleConns)
 }
 
-// Close ends all.
+// Close stops the list service and all servers.
 func (f *Fleet) Close() {
 	f.list.close()
 	for _, s := range f.servers {
@@ -155,15 +158,15 @@
 	}
 }
 
-// Lateness tells how late a loop runs what is due, by a timer of its own.
+// Lateness measures with a periodic timer how late an event loop runs its timers.
 type Lateness struct {
 	loop  *eventloop.Loop
 	due   float64
-	Times []float64 // seconds, each 10 ms
+	Times []float64 // lateness in seconds, one sample every 10 ms
 	At    []float64
 }
 
-const latenessInterval = 0.01 // between two looks: a tenth of the shortest promised times
+const latenessInterval = 0.01 // seconds between samples: a tenth of the shortest latency objectives
 
 func (l *Lateness) start(loop *eventloop.Loop) {
 	l.loop, l.due = loop, loop.Now()+latenessInterval
@@ -179,7 +182,7 @@
 	l.loop.After(latenessInterval, l.tick)
 }
 
-// Part gives the lateness that so large a part of the looks did not exceed.
+// Part returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
 func (l *Lateness) Part(fraction float64) float64 {
 	if len(l.Times) == 0 {
 		return 0
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -16,30 +16,34 @@
 	"bendtrestle/internal/eventloop"
 )
 
-var readType = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100, Promised: 0.2, HardStop: 0.5, Benefit: 1}
-var putType = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
+var readType = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100,
+	Promised: 0.2, HardStop: 0.5, Benefit: 1}
+var putType = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed,
+	Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
 	Promised: 0.2, HardStop: 0.5, Benefit: 1}
 
 var lastTestAddress atomic.Int32
 
-// place gives an address of its own for each test.
+// testAddress returns a loopback address that no other test uses.
 func testAddress() string {
 	return fmt.Sprintf("127.%d.%d.%d:11300", 220+os.Getpid()%30, 1+os.Getpid()%200, lastTestAddress.Add(1))
 }
 
 func spec(name string) Spec {
-	return Spec{Name: name, Addr: testAddress(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10, Connections: 20, Keep: 100,
+	return Spec{Name: name, Addr: testAddress(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10,
+		Connections: 20, Keep: 100,
 		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, Fall: 0.5}}
 }
 
-// running gives a fleet whose loop runs, with one server for each spec.
+// startFleet returns a fleet whose loop runs, with one server for each spec.
 func startFleet(t *testing.T, specs ...Spec) (*Fleet, []*Server) {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2, Time: 0.2, Halt: 0.3}, Delay{})
+	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2,
+		Time: 0.2, Halt: 0.3}, Delay{})
 	var servers []*Server
 	for _, s := range specs {
 		server, err := fleet.Add(s, false)
@@ -58,14 +62,14 @@
 	return fleet, servers
 }
 
-// on runs something on the fleet's loop.
+// runOnLoop runs do on the fleet's event loop and waits for it.
 func (f *Fleet) runOnLoop(do func()) {
 	done := make(chan struct{})
 	f.loop.Post(func() { do(); close(done) })
 	<-done
 }
 
-// caller is a connection to a stand-in.
+// testConn is a connection to an emulated server.
 type testConn struct {
 	net.Conn
 	*bufio.Reader
@@ -86,14 +90,14 @@
 	fmt.Fprintf(c.Conn, format+"\r\n", args...)
 }
 
-// line reads a line within a time; an error tells of the connection's end or of silence.
+// readLine reads a line. It fails if the connection ends or no line arrives in time.
 func (c *testConn) readLine(within time.Duration) (string, error) {
 	c.SetReadDeadline(time.Now().Add(within))
 	text, err := c.ReadString('\n')
 	return strings.TrimSpace(text), err
 }
 
-// get reads a key and gives the first word of the answer.
+// get reads a key and returns "VA" for a value, else the answer's line or the error's text.
 func (c *testConn) get(id string) string {
 	c.t.Helper()
 	c.sendLine("mg key v O%s Pc=read,d=400", id)
@@ -108,7 +112,7 @@
 	return text
 }
 
-// members asks the list service.
+// queryList calls the list service. The generation is -1 if the call fails.
 func queryList(t *testing.T, agent *Agent, query string) (out listResponse) {
 	t.Helper()
 	client := http.Client{Timeout: 300 * time.Millisecond}
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -6,16 +6,17 @@
 	"bendtrestle/internal/eventloop"
 )
 
-// LedgerSpec describes the origin.
+// LedgerSpec describes the origin and its overload rule: if the offered load exceeds Multiple times the capacity for
+// Time seconds, the origin stops for Halt seconds.
 type LedgerSpec struct {
-	AtOnce   int     // fetches that it works on
-	Takes    float64 // seconds for one, the mean
-	Multiple float64 // pushed past so many times what it can do ...
-	Time     float64 // ... for so long ...
-	Halt     float64 // ... it stops for so long
+	AtOnce   int     // calls that it works on concurrently
+	Takes    float64 // mean seconds for one call
+	Multiple float64 // of the capacity
+	Time     float64 // seconds
+	Halt     float64 // seconds
 }
 
-// Ledger is the origin: slow, a few at once, and it stops for a while when pushed past its bound.
+// Ledger is the origin. It is slow, works on few calls concurrently, and stops for a while when it is overloaded.
 type Ledger struct {
 	loop        *eventloop.Loop
 	spec        LedgerSpec
@@ -26,7 +27,7 @@
 	halted      bool
 	stalled     int
 	slowFactors []float64
-	recent      []Fetch // that came within the time of the rule
+	recent      []Fetch // calls within the last spec.Time seconds
 }
 
 func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, rng *rand.Rand) *Ledger {
@@ -35,10 +36,10 @@
 		processor: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
 }
 
-// fetch calls done when the origin has answered, or never if cancelled before.
+// fetch calls done when the origin has answered. If the job is cancelled before, done is not called.
 func (l *Ledger) fetch(s *Server, done func()) *job { return l.call(s, false, done) }
 
-// write passes a write to the origin; it costs as much as a fetch and holds nobody up.
+// write sends a write to the origin. It costs as much as a fetch, and the server does not wait for it.
 func (l *Ledger) write(s *Server) { l.call(s, true, func() {}) }
 
 func (l *Ledger) call(s *Server, write bool, done func()) *job {
@@ -56,7 +57,7 @@
 	return l.processor.add(takes, func() bool { return true }, done)
 }
 
-// halt stops it for the stated time.
+// halt stops the origin for spec.Halt seconds.
 func (l *Ledger) halt(now float64) {
 	cold := 0
 	for _, f := range l.recent {
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -11,37 +11,37 @@
 	"time"
 )
 
-// Delay is how long news take: at least Base, and up to Spread more.
+// Delay is how many seconds a change takes to reach an agent: Base, plus a random time of up to Spread.
 type Delay struct{ Base, Spread float64 }
 
-// List is the list service. Each router has an agent of its own, which learns of a change late, and after those before
-// it. Its calls may come from any goroutine.
+// List is the list service. Each router has its own agent, which learns of each change after a delay and in the order
+// of the changes. List may be called from any goroutine.
 type List struct {
 	mu      sync.Mutex
 	now     func() float64
 	delay   Delay
 	rng     *rand.Rand
-	changes []listChange // all of a run, the first has generation 1
+	changes []listChange // all changes of a run; the first has generation 1
 	agents  []*Agent
 
-	callRate  float64 // that it takes a second, from all routers together; 0: any number
-	busyUntil float64 // when it has answered all that it has taken
+	callRate  float64 // calls per second that it serves for all routers together; 0: no limit
+	busyUntil float64 // when all admitted calls are served
 }
 
 const (
-	maxCallWait = 2.0   // seconds: a call that would wait longer for its turn is turned away
-	rejectCost  = 0.25  // of a call's time is what turning one away takes
-	watchGap    = 0.200 // seconds after its last answer a watch goes on and is no new call
+	maxCallWait = 2.0   // seconds; a call that would be served later than that is rejected
+	rejectCost  = 0.25  // the service time of a rejection, as a fraction of a call's
+	watchGap    = 0.200 // seconds; a watch continued within this time after its last answer is not a new call
 )
 
-// Bound makes it take so many calls a second; those that wait too long are turned away.
+// Bound limits the service to this many calls per second. Calls that would wait too long are rejected.
 func (l *List) Bound(calls float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.callRate = calls
 }
 
-// take queues a call: it tells for how long, or that the call is turned away.
+// admitCall queues a call. It returns how many seconds the call waits, and whether it is admitted or rejected.
 func (l *List) admitCall(now float64) (wait float64, admitted bool) {
 	if l.callRate <= 0 {
 		return 0, true
@@ -61,7 +61,7 @@
 	server *Server
 }
 
-// entry is one cache server, in the protocol's words.
+// listEntry is one cache server in the list service's JSON.
 type listEntry struct {
 	ID      string  `json:"instanceId"`
 	Addr    string  `json:"hostPort"`
@@ -79,7 +79,7 @@
 	Entries    []listEntry `json:"instances"`
 }
 
-// Told is what an agent wrote to its router of one cache server that changed for it.
+// Told is a change of one cache server that an agent reported to its router.
 type Told struct {
 	At     float64
 	Server string
@@ -90,7 +90,7 @@
 	return &List{now: now, delay: delay, rng: rng}
 }
 
-// change takes what has become of a server.
+// recordChange adds a change to the list if the server's listed mode or start time has changed.
 func (l *List) recordChange(s *Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
@@ -109,23 +109,23 @@
 // Agent is the list service as one router sees it.
 type Agent struct {
 	list               *List
-	visibleAt          []float64 // when it learns of each change
+	visibleAt          []float64 // when the agent learns of each change
 	reportedModes      map[string]Mode
 	reports            []Told
-	reportedGeneration int                    // the generation that it last told
-	lastReport         float64                // when
-	addressOf          func(s *Server) string // where its router reaches a cache server; nil: at its own address
+	reportedGeneration int                    // the generation last sent to the router
+	lastReport         float64                // when it was sent
+	addressOf          func(s *Server) string // address at which the router reaches a cache server; nil: the server's own
 	server             *http.Server
-	servers            []*http.Server // also those that it has moved from
+	servers            []*http.Server // including those at former addresses
 	addr               string
 
 	// Faults; they may overlap.
 	silent, refusing, generationsBehind int
-	extraDelays                         []float64 // seconds that news take longer
-	frozenAt                            []int     // generations beyond which it learns nothing
+	extraDelays                         []float64 // extra seconds until the agent learns of a change
+	frozenAt                            []int     // highest generations that it may reach
 }
 
-// Agent makes one for a router at an address. What was the case before is known at once.
+// Agent starts an agent for a router, listening at addr. It knows all earlier changes without a delay.
 func (l *List) Agent(addr string) (*Agent, error) {
 	l.mu.Lock()
 	agent := &Agent{list: l, addr: addr, reportedModes: map[string]Mode{}}
@@ -138,10 +138,10 @@
 	return agent, agent.listen(addr)
 }
 
-// Via has the agent name other addresses of cache servers: those at which its router alone reaches them.
+// Via makes the agent list other addresses of the cache servers, which only its router uses.
 func (a *Agent) Via(addressOf func(s *Server) string) { a.withLock(func() { a.addressOf = addressOf }) }
 
-// plan draws when the agent learns of the newest change.
+// scheduleChanges draws when the agent learns of the newest changes.
 func (a *Agent) scheduleChanges() {
 	for n := len(a.visibleAt); n < len(a.list.changes); n++ {
 		at := a.list.changes[n].at + a.list.delay.Base + a.list.delay.Spread*a.list.rng.Float64()
@@ -167,14 +167,14 @@
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the agent listens.
 func (a *Agent) Addr() string {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
 	return a.addr
 }
 
-// generation is the newest that it knows.
+// generation returns the newest generation that the agent knows.
 func (a *Agent) generation() int {
 	now := a.list.now()
 	for _, extra := range a.extraDelays {
@@ -193,7 +193,7 @@
 	return n
 }
 
-// since gives what changed after a generation, or the whole list.
+// responseSince returns the changes after generation from up to generation to, or the full list.
 func (a *Agent) responseSince(from, to int, full bool) listResponse {
 	latest, order := map[string]listEntry{}, []string(nil)
 	for _, c := range a.list.changes[from:to] {
@@ -215,7 +215,7 @@
 	return response
 }
 
-const pollInterval = 2 * time.Millisecond // between two looks for news: far below the delays of any list
+const pollInterval = 2 * time.Millisecond // between checks for changes: far below the delay of any list service
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
 	from, parseError := strconv.Atoi(r.URL.Query().Get("from"))
@@ -259,9 +259,9 @@
 	}
 }
 
-// write sends an answer and notes what it told.
+// write sends a response and records the changes that it reported.
 func (a *Agent) write(w http.ResponseWriter, response listResponse) {
-	body, _ := json.Marshal(response) // plain fields only
+	body, _ := json.Marshal(response) // can't fail: plain fields only
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := w.Write(body); err != nil {
@@ -297,28 +297,28 @@
 	a.reports = append(a.reports, Told{At: now, Server: server, Mode: mode})
 }
 
-// Told gives what was told, in its order.
+// Told returns the reported changes in order.
 func (a *Agent) Told() []Told {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
 	return append([]Told(nil), a.reports...)
 }
 
-// Known gives the list as the router last had it, in the list's form, for its configuration. A new process of that
-// router starts with it.
+// Known returns the list as the router last received it, in the list service's JSON. It goes into the router's
+// configuration, so that a new process of that router starts with it.
 func (a *Agent) Known() json.RawMessage {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
 	newest := a.generation()
 	if a.list.callRate > 0 {
-		newest = a.reportedGeneration // nobody else asks, so nothing later has come to the router's machine
+		newest = a.reportedGeneration // only this router calls, so its machine has received nothing newer
 	}
 	response := a.responseSince(0, newest, true)
 	body, _ := json.Marshal(response)
 	return body
 }
 
-// Move makes it listen elsewhere; the old address goes after a while, as its operators would have it.
+// Move makes the agent listen at another address. The old address closes 1.5 s later, as in a planned move.
 func (a *Agent) Move(addr string) error {
 	a.list.mu.Lock()
 	old := a.server
@@ -330,14 +330,14 @@
 	return nil
 }
 
-// with calls f where nothing else changes.
+// withLock calls f with the list's lock held.
 func (a *Agent) withLock(f func()) {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
 	f()
 }
 
-// refuse makes new connections fail, and ends those that are open; accept undoes it.
+// refuse makes new connections fail and closes open ones. It is undone by accept.
 func (a *Agent) refuse() {
 	a.list.mu.Lock()
 	a.refusing++
--- a/internal/emulator/list_test.go
+++ b/internal/emulator/list_test.go
@@ -8,7 +8,7 @@
 	"time"
 )
 
-// follow gives an agent of a running fleet at an address of its own.
+// startAgent starts an agent of a running fleet at its own address.
 func startAgent(t *testing.T, fleet *Fleet) *Agent {
 	agent, err := fleet.list.Agent(strings.Replace(testAddress(), "11300", "8500", 1))
 	if err != nil {
@@ -17,8 +17,8 @@
 	return agent
 }
 
-// notified gives what an agent notes that it told, once it is as many as wanted. An agent notes an answer after the answer has left, for
-// only what was written counts as told: a caller may have read it before.
+// waitForReports returns an agent's recorded reports once there are as many as wanted, or after 1 s. An agent records a
+// response only after it was written, so a caller may read the response before it is recorded.
 func waitForReports(agent *Agent, want int) []Told {
 	for deadline := time.Now().Add(time.Second); len(agent.Told()) < want && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
@@ -31,7 +31,7 @@
 	agent := startAgent(t, fleet)
 	whole := queryList(t, agent, "")
 	if whole.Generation != 2 || !whole.Full || len(whole.Entries) != 2 || whole.Entries[0].Addr != servers[0].Addr {
-		t.Fatalf("the whole list is %+v", whole)
+		t.Fatalf("full list: got %+v, want generation 2 with both servers", whole)
 	}
 	go func() {
 		time.Sleep(50 * time.Millisecond)
@@ -39,23 +39,26 @@
 	}()
 	began := time.Now()
 	news := queryList(t, agent, "?from=2&hold_ms=250")
-	if took := time.Since(began); news.Generation != 3 || news.Full || len(news.Entries) != 1 || news.Entries[0].Mode != Draining || took < 40*time.Millisecond {
-		t.Errorf("after %v the news are %+v", took, news)
+	if took := time.Since(began); news.Generation != 3 || news.Full || len(news.Entries) != 1 ||
+		news.Entries[0].Mode != Draining || took < 40*time.Millisecond {
+		t.Errorf("watch: after %v got %+v, want a delta of generation 3 with the draining server after at least 40 ms",
+			took, news)
 	}
 	if none := queryList(t, agent, "?from=3&hold_ms=20"); none.Generation != 3 || len(none.Entries) != 0 {
-		t.Errorf("without news it says %+v", none)
+		t.Errorf("watch without changes: got %+v, want an empty delta of generation 3", none)
 	}
 	told := waitForReports(agent, 3)
 	if len(told) != 3 || told[2].Server != "s-2" || told[2].Mode != Draining {
-		t.Errorf("it notes that it told %+v", told)
+		t.Errorf("recorded reports: got %+v, want 3, the last of s-2 as draining", told)
 	}
 	fleet.runOnLoop(servers[1].Leave)
 	if whole = queryList(t, agent, ""); len(whole.Entries) != 1 || len(waitForReports(agent, 4)) != 4 {
-		t.Errorf("with one gone it tells %+v", whole)
+		t.Errorf("full list after one server left: got %+v, want 1 entry and 4 recorded reports", whole)
 	}
 }
 
-// Late, frozen, older, silent and refusing: each is seen by who asks, and is over when it ends. Two may overlap.
+// Each fault of the list service (delay, freeze, older list, silence, refusal) and a move affect a router's calls, and
+// end when they are ended. Faults may overlap.
 func TestListServiceFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"), spec("s-2"))
 	agent := startAgent(t, fleet)
@@ -65,7 +68,7 @@
 	generation := func(want int) {
 		t.Helper()
 		if got := queryList(t, agent, "?from=2&hold_ms=0").Generation; got != want {
-			t.Errorf("it is at generation %d, want %d", got, want)
+			t.Errorf("got generation %d, want %d", got, want)
 		}
 	}
 	generation(2)
@@ -76,7 +79,7 @@
 	endLate()
 	endOld := agent.Older(2)
 	if got := queryList(t, agent, "?from=3&hold_ms=0"); got.Generation != 1 || !got.Full {
-		t.Errorf("an older list is told as %+v", got)
+		t.Errorf("older list: got %+v, want a full list of generation 1", got)
 	}
 	endOld()
 	endSilence := agent.Silence()
@@ -85,7 +88,7 @@
 	generation(3)
 	endRefuse := agent.Refuse()
 	if _, err := net.DialTimeout("tcp", agent.Addr(), replyTimeout); err == nil {
-		t.Error("a refusing list service takes connections")
+		t.Error("a refusing list service accepted a connection")
 	}
 	if err := endRefuse(); err != nil {
 		t.Fatal(err)
@@ -98,11 +101,11 @@
 	generation(3)
 	time.Sleep(1600 * time.Millisecond)
 	if _, err := net.DialTimeout("tcp", before, replyTimeout); err == nil || agent.Addr() == before {
-		t.Error("the old address still serves")
+		t.Error("the old address still accepts connections after a move, or the address did not change")
 	}
 }
 
-// News come in the order of the changes, each after the delay.
+// An agent reports changes in their order, each after its delay. Random delays must not reorder them.
 func TestDelayedChangesKeepOrder(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	fleet.list.delay = Delay{Base: 0.1, Spread: 0.2}
@@ -115,17 +118,18 @@
 		next := queryList(t, agent, fmt.Sprintf("?from=%d&hold_ms=250", generation))
 		if next.Generation > generation && firstDelay == "" {
 			if firstDelay = time.Since(began).String(); time.Since(began) < 90*time.Millisecond {
-				t.Errorf("the first news came after %s", firstDelay)
+				t.Errorf("the first change was reported after %s, want at least 90 ms", firstDelay)
 			}
 		}
 		if next.Generation < generation || time.Since(began) > 2*time.Second {
-			t.Fatalf("after generation %d came %d", generation, next.Generation)
+			t.Fatalf("after generation %d got %d, want a higher one within 2 s", generation, next.Generation)
 		}
 		generation = next.Generation
 	}
 }
 
-// A service with a bound turns away who would wait too long, also by that; a watch that goes on is no new call.
+// A list service with a rate limit rejects calls that would wait too long, and rejecting takes some of its time, too. A
+// watch that continues does not count as a new call.
 func TestListServiceRateLimit(t *testing.T) {
 	fleet, _ := startFleet(t, spec("s-1"))
 	agent, list := startAgent(t, fleet), fleet.list
@@ -137,23 +141,24 @@
 		}
 	}
 	if admitted != 8 {
-		t.Errorf("it takes %d calls at once, want those of two seconds", admitted)
+		t.Errorf("admitted %d calls at one time, want 8: those of 2 s", admitted)
 	}
 	if _, ok := list.admitCall(100.9); ok {
-		t.Error("what it turned away took none of its time")
+		t.Error("a call was admitted 0.9 s later, want a rejection: the rejected calls take time, too")
 	}
 	if wait, ok := list.admitCall(105); !ok || wait != 0.25 {
-		t.Errorf("when it is idle again a call waits %v s", wait)
+		t.Errorf("an idle service: a call waits %v s, want 0.25 s", wait)
 	}
 	list.Bound(20)
-	for withinGap := false; !withinGap; { // until the machine makes both calls within the time that a watch has
+	for withinGap := false; !withinGap; { // until the machine makes both calls within the watch's gap
 		list.busyUntil = 0
 		first, began := queryList(t, agent, ""), time.Now()
 		before := list.busyUntil
 		next := queryList(t, agent, "?from=1&hold_ms=10")
 		withinGap = time.Since(began) < 150*time.Millisecond
 		if first.Generation != 1 || next.Generation != 1 || withinGap && list.busyUntil != before {
-			t.Errorf("a watch that goes on takes %v s of its time", list.busyUntil-before)
+			t.Errorf("a continued watch: generations or service time are wrong; it took %v s, want generation 1 twice and 0 s",
+				list.busyUntil-before)
 		}
 	}
 }
--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -9,28 +9,28 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// ending is how a cache server's connection ends at a long value.
+// ending is what happens to a cache server's connection during or after a long value.
 type ending int
 
 const (
 	staysOpen         ending = iota
-	closesAfterValue         // in order, right behind the whole value
-	resetsAfterValue         // right behind the whole value, whatever of it has not got across
-	closesWithinValue        // within the value, in order
-	resetsWithinValue        // within the value, by a reset
-	stallsWithinValue        // within the value: it says no more, and its connection stays
+	closesAfterValue         // closes in order right after the complete value
+	resetsAfterValue         // resets right after the complete value, even if part of it has not been received
+	closesWithinValue        // closes in order within the value
+	resetsWithinValue        // resets within the value
+	stallsWithinValue        // stops sending within the value; the connection stays open
 	endingCount
 )
 
-// resetAfter is how many seconds after its kernel has taken the last byte a server resets: far more than loopback takes to carry what
-// the other side has room for.
+// resetDelay is how many seconds after its kernel has taken the last byte a server resets the connection. It is far
+// longer than loopback takes to deliver the bytes for which the receiver has buffer space.
 const resetDelay = 0.05
 
-// lingers is for how many seconds a server that closes in order takes what still comes: were it unread, its kernel would reset the
-// connection. It is longer than routers leave a slow client without a byte.
+// closeLinger is for how many seconds a server that closes in order still reads input. Unread input would make its
+// kernel reset the connection. It is longer than the time for which routers let a slow client take no byte.
 const closeLinger = 12
 
-// draw lets a long value end as the faults have it, and gives what of it is written.
+// drawEnding draws by the active faults how a long value ends, and returns the part of the reply that is written.
 func (r *reply) drawEnding(reply [][]byte) [][]byte {
 	draw := r.conn.server.rng.Float64()
 	for how, fraction := range r.conn.server.endingFractions {
@@ -43,10 +43,11 @@
 		return reply
 	}
 	head := len(reply[0])
-	return prefix(reply, head+1+r.conn.server.rng.IntN(r.execution.Length-1)) // a head and a byte: else it has not begun
+	// At least the reply's head and one byte are written; otherwise the value would not have begun.
+	return prefix(reply, head+1+r.conn.server.rng.IntN(r.execution.Length-1))
 }
 
-// cut gives the first n bytes of a text.
+// prefix returns the first n bytes of a text.
 func prefix(text [][]byte, n int) (first [][]byte) {
 	for _, piece := range text {
 		if n <= 0 {
@@ -59,10 +60,11 @@
 	return first
 }
 
-// first gives the beginning of a text, of so many bytes at most.
+// prefixText returns at most the first bound bytes of a text as a string.
 func prefixText(text [][]byte, bound int) string { return string(bytes.Join(prefix(text, bound), nil)) }
 
-// taken notes which long values the kernel has taken, and ends the connection where it is to end behind one.
+// handleSentValues records which long values, as far as they are written, the kernel has taken, and ends the connection
+// where a value's drawn ending requires it.
 func (c *serverConn) handleSentValues() {
 	now := c.server.fleet.loop.Now()
 	for !c.closed && len(c.unsentLong) > 0 && c.conn.Sent() >= c.unsentLong[0].endOffset {
@@ -91,7 +93,8 @@
 	}
 }
 
-// broke notes that the long values on their way end here; a reset may also take what the other side has not read of the last one.
+// markBroken records that the long values being sent are interrupted here. A reset may also destroy the bytes of the
+// last complete value that the receiver has not read.
 func (c *serverConn) markBroken(reset bool) {
 	broken := c.unsentLong
 	if reset && c.lastLong != nil && len(broken) == 0 {
@@ -104,21 +107,22 @@
 	}
 }
 
-// longSet reads a write of a long value without holding it.
+// longWrite reads a write of a long value without buffering the value.
 type longWrite struct {
 	line      []byte
 	check     Check
-	remaining int // bytes that have not come, with the CRLF
+	remaining int // bytes still to be received, including the CRLF
 }
 
 func (l *longWrite) begun() bool { return l.remaining > 0 }
 
 const (
 	setPrefix    = "ms "
-	maxLineBytes = 2048 // bytes of a line, as the protocol has it
+	maxLineBytes = 2048 // the protocol's limit on a line's length in bytes
 )
 
-// begins tells whether the next command is a long write, as far as its line has come; the line is taken once it is whole.
+// startsLongWrite reports whether the next command is a long write, as far as its line has been received. It consumes
+// the line once it is complete.
 func (l *longWrite) startsLongWrite(in *ringbuffer.Buffer) bool {
 	var parts [2][]byte
 	line := bytes.Join(in.Held(parts[:0]), nil)
@@ -127,7 +131,7 @@
 	}
 	end := bytes.IndexByte(line, '\n')
 	if end < 0 {
-		return len(line) < maxLineBytes // more is to come; a longer line is refused by the usual reader
+		return len(line) < maxLineBytes // wait for the rest; the command reader rejects a longer line
 	}
 	fields := bytes.Fields(line[:end])
 	if len(fields) < 3 {
@@ -142,7 +146,7 @@
 	return true
 }
 
-// read takes what has come of the value, and hands the command on once it is whole.
+// read consumes the received bytes of the value, and starts the command once the value is complete.
 func (l *longWrite) read(in *ringbuffer.Buffer, protocol *memcacheServer) (bool, error) {
 	var parts [2][]byte
 	for _, piece := range in.Held(parts[:0]) {
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -15,18 +15,20 @@
 
 const mebibyte = 1 << 20
 
-var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte, Promised: 5, HardStop: 5, Benefit: 1}
-var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
+var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte,
+	Promised: 5, HardStop: 5, Benefit: 1}
+var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5,
+	Work: 0.001, Size: meta.LongBound, Promised: 5,
 	HardStop: 5, Benefit: 1}
 
-// bulky gives a fleet of one server that has long values.
+// startLongValueFleet returns a fleet of one server that serves long values.
 func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
 	fleet, all := startFleet(t, spec("s-1"))
 	fleet.runOnLoop(func() { fleet.types["bulk"], fleet.types["bulkput"] = longReadType, longWriteType })
 	return fleet, all[0]
 }
 
-// fetch asks for a long value and reads until its connection ends or it is whole.
+// fetchLongValue requests a long value and reads it until it is complete or the connection ends.
 func fetchLongValue(t *testing.T, addr, id string) (conn *testConn, got Check, err error) {
 	t.Helper()
 	conn = dialServer(t, addr)
@@ -34,7 +36,7 @@
 	fmt.Fprintf(conn.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
 	head, err := conn.ReadString('\n')
 	if want := fmt.Sprintf("VA %d O%s\r\n", mebibyte, id); head != want || err != nil {
-		t.Fatalf("the answer begins %q, %v; want %q", head, err, want)
+		t.Fatalf("got the answer's line %q, %v; want %q", head, err, want)
 	}
 	got.Length = mebibyte
 	buf := make([]byte, 10000)
@@ -46,28 +48,28 @@
 	return conn, got, err
 }
 
-// A long value is given whole and as its head says; the book knows when.
+// A long value is sent completely and matches its head, and the records say when. The connection stays usable.
 func TestLongValueRead(t *testing.T) {
 	fleet, s := startLongValueFleet(t)
 	conn, got, err := fetchLongValue(t, s.Addr, "a")
 	if wrong := got.End(); err != nil || wrong != "" || !strings.HasPrefix(got.Head(), "key for a by s-1, ") {
-		t.Errorf("%v, %s, %q", err, wrong, got.Head())
+		t.Errorf("got error %v, mismatch %q, head %q; want a complete value for a by s-1", err, wrong, got.Head())
 	}
 	if end, _ := conn.readLine(replyTimeout); end != "" {
-		t.Errorf("behind it comes %q", end)
+		t.Errorf("after the value got the line %q, want an empty one", end)
 	}
 	if next := conn.get("b"); next != "VA" {
-		t.Errorf("the next answer is %s", next)
+		t.Errorf("the next answer is %s, want VA", next)
 	}
 	fleet.runOnLoop(func() {
 		execution := fleet.records.Executions[0]
 		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
-			t.Errorf("the book has %+v", execution)
+			t.Errorf("got the record %+v, want a complete long value with the received checksum", execution)
 		}
 	})
 }
 
-// A long write is taken whole and without being held; what is wrong with it is in the book.
+// A long write is accepted completely, and the records say what is wrong with its value.
 func TestLongValueWrite(t *testing.T) {
 	fleet, s := startLongValueFleet(t)
 	conn := dialServer(t, s.Addr)
@@ -80,18 +82,19 @@
 		}
 		conn.Conn.Write(append(whole, "\r\n"...))
 		if got, err := conn.readLine(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
-			t.Fatalf("it says %q, %v", got, err)
+			t.Fatalf("got %q, %v; want HD Oa", got, err)
 		}
 	}
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
 		if executions[0].Damaged != "" || !strings.Contains(executions[1].Damaged, "byte 3145728 of 4194304") {
-			t.Errorf("the book has %q and %q", executions[0].Damaged, executions[1].Damaged)
+			t.Errorf("got the damages %q and %q, want none and byte 3145728", executions[0].Damaged, executions[1].Damaged)
 		}
 	})
 }
 
-// Each way in which a server's connection ends at a long value is seen on the socket, and the book tells whose doing it was.
+// Each fault that ends a connection at a long value has the stated effect on the socket, and the records say whether
+// the server interrupted the value.
 func TestLongValueConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
 		begin        func(s *Server) func()
@@ -117,39 +120,41 @@
 			if err == nil {
 				err = io.EOF
 			}
-			sure := c.end != "reset" || !c.whole // a reset takes with it what has not got across
+			sure := c.end != "reset" || !c.whole // a reset may destroy bytes that have not been received
 			if sure && full != c.whole || !strings.Contains(err.Error(), c.end) {
-				t.Errorf("%d bytes came, whole %v, and then %v", len(text), full, err)
+				t.Errorf("got %d bytes, complete %v, then %v; want complete %v, then %s", len(text), full, err, c.whole, c.end)
 			}
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
 				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
-					t.Errorf("the book has whole %v, broke %v: %+v", execution.Whole, execution.Broke, execution)
+					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.Whole, execution.Broke, c.whole,
+						c.broke, execution)
 				}
 				end()
 			})
 			if _, got, err := fetchLongValue(t, s.Addr, "b"); err != nil || got.End() != "" {
-				t.Errorf("after the fault's end: %v, %s", err, got.End())
+				t.Errorf("after the fault's end: got error %v, mismatch %q; want none", err, got.End())
 			}
 		})
 	}
 }
 
-// A server that dies under a value, or whose machine is cut off, broke it off; one whose reader goes away did not.
+// The records say that the server interrupted a value if it crashes or its machine is cut off within the value, and not
+// if the reader closes the connection. Otherwise a router would be blamed for a server's fault, or the reverse.
 func TestInterruptedLongValueIsAttributed(t *testing.T) {
 	for name, c := range map[string]struct {
 		end   func(fleet *Fleet, s *Server, conn net.Conn)
 		broke bool
 	}{
-		"it dies": {func(fleet *Fleet, s *Server, _ net.Conn) { fleet.runOnLoop(func() { s.Crash() }) }, true},
-		"it is cut off": {func(fleet *Fleet, s *Server, _ net.Conn) {
+		"server crashes": {func(fleet *Fleet, s *Server, _ net.Conn) { fleet.runOnLoop(func() { s.Crash() }) }, true},
+		"machine is cut off": {func(fleet *Fleet, s *Server, _ net.Conn) {
 			fleet.runOnLoop(func() {
 				if _, err := s.Vanish(); err != nil {
 					t.Error(err)
 				}
 			})
 		}, true},
-		"its reader goes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
+		"reader closes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
 	} {
 		fleet, s := startLongValueFleet(t)
 		fleet.runOnLoop(func() {
@@ -171,30 +176,34 @@
 		}
 		fleet.runOnLoop(func() {
 			if execution := fleet.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
-				t.Errorf("%s: the book has whole %v, broke %v", name, execution.Whole, execution.Broke)
+				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.Whole, execution.Broke,
+					c.broke)
 			}
 		})
 	}
 }
 
-// Clients that read slowly or pause have all of a value, also from a router that closes right behind it; one that leaves within it
-// has left, one whose router ends within it was cut, and one that got other bytes did not get what its server made.
+// Clients that read slowly or pause receive a complete value, even from a router that closes right after it. The other
+// cases: a client that disconnects within a value has left, a value whose connection ends is cut, and a value with
+// changed bytes gets no checksum.
 func TestClientReadBehaviors(t *testing.T) {
 	const size = 300_000
-	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
+	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5,
+		HardStop: 5, Benefit: 1}
 	for name, c := range map[string]struct {
 		how   Reading
 		reply func(text string) string
 		end   End
 		rests bool
 	}{
-		"usual":               {Reading{}, func(text string) string { return text }, Finished, false},
-		"slowly":              {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
-		"with a pause":        {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
-		"leaves":              {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
-		"cut":                 {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
-		"cut, slowly":         {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
-		"other bytes":         {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] }, Finished, false},
+		"usual":        {Reading{}, func(text string) string { return text }, Finished, false},
+		"slowly":       {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
+		"with a pause": {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
+		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
+		"cut":          {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
+		"cut, slowly":  {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
+		"other bytes": {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
+			Finished, false},
 		"no end of the value": {Reading{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
@@ -218,13 +227,16 @@
 						v := NewValue("k", id, "s-1", 1, size)
 						text := string(meta.AppendValue(nil, id, size)) + string(bytes.Join(v.Pieces(), nil)) + "\r\n"
 						io.WriteString(conn, c.reply(text))
-						conn.(*net.TCPConn).CloseWrite() // and what the client says is read until it ends, so that nothing is reset
+						// Close in order, then read the client's data until its end, so that the kernel doesn't reset the
+						// connection.
+						conn.(*net.TCPConn).CloseWrite()
 						io.Copy(io.Discard, conn)
 					}()
 				}
 			}()
 			loop := newLoop(t)
-			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{ln.Addr().String()}, nil)
+			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept,
+				Most: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -242,26 +254,29 @@
 			loop.Post(loop.Stop)
 			<-ended
 			if len(clients.Book().Ops) == 0 {
-				t.Fatal("nothing came")
+				t.Fatal("no request was sent")
 			}
 			for _, request := range clients.Book().Ops {
 				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size || (attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
+				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size ||
+					(attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
 					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
-					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
-						attempt.Strange())
+					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
+						request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
+						attempt.Strange(), c.end)
 				}
 			}
 		})
 	}
 }
 
-// Long writes go out whole, and nothing of them is held.
+// Clients send long writes completely and unchanged.
 func TestClientLongWrites(t *testing.T) {
 	fleet, s := startLongValueFleet(t)
 	loop := newLoop(t)
-	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{s.Addr}, nil)
+	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept,
+		Most: 100}, []string{s.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -277,17 +292,17 @@
 	<-ended
 	for _, request := range clients.Book().Ops {
 		if request.How != Finished {
-			t.Errorf("a write ended as %v %s", request.How, request.Tries[0].Strange())
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.How, request.Tries[0].Strange())
 		}
 	}
 	fleet.runOnLoop(func() {
 		for _, execution := range fleet.records.Executions {
 			if execution.Damaged != "" || !execution.Effect {
-				t.Errorf("a write came as %q, effect %v", execution.Damaged, execution.Effect)
+				t.Errorf("a write arrived with damage %q, effect %v; want none, true", execution.Damaged, execution.Effect)
 			}
 		}
 		if len(fleet.records.Executions) == 0 {
-			t.Error("nothing came")
+			t.Error("the server recorded no execution")
 		}
 	})
 }
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -2,11 +2,12 @@
 
 import "testing"
 
-// What is exactly the multiple does not tip; a little more for the whole time does; a pause in between starts it anew.
+// A load of exactly the multiple is no overload. A slightly higher load for the whole time is one. A pause restarts the
+// count of windows.
 func TestOverloadDetector(t *testing.T) {
 	for _, c := range []struct {
 		name      string
-		work      float64 // each 10 ms, where 0.02 is the multiple; at a tenth's edges one may fall beside it
+		work      float64 // every 10 ms; 0.02 is exactly the multiple; at a window's edge one may fall into the next window
 		pause     bool
 		wantAfter float64 // seconds, 0: never
 	}{
@@ -19,14 +20,15 @@
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			if c.pause && i%90 >= 75 {
-				continue // for longer than a tenth of the time
+				continue // for longer than one window
 			}
 			if detector.Add(now, c.work, 1) && detectedAt == 0 {
 				detectedAt = now - 100
 			}
 		}
-		if c.wantAfter == 0 && detectedAt != 0 || c.wantAfter > 0 && (detectedAt < c.wantAfter-0.05 || detectedAt > c.wantAfter+0.15) {
-			t.Errorf("%s: it fell after %.2f s, want %v", c.name, detectedAt, c.wantAfter)
+		if c.wantAfter == 0 && detectedAt != 0 || c.wantAfter > 0 &&
+			(detectedAt < c.wantAfter-0.05 || detectedAt > c.wantAfter+0.15) {
+			t.Errorf("%s: overload detected after %.2f s, want %v (0: never)", c.name, detectedAt, c.wantAfter)
 		}
 	}
 }
@@ -38,31 +40,31 @@
 	cache.has("a")
 	cache.put("c")
 	if !cache.has("a") || cache.has("b") || !cache.has("c") {
-		t.Error("the one used last was dropped")
+		t.Error("want a and c stored and b, the least recently used, evicted")
 	}
 	cache.drop("a")
 	if cache.has("a") || len(cache.at) != 1 {
-		t.Error("a dropped key is held")
+		t.Error("a dropped key is still stored")
 	}
 }
 
-// A mark is known up to its window's edge, not at it, and is forgotten then.
+// An idempotency key is known until just before its window's end, and is removed from then on.
 func TestDedupTableExpiresAtWindowEnd(t *testing.T) {
 	table := &dedupTable{entries: map[string]dedupEntry{}}
 	table.add(10, "k", "7", 5)
 	if receipt, known := table.lookup(14.999, "k"); !known || receipt != "7" {
-		t.Error("a repeat within the window is not known")
+		t.Error("a repeat within the window was not found with its receipt")
 	}
 	if _, known := table.lookup(15, "k"); known {
-		t.Error("a repeat at the window's end is still known")
+		t.Error("a repeat at the window's end was found, want none")
 	}
 	table.add(15, "other", "8", 5)
 	if len(table.entries) != 1 || len(table.order) != 1 {
-		t.Errorf("%d marks are kept", len(table.entries))
+		t.Errorf("%d keys are stored, want 1", len(table.entries))
 	}
 }
 
-// Faults on one server may overlap and end in the other order: its rate is always that of those that are on.
+// Faults on one server may overlap and end in any order. The rate always reflects the active faults only.
 func TestOverlappingServerFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	s := servers[0]
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -12,22 +12,22 @@
 	"golang.org/x/sys/unix"
 )
 
-// socket is a client's connection to a router: a sock.Conn, or a plain one.
+// clientSocket is a client's connection to a router: an eventloop.Conn or a plainConn.
 type clientSocket interface {
 	Write(p []byte) (taken int)
 	Sent() uint64 // bytes that the kernel has taken
-	Quiet() bool  // nothing is unread, and it has not ended
+	Quiet() bool  // no unread input, and the peer has not closed it
 	Close()
 }
 
 const (
-	plainReadSize      = 16 << 10 // bytes read at once, as much as other clients' rings hold
-	plainReceiveBuffer = 64 << 10 // bytes that the kernel holds for one who reads slowly: beyond these the router waits
-	slowReadsPerSecond = 20       // turns a second in which a slow reader reads
+	plainReadSize      = 16 << 10 // bytes per read; equals the capacity of other clients' ring buffers
+	plainReceiveBuffer = 64 << 10 // bytes of the kernel's receive buffer; once it is full the router has to wait
+	slowReadsPerSecond = 20       // reads per second of a client with a limited rate
 )
 
-// plainConn is a connection of one who reads in a way of its own, by the runtime's sockets on a goroutine: it reads when it likes, and
-// its end comes behind all that came before it, however long that lay unread. It carries one command.
+// plainConn is the connection of a client that reads at its own pace. It uses a socket of the net package on a
+// goroutine, and reports the connection's end only after all data received before it was read. It carries one command.
 type plainConn struct {
 	in         *ringbuffer.Buffer
 	loop       *eventloop.Loop
@@ -41,27 +41,29 @@
 }
 
 func dialPlain(loop *eventloop.Loop, addr string, reading Reading, pauseAfter int, client *clientConn) *plainConn {
-	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading, pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
+	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading,
+		pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
 	return p
 }
 
-// Write takes the command, all of it. Those of reads are short.
+// Write queues the whole command. Commands of reads are short.
 func (p *plainConn) Write(text []byte) int {
 	p.outgoing <- text
 	return len(text)
 }
 
-// Sent counts the bytes that the kernel has taken.
+// Sent returns the number of bytes that the kernel has taken.
 func (p *plainConn) Sent() uint64 { return p.sent }
 
-// Quiet is false: it is not used again.
+// Quiet returns false, because the connection is not reused.
 func (p *plainConn) Quiet() bool { return false }
 
-// Close ends it.
+// Close closes the connection.
 func (p *plainConn) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
-// on runs something on the loop, unless the connection is closed by then, and waits for it; false: it is closed.
+// runOnLoop runs do on the event loop, unless the client has closed the connection, and waits for it. It returns false
+// if the connection was closed in the meantime.
 func (p *plainConn) runOnLoop(do func()) bool {
 	done := make(chan struct{})
 	p.loop.Post(func() {
@@ -78,9 +80,12 @@
 	}
 }
 
+// run dials the router, sends the command and reads the answer.
 func (p *plainConn) run(addr string) {
 	dialer := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainReceiveBuffer) })
+		return c.Control(func(fd uintptr) {
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainReceiveBuffer)
+		})
 	}}
 	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
@@ -103,7 +108,7 @@
 	p.read(conn)
 }
 
-// read takes what comes, at the pace of this client, and then the end.
+// read receives data at the client's pace until the connection ends.
 func (p *plainConn) read(conn net.Conn) {
 	size := plainReadSize
 	if p.reading.Rate > 0 {
--- a/internal/emulator/processor.go
+++ b/internal/emulator/processor.go
@@ -6,16 +6,17 @@
 	"bendtrestle/internal/eventloop"
 )
 
-// processor is the cores of one machine: so many jobs at once, first come first served.
+// processor is the cores of one machine. It runs one job per core, first come, first served.
 type processor struct {
 	loop    *eventloop.Loop
 	cores   int
-	rate    float64 // work done a second by each core; 0: it stands still
+	rate    float64 // seconds of work that each core does per second; 0: stalled
 	running []*job
 	waiting []*job
 }
 
-// job is work to be done. begin is asked when a core takes it up: false lets it go; done follows its end.
+// job is a unit of work. onStart is called when a core is free for it, and drops the job if it returns false. onDone is
+// called when the job is complete.
 type job struct {
 	remaining, updatedAt float64
 	timer                *eventloop.Timer
@@ -31,7 +32,7 @@
 	return j
 }
 
-// next gives free cores what waits. A machine that stands still takes nothing up.
+// startWaiting starts waiting jobs on free cores. A stalled machine starts none.
 func (p *processor) startWaiting() {
 	for p.rate > 0 && len(p.running) < p.cores && len(p.waiting) > 0 {
 		j := p.waiting[0]
@@ -53,7 +54,7 @@
 	}
 }
 
-// cancel takes a job back, wherever it is.
+// cancel removes a job, whether it waits or runs.
 func (p *processor) cancel(j *job) {
 	j.timer.Stop()
 	if i := slices.Index(p.waiting, j); i >= 0 {
@@ -64,7 +65,7 @@
 	}
 }
 
-// clear takes all back.
+// cancelAll removes all jobs.
 func (p *processor) cancelAll() {
 	for _, j := range p.running {
 		j.timer.Stop()
@@ -72,7 +73,7 @@
 	p.running, p.waiting = nil, nil
 }
 
-// setRate changes the speed; what runs goes on at the new one.
+// setRate changes the speed. Running jobs continue at the new speed.
 func (p *processor) setRate(rate float64) {
 	now := p.loop.Now()
 	for _, j := range p.running {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,34 +8,34 @@
 
 // Spec describes one cache server.
 type Spec struct {
-	Name, Addr    string // its instance name in the list; where it listens
+	Name, Addr    string // instance name in the endpoint list; address at which it listens
 	Zone, Machine string
 	Cell          int
 	Cores         int
-	Speed         float64 // of a core
-	Weight        float64 // its size as the list has it
-	Queue         int     // commands that may wait for a core; beyond these they are turned away
-	PerConnection int     // commands of one connection that are worked on at once
-	Connections   int     // that it holds; on others every command is turned away
-	Handshake     float64 // seconds of work that a new connection costs
-	Idle          float64 // a connection that stands idle for so long is closed
-	Keep          int     // objects
-	Cancels       bool    // work whose connection has gone stops
+	Speed         float64 // of a core; 1 does one second of work per second
+	Weight        float64 // weight in the endpoint list
+	Queue         int     // most commands that wait for a core; further ones are rejected
+	PerConnection int     // most commands of one connection that are in progress
+	Connections   int     // most connections; on further ones every command is rejected; 0: no limit
+	Handshake     float64 // seconds of work for a new connection, added to its first command
+	Idle          float64 // seconds after which an idle connection is closed; 0: never
+	Keep          int     // most objects in the cache
+	Cancels       bool    // it cancels work whose connection has ended
 	Cold          Cold
 }
 
-// Cold describes how a cache server starts.
+// Cold describes a cache server's warm-up after its start, and the overload rule during it.
 type Cold struct {
-	From     float64 // the part of its capacity that it has at its start
-	Warm     float64 // seconds until it has all of it
-	Multiple float64 // sent more than so many times what it can do at that moment ...
-	Fall     float64 // ... for so long, while it is cold, it falls over and stays down
+	From     float64 // fraction of its capacity at its start
+	Warm     float64 // seconds until it has its full capacity
+	Multiple float64 // if the offered load exceeds this multiple of its current capacity ...
+	Fall     float64 // ... for this many seconds while it is cold, it collapses and stays down
 }
 
-// Mode is what the list says of a cache server.
+// Mode is the state of a cache server in the endpoint list.
 type Mode string
 
-// The list's words, as the protocol has them.
+// The modes, as the list service's protocol names them.
 const (
 	Ready    Mode = "ready"
 	Draining Mode = "draining"
@@ -51,37 +51,37 @@
 	cache           *store
 	overload        OverloadDetector
 	listener        *eventloop.Listener
-	unreachableAddr *unreachableAddr // while it has vanished
+	unreachableAddr *unreachableAddr // its address while it is unreachable
 	conns           map[*serverConn]bool
-	mode            Mode    // as it would have the list say
-	started         float64 // Unix seconds; 0: long ago
+	mode            Mode    // the mode that its operators want
+	started         float64 // Unix seconds; 0: long before the run
 	collapsed       bool
 
-	lastListed      Mode // as the list last had it
+	lastListed      Mode // the mode last recorded in the list
 	lastListedStart float64
-	removed         bool // gone for good
+	removed         bool // removed permanently
 
-	// The faults on it: each is begun and ended on its own, and they may overlap in any order.
+	// Active faults. Each begins and ends independently, and they may overlap in any order.
 	stalled, unreachable, refusing, crashed      int
 	slowFactors                                  []float64
-	corruptFraction, failFraction, resetFraction float64              // the part of answers that are spoilt, are errors, or reset instead
-	endingFractions                              [endingCount]float64 // the part of long values that end so
+	corruptFraction, failFraction, resetFraction float64              // of answers: malformed, errors, or resets instead
+	endingFractions                              [endingCount]float64 // fraction of long values with each ending
 }
 
 func newServer(fleet *Fleet, spec Spec, rng *rand.Rand) *Server {
-	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
-		overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
+	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.Keep), conns: map[*serverConn]bool{},
+		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
 	server.processor = processor{loop: fleet.loop, cores: max(1, spec.Cores), rate: spec.Speed}
 	return server
 }
 
-// Started is when it last started, 0 for long ago.
+// Started returns when the server last started, in Unix seconds; 0: long before the run.
 func (s *Server) Started() float64 { return s.started }
 
-// Fallen tells that it was pushed over while it was cold.
+// Collapsed reports whether the server was overloaded while it was cold, and is down.
 func (s *Server) Collapsed() bool { return s.collapsed }
 
-// warmth is the part of its capacity that it has.
+// capacityFraction returns the fraction of its full capacity that the server has.
 func (s *Server) capacityFraction(now float64) float64 {
 	if s.started == 0 || now-s.started >= s.Cold.Warm {
 		return 1
@@ -89,7 +89,7 @@
 	return s.Cold.From + (1-s.Cold.From)*max(0, now-s.started)/s.Cold.Warm
 }
 
-// retime brings its cores in line with its warmth and the faults on it.
+// updateRate sets the cores' speed by the warm-up and the active faults.
 func (s *Server) updateRate() {
 	rate := s.Speed * s.capacityFraction(s.fleet.loop.Now())
 	for _, factor := range s.slowFactors {
@@ -101,7 +101,7 @@
 	s.processor.setRate(rate)
 }
 
-// warm follows the warm-up in steps.
+// warmUp updates the cores' speed in 50 steps until the server is warm.
 func (s *Server) warmUp() {
 	s.updateRate()
 	if now := s.fleet.loop.Now(); s.capacityFraction(now) < 1 && !s.removed {
@@ -109,7 +109,7 @@
 	}
 }
 
-// cold makes it one that has just started, with nothing kept.
+// startCold puts the server into the state right after a start, with an empty cache.
 func (s *Server) startCold() {
 	s.started = s.fleet.loop.Now()
 	s.cache = newStore(s.Keep)
@@ -117,7 +117,7 @@
 	s.warmUp()
 }
 
-// attend listens, is silent or refuses, as the faults have it.
+// updateListening listens, makes the address unreachable or refuses connections, according to the active faults.
 func (s *Server) updateListening() error {
 	vanished := s.unreachable > 0 && s.crashed == 0
 	listen := s.unreachable == 0 && s.crashed == 0 && s.refusing == 0 && !s.collapsed && !s.removed
@@ -142,9 +142,9 @@
 	return err
 }
 
-const unreachableListDelay = 5 // seconds until the list's makers take a machine that says nothing for gone
+const unreachableListDelay = 5 // seconds until the list service lists an unreachable machine as gone
 
-// vanish is a machine that is cut off: it says nothing, and is given up after a while.
+// becomeUnreachable cuts the server's machine off. The list service lists it as gone after unreachableListDelay.
 func (s *Server) becomeUnreachable() error {
 	s.unreachable++
 	s.fleet.loop.After(unreachableListDelay, func() { s.fleet.list.recordChange(s) })
@@ -157,7 +157,7 @@
 	return s.updateListening()
 }
 
-// listed is what the list's makers know: whether a process runs, and what its operators want.
+// listedMode returns the mode for the endpoint list: gone if no process can be reached, else what the operators want.
 func (s *Server) listedMode() Mode {
 	if s.crashed > 0 || s.collapsed || s.removed || s.unreachable > 0 {
 		return Gone
@@ -165,7 +165,7 @@
 	return s.mode
 }
 
-// die resets all connections; what ran or waited is gone.
+// dropConnections resets all connections and discards all running and waiting work.
 func (s *Server) dropConnections() {
 	for c := range s.conns {
 		c.disconnect(true)
@@ -173,7 +173,7 @@
 	s.processor.cancelAll()
 }
 
-// crash is a process that dies; back follows after a while, by revive.
+// crash ends the process. It is undone by restart.
 func (s *Server) crash() {
 	s.crashed++
 	s.dropConnections()
@@ -182,7 +182,7 @@
 	s.fleet.list.recordChange(s)
 }
 
-// revive ends a crash: it starts anew, cold.
+// restart ends a crash: the server starts cold.
 func (s *Server) restart() error {
 	if s.crashed--; s.crashed > 0 || s.removed {
 		return nil
@@ -194,7 +194,7 @@
 	return err
 }
 
-// fall is a cold cache server that was pushed over: it stays down.
+// collapse takes down a cold cache server that was overloaded. It stays down until a crash fault on it ends.
 func (s *Server) collapse() {
 	s.fleet.records.Falls = append(s.fleet.records.Falls, Fall{At: s.fleet.loop.Now(), Server: s})
 	s.collapsed = true
@@ -203,7 +203,7 @@
 	s.fleet.list.recordChange(s)
 }
 
-// leave ends it for good.
+// remove removes the server permanently.
 func (s *Server) remove() {
 	s.removed = true
 	s.dropConnections()
@@ -212,7 +212,7 @@
 	s.fleet.list.recordChange(s)
 }
 
-// comes takes note of the work that is sent to it, and tells whether that pushed it over.
+// addLoad counts work that is sent to the server, and reports whether it made the server collapse.
 func (s *Server) addLoad(work float64) bool {
 	now := s.fleet.loop.Now()
 	if s.capacityFraction(now) >= 1 || s.collapsed {
@@ -225,7 +225,7 @@
 	return false
 }
 
-// value makes a read's answer: who made it for which try of what, filled up to its size.
+// newValue returns a read's value: it names the key, the attempt and the server, filled up to the type's size.
 func (s *Server) newValue(execution *Execution, key string) Value {
 	return NewValue(key, execution.ID, s.Name, s.fleet.nextSerial(), execution.Type.Size)
 }
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -9,20 +9,22 @@
 
 const replyTimeout = 700 * time.Millisecond
 
+// A miss is fetched from the origin and cached, and the records say so. Replies are sent in the order of the commands.
 func TestReadThroughAndReplyOrder(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	conn := dialServer(t, servers[0].Addr)
 	if got := conn.get("a"); got != "VA" {
-		t.Fatalf("a read got %s", got)
+		t.Fatalf("a read got %s, want VA", got)
 	}
 	conn.get("b")
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].How != Answered || executions[0].Made == executions[1].Made || len(fleet.records.Fetches) != 1 {
-			t.Errorf("a miss and a hit are in the book as %+v %+v", executions[0], executions[1])
+		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].How != Answered ||
+			executions[0].Made == executions[1].Made || len(fleet.records.Fetches) != 1 {
+			t.Errorf("got the records %+v %+v, want a miss, a hit and one fetch", executions[0], executions[1])
 		}
 	})
-	// A hit behind a miss is answered after it.
+	// A hit that follows a miss is answered after it.
 	conn.sendLine("mg other v Oc Pc=read,d=400\r\nmg key v Od Pc=read,d=400")
 	for _, want := range []string{"Oc", "", "Od", ""} {
 		if got, err := conn.readLine(replyTimeout); err != nil || !strings.Contains(got, want) {
@@ -31,6 +33,7 @@
 	}
 }
 
+// A repeated write has no effect of its own within its deduplication scope and window. It has one outside them.
 func TestDuplicateWritesHaveNoEffect(t *testing.T) {
 	first, second := spec("s-1"), spec("s-2")
 	second.Zone = "other"
@@ -40,21 +43,23 @@
 		to     *testConn
 		pause  time.Duration
 		repeat bool
-	}{{firstConn, 0, false}, {firstConn, 0, true}, {secondConn, 0, false}, {firstConn, 350 * time.Millisecond, false}} { // another group; after the window
+	}{{firstConn, 0, false}, {firstConn, 0, true}, {secondConn, 0, false},
+		{firstConn, 350 * time.Millisecond, false}} { // another scope; after the window
 		time.Sleep(x.pause)
 		x.to.sendLine("ms k 2 O%d Pc=put,d=400,k=m\r\nhi", i)
 		if got, err := x.to.readLine(replyTimeout); err != nil || !strings.HasPrefix(got, "HD ") {
-			t.Fatalf("a write got %s, %v", got, err)
+			t.Fatalf("a write got %s, %v; want HD", got, err)
 		}
 		fleet.runOnLoop(func() {
 			if execution := fleet.records.Executions[i]; execution.Repeat != x.repeat || execution.Effect == x.repeat {
-				t.Errorf("write %d: repeat %v, effect %v", i, execution.Repeat, execution.Effect)
+				t.Errorf("write %d: got repeat %v, effect %v; want repeat %v", i, execution.Repeat, execution.Effect, x.repeat)
 			}
 		})
 	}
 }
 
-// Its bounds turn away what never ran, and work nobody waits for stops.
+// Commands beyond the queue's or the connections' limit are rejected before they run. Work is cancelled when its
+// connection ends.
 func TestServerLimitsAndCancellation(t *testing.T) {
 	s := spec("s-1")
 	s.Queue, s.Connections = 1, 3
@@ -64,19 +69,21 @@
 	one.sendLine("mg key v Oa Pc=read,d=400")
 	time.Sleep(50 * time.Millisecond)
 	if got := two.get("b"); got != "SERVER_ERROR busy" {
-		t.Errorf("beyond its queue it said %s", got)
+		t.Errorf("beyond the queue's limit got %s, want SERVER_ERROR busy", got)
 	}
 	dialServer(t, servers[0].Addr)
 	time.Sleep(20 * time.Millisecond)
 	if got := dialServer(t, servers[0].Addr).get("c"); got != "SERVER_ERROR busy" {
-		t.Errorf("beyond its connections it said %s", got)
+		t.Errorf("beyond the connections' limit got %s, want SERVER_ERROR busy", got)
 	}
 	one.Close()
 	time.Sleep(50 * time.Millisecond)
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if executions[0].How != Cancelled || executions[1].How != TurnedAway || executions[2].How != TurnedAway || len(servers[0].processor.waiting) != 0 {
-			t.Errorf("the book has %v, %v, %v", executions[0].How, executions[1].How, executions[2].How)
+		if executions[0].How != Cancelled || executions[1].How != TurnedAway || executions[2].How != TurnedAway ||
+			len(servers[0].processor.waiting) != 0 {
+			t.Errorf("got executions %v, %v, %v; want cancelled, turned away, turned away and an empty queue",
+				executions[0].How, executions[1].How, executions[2].How)
 		}
 	})
 }
@@ -85,12 +92,13 @@
 	s := spec("s-1")
 	s.Idle = 0.2
 	_, servers := startFleet(t, s)
-	if _, err := dialServer(t, servers[0].Addr).readLine(2 * time.Second); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("an idle connection ended with %v", err)
+	if _, err := dialServer(t, servers[0].Addr).readLine(2 * time.Second); err == nil ||
+		strings.Contains(err.Error(), "timeout") {
+		t.Errorf("an idle connection: got %v, want it closed", err)
 	}
 }
 
-// Each fault is seen on the socket, and is over when it ends.
+// A stalled or slowed server does not answer in time. It answers after the fault's end.
 func TestStallAndSlowFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	s, conn := servers[0], dialServer(t, servers[0].Addr)
@@ -100,16 +108,17 @@
 		fleet.runOnLoop(func() { end = begin() })
 		conn.sendLine("mg key v O%s Pc=read,d=900", name)
 		if got, err := conn.readLine(100 * time.Millisecond); err == nil {
-			t.Errorf("%s: it answered %s", name, got)
+			t.Errorf("%s: got the answer %s, want none within 100 ms", name, got)
 		}
 		fleet.runOnLoop(end)
 		if got, err := conn.readLine(replyTimeout); err != nil {
-			t.Errorf("%s: after its end %s, %v", name, got, err)
+			t.Errorf("%s: after its end got %s, %v; want an answer", name, got, err)
 		}
 		conn.readLine(replyTimeout)
 	}
 }
 
+// A crash resets open connections and refuses new ones. At its end the server restarts cold and with an empty cache.
 func TestCrashResetsRefusesAndRestartsCold(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	s, conn := servers[0], dialServer(t, servers[0].Addr)
@@ -117,24 +126,27 @@
 	var end func() error
 	fleet.runOnLoop(func() { end = s.Crash() })
 	if _, err := conn.readLine(replyTimeout); err == nil || !strings.Contains(err.Error(), "reset") {
-		t.Errorf("an open connection ended with %v", err)
+		t.Errorf("an open connection ended with %v, want a reset", err)
 	}
 	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil || !strings.Contains(err.Error(), "refused") {
-		t.Errorf("a new connection ended with %v", err)
+		t.Errorf("a new connection: got %v, want it refused", err)
 	}
 	fleet.runOnLoop(func() {
 		if err := end(); err != nil {
 			t.Error(err)
 		}
 		if w := s.capacityFraction(fleet.loop.Now()); w > 0.6 || len(s.cache.at) != 0 || s.started == 0 {
-			t.Errorf("it came back with warmth %v and %d objects", w, len(s.cache.at))
+			t.Errorf("after its end: got capacity fraction %v and %d objects, want at most 0.6, none and a start time", w,
+				len(s.cache.at))
 		}
 	})
 	if got := dialServer(t, s.Addr).get("b"); got != "VA" {
-		t.Errorf("after its end it said %s", got)
+		t.Errorf("after its end got %s, want VA", got)
 	}
 }
 
+// An unreachable server answers nothing on open connections and establishes no new ones. At the fault's end the open
+// connections are reset.
 func TestUnreachableServerIsSilent(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	s, conn := servers[0], dialServer(t, servers[0].Addr)
@@ -148,11 +160,12 @@
 	})
 	conn.sendLine("mg key v Ob Pc=read,d=400")
 	if _, err := conn.readLine(200 * time.Millisecond); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("an open connection said %v", err)
+		t.Errorf("an open connection: got %v, want a timeout", err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if conn, err := net.DialTimeout("tcp", s.Addr, 200*time.Millisecond); err == nil || !strings.Contains(err.Error(), "timeout") {
-		t.Errorf("a new connection came to %v, %v", conn, err)
+	if conn, err := net.DialTimeout("tcp", s.Addr, 200*time.Millisecond); err == nil ||
+		!strings.Contains(err.Error(), "timeout") {
+		t.Errorf("a new connection: got %v, %v; want a timeout", conn, err)
 	}
 	fleet.runOnLoop(func() {
 		if err := end(); err != nil {
@@ -160,13 +173,14 @@
 		}
 	})
 	if _, err := conn.readLine(replyTimeout); err == nil || strings.Contains(err.Error(), "timeout") {
-		t.Errorf("after its end an open connection said %v, want a reset", err)
+		t.Errorf("after its end an open connection: got %v, want a reset", err)
 	}
 	if got := dialServer(t, s.Addr).get("c"); got != "VA" {
-		t.Errorf("after its end it said %s", got)
+		t.Errorf("after its end got %s, want VA", got)
 	}
 }
 
+// Each of these faults has its effect on new or open connections, and a malformed answer is recorded as one.
 func TestRefuseResetCorruptAndFailFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	s, conn := servers[0], dialServer(t, servers[0].Addr)
@@ -174,53 +188,55 @@
 	var endRefuse func() error
 	fleet.runOnLoop(func() { endRefuse = s.Refuse() })
 	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil {
-		t.Error("a new connection was not refused")
+		t.Error("a new connection was accepted, want it refused")
 	}
 	if got := conn.get("b"); got != "VA" {
-		t.Errorf("an open connection said %s", got)
+		t.Errorf("an open connection: got %s, want VA", got)
 	}
 	fleet.runOnLoop(func() { endRefuse() })
 	var end func()
 	fleet.runOnLoop(func() { end = s.Fail(1) })
 	if got := conn.get("c"); got != "SERVER_ERROR failed" {
-		t.Errorf("failing, it said %s", got)
+		t.Errorf("Fail: got %s, want SERVER_ERROR failed", got)
 	}
 	fleet.runOnLoop(func() { end(); end = s.Reset(1) })
 	if got := conn.get("d"); !strings.Contains(got, "reset") {
-		t.Errorf("resetting, it said %s", got)
+		t.Errorf("Reset: got %s, want a reset", got)
 	}
 	fleet.runOnLoop(func() { end(); end = s.Spoil(1) })
 	dialServer(t, s.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
 		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.How != Spoilt {
-			t.Errorf("a spoilt answer is in the book as %v", execution.How)
+			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.How)
 		}
 	})
 }
 
-// Sent more than its multiple for the stated time, a cold server falls and stays down; the book says so.
+// A cold server collapses and stays down if its load exceeds the multiple of its capacity for the stated time. The
+// collapse is recorded.
 func TestOverloadedColdServerCollapses(t *testing.T) {
 	s := spec("s-1")
 	s.Cores, s.Cold.Warm, s.Queue, s.PerConnection = 1, 5, 100000, 1000
 	fleet, servers := startFleet(t, s)
 	fleet.runOnLoop(servers[0].startCold)
 	conn := dialServer(t, s.Addr)
-	for i := 0; i < 150; i++ { // some 5 times what half a core can do, for 0.75 s
+	for i := 0; i < 150; i++ { // about 5 times the capacity of half a core, for 0.75 s
 		conn.sendLine("%s", strings.Repeat("mg key v Oa Pc=read,d=9000\r\n", 6))
 		time.Sleep(4 * time.Millisecond)
 	}
 	fleet.runOnLoop(func() {
 		if len(fleet.records.Falls) != 1 || !servers[0].Collapsed() || servers[0].listedMode() != Gone {
-			t.Errorf("there were %d falls", len(fleet.records.Falls))
+			t.Errorf("got %d collapses, want 1 and the server listed as gone", len(fleet.records.Falls))
 		}
 	})
 	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil {
-		t.Error("a fallen server takes connections")
+		t.Error("a collapsed server accepted a connection")
 	}
 }
 
-// The origin stops when pushed past its bound, and tells how much of that came from cold servers.
+// The origin stops under overload and resumes later. The record of the stop says which fraction of the calls came from
+// cold servers.
 func TestOverloadedOriginHalts(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
 	fleet.runOnLoop(servers[0].startCold)
@@ -234,13 +250,13 @@
 	}
 	fleet.runOnLoop(func() {
 		if len(fleet.records.Halts) != 1 || fleet.records.Halts[0].ColdPart != 1 || fleet.origin.processor.rate != 0 {
-			t.Errorf("halts: %+v", fleet.records.Halts)
+			t.Errorf("halts: got %+v, want one with all calls from cold servers, and a stopped origin", fleet.records.Halts)
 		}
 	})
 	time.Sleep(400 * time.Millisecond)
 	fleet.runOnLoop(func() {
 		if fleet.origin.processor.rate != 1 {
-			t.Error("it did not go on")
+			t.Error("the origin did not resume")
 		}
 	})
 }
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -8,37 +8,37 @@
 	"bendtrestle/internal/meta"
 )
 
-// serverConn is one connection to a cache server: commands are begun as they come and answered in their order.
+// serverConn is one connection to a cache server. Commands are started as they arrive and answered in order.
 type serverConn struct {
 	server       *Server
 	conn         *eventloop.Conn
 	out          output
 	protocol     serverProtocol
-	firstByteAt  float64  // when the command at hand began to come
-	replies      []*reply // owed, in the order of the commands
-	overLimit    bool     // beyond its bound
-	handshakeDue bool     // its price is still to be paid
-	lastBusy     float64  // when it was last busy
-	corrupted    bool     // a spoilt answer was given: it is of no further use
+	firstByteAt  float64  // when the first byte of the current command was read
+	replies      []*reply // not yet written, in the order of the commands
+	overLimit    bool     // beyond the server's connection limit
+	handshakeDue bool     // the handshake's work is still to be charged
+	lastBusy     float64  // when it last wrote a reply
+	corrupted    bool     // a malformed answer was sent: no further command is read
 	closed       bool
-	unsentLong   []*reply // long values that the kernel has not taken whole, in order
-	lastLong     *reply   // the long value that was given last
-	written      uint64   // bytes that were written to out
+	unsentLong   []*reply // long values that the kernel has not taken completely, in order
+	lastLong     *reply   // the last long value that was written
+	written      uint64   // bytes that were added to out
 }
 
-// reply is what is owed for one command.
+// reply is the pending reply to one command.
 type reply struct {
 	conn         *serverConn
 	execution    *Execution
 	key          string
-	protocolData any      // of the protocol
-	etag         string   // of a copy that its sender has
-	deadline     float64  // when its sender stops waiting
-	job          *job     // at a core
-	fetch        *job     // at the origin
-	text         [][]byte // nil while it is not ready
-	endOffset    uint64   // where its last byte stands in what its connection is given
-	ending       ending   // of a long value
+	protocolData any      // e.g. the requested tile
+	etag         string   // ETag of the copy that the sender has; empty: none
+	deadline     float64  // when its sender stops waiting; 0: unknown
+	job          *job     // waiting for or running on a core
+	fetch        *job     // running at the origin
+	text         [][]byte // nil until it is ready
+	endOffset    uint64   // offset of its last byte among all bytes written to the connection
+	ending       ending   // of the connection, if it carries a long value
 }
 
 func (s *Server) accepted(conn *eventloop.Conn) eventloop.Handler {
@@ -55,10 +55,10 @@
 	return c
 }
 
-// Opened is for dialled connections.
+// Opened is never called: the connection was accepted, not dialled.
 func (c *serverConn) Opened() {}
 
-// Input reads commands while not too many are worked on.
+// Input reads commands until the connection's limit of commands in progress is reached.
 func (c *serverConn) Input() {
 	if c.closed || c.server.unreachable > 0 {
 		return
@@ -76,7 +76,7 @@
 			return
 		}
 		if c.conn.In.Len() == before {
-			break // a long write's line that has not come whole
+			break // a long write's line is incomplete
 		}
 	}
 	if c.full() || c.corrupted {
@@ -86,7 +86,7 @@
 
 func (c *serverConn) full() bool { return len(c.replies) >= max(1, c.server.PerConnection) }
 
-// Flushed writes on.
+// Flushed writes pending replies.
 func (c *serverConn) Flushed() {
 	c.out.flush()
 	c.handleSentValues()
@@ -97,10 +97,13 @@
 	c.writeReplies()
 }
 
-// take begins an execution; left is how long its sender waits, 0 if it does not say; damage is what was wrong with its value.
-func (c *serverConn) startExecution(trafficType *TrafficType, key, id, idempotencyKey string, remaining float64, extra any, damage string) {
+// startExecution starts an execution, or rejects it. remaining is for how many seconds its sender waits, 0 if it is not
+// stated. damage is what was wrong with the value of a write, empty if nothing.
+func (c *serverConn) startExecution(trafficType *TrafficType, key, id, idempotencyKey string, remaining float64,
+	extra any, damage string) {
 	s, now := c.server, c.server.fleet.loop.Now()
-	execution := &Execution{ID: id, Server: s, Type: trafficType, First: c.firstByteAt, Last: now, Cold: s.capacityFraction(now) < 1, Work: trafficType.drawWork(s.rng)}
+	execution := &Execution{ID: id, Server: s, Type: trafficType, First: c.firstByteAt, Last: now,
+		Cold: s.capacityFraction(now) < 1, Work: trafficType.drawWork(s.rng)}
 	execution.IdempotencyKey, execution.Damaged = idempotencyKey, damage
 	s.fleet.records.open(execution)
 	r := &reply{conn: c, execution: execution, key: key, protocolData: extra}
@@ -123,7 +126,7 @@
 	r.job = s.processor.add(work, r.begin, r.workDone)
 }
 
-// begin is asked when a core is free: what is over already is turned away.
+// begin is called when a core is free. It rejects the command if its sender no longer waits.
 func (r *reply) begin() bool {
 	now := r.conn.server.fleet.loop.Now()
 	if r.deadline > 0 && now >= r.deadline {
@@ -134,7 +137,7 @@
 	return true
 }
 
-// worked follows the work: a read that misses goes to the origin, a write takes effect.
+// workDone continues after the work on a core: a read that misses goes to the origin, a write takes effect.
 func (r *reply) workDone() {
 	r.job = nil
 	s := r.conn.server
@@ -165,7 +168,8 @@
 	r.finish(Answered, text...)
 }
 
-// stored lets a write take effect, unless its mark is known to those who drop its repeats.
+// applyWrite lets a write take effect, unless its idempotency key is in the deduplication table. In that case it
+// answers with the receipt of the first write.
 func (r *reply) applyWrite() {
 	s, execution, now := r.conn.server, r.execution, r.conn.server.fleet.loop.Now()
 	receipt := strconv.FormatUint(s.fleet.nextSerial(), 10)
@@ -185,7 +189,7 @@
 	r.finish(Answered, meta.AppendStored(nil, execution.ID, receipt))
 }
 
-// finish gives an answer, or what a fault makes of it.
+// finish ends the execution and sends its answer, or what an active fault makes of it.
 func (r *reply) finish(outcome How, text ...[]byte) {
 	s := r.conn.server
 	r.execution.End = s.fleet.loop.Now()
@@ -208,7 +212,7 @@
 	r.conn.writeReplies()
 }
 
-// give writes the answers whose turn it is.
+// writeReplies writes the replies that are ready, in the order of the commands.
 func (c *serverConn) writeReplies() {
 	if c.closed {
 		return
@@ -239,7 +243,8 @@
 	}
 }
 
-// mute makes it silent, or lets it go on: a machine that comes back resets what it had.
+// setUnreachable makes the connection silent, or ends its silence. A machine that becomes reachable again resets the
+// connections that it had.
 func (c *serverConn) setUnreachable(on bool) {
 	if on {
 		c.markBroken(false)
@@ -250,7 +255,7 @@
 	c.out.paused = on
 }
 
-// lose ends the connection from here.
+// disconnect ends the connection from the server's side.
 func (c *serverConn) disconnect(reset bool) {
 	if c.closed {
 		return
@@ -263,7 +268,8 @@
 	c.Closed()
 }
 
-// Closed takes its end: work that is not answered stops, if this kind of server can stop work.
+// Closed handles the connection's end. Unanswered work is cancelled if the server supports cancellation or has crashed
+// or collapsed.
 func (c *serverConn) Closed() {
 	if c.closed {
 		return
@@ -275,7 +281,7 @@
 			continue
 		}
 		if !c.server.Cancels && c.server.crashed == 0 && !c.server.collapsed {
-			continue // it goes on, for nobody
+			continue // the work continues, although its answer can't be sent
 		}
 		if reply.execution.How, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
 			c.server.processor.cancel(reply.job)
@@ -290,11 +296,11 @@
 	return len(c.replies) == 0 && len(c.unsentLong) == 0 && !c.protocol.begun() && c.conn.In.Len() == 0
 }
 
-// output is what waits to be written to a connection.
+// output is the data that waits to be written to a connection.
 type output struct {
 	conn    interface{ Write(p []byte) (taken int) }
 	pending [][]byte
-	paused  bool // nothing is written
+	paused  bool // nothing is written while set
 }
 
 func (o *output) add(p []byte) { o.pending = append(o.pending, p) }
--- a/internal/emulator/silence.go
+++ b/internal/emulator/silence.go
@@ -6,8 +6,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// silence holds an address at which connections neither come up nor are refused, as at a machine that has vanished: it
-// listens with the shortest queue, fills that itself and accepts nobody, so that the kernel drops whoever comes after.
+// unreachableAddr occupies an address at which connections are neither established nor refused, as at a machine that is
+// cut off. It listens with the shortest queue, fills the queue itself and accepts no connection, so that the kernel
+// drops further connection requests.
 type unreachableAddr struct{ fds []int }
 
 func holdUnreachable(addr string) (*unreachableAddr, error) {
@@ -25,9 +26,9 @@
 	if err = unix.Bind(fd, sockaddr); err == nil {
 		err = unix.Listen(fd, 0)
 	}
-	for range 3 { // a queue of length 0 holds one, and a second is half open
+	for range 3 { // a queue of length 0 holds one connection, and a second is half open
 		if c, failed := held.newSocket(); failed == nil {
-			unix.Connect(c, sockaddr) // in progress, for ever
+			unix.Connect(c, sockaddr) // stays in progress
 		}
 	}
 	if err != nil {
@@ -51,7 +52,7 @@
 	q.fds = nil
 }
 
-// BeSilent holds an address as a vanished machine would, until end is called.
+// BeSilent makes an address unreachable, as at a machine that is cut off, until end is called.
 func BeSilent(addr string) (end func(), err error) {
 	held, err := holdUnreachable(addr)
 	if err != nil {
--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -7,22 +7,22 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// speech is the protocol of one connection to a server.
+// serverProtocol is the server side of the protocol of one connection.
 type serverProtocol interface {
-	read(in *ringbuffer.Buffer) (whole bool, err error) // hands on the next command
+	read(in *ringbuffer.Buffer) (whole bool, err error) // starts the next command once it is complete
 	begun() bool
-	encodeValue(r *reply) (text [][]byte, sum uint32) // an answer, and a checksum of what a client takes from it
+	encodeValue(r *reply) (text [][]byte, sum uint32) // an answer, and the checksum that a client computes of it
 	busyReply() string
 	failedReply() string
-	corrupt(text string) string // what a fault makes of an answer
+	corrupt(text string) string // a malformed form of an answer
 }
 
-// memcacheSpeech is the meta commands of the memcache text protocol.
+// memcacheServer is the server side of the meta commands of the memcache text protocol.
 type memcacheServer struct {
 	conn      *serverConn
 	reader    meta.CommandReader
 	longWrite longWrite
-	damage    string // of the long write at hand; empty: none
+	damage    string // what is wrong with the current long write's value; empty: nothing
 }
 
 func (m *memcacheServer) read(in *ringbuffer.Buffer) (bool, error) {
@@ -36,20 +36,20 @@
 func (m *memcacheServer) busyReply() string   { return "SERVER_ERROR busy\r\n" }
 func (m *memcacheServer) failedReply() string { return "SERVER_ERROR failed\r\n" }
 
-// Get takes a read.
+// Get handles a read.
 func (m *memcacheServer) Get(key, id, _, parameters string) {
 	m.startCommand(key, id, parameters, false)
 }
 
-// Set takes a write.
+// Set handles a write.
 func (m *memcacheServer) Set(key, id, _, parameters string, _ []byte) {
 	m.startCommand(key, id, parameters, true)
 }
 
-// Reserve never comes: long writes are read apart.
+// Reserve is never called: longWrite reads long writes.
 func (m *memcacheServer) Reserve(int) bool { return true }
 
-// Refused never comes, for none is.
+// Refused is never called, because Reserve refuses nothing.
 func (m *memcacheServer) Refused() {}
 
 // Noop answers a probe.
@@ -58,7 +58,7 @@
 	m.conn.replyText("MN\r\n")
 }
 
-// Bad answers what it does not know.
+// Bad answers a malformed or unknown command.
 func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
 
 func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
@@ -70,7 +70,7 @@
 	}
 	idempotencyKey, _ := meta.Figure(parameters, "k")
 	deadline, _ := meta.Figure(parameters, "d")
-	ms, _ := strconv.ParseFloat(deadline, 64) // 0 where it is not said
+	ms, _ := strconv.ParseFloat(deadline, 64) // 0 if it is not stated
 	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
 
@@ -83,7 +83,8 @@
 	return append(text, []byte("\r\n")), v.Sum()
 }
 
-// spoiled makes noise of an answer: no line at all, another's id, a length that does not fit, one far too long, a part.
+// corrupt returns a malformed form of an answer: no valid line, an unknown ID, a wrong length, a length far too long,
+// or half of the answer.
 func (m *memcacheServer) corrupt(text string) string {
 	switch m.conn.server.rng.IntN(5) {
 	case 0:
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -1,6 +1,7 @@
-// Package emulator stands in for the systems round a router: cache servers, their origin, the list service and clients,
-// on real sockets and in real time, with faults on command. It keeps a book of all that it saw, from which a judge that
-// trusts no router can tell whether the rules were kept. Its cache servers follow the published protocol page.
+// Package emulator emulates the systems around a router: cache servers, their origin, the list service and clients, on
+// real sockets and in real time, with injected faults. It records all requests, attempts and executions, so that a
+// checker can verify the rules without relying on a router's own data. Its cache servers follow the published protocol
+// page.
 package emulator
 
 import (
@@ -12,32 +13,33 @@
 	"bendtrestle/internal/tiles"
 )
 
-// TrafficType is one kind of operation, as clients send it and cache servers work on it.
+// TrafficType is one type of request, as clients send it and cache servers execute it.
 type TrafficType struct {
 	Name     string
-	Share    float64 // of all arrivals, as a weight
+	Share    float64 // relative weight among all arrivals
 	Write    bool
 	Effect   balancer.Idempotency
 	Group    balancer.DeduplicationScope
-	Window   float64 // seconds for which repeats of a numbered operation are dropped
-	Work     float64 // seconds of a core of speed 1, the mean
-	Spread   float64 // of the work: its standard deviation over its mean
+	Window   float64 // deduplication window in seconds, of idempotency-keyed requests
+	Work     float64 // mean seconds on a core of speed 1
+	Spread   float64 // coefficient of variation of the work: standard deviation divided by mean
 	Size     int     // bytes of a value, at most meta.LongBound
-	Promised float64 // seconds
+	Promised float64 // latency objective in seconds
 	HardStop float64
 	Benefit  float64
 	Tenant   string
-	Scheme   tiles.Scheme // it is a tile, asked for so; else a key
+	Scheme   tiles.Scheme // address scheme, if the type requests tiles; empty: it requests keys
 
-	RunsIn, AllowedOn []string // zones and kinds of machine to which alone it may be sent; nil: all
+	RunsIn, AllowedOn []string // the only zones and machine types to which it may be sent; nil: all
 }
 
-// Open tells whether a type may be sent to a server at all.
+// Open reports whether the type may be sent to a server.
 func (t *TrafficType) Open(s *Server) bool {
-	return (t.RunsIn == nil || slices.Contains(t.RunsIn, s.Zone)) && (t.AllowedOn == nil || slices.Contains(t.AllowedOn, s.Machine))
+	return (t.RunsIn == nil || slices.Contains(t.RunsIn, s.Zone)) && (t.AllowedOn == nil || slices.Contains(t.AllowedOn,
+		s.Machine))
 }
 
-// draw gives an operation's work: log-normal, so that it is never below 0 and its tail is long.
+// drawWork draws an execution's work. It is log-normal, so that it is never below 0 and has a long tail.
 func (t *TrafficType) drawWork(rng *rand.Rand) float64 {
 	if t.Spread <= 0 {
 		return t.Work
@@ -46,49 +48,49 @@
 	return t.Work * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// How tells what became of an execution at a cache server.
+// How is how an execution ended at a cache server.
 type How int
 
-// The ends of an execution, as the cache server saw them.
+// The ends of an execution, as recorded by the cache server.
 const (
-	Open       How = iota // nothing yet
-	Answered              // with a value or a receipt made for it
-	TurnedAway            // before anything of it ran
-	Failed                // with an error, after it may have run
-	Spoilt                // with what no client may be given
-	Cancelled             // its connection went before its answer
+	Open       How = iota // still in progress
+	Answered              // answered with the value or receipt made for it
+	TurnedAway            // rejected before any of it ran
+	Failed                // answered with an error or by a reset, after it may have run
+	Spoilt                // answered with a malformed answer, which a router must not pass to a client
+	Cancelled             // its connection ended before its answer, and its work was cancelled
 )
 
 func (h How) String() string {
 	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[h]
 }
 
-// Execution is what a cache server saw of one command.
+// Execution is a cache server's record of one command.
 type Execution struct {
-	ID             string // the client's, new with each try
-	IdempotencyKey string // by which a numbered operation's repeats are known
+	ID             string // the client's ID, unique for each attempt
+	IdempotencyKey string // of an idempotency-keyed request; empty for others
 	Server         *Server
 	Type           *TrafficType
-	First, Last    float64 // when its first byte was read, and its last
-	Began          float64 // when a core took it up; 0: never
+	First, Last    float64 // when its first and its last byte were read
+	Began          float64 // when a core started it; 0: never
 	End            float64
 	How            How
 	Miss           bool
-	Cold           bool   // the cache server was not warm when it came
+	Cold           bool   // the cache server was not warm when the command arrived
 	Effect         bool   // a write took effect
-	Repeat         bool   // a write that was known by its mark and had no effect of its own
-	Made           uint32 // a checksum of the answer's value or receipt
+	Repeat         bool   // a write whose idempotency key was known, and which had no effect of its own
+	Made           uint32 // checksum of the answer's value or receipt
 	Work           float64
-	Length         int     // bytes of the long value that it was answered with; 0: it was none
-	Whole          float64 // when the kernel had taken the last byte of that; 0: never
-	Broke          float64 // when the server's side ended, or ceased to give, what it might not have got across; 0: it never did
-	Damaged        string  // what was wrong with the long value that a write brought
+	Length         int     // bytes of the long value in its answer; 0: not a long value
+	Whole          float64 // when the kernel had taken that value's last byte; 0: never
+	Broke          float64 // when the server interrupted a value that may not be fully received; 0: never
+	Damaged        string  // what was wrong with the long value of a write; empty: nothing
 }
 
-// MayHaveRun tells that the cache server cannot say it never ran.
+// MayHaveRun reports whether the command may have run, which is so unless the cache server rejected it.
 func (x *Execution) MayHaveRun() bool { return x.How != TurnedAway }
 
-// Book is what the fleet saw. It belongs to the fleet's loop.
+// Book holds the records of a fleet. Only the fleet's event loop may access it while it runs.
 type Book struct {
 	Executions []*Execution
 	Probes     int
@@ -96,38 +98,39 @@
 	Accepts    []Accept
 	Falls      []Fall
 	Halts      []Halt
-	Overflow   bool // there was more than the book holds: the run is void
+	Overflow   bool // there were more executions than the limit: the run is void
 }
 
-const maxRecords = 2_000_000 // executions: 20 minutes at some 1,600 a second, about 400 MB
+const maxRecords = 2_000_000 // enough for 20 minutes at some 1,600 executions per second, about 400 MB
 
-// Fetch is one call of the origin by a cache server.
+// Fetch is one call of a cache server to the origin.
 type Fetch struct {
 	At     float64
 	Server *Server
 	Cold   bool
-	Write  bool // a write passed on, not a read
+	Write  bool // a write that the server forwarded, not a read
 }
 
-// Accept is a connection that a cache server took.
+// Accept is a connection that a cache server accepted.
 type Accept struct {
 	At     float64
 	Server *Server
 }
 
-// Fall is a cold cache server that was pushed over.
+// Fall is the collapse of a cold cache server under overload.
 type Fall struct {
 	At     float64
 	Server *Server
 }
 
-// Halt is a stop of the origin, and which part of the load that caused it was misses at cold cache servers.
+// Halt is a stop of the origin under overload. ColdPart is the fraction of the recent calls that were misses at cold
+// cache servers.
 type Halt struct {
 	At       float64
 	ColdPart float64
 }
 
-// Join adds what another book holds.
+// Join adds the records of another book.
 func (b *Book) Join(o *Book) {
 	b.Executions = append(b.Executions, o.Executions...)
 	b.Fetches = append(b.Fetches, o.Fetches...)
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -2,11 +2,11 @@
 
 import "container/list"
 
-// store is a cache server's kept objects, the least recently used leaving first. Values are made anew for each answer,
-// so only keys are kept.
+// store is a cache server's cache. It evicts the least recently used key first. Values are generated for each answer,
+// so only keys are stored.
 type store struct {
 	bound int
-	order *list.List // of keys, the last used in front
+	order *list.List // of keys, the most recently used first
 	at    map[string]*list.Element
 }
 
@@ -14,7 +14,7 @@
 	return &store{bound: bound, order: list.New(), at: map[string]*list.Element{}}
 }
 
-// has tells whether a key is held, and counts it as used.
+// has reports whether a key is stored, and marks it as used.
 func (s *store) has(key string) bool {
 	e := s.at[key]
 	if e != nil {
@@ -40,10 +40,11 @@
 	}
 }
 
-// memory is what a group of cache servers knows of numbered operations: which marks it took, when, and what it answered.
+// dedupTable is the idempotency keys that the cache servers of one deduplication scope have seen, with their expiry
+// times and receipts.
 type dedupTable struct {
 	entries map[string]dedupEntry
-	order   []string // as they came
+	order   []string // keys in order of arrival
 }
 
 type dedupEntry struct {
@@ -51,13 +52,13 @@
 	receipt string
 }
 
-// repeat gives the receipt of a mark that was taken within its window.
+// lookup returns the receipt of a key, and whether the key is within its deduplication window.
 func (m *dedupTable) lookup(now float64, key string) (receipt string, known bool) {
 	entry, known := m.entries[key]
 	return entry.receipt, known && now < entry.expires
 }
 
-// take remembers a mark, and forgets those whose window is over.
+// add stores a key with its receipt, and removes keys whose window has ended.
 func (m *dedupTable) add(now float64, key, receipt string, window float64) {
 	for len(m.order) > 0 && m.entries[m.order[0]].expires <= now {
 		delete(m.entries, m.order[0])
--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -16,14 +16,15 @@
 	"bendtrestle/internal/tiles"
 )
 
-// tileSpeech is HTTP of a tile server: any scheme, conditional requests, and tiles that are drawn from their addresses.
+// tileServer is the server side of a tile server's HTTP. It supports all address schemes and conditional requests, and
+// draws each tile from its address.
 type tileServer struct {
 	conn   *serverConn
 	reader http1.RequestReader
 	target string
 	id     string
 	wait   string
-	etag   string // of which the sender has a copy
+	etag   string // ETag of the copy that the sender has; empty: none
 }
 
 func (t *tileServer) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
@@ -35,10 +36,10 @@
 	return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 }
 
-// Begin takes a request line.
+// Begin handles a request line.
 func (t *tileServer) Begin(_, target string) { t.target, t.id, t.wait, t.etag = target, "", "", "" }
 
-// Header takes a header.
+// Header handles a header.
 func (t *tileServer) Header(name, value string) {
 	switch name {
 	case "x-request-id":
@@ -50,7 +51,7 @@
 	}
 }
 
-// Request takes the end of a request.
+// Request handles the end of a request.
 func (t *tileServer) Request(bool) {
 	fleet := t.conn.server.fleet
 	if t.target == "/" {
@@ -63,14 +64,15 @@
 		t.conn.replyText("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 where it is not said
+	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 if it is not stated
 	t.conn.startExecution(fleet.tileType, request.Tile.Key(), t.id, "", ms/1e3, request.Tile, "")
 	if len(t.conn.replies) > 0 {
 		t.conn.replies[len(t.conn.replies)-1].etag = t.etag
 	}
 }
 
-// value draws a tile. Its picture is its address's; a note within the file tells who made it for whom.
+// encodeValue draws a tile. Its image depends on its address only. A note in the file names the server and the attempt
+// for which it was made.
 func (t *tileServer) encodeValue(r *reply) ([][]byte, uint32) {
 	tile := r.protocolData.(tiles.Tile)
 	s := t.conn.server
@@ -80,11 +82,13 @@
 	}
 	note := fmt.Sprintf("server %s, for %s, number %d", s.Name, r.execution.ID, s.fleet.nextSerial())
 	body := annotate(s.fleet.tileImage(tile), note, r.execution.Type.Size)
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n", etag, len(body))
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n",
+		etag, len(body))
 	return [][]byte{[]byte(head), body}, crc32.ChecksumIEEE(body)
 }
 
-// spoiled makes noise of an answer: no status line, two lengths, one far too long, chunks that do not fit, a part.
+// corrupt returns a malformed form of an answer: no status line, two lengths, a length far too long, invalid chunks, or
+// half of the answer.
 func (t *tileServer) corrupt(text string) string {
 	switch t.conn.server.rng.IntN(5) {
 	case 0:
@@ -99,9 +103,10 @@
 	return text[:len(text)/2]
 }
 
-const maxTileImages = 4096 // that are kept: several views' worth, of some 1 KB each
+const maxTileImages = 4096 // cached tile images: enough for several map views, about 1 KB each
 
-// picture draws a tile: a colour that its column and row give, and its address, so that a person sees which it is.
+// tileImage draws a tile: its address as text on a background whose colour depends on column and row, so that a person
+// can identify it.
 func (f *Fleet) tileImage(t tiles.Tile) []byte {
 	key := t.Key()
 	if cached := f.tileImages[key]; cached != nil {
@@ -115,7 +120,8 @@
 		side = 512
 	}
 	shade := uint8(200 + 40*((t.Col+t.Row)%2))
-	img := image.NewPaletted(image.Rect(0, 0, side, side), color.Palette{color.RGBA{shade, shade, uint8(180 + 5*(t.Col%15)), 255},
+	img := image.NewPaletted(image.Rect(0, 0, side, side), color.Palette{color.RGBA{shade, shade,
+		uint8(180 + 5*(t.Col%15)), 255},
 		color.RGBA{40, 60, 90, 255}})
 	for i := range side { // a frame
 		img.SetColorIndex(i, 0, 1)
@@ -130,7 +136,8 @@
 	return encoded.Bytes()
 }
 
-// annotate puts a note into a PNG, before its end, filled up so that the file has a size at least.
+// annotate inserts a note into a PNG before its last chunk. It pads the note with spaces so that the file has at least
+// size bytes.
 func annotate(file []byte, note string, size int) []byte {
 	const end = 12 // bytes of the last chunk
 	data := "Comment\x00" + note
@@ -144,7 +151,7 @@
 	return append(out, file[len(file)-end:]...)
 }
 
-// Note gives the note that a stand-in put into a PNG.
+// Note returns the note that the emulator put into a PNG, or "".
 func Note(file []byte) string {
 	_, note, found := bytes.Cut(file, []byte("tEXtComment\x00"))
 	if !found {
@@ -157,7 +164,7 @@
 	return strings.TrimSpace(string(note))
 }
 
-// write draws letters of three columns and five rows, each dot of so many pixels.
+// drawText draws letters of three columns and five rows. Each dot is a square with a side of dot pixels.
 func drawText(img *image.Paletted, x, y int, text string, dot int) {
 	for _, r := range text {
 		bits := glyphs[r]
@@ -174,7 +181,7 @@
 	}
 }
 
-// letters are dots, row by row.
+// glyphs are the letters' dots as 15 bits, row by row.
 var glyphs = map[rune]uint16{
 	'0': 0b111101101101111, '1': 0b010110010010111, '2': 0b111001111100111, '3': 0b111001111001111, '4': 0b101101111001001,
 	'5': 0b111100111001111, '6': 0b111100111101111, '7': 0b111001010010010, '8': 0b111101111101111, '9': 0b111101111001111,
--- a/internal/emulator/tip.go
+++ b/internal/emulator/tip.go
@@ -1,15 +1,17 @@
 package emulator
 
-// Tip tells when what comes has been more than a multiple of what can be done, for a stated time. Load is seconds of
-// work, counted in tenths of that time; it tips when each of ten in a row was over. Exactly the multiple is not over.
+// OverloadDetector detects that the offered load has exceeded Multiple times the capacity for Time seconds. Load is
+// seconds of work, counted in windows of a tenth of that time. The detector reports an overload when each of ten
+// windows in a row exceeded the limit. A load of exactly the multiple does not exceed it.
 type OverloadDetector struct {
 	Multiple, Time          float64
-	windowStart, windowLoad float64 // the present tenth and its load
-	overloadedWindows       int     // tenths in a row that were over
-	windowCapacity          float64 // in the present tenth
+	windowStart, windowLoad float64 // start of the current window and its load
+	overloadedWindows       int     // windows in a row that exceeded the limit
+	windowCapacity          float64 // seconds of work per second in the current window
 }
 
-// Comes takes work at a time when so much can be done a second; it tells whether that tips it over.
+// Add counts work that arrives at a time when the capacity is this many seconds of work per second. It reports whether
+// an overload was detected.
 func (t *OverloadDetector) Add(now, work, capacity float64) bool {
 	if t.Multiple <= 0 || t.Time <= 0 {
 		return false
@@ -19,7 +21,7 @@
 	}
 	window := t.Time / 10
 	for ; now-t.windowStart >= window; t.windowStart += window {
-		const roundingSlack = 1 + 1e-9 // sums of parts that make exactly the multiple may lie a little above
+		const roundingSlack = 1 + 1e-9 // a sum that should equal the multiple may be slightly above it
 		if t.windowLoad > t.Multiple*t.windowCapacity*window*roundingSlack {
 			t.overloadedWindows++
 		} else {
@@ -30,7 +32,7 @@
 			t.windowStart = now
 			return true
 		}
-		if now-t.windowStart > 2*t.Time { // nothing came for long
+		if now-t.windowStart > 2*t.Time { // a long time without load
 			t.windowStart, t.overloadedWindows = now-window, 0
 		}
 	}
@@ -38,5 +40,5 @@
 	return false
 }
 
-// Forget starts anew.
+// Reset clears the load and the windows counted so far.
 func (t *OverloadDetector) Reset() { t.windowStart, t.windowLoad, t.overloadedWindows = 0, 0, 0 }
--- a/internal/emulator/value.go
+++ b/internal/emulator/value.go
@@ -9,14 +9,15 @@
 	"bendtrestle/internal/meta"
 )
 
-// round is after how many bytes what fills values comes again: a prime, so that no buffer, page or block fits into it, and a part
-// that is left out, comes twice or comes in another place is seen. What is held of all values together is this much.
+// fillerPeriod is the number of bytes after which the filler of values repeats. It is a prime, so that no buffer, page
+// or block size divides it, and a piece that is missing, duplicated or misplaced is detected. All values together share
+// one filler of this size.
 const fillerPeriod = 65521
 
-// noise is what fills them: letters and digits, so that a person can look at a value.
+// filler is the bytes that fill values: letters and digits, so that a value is readable.
 var filler = func() []byte {
 	const letters = "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789-_"
-	b, x := make([]byte, fillerPeriod), uint64(0x9e3779b97f4a7c15) // xorshift, from any number but 0
+	b, x := make([]byte, fillerPeriod), uint64(0x9e3779b97f4a7c15) // xorshift; the seed may be any number but 0
 	for i := range b {
 		x ^= x << 13
 		x ^= x >> 7
@@ -26,30 +27,30 @@
 	return b
 }()
 
-// headBound is what the text at a value's beginning has at most: a key, an id and a name with some words.
+// maxHeadBytes is the maximum length of a value's head: a key, an ID and a name with some text.
 const maxHeadBytes = 512
 
-// A head ends so, for the first time.
+// headEnd ends a head at its first occurrence.
 var headEnd = []byte(". ")
 
-// Value is what one answer or one write carries: a head that tells who made it for whom, and behind that a rule's bytes. Nothing of
-// the latter is copied, however long it is.
+// Value is the value of one answer or one write: a head that names its maker and its attempt, followed by filler. The
+// filler is never copied, however long the value is.
 type Value struct {
 	head   []byte
 	length int
 }
 
-// NewValue makes a value of so many bytes; one whose head is longer is its head alone.
+// NewValue returns a value of size bytes. If its head is longer than that, the value is the head only.
 func NewValue(key, id, maker string, number uint64, size int) Value {
 	value := Value{head: fmt.Appendf(nil, "%s for %s by %s, number %d. ", key, id, maker, number)}
 	value.length = max(size, len(value.head))
 	return value
 }
 
-// Len is how many bytes it has.
+// Len returns the value's length in bytes.
 func (v Value) Len() int { return v.length }
 
-// Pieces gives its bytes in slices that nobody may change.
+// Pieces returns the value's bytes in slices that must not be modified.
 func (v Value) Pieces() [][]byte {
 	pieces := [][]byte{v.head}
 	for offset, remaining := fillerOffset(v.head), v.length-len(v.head); remaining > 0; offset = 0 {
@@ -60,8 +61,8 @@
 	return pieces
 }
 
-// Sum is by which it is known: a checksum of all of a short one; of a long one of its head and its length, for the rest follows
-// from these and is checked as it comes.
+// Sum returns the checksum that identifies the value. For a short value it covers all bytes. For a long value it covers
+// the head and the length, since the rest follows from these and is checked as it is received.
 func (v Value) Sum() uint32 {
 	if v.length > meta.ValueBound {
 		return longSum(v.head, v.length)
@@ -73,24 +74,24 @@
 	return sum
 }
 
-// start is where in the noise a value with this head begins.
+// fillerOffset returns where in the filler a value with this head starts.
 func fillerOffset(head []byte) int { return int(crc32.ChecksumIEEE(head) % fillerPeriod) }
 
 func longSum(head []byte, length int) uint32 {
 	return crc32.Update(crc32.ChecksumIEEE(head), crc32.IEEETable, binary.LittleEndian.AppendUint64(nil, uint64(length)))
 }
 
-// Check reads a long value as it comes and holds nothing of it but its head. It begins with the length that was stated.
+// Check verifies a long value as it is received. It stores only the head. Length is the length stated by the sender.
 type Check struct {
 	Length    int
-	Came      int // bytes so far
+	Came      int // bytes received so far
 	head      []byte
-	fillerPos int // where the noise goes on; of use once the head is whole
+	fillerPos int // offset of the next byte in the filler; valid once the head is complete
 	headRead  bool
 	mismatch  string
 }
 
-// Take looks at the next bytes.
+// Take checks the next bytes.
 func (c *Check) Take(piece []byte) {
 	for len(piece) > 0 && c.mismatch == "" {
 		n := 0
@@ -109,32 +110,32 @@
 	c.Came += len(piece)
 }
 
-// compare tells the first byte that is not the rule's.
+// compare records the first byte that differs from the filler.
 func (c *Check) compare(piece []byte) {
 	if bytes.Equal(piece, filler[c.fillerPos:c.fillerPos+len(piece)]) {
 		return
 	}
 	for i, b := range piece {
 		if want := filler[c.fillerPos+i]; b != want {
-			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x and ought to be %#02x", c.Came+i, c.Length, b, want)
+			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x, want %#02x", c.Came+i, c.Length, b, want)
 			return
 		}
 	}
 }
 
-// takeHead takes bytes up to the head's end.
+// readHead consumes bytes up to the head's end.
 func (c *Check) readHead(piece []byte) int {
 	before := len(c.head)
 	c.head = append(c.head, piece[:min(len(piece), maxHeadBytes-before)]...)
 	if end := bytes.Index(c.head, headEnd); end >= 0 {
 		c.head, c.headRead = c.head[:end+len(headEnd)], true
 	} else if len(c.head) == maxHeadBytes {
-		c.mismatch = "no value begins so"
+		c.mismatch = "value has no valid head"
 	}
 	return len(c.head) - before
 }
 
-// Sum is by which the value is known, once its head has come; before that 0.
+// Sum returns the checksum that identifies the value, or 0 until its head is complete.
 func (c *Check) Sum() uint32 {
 	if !c.headRead {
 		return 0
@@ -142,16 +143,16 @@
 	return longSum(c.head, c.Length)
 }
 
-// Head is who made it for whom, as far as it has come.
+// Head returns the value's head as far as it was received.
 func (c *Check) Head() string { return string(c.head) }
 
-// Wrong tells what is wrong with what has come; empty: nothing.
+// Mismatch returns what is wrong with the bytes received so far; empty: nothing.
 func (c *Check) Mismatch() string { return c.mismatch }
 
-// End takes the end, and tells what is wrong with the whole; empty: nothing.
+// End ends the check and returns what is wrong with the complete value; empty: nothing.
 func (c *Check) End() string {
 	if c.mismatch == "" && c.Came != c.Length {
-		c.mismatch = fmt.Sprintf("%d bytes came of %d", c.Came, c.Length)
+		c.mismatch = fmt.Sprintf("received %d of %d bytes", c.Came, c.Length)
 	}
 	return c.mismatch
 }
