--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -81,12 +81,12 @@
 func TestArrivalsAreOpenLoop(t *testing.T) {
 	load := testLoad(300)
 	load.Most = 1000
-	book := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
-	if n := len(book.Ops); n < 100 || n > 200 {
+	records := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
+	if n := len(records.Ops); n < 100 || n > 200 {
 		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
 	}
 	keys := map[string]int{}
-	for _, request := range book.Ops {
+	for _, request := range records.Ops {
 		keys[request.Key]++
 		if request.How != Silent && request.How != NoConnection {
 			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.How)
@@ -101,14 +101,14 @@
 // A rejected request is retried after the delay that the router asked for. An at-most-once request is not retried after
 // a failure, because it may have run.
 func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
-	book := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
+	records := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
 		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
 			}
 			return valueReply(id)
 		}))
-	first := book.Ops[0].Tries
+	first := records.Ops[0].Tries
 	if len(first) != 2 || first[0].How != Declined || first[1].How != Finished || first[1].Began-first[0].Ended < 0.079 {
 		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
@@ -128,20 +128,20 @@
 // A second answer to an attempt is recorded. If a reused connection is closed before the answer, the attempt is sent
 // once more under the same ID.
 func TestDuplicateAnswersAndResendOnClosedConnection(t *testing.T) {
-	book := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
+	records := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		return valueReply(id) + valueReply(id)
 	}))
-	if len(book.Twice) == 0 {
+	if len(records.Twice) == 0 {
 		t.Error("got no records of duplicate answers, want some")
 	}
-	book = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
+	records = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		if n == 2 {
 			return "close"
 		}
 		return valueReply(id)
 	}))
 	resent := 0
-	for _, request := range book.Ops {
+	for _, request := range records.Ops {
 		for _, attempt := range request.Tries {
 			if attempt.Again {
 				resent++
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -30,7 +30,7 @@
 	lateness        Lateness
 }
 
-// NewFleet returns a fleet without servers. The list service's usual delay is listed.
+// NewFleet returns a fleet without servers. listed is the list service's usual delay.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
 	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{},
 		dedupTables: map[string]*dedupTable{}, seed: seed}
@@ -72,9 +72,9 @@
 
 // Serving returns the servers that are ready.
 func (f *Fleet) Serving() (ready []*Server) {
-	for _, s := range f.servers {
-		if s.mode == Ready && !s.removed {
-			ready = append(ready, s)
+	for _, server := range f.servers {
+		if server.mode == Ready && !server.removed {
+			ready = append(ready, server)
 		}
 	}
 	return ready
@@ -82,23 +82,23 @@
 
 // Add starts a cache server, either cold or at full capacity.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
-	s := newServer(f, spec, f.Chance(spec.Name))
-	if err := s.updateListening(); err != nil {
+	server := newServer(f, spec, f.Chance(spec.Name))
+	if err := server.updateListening(); err != nil {
 		return nil, fmt.Errorf("cache server %s: %w", spec.Name, err)
 	}
-	f.servers = append(f.servers, s)
+	f.servers = append(f.servers, server)
 	if cold {
-		s.startCold()
+		server.startCold()
 	}
-	f.list.recordChange(s)
-	return s, nil
+	f.list.recordChange(server)
+	return server, nil
 }
 
 // Fill puts keys into the caches of all servers, as if they had run for a long time.
 func (f *Fleet) Fill(keys []string) {
-	for _, s := range f.servers {
+	for _, server := range f.servers {
 		for _, k := range keys {
-			s.cache.put(k)
+			server.cache.put(k)
 		}
 	}
 }
@@ -110,16 +110,16 @@
 
 // dedupTable returns the deduplication table of the scope in which server s recognises repeats of an idempotency-keyed
 // traffic type; nil for other types.
-func (f *Fleet) dedupTable(s *Server, trafficType *TrafficType) *dedupTable {
+func (f *Fleet) dedupTable(server *Server, trafficType *TrafficType) *dedupTable {
 	if trafficType.Effect != balancer.IdempotencyKeyed {
 		return nil
 	}
 	name := trafficType.Name
 	switch trafficType.Group {
 	case balancer.ScopeZone:
-		name += "/zone/" + s.Zone
+		name += "/zone/" + server.Zone
 	case balancer.ScopeCell:
-		name += fmt.Sprintf("/cell/%s/%d", s.Zone, s.Cell)
+		name += fmt.Sprintf("/cell/%s/%d", server.Zone, server.Cell)
 	}
 	if f.dedupTables[name] == nil {
 		f.dedupTables[name] = &dedupTable{entries: map[string]dedupEntry{}}
@@ -129,17 +129,17 @@
 
 // invalidate removes a key from the caches of all servers.
 func (f *Fleet) invalidate(key string) {
-	for _, s := range f.servers {
-		s.cache.drop(key)
+	for _, server := range f.servers {
+		server.cache.drop(key)
 	}
 }
 
 // closeIdleConns closes connections that have been idle for longer than their server's bound, twice per second.
 func (f *Fleet) closeIdleConns() {
 	now := f.loop.Now()
-	for _, s := range f.servers {
-		for c := range s.conns {
-			if s.Idle > 0 && s.unreachable == 0 && c.idle() && now-c.lastBusy > s.Idle {
+	for _, server := range f.servers {
+		for c := range server.conns {
+			if server.Idle > 0 && server.unreachable == 0 && c.idle() && now-c.lastBusy > server.Idle {
 				c.disconnect(false)
 			}
 		}
@@ -150,11 +150,11 @@
 // Close stops the list service and all servers.
 func (f *Fleet) Close() {
 	f.list.close()
-	for _, s := range f.servers {
-		s.removed = true
-		s.dropConnections()
-		s.unreachable = 0
-		s.updateListening()
+	for _, server := range f.servers {
+		server.removed = true
+		server.dropConnections()
+		server.unreachable = 0
+		server.updateListening()
 	}
 }
 
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -37,14 +37,14 @@
 }
 
 // fetch calls done when the origin has answered. If the job is cancelled before, done is not called.
-func (l *Ledger) fetch(s *Server, done func()) *job { return l.call(s, false, done) }
+func (l *Ledger) fetch(server *Server, done func()) *job { return l.call(server, false, done) }
 
 // write sends a write to the origin. It costs as much as a fetch, and the server does not wait for it.
-func (l *Ledger) write(s *Server) { l.call(s, true, func() {}) }
+func (l *Ledger) write(server *Server) { l.call(server, true, func() {}) }
 
-func (l *Ledger) call(s *Server, write bool, done func()) *job {
+func (l *Ledger) call(server *Server, write bool, done func()) *job {
 	now := l.loop.Now()
-	f := Fetch{At: now, Server: s, Cold: !write && s.capacityFraction(now) < 1, Write: write}
+	f := Fetch{At: now, Server: server, Cold: !write && server.capacityFraction(now) < 1, Write: write}
 	l.records.Fetches = append(l.records.Fetches, f)
 	l.recent = append(l.recent, f)
 	for len(l.recent) > 0 && l.recent[0].At < now-l.spec.Time {
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -91,16 +91,17 @@
 }
 
 // recordChange adds a change to the list if the server's listed mode or start time has changed.
-func (l *List) recordChange(s *Server) {
+func (l *List) recordChange(server *Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	mode := s.listedMode()
-	if mode == s.lastListed && s.started == s.lastListedStart {
+	mode := server.listedMode()
+	if mode == server.lastListed && server.started == server.lastListedStart {
 		return
 	}
-	s.lastListed, s.lastListedStart = mode, s.started
-	l.changes = append(l.changes, listChange{at: l.now(), entry: listEntry{ID: s.Name, Addr: s.Addr, Zone: s.Zone,
-		Machine: s.Machine, Cell: s.Cell, Mode: mode, Weight: s.Weight, Started: int64(s.started * 1e3)}, server: s})
+	server.lastListed, server.lastListedStart = mode, server.started
+	l.changes = append(l.changes, listChange{at: l.now(), entry: listEntry{ID: server.Name, Addr: server.Addr,
+		Zone: server.Zone, Machine: server.Machine, Cell: server.Cell, Mode: mode, Weight: server.Weight,
+		Started: int64(server.started * 1e3)}, server: server})
 	for _, agent := range l.agents {
 		agent.scheduleChanges()
 	}
@@ -112,9 +113,9 @@
 	visibleAt          []float64 // when the agent learns of each change
 	reportedModes      map[string]Mode
 	reports            []Told
-	reportedGeneration int                    // the generation last sent to the router
-	lastReport         float64                // when it was sent
-	addressOf          func(s *Server) string // address at which the router reaches a cache server; nil: the server's own
+	reportedGeneration int                         // the generation last sent to the router
+	lastReport         float64                     // when it was sent
+	addressOf          func(server *Server) string // a server's address for the router; nil: the server's own
 	server             *http.Server
 	servers            []*http.Server // including those at former addresses
 	addr               string
@@ -139,7 +140,9 @@
 }
 
 // Via makes the agent list other addresses of the cache servers, which only its router uses.
-func (a *Agent) Via(addressOf func(s *Server) string) { a.withLock(func() { a.addressOf = addressOf }) }
+func (a *Agent) Via(addressOf func(server *Server) string) {
+	a.withLock(func() { a.addressOf = addressOf })
+}
 
 // scheduleChanges draws when the agent learns of the newest changes.
 func (a *Agent) scheduleChanges() {
--- a/internal/emulator/list_test.go
+++ b/internal/emulator/list_test.go
@@ -29,31 +29,32 @@
 func TestFullListAndWatch(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"), spec("s-2"))
 	agent := startAgent(t, fleet)
-	whole := queryList(t, agent, "")
-	if whole.Generation != 2 || !whole.Full || len(whole.Entries) != 2 || whole.Entries[0].Addr != servers[0].Addr {
-		t.Fatalf("full list: got %+v, want generation 2 with both servers", whole)
+	fullList := queryList(t, agent, "")
+	if fullList.Generation != 2 || !fullList.Full || len(fullList.Entries) != 2 ||
+		fullList.Entries[0].Addr != servers[0].Addr {
+		t.Fatalf("full list: got %+v, want generation 2 with both servers", fullList)
 	}
 	go func() {
 		time.Sleep(50 * time.Millisecond)
 		fleet.runOnLoop(servers[1].Drain)
 	}()
 	began := time.Now()
-	news := queryList(t, agent, "?from=2&hold_ms=250")
-	if took := time.Since(began); news.Generation != 3 || news.Full || len(news.Entries) != 1 ||
-		news.Entries[0].Mode != Draining || took < 40*time.Millisecond {
+	delta := queryList(t, agent, "?from=2&hold_ms=250")
+	if took := time.Since(began); delta.Generation != 3 || delta.Full || len(delta.Entries) != 1 ||
+		delta.Entries[0].Mode != Draining || took < 40*time.Millisecond {
 		t.Errorf("watch: after %v got %+v, want a delta of generation 3 with the draining server after at least 40 ms",
-			took, news)
+			took, delta)
 	}
-	if none := queryList(t, agent, "?from=3&hold_ms=20"); none.Generation != 3 || len(none.Entries) != 0 {
-		t.Errorf("watch without changes: got %+v, want an empty delta of generation 3", none)
+	if noChange := queryList(t, agent, "?from=3&hold_ms=20"); noChange.Generation != 3 || len(noChange.Entries) != 0 {
+		t.Errorf("watch without changes: got %+v, want an empty delta of generation 3", noChange)
 	}
-	told := waitForReports(agent, 3)
-	if len(told) != 3 || told[2].Server != "s-2" || told[2].Mode != Draining {
-		t.Errorf("recorded reports: got %+v, want 3, the last of s-2 as draining", told)
+	reports := waitForReports(agent, 3)
+	if len(reports) != 3 || reports[2].Server != "s-2" || reports[2].Mode != Draining {
+		t.Errorf("recorded reports: got %+v, want 3, the last of s-2 as draining", reports)
 	}
 	fleet.runOnLoop(servers[1].Leave)
-	if whole = queryList(t, agent, ""); len(whole.Entries) != 1 || len(waitForReports(agent, 4)) != 4 {
-		t.Errorf("full list after one server left: got %+v, want 1 entry and 4 recorded reports", whole)
+	if fullList = queryList(t, agent, ""); len(fullList.Entries) != 1 || len(waitForReports(agent, 4)) != 4 {
+		t.Errorf("full list after one server left: got %+v, want 1 entry and 4 recorded reports", fullList)
 	}
 }
 
@@ -122,7 +123,7 @@
 			}
 		}
 		if next.Generation < generation || time.Since(began) > 2*time.Second {
-			t.Fatalf("after generation %d got %d, want a higher one within 2 s", generation, next.Generation)
+			t.Fatalf("after generation %d got %d, want no lower one, and generation 4 within 2 s", generation, next.Generation)
 		}
 		generation = next.Generation
 	}
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -50,8 +50,8 @@
 
 // A long value is sent completely and matches its head, and the records say when. The connection stays usable.
 func TestLongValueRead(t *testing.T) {
-	fleet, s := startLongValueFleet(t)
-	conn, got, err := fetchLongValue(t, s.Addr, "a")
+	fleet, server := startLongValueFleet(t)
+	conn, got, err := fetchLongValue(t, server.Addr, "a")
 	if wrong := got.End(); err != nil || wrong != "" || !strings.HasPrefix(got.Head(), "key for a by s-1, ") {
 		t.Errorf("got error %v, mismatch %q, head %q; want a complete value for a by s-1", err, wrong, got.Head())
 	}
@@ -71,8 +71,8 @@
 
 // A long write is accepted completely, and the records say what is wrong with its value.
 func TestLongValueWrite(t *testing.T) {
-	fleet, s := startLongValueFleet(t)
-	conn := dialServer(t, s.Addr)
+	fleet, server := startLongValueFleet(t)
+	conn := dialServer(t, server.Addr)
 	value := NewValue("k", "a", "its client", 1, meta.LongBound)
 	for _, change := range []bool{false, true} {
 		fmt.Fprintf(conn.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", value.Len())
@@ -97,22 +97,22 @@
 // the server interrupted the value.
 func TestLongValueConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		begin        func(s *Server) func()
+		begin        func(server *Server) func()
 		whole, broke bool
 		end          string // of the connection
 	}{
-		"closes behind it": {func(s *Server) func() { return s.CloseBehind(1) }, true, false, "EOF"},
-		"resets behind it": {func(s *Server) func() { return s.ResetBehind(1) }, true, true, "reset"},
-		"breaks off":       {func(s *Server) func() { return s.BreakOff(1) }, false, true, "EOF"},
-		"resets under it":  {func(s *Server) func() { return s.ResetUnder(1) }, false, true, "reset"},
-		"ceases":           {func(s *Server) func() { return s.Cease(1) }, false, true, "timeout"},
+		"closes behind it": {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
+		"resets behind it": {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
+		"breaks off":       {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
+		"resets under it":  {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
+		"ceases":           {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			fleet, s := startLongValueFleet(t)
+			fleet, server := startLongValueFleet(t)
 			var end func()
-			fleet.runOnLoop(func() { end = c.begin(s) })
-			conn := dialServer(t, s.Addr)
+			fleet.runOnLoop(func() { end = c.begin(server) })
+			conn := dialServer(t, server.Addr)
 			fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
 			conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 			text, err := io.ReadAll(conn.Reader)
@@ -132,7 +132,7 @@
 				}
 				end()
 			})
-			if _, got, err := fetchLongValue(t, s.Addr, "b"); err != nil || got.End() != "" {
+			if _, got, err := fetchLongValue(t, server.Addr, "b"); err != nil || got.End() != "" {
 				t.Errorf("after the fault's end: got error %v, mismatch %q; want none", err, got.End())
 			}
 		})
@@ -143,32 +143,37 @@
 // if the reader closes the connection. Otherwise a router would be blamed for a server's fault, or the reverse.
 func TestInterruptedLongValueIsAttributed(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   func(fleet *Fleet, s *Server, conn net.Conn)
+		end   func(fleet *Fleet, server *Server, conn net.Conn)
 		broke bool
 	}{
-		"server crashes": {func(fleet *Fleet, s *Server, _ net.Conn) { fleet.runOnLoop(func() { s.Crash() }) }, true},
-		"machine is cut off": {func(fleet *Fleet, s *Server, _ net.Conn) {
+		"server crashes": {func(fleet *Fleet, server *Server, _ net.Conn) {
+			fleet.runOnLoop(func() { server.Crash() })
+		}, true},
+		"machine is cut off": {func(fleet *Fleet, server *Server, _ net.Conn) {
 			fleet.runOnLoop(func() {
-				if _, err := s.Vanish(); err != nil {
+				if _, err := server.Vanish(); err != nil {
 					t.Error(err)
 				}
 			})
 		}, true},
 		"reader closes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
 	} {
-		fleet, s := startLongValueFleet(t)
+		fleet, server := startLongValueFleet(t)
 		fleet.runOnLoop(func() {
 			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
 		})
-		conn := dialServer(t, s.Addr)
+		conn := dialServer(t, server.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
 		if _, err := conn.readLine(replyTimeout); err != nil {
 			t.Fatal(err)
 		}
-		c.end(fleet, s, conn.Conn)
+		c.end(fleet, server, conn.Conn)
 		gone := func() (out bool) {
-			fleet.runOnLoop(func() { execution := fleet.records.Executions[0]; out = execution.Broke > 0 || len(s.conns) == 0 })
+			fleet.runOnLoop(func() {
+				execution := fleet.records.Executions[0]
+				out = execution.Broke > 0 || len(server.conns) == 0
+			})
 			return out
 		}
 		for until := time.Now().Add(5 * time.Second); !gone() && time.Now().Before(until); {
@@ -273,10 +278,10 @@
 
 // Clients send long writes completely and unchanged.
 func TestClientLongWrites(t *testing.T) {
-	fleet, s := startLongValueFleet(t)
+	fleet, server := startLongValueFleet(t)
 	loop := newLoop(t)
 	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept,
-		Most: 100}, []string{s.Addr}, nil)
+		Most: 100}, []string{server.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -67,23 +67,23 @@
 // Faults on one server may overlap and end in any order. The rate always reflects the active faults only.
 func TestOverlappingServerFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
-	s := servers[0]
+	server := servers[0]
 	rate := func(want float64) {
 		t.Helper()
-		if s.processor.rate != want {
-			t.Errorf("the rate is %v, want %v", s.processor.rate, want)
+		if server.processor.rate != want {
+			t.Errorf("the rate is %v, want %v", server.processor.rate, want)
 		}
 	}
 	fleet.runOnLoop(func() {
-		endA := s.Slow(4)
-		endB := s.Slow(2)
+		endA := server.Slow(4)
+		endB := server.Slow(2)
 		rate(0.125)
-		endStall := s.Stall()
+		endStall := server.Stall()
 		rate(0)
 		endA()
 		endStall()
 		rate(0.5)
-		endOne, endTwo := s.Stall(), s.Stall()
+		endOne, endTwo := server.Stall(), server.Stall()
 		endOne()
 		rate(0)
 		endTwo()
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -101,9 +101,10 @@
 // A stalled or slowed server does not answer in time. It answers after the fault's end.
 func TestStallAndSlowFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
-	s, conn := servers[0], dialServer(t, servers[0].Addr)
+	server, conn := servers[0], dialServer(t, servers[0].Addr)
 	conn.get("a")
-	for name, begin := range map[string]func() func(){"stall": s.Stall, "slow": func() func() { return s.Slow(100) }} {
+	for name, begin := range map[string]func() func(){
+		"stall": server.Stall, "slow": func() func() { return server.Slow(100) }} {
 		var end func()
 		fleet.runOnLoop(func() { end = begin() })
 		conn.sendLine("mg key v O%s Pc=read,d=900", name)
@@ -121,26 +122,27 @@
 // A crash resets open connections and refuses new ones. At its end the server restarts cold and with an empty cache.
 func TestCrashResetsRefusesAndRestartsCold(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
-	s, conn := servers[0], dialServer(t, servers[0].Addr)
+	server, conn := servers[0], dialServer(t, servers[0].Addr)
 	conn.get("a")
 	var end func() error
-	fleet.runOnLoop(func() { end = s.Crash() })
+	fleet.runOnLoop(func() { end = server.Crash() })
 	if _, err := conn.readLine(replyTimeout); err == nil || !strings.Contains(err.Error(), "reset") {
 		t.Errorf("an open connection ended with %v, want a reset", err)
 	}
-	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil || !strings.Contains(err.Error(), "refused") {
+	if _, err := net.DialTimeout("tcp", server.Addr, replyTimeout); err == nil ||
+		!strings.Contains(err.Error(), "refused") {
 		t.Errorf("a new connection: got %v, want it refused", err)
 	}
 	fleet.runOnLoop(func() {
 		if err := end(); err != nil {
 			t.Error(err)
 		}
-		if w := s.capacityFraction(fleet.loop.Now()); w > 0.6 || len(s.cache.at) != 0 || s.started == 0 {
+		if w := server.capacityFraction(fleet.loop.Now()); w > 0.6 || len(server.cache.at) != 0 || server.started == 0 {
 			t.Errorf("after its end: got capacity fraction %v and %d objects, want at most 0.6, none and a start time", w,
-				len(s.cache.at))
+				len(server.cache.at))
 		}
 	})
-	if got := dialServer(t, s.Addr).get("b"); got != "VA" {
+	if got := dialServer(t, server.Addr).get("b"); got != "VA" {
 		t.Errorf("after its end got %s, want VA", got)
 	}
 }
@@ -149,12 +151,12 @@
 // connections are reset.
 func TestUnreachableServerIsSilent(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
-	s, conn := servers[0], dialServer(t, servers[0].Addr)
+	server, conn := servers[0], dialServer(t, servers[0].Addr)
 	conn.get("a")
 	var end func() error
 	fleet.runOnLoop(func() {
 		var err error
-		if end, err = s.Vanish(); err != nil {
+		if end, err = server.Vanish(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -163,7 +165,7 @@
 		t.Errorf("an open connection: got %v, want a timeout", err)
 	}
 	time.Sleep(50 * time.Millisecond)
-	if conn, err := net.DialTimeout("tcp", s.Addr, 200*time.Millisecond); err == nil ||
+	if conn, err := net.DialTimeout("tcp", server.Addr, 200*time.Millisecond); err == nil ||
 		!strings.Contains(err.Error(), "timeout") {
 		t.Errorf("a new connection: got %v, %v; want a timeout", conn, err)
 	}
@@ -175,7 +177,7 @@
 	if _, err := conn.readLine(replyTimeout); err == nil || strings.Contains(err.Error(), "timeout") {
 		t.Errorf("after its end an open connection: got %v, want a reset", err)
 	}
-	if got := dialServer(t, s.Addr).get("c"); got != "VA" {
+	if got := dialServer(t, server.Addr).get("c"); got != "VA" {
 		t.Errorf("after its end got %s, want VA", got)
 	}
 }
@@ -183,11 +185,11 @@
 // Each of these faults has its effect on new or open connections, and a malformed answer is recorded as one.
 func TestRefuseResetCorruptAndFailFaults(t *testing.T) {
 	fleet, servers := startFleet(t, spec("s-1"))
-	s, conn := servers[0], dialServer(t, servers[0].Addr)
+	server, conn := servers[0], dialServer(t, servers[0].Addr)
 	conn.get("a")
 	var endRefuse func() error
-	fleet.runOnLoop(func() { endRefuse = s.Refuse() })
-	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil {
+	fleet.runOnLoop(func() { endRefuse = server.Refuse() })
+	if _, err := net.DialTimeout("tcp", server.Addr, replyTimeout); err == nil {
 		t.Error("a new connection was accepted, want it refused")
 	}
 	if got := conn.get("b"); got != "VA" {
@@ -195,16 +197,16 @@
 	}
 	fleet.runOnLoop(func() { endRefuse() })
 	var end func()
-	fleet.runOnLoop(func() { end = s.Fail(1) })
+	fleet.runOnLoop(func() { end = server.Fail(1) })
 	if got := conn.get("c"); got != "SERVER_ERROR failed" {
 		t.Errorf("Fail: got %s, want SERVER_ERROR failed", got)
 	}
-	fleet.runOnLoop(func() { end(); end = s.Reset(1) })
+	fleet.runOnLoop(func() { end(); end = server.Reset(1) })
 	if got := conn.get("d"); !strings.Contains(got, "reset") {
 		t.Errorf("Reset: got %s, want a reset", got)
 	}
-	fleet.runOnLoop(func() { end(); end = s.Spoil(1) })
-	dialServer(t, s.Addr).get("e")
+	fleet.runOnLoop(func() { end(); end = server.Spoil(1) })
+	dialServer(t, server.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
 		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.How != Spoilt {
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -35,7 +35,7 @@
 	etag         string   // ETag of the copy that the sender has; empty: none
 	deadline     float64  // when its sender stops waiting; 0: unknown
 	job          *job     // waiting for or running on a core
-	fetch        *job     // running at the origin
+	fetch        *job     // waiting or running at the origin
 	text         [][]byte // nil until it is ready
 	endOffset    uint64   // offset of its last byte among all bytes written to the connection
 	ending       ending   // of the connection, if it carries a long value
@@ -101,29 +101,30 @@
 // stated. damage is what was wrong with the value of a write, empty if nothing.
 func (c *serverConn) startExecution(trafficType *TrafficType, key, id, idempotencyKey string, remaining float64,
 	extra any, damage string) {
-	s, now := c.server, c.server.fleet.loop.Now()
-	execution := &Execution{ID: id, Server: s, Type: trafficType, First: c.firstByteAt, Last: now,
-		Cold: s.capacityFraction(now) < 1, Work: trafficType.drawWork(s.rng)}
+	server, now := c.server, c.server.fleet.loop.Now()
+	execution := &Execution{ID: id, Server: server, Type: trafficType, First: c.firstByteAt, Last: now,
+		Cold: server.capacityFraction(now) < 1, Work: trafficType.drawWork(server.rng)}
 	execution.IdempotencyKey, execution.Damaged = idempotencyKey, damage
-	s.fleet.records.open(execution)
-	r := &reply{conn: c, execution: execution, key: key, protocolData: extra}
+	server.fleet.records.open(execution)
+	reply := &reply{conn: c, execution: execution, key: key, protocolData: extra}
 	if remaining > 0 {
-		r.deadline = now + remaining
+		reply.deadline = now + remaining
 	}
-	c.replies = append(c.replies, r)
+	c.replies = append(c.replies, reply)
 	work := execution.Work
 	if c.handshakeDue {
-		work += s.Handshake
+		work += server.Handshake
 		c.handshakeDue = false
 	}
-	if s.addLoad(work) {
+	if server.addLoad(work) {
 		return
 	}
-	if c.overLimit || s.mode != Ready && s.fleet.drainingRejects || len(s.processor.waiting) >= s.Queue {
-		r.finish(TurnedAway, []byte(r.conn.protocol.busyReply()))
+	if c.overLimit || server.mode != Ready && server.fleet.drainingRejects ||
+		len(server.processor.waiting) >= server.Queue {
+		reply.finish(TurnedAway, []byte(reply.conn.protocol.busyReply()))
 		return
 	}
-	r.job = s.processor.add(work, r.begin, r.workDone)
+	reply.job = server.processor.add(work, reply.begin, reply.workDone)
 }
 
 // begin is called when a core is free. It rejects the command if its sender no longer waits.
@@ -140,24 +141,24 @@
 // workDone continues after the work on a core: a read that misses goes to the origin, a write takes effect.
 func (r *reply) workDone() {
 	r.job = nil
-	s := r.conn.server
+	server := r.conn.server
 	switch {
-	case s.rng.Float64() < s.failFraction:
+	case server.rng.Float64() < server.failFraction:
 		r.finish(Failed, []byte(r.conn.protocol.failedReply()))
 	case r.execution.Type.Write:
 		r.applyWrite()
-	case s.cache.has(r.key):
+	case server.cache.has(r.key):
 		r.answer()
 	default:
 		r.execution.Miss = true
-		r.fetch = s.fleet.origin.fetch(s, r.fetched)
+		r.fetch = server.fleet.origin.fetch(server, r.fetched)
 	}
 }
 
 func (r *reply) fetched() {
 	r.fetch = nil
-	if s := r.conn.server; !s.collapsed && s.crashed == 0 {
-		s.cache.put(r.key)
+	if server := r.conn.server; !server.collapsed && server.crashed == 0 {
+		server.cache.put(r.key)
 		r.answer()
 	}
 }
@@ -171,9 +172,9 @@
 // applyWrite lets a write take effect, unless its idempotency key is in the deduplication table. In that case it
 // answers with the receipt of the first write.
 func (r *reply) applyWrite() {
-	s, execution, now := r.conn.server, r.execution, r.conn.server.fleet.loop.Now()
-	receipt := strconv.FormatUint(s.fleet.nextSerial(), 10)
-	if m := s.fleet.dedupTable(s, execution.Type); execution.IdempotencyKey != "" && m != nil {
+	server, execution, now := r.conn.server, r.execution, r.conn.server.fleet.loop.Now()
+	receipt := strconv.FormatUint(server.fleet.nextSerial(), 10)
+	if m := server.fleet.dedupTable(server, execution.Type); execution.IdempotencyKey != "" && m != nil {
 		if known, there := m.lookup(now, execution.IdempotencyKey); there {
 			execution.Repeat, receipt = true, known
 		} else {
@@ -182,8 +183,8 @@
 	}
 	if !execution.Repeat {
 		execution.Effect = true
-		s.fleet.invalidate(r.key)
-		s.fleet.origin.write(s)
+		server.fleet.invalidate(r.key)
+		server.fleet.origin.write(server)
 	}
 	execution.Made = crc32.ChecksumIEEE([]byte(receipt))
 	r.finish(Answered, meta.AppendStored(nil, execution.ID, receipt))
@@ -191,16 +192,16 @@
 
 // finish ends the execution and sends its answer, or what an active fault makes of it.
 func (r *reply) finish(outcome How, text ...[]byte) {
-	s := r.conn.server
-	r.execution.End = s.fleet.loop.Now()
+	server := r.conn.server
+	r.execution.End = server.fleet.loop.Now()
 	r.execution.How = outcome
 	if outcome == Answered && !r.conn.closed {
-		if s.rng.Float64() < s.resetFraction {
+		if server.rng.Float64() < server.resetFraction {
 			r.execution.How = Failed
 			r.conn.disconnect(true)
 			return
 		}
-		if s.rng.Float64() < s.corruptFraction {
+		if server.rng.Float64() < server.corruptFraction {
 			r.execution.How = Spoilt
 			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
 			r.conn.corrupted = true
--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -11,7 +11,7 @@
 type serverProtocol interface {
 	read(in *ringbuffer.Buffer) (whole bool, err error) // starts the next command once it is complete
 	begun() bool
-	encodeValue(r *reply) (text [][]byte, sum uint32) // an answer, and the checksum that a client computes of it
+	encodeValue(reply *reply) (text [][]byte, sum uint32) // an answer, and the checksum that a client computes of it
 	busyReply() string
 	failedReply() string
 	corrupt(text string) string // a malformed form of an answer
@@ -74,12 +74,12 @@
 	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
 
-func (m *memcacheServer) encodeValue(r *reply) ([][]byte, uint32) {
-	v := m.conn.server.newValue(r.execution, r.key)
+func (m *memcacheServer) encodeValue(reply *reply) ([][]byte, uint32) {
+	v := m.conn.server.newValue(reply.execution, reply.key)
 	if v.Len() > meta.ValueBound {
-		r.execution.Length = v.Len()
+		reply.execution.Length = v.Len()
 	}
-	text := append([][]byte{meta.AppendValue(nil, r.execution.ID, v.Len())}, v.Pieces()...)
+	text := append([][]byte{meta.AppendValue(nil, reply.execution.ID, v.Len())}, v.Pieces()...)
 	return append(text, []byte("\r\n")), v.Sum()
 }
 
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -34,9 +34,9 @@
 }
 
 // Open reports whether the type may be sent to a server.
-func (t *TrafficType) Open(s *Server) bool {
-	return (t.RunsIn == nil || slices.Contains(t.RunsIn, s.Zone)) && (t.AllowedOn == nil || slices.Contains(t.AllowedOn,
-		s.Machine))
+func (t *TrafficType) Open(server *Server) bool {
+	return (t.RunsIn == nil || slices.Contains(t.RunsIn, server.Zone)) &&
+		(t.AllowedOn == nil || slices.Contains(t.AllowedOn, server.Machine))
 }
 
 // drawWork draws an execution's work. It is log-normal, so that it is never below 0 and has a long tail.
--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -73,15 +73,15 @@
 
 // encodeValue draws a tile. Its image depends on its address only. A note in the file names the server and the attempt
 // for which it was made.
-func (t *tileServer) encodeValue(r *reply) ([][]byte, uint32) {
-	tile := r.protocolData.(tiles.Tile)
-	s := t.conn.server
-	etag := fmt.Sprintf("%q", fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(r.key))))
-	if r.etag == etag {
+func (t *tileServer) encodeValue(reply *reply) ([][]byte, uint32) {
+	tile := reply.protocolData.(tiles.Tile)
+	server := t.conn.server
+	etag := fmt.Sprintf("%q", fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(reply.key))))
+	if reply.etag == etag {
 		return [][]byte{[]byte("HTTP/1.1 304 Not Modified\r\nETag: " + etag + "\r\n\r\n")}, 0
 	}
-	note := fmt.Sprintf("server %s, for %s, number %d", s.Name, r.execution.ID, s.fleet.nextSerial())
-	body := annotate(s.fleet.tileImage(tile), note, r.execution.Type.Size)
+	note := fmt.Sprintf("server %s, for %s, number %d", server.Name, reply.execution.ID, server.fleet.nextSerial())
+	body := annotate(server.fleet.tileImage(tile), note, reply.execution.Type.Size)
 	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n",
 		etag, len(body))
 	return [][]byte{[]byte(head), body}, crc32.ChecksumIEEE(body)
