--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -27,7 +27,7 @@
 const resetDelay = 0.05
 
 // closeLinger is for how many seconds a server that closes in order still reads input. Unread input would make its
-// kernel reset the connection. It is longer than the time for which routers let a slow client take no byte.
+// kernel reset the connection. It is longer than the time that routers allow a slow client to read nothing.
 const closeLinger = 12
 
 // drawEnding draws by the active faults how a long value ends, and returns the part of the reply that is written.
