--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -101,11 +101,11 @@
 		whole, broke bool
 		end          string // of the connection
 	}{
-		"closes behind it": {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
-		"resets behind it": {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
-		"breaks off":       {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
-		"resets under it":  {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
-		"ceases":           {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
+		"closes after the value":  {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
+		"resets after the value":  {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
+		"closes within the value": {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
+		"resets within the value": {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
+		"stalls within the value": {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -120,8 +120,8 @@
 			if err == nil {
 				err = io.EOF
 			}
-			sure := c.end != "reset" || !c.whole // a reset may destroy bytes that have not been received
-			if sure && full != c.whole || !strings.Contains(err.Error(), c.end) {
+			exact := c.end != "reset" || !c.whole // a reset may destroy bytes that have not been received
+			if exact && full != c.whole || !strings.Contains(err.Error(), c.end) {
 				t.Errorf("got %d bytes, complete %v, then %v; want complete %v, then %s", len(text), full, err, c.whole, c.end)
 			}
 			fleet.runOnLoop(func() {
