--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -14,396 +14,407 @@
 	"bendtrestle/internal/meta"
 )
 
-// Connections tells how clients use theirs.
+// Connections is how clients use their connections.
 type Connections string
 
-// The ways.
+// The ways in which clients use connections.
 const (
-	Kept Connections = "kept" // for the next operation
-	New  Connections = "new"  // one for each try
-	Once Connections = "once" // used for one try, and left open for good
+	Kept Connections = "kept" // reused for the next request
+	New  Connections = "new"  // a new one for each attempt
+	Once Connections = "once" // used for one attempt, then left open and idle
 )
 
-// Load describes the clients.
+// Load describes the clients and the requests that they send.
 type Load struct {
 	Types     []*TrafficType
-	Rate      float64 // operations a second
+	Rate      float64 // requests per second
 	Keys      int
-	Zipf      float64 // the exponent of the keys' popularity, 0: all alike
-	Retries   int     // after the first try
-	TryShare  float64 // part of the hard stop for which a try waits
+	Zipf      float64 // exponent of the keys' Zipf distribution; 0: uniform
+	Retries   int     // most retries of a request
+	TryShare  float64 // an attempt's timeout as a fraction of the request's deadline
 	Pause     float64 // seconds before a retry
-	Honour    float64 // part of the clients that come back when they are told to
-	Impatient float64 // part of the tries that are left before their time is up
+	Honour    float64 // fraction of retries that wait as long as the router asked
+	Impatient float64 // fraction of attempts whose client disconnects before the timeout
 	Use       Connections
-	Most      int       // connections to one router
-	Skew      []float64 // the routers' parts of the arrivals, as weights; none: all alike
+	Most      int       // most connections to one router; 0: no limit
+	Skew      []float64 // relative weights of the routers in the choice of a router; empty: equal
 }
 
-// End tells how a try ended for its client.
+// End is how an attempt ended for its client.
 type End int
 
-// The ends of a try.
+// The ends of an attempt.
 const (
 	Waiting      End = iota
-	Finished         // the router gave a value or a receipt
-	Declined         // trying again is harmless
-	Terminated       // no promise
-	NoConnection     // it never reached a router
-	Left             // the client went away before its time was up
+	Finished         // the router returned a value or a receipt
+	Declined         // rejected: a retry is safe
+	Terminated       // failed: the outcome is unknown
+	NoConnection     // not sent: it did not reach a router
+	Left             // the client disconnected before its timeout
 	Lost             // the connection ended without an answer
-	Silent           // no answer in time, or within a value nothing more
-	Cut              // the connection ended within a value
+	Silent           // no answer in time, or a value stopped arriving
+	Cut              // the connection ended within a value, or the value's end was malformed
 )
 
 func (e End) String() string {
-	return [...]string{"waiting", "finished", "declined", "terminated", "no connection", "left", "lost", "silent", "cut"}[e]
+	return [...]string{"waiting", "finished", "declined", "terminated", "no connection", "left", "lost", "silent",
+		"cut"}[e]
 }
 
-// Tolerance is how much later than its time an answer may come without being missed: what sockets and timers take.
+// Tolerance is for how many seconds after the attempt's timeout a client still accepts an answer. It covers the delays
+// of sockets and timers.
 const Tolerance = 0.05
 
-// Op is an operation as its client sees it: all its tries together.
+// Op is a request as its client sees it, with all its attempts.
 type Op struct {
-	N     int
-	Type  *TrafficType
-	Key   string
-	Mark  string
-	Due   float64 // when it was to be sent
-	Tries []*Try
-	Done  float64 // when it was over
-	How   End     // of its last try
+	N              int
+	Type           *TrafficType
+	Key            string
+	IdempotencyKey string
+	Due            float64 // when it was scheduled to be sent
+	Tries          []*Try
+	Done           float64 // when its last attempt ended
+	How            End     // of its last attempt
 }
 
-// Took is how long it took from when it was due, but for the time in which its client did not read.
+// Took returns the request's latency since it was due, without the time in which its client did not read.
 func (o *Op) Took() float64 {
 	took := o.Done - o.Due
-	for _, t := range o.Tries {
-		took -= t.Rested
+	for _, attempt := range o.Tries {
+		took -= attempt.ReadPaused
 	}
 	return took
 }
 
-// Served tells whether it was answered with what was asked for, and in the promised time.
+// Served reports whether the request finished, and whether it finished within its latency objective.
 func (o *Op) Served() (any, inTime bool) {
 	any = o.How == Finished
 	return any, any && o.Took() <= o.Type.Promised
 }
 
-// Try is one command of a client.
+// Try is one attempt of a client at one router.
 type Try struct {
-	Op      *Op
-	ID      string
-	Router  int
-	Began   float64
-	Sent    float64 // when its last byte had been written; 0: never
-	Wait    float64 // seconds that its client waits
-	Ended   float64
-	How     End
-	After   int     // milliseconds after which it may come back, as the router said
-	Got     uint32  // a checksum of the value or the receipt
-	Again   bool    // its kept connection had been closed, and it was sent once more ...
-	AgainAt float64 // ... then
-	strange string  // an answer that means nothing, or what is wrong with a long value
-
-	Reading Reading // how it takes a long value; zero: as it comes
-	Length  int     // bytes of the long value that began to come; 0: none did
-	Came    int     // so many of these did
-	Begun   uint32  // by which that value is known, once its head had come: Execution.Made of who made it
-	Rested  float64 // seconds in which its client did not read
+	Op        *Op
+	ID        string
+	Router    int
+	Began     float64
+	Sent      float64 // when its last byte was written; 0: never
+	Wait      float64 // timeout in seconds
+	Ended     float64
+	How       End
+	After     int     // milliseconds after which the router allows a retry; 0: not stated
+	Got       uint32  // checksum of the value or the receipt
+	Again     bool    // it was sent once more because its reused connection had been closed ...
+	AgainAt   float64 // ... at this time
+	malformed string  // what is wrong with the answer; empty: nothing
+
+	Reading    Reading // how it reads a long value; zero value: without delay
+	Length     int     // stated length in bytes of the long value that began to arrive; 0: none
+	Came       int     // bytes of it that were received
+	Begun      uint32  // checksum of that value, once its head was received; equals Execution.Made of its execution
+	ReadPaused float64 // seconds in which its client did not read
 }
 
-// Strange is an answer that should not be, if it got one.
-func (t *Try) Strange() string { return t.strange }
+// Strange returns what is wrong with the answer; empty: nothing.
+func (t *Try) Strange() string { return t.malformed }
 
-// Garble notes that an answer is not as it was made, and how.
-func (t *Try) Garble(how string) { t.strange, t.Got = how, 0 }
+// Garble records that the answer differs from the one that was made, and how.
+func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
 
-// ClientBook is what the clients saw. It belongs to their loop.
+// ClientBook holds the records of the clients. Only their event loop may access it while it runs.
 type ClientBook struct {
 	Ops       []*Op
-	Twice     []string // ids of tries that were answered again
+	Twice     []string // IDs of attempts that were answered more than once
 	Lateness  []float64
 	LateSends int
 	Overflow  bool
 }
 
-// Clients send operations to routers, open loop: what comes when is drawn ahead and waits for no answer.
+// Clients send requests to routers in an open loop: arrival times are drawn at random and don't depend on answers.
 type Clients struct {
-	loop    *eventloop.Loop
-	load    Load
-	routers []*door
-	tiles   map[string][]*door // the same routers, where they take a team's map tiles
-	book    *ClientBook
-	chance  *rand.Rand // for what does not belong to the arrivals
-	popular []float64  // sums of the keys' popularity
-	flows   []*flow
-	until   float64
-	ids     uint32
-	open    int
-	late    Lateness
-
-	hot      []hotKey
-	surges   []surge
-	readings []Reading
+	loop                 *eventloop.Loop
+	load                 Load
+	routers              []*routerTarget
+	tileRouters          map[string][]*routerTarget // the same routers' addresses for each team's map tiles, by team
+	records              *ClientBook
+	rng                  *rand.Rand // for everything but the arrivals
+	cumulativePopularity []float64  // cumulative sums of the keys' weights
+	arrivals             []*arrivalProcess
+	arrivalsEnd          float64
+	lastID               uint32
+	openRequests         int
+	lateness             Lateness
+
+	hotKeys       []hotKey
+	surges        []surge
+	readBehaviors []Reading
 }
 
-// flow is the arrivals of one traffic type.
-type flow struct {
-	c      *Clients
-	t      *TrafficType
-	part   float64
-	chance *rand.Rand
-	due    float64
-	timer  *eventloop.Timer
+// arrivalProcess is the Poisson process by which requests of one traffic type arrive.
+type arrivalProcess struct {
+	clients     *Clients
+	trafficType *TrafficType
+	fraction    float64
+	rng         *rand.Rand
+	due         float64
+	timer       *eventloop.Timer
 }
 
 type hotKey struct {
-	key  string
-	part float64
+	key      string
+	fraction float64
 }
 
 type surge struct {
-	kind, tenant string // either may be empty: any
-	factor       float64
+	trafficType, tenant string // empty: any
+	factor              float64
 }
 
-// door is one router as its clients see it.
-type door struct {
-	c     *Clients
-	n     int
-	addr  netip.AddrPort
-	idle  []*clientConn
-	open  int
-	shunt float64 // not asked until then, after it refused
-	part  float64
+// routerTarget is one router as its clients see it.
+type routerTarget struct {
+	clients    *Clients
+	index      int
+	addr       netip.AddrPort
+	idle       []*clientConn
+	openConns  int
+	avoidUntil float64 // not chosen until then, after it refused a connection
+	weight     float64
 }
 
-// NewClients makes clients of the routers at these addresses.
-func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string, tileFronts map[string][]string) (*Clients, error) {
-	c := &Clients{loop: loop, load: load, book: &ClientBook{}, chance: rand.New(rand.NewPCG(seed, 1)),
-		ids: uint32(seed) ^ 0x5bd1e995}
-	for n, text := range routers {
+// NewClients returns clients of the routers at these addresses.
+func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string,
+	tileFronts map[string][]string) (*Clients, error) {
+	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
+		lastID: uint32(seed) ^ 0x5bd1e995}
+	for index, text := range routers {
 		addr, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, fmt.Errorf("router %s: %w", text, err)
 		}
-		d := &door{c: c, n: n, addr: addr, part: 1}
+		target := &routerTarget{clients: c, index: index, addr: addr, weight: 1}
 		if len(load.Skew) > 0 {
-			d.part = load.Skew[n%len(load.Skew)]
+			target.weight = load.Skew[index%len(load.Skew)]
 		}
-		c.routers = append(c.routers, d)
+		c.routers = append(c.routers, target)
 	}
-	c.tiles = map[string][]*door{}
-	for team, all := range tileFronts {
-		for n, text := range all {
+	c.tileRouters = map[string][]*routerTarget{}
+	for team, addresses := range tileFronts {
+		for index, text := range addresses {
 			addr, err := netip.ParseAddrPort(text)
 			if err != nil {
 				return nil, fmt.Errorf("router %s: %w", text, err)
 			}
-			c.tiles[team] = append(c.tiles[team], &door{c: c, n: n, addr: addr, part: c.routers[n].part})
+			c.tileRouters[team] = append(c.tileRouters[team], &routerTarget{clients: c, index: index, addr: addr,
+				weight: c.routers[index].weight})
 		}
 	}
 	sum := 0.0
 	for i := range max(1, load.Keys) {
 		sum += math.Pow(float64(i+1), -load.Zipf)
-		c.popular = append(c.popular, sum)
+		c.cumulativePopularity = append(c.cumulativePopularity, sum)
 	}
-	shares := 0.0
-	for _, t := range load.Types {
-		shares += t.Share
+	totalShare := 0.0
+	for _, trafficType := range load.Types {
+		totalShare += trafficType.Share
 	}
-	for i, t := range load.Types {
-		f := &flow{c: c, t: t, part: t.Share / shares, chance: rand.New(rand.NewPCG(seed, uint64(100+i)))}
-		f.timer = loop.Timer(f.arrive)
-		c.flows = append(c.flows, f)
+	for i, trafficType := range load.Types {
+		arrivals := &arrivalProcess{clients: c, trafficType: trafficType, fraction: trafficType.Share / totalShare,
+			rng: rand.New(rand.NewPCG(seed, uint64(100+i)))}
+		arrivals.timer = loop.Timer(arrivals.arrive)
+		c.arrivals = append(c.arrivals, arrivals)
 	}
-	c.late.watch(loop)
+	c.lateness.start(loop)
 	return c, nil
 }
 
-// Book is what they saw. It is read once the loop has ended, or on it.
-func (c *Clients) Book() *ClientBook { return c.book }
+// Book returns the records. They may be read on the loop, or once the loop has ended.
+func (c *Clients) Book() *ClientBook { return c.records }
 
-// Late is how late their loop was.
-func (c *Clients) Late() *Lateness { return &c.late }
+// Late returns how late the clients' loop was.
+func (c *Clients) Late() *Lateness { return &c.lateness }
 
-// Key names the n-th most popular key.
+// Key returns the n-th most popular key.
 func Key(n int) string { return "clinic-" + strconv.Itoa(n) }
 
-// Start lets operations arrive from now on, for so many seconds.
+// Start lets requests arrive for this many seconds from now.
 func (c *Clients) Start(seconds float64) {
 	now := c.loop.Now()
-	c.until = now + seconds
-	for _, f := range c.flows {
-		f.due = now
-		f.plan()
+	c.arrivalsEnd = now + seconds
+	for _, arrivals := range c.arrivals {
+		arrivals.due = now
+		arrivals.scheduleNext()
 	}
 }
 
-// Busy tells whether operations are still to come or open.
-func (c *Clients) Busy() bool { return c.open > 0 || c.loop.Now() < c.until }
+// Busy reports whether requests are in flight or still to arrive.
+func (c *Clients) Busy() bool { return c.openRequests > 0 || c.loop.Now() < c.arrivalsEnd }
 
-// Stop lets nothing more arrive.
-func (c *Clients) Stop() { c.until = 0 }
+// Stop ends the arrivals.
+func (c *Clients) Stop() { c.arrivalsEnd = 0 }
 
-// plan draws when the next operation is due.
-func (f *flow) plan() {
-	rate := f.c.load.Rate * f.part
-	for _, s := range f.c.surges {
-		if (s.kind == "" || s.kind == f.t.Name) && (s.tenant == "" || s.tenant == f.t.Tenant) {
+// scheduleNext draws when the next request is due.
+func (f *arrivalProcess) scheduleNext() {
+	rate := f.clients.load.Rate * f.fraction
+	for _, s := range f.clients.surges {
+		if (s.trafficType == "" || s.trafficType == f.trafficType.Name) &&
+			(s.tenant == "" || s.tenant == f.trafficType.Tenant) {
 			rate *= s.factor
 		}
 	}
 	if rate <= 0 {
 		return
 	}
-	if f.due += f.chance.ExpFloat64() / rate; f.due < f.c.until {
+	if f.due += f.rng.ExpFloat64() / rate; f.due < f.clients.arrivalsEnd {
 		f.timer.Set(f.due)
 	}
 }
 
-// replan lets a change of the rate act at once, not only after the next arrival.
-func (c *Clients) replan() {
-	for _, f := range c.flows {
-		f.timer.Stop()
-		f.due = c.loop.Now()
-		f.plan()
+// rescheduleArrivals draws the next arrivals again, so that a changed rate takes effect before the next arrival.
+func (c *Clients) rescheduleArrivals() {
+	for _, arrivals := range c.arrivals {
+		arrivals.timer.Stop()
+		arrivals.due = c.loop.Now()
+		arrivals.scheduleNext()
 	}
 }
 
-func (f *flow) arrive() {
-	for now := f.c.loop.Now(); f.due <= now && f.due < f.c.until; {
+// arrive starts all requests that are due.
+func (f *arrivalProcess) arrive() {
+	for now := f.clients.loop.Now(); f.due <= now && f.due < f.clients.arrivalsEnd; {
 		before := f.due
-		f.c.begin(f)
-		if f.plan(); f.due == before {
+		f.clients.startRequest(f)
+		if f.scheduleNext(); f.due == before {
 			return
 		}
 	}
 }
 
-// begin makes an operation.
-func (c *Clients) begin(f *flow) {
-	if len(c.book.Ops) >= bookBound {
-		c.book.Overflow = true
+// startRequest draws a request and starts its first attempt.
+func (c *Clients) startRequest(arrivals *arrivalProcess) {
+	if len(c.records.Ops) >= maxRecords {
+		c.records.Overflow = true
 		return
 	}
-	o := &Op{N: len(c.book.Ops), Type: f.t, Due: f.due}
-	n := sort.SearchFloat64s(c.popular, f.chance.Float64()*c.popular[len(c.popular)-1])
-	o.Key = Key(min(n, len(c.popular)-1))
-	draw := f.chance.Float64() // in any case: a hot key changes nothing else
-	for _, h := range c.hot {
-		if draw >= 0 && draw < h.part {
-			o.Key = h.key
+	request := &Op{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
+	n := sort.SearchFloat64s(c.cumulativePopularity,
+		arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
+	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
+	draw := arrivals.rng.Float64() // drawn even without hot keys, so that a hot key doesn't change the other draws
+	for _, hot := range c.hotKeys {
+		if draw >= 0 && draw < hot.fraction {
+			request.Key = hot.key
 		}
-		draw -= h.part
+		draw -= hot.fraction
 	}
-	if f.t.Effect == balancer.IdempotencyKeyed {
-		o.Mark = c.id()
+	if arrivals.trafficType.Effect == balancer.IdempotencyKeyed {
+		request.IdempotencyKey = c.newID()
 	}
-	c.book.Ops = append(c.book.Ops, o)
-	c.book.Lateness = append(c.book.Lateness, c.loop.Now()-f.due)
-	c.open++
-	c.try(o)
+	c.records.Ops = append(c.records.Ops, request)
+	c.records.Lateness = append(c.records.Lateness, c.loop.Now()-arrivals.due)
+	c.openRequests++
+	c.startAttempt(request)
 }
 
-func (c *Clients) id() string {
-	c.ids++
+func (c *Clients) newID() string {
+	c.lastID++
 	var b [8]byte
 	for i := range b {
-		b[i] = byte(c.ids >> (8 * (i % 4)))
+		b[i] = byte(c.lastID >> (8 * (i % 4)))
 	}
-	return fmt.Sprintf("%08x%08x", c.ids, crc32.ChecksumIEEE(b[:]))
+	return fmt.Sprintf("%08x%08x", c.lastID, crc32.ChecksumIEEE(b[:]))
 }
 
-// choose deals out a router, as a front does that notices refusals.
-func (c *Clients) choose(routers []*door) *door {
+// chooseRouter draws a router by weight, as a load balancer does that avoids routers which refused a connection.
+func (c *Clients) chooseRouter(routers []*routerTarget) *routerTarget {
 	sum, now := 0.0, c.loop.Now()
-	for _, d := range routers {
-		if now >= d.shunt {
-			sum += d.part
+	for _, target := range routers {
+		if now >= target.avoidUntil {
+			sum += target.weight
 		}
 	}
 	if sum == 0 {
-		return routers[c.chance.IntN(len(routers))]
+		return routers[c.rng.IntN(len(routers))]
 	}
-	x := c.chance.Float64() * sum
-	for _, d := range routers {
-		if now < d.shunt {
+	draw := c.rng.Float64() * sum
+	for _, target := range routers {
+		if now < target.avoidUntil {
 			continue
 		}
-		if x -= d.part; x < 0 {
-			return d
+		if draw -= target.weight; draw < 0 {
+			return target
 		}
 	}
 	return routers[len(routers)-1]
 }
 
-// left is how long a client has for an operation, all its tries together.
-func (c *Clients) left(o *Op) float64 { return o.Due + o.Type.HardStop - c.loop.Now() }
+// remaining returns the seconds until the request's deadline.
+func (c *Clients) remaining(request *Op) float64 {
+	return request.Due + request.Type.HardStop - c.loop.Now()
+}
 
-func (c *Clients) try(o *Op) {
-	t := &Try{Op: o, ID: c.id(), Began: c.loop.Now()}
-	t.Wait = c.left(o)
+func (c *Clients) startAttempt(request *Op) {
+	attempt := &Try{Op: request, ID: c.newID(), Began: c.loop.Now()}
+	attempt.Wait = c.remaining(request)
 	if c.load.TryShare > 0 && c.load.Retries > 0 {
-		t.Wait = min(t.Wait, c.load.TryShare*o.Type.HardStop)
+		attempt.Wait = min(attempt.Wait, c.load.TryShare*request.Type.HardStop)
 	}
-	o.Tries = append(o.Tries, t)
-	if t.Wait < 1e-3 {
-		c.over(t, NoConnection)
+	request.Tries = append(request.Tries, attempt)
+	if attempt.Wait < 1e-3 {
+		c.attemptEnded(attempt, NoConnection)
 		return
 	}
-	doors := c.routers
-	if o.Type.Scheme != "" {
-		doors = c.tiles[o.Type.Tenant]
+	routers := c.routers
+	if request.Type.Scheme != "" {
+		routers = c.tileRouters[request.Type.Tenant]
 	}
-	d := c.choose(doors)
-	t.Router = d.n
-	c.read(t)
-	d.send(t)
+	target := c.chooseRouter(routers)
+	attempt.Router = target.index
+	c.drawReadBehavior(attempt)
+	target.sendAttempt(attempt)
 }
 
-// read draws how a try takes its long value.
-func (c *Clients) read(t *Try) {
-	k := t.Op.Type
-	if len(c.readings) == 0 || k.Write || k.Scheme != "" || k.Size <= meta.ValueBound {
+// drawReadBehavior draws how an attempt reads its long value.
+func (c *Clients) drawReadBehavior(attempt *Try) {
+	trafficType := attempt.Op.Type
+	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
 		return
 	}
-	x := c.chance.Float64()
-	for _, how := range c.readings {
-		if x -= how.Part; x < 0 {
-			t.Reading = how
+	draw := c.rng.Float64()
+	for _, behavior := range c.readBehaviors {
+		if draw -= behavior.Part; draw < 0 {
+			attempt.Reading = behavior
 			return
 		}
 	}
 }
 
-// over takes a try's end, and tries again if that may help.
-func (c *Clients) over(t *Try, how End) {
-	if t.How != Waiting {
+// attemptEnded records an attempt's end, and retries the request if that is allowed and there is time.
+func (c *Clients) attemptEnded(attempt *Try, end End) {
+	if attempt.How != Waiting {
 		return
 	}
-	t.How, t.Ended = how, c.loop.Now()
-	o := t.Op
-	if pause := c.pause(t); pause >= 0 && how != Finished && len(o.Tries) <= c.load.Retries && c.left(o) > pause+1e-3 {
-		c.loop.After(pause, func() { c.try(o) })
+	attempt.How, attempt.Ended = end, c.loop.Now()
+	request := attempt.Op
+	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
+		c.remaining(request) > pause+1e-3 {
+		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
-	o.How, o.Done = how, t.Ended
-	c.open--
+	request.How, request.Done = end, attempt.Ended
+	c.openRequests--
 }
 
-// pause is how long a client waits before it tries again; below 0 if it must not.
-func (c *Clients) pause(t *Try) float64 {
+// retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
+func (c *Clients) retryDelay(attempt *Try) float64 {
 	switch {
-	case t.How == Left:
+	case attempt.How == Left:
 		return -1
-	case t.Op.Type.Effect == balancer.AtMostOnce && t.How != Declined && t.How != NoConnection:
+	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
 		return -1 // it may have run
-	case t.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-t.Op.Due > t.Op.Type.Window*0.9:
-		return -1 // nobody would know it for a repeat
-	case t.After > 0 && c.chance.Float64() < c.load.Honour:
-		return float64(t.After) / 1e3
+	case attempt.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Op.Due > attempt.Op.Type.Window*0.9:
+		return -1 // near the end of the deduplication window a repeat may no longer be recognised
+	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
+		return float64(attempt.After) / 1e3
 	}
 	return c.load.Pause
 }
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -11,14 +11,15 @@
 	"bendtrestle/internal/eventloop"
 )
 
-// router answers each command as a test says: the text, or nothing, or the connection's end at "close".
-func router(t *testing.T, reply func(n int, line, id string) string) string {
-	ln, err := net.Listen("tcp", strings.Replace(place(), "11300", "11211", 1))
+// startRouter starts a fake router that answers the n-th command with the text that reply returns. It answers nothing
+// if that is empty, and closes the connection if it is "close".
+func startRouter(t *testing.T, reply func(n int, line, id string) string) string {
+	ln, err := net.Listen("tcp", strings.Replace(testAddress(), "11300", "11211", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
 	t.Cleanup(func() { ln.Close() })
-	var asked int
+	var requests int
 	go func() {
 		for {
 			conn, err := ln.Accept()
@@ -34,8 +35,8 @@
 							id = f[1:]
 						}
 					}
-					asked++
-					text := reply(asked, in.Text(), id)
+					requests++
+					text := reply(requests, in.Text(), id)
 					if text == "close" {
 						conn.Close()
 						return
@@ -48,143 +49,153 @@
 	return ln.Addr().String()
 }
 
-// loaded runs clients against a router for a while and gives their book.
-func loaded(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
+// runClients runs clients against routers for this many seconds and returns their records.
+func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
 	}
-	c, err := NewClients(loop, 5, load, routers, nil)
+	clients, err := NewClients(loop, 5, load, routers, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
 	ended := make(chan error)
 	go func() { ended <- loop.Run() }()
-	loop.Post(func() { c.Start(seconds) })
+	loop.Post(func() { clients.Start(seconds) })
 	time.Sleep(time.Duration((seconds + 0.7) * float64(time.Second)))
 	loop.Post(loop.Stop)
 	<-ended
-	return c.Book()
+	return clients.Book()
 }
 
-func load(rate float64) Load {
-	return Load{Types: []*TrafficType{read}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01, Use: Kept, Most: 20}
+func testLoad(rate float64) Load {
+	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01,
+		Use: Kept, Most: 20}
 }
 
-func value(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
+func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
 
-// Arrivals wait for no answer: what is due comes, also while nothing is answered, and the keys are drawn by popularity.
-func TestOpenLoop(t *testing.T) {
-	l := load(300)
-	l.Most = 1000
-	book := loaded(t, l, 0.5, router(t, func(int, string, string) string { return "" }))
-	if n := len(book.Ops); n < 100 || n > 200 {
-		t.Errorf("%d operations in half a second at 300 a second", n)
+// Requests arrive at the configured rate even if the router answers none of them, and keys are drawn by popularity. A
+// closed loop would lower the load while a router is slow.
+func TestArrivalsAreOpenLoop(t *testing.T) {
+	load := testLoad(300)
+	load.Most = 1000
+	records := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
+	if n := len(records.Ops); n < 100 || n > 200 {
+		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
 	}
 	keys := map[string]int{}
-	for _, o := range book.Ops {
-		keys[o.Key]++
-		if o.How != Silent && o.How != NoConnection {
-			t.Fatalf("an unanswered operation ended as %v", o.How)
+	for _, request := range records.Ops {
+		keys[request.Key]++
+		if request.How != Silent && request.How != NoConnection {
+			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.How)
 		}
 	}
 	if keys[Key(0)] < 2*keys[Key(9)] {
-		t.Errorf("the most popular key came %d times, the tenth %d times", keys[Key(0)], keys[Key(9)])
+		t.Errorf("the most popular key was drawn %d times, the tenth %d times; want at least a factor of 2", keys[Key(0)],
+			keys[Key(9)])
 	}
 }
 
-// A declined operation comes back when it was told to, an at-most-once one only where it surely never ran.
-func TestRetries(t *testing.T) {
-	book := loaded(t, func() Load { l := load(20); l.Honour = 1; return l }(), 0.4,
-		router(t, func(n int, _, id string) string {
+// A rejected request is retried after the delay that the router asked for. An at-most-once request is not retried after
+// a failure, because it may have run.
+func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
+	records := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
+		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
 			}
-			return value(id)
+			return valueReply(id)
 		}))
-	first := book.Ops[0].Tries
+	first := records.Ops[0].Tries
 	if len(first) != 2 || first[0].How != Declined || first[1].How != Finished || first[1].Began-first[0].Ended < 0.079 {
-		t.Errorf("a declined operation went on as %+v", first)
+		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
-	once := *read
+	once := *readType
 	once.Effect = 0
-	l := load(20)
-	l.Types = []*TrafficType{&once}
-	for _, o := range loaded(t, l, 0.3, router(t, func(int, string, string) string { return "SERVER_ERROR failed\r\n" })).Ops {
-		if len(o.Tries) != 1 || o.How != Terminated {
-			t.Errorf("a terminated at-most-once operation went on: %d tries", len(o.Tries))
+	load := testLoad(20)
+	load.Types = []*TrafficType{&once}
+	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
+		return "SERVER_ERROR failed\r\n"
+	})).Ops {
+		if len(request.Tries) != 1 || request.How != Terminated {
+			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Tries))
 		}
 	}
 }
 
-// A second answer is noted; a kept connection closed under a command sends it once more, under its id.
-func TestTwiceAndAgain(t *testing.T) {
-	book := loaded(t, load(20), 0.3, router(t, func(n int, _, id string) string { return value(id) + value(id) }))
-	if len(book.Twice) == 0 {
-		t.Error("second answers were not noted")
+// A second answer to an attempt is recorded. If a reused connection is closed before the answer, the attempt is sent
+// once more under the same ID.
+func TestDuplicateAnswersAndResendOnClosedConnection(t *testing.T) {
+	records := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
+		return valueReply(id) + valueReply(id)
+	}))
+	if len(records.Twice) == 0 {
+		t.Error("got no records of duplicate answers, want some")
 	}
-	book = loaded(t, load(20), 0.3, router(t, func(n int, _, id string) string {
+	records = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		if n == 2 {
 			return "close"
 		}
-		return value(id)
+		return valueReply(id)
 	}))
-	again := 0
-	for _, o := range book.Ops {
-		for _, try := range o.Tries {
-			if try.Again {
-				again++
+	resent := 0
+	for _, request := range records.Ops {
+		for _, attempt := range request.Tries {
+			if attempt.Again {
+				resent++
 			}
-			if try.How != Finished {
-				t.Errorf("a try ended as %v", try.How)
+			if attempt.How != Finished {
+				t.Errorf("an attempt ended as %v, want finished", attempt.How)
 			}
 		}
 	}
-	if again != 1 {
-		t.Errorf("%d tries went out once more, want 1", again)
+	if resent != 1 {
+		t.Errorf("%d attempts were sent once more, want 1", resent)
 	}
 }
 
-// A surge multiplies arrivals at once; a hot key draws its part; both end.
-func TestSurgeAndHeat(t *testing.T) {
-	c, err := NewClients(mustLoop(t), 5, load(100), []string{"127.0.0.1:1"}, nil)
+// A surge multiplies the arrival rate immediately. A hot key receives its fraction of the requests. Both end.
+func TestSurgeAndHotKey(t *testing.T) {
+	clients, err := NewClients(newLoop(t), 5, testLoad(100), []string{"127.0.0.1:1"}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
-	c.until = c.loop.Now() + 1000
+	clients.arrivalsEnd = clients.loop.Now() + 1000
 	count := func() (n, hot int) {
-		f, from := c.flows[0], c.loop.Now()
-		f.due = from
-		for f.plan(); f.due < from+20; f.plan() {
+		arrivals, from := clients.arrivals[0], clients.loop.Now()
+		arrivals.due = from
+		for arrivals.scheduleNext(); arrivals.due < from+20; arrivals.scheduleNext() {
 			n++
 		}
 		return n, 0
 	}
 	usual, _ := count()
-	end := c.Surge("read", "", 5)
+	end := clients.Surge("read", "", 5)
 	surged, _ := count()
 	end()
 	after, _ := count()
 	if surged < 4*usual || after > 2*usual {
-		t.Errorf("arrivals: %d, in the surge %d, after it %d", usual, surged, after)
+		t.Errorf("arrivals in 20 s: %d, during a surge by 5 %d, after it %d; want at least 4 times, at most 2 times as many",
+			usual, surged, after)
 	}
-	endHeat := c.Heat("hot", 0.5)
+	endHeat := clients.Heat("hot", 0.5)
 	hot := 0
 	for range 200 {
-		c.begin(c.flows[0])
+		clients.startRequest(clients.arrivals[0])
 	}
-	for _, o := range c.book.Ops {
-		if o.Key == "hot" {
+	for _, request := range clients.records.Ops {
+		if request.Key == "hot" {
 			hot++
 		}
 	}
-	if endHeat(); hot < 60 || hot > 140 || len(c.hot) != 0 {
-		t.Errorf("%d of 200 asked for the hot key", hot)
+	if endHeat(); hot < 60 || hot > 140 || len(clients.hotKeys) != 0 {
+		t.Errorf("%d of 200 requests used the hot key, want 60 to 140 and no hot key left after its end", hot)
 	}
 }
 
-func mustLoop(t *testing.T) *eventloop.Loop {
+func newLoop(t *testing.T) *eventloop.Loop {
 	loop, err := eventloop.New()
 	if err != nil {
 		t.Fatal(err)
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -13,128 +13,129 @@
 	"bendtrestle/internal/tiles"
 )
 
-// clientSpeech is the protocol of one connection of a client.
-type clientSpeech interface {
-	command(t *Try, left float64) [][]byte
+// clientProtocol is the client side of the protocol of one connection.
+type clientProtocol interface {
+	encodeRequest(attempt *Try, left float64) [][]byte
 	read(in *ringbuffer.Buffer) (whole bool, err error)
-	closed() bool // the connection has ended; true if that ended an answer as it should
+	closed() bool // handles the connection's end; true if that completed an answer
 }
 
-// memcacheClient is the meta commands of the memcache text protocol.
+// memcacheClient is the client side of the meta commands of the memcache text protocol.
 type memcacheClient struct {
-	c      *clientConn
+	conn   *clientConn
 	reader meta.ReplyReader
-	long   string // the id of a long value that is on its way
-	check  Check  // of it
+	longID string // ID of the long value that is being received
+	check  Check  // of that value
 }
 
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 func (m *memcacheClient) closed() bool                             { return false }
 
-func (m *memcacheClient) command(t *Try, left float64) [][]byte {
-	o := t.Op
-	figures := fmt.Sprintf("c=%s,d=%d", o.Type.Name, int(math.Ceil(left*1e3)))
-	if o.Type.Tenant != "" {
-		figures += ",tenant=" + o.Type.Tenant
+func (m *memcacheClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
+	request := attempt.Op
+	parameters := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(remaining*1e3)))
+	if request.Type.Tenant != "" {
+		parameters += ",tenant=" + request.Type.Tenant
 	}
-	if o.Mark != "" {
-		figures += ",k=" + o.Mark
+	if request.IdempotencyKey != "" {
+		parameters += ",k=" + request.IdempotencyKey
 	}
-	if len(o.Tries) > 1 {
-		figures += ",r=1"
+	if len(request.Tries) > 1 {
+		parameters += ",r=1"
 	}
-	if !o.Type.Write {
-		return [][]byte{meta.AppendGet(nil, o.Key, "v O"+t.ID, figures)}
+	if !request.Type.Write {
+		return [][]byte{meta.AppendGet(nil, request.Key, "v O"+attempt.ID, parameters)}
 	}
-	text, end := meta.AppendSet(nil, o.Key, "O"+t.ID, figures, o.Type.Size), []byte("\r\n")
-	if o.Type.Size > meta.ValueBound {
-		v := NewValue(o.Key, t.ID, "its client", uint64(len(o.Tries)), o.Type.Size)
+	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, parameters, request.Type.Size), []byte("\r\n")
+	if request.Type.Size > meta.ValueBound {
+		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Tries)), request.Type.Size)
 		return append(append([][]byte{text}, v.Pieces()...), end)
 	}
-	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, o.Type.Size)...), end...)}
+	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, request.Type.Size)...), end...)}
 }
 
-// Value takes a read's answer.
+// Value handles a read's answer.
 func (m *memcacheClient) Value(id string, value []byte) {
-	if m.c.due(id) {
-		m.c.try.Got = crc32.ChecksumIEEE(value)
-		m.c.answered(Finished)
+	if m.conn.expectsAnswer(id) {
+		m.conn.attempt.Got = crc32.ChecksumIEEE(value)
+		m.conn.attemptAnswered(Finished)
 	}
 }
 
-// Long takes the beginning of a long value.
+// Long handles the beginning of a long value.
 func (m *memcacheClient) Long(id string, length int) {
-	m.long, m.check = id, Check{Length: length}
-	if t := m.c.try; t != nil && id == t.ID {
-		t.Length = length
+	m.longID, m.check = id, Check{Length: length}
+	if attempt := m.conn.attempt; attempt != nil && id == attempt.ID {
+		attempt.Length = length
 	}
 }
 
-// Part takes some of a long value.
+// Part handles a piece of a long value.
 func (m *memcacheClient) Part(part []byte) int {
 	m.check.Take(part)
-	if t := m.c.try; t != nil && m.long == t.ID {
-		t.Came, t.Begun, m.c.moved = m.check.Came, m.check.Sum(), m.c.d.c.loop.Now()
-		if m.c.leaves > 0 && t.Came >= m.c.leaves {
-			m.c.finish(Left)
-			m.c.close()
+	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
+		attempt.Came, attempt.Begun, m.conn.lastByteAt = m.check.Came, m.check.Sum(), m.conn.target.clients.loop.Now()
+		if m.conn.leaveAfterBytes > 0 && attempt.Came >= m.conn.leaveAfterBytes {
+			m.conn.finishAttempt(Left)
+			m.conn.close()
 		}
 	}
 	return len(part)
 }
 
-// LongEnd takes a read's long answer. One that is not what its head says has no sum, for nobody made it.
+// LongEnd handles the end of a read's long value. A value that does not match its head is recorded as malformed and
+// gets no checksum, because no server made it.
 func (m *memcacheClient) LongEnd() {
-	if m.c.closed || !m.c.due(m.long) {
+	if m.conn.closed || !m.conn.expectsAnswer(m.longID) {
 		return
 	}
-	if t := m.c.try; m.check.End() == "" {
-		t.Got = m.check.Sum()
+	if attempt := m.conn.attempt; m.check.End() == "" {
+		attempt.Got = m.check.Sum()
 	} else {
-		t.Garble(m.check.Wrong())
+		attempt.Garble(m.check.Mismatch())
 	}
-	m.c.answered(Finished)
+	m.conn.attemptAnswered(Finished)
 }
 
-// Stored takes a write's answer.
+// Stored handles a write's answer.
 func (m *memcacheClient) Stored(id, receipt string) {
-	if m.c.due(id) {
-		m.c.try.Got = crc32.ChecksumIEEE([]byte(receipt))
-		m.c.answered(Finished)
+	if m.conn.expectsAnswer(id) {
+		m.conn.attempt.Got = crc32.ChecksumIEEE([]byte(receipt))
+		m.conn.attemptAnswered(Finished)
 	}
 }
 
-// Busy takes that trying again is harmless.
+// Busy handles a rejection. A retry is safe.
 func (m *memcacheClient) Busy(after int) {
-	if m.c.due("") {
-		m.c.try.After = after
-		m.c.answered(Declined)
+	if m.conn.expectsAnswer("") {
+		m.conn.attempt.After = after
+		m.conn.attemptAnswered(Declined)
 	}
 }
 
-// Failed takes that nothing is promised.
+// Failed handles a failure. The outcome is unknown.
 func (m *memcacheClient) Failed() {
-	if m.c.due("") {
-		m.c.answered(Terminated)
+	if m.conn.expectsAnswer("") {
+		m.conn.attemptAnswered(Terminated)
 	}
 }
 
-// Ready is for probes.
+// Ready is the answer to a probe, which clients don't send.
 func (m *memcacheClient) Ready() {}
 
-// Other takes any other line.
+// Other rejects any other line.
 func (m *memcacheClient) Other(line string) {
-	if m.c.due("") {
-		m.c.strange(line)
+	if m.conn.expectsAnswer("") {
+		m.conn.rejectAnswer(line)
 	}
 }
 
-// WaitHeader is by which clients of tiles say how many milliseconds they wait.
+// WaitHeader is the header in which tile clients state their timeout in milliseconds.
 const WaitHeader = "X-Wait-Ms"
 
-// tileClient is HTTP, by one of the schemes.
+// tileClient is the client side of HTTP requests for tiles, in any of the address schemes.
 type tileClient struct {
-	c      *clientConn
+	conn   *clientConn
 	reader http1.ResponseReader
 	status int
 	after  int
@@ -144,21 +145,23 @@
 func (k *tileClient) read(in *ringbuffer.Buffer) (bool, error) { return k.reader.Read(in, k) }
 func (k *tileClient) closed() bool                             { return k.reader.Closed(k) }
 
-// TileAt gives the n-th most popular tile of a layer: views of a region lie side by side.
+// TileAt returns the n-th most popular tile of a layer. Popular tiles are adjacent, as in views of one region.
 func TileAt(n int) tiles.Tile {
-	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64, Row: 1750 + n/64, Format: "png"}
+	return tiles.Tile{Layer: "roads", Style: "default", Set: tiles.Google, Matrix: "12", Col: 3050 + n%64,
+		Row: 1750 + n/64, Format: "png"}
 }
 
-func (k *tileClient) command(t *Try, left float64) [][]byte {
-	n, _ := strconv.Atoi(t.Op.Key[len("clinic-"):])
-	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n", t.Op.Type.Scheme.Address(TileAt(n)),
-		t.ID, WaitHeader, int(math.Ceil(left*1e3)))}
+func (k *tileClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
+	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
+	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n",
+		attempt.Op.Type.Scheme.Address(TileAt(n)),
+		attempt.ID, WaitHeader, int(math.Ceil(remaining*1e3)))}
 }
 
-// Status begins an answer.
+// Status handles an answer's status line.
 func (k *tileClient) Status(code int) { k.status, k.after, k.body = code, 0, nil }
 
-// Header takes a header.
+// Header handles a header.
 func (k *tileClient) Header(name, value string) {
 	if name == "retry-after" {
 		seconds, _ := strconv.Atoi(value)
@@ -166,34 +169,34 @@
 	}
 }
 
-// Length takes any length.
+// Length accepts any length.
 func (k *tileClient) Length(int64) error { return nil }
 
-// Body takes a part of a tile.
+// Body handles a piece of a tile.
 func (k *tileClient) Body(part []byte) error {
 	k.body = append(k.body, part...)
 	return nil
 }
 
-// End takes the end of an answer.
+// End handles the end of an answer.
 func (k *tileClient) End(keep bool) {
-	if !k.c.due("") {
+	if !k.conn.expectsAnswer("") {
 		return
 	}
 	switch k.status {
 	case 200:
-		k.c.try.Got = crc32.ChecksumIEEE(k.body)
-		k.c.answered(Finished)
+		k.conn.attempt.Got = crc32.ChecksumIEEE(k.body)
+		k.conn.attemptAnswered(Finished)
 	case 503:
-		k.c.try.After = k.after
-		k.c.answered(Declined)
+		k.conn.attempt.After = k.after
+		k.conn.attemptAnswered(Declined)
 	case 502, 504:
-		k.c.answered(Terminated)
+		k.conn.attemptAnswered(Terminated)
 	default:
-		k.c.strange("the status " + strconv.Itoa(k.status))
+		k.conn.rejectAnswer("unexpected HTTP status " + strconv.Itoa(k.status))
 		return
 	}
 	if !keep {
-		k.c.close()
+		k.conn.close()
 	}
 }
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -11,180 +11,183 @@
 	"bendtrestle/internal/tiles"
 )
 
-// Fleet is the cache servers, their origin and the list that names them, all on one loop.
+// Fleet is the cache servers, their origin and the list service, all on one event loop.
 type Fleet struct {
-	loop           *eventloop.Loop
-	types          map[string]*TrafficType
-	servers        []*Server // in the order in which they came, also those that have gone
-	ledger         *Ledger
-	list           *List
-	book           *Book
-	memories       map[string]*memory
-	seed           uint64
-	serials        uint64
-	named          string         // what its servers' names begin with
-	tiles          *tiles.Service // they speak HTTP, and serve these layers
-	tileType       *TrafficType   // of their tiles
-	pictures       map[string][]byte
-	drainTurnsAway bool // a draining cache server turns new commands away
-	late           Lateness
-}
-
-// NewFleet makes one without servers. Listed is the list service's usual delay.
+	loop            *eventloop.Loop
+	types           map[string]*TrafficType
+	servers         []*Server // in the order in which they were added, including removed ones
+	origin          *Ledger
+	list            *List
+	records         *Book
+	dedupTables     map[string]*dedupTable
+	seed            uint64
+	lastSerial      uint64
+	namePrefix      string         // prefix of its servers' names
+	tileService     *tiles.Service // if set, the servers speak HTTP and serve these layers
+	tileType        *TrafficType   // of their tiles
+	tileImages      map[string][]byte
+	drainingRejects bool // a draining cache server rejects new commands
+	lateness        Lateness
+}
+
+// NewFleet returns a fleet without servers. listed is the list service's usual delay.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	f := &Fleet{loop: loop, types: map[string]*TrafficType{}, book: &Book{}, memories: map[string]*memory{}, seed: seed}
-	for _, t := range types {
-		f.types[t.Name] = t
+	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{},
+		dedupTables: map[string]*dedupTable{}, seed: seed}
+	for _, trafficType := range types {
+		fleet.types[trafficType.Name] = trafficType
 	}
-	f.ledger = newLedger(loop, ledger, f.book, f.Chance("ledger"))
-	f.list = newList(loop.Now, listed, f.Chance("list"))
-	f.late.watch(loop)
-	f.sweep()
-	return f
+	fleet.origin = newLedger(loop, ledger, fleet.records, fleet.Chance("ledger"))
+	fleet.list = newList(loop.Now, listed, fleet.Chance("list"))
+	fleet.lateness.start(loop)
+	fleet.closeIdleConns()
+	return fleet
 }
 
-// Chance gives a source of chance of its own by name, so that what one part draws changes no other.
+// Chance returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
+// don't change those of another.
 func (f *Fleet) Chance(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(f.seed, uint64(crc32.ChecksumIEEE([]byte(name)))))
 }
 
-// Named makes its servers' names begin with something, so that those of several fleets differ.
-func (f *Fleet) Named(begin string) { f.named = begin }
+// Named sets a prefix of the servers' names, so that the names of several fleets differ.
+func (f *Fleet) Named(prefix string) { f.namePrefix = prefix }
 
-// ServeTiles makes all of them tile servers.
-func (f *Fleet) ServeTiles(service *tiles.Service, t *TrafficType) {
-	f.tiles, f.tileType, f.pictures = service, t, map[string][]byte{}
+// ServeTiles makes all servers tile servers.
+func (f *Fleet) ServeTiles(service *tiles.Service, trafficType *TrafficType) {
+	f.tileService, f.tileType, f.tileImages = service, trafficType, map[string][]byte{}
 }
 
-// Book is what was seen. It is read once the loop has ended, or on it.
-func (f *Fleet) Book() *Book { return f.book }
+// Book returns the fleet's records. They may be read on the loop, or once the loop has ended.
+func (f *Fleet) Book() *Book { return f.records }
 
-// List is the list service.
+// List returns the list service.
 func (f *Fleet) List() *List { return f.list }
 
-// Late is how late the loop was.
-func (f *Fleet) Late() *Lateness { return &f.late }
+// Late returns how late the loop was.
+func (f *Fleet) Late() *Lateness { return &f.lateness }
 
-// Servers gives all that ever were.
+// Servers returns all servers, including removed ones.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Serving gives those that are listed as ready.
-func (f *Fleet) Serving() (in []*Server) {
-	for _, s := range f.servers {
-		if s.mode == Ready && !s.over {
-			in = append(in, s)
+// Serving returns the servers that are ready.
+func (f *Fleet) Serving() (ready []*Server) {
+	for _, server := range f.servers {
+		if server.mode == Ready && !server.removed {
+			ready = append(ready, server)
 		}
 	}
-	return in
+	return ready
 }
 
-// Add starts a cache server: a cold one, or one that has run for long.
+// Add starts a cache server, either cold or at full capacity.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
-	s := newServer(f, spec, f.Chance(spec.Name))
-	if err := s.attend(); err != nil {
+	server := newServer(f, spec, f.Chance(spec.Name))
+	if err := server.updateListening(); err != nil {
 		return nil, fmt.Errorf("cache server %s: %w", spec.Name, err)
 	}
-	f.servers = append(f.servers, s)
+	f.servers = append(f.servers, server)
 	if cold {
-		s.cold()
+		server.startCold()
 	}
-	f.list.change(s)
-	return s, nil
+	f.list.recordChange(server)
+	return server, nil
 }
 
-// Fill lets servers hold keys from the start, as those that have run for long do.
+// Fill puts keys into the caches of all servers, as if they had run for a long time.
 func (f *Fleet) Fill(keys []string) {
-	for _, s := range f.servers {
+	for _, server := range f.servers {
 		for _, k := range keys {
-			s.kept.put(k)
+			server.cache.put(k)
 		}
 	}
 }
 
-func (f *Fleet) serial() uint64 {
-	f.serials++
-	return f.serials
+func (f *Fleet) nextSerial() uint64 {
+	f.lastSerial++
+	return f.lastSerial
 }
 
-// memory gives what those know who drop the repeats of a numbered type that come to s.
-func (f *Fleet) memory(s *Server, t *TrafficType) *memory {
-	if t.Effect != balancer.IdempotencyKeyed {
+// dedupTable returns the deduplication table of the scope in which server s recognises repeats of an idempotency-keyed
+// traffic type; nil for other types.
+func (f *Fleet) dedupTable(server *Server, trafficType *TrafficType) *dedupTable {
+	if trafficType.Effect != balancer.IdempotencyKeyed {
 		return nil
 	}
-	name := t.Name
-	switch t.Group {
+	name := trafficType.Name
+	switch trafficType.Group {
 	case balancer.ScopeZone:
-		name += "/zone/" + s.Zone
+		name += "/zone/" + server.Zone
 	case balancer.ScopeCell:
-		name += fmt.Sprintf("/cell/%s/%d", s.Zone, s.Cell)
+		name += fmt.Sprintf("/cell/%s/%d", server.Zone, server.Cell)
 	}
-	if f.memories[name] == nil {
-		f.memories[name] = &memory{marks: map[string]marked{}}
+	if f.dedupTables[name] == nil {
+		f.dedupTables[name] = &dedupTable{entries: map[string]dedupEntry{}}
 	}
-	return f.memories[name]
+	return f.dedupTables[name]
 }
 
-// drop makes all copies of a key void.
-func (f *Fleet) drop(key string) {
-	for _, s := range f.servers {
-		s.kept.drop(key)
+// invalidate removes a key from the caches of all servers.
+func (f *Fleet) invalidate(key string) {
+	for _, server := range f.servers {
+		server.cache.drop(key)
 	}
 }
 
-// sweep closes what has stood idle for long.
-func (f *Fleet) sweep() {
+// closeIdleConns closes connections that have been idle for longer than their server's bound, twice per second.
+func (f *Fleet) closeIdleConns() {
 	now := f.loop.Now()
-	for _, s := range f.servers {
-		for c := range s.conns {
-			if s.Idle > 0 && s.vanished == 0 && c.idle() && now-c.used > s.Idle {
-				c.lose(false)
+	for _, server := range f.servers {
+		for c := range server.conns {
+			if server.Idle > 0 && server.unreachable == 0 && c.idle() && now-c.lastBusy > server.Idle {
+				c.disconnect(false)
 			}
 		}
 	}
-	f.loop.After(0.5, f.sweep)
+	f.loop.After(0.5, f.closeIdleConns)
 }
 
-// Close ends all.
+// Close stops the list service and all servers.
 func (f *Fleet) Close() {
 	f.list.close()
-	for _, s := range f.servers {
-		s.over = true
-		s.die()
-		s.vanished = 0
-		s.attend()
+	for _, server := range f.servers {
+		server.removed = true
+		server.dropConnections()
+		server.unreachable = 0
+		server.updateListening()
 	}
 }
 
-// Lateness tells how late a loop runs what is due, by a timer of its own.
+// Lateness measures with a periodic timer how late an event loop runs its timers.
 type Lateness struct {
 	loop  *eventloop.Loop
 	due   float64
-	Times []float64 // seconds, each 10 ms
+	Times []float64 // lateness in seconds, one sample every 10 ms
 	At    []float64
 }
 
-const ticking = 0.01 // between two looks: a tenth of the shortest promised times
+const latenessInterval = 0.01 // seconds between samples: a tenth of the shortest latency objectives
 
-func (l *Lateness) watch(loop *eventloop.Loop) {
-	l.loop, l.due = loop, loop.Now()+ticking
-	loop.After(ticking, l.tick)
+func (l *Lateness) start(loop *eventloop.Loop) {
+	l.loop, l.due = loop, loop.Now()+latenessInterval
+	loop.After(latenessInterval, l.tick)
 }
 
 func (l *Lateness) tick() {
 	now := l.loop.Now()
-	if len(l.Times) < bookBound {
+	if len(l.Times) < maxRecords {
 		l.Times, l.At = append(l.Times, now-l.due), append(l.At, now)
 	}
-	l.due = now + ticking
-	l.loop.After(ticking, l.tick)
+	l.due = now + latenessInterval
+	l.loop.After(latenessInterval, l.tick)
 }
 
-// Part gives the lateness that so large a part of the looks did not exceed.
-func (l *Lateness) Part(part float64) float64 {
+// Part returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
+func (l *Lateness) Part(fraction float64) float64 {
 	if len(l.Times) == 0 {
 		return 0
 	}
 	sorted := append([]float64(nil), l.Times...)
 	sort.Float64s(sorted)
-	return sorted[min(len(sorted)-1, int(part*float64(len(sorted))))]
+	return sorted[min(len(sorted)-1, int(fraction*float64(len(sorted))))]
 }
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -11,58 +11,58 @@
 	"time"
 )
 
-// Delay is how long news take: at least Base, and up to Spread more.
+// Delay is how many seconds a change takes to reach an agent: Base, plus a random time of up to Spread.
 type Delay struct{ Base, Spread float64 }
 
-// List is the list service. Each router has an agent of its own, which learns of a change late, and after those before
-// it. Its calls may come from any goroutine.
+// List is the list service. Each router has its own agent, which learns of each change after a delay and in the order
+// of the changes. List may be called from any goroutine.
 type List struct {
 	mu      sync.Mutex
 	now     func() float64
 	delay   Delay
-	chance  *rand.Rand
-	changes []change // all of a run, the first has generation 1
+	rng     *rand.Rand
+	changes []listChange // all changes of a run; the first has generation 1
 	agents  []*Agent
 
-	calls float64 // that it takes a second, from all routers together; 0: any number
-	until float64 // when it has answered all that it has taken
+	callRate  float64 // calls per second that it serves for all routers together; 0: no limit
+	busyUntil float64 // when all admitted calls are served
 }
 
 const (
-	patience  = 2.0   // seconds: a call that would wait longer for its turn is turned away
-	declining = 0.25  // of a call's time is what turning one away takes
-	goingOn   = 0.200 // seconds after its last answer a watch goes on and is no new call
+	maxCallWait = 2.0   // seconds; a call that would be served later than that is rejected
+	rejectCost  = 0.25  // the service time of a rejection, as a fraction of a call's
+	watchGap    = 0.200 // seconds; a watch continued within this time after its last answer is not a new call
 )
 
-// Bound makes it take so many calls a second; those that wait too long are turned away.
+// Bound limits the service to this many calls per second. Calls that would wait too long are rejected.
 func (l *List) Bound(calls float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	l.calls = calls
+	l.callRate = calls
 }
 
-// take queues a call: it tells for how long, or that the call is turned away.
-func (l *List) take(now float64) (wait float64, taken bool) {
-	if l.calls <= 0 {
+// admitCall queues a call. It returns how many seconds the call waits, and whether it is admitted or rejected.
+func (l *List) admitCall(now float64) (wait float64, admitted bool) {
+	if l.callRate <= 0 {
 		return 0, true
 	}
-	l.until = max(l.until, now)
-	if taken = l.until+1/l.calls-now <= patience; taken {
-		l.until += 1 / l.calls
+	l.busyUntil = max(l.busyUntil, now)
+	if admitted = l.busyUntil+1/l.callRate-now <= maxCallWait; admitted {
+		l.busyUntil += 1 / l.callRate
 	} else {
-		l.until += declining / l.calls
+		l.busyUntil += rejectCost / l.callRate
 	}
-	return l.until - now, taken
+	return l.busyUntil - now, admitted
 }
 
-type change struct {
-	at    float64
-	entry entry
-	of    *Server
+type listChange struct {
+	at     float64
+	entry  listEntry
+	server *Server
 }
 
-// entry is one cache server, in the protocol's words.
-type entry struct {
+// listEntry is one cache server in the list service's JSON.
+type listEntry struct {
 	ID      string  `json:"instanceId"`
 	Addr    string  `json:"hostPort"`
 	Zone    string  `json:"zone"`
@@ -73,82 +73,85 @@
 	Started int64   `json:"startedAtMs"`
 }
 
-type answer struct {
-	Generation int     `json:"generation"`
-	Whole      bool    `json:"reset"`
-	Entries    []entry `json:"instances"`
+type listResponse struct {
+	Generation int         `json:"generation"`
+	Full       bool        `json:"reset"`
+	Entries    []listEntry `json:"instances"`
 }
 
-// Told is what an agent wrote to its router of one cache server that changed for it.
+// Told is a change of one cache server that an agent reported to its router.
 type Told struct {
 	At     float64
 	Server string
 	Mode   Mode
 }
 
-func newList(now func() float64, delay Delay, chance *rand.Rand) *List {
-	return &List{now: now, delay: delay, chance: chance}
+func newList(now func() float64, delay Delay, rng *rand.Rand) *List {
+	return &List{now: now, delay: delay, rng: rng}
 }
 
-// change takes what has become of a server.
-func (l *List) change(s *Server) {
+// recordChange adds a change to the list if the server's listed mode or start time has changed.
+func (l *List) recordChange(server *Server) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
-	mode := s.listed()
-	if mode == s.lastListed && s.started == s.lastStarted {
+	mode := server.listedMode()
+	if mode == server.lastListed && server.started == server.lastListedStart {
 		return
 	}
-	s.lastListed, s.lastStarted = mode, s.started
-	l.changes = append(l.changes, change{at: l.now(), entry: entry{ID: s.Name, Addr: s.Addr, Zone: s.Zone,
-		Machine: s.Machine, Cell: s.Cell, Mode: mode, Weight: s.Weight, Started: int64(s.started * 1e3)}, of: s})
-	for _, a := range l.agents {
-		a.plan()
+	server.lastListed, server.lastListedStart = mode, server.started
+	l.changes = append(l.changes, listChange{at: l.now(), entry: listEntry{ID: server.Name, Addr: server.Addr,
+		Zone: server.Zone, Machine: server.Machine, Cell: server.Cell, Mode: mode, Weight: server.Weight,
+		Started: int64(server.started * 1e3)}, server: server})
+	for _, agent := range l.agents {
+		agent.scheduleChanges()
 	}
 }
 
 // Agent is the list service as one router sees it.
 type Agent struct {
-	l       *List
-	visible []float64 // when it learns of each change
-	shown   map[string]Mode
-	told    []Told
-	known   int                    // the generation that it last told
-	last    float64                // when
-	via     func(s *Server) string // where its router reaches a cache server; nil: at its own address
-	server  *http.Server
-	all     []*http.Server // also those that it has moved from
-	addr    string
+	list               *List
+	visibleAt          []float64 // when the agent learns of each change
+	reportedModes      map[string]Mode
+	reports            []Told
+	reportedGeneration int                         // the generation last sent to the router
+	lastReport         float64                     // when it was sent
+	addressOf          func(server *Server) string // a server's address for the router; nil: the server's own
+	server             *http.Server
+	servers            []*http.Server // including those at former addresses
+	addr               string
 
 	// Faults; they may overlap.
-	silent, refusing, old int
-	behind                []float64 // seconds that news take longer
-	frozen                []int     // generations beyond which it learns nothing
+	silent, refusing, generationsBehind int
+	extraDelays                         []float64 // extra seconds until the agent learns of a change
+	frozenAt                            []int     // highest generations that it may reach
 }
 
-// Agent makes one for a router at an address. What was the case before is known at once.
+// Agent starts an agent for a router, listening at addr. It knows all earlier changes without a delay.
 func (l *List) Agent(addr string) (*Agent, error) {
 	l.mu.Lock()
-	a := &Agent{l: l, addr: addr, shown: map[string]Mode{}}
+	agent := &Agent{list: l, addr: addr, reportedModes: map[string]Mode{}}
 	for range l.changes {
-		a.visible = append(a.visible, 0)
+		agent.visibleAt = append(agent.visibleAt, 0)
 	}
-	a.known = len(l.changes)
-	l.agents = append(l.agents, a)
+	agent.reportedGeneration = len(l.changes)
+	l.agents = append(l.agents, agent)
 	l.mu.Unlock()
-	return a, a.listen(addr)
+	return agent, agent.listen(addr)
 }
 
-// Via has the agent name other addresses of cache servers: those at which its router alone reaches them.
-func (a *Agent) Via(via func(s *Server) string) { a.with(func() { a.via = via }) }
+// Via makes the agent list other addresses of the cache servers, which only its router uses.
+func (a *Agent) Via(addressOf func(server *Server) string) {
+	a.withLock(func() { a.addressOf = addressOf })
+}
 
-// plan draws when the agent learns of the newest change.
-func (a *Agent) plan() {
-	for n := len(a.visible); n < len(a.l.changes); n++ {
-		at := a.l.changes[n].at + a.l.delay.Base + a.l.delay.Spread*a.l.chance.Float64()
+// scheduleChanges draws when the agent learns of the newest changes.
+func (a *Agent) scheduleChanges() {
+	for n := len(a.visibleAt); n < len(a.list.changes); n++ {
+		at := a.list.changes[n].at + a.list.delay.Base + a.list.delay.Spread*a.list.rng.Float64()
 		if n > 0 {
-			at = max(at, a.visible[n-1])
+			at = max(at, a.visibleAt[n-1])
 		}
-		a.visible = append(a.visible, at)
+		a.visibleAt = append(a.visibleAt, at)
 	}
 }
 
@@ -160,74 +163,74 @@
 	mux := http.NewServeMux()
 	mux.HandleFunc("GET /catalog/members", a.serve)
 	server := &http.Server{Handler: mux, ReadHeaderTimeout: 5 * time.Second}
-	a.l.mu.Lock()
-	a.server, a.addr, a.all = server, addr, append(a.all, server)
-	a.l.mu.Unlock()
+	a.list.mu.Lock()
+	a.server, a.addr, a.servers = server, addr, append(a.servers, server)
+	a.list.mu.Unlock()
 	go server.Serve(ln)
 	return nil
 }
 
-// Addr is where it listens.
+// Addr returns the address at which the agent listens.
 func (a *Agent) Addr() string {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
+	a.list.mu.Lock()
+	defer a.list.mu.Unlock()
 	return a.addr
 }
 
-// generation is the newest that it knows.
+// generation returns the newest generation that the agent knows.
 func (a *Agent) generation() int {
-	now := a.l.now()
-	for _, more := range a.behind {
-		now -= more
+	now := a.list.now()
+	for _, extra := range a.extraDelays {
+		now -= extra
 	}
 	n := 0
-	for n < len(a.visible) && a.visible[n] <= now {
+	for n < len(a.visibleAt) && a.visibleAt[n] <= now {
 		n++
 	}
-	for _, most := range a.frozen {
-		n = min(n, most)
+	for _, limit := range a.frozenAt {
+		n = min(n, limit)
 	}
-	if a.old > 0 {
-		n = max(0, n-a.old)
+	if a.generationsBehind > 0 {
+		n = max(0, n-a.generationsBehind)
 	}
 	return n
 }
 
-// since gives what changed after a generation, or the whole list.
-func (a *Agent) since(from, to int, whole bool) answer {
-	last, order := map[string]entry{}, []string(nil)
-	for _, c := range a.l.changes[from:to] {
-		if _, there := last[c.entry.ID]; !there {
+// responseSince returns the changes after generation from up to generation to, or the full list.
+func (a *Agent) responseSince(from, to int, full bool) listResponse {
+	latest, order := map[string]listEntry{}, []string(nil)
+	for _, c := range a.list.changes[from:to] {
+		if _, seen := latest[c.entry.ID]; !seen {
 			order = append(order, c.entry.ID)
 		}
-		if last[c.entry.ID] = c.entry; a.via != nil {
+		if latest[c.entry.ID] = c.entry; a.addressOf != nil {
 			e := c.entry
-			e.Addr = a.via(c.of)
-			last[e.ID] = e
+			e.Addr = a.addressOf(c.server)
+			latest[e.ID] = e
 		}
 	}
-	out := answer{Generation: to, Whole: whole, Entries: []entry{}}
+	response := listResponse{Generation: to, Full: full, Entries: []listEntry{}}
 	for _, id := range order {
-		if e := last[id]; !whole || e.Mode != Gone {
-			out.Entries = append(out.Entries, e)
+		if e := latest[id]; !full || e.Mode != Gone {
+			response.Entries = append(response.Entries, e)
 		}
 	}
-	return out
+	return response
 }
 
-const looking = 2 * time.Millisecond // between two looks for news: far below the delays of any list
+const pollInterval = 2 * time.Millisecond // between checks for changes: far below the delay of any list service
 
 func (a *Agent) serve(w http.ResponseWriter, r *http.Request) {
-	from, asked := strconv.Atoi(r.URL.Query().Get("from"))
-	hold, _ := strconv.ParseFloat(r.URL.Query().Get("hold_ms"), 64)
-	a.l.mu.Lock()
-	now := a.l.now()
-	wait, taken := 0.0, true
-	if asked != nil || now-a.last > goingOn {
-		wait, taken = a.l.take(now)
+	from, parseError := strconv.Atoi(r.URL.Query().Get("from"))
+	holdMillis, _ := strconv.ParseFloat(r.URL.Query().Get("hold_ms"), 64)
+	a.list.mu.Lock()
+	now := a.list.now()
+	wait, admitted := 0.0, true
+	if parseError != nil || now-a.lastReport > watchGap {
+		wait, admitted = a.list.admitCall(now)
 	}
-	a.l.mu.Unlock()
-	if !taken {
+	a.list.mu.Unlock()
+	if !admitted {
 		http.Error(w, "full", http.StatusServiceUnavailable)
 		return
 	}
@@ -236,93 +239,93 @@
 		return
 	case <-time.After(time.Duration(wait * float64(time.Second))):
 	}
-	until := a.l.now() + min(max(hold, 0), 60e3)/1e3
+	holdUntil := a.list.now() + min(max(holdMillis, 0), 60e3)/1e3
 	for {
-		a.l.mu.Lock()
+		a.list.mu.Lock()
 		newest, silent := a.generation(), a.silent > 0
-		whole := asked != nil || from < 0 || from > len(a.l.changes) || newest < from && a.old > 0
-		if !silent && (whole || newest > from || a.l.now() >= until) {
-			if whole {
+		full := parseError != nil || from < 0 || from > len(a.list.changes) || newest < from && a.generationsBehind > 0
+		if !silent && (full || newest > from || a.list.now() >= holdUntil) {
+			if full {
 				from = 0
 			}
-			out := a.since(min(from, newest), newest, whole)
-			a.l.mu.Unlock()
-			a.write(w, out)
+			response := a.responseSince(min(from, newest), newest, full)
+			a.list.mu.Unlock()
+			a.write(w, response)
 			return
 		}
-		a.l.mu.Unlock()
+		a.list.mu.Unlock()
 		select {
 		case <-r.Context().Done():
 			return
-		case <-time.After(looking):
+		case <-time.After(pollInterval):
 		}
 	}
 }
 
-// write sends an answer and notes what it told.
-func (a *Agent) write(w http.ResponseWriter, out answer) {
-	body, _ := json.Marshal(out) // plain fields only
+// write sends a response and records the changes that it reported.
+func (a *Agent) write(w http.ResponseWriter, response listResponse) {
+	body, _ := json.Marshal(response) // can't fail: plain fields only
 	w.Header().Set("Content-Type", "application/json")
 	w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 	if _, err := w.Write(body); err != nil {
 		return
 	}
 	w.(http.Flusher).Flush()
-	a.l.mu.Lock()
-	a.note(out)
-	a.known, a.last = out.Generation, a.l.now()
-	a.l.mu.Unlock()
+	a.list.mu.Lock()
+	a.recordReports(response)
+	a.reportedGeneration, a.lastReport = response.Generation, a.list.now()
+	a.list.mu.Unlock()
 }
 
-func (a *Agent) note(out answer) {
-	now, named := a.l.now(), map[string]bool{}
-	for _, e := range out.Entries {
-		named[e.ID] = true
-		a.noteOne(now, e.ID, e.Mode)
+func (a *Agent) recordReports(response listResponse) {
+	now, listed := a.list.now(), map[string]bool{}
+	for _, e := range response.Entries {
+		listed[e.ID] = true
+		a.recordReport(now, e.ID, e.Mode)
 	}
-	if out.Whole {
-		for id := range a.shown {
-			if !named[id] {
-				a.noteOne(now, id, Gone)
+	if response.Full {
+		for id := range a.reportedModes {
+			if !listed[id] {
+				a.recordReport(now, id, Gone)
 			}
 		}
 	}
 }
 
-func (a *Agent) noteOne(now float64, id string, mode Mode) {
-	if a.shown[id] == mode || a.shown[id] == "" && mode == Gone {
+func (a *Agent) recordReport(now float64, server string, mode Mode) {
+	if a.reportedModes[server] == mode || a.reportedModes[server] == "" && mode == Gone {
 		return
 	}
-	a.shown[id] = mode
-	a.told = append(a.told, Told{At: now, Server: id, Mode: mode})
+	a.reportedModes[server] = mode
+	a.reports = append(a.reports, Told{At: now, Server: server, Mode: mode})
 }
 
-// Told gives what was told, in its order.
+// Told returns the reported changes in order.
 func (a *Agent) Told() []Told {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
-	return append([]Told(nil), a.told...)
+	a.list.mu.Lock()
+	defer a.list.mu.Unlock()
+	return append([]Told(nil), a.reports...)
 }
 
-// Known gives the list as the router last had it, in the list's form, for its configuration. A new process of that
-// router starts with it.
+// Known returns the list as the router last received it, in the list service's JSON. It goes into the router's
+// configuration, so that a new process of that router starts with it.
 func (a *Agent) Known() json.RawMessage {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
+	a.list.mu.Lock()
+	defer a.list.mu.Unlock()
 	newest := a.generation()
-	if a.l.calls > 0 {
-		newest = a.known // nobody else asks, so nothing later has come to the router's machine
+	if a.list.callRate > 0 {
+		newest = a.reportedGeneration // only this router calls, so its machine has received nothing newer
 	}
-	out := a.since(0, newest, true)
-	body, _ := json.Marshal(out)
+	response := a.responseSince(0, newest, true)
+	body, _ := json.Marshal(response)
 	return body
 }
 
-// Move makes it listen elsewhere; the old address goes after a while, as its operators would have it.
+// Move makes the agent listen at another address. The old address closes 1.5 s later, as in a planned move.
 func (a *Agent) Move(addr string) error {
-	a.l.mu.Lock()
+	a.list.mu.Lock()
 	old := a.server
-	a.l.mu.Unlock()
+	a.list.mu.Unlock()
 	if err := a.listen(addr); err != nil {
 		return err
 	}
@@ -330,28 +333,28 @@
 	return nil
 }
 
-// with calls f where nothing else changes.
-func (a *Agent) with(f func()) {
-	a.l.mu.Lock()
-	defer a.l.mu.Unlock()
+// withLock calls f with the list's lock held.
+func (a *Agent) withLock(f func()) {
+	a.list.mu.Lock()
+	defer a.list.mu.Unlock()
 	f()
 }
 
-// refuse makes new connections fail, and ends those that are open; accept undoes it.
+// refuse makes new connections fail and closes open ones. It is undone by accept.
 func (a *Agent) refuse() {
-	a.l.mu.Lock()
+	a.list.mu.Lock()
 	a.refusing++
 	server := a.server
-	a.l.mu.Unlock()
+	a.list.mu.Unlock()
 	server.Close()
 }
 
 func (a *Agent) accept() error {
-	a.l.mu.Lock()
+	a.list.mu.Lock()
 	a.refusing--
-	still, addr := a.refusing > 0, a.addr
-	a.l.mu.Unlock()
-	if still {
+	stillRefusing, addr := a.refusing > 0, a.addr
+	a.list.mu.Unlock()
+	if stillRefusing {
 		return nil
 	}
 	return a.listen(addr)
@@ -361,8 +364,8 @@
 	l.mu.Lock()
 	agents := l.agents
 	l.mu.Unlock()
-	for _, a := range agents {
-		for _, server := range a.all {
+	for _, agent := range agents {
+		for _, server := range agent.servers {
 			server.Close()
 		}
 	}
--- a/internal/emulator/list_test.go
+++ b/internal/emulator/list_test.go
@@ -8,64 +8,68 @@
 	"time"
 )
 
-// follow gives an agent of a running fleet at an address of its own.
-func follow(t *testing.T, f *Fleet) *Agent {
-	a, err := f.list.Agent(strings.Replace(place(), "11300", "8500", 1))
+// startAgent starts an agent of a running fleet at its own address.
+func startAgent(t *testing.T, fleet *Fleet) *Agent {
+	agent, err := fleet.list.Agent(strings.Replace(testAddress(), "11300", "8500", 1))
 	if err != nil {
 		t.Fatal(err)
 	}
-	return a
+	return agent
 }
 
-// notified gives what an agent notes that it told, once it is as many as wanted. An agent notes an answer after the answer has left, for
-// only what was written counts as told: a caller may have read it before.
-func notified(a *Agent, want int) []Told {
-	for end := time.Now().Add(time.Second); len(a.Told()) < want && time.Now().Before(end); {
+// waitForReports returns an agent's recorded reports once there are as many as wanted, or after 1 s. An agent records a
+// response only after it was written, so a caller may read the response before it is recorded.
+func waitForReports(agent *Agent, want int) []Told {
+	for deadline := time.Now().Add(time.Second); len(agent.Told()) < want && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	return a.Told()
+	return agent.Told()
 }
 
-func TestWholeListAndWatch(t *testing.T) {
-	f, all := running(t, spec("s-1"), spec("s-2"))
-	a := follow(t, f)
-	whole := members(t, a, "")
-	if whole.Generation != 2 || !whole.Whole || len(whole.Entries) != 2 || whole.Entries[0].Addr != all[0].Addr {
-		t.Fatalf("the whole list is %+v", whole)
+func TestFullListAndWatch(t *testing.T) {
+	fleet, servers := startFleet(t, spec("s-1"), spec("s-2"))
+	agent := startAgent(t, fleet)
+	fullList := queryList(t, agent, "")
+	if fullList.Generation != 2 || !fullList.Full || len(fullList.Entries) != 2 ||
+		fullList.Entries[0].Addr != servers[0].Addr {
+		t.Fatalf("full list: got %+v, want generation 2 with both servers", fullList)
 	}
 	go func() {
 		time.Sleep(50 * time.Millisecond)
-		f.on(all[1].Drain)
+		fleet.runOnLoop(servers[1].Drain)
 	}()
 	began := time.Now()
-	news := members(t, a, "?from=2&hold_ms=250")
-	if took := time.Since(began); news.Generation != 3 || news.Whole || len(news.Entries) != 1 || news.Entries[0].Mode != Draining || took < 40*time.Millisecond {
-		t.Errorf("after %v the news are %+v", took, news)
+	delta := queryList(t, agent, "?from=2&hold_ms=250")
+	if took := time.Since(began); delta.Generation != 3 || delta.Full || len(delta.Entries) != 1 ||
+		delta.Entries[0].Mode != Draining || took < 40*time.Millisecond {
+		t.Errorf("watch: after %v got %+v, want a delta of generation 3 with the draining server after at least 40 ms",
+			took, delta)
 	}
-	if none := members(t, a, "?from=3&hold_ms=20"); none.Generation != 3 || len(none.Entries) != 0 {
-		t.Errorf("without news it says %+v", none)
+	if noChange := queryList(t, agent, "?from=3&hold_ms=20"); noChange.Generation != 3 || len(noChange.Entries) != 0 {
+		t.Errorf("watch without changes: got %+v, want an empty delta of generation 3", noChange)
 	}
-	told := notified(a, 3)
-	if len(told) != 3 || told[2].Server != "s-2" || told[2].Mode != Draining {
-		t.Errorf("it notes that it told %+v", told)
+	reports := waitForReports(agent, 3)
+	if len(reports) != 3 || reports[2].Server != "s-2" || reports[2].Mode != Draining {
+		t.Errorf("recorded reports: got %+v, want 3, the last of s-2 as draining", reports)
 	}
-	f.on(all[1].Leave)
-	if whole = members(t, a, ""); len(whole.Entries) != 1 || len(notified(a, 4)) != 4 {
-		t.Errorf("with one gone it tells %+v", whole)
+	fleet.runOnLoop(servers[1].Leave)
+	if fullList = queryList(t, agent, ""); len(fullList.Entries) != 1 || len(waitForReports(agent, 4)) != 4 {
+		t.Errorf("full list after one server left: got %+v, want 1 entry and 4 recorded reports", fullList)
 	}
 }
 
-// Late, frozen, older, silent and refusing: each is seen by who asks, and is over when it ends. Two may overlap.
-func TestListTrouble(t *testing.T) {
-	f, all := running(t, spec("s-1"), spec("s-2"))
-	a := follow(t, f)
-	members(t, a, "")
-	endLate, endFreeze := a.Delay(0.15), a.Freeze()
-	f.on(all[0].Drain)
+// Each fault of the list service (delay, freeze, older list, silence, refusal) and a move affect a router's calls, and
+// end when they are ended. Faults may overlap.
+func TestListServiceFaults(t *testing.T) {
+	fleet, servers := startFleet(t, spec("s-1"), spec("s-2"))
+	agent := startAgent(t, fleet)
+	queryList(t, agent, "")
+	endLate, endFreeze := agent.Delay(0.15), agent.Freeze()
+	fleet.runOnLoop(servers[0].Drain)
 	generation := func(want int) {
 		t.Helper()
-		if got := members(t, a, "?from=2&hold_ms=0").Generation; got != want {
-			t.Errorf("it is at generation %d, want %d", got, want)
+		if got := queryList(t, agent, "?from=2&hold_ms=0").Generation; got != want {
+			t.Errorf("got generation %d, want %d", got, want)
 		}
 	}
 	generation(2)
@@ -74,86 +78,88 @@
 	endFreeze()
 	generation(3)
 	endLate()
-	endOld := a.Older(2)
-	if got := members(t, a, "?from=3&hold_ms=0"); got.Generation != 1 || !got.Whole {
-		t.Errorf("an older list is told as %+v", got)
+	endOld := agent.Older(2)
+	if got := queryList(t, agent, "?from=3&hold_ms=0"); got.Generation != 1 || !got.Full {
+		t.Errorf("older list: got %+v, want a full list of generation 1", got)
 	}
 	endOld()
-	endSilence := a.Silence()
+	endSilence := agent.Silence()
 	generation(-1)
 	endSilence()
 	generation(3)
-	back := a.Refuse()
-	if _, err := net.DialTimeout("tcp", a.Addr(), soon); err == nil {
-		t.Error("a refusing list service takes connections")
+	endRefuse := agent.Refuse()
+	if _, err := net.DialTimeout("tcp", agent.Addr(), replyTimeout); err == nil {
+		t.Error("a refusing list service accepted a connection")
 	}
-	if err := back(); err != nil {
+	if err := endRefuse(); err != nil {
 		t.Fatal(err)
 	}
 	generation(3)
-	before := a.Addr()
-	if err := a.Move(strings.Replace(before, "8500", "8501", 1)); err != nil {
+	before := agent.Addr()
+	if err := agent.Move(strings.Replace(before, "8500", "8501", 1)); err != nil {
 		t.Fatal(err)
 	}
 	generation(3)
 	time.Sleep(1600 * time.Millisecond)
-	if _, err := net.DialTimeout("tcp", before, soon); err == nil || a.Addr() == before {
-		t.Error("the old address still serves")
+	if _, err := net.DialTimeout("tcp", before, replyTimeout); err == nil || agent.Addr() == before {
+		t.Error("the old address still accepts connections after a move, or the address did not change")
 	}
 }
 
-// News come in the order of the changes, each after the delay.
-func TestDelayedNews(t *testing.T) {
-	f, all := running(t, spec("s-1"))
-	f.list.delay = Delay{Base: 0.1, Spread: 0.2}
-	a := follow(t, f)
-	f.on(all[0].Drain)
-	f.on(all[0].Undrain)
-	f.on(all[0].Drain)
-	at, seen := time.Now(), ""
-	for g := 1; g < 4; {
-		next := members(t, a, fmt.Sprintf("?from=%d&hold_ms=250", g))
-		if next.Generation > g && seen == "" {
-			if seen = time.Since(at).String(); time.Since(at) < 90*time.Millisecond {
-				t.Errorf("the first news came after %s", seen)
+// An agent reports changes in their order, each after its delay. Random delays must not reorder them.
+func TestDelayedChangesKeepOrder(t *testing.T) {
+	fleet, servers := startFleet(t, spec("s-1"))
+	fleet.list.delay = Delay{Base: 0.1, Spread: 0.2}
+	agent := startAgent(t, fleet)
+	fleet.runOnLoop(servers[0].Drain)
+	fleet.runOnLoop(servers[0].Undrain)
+	fleet.runOnLoop(servers[0].Drain)
+	began, firstDelay := time.Now(), ""
+	for generation := 1; generation < 4; {
+		next := queryList(t, agent, fmt.Sprintf("?from=%d&hold_ms=250", generation))
+		if next.Generation > generation && firstDelay == "" {
+			if firstDelay = time.Since(began).String(); time.Since(began) < 90*time.Millisecond {
+				t.Errorf("the first change was reported after %s, want at least 90 ms", firstDelay)
 			}
 		}
-		if next.Generation < g || time.Since(at) > 2*time.Second {
-			t.Fatalf("after generation %d came %d", g, next.Generation)
+		if next.Generation < generation || time.Since(began) > 2*time.Second {
+			t.Fatalf("after generation %d got %d, want no lower one, and generation 4 within 2 s", generation, next.Generation)
 		}
-		g = next.Generation
+		generation = next.Generation
 	}
 }
 
-// A service with a bound turns away who would wait too long, also by that; a watch that goes on is no new call.
-func TestBoundOfTheListService(t *testing.T) {
-	f, _ := running(t, spec("s-1"))
-	a, l := follow(t, f), f.list
-	l.Bound(4)
-	taken := 0
+// A list service with a rate limit rejects calls that would wait too long, and rejecting takes some of its time, too. A
+// watch that continues does not count as a new call.
+func TestListServiceRateLimit(t *testing.T) {
+	fleet, _ := startFleet(t, spec("s-1"))
+	agent, list := startAgent(t, fleet), fleet.list
+	list.Bound(4)
+	admitted := 0
 	for range 20 {
-		if _, ok := l.take(100); ok {
-			taken++
+		if _, ok := list.admitCall(100); ok {
+			admitted++
 		}
 	}
-	if taken != 8 {
-		t.Errorf("it takes %d calls at once, want those of two seconds", taken)
-	}
-	if _, ok := l.take(100.9); ok {
-		t.Error("what it turned away took none of its time")
-	}
-	if wait, ok := l.take(105); !ok || wait != 0.25 {
-		t.Errorf("when it is idle again a call waits %v s", wait)
-	}
-	l.Bound(20)
-	for quick := false; !quick; { // until the machine makes both calls within the time that a watch has
-		l.until = 0
-		first, at := members(t, a, ""), time.Now()
-		before := l.until
-		next := members(t, a, "?from=1&hold_ms=10")
-		quick = time.Since(at) < 150*time.Millisecond
-		if first.Generation != 1 || next.Generation != 1 || quick && l.until != before {
-			t.Errorf("a watch that goes on takes %v s of its time", l.until-before)
+	if admitted != 8 {
+		t.Errorf("admitted %d calls at one time, want 8: those of 2 s", admitted)
+	}
+	if _, ok := list.admitCall(100.9); ok {
+		t.Error("a call was admitted 0.9 s later, want a rejection: the rejected calls take time, too")
+	}
+	if wait, ok := list.admitCall(105); !ok || wait != 0.25 {
+		t.Errorf("an idle service: a call waits %v s, want 0.25 s", wait)
+	}
+	list.Bound(20)
+	for withinGap := false; !withinGap; { // until the machine makes both calls within the watch's gap
+		list.busyUntil = 0
+		first, began := queryList(t, agent, ""), time.Now()
+		before := list.busyUntil
+		next := queryList(t, agent, "?from=1&hold_ms=10")
+		withinGap = time.Since(began) < 150*time.Millisecond
+		if first.Generation != 1 || next.Generation != 1 || withinGap && list.busyUntil != before {
+			t.Errorf("a continued watch: generations or service time are wrong; it took %v s, want generation 1 twice and 0 s",
+				list.busyUntil-before)
 		}
 	}
 }
--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -9,125 +9,129 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// ending is how a cache server's connection ends at a long value.
+// ending is what happens to a cache server's connection during or after a long value.
 type ending int
 
 const (
-	goesOn     ending = iota
-	closes            // in order, right behind the whole value
-	resets            // right behind the whole value, whatever of it has not got across
-	breaksOff         // within the value, in order
-	resetUnder        // within the value, by a reset
-	ceases            // within the value: it says no more, and its connection stays
-	endings
+	staysOpen         ending = iota
+	closesAfterValue         // closes in order right after the complete value
+	resetsAfterValue         // resets right after the complete value, even if part of it has not been received
+	closesWithinValue        // closes in order within the value
+	resetsWithinValue        // resets within the value
+	stallsWithinValue        // stops sending within the value; the connection stays open
+	endingCount
 )
 
-// resetAfter is how many seconds after its kernel has taken the last byte a server resets: far more than loopback takes to carry what
-// the other side has room for.
-const resetAfter = 0.05
+// resetDelay is how many seconds after its kernel has taken the last byte a server resets the connection. It is far
+// longer than loopback takes to deliver the bytes for which the receiver has buffer space.
+const resetDelay = 0.05
 
-// lingers is for how many seconds a server that closes in order takes what still comes: were it unread, its kernel would reset the
-// connection. It is longer than routers leave a slow client without a byte.
-const lingers = 12
+// closeLinger is for how many seconds a server that closes in order still reads input. Unread input would make its
+// kernel reset the connection. It is longer than the time that routers allow a slow client to read nothing.
+const closeLinger = 12
 
-// draw lets a long value end as the faults have it, and gives what of it is written.
-func (r *reply) draw(text [][]byte) [][]byte {
-	x := r.c.s.chance.Float64()
-	for how, part := range r.c.s.ends {
-		if x -= part; part > 0 && x < 0 {
-			r.how = ending(how)
+// drawEnding draws by the active faults how a long value ends, and returns the part of the reply that is written.
+func (r *reply) drawEnding(reply [][]byte) [][]byte {
+	draw := r.conn.server.rng.Float64()
+	for how, fraction := range r.conn.server.endingFractions {
+		if draw -= fraction; fraction > 0 && draw < 0 {
+			r.ending = ending(how)
 			break
 		}
 	}
-	if r.how < breaksOff {
-		return text
+	if r.ending < closesWithinValue {
+		return reply
 	}
-	head := len(text[0])
-	return cut(text, head+1+r.c.s.chance.IntN(r.x.Length-1)) // a head and a byte: else it has not begun
+	head := len(reply[0])
+	// At least the reply's head and one byte are written; otherwise the value would not have begun.
+	return prefix(reply, head+1+r.conn.server.rng.IntN(r.execution.Length-1))
 }
 
-// cut gives the first n bytes of a text.
-func cut(text [][]byte, n int) (first [][]byte) {
-	for _, part := range text {
+// prefix returns the first n bytes of a text.
+func prefix(text [][]byte, n int) (first [][]byte) {
+	for _, piece := range text {
 		if n <= 0 {
 			break
 		}
-		part = part[:min(n, len(part))]
-		n -= len(part)
-		first = append(first, part)
+		piece = piece[:min(n, len(piece))]
+		n -= len(piece)
+		first = append(first, piece)
 	}
 	return first
 }
 
-// first gives the beginning of a text, of so many bytes at most.
-func first(text [][]byte, bound int) string { return string(bytes.Join(cut(text, bound), nil)) }
-
-// taken notes which long values the kernel has taken, and ends the connection where it is to end behind one.
-func (c *serverConn) taken() {
-	now := c.s.f.loop.Now()
-	for !c.gone && len(c.giving) > 0 && c.conn.Sent() >= c.giving[0].end {
-		r := c.giving[0]
-		c.giving = c.giving[1:]
-		if r.how < breaksOff {
-			r.x.Whole = now
+// prefixText returns at most the first bound bytes of a text as a string.
+func prefixText(text [][]byte, bound int) string { return string(bytes.Join(prefix(text, bound), nil)) }
+
+// handleSentValues records which long values, as far as they are written, the kernel has taken, and ends the connection
+// where a value's drawn ending requires it.
+func (c *serverConn) handleSentValues() {
+	now := c.server.fleet.loop.Now()
+	for !c.closed && len(c.unsentLong) > 0 && c.conn.Sent() >= c.unsentLong[0].endOffset {
+		reply := c.unsentLong[0]
+		c.unsentLong = c.unsentLong[1:]
+		if reply.ending < closesWithinValue {
+			reply.execution.Whole = now
 		} else {
-			r.x.Broke = now
+			reply.execution.Broke = now
 		}
-		switch r.how {
-		case closes:
-			c.conn.Finish(lingers)
+		switch reply.ending {
+		case closesAfterValue:
+			c.conn.Finish(closeLinger)
 			c.Closed()
-		case resets:
-			c.s.f.loop.After(resetAfter, func() { c.lose(true) })
-		case breaksOff:
-			c.conn.Finish(lingers)
+		case resetsAfterValue:
+			c.server.fleet.loop.After(resetDelay, func() { c.disconnect(true) })
+		case closesWithinValue:
+			c.conn.Finish(closeLinger)
 			c.Closed()
-		case resetUnder:
-			c.lose(true)
-		case ceases:
-			c.out.held = true
+		case resetsWithinValue:
+			c.disconnect(true)
+		case stallsWithinValue:
+			c.out.paused = true
 			c.conn.Pause()
 		}
 	}
 }
 
-// broke notes that the long values on their way end here; a reset may also take what the other side has not read of the last one.
-func (c *serverConn) broke(reset bool) {
-	all := c.giving
-	if reset && c.last != nil && len(all) == 0 {
-		all = []*reply{c.last}
+// markBroken records that the long values being sent are interrupted here. A reset may also destroy the bytes of the
+// last complete value that the receiver has not read.
+func (c *serverConn) markBroken(reset bool) {
+	broken := c.unsentLong
+	if reset && c.lastLong != nil && len(broken) == 0 {
+		broken = []*reply{c.lastLong}
 	}
-	for _, r := range all {
-		if r.x.Broke == 0 {
-			r.x.Broke = c.s.f.loop.Now()
+	for _, reply := range broken {
+		if reply.execution.Broke == 0 {
+			reply.execution.Broke = c.server.fleet.loop.Now()
 		}
 	}
 }
 
-// longSet reads a write of a long value without holding it.
-type longSet struct {
-	line  []byte
-	check Check
-	left  int // bytes that have not come, with the CRLF
+// longWrite reads a write of a long value without buffering the value.
+type longWrite struct {
+	line      []byte
+	check     Check
+	remaining int // bytes still to be received, including the CRLF
 }
 
-func (l *longSet) begun() bool { return l.left > 0 }
+func (l *longWrite) begun() bool { return l.remaining > 0 }
 
 const (
-	setBegins = "ms "
-	lineMost  = 2048 // bytes of a line, as the protocol has it
+	setPrefix    = "ms "
+	maxLineBytes = 2048 // the protocol's limit on a line's length in bytes
 )
 
-// begins tells whether the next command is a long write, as far as its line has come; the line is taken once it is whole.
-func (l *longSet) begins(in *ringbuffer.Buffer) bool {
+// startsLongWrite reports whether the next command is a long write, as far as its line has been received. It consumes
+// the line once it is complete.
+func (l *longWrite) startsLongWrite(in *ringbuffer.Buffer) bool {
 	var parts [2][]byte
 	line := bytes.Join(in.Held(parts[:0]), nil)
-	if n := min(len(line), len(setBegins)); string(line[:n]) != setBegins[:n] {
+	if n := min(len(line), len(setPrefix)); string(line[:n]) != setPrefix[:n] {
 		return false
 	}
 	end := bytes.IndexByte(line, '\n')
 	if end < 0 {
-		return len(line) < lineMost // more is to come; a longer line is refused by the usual reader
+		return len(line) < maxLineBytes // wait for the rest; the command reader rejects a longer line
 	}
 	fields := bytes.Fields(line[:end])
 	if len(fields) < 3 {
@@ -138,38 +142,38 @@
 		return false
 	}
 	in.Drop(end + 1)
-	l.line, l.check, l.left = slices.Clone(line[:end]), Check{Length: int(n)}, int(n)+len("\r\n")
+	l.line, l.check, l.remaining = slices.Clone(line[:end]), Check{Length: int(n)}, int(n)+len("\r\n")
 	return true
 }
 
-// read takes what has come of the value, and hands the command on once it is whole.
-func (l *longSet) read(in *ringbuffer.Buffer, m *memcacheSpeech) (bool, error) {
+// read consumes the received bytes of the value, and starts the command once the value is complete.
+func (l *longWrite) read(in *ringbuffer.Buffer, protocol *memcacheServer) (bool, error) {
 	var parts [2][]byte
-	for _, part := range in.Held(parts[:0]) {
-		n := min(len(part), l.left)
-		l.check.Take(part[:min(n, max(0, l.left-len("\r\n")))])
-		l.left -= n
+	for _, piece := range in.Held(parts[:0]) {
+		n := min(len(piece), l.remaining)
+		l.check.Take(piece[:min(n, max(0, l.remaining-len("\r\n")))])
+		l.remaining -= n
 		in.Drop(n)
-		if l.left == 0 && n > 0 {
+		if l.remaining == 0 && n > 0 {
 			break
 		}
 	}
-	if l.left > 0 || l.line == nil {
+	if l.remaining > 0 || l.line == nil {
 		return false, nil
 	}
 	fields := bytes.Fields(l.line)
 	l.line = nil
-	id, figures := "", ""
-	for _, f := range fields[3:] {
-		switch f[0] {
+	id, parameters := "", ""
+	for _, field := range fields[3:] {
+		switch field[0] {
 		case 'O':
-			id = string(f[1:])
+			id = string(field[1:])
 		case 'P':
-			figures = string(f[1:])
+			parameters = string(field[1:])
 		}
 	}
-	m.damage = l.check.End()
-	m.take(string(fields[1]), id, figures, true)
-	m.damage = ""
+	protocol.damage = l.check.End()
+	protocol.startCommand(string(fields[1]), id, parameters, true)
+	protocol.damage = ""
 	return true, nil
 }
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -13,193 +13,207 @@
 	"bendtrestle/internal/meta"
 )
 
-const mega = 1 << 20
+const mebibyte = 1 << 20
 
-var bulk = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mega, Promised: 5, HardStop: 5, Benefit: 1}
-var load4 = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5, Work: 0.001, Size: meta.LongBound, Promised: 5,
+var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte,
+	Promised: 5, HardStop: 5, Benefit: 1}
+var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5,
+	Work: 0.001, Size: meta.LongBound, Promised: 5,
 	HardStop: 5, Benefit: 1}
 
-// bulky gives a fleet of one server that has long values.
-func bulky(t *testing.T) (*Fleet, *Server) {
-	f, all := running(t, spec("s-1"))
-	f.on(func() { f.types["bulk"], f.types["bulkput"] = bulk, load4 })
-	return f, all[0]
+// startLongValueFleet returns a fleet of one server that serves long values.
+func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
+	fleet, all := startFleet(t, spec("s-1"))
+	fleet.runOnLoop(func() { fleet.types["bulk"], fleet.types["bulkput"] = longReadType, longWriteType })
+	return fleet, all[0]
 }
 
-// fetch asks for a long value and reads until its connection ends or it is whole.
-func fetch(t *testing.T, addr, id string) (c *caller, got Check, err error) {
+// fetchLongValue requests a long value and reads it until it is complete or the connection ends.
+func fetchLongValue(t *testing.T, addr, id string) (conn *testConn, got Check, err error) {
 	t.Helper()
-	c = call(t, addr)
-	c.SetDeadline(time.Now().Add(10 * time.Second))
-	fmt.Fprintf(c.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
-	head, err := c.ReadString('\n')
-	if want := fmt.Sprintf("VA %d O%s\r\n", mega, id); head != want || err != nil {
-		t.Fatalf("the answer begins %q, %v; want %q", head, err, want)
+	conn = dialServer(t, addr)
+	conn.SetDeadline(time.Now().Add(10 * time.Second))
+	fmt.Fprintf(conn.Conn, "mg key v O%s Pc=bulk,d=4000\r\n", id)
+	head, err := conn.ReadString('\n')
+	if want := fmt.Sprintf("VA %d O%s\r\n", mebibyte, id); head != want || err != nil {
+		t.Fatalf("got the answer's line %q, %v; want %q", head, err, want)
 	}
-	got.Length = mega
+	got.Length = mebibyte
 	buf := make([]byte, 10000)
-	for got.Came < mega && err == nil {
+	for got.Came < mebibyte && err == nil {
 		var n int
-		n, err = c.Reader.Read(buf[:min(len(buf), mega-got.Came)])
+		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
 		got.Take(buf[:n])
 	}
-	return c, got, err
+	return conn, got, err
 }
 
-// A long value is given whole and as its head says; the book knows when.
-func TestLongValueIsGiven(t *testing.T) {
-	f, s := bulky(t)
-	c, got, err := fetch(t, s.Addr, "a")
+// A long value is sent completely and matches its head, and the records say when. The connection stays usable.
+func TestLongValueRead(t *testing.T) {
+	fleet, server := startLongValueFleet(t)
+	conn, got, err := fetchLongValue(t, server.Addr, "a")
 	if wrong := got.End(); err != nil || wrong != "" || !strings.HasPrefix(got.Head(), "key for a by s-1, ") {
-		t.Errorf("%v, %s, %q", err, wrong, got.Head())
+		t.Errorf("got error %v, mismatch %q, head %q; want a complete value for a by s-1", err, wrong, got.Head())
 	}
-	if end, _ := c.line(soon); end != "" {
-		t.Errorf("behind it comes %q", end)
+	if end, _ := conn.readLine(replyTimeout); end != "" {
+		t.Errorf("after the value got the line %q, want an empty one", end)
 	}
-	if next := c.get("b"); next != "VA" {
-		t.Errorf("the next answer is %s", next)
+	if next := conn.get("b"); next != "VA" {
+		t.Errorf("the next answer is %s, want VA", next)
 	}
-	f.on(func() {
-		x := f.book.Executions[0]
-		if x.Made != got.Sum() || x.Length != mega || x.Whole == 0 || x.Broke != 0 {
-			t.Errorf("the book has %+v", x)
+	fleet.runOnLoop(func() {
+		execution := fleet.records.Executions[0]
+		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
+			t.Errorf("got the record %+v, want a complete long value with the received checksum", execution)
 		}
 	})
 }
 
-// A long write is taken whole and without being held; what is wrong with it is in the book.
-func TestLongValueIsTaken(t *testing.T) {
-	f, s := bulky(t)
-	c := call(t, s.Addr)
-	v := NewValue("k", "a", "its client", 1, meta.LongBound)
+// A long write is accepted completely, and the records say what is wrong with its value.
+func TestLongValueWrite(t *testing.T) {
+	fleet, server := startLongValueFleet(t)
+	conn := dialServer(t, server.Addr)
+	value := NewValue("k", "a", "its client", 1, meta.LongBound)
 	for _, change := range []bool{false, true} {
-		fmt.Fprintf(c.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", v.Len())
-		whole := bytes.Join(v.Pieces(), nil)
+		fmt.Fprintf(conn.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", value.Len())
+		whole := bytes.Join(value.Pieces(), nil)
 		if change {
 			whole[3<<20]++
 		}
-		c.Conn.Write(append(whole, "\r\n"...))
-		if got, err := c.line(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
-			t.Fatalf("it says %q, %v", got, err)
+		conn.Conn.Write(append(whole, "\r\n"...))
+		if got, err := conn.readLine(5 * time.Second); !strings.HasPrefix(got, "HD Oa") {
+			t.Fatalf("got %q, %v; want HD Oa", got, err)
 		}
 	}
-	f.on(func() {
-		x := f.book.Executions
-		if x[0].Damaged != "" || !strings.Contains(x[1].Damaged, "byte 3145728 of 4194304") {
-			t.Errorf("the book has %q and %q", x[0].Damaged, x[1].Damaged)
+	fleet.runOnLoop(func() {
+		executions := fleet.records.Executions
+		if executions[0].Damaged != "" || !strings.Contains(executions[1].Damaged, "byte 3145728 of 4194304") {
+			t.Errorf("got the damages %q and %q, want none and byte 3145728", executions[0].Damaged, executions[1].Damaged)
 		}
 	})
 }
 
-// Each way in which a server's connection ends at a long value is seen on the socket, and the book tells whose doing it was.
-func TestEndsOfLongValues(t *testing.T) {
+// Each fault that ends a connection at a long value has the stated effect on the socket, and the records say whether
+// the server interrupted the value.
+func TestLongValueConnectionFaults(t *testing.T) {
 	for name, c := range map[string]struct {
-		begin        func(s *Server) func()
+		begin        func(server *Server) func()
 		whole, broke bool
 		end          string // of the connection
 	}{
-		"closes behind it": {func(s *Server) func() { return s.CloseBehind(1) }, true, false, "EOF"},
-		"resets behind it": {func(s *Server) func() { return s.ResetBehind(1) }, true, true, "reset"},
-		"breaks off":       {func(s *Server) func() { return s.BreakOff(1) }, false, true, "EOF"},
-		"resets under it":  {func(s *Server) func() { return s.ResetUnder(1) }, false, true, "reset"},
-		"ceases":           {func(s *Server) func() { return s.Cease(1) }, false, true, "timeout"},
+		"closes after the value":  {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
+		"resets after the value":  {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
+		"closes within the value": {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
+		"resets within the value": {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
+		"stalls within the value": {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			f, s := bulky(t)
+			fleet, server := startLongValueFleet(t)
 			var end func()
-			f.on(func() { end = c.begin(s) })
-			conn := call(t, s.Addr)
+			fleet.runOnLoop(func() { end = c.begin(server) })
+			conn := dialServer(t, server.Addr)
 			fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
 			conn.SetReadDeadline(time.Now().Add(2 * time.Second))
 			text, err := io.ReadAll(conn.Reader)
-			full := len(text) == len(fmt.Sprintf("VA %d Oa\r\n\r\n", mega))+mega
+			full := len(text) == len(fmt.Sprintf("VA %d Oa\r\n\r\n", mebibyte))+mebibyte
 			if err == nil {
 				err = io.EOF
 			}
-			sure := c.end != "reset" || !c.whole // a reset takes with it what has not got across
-			if sure && full != c.whole || !strings.Contains(err.Error(), c.end) {
-				t.Errorf("%d bytes came, whole %v, and then %v", len(text), full, err)
+			exact := c.end != "reset" || !c.whole // a reset may destroy bytes that have not been received
+			if exact && full != c.whole || !strings.Contains(err.Error(), c.end) {
+				t.Errorf("got %d bytes, complete %v, then %v; want complete %v, then %s", len(text), full, err, c.whole, c.end)
 			}
-			f.on(func() {
-				x := f.book.Executions[0]
-				if x.How != Answered || (x.Whole > 0) != c.whole || (x.Broke > 0) != c.broke {
-					t.Errorf("the book has whole %v, broke %v: %+v", x.Whole, x.Broke, x)
+			fleet.runOnLoop(func() {
+				execution := fleet.records.Executions[0]
+				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
+					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.Whole, execution.Broke, c.whole,
+						c.broke, execution)
 				}
 				end()
 			})
-			if _, got, err := fetch(t, s.Addr, "b"); err != nil || got.End() != "" {
-				t.Errorf("after the fault's end: %v, %s", err, got.End())
+			if _, got, err := fetchLongValue(t, server.Addr, "b"); err != nil || got.End() != "" {
+				t.Errorf("after the fault's end: got error %v, mismatch %q; want none", err, got.End())
 			}
 		})
 	}
 }
 
-// A server that dies under a value, or whose machine is cut off, broke it off; one whose reader goes away did not.
-func TestWhoEndsALongValue(t *testing.T) {
+// The records say that the server interrupted a value if it crashes or its machine is cut off within the value, and not
+// if the reader closes the connection. Otherwise a router would be blamed for a server's fault, or the reverse.
+func TestInterruptedLongValueIsAttributed(t *testing.T) {
 	for name, c := range map[string]struct {
-		end   func(f *Fleet, s *Server, conn net.Conn)
+		end   func(fleet *Fleet, server *Server, conn net.Conn)
 		broke bool
 	}{
-		"it dies": {func(f *Fleet, s *Server, _ net.Conn) { f.on(func() { s.Crash() }) }, true},
-		"it is cut off": {func(f *Fleet, s *Server, _ net.Conn) {
-			f.on(func() {
-				if _, err := s.Vanish(); err != nil {
+		"server crashes": {func(fleet *Fleet, server *Server, _ net.Conn) {
+			fleet.runOnLoop(func() { server.Crash() })
+		}, true},
+		"machine is cut off": {func(fleet *Fleet, server *Server, _ net.Conn) {
+			fleet.runOnLoop(func() {
+				if _, err := server.Vanish(); err != nil {
 					t.Error(err)
 				}
 			})
 		}, true},
-		"its reader goes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
+		"reader closes": {func(_ *Fleet, _ *Server, conn net.Conn) { conn.Close() }, false},
 	} {
-		f, s := bulky(t)
-		f.on(func() {
-			f.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
+		fleet, server := startLongValueFleet(t)
+		fleet.runOnLoop(func() {
+			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
 		})
-		conn := call(t, s.Addr)
+		conn := dialServer(t, server.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
 		fmt.Fprintf(conn.Conn, "mg key v Oa Pc=bulk,d=4000\r\n")
-		if _, err := conn.line(soon); err != nil {
+		if _, err := conn.readLine(replyTimeout); err != nil {
 			t.Fatal(err)
 		}
-		c.end(f, s, conn.Conn)
+		c.end(fleet, server, conn.Conn)
 		gone := func() (out bool) {
-			f.on(func() { x := f.book.Executions[0]; out = x.Broke > 0 || len(s.conns) == 0 })
+			fleet.runOnLoop(func() {
+				execution := fleet.records.Executions[0]
+				out = execution.Broke > 0 || len(server.conns) == 0
+			})
 			return out
 		}
 		for until := time.Now().Add(5 * time.Second); !gone() && time.Now().Before(until); {
 			time.Sleep(5 * time.Millisecond)
 		}
-		f.on(func() {
-			if x := f.book.Executions[0]; x.Whole > 0 || (x.Broke > 0) != c.broke {
-				t.Errorf("%s: the book has whole %v, broke %v", name, x.Whole, x.Broke)
+		fleet.runOnLoop(func() {
+			if execution := fleet.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
+				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.Whole, execution.Broke,
+					c.broke)
 			}
 		})
 	}
 }
 
-// Clients that read slowly or pause have all of a value, also from a router that closes right behind it; one that leaves within it
-// has left, one whose router ends within it was cut, and one that got other bytes did not get what its server made.
-func TestReadingsOfLongValues(t *testing.T) {
+// Clients that read slowly or pause receive a complete value, even from a router that closes right after it. The other
+// cases: a client that disconnects within a value has left, a value whose connection ends is cut, and a value with
+// changed bytes gets no checksum.
+func TestClientReadBehaviors(t *testing.T) {
 	const size = 300_000
-	kind := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5, HardStop: 5, Benefit: 1}
+	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5,
+		HardStop: 5, Benefit: 1}
 	for name, c := range map[string]struct {
 		how   Reading
 		reply func(text string) string
 		end   End
 		rests bool
 	}{
-		"usual":               {Reading{}, func(text string) string { return text }, Finished, false},
-		"slowly":              {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
-		"with a pause":        {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
-		"leaves":              {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
-		"cut":                 {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
-		"cut, slowly":         {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
-		"other bytes":         {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] }, Finished, false},
+		"usual":        {Reading{}, func(text string) string { return text }, Finished, false},
+		"slowly":       {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
+		"with a pause": {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
+		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
+		"cut":          {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
+		"cut, slowly":  {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
+		"other bytes": {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
+			Finished, false},
 		"no end of the value": {Reading{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
-			ln, err := net.Listen("tcp", strings.Replace(place(), "11300", "11211", 1))
+			ln, err := net.Listen("tcp", strings.Replace(testAddress(), "11300", "11211", 1))
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -218,13 +232,16 @@
 						v := NewValue("k", id, "s-1", 1, size)
 						text := string(meta.AppendValue(nil, id, size)) + string(bytes.Join(v.Pieces(), nil)) + "\r\n"
 						io.WriteString(conn, c.reply(text))
-						conn.(*net.TCPConn).CloseWrite() // and what the client says is read until it ends, so that nothing is reset
+						// Close in order, then read the client's data until its end, so that the kernel doesn't reset the
+						// connection.
+						conn.(*net.TCPConn).CloseWrite()
 						io.Copy(io.Discard, conn)
 					}()
 				}
 			}()
-			loop := mustLoop(t)
-			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{kind}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{ln.Addr().String()}, nil)
+			loop := newLoop(t)
+			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept,
+				Most: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -242,26 +259,29 @@
 			loop.Post(loop.Stop)
 			<-ended
 			if len(clients.Book().Ops) == 0 {
-				t.Fatal("nothing came")
+				t.Fatal("no request was sent")
 			}
-			for _, o := range clients.Book().Ops {
-				try := o.Tries[0]
+			for _, request := range clients.Book().Ops {
+				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if o.How != c.end || len(o.Tries) != 1 || try.Length != size || (try.Came == size) != (c.end == Finished || name == "no end of the value") ||
-					(try.Got != 0) != whole || (try.Rested > 0) != c.rests {
-					t.Errorf("%v after %d tries, %d of %d bytes, sum %x, rested %v, %s", o.How, len(o.Tries), try.Came, try.Length, try.Got, try.Rested,
-						try.Strange())
+				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size ||
+					(attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
+					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
+					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
+						request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
+						attempt.Strange(), c.end)
 				}
 			}
 		})
 	}
 }
 
-// Long writes go out whole, and nothing of them is held.
-func TestLongWritesOfClients(t *testing.T) {
-	f, s := bulky(t)
-	loop := mustLoop(t)
-	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{load4}, Rate: 10, Keys: 10, Use: Kept, Most: 100}, []string{s.Addr}, nil)
+// Clients send long writes completely and unchanged.
+func TestClientLongWrites(t *testing.T) {
+	fleet, server := startLongValueFleet(t)
+	loop := newLoop(t)
+	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept,
+		Most: 100}, []string{server.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -275,19 +295,19 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, o := range clients.Book().Ops {
-		if o.How != Finished {
-			t.Errorf("a write ended as %v %s", o.How, o.Tries[0].Strange())
+	for _, request := range clients.Book().Ops {
+		if request.How != Finished {
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.How, request.Tries[0].Strange())
 		}
 	}
-	f.on(func() {
-		for _, x := range f.book.Executions {
-			if x.Damaged != "" || !x.Effect {
-				t.Errorf("a write came as %q, effect %v", x.Damaged, x.Effect)
+	fleet.runOnLoop(func() {
+		for _, execution := range fleet.records.Executions {
+			if execution.Damaged != "" || !execution.Effect {
+				t.Errorf("a write arrived with damage %q, effect %v; want none, true", execution.Damaged, execution.Effect)
 			}
 		}
-		if len(f.book.Executions) == 0 {
-			t.Error("nothing came")
+		if len(fleet.records.Executions) == 0 {
+			t.Error("the server recorded no execution")
 		}
 	})
 }
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -12,60 +12,62 @@
 	"golang.org/x/sys/unix"
 )
 
-// socket is a client's connection to a router: a sock.Conn, or a plain one.
-type socket interface {
+// clientSocket is a client's connection to a router: an eventloop.Conn or a plainConn.
+type clientSocket interface {
 	Write(p []byte) (taken int)
 	Sent() uint64 // bytes that the kernel has taken
-	Quiet() bool  // nothing is unread, and it has not ended
+	Quiet() bool  // no unread input, and the peer has not closed it
 	Close()
 }
 
 const (
-	plainTurn   = 16 << 10 // bytes read at once, as much as other clients' rings hold
-	plainWindow = 64 << 10 // bytes that the kernel holds for one who reads slowly: beyond these the router waits
-	steps       = 20       // turns a second in which a slow reader reads
+	plainReadSize      = 16 << 10 // bytes per read; equals the capacity of other clients' ring buffers
+	plainReceiveBuffer = 64 << 10 // bytes of the kernel's receive buffer; once it is full the router has to wait
+	slowReadsPerSecond = 20       // reads per second of a client with a limited rate
 )
 
-// plainConn is a connection of one who reads in a way of its own, by the runtime's sockets on a goroutine: it reads when it likes, and
-// its end comes behind all that came before it, however long that lay unread. It carries one command.
+// plainConn is the connection of a client that reads at its own pace. It uses a socket of the net package on a
+// goroutine, and reports the connection's end only after all data received before it was read. It carries one command.
 type plainConn struct {
-	in    *ringbuffer.Buffer
-	loop  *eventloop.Loop
-	h     *clientConn
-	how   Reading
-	half  int // bytes after which it pauses
-	sent  uint64
-	say   chan []byte
-	quit  chan struct{}
-	close sync.Once
+	in         *ringbuffer.Buffer
+	loop       *eventloop.Loop
+	client     *clientConn
+	reading    Reading
+	pauseAfter int // bytes after which it pauses
+	sent       uint64
+	outgoing   chan []byte
+	closed     chan struct{}
+	closeOnce  sync.Once
 }
 
-func dialPlain(loop *eventloop.Loop, addr string, how Reading, half int, h *clientConn) *plainConn {
-	p := &plainConn{in: ringbuffer.New(plainTurn), loop: loop, h: h, how: how, half: half, say: make(chan []byte, 1), quit: make(chan struct{})}
+func dialPlain(loop *eventloop.Loop, addr string, reading Reading, pauseAfter int, client *clientConn) *plainConn {
+	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading,
+		pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
 	return p
 }
 
-// Write takes the command, all of it. Those of reads are short.
+// Write queues the whole command. Commands of reads are short.
 func (p *plainConn) Write(text []byte) int {
-	p.say <- text
+	p.outgoing <- text
 	return len(text)
 }
 
-// Sent counts the bytes that the kernel has taken.
+// Sent returns the number of bytes that the kernel has taken.
 func (p *plainConn) Sent() uint64 { return p.sent }
 
-// Quiet is false: it is not used again.
+// Quiet returns false, because the connection is not reused.
 func (p *plainConn) Quiet() bool { return false }
 
-// Close ends it.
-func (p *plainConn) Close() { p.close.Do(func() { close(p.quit) }) }
+// Close closes the connection.
+func (p *plainConn) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
 
-// on runs something on the loop, unless the connection is closed by then, and waits for it; false: it is closed.
-func (p *plainConn) on(do func()) bool {
+// runOnLoop runs do on the event loop, unless the client has closed the connection, and waits for it. It returns false
+// if the connection was closed in the meantime.
+func (p *plainConn) runOnLoop(do func()) bool {
 	done := make(chan struct{})
 	p.loop.Post(func() {
-		if !p.h.closed {
+		if !p.client.closed {
 			do()
 		}
 		close(done)
@@ -73,63 +75,66 @@
 	select {
 	case <-done:
 		return true
-	case <-p.quit:
+	case <-p.closed:
 		return false
 	}
 }
 
+// run dials the router, sends the command and reads the answer.
 func (p *plainConn) run(addr string) {
-	small := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainWindow) })
+	dialer := net.Dialer{Timeout: time.Second, Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) {
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, plainReceiveBuffer)
+		})
 	}}
-	conn, err := small.Dial("tcp", addr)
+	conn, err := dialer.Dial("tcp", addr)
 	if err != nil {
-		p.on(p.h.Closed)
+		p.runOnLoop(p.client.Closed)
 		return
 	}
-	go func() { <-p.quit; conn.Close() }()
-	if !p.on(p.h.Opened) {
+	go func() { <-p.closed; conn.Close() }()
+	if !p.runOnLoop(p.client.Opened) {
 		return
 	}
 	select {
-	case text := <-p.say:
+	case text := <-p.outgoing:
 		n, err := conn.Write(text)
-		if err == nil && !p.on(func() { p.sent += uint64(n); p.h.Flushed() }) {
+		if err == nil && !p.runOnLoop(func() { p.sent += uint64(n); p.client.Flushed() }) {
 			return
 		}
-	case <-p.quit:
+	case <-p.closed:
 		return
 	}
 	p.read(conn)
 }
 
-// read takes what comes, at the pace of this client, and then the end.
+// read receives data at the client's pace until the connection ends.
 func (p *plainConn) read(conn net.Conn) {
-	turn := plainTurn
-	if p.how.Rate > 0 {
-		turn = min(turn, max(1, int(p.how.Rate/steps)))
+	size := plainReadSize
+	if p.reading.Rate > 0 {
+		size = min(size, max(1, int(p.reading.Rate/slowReadsPerSecond)))
 	}
-	buf, came, paused := make([]byte, turn), 0, p.how.Pause == 0
+	buf, received, paused := make([]byte, size), 0, p.reading.Pause == 0
 	for {
 		n, err := conn.Read(buf)
 		if err != nil {
-			p.on(p.h.Closed)
+			p.runOnLoop(p.client.Closed)
 			return
 		}
-		rest := time.Duration(0)
-		if came += n; p.how.Rate > 0 {
-			rest = time.Duration(float64(n) / p.how.Rate * float64(time.Second))
+		delay := time.Duration(0)
+		if received += n; p.reading.Rate > 0 {
+			delay = time.Duration(float64(n) / p.reading.Rate * float64(time.Second))
 		}
-		if !paused && came >= p.half {
+		if !paused && received >= p.pauseAfter {
 			paused = true
-			rest += time.Duration(p.how.Pause * float64(time.Second))
+			delay += time.Duration(p.reading.Pause * float64(time.Second))
 		}
-		if !p.on(func() { p.in.Write(buf[:n]); p.h.Input(); p.h.rests(rest.Seconds()) }) {
+		if !p.runOnLoop(func() { p.in.Write(buf[:n]); p.client.Input(); p.client.addReadPause(delay.Seconds()) }) {
 			return
 		}
 		select {
-		case <-time.After(rest):
-		case <-p.quit:
+		case <-time.After(delay):
+		case <-p.closed:
 			return
 		}
 	}
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -8,34 +8,34 @@
 
 // Spec describes one cache server.
 type Spec struct {
-	Name, Addr    string // its instance name in the list; where it listens
+	Name, Addr    string // instance name in the endpoint list; address at which it listens
 	Zone, Machine string
 	Cell          int
 	Cores         int
-	Speed         float64 // of a core
-	Weight        float64 // its size as the list has it
-	Queue         int     // commands that may wait for a core; beyond these they are turned away
-	PerConnection int     // commands of one connection that are worked on at once
-	Connections   int     // that it holds; on others every command is turned away
-	Handshake     float64 // seconds of work that a new connection costs
-	Idle          float64 // a connection that stands idle for so long is closed
-	Keep          int     // objects
-	Cancels       bool    // work whose connection has gone stops
+	Speed         float64 // of a core; 1 does one second of work per second
+	Weight        float64 // weight in the endpoint list
+	Queue         int     // most commands that wait for a core; further ones are rejected
+	PerConnection int     // most commands of one connection that are in progress
+	Connections   int     // most connections; on further ones every command is rejected; 0: no limit
+	Handshake     float64 // seconds of work for a new connection, added to its first command
+	Idle          float64 // seconds after which an idle connection is closed; 0: never
+	Keep          int     // most objects in the cache
+	Cancels       bool    // it cancels work whose connection has ended
 	Cold          Cold
 }
 
-// Cold describes how a cache server starts.
+// Cold describes a cache server's warm-up after its start, and the overload rule during it.
 type Cold struct {
-	From     float64 // the part of its capacity that it has at its start
-	Warm     float64 // seconds until it has all of it
-	Multiple float64 // sent more than so many times what it can do at that moment ...
-	Fall     float64 // ... for so long, while it is cold, it falls over and stays down
+	From     float64 // fraction of its capacity at its start
+	Warm     float64 // seconds until it has its full capacity
+	Multiple float64 // if the offered load exceeds this multiple of its current capacity ...
+	Fall     float64 // ... for this many seconds while it is cold, it collapses and stays down
 }
 
-// Mode is what the list says of a cache server.
+// Mode is the state of a cache server in the endpoint list.
 type Mode string
 
-// The list's words, as the protocol has them.
+// The modes, as the list service's protocol names them.
 const (
 	Ready    Mode = "ready"
 	Draining Mode = "draining"
@@ -45,187 +45,187 @@
 // Server is one cache server.
 type Server struct {
 	Spec
-	f       *Fleet
-	chance  *rand.Rand
-	work    processor
-	kept    *store
-	tip     Tip
-	ln      *eventloop.Listener
-	silent  *silence // while it has vanished
-	conns   map[*serverConn]bool
-	mode    Mode    // as it would have the list say
-	started float64 // Unix seconds; 0: long ago
-	fallen  bool
-
-	lastListed  Mode // as the list last had it
-	lastStarted float64
-	over        bool // gone for good
-
-	// The faults on it: each is begun and ended on its own, and they may overlap in any order.
-	stalled, vanished, refusing, dead int
-	slow                              []float64
-	spoil, fail, reset                float64          // the part of answers that are spoilt, are errors, or reset instead
-	ends                              [endings]float64 // the part of long values that end so
-}
-
-func newServer(f *Fleet, spec Spec, chance *rand.Rand) *Server {
-	s := &Server{Spec: spec, f: f, chance: chance, kept: newStore(spec.Keep), conns: map[*serverConn]bool{}, mode: Ready,
-		tip: Tip{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
-	s.work = processor{loop: f.loop, cores: max(1, spec.Cores), rate: spec.Speed}
-	return s
-}
-
-// Started is when it last started, 0 for long ago.
+	fleet           *Fleet
+	rng             *rand.Rand
+	processor       processor
+	cache           *store
+	overload        OverloadDetector
+	listener        *eventloop.Listener
+	unreachableAddr *unreachableAddr // its address while it is unreachable
+	conns           map[*serverConn]bool
+	mode            Mode    // the mode that its operators want
+	started         float64 // Unix seconds; 0: long before the run
+	collapsed       bool
+
+	lastListed      Mode // the mode last recorded in the list
+	lastListedStart float64
+	removed         bool // removed permanently
+
+	// Active faults. Each begins and ends independently, and they may overlap in any order.
+	stalled, unreachable, refusing, crashed      int
+	slowFactors                                  []float64
+	corruptFraction, failFraction, resetFraction float64              // of answers: malformed, errors, or resets instead
+	endingFractions                              [endingCount]float64 // fraction of long values with each ending
+}
+
+func newServer(fleet *Fleet, spec Spec, rng *rand.Rand) *Server {
+	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.Keep), conns: map[*serverConn]bool{},
+		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
+	server.processor = processor{loop: fleet.loop, cores: max(1, spec.Cores), rate: spec.Speed}
+	return server
+}
+
+// Started returns when the server last started, in Unix seconds; 0: long before the run.
 func (s *Server) Started() float64 { return s.started }
 
-// Fallen tells that it was pushed over while it was cold.
-func (s *Server) Fallen() bool { return s.fallen }
+// Collapsed reports whether the server was overloaded while it was cold, and is down.
+func (s *Server) Collapsed() bool { return s.collapsed }
 
-// warmth is the part of its capacity that it has.
-func (s *Server) warmth(now float64) float64 {
+// capacityFraction returns the fraction of its full capacity that the server has.
+func (s *Server) capacityFraction(now float64) float64 {
 	if s.started == 0 || now-s.started >= s.Cold.Warm {
 		return 1
 	}
 	return s.Cold.From + (1-s.Cold.From)*max(0, now-s.started)/s.Cold.Warm
 }
 
-// retime brings its cores in line with its warmth and the faults on it.
-func (s *Server) retime() {
-	rate := s.Speed * s.warmth(s.f.loop.Now())
-	for _, factor := range s.slow {
+// updateRate sets the cores' speed by the warm-up and the active faults.
+func (s *Server) updateRate() {
+	rate := s.Speed * s.capacityFraction(s.fleet.loop.Now())
+	for _, factor := range s.slowFactors {
 		rate /= factor
 	}
-	if s.stalled > 0 || s.dead > 0 || s.fallen {
+	if s.stalled > 0 || s.crashed > 0 || s.collapsed {
 		rate = 0
 	}
-	s.work.setRate(rate)
+	s.processor.setRate(rate)
 }
 
-// warm follows the warm-up in steps.
-func (s *Server) warm() {
-	s.retime()
-	if now := s.f.loop.Now(); s.warmth(now) < 1 && !s.over {
-		s.f.loop.After(s.Cold.Warm/50, s.warm)
+// warmUp updates the cores' speed in 50 steps until the server is warm.
+func (s *Server) warmUp() {
+	s.updateRate()
+	if now := s.fleet.loop.Now(); s.capacityFraction(now) < 1 && !s.removed {
+		s.fleet.loop.After(s.Cold.Warm/50, s.warmUp)
 	}
 }
 
-// cold makes it one that has just started, with nothing kept.
-func (s *Server) cold() {
-	s.started = s.f.loop.Now()
-	s.kept = newStore(s.Keep)
-	s.tip.Forget()
-	s.warm()
+// startCold puts the server into the state right after a start, with an empty cache.
+func (s *Server) startCold() {
+	s.started = s.fleet.loop.Now()
+	s.cache = newStore(s.Keep)
+	s.overload.Reset()
+	s.warmUp()
 }
 
-// attend listens, is silent or refuses, as the faults have it.
-func (s *Server) attend() error {
-	vanished := s.vanished > 0 && s.dead == 0
-	listen := s.vanished == 0 && s.dead == 0 && s.refusing == 0 && !s.fallen && !s.over
-	if !listen && s.ln != nil {
-		s.ln.Close()
-		s.ln = nil
+// updateListening listens, makes the address unreachable or refuses connections, according to the active faults.
+func (s *Server) updateListening() error {
+	vanished := s.unreachable > 0 && s.crashed == 0
+	listen := s.unreachable == 0 && s.crashed == 0 && s.refusing == 0 && !s.collapsed && !s.removed
+	if !listen && s.listener != nil {
+		s.listener.Close()
+		s.listener = nil
 	}
-	if !vanished && s.silent != nil {
-		s.silent.end()
-		s.silent = nil
+	if !vanished && s.unreachableAddr != nil {
+		s.unreachableAddr.release()
+		s.unreachableAddr = nil
 	}
 	var err error
-	if vanished && s.silent == nil && !s.over {
-		s.silent, err = beSilent(s.Addr)
+	if vanished && s.unreachableAddr == nil && !s.removed {
+		s.unreachableAddr, err = holdUnreachable(s.Addr)
 	}
-	if listen && s.ln == nil {
-		s.ln, err = s.f.loop.Listen(s.Addr, func() bool { return true }, s.accepted)
+	if listen && s.listener == nil {
+		s.listener, err = s.fleet.loop.Listen(s.Addr, func() bool { return true }, s.accepted)
 	}
 	for c := range s.conns {
-		c.mute(vanished)
+		c.setUnreachable(vanished)
 	}
 	return err
 }
 
-const unseen = 5 // seconds until the list's makers take a machine that says nothing for gone
+const unreachableListDelay = 5 // seconds until the list service lists an unreachable machine as gone
 
-// vanish is a machine that is cut off: it says nothing, and is given up after a while.
-func (s *Server) vanish() error {
-	s.vanished++
-	s.f.loop.After(unseen, func() { s.f.list.change(s) })
-	return s.attend()
+// becomeUnreachable cuts the server's machine off. The list service lists it as gone after unreachableListDelay.
+func (s *Server) becomeUnreachable() error {
+	s.unreachable++
+	s.fleet.loop.After(unreachableListDelay, func() { s.fleet.list.recordChange(s) })
+	return s.updateListening()
 }
 
-func (s *Server) reappear() error {
-	s.vanished--
-	s.f.list.change(s)
-	return s.attend()
+func (s *Server) becomeReachable() error {
+	s.unreachable--
+	s.fleet.list.recordChange(s)
+	return s.updateListening()
 }
 
-// listed is what the list's makers know: whether a process runs, and what its operators want.
-func (s *Server) listed() Mode {
-	if s.dead > 0 || s.fallen || s.over || s.vanished > 0 {
+// listedMode returns the mode for the endpoint list: gone if no process can be reached, else what the operators want.
+func (s *Server) listedMode() Mode {
+	if s.crashed > 0 || s.collapsed || s.removed || s.unreachable > 0 {
 		return Gone
 	}
 	return s.mode
 }
 
-// die resets all connections; what ran or waited is gone.
-func (s *Server) die() {
+// dropConnections resets all connections and discards all running and waiting work.
+func (s *Server) dropConnections() {
 	for c := range s.conns {
-		c.lose(true)
+		c.disconnect(true)
 	}
-	s.work.clear()
+	s.processor.cancelAll()
 }
 
-// crash is a process that dies; back follows after a while, by revive.
+// crash ends the process. It is undone by restart.
 func (s *Server) crash() {
-	s.dead++
-	s.die()
-	s.attend()
-	s.retime()
-	s.f.list.change(s)
+	s.crashed++
+	s.dropConnections()
+	s.updateListening()
+	s.updateRate()
+	s.fleet.list.recordChange(s)
 }
 
-// revive ends a crash: it starts anew, cold.
-func (s *Server) revive() error {
-	if s.dead--; s.dead > 0 || s.over {
+// restart ends a crash: the server starts cold.
+func (s *Server) restart() error {
+	if s.crashed--; s.crashed > 0 || s.removed {
 		return nil
 	}
-	s.fallen = false
-	s.cold()
-	err := s.attend()
-	s.f.list.change(s)
+	s.collapsed = false
+	s.startCold()
+	err := s.updateListening()
+	s.fleet.list.recordChange(s)
 	return err
 }
 
-// fall is a cold cache server that was pushed over: it stays down.
-func (s *Server) fall() {
-	s.f.book.Falls = append(s.f.book.Falls, Fall{At: s.f.loop.Now(), Server: s})
-	s.fallen = true
-	s.die()
-	s.attend()
-	s.f.list.change(s)
+// collapse takes down a cold cache server that was overloaded. It stays down until a crash fault on it ends.
+func (s *Server) collapse() {
+	s.fleet.records.Falls = append(s.fleet.records.Falls, Fall{At: s.fleet.loop.Now(), Server: s})
+	s.collapsed = true
+	s.dropConnections()
+	s.updateListening()
+	s.fleet.list.recordChange(s)
 }
 
-// leave ends it for good.
-func (s *Server) leave() {
-	s.over = true
-	s.die()
-	s.attend()
+// remove removes the server permanently.
+func (s *Server) remove() {
+	s.removed = true
+	s.dropConnections()
+	s.updateListening()
 	s.mode = Gone
-	s.f.list.change(s)
+	s.fleet.list.recordChange(s)
 }
 
-// comes takes note of the work that is sent to it, and tells whether that pushed it over.
-func (s *Server) comes(work float64) bool {
-	now := s.f.loop.Now()
-	if s.warmth(now) >= 1 || s.fallen {
+// addLoad counts work that is sent to the server, and reports whether it made the server collapse.
+func (s *Server) addLoad(work float64) bool {
+	now := s.fleet.loop.Now()
+	if s.capacityFraction(now) >= 1 || s.collapsed {
 		return false
 	}
-	if s.tip.Comes(now, work, float64(s.work.cores)*s.Speed*s.warmth(now)) {
-		s.fall()
+	if s.overload.Add(now, work, float64(s.processor.cores)*s.Speed*s.capacityFraction(now)) {
+		s.collapse()
 		return true
 	}
 	return false
 }
 
-// value makes a read's answer: who made it for which try of what, filled up to its size.
-func (s *Server) value(x *Execution, key string) Value {
-	return NewValue(key, x.ID, s.Name, s.f.serial(), x.Type.Size)
+// newValue returns a read's value: it names the key, the attempt and the server, filled up to the type's size.
+func (s *Server) newValue(execution *Execution, key string) Value {
+	return NewValue(key, execution.ID, s.Name, s.fleet.nextSerial(), execution.Type.Size)
 }
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -8,254 +8,260 @@
 	"bendtrestle/internal/meta"
 )
 
-// serverConn is one connection to a cache server: commands are begun as they come and answered in their order.
+// serverConn is one connection to a cache server. Commands are started as they arrive and answered in order.
 type serverConn struct {
-	s       *Server
-	conn    *eventloop.Conn
-	out     output
-	speech  speech
-	first   float64  // when the command at hand began to come
-	replies []*reply // owed, in the order of the commands
-	surplus bool     // beyond its bound
-	fresh   bool     // its price is still to be paid
-	used    float64  // when it was last busy
-	spoilt  bool     // a spoilt answer was given: it is of no further use
-	gone    bool
-	giving  []*reply // long values that the kernel has not taken whole, in order
-	last    *reply   // the long value that was given last
-	given   uint64   // bytes that were written to out
+	server       *Server
+	conn         *eventloop.Conn
+	out          output
+	protocol     serverProtocol
+	firstByteAt  float64  // when the first byte of the current command was read
+	replies      []*reply // not yet written, in the order of the commands
+	overLimit    bool     // beyond the server's connection limit
+	handshakeDue bool     // the handshake's work is still to be charged
+	lastBusy     float64  // when it last wrote a reply
+	corrupted    bool     // a malformed answer was sent: no further command is read
+	closed       bool
+	unsentLong   []*reply // long values that the kernel has not taken completely, in order
+	lastLong     *reply   // the last long value that was written
+	written      uint64   // bytes that were added to out
 }
 
-// reply is what is owed for one command.
+// reply is the pending reply to one command.
 type reply struct {
-	c     *serverConn
-	x     *Execution
-	key   string
-	extra any      // of the protocol
-	tag   string   // of a copy that its sender has
-	until float64  // when its sender stops waiting
-	job   *job     // at a core
-	fetch *job     // at the origin
-	text  [][]byte // nil while it is not ready
-	end   uint64   // where its last byte stands in what its connection is given
-	how   ending   // of a long value
+	conn         *serverConn
+	execution    *Execution
+	key          string
+	protocolData any      // e.g. the requested tile
+	etag         string   // ETag of the copy that the sender has; empty: none
+	deadline     float64  // when its sender stops waiting; 0: unknown
+	job          *job     // waiting for or running on a core
+	fetch        *job     // waiting or running at the origin
+	text         [][]byte // nil until it is ready
+	endOffset    uint64   // offset of its last byte among all bytes written to the connection
+	ending       ending   // of the connection, if it carries a long value
 }
 
 func (s *Server) accepted(conn *eventloop.Conn) eventloop.Handler {
-	c := &serverConn{s: s, conn: conn, fresh: true, used: s.f.loop.Now()}
+	c := &serverConn{server: s, conn: conn, handshakeDue: true, lastBusy: s.fleet.loop.Now()}
 	c.out.conn = conn
-	if c.speech = (&memcacheSpeech{c: c}); s.f.tiles != nil {
-		c.speech = &tileSpeech{c: c}
+	if c.protocol = (&memcacheServer{conn: c}); s.fleet.tileService != nil {
+		c.protocol = &tileServer{conn: c}
 	}
-	if len(s.f.book.Accepts) < bookBound {
-		s.f.book.Accepts = append(s.f.book.Accepts, Accept{At: s.f.loop.Now(), Server: s})
+	if len(s.fleet.records.Accepts) < maxRecords {
+		s.fleet.records.Accepts = append(s.fleet.records.Accepts, Accept{At: s.fleet.loop.Now(), Server: s})
 	}
-	c.surplus = s.Connections > 0 && len(s.conns) >= s.Connections
+	c.overLimit = s.Connections > 0 && len(s.conns) >= s.Connections
 	s.conns[c] = true
 	return c
 }
 
-// Opened is for dialled connections.
+// Opened is never called: the connection was accepted, not dialled.
 func (c *serverConn) Opened() {}
 
-// Input reads commands while not too many are worked on.
+// Input reads commands until the connection's limit of commands in progress is reached.
 func (c *serverConn) Input() {
-	if c.gone || c.s.vanished > 0 {
+	if c.closed || c.server.unreachable > 0 {
 		return
 	}
-	for c.conn.In.Len() > 0 && !c.full() && !c.spoilt {
-		if !c.speech.begun() {
-			c.first = c.s.f.loop.Now()
+	for c.conn.In.Len() > 0 && !c.full() && !c.corrupted {
+		if !c.protocol.begun() {
+			c.firstByteAt = c.server.fleet.loop.Now()
 		}
-		held := c.conn.In.Len()
-		if _, err := c.speech.read(c.conn.In); err != nil {
-			c.lose(false)
+		before := c.conn.In.Len()
+		if _, err := c.protocol.read(c.conn.In); err != nil {
+			c.disconnect(false)
 			return
 		}
-		if c.gone {
+		if c.closed {
 			return
 		}
-		if c.conn.In.Len() == held {
-			break // a long write's line that has not come whole
+		if c.conn.In.Len() == before {
+			break // a long write's line is incomplete
 		}
 	}
-	if c.full() || c.spoilt {
+	if c.full() || c.corrupted {
 		c.conn.Pause()
 	}
 }
 
-func (c *serverConn) full() bool { return len(c.replies) >= max(1, c.s.PerConnection) }
+func (c *serverConn) full() bool { return len(c.replies) >= max(1, c.server.PerConnection) }
 
-// Flushed writes on.
+// Flushed writes pending replies.
 func (c *serverConn) Flushed() {
 	c.out.flush()
-	c.taken()
+	c.handleSentValues()
 }
 
-func (c *serverConn) say(text string) {
-	c.replies = append(c.replies, &reply{c: c, text: [][]byte{[]byte(text)}})
-	c.give()
+func (c *serverConn) replyText(text string) {
+	c.replies = append(c.replies, &reply{conn: c, text: [][]byte{[]byte(text)}})
+	c.writeReplies()
 }
 
-// take begins an execution; left is how long its sender waits, 0 if it does not say; damage is what was wrong with its value.
-func (c *serverConn) take(t *TrafficType, key, id, mark string, left float64, extra any, damage string) {
-	s, now := c.s, c.s.f.loop.Now()
-	x := &Execution{ID: id, Server: s, Type: t, First: c.first, Last: now, Cold: s.warmth(now) < 1, Work: t.draw(s.chance)}
-	x.Mark, x.Damaged = mark, damage
-	s.f.book.open(x)
-	r := &reply{c: c, x: x, key: key, extra: extra}
-	if left > 0 {
-		r.until = now + left
+// startExecution starts an execution, or rejects it. remaining is for how many seconds its sender waits, 0 if it is not
+// stated. damage is what was wrong with the value of a write, empty if nothing.
+func (c *serverConn) startExecution(trafficType *TrafficType, key, id, idempotencyKey string, remaining float64,
+	extra any, damage string) {
+	server, now := c.server, c.server.fleet.loop.Now()
+	execution := &Execution{ID: id, Server: server, Type: trafficType, First: c.firstByteAt, Last: now,
+		Cold: server.capacityFraction(now) < 1, Work: trafficType.drawWork(server.rng)}
+	execution.IdempotencyKey, execution.Damaged = idempotencyKey, damage
+	server.fleet.records.open(execution)
+	reply := &reply{conn: c, execution: execution, key: key, protocolData: extra}
+	if remaining > 0 {
+		reply.deadline = now + remaining
 	}
-	c.replies = append(c.replies, r)
-	work := x.Work
-	if c.fresh {
-		work += s.Handshake
-		c.fresh = false
+	c.replies = append(c.replies, reply)
+	work := execution.Work
+	if c.handshakeDue {
+		work += server.Handshake
+		c.handshakeDue = false
 	}
-	if s.comes(work) {
+	if server.addLoad(work) {
 		return
 	}
-	if c.surplus || s.mode != Ready && s.f.drainTurnsAway || len(s.work.waiting) >= s.Queue {
-		r.finish(TurnedAway, []byte(r.c.speech.busy()))
+	if c.overLimit || server.mode != Ready && server.fleet.drainingRejects ||
+		len(server.processor.waiting) >= server.Queue {
+		reply.finish(TurnedAway, []byte(reply.conn.protocol.busyReply()))
 		return
 	}
-	r.job = s.work.add(work, r.begin, r.worked)
+	reply.job = server.processor.add(work, reply.begin, reply.workDone)
 }
 
-// begin is asked when a core is free: what is over already is turned away.
+// begin is called when a core is free. It rejects the command if its sender no longer waits.
 func (r *reply) begin() bool {
-	now := r.c.s.f.loop.Now()
-	if r.until > 0 && now >= r.until {
-		r.finish(TurnedAway, []byte(r.c.speech.busy()))
+	now := r.conn.server.fleet.loop.Now()
+	if r.deadline > 0 && now >= r.deadline {
+		r.finish(TurnedAway, []byte(r.conn.protocol.busyReply()))
 		return false
 	}
-	r.x.Began = now
+	r.execution.Began = now
 	return true
 }
 
-// worked follows the work: a read that misses goes to the origin, a write takes effect.
-func (r *reply) worked() {
+// workDone continues after the work on a core: a read that misses goes to the origin, a write takes effect.
+func (r *reply) workDone() {
 	r.job = nil
-	s := r.c.s
+	server := r.conn.server
 	switch {
-	case s.chance.Float64() < s.fail:
-		r.finish(Failed, []byte(r.c.speech.failed()))
-	case r.x.Type.Write:
-		r.stored()
-	case s.kept.has(r.key):
-		r.made()
+	case server.rng.Float64() < server.failFraction:
+		r.finish(Failed, []byte(r.conn.protocol.failedReply()))
+	case r.execution.Type.Write:
+		r.applyWrite()
+	case server.cache.has(r.key):
+		r.answer()
 	default:
-		r.x.Miss = true
-		r.fetch = s.f.ledger.fetch(s, r.fetched)
+		r.execution.Miss = true
+		r.fetch = server.fleet.origin.fetch(server, r.fetched)
 	}
 }
 
 func (r *reply) fetched() {
 	r.fetch = nil
-	if s := r.c.s; !s.fallen && s.dead == 0 {
-		s.kept.put(r.key)
-		r.made()
+	if server := r.conn.server; !server.collapsed && server.crashed == 0 {
+		server.cache.put(r.key)
+		r.answer()
 	}
 }
 
-func (r *reply) made() {
-	text, sum := r.c.speech.value(r)
-	r.x.Made = sum
+func (r *reply) answer() {
+	text, sum := r.conn.protocol.encodeValue(r)
+	r.execution.Made = sum
 	r.finish(Answered, text...)
 }
 
-// stored lets a write take effect, unless its mark is known to those who drop its repeats.
-func (r *reply) stored() {
-	s, x, now := r.c.s, r.x, r.c.s.f.loop.Now()
-	receipt := strconv.FormatUint(s.f.serial(), 10)
-	if m := s.f.memory(s, x.Type); x.Mark != "" && m != nil {
-		if known, there := m.repeat(now, x.Mark); there {
-			x.Repeat, receipt = true, known
+// applyWrite lets a write take effect, unless its idempotency key is in the deduplication table. In that case it
+// answers with the receipt of the first write.
+func (r *reply) applyWrite() {
+	server, execution, now := r.conn.server, r.execution, r.conn.server.fleet.loop.Now()
+	receipt := strconv.FormatUint(server.fleet.nextSerial(), 10)
+	if m := server.fleet.dedupTable(server, execution.Type); execution.IdempotencyKey != "" && m != nil {
+		if known, there := m.lookup(now, execution.IdempotencyKey); there {
+			execution.Repeat, receipt = true, known
 		} else {
-			m.take(now, x.Mark, receipt, x.Type.Window)
+			m.add(now, execution.IdempotencyKey, receipt, execution.Type.Window)
 		}
 	}
-	if !x.Repeat {
-		x.Effect = true
-		s.f.drop(r.key)
-		s.f.ledger.write(s)
+	if !execution.Repeat {
+		execution.Effect = true
+		server.fleet.invalidate(r.key)
+		server.fleet.origin.write(server)
 	}
-	x.Made = crc32.ChecksumIEEE([]byte(receipt))
-	r.finish(Answered, meta.AppendStored(nil, x.ID, receipt))
+	execution.Made = crc32.ChecksumIEEE([]byte(receipt))
+	r.finish(Answered, meta.AppendStored(nil, execution.ID, receipt))
 }
 
-// finish gives an answer, or what a fault makes of it.
-func (r *reply) finish(how How, text ...[]byte) {
-	s := r.c.s
-	r.x.End = s.f.loop.Now()
-	r.x.How = how
-	if how == Answered && !r.c.gone {
-		if s.chance.Float64() < s.reset {
-			r.x.How = Failed
-			r.c.lose(true)
+// finish ends the execution and sends its answer, or what an active fault makes of it.
+func (r *reply) finish(outcome How, text ...[]byte) {
+	server := r.conn.server
+	r.execution.End = server.fleet.loop.Now()
+	r.execution.How = outcome
+	if outcome == Answered && !r.conn.closed {
+		if server.rng.Float64() < server.resetFraction {
+			r.execution.How = Failed
+			r.conn.disconnect(true)
 			return
 		}
-		if s.chance.Float64() < s.spoil {
-			r.x.How = Spoilt
-			text = [][]byte{[]byte(r.c.speech.spoiled(first(text, meta.ValueBound)))}
-			r.c.spoilt = true
-		} else if r.x.Length > 0 {
-			text = r.draw(text)
+		if server.rng.Float64() < server.corruptFraction {
+			r.execution.How = Spoilt
+			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
+			r.conn.corrupted = true
+		} else if r.execution.Length > 0 {
+			text = r.drawEnding(text)
 		}
 	}
 	r.text = text
-	r.c.give()
+	r.conn.writeReplies()
 }
 
-// give writes the answers whose turn it is.
-func (c *serverConn) give() {
-	if c.gone {
+// writeReplies writes the replies that are ready, in the order of the commands.
+func (c *serverConn) writeReplies() {
+	if c.closed {
 		return
 	}
-	c.used = c.s.f.loop.Now()
-	for len(c.replies) > 0 && c.replies[0].text != nil && (c.last == nil || c.last.how == goesOn) {
-		r := c.replies[0]
-		for _, part := range r.text {
-			c.out.add(part)
-			c.given += uint64(len(part))
+	c.lastBusy = c.server.fleet.loop.Now()
+	for len(c.replies) > 0 && c.replies[0].text != nil && (c.lastLong == nil || c.lastLong.ending == staysOpen) {
+		reply := c.replies[0]
+		for _, piece := range reply.text {
+			c.out.add(piece)
+			c.written += uint64(len(piece))
 		}
-		if c.replies = c.replies[1:]; r.x != nil && r.x.Length > 0 {
-			r.end = c.given
-			c.giving, c.last = append(c.giving, r), r
+		if c.replies = c.replies[1:]; reply.execution != nil && reply.execution.Length > 0 {
+			reply.endOffset = c.written
+			c.unsentLong, c.lastLong = append(c.unsentLong, reply), reply
 		}
-		if c.s.vanished == 0 {
+		if c.server.unreachable == 0 {
 			c.out.flush()
 		}
-		if c.taken(); c.gone {
+		if c.handleSentValues(); c.closed {
 			return
 		}
 	}
-	if !c.full() && !c.spoilt && c.s.vanished == 0 {
+	if !c.full() && !c.corrupted && c.server.unreachable == 0 {
 		c.conn.Resume()
 		if c.conn.In.Len() > 0 {
-			c.s.f.loop.Later(c.Input)
+			c.server.fleet.loop.Later(c.Input)
 		}
 	}
 }
 
-// mute makes it silent, or lets it go on: a machine that comes back resets what it had.
-func (c *serverConn) mute(on bool) {
+// setUnreachable makes the connection silent, or ends its silence. A machine that becomes reachable again resets the
+// connections that it had.
+func (c *serverConn) setUnreachable(on bool) {
 	if on {
-		c.broke(false)
+		c.markBroken(false)
 		c.conn.Pause()
-	} else if c.out.held {
-		c.lose(true)
+	} else if c.out.paused {
+		c.disconnect(true)
 	}
-	c.out.held = on
+	c.out.paused = on
 }
 
-// lose ends the connection from here.
-func (c *serverConn) lose(reset bool) {
-	if c.gone {
+// disconnect ends the connection from the server's side.
+func (c *serverConn) disconnect(reset bool) {
+	if c.closed {
 		return
 	}
-	if c.broke(reset); reset {
+	if c.markBroken(reset); reset {
 		c.conn.Reset()
 	} else {
 		c.conn.Close()
@@ -263,48 +269,49 @@
 	c.Closed()
 }
 
-// Closed takes its end: work that is not answered stops, if this kind of server can stop work.
+// Closed handles the connection's end. Unanswered work is cancelled if the server supports cancellation or has crashed
+// or collapsed.
 func (c *serverConn) Closed() {
-	if c.gone {
+	if c.closed {
 		return
 	}
-	c.gone = true
-	delete(c.s.conns, c)
-	for _, r := range c.replies {
-		if r.x == nil || r.text != nil || r.x.How != Open {
+	c.closed = true
+	delete(c.server.conns, c)
+	for _, reply := range c.replies {
+		if reply.execution == nil || reply.text != nil || reply.execution.How != Open {
 			continue
 		}
-		if !c.s.Cancels && c.s.dead == 0 && !c.s.fallen {
-			continue // it goes on, for nobody
+		if !c.server.Cancels && c.server.crashed == 0 && !c.server.collapsed {
+			continue // the work continues, although its answer can't be sent
 		}
-		if r.x.How, r.x.End = Cancelled, c.s.f.loop.Now(); r.job != nil {
-			c.s.work.cancel(r.job)
+		if reply.execution.How, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
+			c.server.processor.cancel(reply.job)
 		}
-		if r.fetch != nil {
-			c.s.f.ledger.work.cancel(r.fetch)
+		if reply.fetch != nil {
+			c.server.fleet.origin.processor.cancel(reply.fetch)
 		}
 	}
 }
 
 func (c *serverConn) idle() bool {
-	return len(c.replies) == 0 && len(c.giving) == 0 && !c.speech.begun() && c.conn.In.Len() == 0
+	return len(c.replies) == 0 && len(c.unsentLong) == 0 && !c.protocol.begun() && c.conn.In.Len() == 0
 }
 
-// output is what waits to be written to a connection.
+// output is the data that waits to be written to a connection.
 type output struct {
-	conn interface{ Write(p []byte) (taken int) }
-	rest [][]byte
-	held bool // nothing is written
+	conn    interface{ Write(p []byte) (taken int) }
+	pending [][]byte
+	paused  bool // nothing is written while set
 }
 
-func (o *output) add(p []byte) { o.rest = append(o.rest, p) }
+func (o *output) add(p []byte) { o.pending = append(o.pending, p) }
 
 func (o *output) flush() {
-	for len(o.rest) > 0 && !o.held {
-		n := o.conn.Write(o.rest[0])
-		if o.rest[0] = o.rest[0][n:]; len(o.rest[0]) > 0 {
+	for len(o.pending) > 0 && !o.paused {
+		n := o.conn.Write(o.pending[0])
+		if o.pending[0] = o.pending[0][n:]; len(o.pending[0]) > 0 {
 			return
 		}
-		o.rest = o.rest[1:]
+		o.pending = o.pending[1:]
 	}
 }
--- a/internal/emulator/silence.go
+++ b/internal/emulator/silence.go
@@ -6,37 +6,38 @@
 	"golang.org/x/sys/unix"
 )
 
-// silence holds an address at which connections neither come up nor are refused, as at a machine that has vanished: it
-// listens with the shortest queue, fills that itself and accepts nobody, so that the kernel drops whoever comes after.
-type silence struct{ fds []int }
+// unreachableAddr occupies an address at which connections are neither established nor refused, as at a machine that is
+// cut off. It listens with the shortest queue, fills the queue itself and accepts no connection, so that the kernel
+// drops further connection requests.
+type unreachableAddr struct{ fds []int }
 
-func beSilent(addr string) (*silence, error) {
-	at, err := netip.ParseAddrPort(addr)
+func holdUnreachable(addr string) (*unreachableAddr, error) {
+	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return nil, err
 	}
-	to := &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}
-	q := &silence{}
-	fd, err := q.socket()
+	sockaddr := &unix.SockaddrInet4{Port: int(address.Port()), Addr: address.Addr().As4()}
+	held := &unreachableAddr{}
+	fd, err := held.newSocket()
 	if err != nil {
 		return nil, err
 	}
 	unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_REUSEADDR, 1)
-	if err = unix.Bind(fd, to); err == nil {
+	if err = unix.Bind(fd, sockaddr); err == nil {
 		err = unix.Listen(fd, 0)
 	}
-	for range 3 { // a queue of length 0 holds one, and a second is half open
-		if c, failed := q.socket(); failed == nil {
-			unix.Connect(c, to) // in progress, for ever
+	for range 3 { // a queue of length 0 holds one connection, and a second is half open
+		if c, failed := held.newSocket(); failed == nil {
+			unix.Connect(c, sockaddr) // stays in progress
 		}
 	}
 	if err != nil {
-		q.end()
+		held.release()
 	}
-	return q, err
+	return held, err
 }
 
-func (q *silence) socket() (int, error) {
+func (q *unreachableAddr) newSocket() (int, error) {
 	fd, err := unix.Socket(unix.AF_INET, unix.SOCK_STREAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 	if err == nil {
 		q.fds = append(q.fds, fd)
@@ -44,18 +45,18 @@
 	return fd, err
 }
 
-func (q *silence) end() {
+func (q *unreachableAddr) release() {
 	for _, fd := range q.fds {
 		unix.Close(fd)
 	}
 	q.fds = nil
 }
 
-// BeSilent holds an address as a vanished machine would, until end is called.
+// BeSilent makes an address unreachable, as at a machine that is cut off, until end is called.
 func BeSilent(addr string) (end func(), err error) {
-	q, err := beSilent(addr)
+	held, err := holdUnreachable(addr)
 	if err != nil {
 		return func() {}, err
 	}
-	return q.end, nil
+	return held.release, nil
 }
--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -7,81 +7,86 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// speech is the protocol of one connection to a server.
-type speech interface {
-	read(in *ringbuffer.Buffer) (whole bool, err error) // hands on the next command
+// serverProtocol is the server side of the protocol of one connection.
+type serverProtocol interface {
+	read(in *ringbuffer.Buffer) (whole bool, err error) // starts the next command once it is complete
 	begun() bool
-	value(r *reply) (text [][]byte, sum uint32) // an answer, and a checksum of what a client takes from it
-	busy() string
-	failed() string
-	spoiled(text string) string // what a fault makes of an answer
+	encodeValue(reply *reply) (text [][]byte, sum uint32) // an answer, and the checksum that a client computes of it
+	busyReply() string
+	failedReply() string
+	corrupt(text string) string // a malformed form of an answer
 }
 
-// memcacheSpeech is the meta commands of the memcache text protocol.
-type memcacheSpeech struct {
-	c      *serverConn
-	reader meta.CommandReader
-	long   longSet
-	damage string // of the long write at hand; empty: none
+// memcacheServer is the server side of the meta commands of the memcache text protocol.
+type memcacheServer struct {
+	conn      *serverConn
+	reader    meta.CommandReader
+	longWrite longWrite
+	damage    string // what is wrong with the current long write's value; empty: nothing
 }
 
-func (m *memcacheSpeech) read(in *ringbuffer.Buffer) (bool, error) {
-	if !m.reader.Begun() && (m.long.begun() || m.long.begins(in)) {
-		return m.long.read(in, m)
+func (m *memcacheServer) read(in *ringbuffer.Buffer) (bool, error) {
+	if !m.reader.Begun() && (m.longWrite.begun() || m.longWrite.startsLongWrite(in)) {
+		return m.longWrite.read(in, m)
 	}
 	return m.reader.Read(in, m)
 }
 
-func (m *memcacheSpeech) begun() bool    { return m.reader.Begun() || m.long.begun() }
-func (m *memcacheSpeech) busy() string   { return "SERVER_ERROR busy\r\n" }
-func (m *memcacheSpeech) failed() string { return "SERVER_ERROR failed\r\n" }
+func (m *memcacheServer) begun() bool         { return m.reader.Begun() || m.longWrite.begun() }
+func (m *memcacheServer) busyReply() string   { return "SERVER_ERROR busy\r\n" }
+func (m *memcacheServer) failedReply() string { return "SERVER_ERROR failed\r\n" }
 
-// Get takes a read.
-func (m *memcacheSpeech) Get(key, id, _, figures string) { m.take(key, id, figures, false) }
+// Get handles a read.
+func (m *memcacheServer) Get(key, id, _, parameters string) {
+	m.startCommand(key, id, parameters, false)
+}
 
-// Set takes a write.
-func (m *memcacheSpeech) Set(key, id, _, figures string, _ []byte) { m.take(key, id, figures, true) }
+// Set handles a write.
+func (m *memcacheServer) Set(key, id, _, parameters string, _ []byte) {
+	m.startCommand(key, id, parameters, true)
+}
 
-// Reserve never comes: long writes are read apart.
-func (m *memcacheSpeech) Reserve(int) bool { return true }
+// Reserve is never called: longWrite reads long writes.
+func (m *memcacheServer) Reserve(int) bool { return true }
 
-// Refused never comes, for none is.
-func (m *memcacheSpeech) Refused() {}
+// Refused is never called, because Reserve refuses nothing.
+func (m *memcacheServer) Refused() {}
 
 // Noop answers a probe.
-func (m *memcacheSpeech) Noop() {
-	m.c.s.f.book.Probes++
-	m.c.say("MN\r\n")
+func (m *memcacheServer) Noop() {
+	m.conn.server.fleet.records.Probes++
+	m.conn.replyText("MN\r\n")
 }
 
-// Bad answers what it does not know.
-func (m *memcacheSpeech) Bad(answer string) { m.c.say(answer + "\r\n") }
+// Bad answers a malformed or unknown command.
+func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
 
-func (m *memcacheSpeech) take(key, id, figures string, write bool) {
-	kind, _ := meta.Figure(figures, "c")
-	t := m.c.s.f.types[kind]
-	if t == nil || t.Write != write {
-		m.c.say("CLIENT_ERROR the type c is unknown\r\n")
+func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
+	className, _ := meta.Figure(parameters, "c")
+	trafficType := m.conn.server.fleet.types[className]
+	if trafficType == nil || trafficType.Write != write {
+		m.conn.replyText("CLIENT_ERROR the type c is unknown\r\n")
 		return
 	}
-	mark, _ := meta.Figure(figures, "k")
-	d, _ := meta.Figure(figures, "d")
-	ms, _ := strconv.ParseFloat(d, 64) // 0 where it is not said
-	m.c.take(t, key, id, mark, ms/1e3, nil, m.damage)
+	idempotencyKey, _ := meta.Figure(parameters, "k")
+	deadline, _ := meta.Figure(parameters, "d")
+	ms, _ := strconv.ParseFloat(deadline, 64) // 0 if it is not stated
+	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
 
-func (m *memcacheSpeech) value(r *reply) ([][]byte, uint32) {
-	v := m.c.s.value(r.x, r.key)
+func (m *memcacheServer) encodeValue(reply *reply) ([][]byte, uint32) {
+	v := m.conn.server.newValue(reply.execution, reply.key)
 	if v.Len() > meta.ValueBound {
-		r.x.Length = v.Len()
+		reply.execution.Length = v.Len()
 	}
-	text := append([][]byte{meta.AppendValue(nil, r.x.ID, v.Len())}, v.Pieces()...)
+	text := append([][]byte{meta.AppendValue(nil, reply.execution.ID, v.Len())}, v.Pieces()...)
 	return append(text, []byte("\r\n")), v.Sum()
 }
 
-// spoiled makes noise of an answer: no line at all, another's id, a length that does not fit, one far too long, a part.
-func (m *memcacheSpeech) spoiled(text string) string {
-	switch m.c.s.chance.IntN(5) {
+// corrupt returns a malformed form of an answer: no valid line, an unknown ID, a wrong length, a length far too long,
+// or half of the answer.
+func (m *memcacheServer) corrupt(text string) string {
+	switch m.conn.server.rng.IntN(5) {
 	case 0:
 		return "\x00\xff~~ noise"
 	case 1:
--- a/internal/emulator/store.go
+++ b/internal/emulator/store.go
@@ -2,11 +2,11 @@
 
 import "container/list"
 
-// store is a cache server's kept objects, the least recently used leaving first. Values are made anew for each answer,
-// so only keys are kept.
+// store is a cache server's cache. It evicts the least recently used key first. Values are generated for each answer,
+// so only keys are stored.
 type store struct {
 	bound int
-	order *list.List // of keys, the last used in front
+	order *list.List // of keys, the most recently used first
 	at    map[string]*list.Element
 }
 
@@ -14,7 +14,7 @@
 	return &store{bound: bound, order: list.New(), at: map[string]*list.Element{}}
 }
 
-// has tells whether a key is held, and counts it as used.
+// has reports whether a key is stored, and marks it as used.
 func (s *store) has(key string) bool {
 	e := s.at[key]
 	if e != nil {
@@ -40,29 +40,30 @@
 	}
 }
 
-// memory is what a group of cache servers knows of numbered operations: which marks it took, when, and what it answered.
-type memory struct {
-	marks map[string]marked
-	order []string // as they came
+// dedupTable is the idempotency keys that the cache servers of one deduplication scope have seen, with their expiry
+// times and receipts.
+type dedupTable struct {
+	entries map[string]dedupEntry
+	order   []string // keys in order of arrival
 }
 
-type marked struct {
-	until   float64
+type dedupEntry struct {
+	expires float64
 	receipt string
 }
 
-// repeat gives the receipt of a mark that was taken within its window.
-func (m *memory) repeat(now float64, mark string) (receipt string, known bool) {
-	at, known := m.marks[mark]
-	return at.receipt, known && now < at.until
+// lookup returns the receipt of a key, and whether the key is within its deduplication window.
+func (m *dedupTable) lookup(now float64, key string) (receipt string, known bool) {
+	entry, known := m.entries[key]
+	return entry.receipt, known && now < entry.expires
 }
 
-// take remembers a mark, and forgets those whose window is over.
-func (m *memory) take(now float64, mark, receipt string, window float64) {
-	for len(m.order) > 0 && m.marks[m.order[0]].until <= now {
-		delete(m.marks, m.order[0])
+// add stores a key with its receipt, and removes keys whose window has ended.
+func (m *dedupTable) add(now float64, key, receipt string, window float64) {
+	for len(m.order) > 0 && m.entries[m.order[0]].expires <= now {
+		delete(m.entries, m.order[0])
 		m.order = m.order[1:]
 	}
-	m.marks[mark] = marked{now + window, receipt}
-	m.order = append(m.order, mark)
+	m.entries[key] = dedupEntry{now + window, receipt}
+	m.order = append(m.order, key)
 }
--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -16,77 +16,81 @@
 	"bendtrestle/internal/tiles"
 )
 
-// tileSpeech is HTTP of a tile server: any scheme, conditional requests, and tiles that are drawn from their addresses.
-type tileSpeech struct {
-	c      *serverConn
+// tileServer is the server side of a tile server's HTTP. It supports all address schemes and conditional requests, and
+// draws each tile from its address.
+type tileServer struct {
+	conn   *serverConn
 	reader http1.RequestReader
 	target string
 	id     string
 	wait   string
-	tag    string // of which the sender has a copy
+	etag   string // ETag of the copy that the sender has; empty: none
 }
 
-func (t *tileSpeech) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
-func (t *tileSpeech) begun() bool                              { return t.reader.Begun() }
-func (t *tileSpeech) busy() string {
+func (t *tileServer) read(in *ringbuffer.Buffer) (bool, error) { return t.reader.Read(in, t) }
+func (t *tileServer) begun() bool                              { return t.reader.Begun() }
+func (t *tileServer) busyReply() string {
 	return "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n"
 }
-func (t *tileSpeech) failed() string {
+func (t *tileServer) failedReply() string {
 	return "HTTP/1.1 500 Internal Server Error\r\nContent-Length: 0\r\n\r\n"
 }
 
-// Begin takes a request line.
-func (t *tileSpeech) Begin(_, target string) { t.target, t.id, t.wait, t.tag = target, "", "", "" }
+// Begin handles a request line.
+func (t *tileServer) Begin(_, target string) { t.target, t.id, t.wait, t.etag = target, "", "", "" }
 
-// Header takes a header.
-func (t *tileSpeech) Header(name, value string) {
+// Header handles a header.
+func (t *tileServer) Header(name, value string) {
 	switch name {
 	case "x-request-id":
 		t.id = value
 	case "x-wait-ms":
 		t.wait = value
 	case "if-none-match":
-		t.tag = value
+		t.etag = value
 	}
 }
 
-// Request takes the end of a request.
-func (t *tileSpeech) Request(bool) {
-	f := t.c.s.f
+// Request handles the end of a request.
+func (t *tileServer) Request(bool) {
+	fleet := t.conn.server.fleet
 	if t.target == "/" {
-		f.book.Probes++
-		t.c.say("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
+		fleet.records.Probes++
+		t.conn.replyText("HTTP/1.1 200 OK\r\nContent-Length: 3\r\n\r\nok\n")
 		return
 	}
-	asked, fault := f.tiles.Parse(t.target)
-	if fault != nil || asked.Capabilities || f.tileType == nil {
-		t.c.say("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
+	request, parseError := fleet.tileService.Parse(t.target)
+	if parseError != nil || request.Capabilities || fleet.tileType == nil {
+		t.conn.replyText("HTTP/1.1 404 Not Found\r\nContent-Length: 0\r\n\r\n")
 		return
 	}
-	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 where it is not said
-	t.c.take(f.tileType, asked.Tile.Key(), t.id, "", ms/1e3, asked.Tile, "")
-	if len(t.c.replies) > 0 {
-		t.c.replies[len(t.c.replies)-1].tag = t.tag
+	ms, _ := strconv.ParseFloat(t.wait, 64) // 0 if it is not stated
+	t.conn.startExecution(fleet.tileType, request.Tile.Key(), t.id, "", ms/1e3, request.Tile, "")
+	if len(t.conn.replies) > 0 {
+		t.conn.replies[len(t.conn.replies)-1].etag = t.etag
 	}
 }
 
-// value draws a tile. Its picture is its address's; a note within the file tells who made it for whom.
-func (t *tileSpeech) value(r *reply) ([][]byte, uint32) {
-	tile := r.extra.(tiles.Tile)
-	s := t.c.s
-	etag := fmt.Sprintf("%q", fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(r.key))))
-	if r.tag == etag {
+// encodeValue draws a tile. Its image depends on its address only. A note in the file names the server and the attempt
+// for which it was made.
+func (t *tileServer) encodeValue(reply *reply) ([][]byte, uint32) {
+	tile := reply.protocolData.(tiles.Tile)
+	server := t.conn.server
+	etag := fmt.Sprintf("%q", fmt.Sprintf("%08x", crc32.ChecksumIEEE([]byte(reply.key))))
+	if reply.etag == etag {
 		return [][]byte{[]byte("HTTP/1.1 304 Not Modified\r\nETag: " + etag + "\r\n\r\n")}, 0
 	}
-	note := fmt.Sprintf("server %s, for %s, number %d", s.Name, r.x.ID, s.f.serial())
-	body := annotate(s.f.picture(tile), note, r.x.Type.Size)
-	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n", etag, len(body))
+	note := fmt.Sprintf("server %s, for %s, number %d", server.Name, reply.execution.ID, server.fleet.nextSerial())
+	body := annotate(server.fleet.tileImage(tile), note, reply.execution.Type.Size)
+	head := fmt.Sprintf("HTTP/1.1 200 OK\r\nContent-Type: image/png\r\nETag: %s\r\nCache-Control: max-age=60\r\nContent-Length: %d\r\n\r\n",
+		etag, len(body))
 	return [][]byte{[]byte(head), body}, crc32.ChecksumIEEE(body)
 }
 
-// spoiled makes noise of an answer: no status line, two lengths, one far too long, chunks that do not fit, a part.
-func (t *tileSpeech) spoiled(text string) string {
-	switch t.c.s.chance.IntN(5) {
+// corrupt returns a malformed form of an answer: no status line, two lengths, a length far too long, invalid chunks, or
+// half of the answer.
+func (t *tileServer) corrupt(text string) string {
+	switch t.conn.server.rng.IntN(5) {
 	case 0:
 		return "\x00\xff~~ noise\r\n"
 	case 1:
@@ -99,38 +103,41 @@
 	return text[:len(text)/2]
 }
 
-const pictures = 4096 // that are kept: several views' worth, of some 1 KB each
+const maxTileImages = 4096 // cached tile images: enough for several map views, about 1 KB each
 
-// picture draws a tile: a colour that its column and row give, and its address, so that a person sees which it is.
-func (f *Fleet) picture(t tiles.Tile) []byte {
+// tileImage draws a tile: its address as text on a background whose colour depends on column and row, so that a person
+// can identify it.
+func (f *Fleet) tileImage(t tiles.Tile) []byte {
 	key := t.Key()
-	if p := f.pictures[key]; p != nil {
-		return p
+	if cached := f.tileImages[key]; cached != nil {
+		return cached
 	}
-	if len(f.pictures) >= pictures {
-		clear(f.pictures)
+	if len(f.tileImages) >= maxTileImages {
+		clear(f.tileImages)
 	}
 	side := 256
 	if t.Twice {
 		side = 512
 	}
 	shade := uint8(200 + 40*((t.Col+t.Row)%2))
-	img := image.NewPaletted(image.Rect(0, 0, side, side), color.Palette{color.RGBA{shade, shade, uint8(180 + 5*(t.Col%15)), 255},
+	img := image.NewPaletted(image.Rect(0, 0, side, side), color.Palette{color.RGBA{shade, shade,
+		uint8(180 + 5*(t.Col%15)), 255},
 		color.RGBA{40, 60, 90, 255}})
 	for i := range side { // a frame
 		img.SetColorIndex(i, 0, 1)
 		img.SetColorIndex(0, i, 1)
 	}
 	for n, line := range []string{t.Layer, "Z" + t.Matrix, "X" + strconv.Itoa(t.Col), "Y" + strconv.Itoa(t.Row)} {
-		write(img, 20, 30+n*50, strings.ToUpper(line), side/64)
+		drawText(img, 20, 30+n*50, strings.ToUpper(line), side/64)
 	}
-	var b bytes.Buffer
-	(&png.Encoder{CompressionLevel: png.BestSpeed}).Encode(&b, img) // into memory
-	f.pictures[key] = b.Bytes()
-	return b.Bytes()
+	var encoded bytes.Buffer
+	(&png.Encoder{CompressionLevel: png.BestSpeed}).Encode(&encoded, img) // into memory
+	f.tileImages[key] = encoded.Bytes()
+	return encoded.Bytes()
 }
 
-// annotate puts a note into a PNG, before its end, filled up so that the file has a size at least.
+// annotate inserts a note into a PNG before its last chunk. It pads the note with spaces so that the file has at least
+// size bytes.
 func annotate(file []byte, note string, size int) []byte {
 	const end = 12 // bytes of the last chunk
 	data := "Comment\x00" + note
@@ -144,7 +151,7 @@
 	return append(out, file[len(file)-end:]...)
 }
 
-// Note gives the note that a stand-in put into a PNG.
+// Note returns the note that the emulator put into a PNG, or "".
 func Note(file []byte) string {
 	_, note, found := bytes.Cut(file, []byte("tEXtComment\x00"))
 	if !found {
@@ -157,10 +164,10 @@
 	return strings.TrimSpace(string(note))
 }
 
-// write draws letters of three columns and five rows, each dot of so many pixels.
-func write(img *image.Paletted, x, y int, text string, dot int) {
+// drawText draws letters of three columns and five rows. Each dot is a square with a side of dot pixels.
+func drawText(img *image.Paletted, x, y int, text string, dot int) {
 	for _, r := range text {
-		bits := letters[r]
+		bits := glyphs[r]
 		for i := range 15 {
 			if bits>>(14-i)&1 == 1 {
 				for dx := range dot {
@@ -174,8 +181,8 @@
 	}
 }
 
-// letters are dots, row by row.
-var letters = map[rune]uint16{
+// glyphs are the letters' dots as 15 bits, row by row.
+var glyphs = map[rune]uint16{
 	'0': 0b111101101101111, '1': 0b010110010010111, '2': 0b111001111100111, '3': 0b111001111001111, '4': 0b101101111001001,
 	'5': 0b111100111001111, '6': 0b111100111101111, '7': 0b111001010010010, '8': 0b111101111101111, '9': 0b111101111001111,
 	'A': 0b010101111101101, 'B': 0b110101110101110, 'C': 0b011100100100011, 'D': 0b110101101101110, 'E': 0b111100110100111,
