--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -30,8 +30,8 @@
 	run  func(b *bench) error
 }
 
-var parts = []part{{"idle", idle}, {"hear", hear}, {"tell", tell}, {"start", begin}, {"conf", conf}, {"list", list}, {"request", request}, {"hollow", hollowPart},
-	{"gossip", gossipPart}, {"value", valuePart}}
+var parts = []part{{"idle", measureIdle}, {"hear", measureReceiving}, {"tell", measureSending}, {"start", measureStart}, {"conf", measureReloads}, {"list", measureLists}, {"request", measureRequests}, {"hollow", measureSimulatedRouters},
+	{"gossip", measureGossip}, {"value", measureValues}}
 
 // Parts names them, and with them the beginnings of all names.
 func Parts() (all []string) {
@@ -62,26 +62,26 @@
 
 // bench is a measurement under way.
 type bench struct {
-	ctx      context.Context
-	plan     Plan
-	program  experiment.Program
-	self     []string
-	selfEnv  []string
-	net      int
-	dir      string
-	progress io.Writer
-	run      int
-	loads    uint64 // of clients, so far
-	lines    map[string]map[float64]*Point
-	figures  map[string]*Point
-	loop     []float64
-	notes    []string
+	ctx       context.Context
+	plan      Plan
+	program   experiment.Program
+	self      []string
+	selfEnv   []string
+	net       int
+	dir       string
+	progress  io.Writer
+	run       int
+	loadCount uint64 // of clients, so far
+	lines     map[string]map[float64]*Point
+	figures   map[string]*Point
+	loopTimes []float64
+	notes     []string
 }
 
 // add takes a value of a line at a size. A loop above 0 is that of the plain loop at the same time, in seconds.
 func (b *bench) add(name string, x, value, loop float64) {
-	q := find(name)
-	of := b.figures
+	q := quantityNamed(name)
+	figures := b.figures
 	if q.Per != "" {
 		if b.lines[name] == nil {
 			b.lines[name] = map[float64]*Point{}
@@ -92,10 +92,10 @@
 		b.lines[name][x].take(value, loop)
 		return
 	}
-	if of[name] == nil {
-		of[name] = &Point{}
+	if figures[name] == nil {
+		figures[name] = &Point{}
 	}
-	of[name].take(value, loop)
+	figures[name].take(value, loop)
 }
 
 func (p *Point) take(value, loop float64) {
@@ -104,8 +104,8 @@
 	}
 }
 
-// find gives a quantity. A name that is in no table is a fault of this package.
-func find(name string) Quantity {
+// quantityNamed gives a quantity. A name that is in no table is a fault of this package.
+func quantityNamed(name string) Quantity {
 	i := slices.IndexFunc(quantities, func(q Quantity) bool { return q.Name == name })
 	if i < 0 {
 		panic("no quantity " + name)
@@ -113,34 +113,34 @@
 	return quantities[i]
 }
 
-// wants tells whether any name that begins so is asked for.
-func (b *bench) wants(begins string) bool {
-	return slices.ContainsFunc(quantities, func(q Quantity) bool { return q.begins(begins) && b.plan.wants(q) })
+// selects tells whether any name that begins so is asked for.
+func (b *bench) selects(prefix string) bool {
+	return slices.ContainsFunc(quantities, func(q Quantity) bool { return q.hasPrefix(prefix) && b.plan.selects(q) })
 }
 
-func (b *bench) say(format string, about ...any) {
+func (b *bench) progressf(format string, about ...any) {
 	if b.progress != nil {
 		fmt.Fprintf(b.progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), b.run+1, b.plan.Runs, fmt.Sprintf(format, about...))
 	}
 }
 
-// note keeps what was seen and is no figure, once.
-func (b *bench) note(format string, about ...any) {
+// addNote keeps what was seen and is no figure, once.
+func (b *bench) addNote(format string, about ...any) {
 	if text := fmt.Sprintf(format, about...); !slices.Contains(b.notes, text) {
 		b.notes = append(b.notes, text)
 	}
 }
 
-// measured takes a window's plain loop, and gives it back.
-func (b *bench) measured(s spent) spent {
-	b.loop = append(b.loop, s.loop*1e6)
+// recordLoop takes a window's plain loop, and gives it back.
+func (b *bench) recordLoop(s usage) usage {
+	b.loopTimes = append(b.loopTimes, s.loop*1e6)
 	return s
 }
 
-// watch looks at a process for a window.
-func (b *bench) watch(p *process) (spent, error) {
-	s, err := p.watch(b.ctx, b.plan.Window)
-	return b.measured(s), err
+// measureWindow looks at a process for a window.
+func (b *bench) measureWindow(p *process) (usage, error) {
+	s, err := p.measureWindow(b.ctx, b.plan.Window)
+	return b.recordLoop(s), err
 }
 
 // Run measures. What ctx ends halfway is an error, and all that was started has ended then.
@@ -149,7 +149,7 @@
 	began, busy := time.Now(), loadAverage()
 	for b.run = range b.plan.Runs {
 		for _, p := range parts {
-			if !b.wants(p.name) {
+			if !b.selects(p.name) {
 				continue
 			}
 			if err := p.run(b); err != nil {
@@ -171,16 +171,16 @@
 
 // report fits all that was taken.
 func (b *bench) report(o Options) *Report {
-	r := &Report{Form: Form, Runs: b.plan.Runs, Small: b.plan.Small, Notes: b.notes}
-	if len(b.loop) > 0 {
-		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime, About: "crc32 of a megabyte, beside every measurement"}, b.loop, nil)
+	r := &Report{Form: ReportVersion, Runs: b.plan.Runs, Small: b.plan.Small, Notes: b.notes}
+	if len(b.loopTimes) > 0 {
+		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime, About: "crc32 of a megabyte, beside every measurement"}, b.loopTimes, nil)
 	}
 	for _, q := range quantities {
-		if !b.plan.wants(q) {
+		if !b.plan.selects(q) {
 			continue
 		}
 		switch points := b.lines[q.Name]; {
-		case q.Per != "" && len(points) >= leastPoints:
+		case q.Per != "" && len(points) >= minPoints:
 			var all []Point
 			for _, x := range slices.Sorted(maps.Keys(points)) {
 				all = append(all, *points[x])
@@ -241,11 +241,11 @@
 		out, _ := exec.CommandContext(ctx, args[0], args[1:]...).Output()
 		return strings.TrimSpace(string(out))
 	}
-	said := cmp.Or(output(append(slices.Clone(p.Args), "version")...), p.Name)
-	if head := output("git", "rev-parse", "--short", "HEAD"); p.Name == "head" && head != "" && strings.Contains(said, "unknown") {
-		if said = strings.Replace(said, "unknown", head, 1); output("git", "status", "--porcelain", "--untracked-files=no") != "" {
-			said += ", with changes"
+	version := cmp.Or(output(append(slices.Clone(p.Args), "version")...), p.Name)
+	if head := output("git", "rev-parse", "--short", "HEAD"); p.Name == "head" && head != "" && strings.Contains(version, "unknown") {
+		if version = strings.Replace(version, "unknown", head, 1); output("git", "status", "--porcelain", "--untracked-files=no") != "" {
+			version += ", with changes"
 		}
 	}
-	return said
+	return version
 }
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -30,11 +30,11 @@
 	case "":
 		os.Exit(m.Run())
 	case "router":
-		err = serve(log)
+		err = runRouter(log)
 	case "hollow":
 		err = simrouter.Serve(os.Stdin, os.Stdout, log)
 	case "holder":
-		err = hold()
+		err = holdSimulatedRouters()
 	}
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
@@ -42,12 +42,12 @@
 	}
 }
 
-func serve(log zerolog.Logger) error {
+func runRouter(log zerolog.Logger) error {
 	signals := service.Signals()
 	read := func() (service.Setup, error) {
-		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
-		conf, other := config.Read(os.Getenv)
-		return service.Setup{Platform: conf, Operators: theirs}, errors.Join(err, other)
+		operators, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
+		conf, otherErr := config.Read(os.Getenv)
+		return service.Setup{Platform: conf, Operators: operators}, errors.Join(err, otherErr)
 	}
 	set, err := read()
 	if err != nil {
@@ -56,12 +56,12 @@
 	return service.Run(set, signals, requestcore.DefaultBalancer, read, log)
 }
 
-// hold starts hollow routers, says so, and never ends by itself.
-func hold() error {
+// holdSimulatedRouters starts hollow routers, says so, and never ends by itself.
+func holdSimulatedRouters() error {
 	o := Options{Plan: Little(), Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
 	o.Net, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
 	b := newBench(context.Background(), o)
-	_, err := b.hollows(simrouter.Spec{Way: "all", Peers: b.others(8), Known: []byte(someServers)}, 8)
+	_, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: b.peerAddresses(8), InitialList: []byte(twoServers)}, 8)
 	if err == nil {
 		fmt.Println("holding")
 		select {}
@@ -69,7 +69,7 @@
 	return err
 }
 
-const someServers = `{"generation": 2, "reset": true, "instances": [
+const twoServers = `{"generation": 2, "reset": true, "instances": [
 	{"instanceId": "s-000", "hostPort": "127.0.0.1:11300", "lifecycle": "ready", "weight": 1},
 	{"instanceId": "s-001", "hostPort": "127.0.0.2:11300", "lifecycle": "ready", "weight": 1}]}`
 
@@ -87,8 +87,8 @@
 	return o
 }
 
-// in gives the processes that work in a folder: those that were started for a run have their logs there.
-func in(dir string) (pids []int) {
+// processesLoggingIn gives the processes that work in a folder: those that were started for a run have their logs there.
+func processesLoggingIn(dir string) (pids []int) {
 	all, _ := filepath.Glob("/proc/[0-9]*")
 	for _, proc := range all {
 		out, err := os.Readlink(proc + "/fd/2")
@@ -100,12 +100,12 @@
 	return pids
 }
 
-// gone waits until no process works in a folder any more.
-func gone(t *testing.T, dir string) {
+// waitUntilGone waits until no process works in a folder any more.
+func waitUntilGone(t *testing.T, dir string) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); len(in(dir)) > 0; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(10 * time.Second); len(processesLoggingIn(dir)) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("processes %v go on", in(dir))
+			t.Fatalf("processes %v go on", processesLoggingIn(dir))
 		}
 	}
 }
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -18,54 +18,54 @@
 	"bendtrestle/internal/experiment/scale/simrouter"
 )
 
-// child is a process of hollow routers.
-type child struct {
+// simProcess is a process of hollow routers.
+type simProcess struct {
 	process
-	in      io.WriteCloser
-	out     *json.Decoder
+	stdin   io.WriteCloser
+	stdout  *json.Decoder
 	orders  *json.Encoder
-	answers chan answered
+	answers chan answerResult
 	count   int
 }
 
-type answered struct {
+type answerResult struct {
 	simrouter.Answer
 	err error
 }
 
-// hollows are the processes that hold a fleet of hollow routers.
-type hollows struct {
-	b   *bench
-	all []*child
+// simFleet are the processes that hold a fleet of hollow routers.
+type simFleet struct {
+	bench     *bench
+	processes []*simProcess
 }
 
-// hollows starts routers with these numbers among the peers, as many to a process as the plan allows, and waits until all hear.
-func (b *bench) hollows(spec simrouter.Spec, numbers int) (h *hollows, err error) {
-	return b.hollowsBy(b.plan.Hollow, spec, numbers)
+// startSimFleet starts routers with these numbers among the peers, as many to a process as the plan allows, and waits until all hear.
+func (b *bench) startSimFleet(spec simrouter.Spec, count int) (h *simFleet, err error) {
+	return b.startSimFleetBy(b.plan.Hollow, spec, count)
 }
 
-// hollowsBy starts them with so many to a process at most.
-func (b *bench) hollowsBy(most int, spec simrouter.Spec, numbers int) (h *hollows, err error) {
-	err = again(b.ctx, func() (err error) {
-		h, err = b.openHollows(most, spec, numbers)
+// startSimFleetBy starts them with so many to a process at most.
+func (b *bench) startSimFleetBy(perProcess int, spec simrouter.Spec, count int) (h *simFleet, err error) {
+	err = retryWhileAddressInUse(b.ctx, func() (err error) {
+		h, err = b.tryStartSimFleet(perProcess, spec, count)
 		return err
 	})
 	return h, err
 }
 
-func (b *bench) openHollows(most int, spec simrouter.Spec, numbers int) (*hollows, error) {
-	h := &hollows{b: b}
-	for first := spec.First; first < spec.First+numbers; first += most {
-		one := spec
-		one.First, one.Count = first, min(most, spec.First+numbers-first)
-		c, err := b.child(len(h.all), one)
+func (b *bench) tryStartSimFleet(perProcess int, spec simrouter.Spec, count int) (*simFleet, error) {
+	h := &simFleet{bench: b}
+	for first := spec.First; first < spec.First+count; first += perProcess {
+		processSpec := spec
+		processSpec.First, processSpec.Count = first, min(perProcess, spec.First+count-first)
+		c, err := b.startSimProcess(len(h.processes), processSpec)
 		if err != nil {
 			h.close()
 			return nil, err
 		}
-		h.all = append(h.all, c)
+		h.processes = append(h.processes, c)
 	}
-	_, err := h.ask(nil)
+	_, err := h.sendOrder(nil)
 	if err != nil {
 		h.close()
 		return nil, err
@@ -73,10 +73,10 @@
 	return h, nil
 }
 
-func (b *bench) child(n int, spec simrouter.Spec) (*child, error) {
-	c := &child{process: process{log: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}, count: spec.Count,
-		answers: make(chan answered)}
-	log, err := os.Create(c.log)
+func (b *bench) startSimProcess(n int, spec simrouter.Spec) (*simProcess, error) {
+	c := &simProcess{process: process{logPath: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}, count: spec.Count,
+		answers: make(chan answerResult)}
+	log, err := os.Create(c.logPath)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +84,7 @@
 	c.cmd = exec.Command(b.self[0], b.self[1:]...)
 	c.cmd.Env, c.cmd.Stderr = append(os.Environ(), b.selfEnv...), log
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if c.in, err = c.cmd.StdinPipe(); err != nil {
+	if c.stdin, err = c.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, in, err := os.Pipe()
@@ -99,12 +99,12 @@
 		return nil, fmt.Errorf("hollow routers: %w", err)
 	}
 	go func() { c.cmd.Wait(); close(c.ended) }()
-	c.orders, c.out = json.NewEncoder(c.in), json.NewDecoder(bufio.NewReader(out))
+	c.orders, c.stdout = json.NewEncoder(c.stdin), json.NewDecoder(bufio.NewReader(out))
 	go func() { // one answer for the spec and one for each order, until the process ends
 		defer out.Close()
 		for {
-			var a answered
-			if a.err = c.out.Decode(&a.Answer); a.err == nil && a.Error != "" {
+			var a answerResult
+			if a.err = c.stdout.Decode(&a.Answer); a.err == nil && a.Error != "" {
 				a.err = errors.New(a.Error)
 			}
 			select {
@@ -122,80 +122,80 @@
 	return c, c.orders.Encode(spec)
 }
 
-// ask gives all an order and waits for their answers; with none it waits for the answer to their spec. It gives their sums.
-func (h *hollows) ask(o *simrouter.Order) (sum simrouter.Answer, err error) {
+// sendOrder gives all an order and waits for their answers; with none it waits for the answer to their spec. It gives their sums.
+func (h *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
-		for _, c := range h.all {
+		for _, c := range h.processes {
 			if err := c.orders.Encode(o); err != nil {
-				return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", err, c.tail())
+				return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", err, c.logTail())
 			}
 		}
 	}
-	late := time.After(readying)
-	for i, c := range h.all {
-		var a answered
+	timeout := time.After(readyTimeout)
+	for i, c := range h.processes {
+		var a answerResult
 		select {
 		case a = <-c.answers:
-		case <-h.b.ctx.Done():
-			return sum, h.b.ctx.Err()
-		case <-late:
-			return sum, fmt.Errorf("hollow routers did not answer within %v", readying)
+		case <-h.bench.ctx.Done():
+			return sum, h.bench.ctx.Err()
+		case <-timeout:
+			return sum, fmt.Errorf("hollow routers did not answer within %v", readyTimeout)
 		}
 		if a.err != nil {
-			return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", a.err, c.tail())
+			return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", a.err, c.logTail())
 		}
 		if sum.Traffic.Add(a.Traffic, i == 0); i == 0 {
-			sum.Oldest = a.Oldest
+			sum.OldestGeneration = a.OldestGeneration
 		}
-		sum.Zoned += a.Zoned
-		if a.Oldest > 0 {
-			sum.Oldest = min(max(sum.Oldest, 1), a.Oldest)
+		sum.ZoneMessages += a.ZoneMessages
+		if a.OldestGeneration > 0 {
+			sum.OldestGeneration = min(max(sum.OldestGeneration, 1), a.OldestGeneration)
 		}
-		sum.Latest = max(sum.Latest, a.Latest)
-		sum.Each = append(sum.Each, a.Each...)
+		sum.LatestChange = max(sum.LatestChange, a.LatestChange)
+		sum.RouterBytes = append(sum.RouterBytes, a.RouterBytes...)
 	}
 	return sum, nil
 }
 
 // processor is the processor time of all, and what they hold resident.
-func (h *hollows) spent() (processor, resident float64, err error) {
-	for _, c := range h.all {
-		p, err := processorOf(c.pid())
+func (h *simFleet) totals() (cpu, resident float64, err error) {
+	for _, c := range h.processes {
+		p, err := cpuSeconds(c.pid())
 		if err != nil {
 			return 0, 0, err
 		}
-		m, _, err := memoryOf(c.pid())
+		m, _, err := residentKiB(c.pid())
 		if err != nil {
 			return 0, 0, err
 		}
-		processor, resident = processor+p, resident+m
+		cpu, resident = cpu+p, resident+m
 	}
-	return processor, resident, nil
+	return cpu, resident, nil
 }
 
 // close ends them all: they end with their input, and are killed if they do not.
-func (h *hollows) close() {
-	for _, c := range h.all {
-		c.in.Close()
+func (h *simFleet) close() {
+	for _, c := range h.processes {
+		c.stdin.Close()
 	}
-	late := time.After(ending)
-	for _, c := range h.all {
+	timeout := time.After(exitTimeout)
+	for _, c := range h.processes {
 		select {
 		case <-c.ended:
-		case <-late:
+		case <-timeout:
 		}
 		c.kill()
 	}
 }
 
 const (
-	tellers   = 37       // routers that say a word a second to all, where all of 3,700 would be 13.7 million datagrams a second
-	mostKept  = 12 << 20 // KiB that all hollow routers may hold resident
-	agreement = 0.25     // part by which a hollow router's processor time for a word may differ from a real one's
+	senderCount     = 37       // routers that say a word a second to all, where all of 3,700 would be 13.7 million datagrams a second
+	maxResidentKiB  = 12 << 20 // KiB that all hollow routers may hold resident
+	maxCPUDeviation = 0.25     // part by which a hollow router's processor time for a word may differ from a real one's
 )
 
-// sample gives so many of the routers from first on, spread over all.
-func sample(first, routers, n int) (all []int) {
+// spreadIndexes gives so many of the routers from first on, spread over all.
+func spreadIndexes(first, routers, n int) (all []int) {
 	n = min(n, routers)
 	for i := range n {
 		all = append(all, first+i*routers/n)
@@ -203,259 +203,259 @@
 	return all
 }
 
-// hollowPart measures fleets of hollow routers, and sets one beside a real one.
-func hollowPart(b *bench) error {
+// measureSimulatedRouters measures fleets of hollow routers, and sets one beside a real one.
+func measureSimulatedRouters(b *bench) error {
 	most := slices.Max(b.plan.Servers)
-	lost, said, size := 0.0, 0.0, 0.0
+	lost, sent, size := 0.0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
-		b.say("%d hollow routers", n)
-		err := b.before(most, func(s *stage) error {
-			known, err := fetch(s.lists[0].Addr(), "")
+		b.progressf("%d hollow routers", n)
+		err := b.withServers(most, func(s *testbed) error {
+			known, err := fetchList(s.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
 			began := time.Now()
-			spec := simrouter.Spec{Way: "all", Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}
-			h, err := b.hollows(spec, n)
+			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: known, ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
+			h, err := b.startSimFleet(spec, n)
 			if err != nil {
 				return err
 			}
 			defer h.close()
 			b.add("hollow.ready", float64(n), time.Since(began).Seconds()*1e3, 0)
-			if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
 				return err
 			}
-			quiet, err := h.window(b)
+			quiet, err := h.measureWindow(b)
 			if err != nil {
 				return err
 			}
 			b.add("hollow.memory", float64(n), quiet.resident, 0)
-			if quiet.resident > mostKept {
-				return fmt.Errorf("%d hollow routers hold %.0f KiB; %d are what they may hold: take fewer by --routers", n, quiet.resident, mostKept)
+			if quiet.resident > maxResidentKiB {
+				return fmt.Errorf("%d hollow routers hold %.0f KiB; %d are what they may hold: take fewer by --routers", n, quiet.resident, maxResidentKiB)
 			}
-			b.add("hollow.core.quiet", float64(n), quiet.rate(), quiet.loop)
-			told, err := h.ask(&simrouter.Order{}) // while nothing is on its way
+			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
+			before, err := h.sendOrder(&simrouter.Order{}) // while nothing is on its way
 			if err != nil {
 				return err
 			}
-			if _, err = h.ask(&simrouter.Order{Talk: sample(0, n, tellers), Period: time.Second}); err != nil {
+			if _, err = h.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, senderCount), Period: time.Second}); err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
 				return err
 			}
-			w, err := h.window(b)
+			w, err := h.measureWindow(b)
 			if err != nil {
 				return err
 			}
-			done, err := h.settled()
+			after, err := h.stopAndSettle()
 			if err != nil {
 				return err
 			}
-			heard := float64(done.Traffic.DatagramsIn - told.Traffic.DatagramsIn)
-			out := float64(done.Traffic.DatagramsOut - told.Traffic.DatagramsOut)
-			lost, said, size = lost+out-heard, said+out, size+float64(done.Traffic.BytesIn-told.Traffic.BytesIn)
-			b.add("hollow.core.datagrams", float64(min(n, tellers)*(n-1)), w.rate()-quiet.rate(), w.loop)
-			return b.hollowChange(s, h, n)
+			receivedNow := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn)
+			sentNow := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
+			lost, sent, size = lost+sentNow-receivedNow, sent+sentNow, size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
+			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), w.cpuRate()-quiet.cpuRate(), w.loop)
+			return b.measureListChange(s, h, n)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	b.add("hollow.datagrams", 0, said, 0)
+	b.add("hollow.datagrams", 0, sent, 0)
 	b.add("hollow.lost", 0, lost, 0)
-	b.add("hollow.bytes.datagram", 0, size/(said-lost), 0)
-	return b.agree()
+	b.add("hollow.bytes.datagram", 0, size/(sent-lost), 0)
+	return b.compareWithRealRouter()
 }
 
-// window is what all take in a window.
-func (h *hollows) window(b *bench) (w spent, err error) {
-	before, _, err := h.spent()
+// measureWindow is what all take in a window.
+func (h *simFleet) measureWindow(b *bench) (w usage, err error) {
+	before, _, err := h.totals()
 	if err != nil {
 		return w, err
 	}
 	began := time.Now()
-	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &h.all[0].process); err != nil {
+	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &h.processes[0].process); err != nil {
 		return w, err
 	}
-	after, resident, err := h.spent()
-	w.seconds, w.processor, w.resident, w.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
-	return b.measured(w), err
+	after, resident, err := h.totals()
+	w.seconds, w.cpu, w.resident, w.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
+	return b.recordLoop(w), err
 }
 
-// settled hushes all, and gives the counts once nothing is on its way.
-func (h *hollows) settled() (simrouter.Answer, error) {
-	a, err := h.ask(&simrouter.Order{Hush: true})
+// stopAndSettle hushes all, and gives the counts once nothing is on its way.
+func (h *simFleet) stopAndSettle() (simrouter.Answer, error) {
+	a, err := h.sendOrder(&simrouter.Order{Stop: true})
 	for range 100 {
 		if err != nil || a.Traffic.DatagramsIn >= a.Traffic.DatagramsOut {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 		before := a.Traffic.DatagramsIn
-		if a, err = h.ask(&simrouter.Order{}); err == nil && a.Traffic.DatagramsIn == before {
+		if a, err = h.sendOrder(&simrouter.Order{}); err == nil && a.Traffic.DatagramsIn == before {
 			break
 		}
 	}
 	return a, err
 }
 
-// hollowChange measures how long a change of the list takes to be in force at all that follow it.
-func (b *bench) hollowChange(s *stage, h *hollows, n int) error {
-	a, err := h.ask(&simrouter.Order{})
+// measureListChange measures how long a change of the list takes to be in force at all that follow it.
+func (b *bench) measureListChange(s *testbed, h *simFleet, n int) error {
+	a, err := h.sendOrder(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
-	var at float64
-	s.on(func() {
-		at = s.loop.Now()
+	var changedAt float64
+	s.onLoop(func() {
+		changedAt = s.loop.Now()
 		s.fleet.Servers()[0].Drain()
 	})
-	wanted := a.Oldest + 1
-	err = h.all[0].until(b.ctx, "a change of the list at hollow routers", func() bool {
-		a, err = h.ask(&simrouter.Order{})
-		return err != nil || a.Oldest >= wanted
+	wantGeneration := a.OldestGeneration + 1
+	err = h.processes[0].deadline(b.ctx, "a change of the list at hollow routers", func() bool {
+		a, err = h.sendOrder(&simrouter.Order{})
+		return err != nil || a.OldestGeneration >= wantGeneration
 	})
 	if err == nil {
-		b.add("hollow.force.list", float64(n), max(0, a.Latest-at)*1e3, 0)
+		b.add("hollow.force.list", float64(n), max(0, a.LatestChange-changedAt)*1e3, 0)
 	}
 	return err
 }
 
-// agree sets hollow routers beside a real one: in what they hear and tell, and in what a word takes of the processor.
-func (b *bench) agree() error {
+// compareWithRealRouter sets hollow routers beside a real one: in what they hear and tell, and in what a word takes of the processor.
+func (b *bench) compareWithRealRouter() error {
 	most, fewest := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
-	rate := float64(fixedRate)
+	rate := float64(fixedMessageRate)
 	if b.plan.Small {
 		rate = 200
 	}
-	b.say("a hollow router beside a real one")
-	v, err := b.voices(fewest)
+	b.progressf("a hollow router beside a real one")
+	v, err := b.openPeerSockets(fewest)
 	if err != nil {
 		return err
 	}
 	defer v.close()
-	times := map[string]float64{}
-	one := func(name string, p *process, words []byte) error {
-		before, err := b.watch(p)
+	perMessage := map[string]float64{}
+	measureMessage := func(name string, p *process, message []byte) error {
+		before, err := b.measureWindow(p)
 		if err != nil {
 			return err
 		}
-		s, heard, err := b.listen(p, v, rate, func(int) []byte { return words })
-		times[name] = (s.rate() - before.rate()) / max(heard, 1)
+		s, received, err := b.measureReceipt(p, v, rate, func(int) []byte { return message })
+		perMessage[name] = (s.cpuRate() - before.cpuRate()) / max(received, 1)
 		return err
 	}
-	err = b.with(most, setup{peers: b.others(fewest), words: true}, func(s *stage, p *process) error {
-		return one("real", p, usualWord(s))
+	err = b.withRouter(most, routerSetup{peers: b.peerAddresses(fewest), gossip: true}, func(s *testbed, p *process) error {
+		return measureMessage("real", p, typicalMessage(s))
 	})
 	if err != nil {
 		return err
 	}
-	err = b.before(most, func(s *stage) error { // at the real one's address, and as it is the only one of its process
-		known, err := fetch(s.lists[0].Addr(), "")
+	err = b.withServers(most, func(s *testbed) error { // at the real one's address, and as it is the only one of its process
+		known, err := fetchList(s.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		own := b.at(routerAt, 0, wordsPort)
-		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: append([]string{own}, b.others(fewest)...), Known: known, List: s.lists[0].Addr(), Follow: []int{0}}, 1)
+		own := b.address(routerOctet, 0, gossipPort)
+		h, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: append([]string{own}, b.peerAddresses(fewest)...), InitialList: known, ListService: s.listServices[0].Addr(), Follow: []int{0}}, 1)
 		if err != nil {
 			return err
 		}
 		defer h.close()
-		if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+		if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
 			return err
 		}
-		return one("hollow", &h.all[0].process, usualWord(s))
+		return measureMessage("hollow", &h.processes[0].process, typicalMessage(s))
 	})
 	if err != nil {
 		return err
 	}
 	v.close()
 	v.sockets = nil
-	b.add("hollow.core.word", 0, times["hollow"], 0)
-	b.add("hollow.agree.core", 0, times["hollow"]/times["real"], 0)
-	if off := times["hollow"]/times["real"] - 1; !b.plan.Small && (off > agreement || off < -agreement) {
-		b.note("a word takes %.0f us of a hollow router and %.0f of a real one: more than %.0f%% apart", times["hollow"], times["real"], 100*agreement)
+	b.add("hollow.core.word", 0, perMessage["hollow"], 0)
+	b.add("hollow.agree.core", 0, perMessage["hollow"]/perMessage["real"], 0)
+	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small && (deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
+		b.addNote("a word takes %.0f us of a hollow router and %.0f of a real one: more than %.0f%% apart", perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
 	}
-	return b.among(fewest)
+	return b.countBesideRealRouter(fewest)
 }
 
-// among puts a real router among hollow ones, and counts what each side says and hears.
-func (b *bench) among(n int) error {
-	b.say("a real router among %d hollow ones", n)
-	c := setup{peers: b.others(n), words: true, zones: true, door: true, routers: 50}
-	return b.with(slices.Max(b.plan.Servers), c, func(s *stage, p *process) error {
-		known, err := fetch(s.lists[0].Addr(), "")
+// countBesideRealRouter puts a real router among hollow ones, and counts what each side says and hears.
+func (b *bench) countBesideRealRouter(n int) error {
+	b.progressf("a real router among %d hollow ones", n)
+	c := routerSetup{peers: b.peerAddresses(n), gossip: true, zoneFailover: true, adminServer: true, fleetSize: 50}
+	return b.withRouter(slices.Max(b.plan.Servers), c, func(s *testbed, p *process) error {
+		known, err := fetchList(s.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		peers := append([]string{b.at(routerAt, 0, wordsPort)}, b.others(n)...)
-		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: peers, First: 1, Known: known, List: s.lists[0].Addr()}, n)
+		peers := append([]string{b.address(routerOctet, 0, gossipPort)}, b.peerAddresses(n)...)
+		h, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: known, ListService: s.listServices[0].Addr()}, n)
 		if err != nil {
 			return err
 		}
 		defer h.close()
-		said, before, err := b.still(h)
+		sentBefore, before, err := b.countsAtRest(h)
 		if err != nil {
 			return err
 		}
-		everyone := sample(1, n, n)
-		for range repeats {
-			if _, err = h.ask(&simrouter.Order{SayOnce: everyone}); err != nil {
+		allSimulated := spreadIndexes(1, n, n)
+		for range repetitions {
+			if _, err = h.sendOrder(&simrouter.Order{SendOnce: allSimulated}); err != nil {
 				return err
 			}
 			if err = sleep(b.ctx, 200*time.Millisecond, p); err != nil {
 				return err
 			}
 		}
-		now, a, err := b.still(h)
+		sentAfter, after, err := b.countsAtRest(h)
 		if err != nil {
 			return err
 		}
-		dropped, err := lost(b.at(routerAt, 0, wordsPort))
+		dropped, err := droppedDatagrams(b.address(routerOctet, 0, gossipPort))
 		if err != nil {
 			return err
 		}
-		b.add("hollow.agree.heard", 0, float64(a.Traffic.Heard-a.Zoned)-float64(repeats*n*(n-1)), 0)
+		b.add("hollow.agree.heard", 0, float64(after.Traffic.Heard-after.ZoneMessages)-float64(repetitions*n*(n-1)), 0)
 		b.add("hollow.agree.real", 0, float64(dropped), 0)
-		b.add("hollow.agree.told", 0, float64(a.Zoned-before.Zoned)-(now-said)*float64(n), 0)
+		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-(sentAfter-sentBefore)*float64(n), 0)
 		return nil
 	})
 }
 
-// still gives how many words a real router says that it has said, and what hollow ones have heard at that moment: when it says none
+// countsAtRest gives how many words a real router says that it has said, and what hollow ones have heard at that moment: when it says none
 // for longer than its door's figures are old.
-func (b *bench) still(h *hollows) (said float64, a simrouter.Answer, err error) {
-	const older = 150 * time.Millisecond // its figures are published each tenth of a second
+func (b *bench) countsAtRest(h *simFleet) (sent float64, a simrouter.Answer, err error) {
+	const refreshWait = 150 * time.Millisecond // its figures are published each tenth of a second
 	for range 200 {
-		if said, err = b.figure("zone_words"); err != nil {
+		if sent, err = b.adminMetric("zone_words"); err != nil {
 			return 0, a, err
 		}
-		if err = sleep(b.ctx, older, nil); err != nil {
+		if err = sleep(b.ctx, refreshWait, nil); err != nil {
 			return 0, a, err
 		}
-		if a, err = h.ask(&simrouter.Order{}); err != nil {
+		if a, err = h.sendOrder(&simrouter.Order{}); err != nil {
 			return 0, a, err
 		}
-		if err = sleep(b.ctx, older, nil); err != nil {
+		if err = sleep(b.ctx, refreshWait, nil); err != nil {
 			return 0, a, err
 		}
-		now, err := b.figure("zone_words")
-		if err != nil || now == said {
-			return said, a, err
+		now, err := b.adminMetric("zone_words")
+		if err != nil || now == sent {
+			return sent, a, err
 		}
 	}
 	return 0, a, errors.New("the real router never falls silent for long enough to be counted")
 }
 
-// figure reads a number at the real router's door.
-func (b *bench) figure(name string) (float64, error) {
+// adminMetric reads a number at the real router's door.
+func (b *bench) adminMetric(name string) (float64, error) {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + b.at(routerAt, 0, 9400) + "/metrics")
+	response, err := client.Get("http://" + b.address(routerOctet, 0, 9400) + "/metrics")
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err
 	}
--- a/internal/experiment/scale/list.go
+++ b/internal/experiment/scale/list.go
@@ -12,119 +12,119 @@
 	"time"
 )
 
-// counter stands between a router and its list service, and counts what passes.
-type counter struct {
+// countingProxy stands between a router and its list service, and counts what passes.
+type countingProxy struct {
 	ln           net.Listener
-	to           string
+	target       string
 	calls, bytes atomic.Int64
 	mu           sync.Mutex
-	open         []net.Conn
-	all          sync.WaitGroup
+	connections  []net.Conn
+	goroutines   sync.WaitGroup
 }
 
-func newCounter(addr, to string) (*counter, error) {
+func newCountingProxy(addr, to string) (*countingProxy, error) {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		return nil, err
 	}
-	c := &counter{ln: ln, to: to}
-	c.all.Add(1)
+	c := &countingProxy{ln: ln, target: to}
+	c.goroutines.Add(1)
 	go func() {
-		defer c.all.Done()
+		defer c.goroutines.Done()
 		for {
 			conn, err := ln.Accept()
 			if err != nil {
 				return
 			}
-			c.all.Add(1)
-			go c.pass(conn)
+			c.goroutines.Add(1)
+			go c.forward(conn)
 		}
 	}()
 	return c, nil
 }
 
-func (c *counter) pass(conn net.Conn) {
-	defer c.all.Done()
+func (c *countingProxy) forward(conn net.Conn) {
+	defer c.goroutines.Done()
 	defer conn.Close()
-	far, err := net.Dial("tcp", c.to)
+	upstream, err := net.Dial("tcp", c.target)
 	if err != nil {
 		return
 	}
-	defer far.Close()
+	defer upstream.Close()
 	c.mu.Lock()
-	c.open = append(c.open, conn, far)
+	c.connections = append(c.connections, conn, upstream)
 	c.mu.Unlock()
 	done := make(chan struct{})
 	go func() {
-		io.Copy(far, io.TeeReader(conn, counting(func(p []byte) {
+		io.Copy(upstream, io.TeeReader(conn, writerFunc(func(p []byte) {
 			c.calls.Add(int64(bytes.Count(p, []byte("GET /")))) // a request is written in one go
 			c.bytes.Add(int64(len(p)))
 		})))
-		far.Close()
+		upstream.Close()
 		close(done)
 	}()
-	io.Copy(conn, io.TeeReader(far, counting(func(p []byte) { c.bytes.Add(int64(len(p))) })))
+	io.Copy(conn, io.TeeReader(upstream, writerFunc(func(p []byte) { c.bytes.Add(int64(len(p))) })))
 	conn.Close()
 	<-done
 }
 
-type counting func(p []byte)
+type writerFunc func(p []byte)
 
-func (f counting) Write(p []byte) (int, error) {
+func (f writerFunc) Write(p []byte) (int, error) {
 	f(p)
 	return len(p), nil
 }
 
-func (c *counter) close() {
+func (c *countingProxy) close() {
 	c.ln.Close()
 	c.mu.Lock()
-	for _, conn := range c.open {
+	for _, conn := range c.connections {
 		conn.Close()
 	}
 	c.mu.Unlock()
-	c.all.Wait()
+	c.goroutines.Wait()
 }
 
-// fetch gives a list as the service tells it.
-func fetch(addr, query string) ([]byte, error) {
+// fetchList gives a list as the service tells it.
+func fetchList(addr, query string) ([]byte, error) {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + addr + "/catalog/members" + query)
+	response, err := client.Get("http://" + addr + "/catalog/members" + query)
 	if err != nil {
 		return nil, err
 	}
-	defer answer.Body.Close()
-	return io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	return io.ReadAll(response.Body)
 }
 
-// list measures the list of servers: its size, what taking it costs whole and by one change, what calls cost that bring no news.
-func list(b *bench) error {
+// measureLists measures the list of servers: its size, what taking it costs whole and by one change, what calls cost that bring no news.
+func measureLists(b *bench) error {
 	for _, n := range b.plan.Servers {
-		b.say("lists of %d servers", n)
-		err := b.with(n, setup{}, func(s *stage, p *process) error {
-			loop := b.measured(spent{loop: plainLoop()}).loop
-			whole, err := fetch(s.lists[0].Addr(), "")
+		b.progressf("lists of %d servers", n)
+		err := b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
+			loop := b.recordLoop(usage{loop: plainLoop()}).loop
+			whole, err := fetchList(s.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
 			b.add("list.bytes.servers", float64(n), float64(len(whole)), 0)
-			same, _, err := b.hangUp(s, p, saysAnew, func(int) setup { return setup{} })
+			same, _, err := b.measureReload(s, p, logReloaded, func(int) routerSetup { return routerSetup{} })
 			if err != nil {
 				return err
 			}
-			moved, force, err := b.hangUp(s, p, saysList, func(k int) setup { return setup{list: 1 - k%2} })
+			moved, force, err := b.measureReload(s, p, logListInForce, func(k int) routerSetup { return routerSetup{listService: 1 - k%2} })
 			if err != nil {
 				return err
 			}
 			b.add("list.core.servers", float64(n), moved-same, loop)
 			b.add("list.force.servers", float64(n), force, 0)
-			each, force, size, err := b.changes(s, p)
+			each, force, size, err := b.measureListChanges(s, p)
 			if err != nil {
 				return err
 			}
 			b.add("list.core.change", float64(n), each, loop)
 			b.add("list.force.change", float64(n), force, 0)
 			b.add("list.bytes.change", 0, size, 0)
-			_, top, err := memoryOf(p.pid())
+			_, top, err := residentKiB(p.pid())
 			b.add("list.memory.servers", float64(n), top, 0)
 			return err
 		})
@@ -132,48 +132,48 @@
 			return err
 		}
 	}
-	b.say("calls of the list without news")
-	return b.with(slices.Max(b.plan.Servers), setup{counted: true}, func(s *stage, p *process) error {
-		calls, size := s.counter.calls.Load(), s.counter.bytes.Load()
-		w, err := p.watch(b.ctx, max(b.plan.Window, time.Second))
-		b.measured(w)
-		b.add("list.calls", 0, float64(s.counter.calls.Load()-calls)/w.seconds, 0)
-		b.add("list.bytes.calls", 0, float64(s.counter.bytes.Load()-size)/w.seconds, 0)
+	b.progressf("calls of the list without news")
+	return b.withRouter(slices.Max(b.plan.Servers), routerSetup{countListCalls: true}, func(s *testbed, p *process) error {
+		calls, size := s.listProxy.calls.Load(), s.listProxy.bytes.Load()
+		w, err := p.measureWindow(b.ctx, max(b.plan.Window, time.Second))
+		b.recordLoop(w)
+		b.add("list.calls", 0, float64(s.listProxy.calls.Load()-calls)/w.seconds, 0)
+		b.add("list.bytes.calls", 0, float64(s.listProxy.bytes.Load()-size)/w.seconds, 0)
 		return err
 	})
 }
 
-// changes has servers drained and brought back, one after another, and gives what one such change takes of the router's processor
+// measureListChanges has servers drained and brought back, one after another, and gives what one such change takes of the router's processor
 // beyond what it takes doing nothing, and until it is in force, and what is written of it in the list.
-func (b *bench) changes(s *stage, p *process) (each, force, size float64, err error) {
-	idling, err := b.watch(p)
+func (b *bench) measureListChanges(s *testbed, p *process) (cpuMicros, delay, size float64, err error) {
+	idleUsage, err := b.measureWindow(p)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	began, passed := time.Now(), 0.0
-	before, err := processorOf(p.pid())
+	began, elapsed := time.Now(), 0.0
+	before, err := cpuSeconds(p.pid())
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	for n := range 2 * repeats {
-		known, told := p.said(saysList), time.Now()
-		s.on(func() {
-			if one := s.fleet.Servers()[n/2%len(s.fleet.Servers())]; n%2 == 0 {
-				one.Drain()
+	for n := range 2 * repetitions {
+		seen, changedAt := p.countLogLines(logListInForce), time.Now()
+		s.onLoop(func() {
+			if server := s.fleet.Servers()[n/2%len(s.fleet.Servers())]; n%2 == 0 {
+				server.Drain()
 			} else {
-				one.Undrain()
+				server.Undrain()
 			}
 		})
-		if err = p.until(b.ctx, "a change of the list", func() bool { return p.said(saysList) > known }); err != nil {
+		if err = p.deadline(b.ctx, "a change of the list", func() bool { return p.countLogLines(logListInForce) > seen }); err != nil {
 			return 0, 0, 0, err
 		}
-		passed += time.Since(told).Seconds()
+		elapsed += time.Since(changedAt).Seconds()
 	}
-	after, err := processorOf(p.pid())
+	after, err := cpuSeconds(p.pid())
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	each = (after - before - idling.rate()/1e6*time.Since(began).Seconds()) * 1e6 / (2 * repeats)
-	last, err := fetch(s.lists[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0", len(s.fleet.Servers())+2*repeats-1))
-	return each, passed * 1e3 / (2 * repeats), float64(len(last)), err
+	cpuMicros = (after - before - idleUsage.cpuRate()/1e6*time.Since(began).Seconds()) * 1e6 / (2 * repetitions)
+	last, err := fetchList(s.listServices[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0", len(s.fleet.Servers())+2*repetitions-1))
+	return cpuMicros, elapsed * 1e3 / (2 * repetitions), float64(len(last)), err
 }
--- a/internal/experiment/scale/plan.go
+++ b/internal/experiment/scale/plan.go
@@ -39,11 +39,11 @@
 }
 
 const (
-	mostRouters = 4000 // the loopback addresses that are laid out for them
-	mostServers = 2000 // likewise
-	mostRate    = 5000 // operations a second that the stand-ins bear by far
-	mostRuns    = 20
-	leastPoints = 3 // of a line: two fit any line
+	maxRouters = 4000 // the loopback addresses that are laid out for them
+	maxServers = 2000 // likewise
+	maxRate    = 5000 // operations a second that the stand-ins bear by far
+	maxRuns    = 20
+	minPoints  = 3 // of a line: two fit any line
 )
 
 // Check tells every fault of a plan, each by its flag, its value and what would be right.
@@ -54,37 +54,37 @@
 	sizes := func(flag string, all []int, most int) {
 		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
 		rising := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
-		if len(all) < leastPoints || !rising || all[0] < 1 || all[len(all)-1] > most {
+		if len(all) < minPoints || !rising || all[0] < 1 || all[len(all)-1] > most {
 			fault(flag, text, fmt.Sprintf("three sizes or more, rising, from 1 to %d, as in 38,100,380", most))
 		}
 	}
-	sizes("routers", p.Routers, mostRouters)
-	sizes("servers", p.Servers, mostServers)
-	if rates := p.Rates; len(rates) < leastPoints || !slices.IsSorted(rates) || len(slices.Compact(slices.Clone(rates))) < len(rates) ||
-		rates[0] < 1 || rates[len(rates)-1] > mostRate {
+	sizes("routers", p.Routers, maxRouters)
+	sizes("servers", p.Servers, maxServers)
+	if rates := p.Rates; len(rates) < minPoints || !slices.IsSorted(rates) || len(slices.Compact(slices.Clone(rates))) < len(rates) ||
+		rates[0] < 1 || rates[len(rates)-1] > maxRate {
 		fault("rates", strings.Trim(strings.ReplaceAll(fmt.Sprint(rates), " ", ","), "[]"),
-			fmt.Sprintf("three rates or more, rising, from 1 to %d operations a second, as in 200,400,800", mostRate))
+			fmt.Sprintf("three rates or more, rising, from 1 to %d operations a second, as in 200,400,800", maxRate))
 	}
-	if p.Runs < 1 || p.Runs > mostRuns {
-		fault("runs", p.Runs, fmt.Sprintf("a number from 1 to %d; 3 give the spread", mostRuns))
+	if p.Runs < 1 || p.Runs > maxRuns {
+		fault("runs", p.Runs, fmt.Sprintf("a number from 1 to %d; 3 give the spread", maxRuns))
 	}
 	if p.Window < 100*time.Millisecond || p.Window > 10*time.Minute {
 		fault("seconds", p.Window.Seconds(), "from 0.1 to 600")
 	}
 	for _, only := range p.Only {
-		if !slices.ContainsFunc(quantities, func(q Quantity) bool { return q.begins(only) }) {
+		if !slices.ContainsFunc(quantities, func(q Quantity) bool { return q.hasPrefix(only) }) {
 			fault("only", only, "the beginning of a name, as one of "+strings.Join(Parts(), ", ")+", or a whole one, as "+quantities[0].Name)
 		}
 	}
 	return faults
 }
 
-// wants tells whether a name is asked for.
-func (p Plan) wants(q Quantity) bool {
-	return len(p.Only) == 0 || slices.ContainsFunc(p.Only, q.begins)
+// selects tells whether a name is asked for.
+func (p Plan) selects(q Quantity) bool {
+	return len(p.Only) == 0 || slices.ContainsFunc(p.Only, q.hasPrefix)
 }
 
-// begins tells whether a quantity's name begins so, by whole parts between dots.
-func (q Quantity) begins(with string) bool {
-	return q.Name == with || strings.HasPrefix(q.Name, strings.TrimSuffix(with, ".")+".")
+// hasPrefix tells whether a quantity's name begins so, by whole parts between dots.
+func (q Quantity) hasPrefix(prefix string) bool {
+	return q.Name == prefix || strings.HasPrefix(q.Name, strings.TrimSuffix(prefix, ".")+".")
 }
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -14,12 +14,12 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Form is the version of the report's JSON; a report of another is not compared with.
-const Form = 1
+// ReportVersion is the version of the report's JSON; a report of another is not compared with.
+const ReportVersion = 1
 
-// offLine is the part of its own size by which a point may lie off its line before it is named: twice what a run on a busy machine
+// maxPointDeviation is the part of its own size by which a point may lie off its line before it is named: twice what a run on a busy machine
 // differs from the next.
-const offLine = 0.1
+const maxPointDeviation = 0.1
 
 // Report is all that was measured, by name.
 type Report struct {
@@ -49,19 +49,19 @@
 
 // Line is a straight line through the means of at least three points.
 type Line struct {
-	Name      string    `json:"name"`
-	Unit      string    `json:"unit"`
-	Per       string    `json:"per"`
-	About     string    `json:"about"`
-	Points    []Point   `json:"points"`
-	Slope     float64   `json:"slope"`     // unit for one more of what is counted
-	Base      float64   `json:"base"`      // unit where there is none of it
-	Least     float64   `json:"least"`     // the runs' slopes, each fitted by itself
-	Most      float64   `json:"most"`      //
-	Residual  float64   `json:"residual"`  // the largest distance of a point from the line, as a part of the largest point
-	Determine float64   `json:"r_squared"` // the coefficient of determination
-	Loops     float64   `json:"slope_loops,omitempty"`
-	Off       []float64 `json:"off,omitempty"` // where a point lies off the line by more than a tenth and more than its runs differ
+	Name     string    `json:"name"`
+	Unit     string    `json:"unit"`
+	Per      string    `json:"per"`
+	About    string    `json:"about"`
+	Points   []Point   `json:"points"`
+	Slope    float64   `json:"slope"`     // unit for one more of what is counted
+	Base     float64   `json:"base"`      // unit where there is none of it
+	Least    float64   `json:"least"`     // the runs' slopes, each fitted by itself
+	Most     float64   `json:"most"`      //
+	Residual float64   `json:"residual"`  // the largest distance of a point from the line, as a part of the largest point
+	RSquared float64   `json:"r_squared"` // the coefficient of determination
+	Loops    float64   `json:"slope_loops,omitempty"`
+	Off      []float64 `json:"off,omitempty"` // where a point lies off the line by more than a tenth and more than its runs differ
 }
 
 // Figure is one value.
@@ -87,7 +87,7 @@
 		}
 	}
 	l.Base, l.Slope = stat.LinearRegression(x, y, nil, false)
-	l.Determine = stat.RSquared(x, y, nil, l.Base, l.Slope)
+	l.RSquared = stat.RSquared(x, y, nil, l.Base, l.Slope)
 	if len(loops) == len(x) {
 		_, l.Loops = stat.LinearRegression(x, loops, nil, false)
 	}
@@ -97,22 +97,22 @@
 	}
 	for i, p := range points {
 		fitted := l.Base + l.Slope*p.X
-		off := math.Abs(y[i] - fitted)
-		l.Residual = max(l.Residual, off/max(largest, 1e-12))
-		if off > offLine*math.Abs(fitted) && off > slices.Max(p.Runs)-slices.Min(p.Runs) {
+		distance := math.Abs(y[i] - fitted)
+		l.Residual = max(l.Residual, distance/max(largest, 1e-12))
+		if distance > maxPointDeviation*math.Abs(fitted) && distance > slices.Max(p.Runs)-slices.Min(p.Runs) {
 			l.Off = append(l.Off, p.X)
 		}
 	}
 	l.Least, l.Most = l.Slope, l.Slope
 	for run := range points[0].Runs {
-		var each []float64
+		var runValues []float64
 		for _, p := range points {
 			if run < len(p.Runs) {
-				each = append(each, p.Runs[run])
+				runValues = append(runValues, p.Runs[run])
 			}
 		}
-		if len(each) == len(x) {
-			_, slope := stat.LinearRegression(x, each, nil, false)
+		if len(runValues) == len(x) {
+			_, slope := stat.LinearRegression(x, runValues, nil, false)
 			if l.Least, l.Most = min(l.Least, slope), max(l.Most, slope); run == 0 {
 				l.Least, l.Most = slope, slope
 			}
@@ -144,8 +144,8 @@
 	if err = json.Unmarshal(text, &r); err != nil {
 		return nil, fmt.Errorf("%s: not a report of scale: %w", path, err)
 	}
-	if r.Form != Form {
-		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, Form)
+	if r.Form != ReportVersion {
+		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, ReportVersion)
 	}
 	return &r, nil
 }
@@ -162,7 +162,7 @@
 	return os.Rename(path+".new", path)
 }
 
-func short(x float64) string {
+func formatNumber(x float64) string {
 	if a := math.Abs(x); a >= 1e5 || a > 0 && a < 1e-3 {
 		return fmt.Sprintf("%.3g", x)
 	}
@@ -173,7 +173,7 @@
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n%s, load %.1f at the beginning and %.1f at the end; router %s; %d runs, %.0f s\n", r.Command, r.Machine, r.Load[0], r.Load[1],
 		r.Revision, r.Runs, r.Took)
-	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n", short(r.Loop.Mean), short(r.Loop.Least), short(r.Loop.Most))
+	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n", formatNumber(r.Loop.Mean), formatNumber(r.Loop.Least), formatNumber(r.Loop.Most))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(r.Lines) > 0 {
 		fmt.Fprintln(w, "SLOPE\tFOR ONE\tIS\tRUNS\tUNIT\tIN LOOPS\tAT NONE\tR2\tRESIDUAL\tPOINTS")
@@ -181,24 +181,24 @@
 	for _, l := range r.Lines {
 		var points []string
 		for _, p := range l.Points {
-			points = append(points, short(p.X)+":"+short(stat.Mean(p.Runs, nil)))
+			points = append(points, formatNumber(p.X)+":"+formatNumber(stat.Mean(p.Runs, nil)))
 		}
 		off := ""
 		if len(l.Off) > 0 {
 			off = " OFF THE LINE at"
 			for _, x := range l.Off {
-				off += " " + short(x)
+				off += " " + formatNumber(x)
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, short(l.Slope), short(l.Least), short(l.Most), l.Unit,
-			loopsOf(l.Loops), short(l.Base), l.Determine, 100*l.Residual, strings.Join(points, " "), off)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, formatNumber(l.Slope), formatNumber(l.Least), formatNumber(l.Most), l.Unit,
+			formatLoops(l.Loops), formatNumber(l.Base), l.RSquared, 100*l.Residual, strings.Join(points, " "), off)
 	}
 	w.Flush()
 	if len(r.Figures) > 0 {
 		fmt.Fprintln(w, "\nFIGURE\tIS\tRUNS\tUNIT\tIN LOOPS")
 	}
 	for _, f := range r.Figures {
-		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, short(f.Mean), short(f.Least), short(f.Most), f.Unit, loopsOf(f.Loops))
+		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, formatNumber(f.Mean), formatNumber(f.Least), formatNumber(f.Most), f.Unit, formatLoops(f.Loops))
 	}
 	w.Flush()
 	for _, n := range r.Notes {
@@ -209,11 +209,11 @@
 	}
 }
 
-func loopsOf(x float64) string {
+func formatLoops(x float64) string {
 	if x == 0 {
 		return "-"
 	}
-	return short(x)
+	return formatNumber(x)
 }
 
 // Against prints each value beside that of an earlier report. A difference counts where the two's runs do not overlap; of processor
@@ -224,23 +224,23 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nAGAINST\tBEFORE\tNOW\tTIMES\tIN LOOPS, TIMES\t")
-	times := func(now, then float64) string {
-		if then == 0 {
+	ratio := func(now, before float64) string {
+		if before == 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%.2f", now/then)
+		return fmt.Sprintf("%.2f", now/before)
 	}
-	row := func(name string, then, now, thenLoops, nowLoops float64, apart bool) {
-		said := ""
-		if apart {
-			said = "runs do not overlap"
+	row := func(name string, before, now, beforeLoops, nowLoops float64, disjoint bool) {
+		remark := ""
+		if disjoint {
+			remark = "runs do not overlap"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, short(then), short(now), times(now, then), times(nowLoops, thenLoops), said)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(before), formatNumber(now), ratio(now, before), ratio(nowLoops, beforeLoops), remark)
 	}
 	for _, l := range r.Lines {
 		i := slices.IndexFunc(before.Lines, func(b Line) bool { return b.Name == l.Name })
 		if i < 0 {
-			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", l.Name, short(l.Slope))
+			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", l.Name, formatNumber(l.Slope))
 			continue
 		}
 		b := before.Lines[i]
@@ -249,7 +249,7 @@
 	for _, f := range r.Figures {
 		i := slices.IndexFunc(before.Figures, func(b Figure) bool { return b.Name == f.Name })
 		if i < 0 {
-			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", f.Name, short(f.Mean))
+			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", f.Name, formatNumber(f.Mean))
 			continue
 		}
 		b := before.Figures[i]
--- a/internal/experiment/scale/report_test.go
+++ b/internal/experiment/scale/report_test.go
@@ -9,7 +9,7 @@
 	"testing"
 )
 
-var some = Quantity{Name: "some.core.thing", Unit: coreTime, Per: "thing"}
+var someQuantity = Quantity{Name: "some.core.thing", Unit: coreTime, Per: "thing"}
 
 func points(values map[float64][]float64, order ...float64) (all []Point) {
 	for _, x := range order {
@@ -20,19 +20,19 @@
 
 // A line is fitted through the means, its spread is of the runs' own slopes, and a point off it is named.
 func TestLine(t *testing.T) {
-	l := newLine(some, points(map[float64][]float64{1: {4, 6}, 2: {6, 8}, 4: {10, 12}}, 1, 2, 4))
+	l := newLine(someQuantity, points(map[float64][]float64{1: {4, 6}, 2: {6, 8}, 4: {10, 12}}, 1, 2, 4))
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.Determine, 1) || l.Residual > 1e-9 || len(l.Off) > 0 || !near(l.Least, 2) || !near(l.Most, 2) {
+	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.RSquared, 1) || l.Residual > 1e-9 || len(l.Off) > 0 || !near(l.Least, 2) || !near(l.Most, 2) {
 		t.Errorf("an exact line: %+v", l)
 	}
 	if at, beyond := l.At(8); !near(at, 19) || !near(beyond, 2) {
 		t.Errorf("at 8: %v, %v times beyond", at, beyond)
 	}
-	l = newLine(some, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10)) // squares are no line
-	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {          // 9 is 7.9 from the line, and the largest is 100
+	l = newLine(someQuantity, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10)) // squares are no line
+	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {                  // 9 is 7.9 from the line, and the largest is 100
 		t.Errorf("squares: off at %v, want %v; residual %v", l.Off, want, l.Residual)
 	}
-	l = newLine(some, points(map[float64][]float64{1: {1, 3}, 2: {1, 3}, 3: {5, 9}}, 1, 2, 3))
+	l = newLine(someQuantity, points(map[float64][]float64{1: {1, 3}, 2: {1, 3}, 3: {5, 9}}, 1, 2, 3))
 	if !near(l.Least, 2) || !near(l.Most, 3) {
 		t.Errorf("the runs' slopes are %v to %v, want 2 to 3", l.Least, l.Most)
 	}
@@ -74,8 +74,8 @@
 // A report is read as it was written; an earlier one is set beside it, and what is no report is refused by its path.
 func TestAgainst(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
-	l := newLine(some, points(map[float64][]float64{1: {1, 1.1}, 2: {2, 2.1}, 3: {3, 3.1}}, 1, 2, 3))
-	was := &Report{Form: Form, Lines: []Line{l}, Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil)}}
+	l := newLine(someQuantity, points(map[float64][]float64{1: {1, 1.1}, 2: {2, 2.1}, 3: {3, 3.1}}, 1, 2, 3))
+	was := &Report{Form: ReportVersion, Lines: []Line{l}, Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil)}}
 	if err := was.Write(path); err != nil {
 		t.Fatal(err)
 	}
@@ -83,7 +83,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := &Report{Form: Form, Lines: []Line{newLine(some, points(map[float64][]float64{1: {2}, 2: {4}, 3: {6}}, 1, 2, 3))},
+	now := &Report{Form: ReportVersion, Lines: []Line{newLine(someQuantity, points(map[float64][]float64{1: {2}, 2: {4}, 3: {6}}, 1, 2, 3))},
 		Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil), newFigure(Quantity{Name: "some.new"}, []float64{1}, nil)}}
 	var out strings.Builder
 	if err = now.Against(&out, before); err != nil {
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -10,17 +10,17 @@
 	"bendtrestle/internal/eventloop"
 )
 
-const keys = 4000 // as many as the module's circle has places: after some seconds it has looked each of them up
+const keyCount = 4000 // as many as the module's circle has places: after some seconds it has looked each of them up
 
-// load lets clients ask a router at a rate, for a while before a window and through it. It gives what the window took of the router,
+// runLoad lets clients ask a router at a rate, for a while before a window and through it. It gives what the window took of the router,
 // how many operations were asked for in all and how many of them got what was asked for.
-func (b *bench) load(s *stage, p *process, rate float64, warm time.Duration) (w spent, asked, served int, err error) {
+func (b *bench) runLoad(s *testbed, p *process, rate float64, warm time.Duration) (w usage, requested, served int, err error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return w, 0, 0, err
 	}
-	b.loads++ // ids of operations are counted from the seed on, and must not come again within the seconds for which a router remembers them
-	clients, err := emulator.NewClients(loop, b.loads<<20, emulator.Load{Types: []*emulator.TrafficType{small}, Rate: rate, Keys: keys,
+	b.loadCount++ // ids of operations are counted from the seed on, and must not come again within the seconds for which a router remembers them
+	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads}, Rate: rate, Keys: keyCount,
 		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
 	if err != nil {
 		return w, 0, 0, err
@@ -34,7 +34,7 @@
 	}
 	on(func() { clients.Start(1e6) })
 	if err = sleep(b.ctx, warm, p); err == nil {
-		w, err = b.watch(p)
+		w, err = b.measureWindow(p)
 	}
 	on(clients.Stop)
 	busy := true
@@ -47,73 +47,73 @@
 		if any, _ := o.Served(); any {
 			served++
 		} else {
-			b.note("a read at %.0f a second ended as %v", rate, o.How)
+			b.addNote("a read at %.0f a second ended as %v", rate, o.How)
 		}
 	}
 	return w, len(clients.Book().Ops), served, err
 }
 
-// request measures operations on small values, connections to servers and clients, and handshakes.
-func request(b *bench) error {
+// measureRequests measures operations on small values, connections to servers and clients, and handshakes.
+func measureRequests(b *bench) error {
 	most, top := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
-	asked, served := 0, 0
-	play := func(s *stage, p *process, rate float64, warm time.Duration) (spent, error) {
-		w, n, done, err := b.load(s, p, rate, warm)
-		asked, served = asked+n, served+done
+	requested, served := 0, 0
+	runLoad := func(s *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
+		w, n, done, err := b.runLoad(s, p, rate, warm)
+		requested, served = requested+n, served+done
 		return w, err
 	}
-	accepts := func(s *stage) (n int) {
-		s.on(func() { n = len(s.fleet.Book().Accepts) })
+	acceptedConnections := func(s *testbed) (n int) {
+		s.onLoop(func() { n = len(s.fleet.Book().Accepts) })
 		return n
 	}
-	kept := 0.0
-	err := b.with(most, setup{}, func(s *stage, p *process) error {
+	reusedRate := 0.0
+	err := b.withRouter(most, routerSetup{}, func(s *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
-			b.say("%.0f operations a second", rate)
-			w, err := play(s, p, rate, b.plan.Settle)
+			b.progressf("%.0f operations a second", rate)
+			w, err := runLoad(s, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
 			}
-			b.add("request.core.operation", rate, w.rate(), w.loop)
-			kept = w.rate()
+			b.add("request.core.operation", rate, w.cpuRate(), w.loop)
+			reusedRate = w.cpuRate()
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	b.say("a handshake for each operation")
-	err = b.with(most, setup{idle: 0.001}, func(s *stage, p *process) error {
-		before := accepts(s)
+	b.progressf("a handshake for each operation")
+	err = b.withRouter(most, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
+		before := acceptedConnections(s)
 		began := time.Now()
-		w, err := play(s, p, top, b.plan.Settle)
+		w, err := runLoad(s, p, top, b.plan.Settle)
 		if err != nil {
 			return err
 		}
-		made := float64(accepts(s)-before) / time.Since(began).Seconds()
-		if made <= 0 {
+		connectionsPerSecond := float64(acceptedConnections(s)-before) / time.Since(began).Seconds()
+		if connectionsPerSecond <= 0 {
 			return fmt.Errorf("no connection was made")
 		}
-		b.add("request.core.handshake", 0, (w.rate()-kept)/made, w.loop)
+		b.add("request.core.handshake", 0, (w.cpuRate()-reusedRate)/connectionsPerSecond, w.loop)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	for _, n := range b.plan.Servers {
-		b.say("memory of connections to %d servers", n)
-		err = b.with(n, setup{}, func(s *stage, p *process) error {
-			w, err := play(s, p, top, b.plan.Window) // until each has one, and the module has looked up most places
+		b.progressf("memory of connections to %d servers", n)
+		err = b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
+			w, err := runLoad(s, p, top, b.plan.Window) // until each has one, and the module has looked up most places
 			b.add("request.memory.servers", float64(n), w.resident, 0)
-			b.add("request.connections", float64(n), float64(accepts(s)), 0)
+			b.add("request.connections", float64(n), float64(acceptedConnections(s)), 0)
 			return err
 		})
 		if err != nil {
 			return err
 		}
 	}
-	b.say("memory of clients' connections")
-	err = b.with(most, setup{}, func(_ *stage, p *process) error {
+	b.progressf("memory of clients' connections")
+	err = b.withRouter(most, routerSetup{}, func(_ *testbed, p *process) error {
 		var open []net.Conn
 		defer func() {
 			for _, c := range open {
@@ -126,11 +126,11 @@
 				if err != nil {
 					return err
 				}
-				if open = append(open, c); !answers(c) {
+				if open = append(open, c); !repliesToNoOp(c) {
 					return fmt.Errorf("client %d: the router does not say that it serves", len(open))
 				}
 			}
-			now, _, err := memoryOf(p.pid())
+			now, _, err := residentKiB(p.pid())
 			if err != nil {
 				return err
 			}
@@ -138,7 +138,7 @@
 		}
 		return nil
 	})
-	b.add("request.unserved", 0, float64(asked-served), 0)
-	b.add("request.asked", 0, float64(asked), 0)
+	b.add("request.unserved", 0, float64(requested-served), 0)
+	b.add("request.asked", 0, float64(requested), 0)
 	return err
 }
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -27,7 +27,7 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if left := in(o.Dir); len(left) > 0 {
+			if left := processesLoggingIn(o.Dir); len(left) > 0 {
 				t.Errorf("processes %v go on", left)
 			}
 			var table strings.Builder
@@ -36,7 +36,7 @@
 				t.Errorf("not measured: %v", r.Missing)
 			}
 			for _, q := range quantities {
-				if !q.begins(p.name) {
+				if !q.hasPrefix(p.name) {
 					continue
 				}
 				if !strings.Contains(table.String(), "\n"+q.Name+" ") {
@@ -50,7 +50,7 @@
 					continue
 				}
 				l := r.line(t, q.Name)
-				if len(l.Points) < leastPoints || math.IsNaN(l.Slope+l.Base+l.Residual+l.Determine) {
+				if len(l.Points) < minPoints || math.IsNaN(l.Slope+l.Base+l.Residual+l.RSquared) {
 					t.Errorf("%s is no line: %+v", q.Name, l)
 				}
 			}
@@ -88,7 +88,7 @@
 	if _, err := Run(ctx, o); !errors.Is(err, context.Canceled) {
 		t.Errorf("a run that was interrupted gives %v", err)
 	}
-	gone(t, o.Dir)
+	waitUntilGone(t, o.Dir)
 }
 
 type writer func(p []byte) (int, error)
@@ -114,11 +114,11 @@
 	if line, err := bufio.NewReader(out).ReadString('\n'); line != "holding\n" {
 		t.Fatalf("the holder says %q, %v", line, err)
 	}
-	if n := len(in(o.Dir)); n != 2 { // eight routers, six to a process
+	if n := len(processesLoggingIn(o.Dir)); n != 2 { // eight routers, six to a process
 		t.Fatalf("%d processes hold hollow routers, want 2", n)
 	}
 	holder.Process.Kill()
-	gone(t, o.Dir)
+	waitUntilGone(t, o.Dir)
 }
 
 // Every fault of a plan is told by its flag, its value and what would be right.
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -18,15 +18,15 @@
 
 // router is a hollow one. All of it but the counters of its way belongs to the loop that it shares with the others of its process.
 type router struct {
-	me         int // its number among the peers
-	loop       *eventloop.Loop
-	way        Way
-	module     *balancer.Balancer
-	ids        []uint64 // of the servers, as the list has them
-	generation uint64   // of the list that is in force
-	since      float64  // when that came into force, Unix seconds
-	zoned      uint64   // words that were no module's: about zones, from real routers
-	turn       int      // counts its talks and silences
+	index        int // its number among the peers
+	loop         *eventloop.Loop
+	transport    Transport
+	balancer     *balancer.Balancer
+	serverIDs    []uint64 // of the servers, as the list has them
+	generation   uint64   // of the list that is in force
+	listSince    float64  // when that came into force, Unix seconds
+	zoneMessages uint64   // words that were no module's: about zones, from real routers
+	sendRound    int      // counts its talks and silences
 }
 
 // host lets the module act: there is nothing that it could act on but the other routers.
@@ -36,7 +36,7 @@
 func (host) CancelAttempt(uint64, int)                     {}
 func (host) Reject(uint64, float64, balancer.RejectReason) {}
 func (host) Fail(uint64)                                   {}
-func (h host) Gossip(words []byte)                         { h.r.way.Tell(words) }
+func (h host) Gossip(message []byte)                       { h.r.transport.Broadcast(message) }
 func (host) Probe(uint64)                                  {}
 func (host) SetTimer(float64, string)                      {}
 func (host) WatchEndpoints(bool)                           {}
@@ -48,56 +48,56 @@
 		TrafficClasses: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
 }
 
-const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
+const observationBytes = 3 // bytes of the module's words; a longer message than usualSize is about zones
 
-// begin makes one that has a list. It hears from now on.
-func begin(loop *eventloop.Loop, open Open, p Place, known discovery.EndpointList) (*router, error) {
-	r := &router{me: p.Me, loop: loop}
-	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
-	r.take(balancer.UpdateFull, known)
-	for _, id := range r.ids {
-		p.Servers = append(p.Servers, uint16(id))
+// newRouter makes one that has a list. It hears from now on.
+func newRouter(loop *eventloop.Loop, open OpenFunc, p Member, initialList discovery.EndpointList) (*router, error) {
+	r := &router{index: p.Index, loop: loop}
+	r.balancer = balancer.New(loop.Now(), settings(p.Index, len(p.Peers)), host{r})
+	r.applyList(balancer.UpdateFull, initialList)
+	for _, id := range r.serverIDs {
+		p.ServerIDs = append(p.ServerIDs, uint16(id))
 	}
-	p.Loop, p.Feed = loop, func(words []byte) { r.module.OnGossip(loop.Now(), words) }
+	p.Loop, p.Deliver = loop, func(message []byte) { r.balancer.OnGossip(loop.Now(), message) }
 	var err error
-	r.way, err = open(p, func(words []byte) {
+	r.transport, err = open(p, func(message []byte) {
 		loop.Post(func() {
-			if len(words) > usualSize {
-				r.zoned++ // a real router asks its zones first
+			if len(message) > messageBytes {
+				r.zoneMessages++ // a real router asks its zones first
 				return
 			}
-			r.module.OnGossip(loop.Now(), words)
+			r.balancer.OnGossip(loop.Now(), message)
 		})
 	})
 	return r, err
 }
 
-// take takes a list.
-func (r *router) take(kind balancer.EndpointUpdate, l discovery.EndpointList) {
-	var members []balancer.Endpoint
-	for _, e := range l.Instances {
-		members = append(members, e.Endpoint)
+// applyList takes a list.
+func (r *router) applyList(kind balancer.EndpointUpdate, list discovery.EndpointList) {
+	var endpoints []balancer.Endpoint
+	for _, e := range list.Instances {
+		endpoints = append(endpoints, e.Endpoint)
 		if kind == balancer.UpdateFull {
-			r.ids = append(r.ids, e.ID)
+			r.serverIDs = append(r.serverIDs, e.ID)
 		}
 	}
-	r.module.OnEndpoints(r.loop.Now(), kind, members)
-	r.generation, r.since = l.Generation, r.loop.Now()
+	r.balancer.OnEndpoints(r.loop.Now(), kind, endpoints)
+	r.generation, r.listSince = list.Generation, r.loop.Now()
 }
 
 // follow watches a list service as a real router does, until ctx ends.
 func (r *router) follow(ctx context.Context, addr string, seed uint32, log zerolog.Logger) {
 	const grace = 0.5 // seconds of a drain, as in the real routers' configuration
 	start := discovery.WatchStart{Generation: r.generation, SameService: true, Schedule: pollschedule.ForLocalAgent(grace, seed)}
-	go discovery.Watch(ctx, addr, start, func(l discovery.EndpointList) error {
+	go discovery.Watch(ctx, addr, start, func(list discovery.EndpointList) error {
 		taken := make(chan struct{})
 		r.loop.Post(func() {
 			kind := balancer.UpdateDelta
-			if l.Complete {
-				kind, r.ids = balancer.UpdateFull, nil
+			if list.Complete {
+				kind, r.serverIDs = balancer.UpdateFull, nil
 			}
-			if l.Complete || len(l.Instances) > 0 {
-				r.take(kind, l)
+			if list.Complete || len(list.Instances) > 0 {
+				r.applyList(kind, list)
 			}
 			close(taken)
 		})
@@ -109,30 +109,30 @@
 	}, func(error) {}, log)
 }
 
-const usualSize = 15 // bytes of a word as the module says it: five servers
+const messageBytes = 15 // bytes of a word as the module says it: five servers
 
-// say says a usual word: five servers, each with a usual time. They are the same five unless it begins with another one of the list.
-func (r *router) say(from int) {
-	var words []byte
-	for n := range usualSize / wordSize {
-		words = append(binary.LittleEndian.AppendUint16(words, uint16(r.ids[(from+n*len(r.ids)*wordSize/usualSize)%len(r.ids)])), 32)
+// send says a usual word: five servers, each with a usual time. They are the same five unless it begins with another one of the list.
+func (r *router) send(first int) {
+	var message []byte
+	for n := range messageBytes / observationBytes {
+		message = append(binary.LittleEndian.AppendUint16(message, uint16(r.serverIDs[(first+n*len(r.serverIDs)*observationBytes/messageBytes)%len(r.serverIDs)])), 32)
 	}
-	r.way.Tell(words)
+	r.transport.Broadcast(message)
 }
 
-// talk says a word each period, until hush; with all of servers other than the one before and than the next router.
-func (r *router) talk(first, period time.Duration, all bool) {
-	r.turn++
-	turn := r.turn
-	from := 0
+// sendPeriodically says a word each period, until hush; with all of servers other than the one before and than the next router.
+func (r *router) sendPeriodically(first, period time.Duration, all bool) {
+	r.sendRound++
+	round := r.sendRound
+	firstServer := 0
 	if all {
-		from = r.me
+		firstServer = r.index
 	}
 	var next func()
 	next = func() {
-		if r.turn == turn {
-			if r.say(from); all {
-				from++
+		if r.sendRound == round {
+			if r.send(firstServer); all {
+				firstServer++
 			}
 			r.loop.After(period.Seconds(), next)
 		}
@@ -140,4 +140,4 @@
 	r.loop.After(first.Seconds(), next)
 }
 
-func (r *router) hush() { r.turn++ }
+func (r *router) stopSending() { r.sendRound++ }
--- a/internal/experiment/scale/simrouter/serve.go
+++ b/internal/experiment/scale/simrouter/serve.go
@@ -18,35 +18,35 @@
 
 // Spec is what a process of hollow routers is told first.
 type Spec struct {
-	Way     string          `json:"way"`
-	Peers   []string        `json:"peers"` // all routers, real ones too
-	First   int             `json:"first"` // the number of the first one here
-	Count   int             `json:"count"`
-	Known   json.RawMessage `json:"known"` // the list of servers, as a list service tells it
-	List    string          `json:"list"`  // the list service
-	Follow  []int           `json:"follow"`
-	Threads int             `json:"threads"` // GOMAXPROCS, 0: as a real router
+	Transport   string          `json:"way"`
+	Peers       []string        `json:"peers"` // all routers, real ones too
+	First       int             `json:"first"` // the number of the first one here
+	Count       int             `json:"count"`
+	InitialList json.RawMessage `json:"known"` // the list of servers, as a list service tells it
+	ListService string          `json:"list"`  // the list service
+	Follow      []int           `json:"follow"`
+	Threads     int             `json:"threads"` // GOMAXPROCS, 0: as a real router
 }
 
 // Order is what it is told then, one after another.
 type Order struct {
-	Talk    []int         `json:"talk,omitempty"` // these say a word each period from now on
-	Period  time.Duration `json:"period,omitempty"`
-	All     bool          `json:"all,omitempty"`      // what they say is in turn of all servers, and else of the same five
-	Hush    bool          `json:"hush,omitempty"`     // all fall silent
-	SayOnce []int         `json:"say_once,omitempty"` // these say a word now
-	Each    bool          `json:"each,omitempty"`     // the answer has each router's bytes
+	Send          []int         `json:"talk,omitempty"` // these say a word each period from now on
+	Period        time.Duration `json:"period,omitempty"`
+	RotateServers bool          `json:"all,omitempty"`      // what they say is in turn of all servers, and else of the same five
+	Stop          bool          `json:"hush,omitempty"`     // all fall silent
+	SendOnce      []int         `json:"say_once,omitempty"` // these say a word now
+	PerRouter     bool          `json:"each,omitempty"`     // the answer has each router's bytes
 }
 
 // Answer is what it answers to its spec and to each order, once it is carried out.
 type Answer struct {
-	Error   string  `json:"error,omitempty"`
-	Traffic Traffic `json:"traffic"`
-	Zoned   uint64  `json:"zoned"`  // words that only zones understand
-	Oldest  uint64  `json:"oldest"` // the oldest generation of the list among those that follow it
-	Latest  float64 `json:"latest"` // when the last of these came to the one that it has, Unix seconds
+	Error            string  `json:"error,omitempty"`
+	Traffic          Traffic `json:"traffic"`
+	ZoneMessages     uint64  `json:"zoned"`  // words that only zones understand
+	OldestGeneration uint64  `json:"oldest"` // the oldest generation of the list among those that follow it
+	LatestChange     float64 `json:"latest"` // when the last of these came to the one that it has, Unix seconds
 
-	Each []uint64 `json:"each,omitempty"` // bytes of each router, in and out
+	RouterBytes []uint64 `json:"each,omitempty"` // bytes of each router, in and out
 }
 
 // Serve is a process of hollow routers: it reads a spec and orders, each a JSON value, answers each, and ends with its input.
@@ -58,7 +58,7 @@
 	}
 	debug.SetGCPercent(100)
 	runtime.GOMAXPROCS(max(2, s.Threads)) // two, as a real router's service has it
-	p, err := start(s, log)
+	p, err := startProcess(s, log)
 	if err != nil {
 		answers.Encode(Answer{Error: err.Error()})
 		return err
@@ -67,7 +67,7 @@
 	go p.loop.Run()
 	var o Order
 	for {
-		if err := answers.Encode(p.count(o.Each)); err != nil {
+		if err := answers.Encode(p.counters(o.PerRouter)); err != nil {
 			return err
 		}
 		o = Order{}
@@ -76,31 +76,31 @@
 		} else if err != nil {
 			return fmt.Errorf("order: %w", err)
 		}
-		p.obey(o)
+		p.execute(o)
 	}
 }
 
 type process struct {
-	spec    Spec
-	loop    *eventloop.Loop
-	routers []*router
-	follow  []*router
-	stop    context.CancelFunc
+	spec      Spec
+	loop      *eventloop.Loop
+	routers   []*router
+	followers []*router
+	stop      context.CancelFunc
 }
 
-func start(s Spec, log zerolog.Logger) (*process, error) {
-	open, err := way(s.Way)
+func startProcess(s Spec, log zerolog.Logger) (*process, error) {
+	open, err := opener(s.Transport)
 	if err != nil {
 		return nil, err
 	}
 	if s.First < 0 || s.Count < 1 || s.First+s.Count > len(s.Peers) {
 		return nil, fmt.Errorf("routers %d to %d: there are %d peers", s.First, s.First+s.Count-1, len(s.Peers))
 	}
-	known, err := discovery.Parse(s.Known)
+	initialList, err := discovery.Parse(s.InitialList)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
-	if len(known.Instances) == 0 {
+	if len(initialList.Instances) == 0 {
 		return nil, errors.New("known: it names no server, and words are of servers")
 	}
 	p := &process{spec: s}
@@ -110,22 +110,22 @@
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
 	for n := s.First; n < s.First+s.Count; n++ {
-		r, err := begin(p.loop, open, Place{Me: n, Listen: s.Peers[n], Peers: s.Peers, Log: log}, known)
+		r, err := newRouter(p.loop, open, Member{Index: n, Listen: s.Peers[n], Peers: s.Peers, Log: log}, initialList)
 		if err != nil {
 			stop()
 			return nil, fmt.Errorf("router %d: %w", n, err)
 		}
 		p.routers = append(p.routers, r)
 	}
-	p.each(s.Follow, func(r *router, n int) {
-		r.follow(ctx, s.List, uint32(n+1), log)
-		p.follow = append(p.follow, r)
+	p.forEach(s.Follow, func(r *router, n int) {
+		r.follow(ctx, s.ListService, uint32(n+1), log)
+		p.followers = append(p.followers, r)
 	})
 	return p, nil
 }
 
-// each calls f with those of some routers that are here.
-func (p *process) each(numbers []int, f func(r *router, n int)) {
+// forEach calls f with those of some routers that are here.
+func (p *process) forEach(numbers []int, f func(r *router, n int)) {
 	for _, n := range numbers {
 		if i := n - p.spec.First; i >= 0 && i < len(p.routers) {
 			f(p.routers[i], n)
@@ -133,41 +133,41 @@
 	}
 }
 
-// on calls f on the loop and waits for it.
-func (p *process) on(f func()) {
+// onLoop calls f on the loop and waits for it.
+func (p *process) onLoop(f func()) {
 	done := make(chan struct{})
 	p.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (p *process) obey(o Order) {
-	p.on(func() {
-		if o.Hush {
+func (p *process) execute(o Order) {
+	p.onLoop(func() {
+		if o.Stop {
 			for _, r := range p.routers {
-				r.hush()
+				r.stopSending()
 			}
 		}
-		p.each(o.SayOnce, func(r *router, _ int) { r.say(0) })
-		p.each(o.Talk, func(r *router, n int) { // spread over the period, as routers that know nothing of one another are
-			r.talk(o.Period*time.Duration(n)/time.Duration(len(p.spec.Peers)), o.Period, o.All)
+		p.forEach(o.SendOnce, func(r *router, _ int) { r.send(0) })
+		p.forEach(o.Send, func(r *router, n int) { // spread over the period, as routers that know nothing of one another are
+			r.sendPeriodically(o.Period*time.Duration(n)/time.Duration(len(p.spec.Peers)), o.Period, o.RotateServers)
 		})
 	})
 }
 
-func (p *process) count(each bool) (a Answer) {
-	p.on(func() {
+func (p *process) counters(perRouter bool) (a Answer) {
+	p.onLoop(func() {
 		for i, r := range p.routers {
-			t := r.way.Traffic()
-			if a.Traffic.Add(t, i == 0); each {
-				a.Each = append(a.Each, t.BytesIn+t.BytesOut)
+			t := r.transport.Traffic()
+			if a.Traffic.Add(t, i == 0); perRouter {
+				a.RouterBytes = append(a.RouterBytes, t.BytesIn+t.BytesOut)
 			}
-			a.Zoned += r.zoned
+			a.ZoneMessages += r.zoneMessages
 		}
-		for i, r := range p.follow {
-			if i == 0 || r.generation < a.Oldest {
-				a.Oldest = r.generation
+		for i, r := range p.followers {
+			if i == 0 || r.generation < a.OldestGeneration {
+				a.OldestGeneration = r.generation
 			}
-			a.Latest = max(a.Latest, r.since)
+			a.LatestChange = max(a.LatestChange, r.listSince)
 		}
 	})
 	return a
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -14,40 +14,40 @@
 	"github.com/rs/zerolog"
 )
 
-// Way is how one router's words come to the others: the seam at which routers that tell one another in another way are put in. Both are
+// Transport is how one router's words come to the others: the seam at which routers that tell one another in another way are put in. Both are
 // called on the loop.
-type Way interface {
-	Tell(words []byte) // to all others; what cannot be sent now is lost
+type Transport interface {
+	Broadcast(message []byte) // to all others; what cannot be sent now is lost
 	Traffic() Traffic
 }
 
-// Place is where a router stands among the others.
-type Place struct {
-	Me      int      // its number among the peers
-	Listen  string   // where it hears
-	Peers   []string // all routers' addresses, its own among them
-	Servers []uint16 // the ends of the ids of the servers in its first list
-	Loop    *eventloop.Loop
-	Feed    func(words []byte) // takes, on the loop, any number of words that stand for what many routers told
-	Log     zerolog.Logger
+// Member is where a router stands among the others.
+type Member struct {
+	Index     int      // its number among the peers
+	Listen    string   // where it hears
+	Peers     []string // all routers' addresses, its own among them
+	ServerIDs []uint16 // the ends of the ids of the servers in its first list
+	Loop      *eventloop.Loop
+	Deliver   func(words []byte) // takes, on the loop, any number of words that stand for what many routers told
+	Log       zerolog.Logger
 }
 
-// Open opens a router's way. heard is called with the words of each message that has come, on any goroutine.
-type Open func(p Place, heard func(words []byte)) (Way, error)
+// OpenFunc opens a router's way. heard is called with the words of each message that has come, on any goroutine.
+type OpenFunc func(p Member, heard func(words []byte)) (Transport, error)
 
-// Ways are all that there are, by name.
-var Ways = map[string]Open{"all": openAll, "gossip": openGossip}
+// Transports are all that there are, by name.
+var Transports = map[string]OpenFunc{"all": openBroadcast, "gossip": openGossip}
 
-// way gives one by its name; the error tells which there are.
-func way(name string) (Open, error) {
-	if open := Ways[name]; open != nil {
+// opener gives one by its name; the error tells which there are.
+func opener(name string) (OpenFunc, error) {
+	if open := Transports[name]; open != nil {
 		return open, nil
 	}
-	return nil, fmt.Errorf("way %q: there are %s", name, strings.Join(slices.Sorted(maps.Keys(Ways)), ", "))
+	return nil, fmt.Errorf("way %q: there are %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)), ", "))
 }
 
-// headers are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
-const headers = 8 + 20
+// headerBytes are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
+const headerBytes = 8 + 20
 
 // Traffic counts what has passed since the way was opened. Words is what routers say to one another, a datagram what goes out for it:
 // a way may put several words into one datagram, or send a word on. Bytes are those of the wire, with UDP's and IPv4's headers.
@@ -73,33 +73,33 @@
 	t.LeastBytesOut, t.MostBytesOut = min(t.LeastBytesOut, o.LeastBytesOut), max(t.MostBytesOut, o.MostBytesOut)
 }
 
-// all is the router's own way: a datagram to each of the others for each word.
-type all struct {
+// broadcastTransport is the router's own way: a datagram to each of the others for each word.
+type broadcastTransport struct {
 	peers  *peertransport.Transport
 	others uint64
 
-	told, heard, bytesOut, bytesIn atomic.Uint64
+	sent, received, bytesOut, bytesIn atomic.Uint64
 }
 
-func openAll(p Place, heard func(words []byte)) (Way, error) {
-	w := &all{others: uint64(len(p.Peers) - 1)}
-	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, _ int, words []byte) {
-		w.heard.Add(1)
-		w.bytesIn.Add(uint64(len(words) + headers))
-		heard(words)
+func openBroadcast(p Member, onMessage func(message []byte)) (Transport, error) {
+	w := &broadcastTransport{others: uint64(len(p.Peers) - 1)}
+	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Index, func(_ netip.AddrPort, _ int, message []byte) {
+		w.received.Add(1)
+		w.bytesIn.Add(uint64(len(message) + headerBytes))
+		onMessage(message)
 	}, p.Log)
 	w.peers = open
 	return w, err
 }
 
-func (w *all) Tell(words []byte) {
-	w.told.Add(1)
-	w.bytesOut.Add(w.others * uint64(len(words)+headers))
-	w.peers.Broadcast(words)
+func (w *broadcastTransport) Broadcast(message []byte) {
+	w.sent.Add(1)
+	w.bytesOut.Add(w.others * uint64(len(message)+headerBytes))
+	w.peers.Broadcast(message)
 }
 
-func (w *all) Traffic() Traffic {
-	heard, in, out := w.heard.Load(), w.bytesIn.Load(), w.bytesOut.Load()
-	return Traffic{Told: w.told.Load(), Heard: heard, DatagramsIn: heard, DatagramsOut: w.told.Load() * w.others, BytesIn: in, BytesOut: out,
+func (w *broadcastTransport) Traffic() Traffic {
+	heard, in, out := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
+	return Traffic{Told: w.sent.Load(), Heard: heard, DatagramsIn: heard, DatagramsOut: w.sent.Load() * w.others, BytesIn: in, BytesOut: out,
 		LeastHeard: heard, MostHeard: heard, LeastBytesIn: in, MostBytesIn: in, LeastBytesOut: out, MostBytesOut: out}
 }
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -49,17 +49,17 @@
 }
 
 const (
-	valueLeast     = 1000    // bytes: a value's own head, and more
-	valueTransfers = 256     // that the router's bounds leave places for
-	valueBytes     = 1 << 40 // a point of more takes hours
-	valueRuns      = 20
-	valuePoints    = 3 // of a line: two fit any line
+	minValueBytes  = 1000    // bytes: a value's own head, and more
+	maxTransfers   = 256     // that the router's bounds leave places for
+	maxPointBytes  = 1 << 40 // a point of more takes hours
+	maxValueRuns   = 20
+	minValuePoints = 3 // of a line: two fit any line
 
-	valueServers     = 8
-	valueDescriptors = 4096
-	valueMemory      = 256              // MB: at 256 transfers the bound that is looked for must not be this one
-	valueWait        = 20 * time.Second // for one value, on a machine that does other work
-	valueWindow      = 4096             // bytes that a client's kernel holds of one that does not read: the least that it takes
+	valueServerCount    = 8
+	valueDescriptors    = 4096
+	valueMemoryMB       = 256              // MB: at 256 transfers the bound that is looked for must not be this one
+	valueTimeout        = 20 * time.Second // for one value, on a machine that does other work
+	clientReceiveBuffer = 4096             // bytes that a client's kernel holds of one that does not read: the least that it takes
 )
 
 // Check tells every fault of the options, each by its flag, its value and what would be right.
@@ -71,20 +71,20 @@
 	rising := func(flag string, all []int, least, most int, as string) {
 		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
 		sorted := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
-		if len(all) < valuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
+		if len(all) < minValuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
 			fault(flag, text, "three or more, rising, from %d to %d, as in %s", least, most, as)
 		}
 	}
-	rising("sizes", o.Sizes, valueLeast, meta.LongBound, "60000,200000,1000000,4000000")
-	rising("transfers", o.Transfers, 1, valueTransfers, "1,16,64,256")
-	if o.Bytes < valueLeast || o.Bytes > valueBytes {
-		fault("bytes", o.Bytes, "from %d to %d", valueLeast, valueBytes)
+	rising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
+	rising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
+	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
+		fault("bytes", o.Bytes, "from %d to %d", minValueBytes, maxPointBytes)
 	}
-	if o.AtOnce < 1 || o.AtOnce > valueTransfers {
-		fault("at-once", o.AtOnce, "from 1 to %d", valueTransfers)
+	if o.AtOnce < 1 || o.AtOnce > maxTransfers {
+		fault("at-once", o.AtOnce, "from 1 to %d", maxTransfers)
 	}
-	if o.Runs < 1 || o.Runs > valueRuns {
-		fault("runs", o.Runs, "from 1 to %d", valueRuns)
+	if o.Runs < 1 || o.Runs > maxValueRuns {
+		fault("runs", o.Runs, "from 1 to %d", maxValueRuns)
 	}
 	return errors.Join(faults...)
 }
@@ -95,14 +95,14 @@
 	{"value.wakeups.byte", "wake-ups", "byte", "how often the router's threads slept, in the runs of value.core.byte"},
 }
 
-// valuePart measures long values at the usual sizes, once; the bench has the runs.
-func valuePart(b *bench) error {
+// measureValues measures long values at the usual sizes, once; the bench has the runs.
+func measureValues(b *bench) error {
 	o := UsualValues()
 	o.Router, o.Runs, o.Net, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
 	if b.plan.Small {
 		o.Transfers, o.Bytes, o.AtOnce, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
 	}
-	b.say("long values")
+	b.progressf("long values")
 	lines, err := Values(b.ctx, o)
 	for _, l := range lines {
 		for _, p := range l.Points {
@@ -132,7 +132,7 @@
 		}
 		points[name][x].take(value, loop)
 	}
-	held := func(size int) string { return fmt.Sprintf("value.memory.transfer.%d", size) }
+	heldName := func(size int) string { return fmt.Sprintf("value.memory.transfer.%d", size) }
 	for run := range o.Runs {
 		say := func(format string, about ...any) {
 			if o.Progress != nil {
@@ -140,20 +140,20 @@
 			}
 		}
 		for _, size := range o.Sizes {
-			err := o.on(ctx, func(v *valueStage) error {
+			err := o.withTestbed(ctx, func(v *valueTestbed) error {
 				for name, clients := range map[string]int{"value.core.byte": o.AtOnce, "value.core.byte.alone": 1} {
 					n := max(1, o.Bytes/size/clients)
-					core, wakeups, loop, err := v.carry(ctx, size, clients, n)
+					cpu, wakeups, loop, err := v.measureReads(ctx, size, clients, n)
 					if err != nil {
 						return err
 					}
 					values := float64(n * clients)
-					add(name, float64(size), core*1e6/values, loop)
+					add(name, float64(size), cpu*1e6/values, loop)
 					if clients == o.AtOnce && name == "value.core.byte" {
 						add("value.wakeups.byte", float64(size), wakeups/values, 0)
 					}
 					say("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
-						float64(size)*values/core/1e6, core/values/float64(size)*(1<<20)/loop)
+						float64(size)*values/cpu/1e6, cpu/values/float64(size)*(1<<20)/loop)
 				}
 				return nil
 			})
@@ -161,10 +161,10 @@
 				return nil, err
 			}
 			for _, n := range o.Transfers {
-				err := o.on(ctx, func(v *valueStage) error {
-					most, err := v.hold(ctx, size, n, o.Settle)
-					add(held(size), float64(n), most, 0)
-					say("%s: %d held, %.0f KiB at most", held(size), n, most)
+				err := o.withTestbed(ctx, func(v *valueTestbed) error {
+					peak, err := v.measureHeldTransfers(ctx, size, n, o.Settle)
+					add(heldName(size), float64(n), peak, 0)
+					say("%s: %d held, %.0f KiB at most", heldName(size), n, peak)
 					return err
 				})
 				if err != nil {
@@ -175,7 +175,7 @@
 	}
 	quantities := slices.Clone(valueQuantities)
 	for _, size := range o.Sizes {
-		quantities = append(quantities, Quantity{held(size), "KiB", "transfer", "the most resident, by transfers held by clients that do not read"})
+		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer", "the most resident, by transfers held by clients that do not read"})
 	}
 	var lines []Line
 	for _, q := range quantities {
@@ -189,23 +189,23 @@
 	return lines, nil
 }
 
-// valueStage is servers, a list of them and one router.
-type valueStage struct {
-	loop    *eventloop.Loop
-	fleet   *emulator.Fleet
-	agent   *emulator.Agent
-	ended   chan error
-	sources []net.Listener
-	cmd     *exec.Cmd
-	gone    chan struct{}
-	addr    string
-	log     string
-	ids     atomic.Uint64
+// valueTestbed is servers, a list of them and one router.
+type valueTestbed struct {
+	loop        *eventloop.Loop
+	fleet       *emulator.Fleet
+	listService *emulator.Agent
+	ended       chan error
+	listeners   []net.Listener
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	addr        string
+	logPath     string
+	lastID      atomic.Uint64
 }
 
-// on does something with a stage of its own: a process's highest memory is of its whole life.
-func (o ValueOptions) on(ctx context.Context, do func(v *valueStage) error) error {
-	v, err := o.open(ctx)
+// withTestbed does something with a stage of its own: a process's highest memory is of its whole life.
+func (o ValueOptions) withTestbed(ctx context.Context, do func(v *valueTestbed) error) error {
+	v, err := o.openTestbed(ctx)
 	if err == nil {
 		err = do(v)
 	}
@@ -215,16 +215,16 @@
 	return err
 }
 
-func (o ValueOptions) open(ctx context.Context) (*valueStage, error) {
-	v := &valueStage{ended: make(chan error, 1), gone: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211", o.Net), log: filepath.Join(o.Dir, "values.log")}
+func (o ValueOptions) openTestbed(ctx context.Context) (*valueTestbed, error) {
+	v := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211", o.Net), logPath: filepath.Join(o.Dir, "values.log")}
 	var err error
 	if v.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
-	kind := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{kind}, emulator.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
+	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
+	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
-	for n := range valueServers {
+	for n := range valueServerCount {
 		spec := emulator.Spec{Name: v.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
 		if _, err = v.fleet.Add(spec, false); err != nil {
 			return v, fmt.Errorf("%w (another --net may be free)", err)
@@ -234,33 +234,33 @@
 			ln, err = net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.Net, n+1))
 			return err
 		}
-		if err = again(ctx, listen); err != nil {
+		if err = retryWhileAddressInUse(ctx, listen); err != nil {
 			return v, err
 		}
-		v.sources = append(v.sources, ln)
+		v.listeners = append(v.listeners, ln)
 		via[spec.Name] = ln.Addr().String()
-		go accept(ln, spec.Name)
+		go serveConnections(ln, spec.Name)
 	}
-	if v.agent, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
+	if v.listService, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
 		return v, fmt.Errorf("%w (another --net may be free)", err)
 	}
-	v.agent.Via(func(s *emulator.Server) string { return via[s.Name] }) // the stand-in's own servers are only listed
+	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] }) // the stand-in's own servers are only listed
 	go func() { v.ended <- v.loop.Run() }()
-	return v, v.start(ctx, o)
+	return v, v.startRouter(ctx, o)
 }
 
-// accept takes the connections of a server that gives values as fast as they are taken, with one call of the kernel for each.
-func accept(ln net.Listener, name string) {
+// serveConnections takes the connections of a server that gives values as fast as they are taken, with one call of the kernel for each.
+func serveConnections(ln net.Listener, name string) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go give(conn, name)
+		go serveValues(conn, name)
 	}
 }
 
-func give(conn net.Conn, name string) {
+func serveValues(conn net.Conn, name string) {
 	defer conn.Close()
 	in := bufio.NewReaderSize(conn, 4096)
 	for n := uint64(0); ; n++ {
@@ -290,10 +290,10 @@
 	}
 }
 
-func (v *valueStage) start(ctx context.Context, o ValueOptions) error {
+func (v *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
-	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.agent.Addr(), "seed": "0badcafe", "known": v.agent.Known(),
-		"limits": map[string]any{"cores": 1, "memory_mb": valueMemory, "sockets": valueDescriptors},
+	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.listService.Addr(), "seed": "0badcafe", "known": v.listService.Known(),
+		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
 			"limits": map[string]any{"cancelling": true, "secondCopies": false, "mostExecutions": 5, "probes": false, "peers": false, "retryAfter": true,
@@ -302,7 +302,7 @@
 				"warmWithin": ns(9 * time.Second)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
 			"trafficTypes": []any{map[string]any{"name": "bulk", "effect": "retryable", "keyScope": "all", "dedupWindow": 0,
-				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueWait), "benefit": 1, "runsIn": nil, "allowedOn": nil}},
+				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueTimeout), "benefit": 1, "runsIn": nil, "allowedOn": nil}},
 			"tenants": []any{}}}
 	text, err := json.Marshal(conf)
 	if err != nil {
@@ -312,7 +312,7 @@
 	if err = os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	log, err := os.Create(v.log)
+	log, err := os.Create(v.logPath)
 	if err != nil {
 		return err
 	}
@@ -325,15 +325,15 @@
 		v.cmd = nil
 		return fmt.Errorf("router: %w", err)
 	}
-	go func() { v.cmd.Wait(); close(v.gone) }()
+	go func() { v.cmd.Wait(); close(v.exited) }()
 	limit := unix.Rlimit{Cur: valueDescriptors, Max: valueDescriptors}
 	unix.Prlimit(v.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
-	for until := time.Now().Add(valueWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	for until := time.Now().Add(valueTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-v.gone:
-			return fmt.Errorf("the router ended before it was ready%s", v.tail())
+		case <-v.exited:
+			return fmt.Errorf("the router ended before it was ready%s", v.logTail())
 		default:
 		}
 		if c, err := net.DialTimeout("tcp", v.addr, time.Second); err == nil {
@@ -346,24 +346,24 @@
 			}
 		}
 	}
-	return fmt.Errorf("the router was not ready within %v%s", valueWait, v.tail())
+	return fmt.Errorf("the router was not ready within %v%s", valueTimeout, v.logTail())
 }
 
-func (v *valueStage) tail() string {
-	text, _ := os.ReadFile(v.log)
+func (v *valueTestbed) logTail() string {
+	text, _ := os.ReadFile(v.logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return "; its log ends with\n" + strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-func (v *valueStage) close() {
+func (v *valueTestbed) close() {
 	if v.cmd != nil {
 		v.cmd.Process.Kill() // a router that was measured owes nobody anything
-		<-v.gone
+		<-v.exited
 	}
-	for _, ln := range v.sources {
+	for _, ln := range v.listeners {
 		ln.Close()
 	}
-	if v.loop != nil && v.agent != nil {
+	if v.loop != nil && v.listService != nil {
 		done := make(chan struct{})
 		v.loop.Post(func() { v.fleet.Close(); close(done) })
 		<-done
@@ -372,17 +372,17 @@
 	}
 }
 
-// ask sends a command and reads the head of its answer, which it may have to ask for again.
-func (v *valueStage) ask(conn net.Conn, in *bufio.Reader, size int) error {
-	conn.SetDeadline(time.Now().Add(valueWait))
+// startRead sends a command and reads the head of its answer, which it may have to ask for again.
+func (v *valueTestbed) startRead(conn net.Conn, in *bufio.Reader, size int) error {
+	conn.SetDeadline(time.Now().Add(valueTimeout))
 	for range 100 {
-		n := v.ids.Add(1)
+		n := v.lastID.Add(1)
 		id := fmt.Sprintf("%08x%08x", os.Getpid(), n)
-		fmt.Fprintf(conn, "mg v-%d-%d v O%s Pc=bulk,d=%d\r\n", size, n%1000, id, valueWait.Milliseconds())
+		fmt.Fprintf(conn, "mg v-%d-%d v O%s Pc=bulk,d=%d\r\n", size, n%1000, id, valueTimeout.Milliseconds())
 		line, err := in.ReadString('\n')
 		switch {
 		case err != nil:
-			return fmt.Errorf("a value of %d bytes: %w%s", size, err, v.tail())
+			return fmt.Errorf("a value of %d bytes: %w%s", size, err, v.logTail())
 		case line == fmt.Sprintf("VA %d O%s\r\n", size, id):
 			return nil
 		case !strings.HasPrefix(line, "SERVER_ERROR"):
@@ -390,11 +390,11 @@
 		}
 		time.Sleep(50 * time.Millisecond) // declined
 	}
-	return fmt.Errorf("a value of %d bytes was declined a hundred times%s", size, v.tail())
+	return fmt.Errorf("a value of %d bytes was declined a hundred times%s", size, v.logTail())
 }
 
-// read takes a value's bytes and checks them as they come.
-func read(in *bufio.Reader, buf []byte, size int) error {
+// readValue takes a value's bytes and checks them as they come.
+func readValue(in *bufio.Reader, buf []byte, size int) error {
 	check := emulator.Check{Length: size}
 	for check.Came < size {
 		n, err := in.Read(buf[:min(len(buf), size-check.Came)])
@@ -412,9 +412,9 @@
 	return nil
 }
 
-// fetch asks for values one after another on one connection.
-func (v *valueStage) fetch(ctx context.Context, size, n int) error {
-	conn, err := net.DialTimeout("tcp", v.addr, valueWait)
+// readValues asks for values one after another on one connection.
+func (v *valueTestbed) readValues(ctx context.Context, size, n int) error {
+	conn, err := net.DialTimeout("tcp", v.addr, valueTimeout)
 	if err != nil {
 		return err
 	}
@@ -422,8 +422,8 @@
 	in, buf := bufio.NewReaderSize(conn, 4096), make([]byte, 256<<10)
 	for range n {
 		if err = ctx.Err(); err == nil {
-			if err = v.ask(conn, in, size); err == nil {
-				err = read(in, buf, size)
+			if err = v.startRead(conn, in, size); err == nil {
+				err = readValue(in, buf, size)
 			}
 		}
 		if err != nil {
@@ -433,15 +433,15 @@
 	return nil
 }
 
-// carry has some clients ask for so many values each, and gives what of processor time the router took, how often its threads slept,
+// measureReads has some clients ask for so many values each, and gives what of processor time the router took, how often its threads slept,
 // and the plain loop's time meanwhile, in seconds. A first value of each client is not counted: it makes the connections.
-func (v *valueStage) carry(ctx context.Context, size, clients, n int) (core, wakeups, loop float64, err error) {
+func (v *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
 	all := func(n int) error {
 		errs := make([]error, clients)
 		var done sync.WaitGroup
 		for i := range clients {
 			done.Add(1)
-			go func() { defer done.Done(); errs[i] = v.fetch(ctx, size, n) }()
+			go func() { defer done.Done(); errs[i] = v.readValues(ctx, size, n) }()
 		}
 		done.Wait()
 		return errors.Join(errs...)
@@ -450,22 +450,22 @@
 		return 0, 0, 0, err
 	}
 	pid := v.cmd.Process.Pid
-	before, err := processorOf(pid)
+	before, err := cpuSeconds(pid)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	slept := wakeupsOf(pid)
+	wakeupsBefore := countWakeups(pid)
 	if err = all(n); err != nil {
 		return 0, 0, 0, err
 	}
-	after, err := processorOf(pid)
-	return after - before, wakeupsOf(pid) - slept, plainLoop(), err
+	after, err := cpuSeconds(pid)
+	return after - before, countWakeups(pid) - wakeupsBefore, plainLoop(), err
 }
 
-// hold has so many clients begin to take a value and read nothing of it, and gives the most that the router held resident, in KiB.
-func (v *valueStage) hold(ctx context.Context, size, n int, settle time.Duration) (most float64, err error) {
-	small := net.Dialer{Timeout: valueWait, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, valueWindow) })
+// measureHeldTransfers has so many clients begin to take a value and read nothing of it, and gives the most that the router held resident, in KiB.
+func (v *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64, err error) {
+	dialer := net.Dialer{Timeout: valueTimeout, Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, clientReceiveBuffer) })
 	}}
 	errs := make([]error, n)
 	conns := make([]net.Conn, n)
@@ -474,8 +474,8 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if conns[i], errs[i] = small.DialContext(ctx, "tcp", v.addr); errs[i] == nil {
-				errs[i] = v.ask(conns[i], bufio.NewReaderSize(conns[i], 64), size)
+			if conns[i], errs[i] = dialer.DialContext(ctx, "tcp", v.addr); errs[i] == nil {
+				errs[i] = v.startRead(conns[i], bufio.NewReaderSize(conns[i], 64), size)
 			}
 		}()
 	}
@@ -495,25 +495,25 @@
 		return 0, ctx.Err()
 	case <-time.After(settle):
 	}
-	_, most, err = memoryOf(v.cmd.Process.Pid)
-	return most, err
+	_, peak, err = residentKiB(v.cmd.Process.Pid)
+	return peak, err
 }
 
 // Copy tells how often a byte of a value is copied on its way, as the code has it: no run tells that.
 type Copy struct {
 	Name  string  `json:"name"`
-	User  float64 `json:"copies"` // from one place of the process's memory to another
+	Count float64 `json:"copies"` // from one place of the process's memory to another
 	About string  `json:"about"`
 }
 
 // Copies counts them. Each way has two copies of the kernel's besides, from a socket and to one.
 func Copies() []Copy {
-	const held, first, turn = 60_000, 4 << 10, 512 // a value, its first memory (meta's firstPart), and what a ring takes at once while it is small
+	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512 // a value, its first memory (meta's firstPart), and what a ring takes at once while it is small
 	grown := 0
-	value := make([]byte, 0, first)
-	for part := make([]byte, turn); len(value) < held; {
+	value := make([]byte, 0, firstCapacity)
+	for chunk := make([]byte, readChunk); len(value) < held; {
 		n, before := len(value), cap(value)
-		if value = append(value, part[:min(turn, held-n)]...); cap(value) != before {
+		if value = append(value, chunk[:min(readChunk, held-n)]...); cap(value) != before {
 			grown += n
 		}
 	}
@@ -529,7 +529,7 @@
 	fmt.Fprintln(w, "name\tunit\tfor one more\tslope\tleast\tmost\twith none\tresidual\tr squared\tin plain loops\t")
 	for _, l := range lines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.3f\t%.4f\t%.4g\t\n", l.Name, l.Unit, l.Per, l.Slope, l.Least, l.Most, l.Base, l.Residual,
-			l.Determine, l.Loops)
+			l.RSquared, l.Loops)
 	}
 	fmt.Fprintln(w, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(w, "name\tat\tmean\tleast\tmost\tin plain loops\tMB a second of a core\t")
@@ -551,6 +551,6 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t\t")
 	w.Flush()
 	for _, c := range Copies() {
-		fmt.Fprintf(out, "%s  %.1f  counted from the code: %s\n", c.Name, c.User, c.About)
+		fmt.Fprintf(out, "%s  %.1f  counted from the code: %s\n", c.Name, c.Count, c.About)
 	}
 }
