--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -16,15 +16,15 @@
 	"bendtrestle/internal/experiment"
 )
 
-// Quantity is a name under which something is measured.
+// Quantity is one thing that is measured: a line over several sizes, or a single figure.
 type Quantity struct {
 	Name  string
 	Unit  string
-	Per   string // of a line: of what there is one more; empty: it is a single figure
+	Per   string // what the slope of a line is per unit of; empty for a single figure
 	About string
 }
 
-// part is what is measured together.
+// part is a group of quantities that are measured together.
 type part struct {
 	name string
 	run  func(b *bench) error
@@ -33,7 +33,7 @@
 var parts = []part{{"idle", measureIdle}, {"hear", measureReceiving}, {"tell", measureSending}, {"start", measureStart}, {"conf", measureReloads}, {"list", measureLists}, {"request", measureRequests}, {"hollow", measureSimulatedRouters},
 	{"gossip", measureGossip}, {"value", measureValues}}
 
-// Parts names them, and with them the beginnings of all names.
+// Parts returns the names of all parts. Each quantity's name starts with the name of its part.
 func Parts() (all []string) {
 	for _, p := range parts {
 		all = append(all, p.name)
@@ -41,26 +41,26 @@
 	return all
 }
 
-// The units of processor time.
+// The units of CPU time.
 const (
-	coreRate = "core us/s" // microseconds of a core in a second; 10,000 are a hundredth of a core
+	coreRate = "core us/s" // microseconds of CPU time per second; 10,000 are a hundredth of a core
 	coreTime = "core us"
 )
 
-// Options say what is measured, and where.
+// Options are the settings of a measurement.
 type Options struct {
 	Plan     Plan
 	Router   experiment.Program
-	Self     []string // the command by which hollow routers are started: this program's own
-	SelfEnv  []string // and what it needs besides this process's environment
-	Net      int
+	Self     []string // the command that starts a process of simulated routers: this program itself
+	SelfEnv  []string // environment variables of that command, in addition to this process's
+	Net      int      // the second byte of the loopback addresses
 	Dir      string
 	Command  string
-	Join     []*Report // reports of others, whose names take the places of those that are not measured here
-	Progress io.Writer // nil: none
+	Join     []*Report // earlier reports; their quantities fill in those that this run does not measure
+	Progress io.Writer // nil: no progress is printed
 }
 
-// bench is a measurement under way.
+// bench is a running measurement.
 type bench struct {
 	ctx       context.Context
 	plan      Plan
@@ -71,14 +71,15 @@
 	dir       string
 	progress  io.Writer
 	run       int
-	loadCount uint64 // of clients, so far
+	loadCount uint64 // calls of runLoad so far
 	lines     map[string]map[float64]*Point
 	figures   map[string]*Point
 	loopTimes []float64
 	notes     []string
 }
 
-// add takes a value of a line at a size. A loop above 0 is that of the plain loop at the same time, in seconds.
+// add records a value of a quantity; x is the size that it belongs to, and has no effect on a single figure. A loop above 0 is the
+// CPU time of the plain loop at the same time, in seconds.
 func (b *bench) add(name string, x, value, loop float64) {
 	q := quantityNamed(name)
 	figures := b.figures
@@ -104,16 +105,16 @@
 	}
 }
 
-// quantityNamed gives a quantity. A name that is in no table is a fault of this package.
+// quantityNamed returns the quantity with the name. An unknown name is a bug in this package, so it panics.
 func quantityNamed(name string) Quantity {
 	i := slices.IndexFunc(quantities, func(q Quantity) bool { return q.Name == name })
 	if i < 0 {
-		panic("no quantity " + name)
+		panic("quantity " + name + " is not in the table of quantities")
 	}
 	return quantities[i]
 }
 
-// selects tells whether any name that begins so is asked for.
+// selects reports whether the plan includes any quantity with the prefix.
 func (b *bench) selects(prefix string) bool {
 	return slices.ContainsFunc(quantities, func(q Quantity) bool { return q.hasPrefix(prefix) && b.plan.selects(q) })
 }
@@ -124,26 +125,27 @@
 	}
 }
 
-// addNote keeps what was seen and is no figure, once.
+// addNote records an observation that is not a figure. A text that is already recorded is not repeated.
 func (b *bench) addNote(format string, about ...any) {
 	if text := fmt.Sprintf(format, about...); !slices.Contains(b.notes, text) {
 		b.notes = append(b.notes, text)
 	}
 }
 
-// recordLoop takes a window's plain loop, and gives it back.
+// recordLoop records the plain loop's time of a window, and returns the window's usage unchanged.
 func (b *bench) recordLoop(s usage) usage {
 	b.loopTimes = append(b.loopTimes, s.loop*1e6)
 	return s
 }
 
-// measureWindow looks at a process for a window.
+// measureWindow measures a process for the plan's window.
 func (b *bench) measureWindow(p *process) (usage, error) {
 	s, err := p.measureWindow(b.ctx, b.plan.Window)
 	return b.recordLoop(s), err
 }
 
-// Run measures. What ctx ends halfway is an error, and all that was started has ended then.
+// Run measures everything that the plan selects. It returns an error if ctx ends before it is done. All processes that it started have
+// ended when it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	b := newBench(ctx, o)
 	began, busy := time.Now(), loadAverage()
@@ -169,11 +171,11 @@
 		lines: map[string]map[float64]*Point{}, figures: map[string]*Point{}}
 }
 
-// report fits all that was taken.
+// report fits lines and figures to the recorded values.
 func (b *bench) report(o Options) *Report {
 	r := &Report{Form: ReportVersion, Runs: b.plan.Runs, Small: b.plan.Small, Notes: b.notes}
 	if len(b.loopTimes) > 0 {
-		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime, About: "crc32 of a megabyte, beside every measurement"}, b.loopTimes, nil)
+		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime, About: "crc32 of a megabyte, measured with every window"}, b.loopTimes, nil)
 	}
 	for _, q := range quantities {
 		if !b.plan.selects(q) {
@@ -195,7 +197,7 @@
 	return r
 }
 
-// join takes a quantity from others' reports.
+// join copies a quantity from the first of the other reports that has it, and reports whether one has it.
 func (r *Report) join(q Quantity, from []*Report) bool {
 	for _, o := range from {
 		if i := slices.IndexFunc(o.Lines, func(l Line) bool { return l.Name == q.Name }); i >= 0 {
@@ -210,16 +212,16 @@
 	return false
 }
 
-// loadAverage is how many threads ran or wanted to, over the last minute.
+// loadAverage returns the mean number of running and runnable threads over the last minute.
 func loadAverage() (x float64) {
 	text, _ := os.ReadFile("/proc/loadavg")
 	fmt.Sscan(string(text), &x)
 	return x
 }
 
-// machine says what it is measured on.
+// machine describes the machine that the measurement runs on.
 func machine() string {
-	model, memory := "a processor without a name", ""
+	model, memory := "an unknown processor", ""
 	text, _ := os.ReadFile("/proc/cpuinfo")
 	for line := range strings.Lines(string(text)) {
 		if key, value, found := strings.Cut(line, ":"); found && strings.TrimSpace(key) == "model name" {
@@ -235,7 +237,8 @@
 	return fmt.Sprintf("%d cores of %s%s, %s", runtime.NumCPU(), model, memory, runtime.Version())
 }
 
-// revision names the router's build as itself does; where that does not know, and it was built from this tree, as the tree does.
+// revision returns the version that the router's build prints. If the build does not know its revision and was built from this tree, the
+// revision is the tree's.
 func revision(ctx context.Context, p experiment.Program) string {
 	output := func(args ...string) string {
 		out, _ := exec.CommandContext(ctx, args[0], args[1:]...).Output()
--- a/internal/experiment/scale/conf.go
+++ b/internal/experiment/scale/conf.go
@@ -6,13 +6,13 @@
 	"time"
 )
 
-const repetitions = 6 // of what is over at once and is measured one after another: the mean of these is one run
+const repetitions = 6 // of an action too short to measure alone; their mean is the value of one run
 
-// measureStart measures a start by the peers that the configuration names.
+// measureStart measures a router's start by the number of peers in its configuration.
 func measureStart(b *bench) error {
 	most := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
-		b.progressf("starting with %d peers", n)
+		b.progressf("start with %d peers", n)
 		err := b.withServers(most, func(s *testbed) error {
 			began := time.Now()
 			p, err := b.startRouter(s, routerSetup{peers: b.peerAddresses(n), gossip: true})
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // what is not needed any more is given back later, if at all
+			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // unused memory is returned later, if at all
 				return err
 			}
 			_, top, err := residentKiB(p.pid())
@@ -45,8 +45,9 @@
 	return nil
 }
 
-// measureReload has a router read its configuration anew, some times one after another, and gives what one time takes of the processor,
-// beyond what it takes doing nothing, and by the clock until it is in force. done tells what its log says then; change makes the files.
+// measureReload makes a router reload its configuration several times in a row. It returns the CPU microseconds of one reload, beyond
+// what the router uses when idle, and the mean milliseconds until the configuration is in force. logLine is the text that the router logs
+// then; change returns the setup of the n-th reload.
 func (b *bench) measureReload(s *testbed, p *process, logLine string, change func(n int) routerSetup) (cpuMicros, delayMillis float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
@@ -65,7 +66,7 @@
 		if err = p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			return 0, 0, err
 		}
-		if err = p.deadline(b.ctx, "a changed configuration", func() bool { return p.countLogLines(logLine) > seen }); err != nil {
+		if err = p.deadline(b.ctx, "waiting for a reload of the configuration", func() bool { return p.countLogLines(logLine) > seen }); err != nil {
 			return 0, 0, err
 		}
 		elapsed += time.Since(signalledAt).Seconds()
@@ -78,7 +79,7 @@
 	return usedSeconds * 1e6 / repetitions, elapsed * 1e3 / repetitions, nil
 }
 
-// The lines of a router's log by which a new configuration, a faulty one and a list are known.
+// Texts of the router's log lines about a reloaded configuration, a rejected one, a new endpoint list and changed teams.
 const (
 	logReloaded       = `"message":"configured anew"`
 	logReloadRejected = `"message":"the new configuration cannot be used; the old one stays"`
@@ -86,11 +87,11 @@
 	logContracts      = `"message":"contracts"`
 )
 
-// measureReloads measures changes of the configuration.
+// measureReloads measures reloads of the configuration.
 func measureReloads(b *bench) error {
 	most := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
-		b.progressf("configuring anew with %d peers", n)
+		b.progressf("reload with %d peers", n)
 		c := routerSetup{peers: b.peerAddresses(n), gossip: true, teamBudget: 1}
 		err := b.withRouter(most, c, func(s *testbed, p *process) error {
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
--- a/internal/experiment/scale/idle.go
+++ b/internal/experiment/scale/idle.go
@@ -2,11 +2,11 @@
 
 import "slices"
 
-// measureIdle measures a router that has nothing to do.
+// measureIdle measures a router without load.
 func measureIdle(b *bench) error {
 	most := slices.Max(b.plan.Servers)
 	measure := func(servers, peers int, c routerSetup, record func(s usage)) error {
-		b.progressf("idle before %d servers, %d peers", servers, peers)
+		b.progressf("idle with %d servers and %d peers", servers, peers)
 		c.peers = b.peerAddresses(peers)
 		return b.withRouter(servers, c, func(_ *testbed, p *process) error {
 			s, err := b.measureWindow(p)
--- a/internal/experiment/scale/list.go
+++ b/internal/experiment/scale/list.go
@@ -12,7 +12,7 @@
 	"time"
 )
 
-// countingProxy stands between a router and its list service, and counts what passes.
+// countingProxy is a TCP proxy between a router and its list service. It counts the calls and bytes that it forwards.
 type countingProxy struct {
 	ln           net.Listener
 	target       string
@@ -57,7 +57,7 @@
 	done := make(chan struct{})
 	go func() {
 		io.Copy(upstream, io.TeeReader(conn, writerFunc(func(p []byte) {
-			c.calls.Add(int64(bytes.Count(p, []byte("GET /")))) // a request is written in one go
+			c.calls.Add(int64(bytes.Count(p, []byte("GET /")))) // the router writes a call in one piece
 			c.bytes.Add(int64(len(p)))
 		})))
 		upstream.Close()
@@ -85,7 +85,7 @@
 	c.goroutines.Wait()
 }
 
-// fetchList gives a list as the service tells it.
+// fetchList returns the list service's response body.
 func fetchList(addr, query string) ([]byte, error) {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + addr + "/catalog/members" + query)
@@ -96,10 +96,11 @@
 	return io.ReadAll(response.Body)
 }
 
-// measureLists measures the list of servers: its size, what taking it costs whole and by one change, what calls cost that bring no news.
+// measureLists measures the endpoint list: its size, the cost of applying a full list and a change of one server, and the calls to the
+// list service while nothing changes.
 func measureLists(b *bench) error {
 	for _, n := range b.plan.Servers {
-		b.progressf("lists of %d servers", n)
+		b.progressf("list of %d servers", n)
 		err := b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
 			whole, err := fetchList(s.listServices[0].Addr(), "")
@@ -132,7 +133,7 @@
 			return err
 		}
 	}
-	b.progressf("calls of the list without news")
+	b.progressf("calls to the list service without changes")
 	return b.withRouter(slices.Max(b.plan.Servers), routerSetup{countListCalls: true}, func(s *testbed, p *process) error {
 		calls, size := s.listProxy.calls.Load(), s.listProxy.bytes.Load()
 		w, err := p.measureWindow(b.ctx, max(b.plan.Window, time.Second))
@@ -143,8 +144,8 @@
 	})
 }
 
-// measureListChanges has servers drained and brought back, one after another, and gives what one such change takes of the router's processor
-// beyond what it takes doing nothing, and until it is in force, and what is written of it in the list.
+// measureListChanges drains servers and brings them back, one after another. For one such change it returns the router's CPU microseconds
+// beyond what it uses when idle, the milliseconds until it is in force, and the bytes of the list service's response.
 func (b *bench) measureListChanges(s *testbed, p *process) (cpuMicros, delay, size float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
@@ -164,7 +165,7 @@
 				server.Undrain()
 			}
 		})
-		if err = p.deadline(b.ctx, "a change of the list", func() bool { return p.countLogLines(logListInForce) > seen }); err != nil {
+		if err = p.deadline(b.ctx, "waiting for a change of the list", func() bool { return p.countLogLines(logListInForce) > seen }); err != nil {
 			return 0, 0, 0, err
 		}
 		elapsed += time.Since(changedAt).Seconds()
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -21,21 +21,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a program that was started here. It is in a group of its own and ends with this process, whatever ends that.
+// process is a child process. It has its own process group, and the kernel kills it when this process ends for any reason.
 type process struct {
 	cmd        *exec.Cmd
-	logPath    string // path
-	addr       string // of a router: where it takes clients
-	configPath string // path of its configuration
+	logPath    string
+	addr       string // of a router: its address for clients
+	configPath string // of a router
 	ended      chan struct{}
 }
 
 const (
-	readyTimeout = 30 * time.Second // for a router to become ready: some tenths of a second, and more on a busy machine
-	exitTimeout  = 5 * time.Second  // for hollow routers to end with their input, before they are killed
+	readyTimeout = 30 * time.Second // a router takes some tenths of a second to become ready, and more on a busy machine
+	exitTimeout  = 5 * time.Second  // for simulated routers to exit once their input is closed, before they are killed
 )
 
-// startProcess starts a program whose log goes to a file.
+// startProcess starts a program and redirects its output to a log file.
 func startProcess(dir, name string, args, env []string) (*process, error) {
 	p := &process{logPath: filepath.Join(dir, name+".log"), ended: make(chan struct{})}
 	log, err := os.OpenFile(p.logPath, os.O_CREATE|os.O_TRUNC|os.O_WRONLY, 0o600)
@@ -56,13 +56,13 @@
 
 func (p *process) pid() int { return p.cmd.Process.Pid }
 
-// kill ends it at once: a router that was measured owes nobody anything.
+// kill kills the process without a graceful shutdown, because nothing depends on a measured router any more.
 func (p *process) kill() {
 	p.cmd.Process.Kill()
 	<-p.ended
 }
 
-// waitReady waits until the router says that it serves.
+// waitReady waits until the router replies to a no-op command.
 func (p *process) waitReady(ctx context.Context) error {
 	for until := time.Now().Add(readyTimeout); time.Now().Before(until); {
 		if isServing(p.addr) {
@@ -88,7 +88,7 @@
 	return repliesToNoOp(conn)
 }
 
-// repliesToNoOp tells whether a router says on a connection that it serves.
+// repliesToNoOp reports whether the router replies to a no-op command on the connection.
 func repliesToNoOp(conn net.Conn) bool {
 	conn.SetDeadline(time.Now().Add(time.Second))
 	fmt.Fprint(conn, "mn\r\n")
@@ -102,7 +102,7 @@
 	return strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-// countLogLines counts the lines of its log that hold a text.
+// countLogLines returns the number of lines of the process's log that contain text.
 func (p *process) countLogLines(text string) (n int) {
 	all, _ := os.ReadFile(p.logPath)
 	for line := range bytes.Lines(all) {
@@ -113,35 +113,35 @@
 	return n
 }
 
-// until waits until something is so. The error tells that the process ended, or that it was not so in time.
+// waitFor waits until condition is true. It returns an error if the process ends or the time runs out before that.
 func (p *process) deadline(ctx context.Context, event string, condition func() bool) error {
 	for deadline := time.Now().Add(readyTimeout); !condition(); {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-p.ended:
-			return fmt.Errorf("%s: the process has ended; its log ends with\n%s", event, p.logTail())
+			return fmt.Errorf("%s: the process ended; its log ends with\n%s", event, p.logTail())
 		case <-time.After(time.Millisecond):
 		}
 		if time.Now().After(deadline) {
-			return fmt.Errorf("%s: not within %v; its log ends with\n%s", event, readyTimeout, p.logTail())
+			return fmt.Errorf("%s: timed out after %v; the log ends with\n%s", event, readyTimeout, p.logTail())
 		}
 	}
 	return nil
 }
 
-// cpuSeconds is the processor time that a process has used, all its threads, in seconds. The kernel's clock of another process
-// counts nanoseconds, where /proc counts hundredths of a second.
+// cpuSeconds returns the CPU time that all threads of a process have used, in seconds. It reads the kernel's CPU clock of the process,
+// which counts nanoseconds; /proc counts only hundredths of a second.
 func cpuSeconds(pid int) (float64, error) {
 	const scheduled = 2 // CPUCLOCK_SCHED of the kernel's posix-timers.h: user and system time together
 	var at unix.Timespec
 	if err := unix.ClockGettime(int32(^pid<<3|scheduled), &at); err != nil {
-		return 0, fmt.Errorf("processor time of process %d: %w", pid, err)
+		return 0, fmt.Errorf("CPU time of process %d: %w", pid, err)
 	}
 	return time.Duration(at.Nano()).Seconds(), nil
 }
 
-// residentKiB is what a process holds resident now and what it held at most, in KiB.
+// residentKiB returns the current and the peak resident memory of a process, in KiB.
 func residentKiB(pid int) (now, peak float64, err error) {
 	text, err := os.ReadFile(fmt.Sprintf("/proc/%d/status", pid))
 	if err != nil {
@@ -159,11 +159,11 @@
 	return field("VmRSS"), field("VmHWM"), nil
 }
 
-// countWakeups counts how often the threads of a process went to sleep by themselves so far.
+// countWakeups returns the number of voluntary context switches of all threads of a process so far.
 func countWakeups(pid int) (n float64) {
 	tasks, _ := filepath.Glob(fmt.Sprintf("/proc/%d/task/*/status", pid))
 	for _, task := range tasks {
-		text, _ := os.ReadFile(task) // a thread may end meanwhile
+		text, _ := os.ReadFile(task) // the thread may have ended since the directory was read
 		for line := range strings.Lines(string(text)) {
 			if rest, is := strings.CutPrefix(line, "voluntary_ctxt_switches:"); is {
 				x, _ := strconv.ParseFloat(strings.TrimSpace(rest), 64)
@@ -174,20 +174,20 @@
 	return n
 }
 
-// usage is what a process took in a window.
+// usage is the resources that a process used in a window.
 type usage struct {
 	seconds  float64 // by the clock
 	cpu      float64 // seconds
 	wakeups  float64
-	resident float64 // KiB, at its end
-	peak     float64 // KiB, since the process began
-	loop     float64 // seconds of processor of the plain loop meanwhile
+	resident float64 // KiB, at the end of the window
+	peak     float64 // KiB, since the process started
+	loop     float64 // CPU seconds of the plain loop at the end of the window
 }
 
-// cpuRate is the processor time in microseconds a second.
+// cpuRate returns the CPU time in microseconds per second.
 func (s usage) cpuRate() float64 { return s.cpu * 1e6 / s.seconds }
 
-// measureWindow looks at a process for a window.
+// measureWindow returns what the process uses during the window.
 func (p *process) measureWindow(ctx context.Context, window time.Duration) (s usage, err error) {
 	before, err := cpuSeconds(p.pid())
 	if err != nil {
@@ -207,7 +207,7 @@
 	return s, err
 }
 
-// sleep waits; the error tells that a process has ended meanwhile, or all is to end.
+// sleep waits for the duration. It returns an error if ctx or the process ends before that; p may be nil.
 func sleep(ctx context.Context, long time.Duration, p *process) error {
 	var ended chan struct{}
 	if p != nil {
@@ -219,17 +219,17 @@
 	case <-ctx.Done():
 		return ctx.Err()
 	case <-ended:
-		return errors.New("the process has ended; its log ends with\n" + p.logTail())
+		return errors.New("the process ended; its log ends with\n" + p.logTail())
 	}
 }
 
-const loopRuns = 15 // their median is steady where other work takes turns with them
+const loopRuns = 15 // their median is stable when other processes run in between
 
 var megabyte = make([]byte, 1<<20)
 
-// plainLoop is the processor time of the crc32 of a megabyte, in seconds: the median of some.
+// plainLoop returns the CPU seconds of the crc32 of a megabyte: the median of loopRuns runs.
 func plainLoop() float64 {
-	runtime.LockOSThread() // a thread's own clock is read
+	runtime.LockOSThread() // the CPU clock of the thread is read
 	defer runtime.UnlockOSThread()
 	var times []float64
 	for range loopRuns {
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -14,33 +14,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// ReportVersion is the version of the report's JSON; a report of another is not compared with.
+// ReportVersion is the version of the report's JSON. Reports of another version cannot be read.
 const ReportVersion = 1
 
-// maxPointDeviation is the part of its own size by which a point may lie off its line before it is named: twice what a run on a busy machine
-// differs from the next.
+// maxPointDeviation is the relative distance from the line above which a point is reported: twice the difference between two runs on a
+// busy machine.
 const maxPointDeviation = 0.1
 
-// Report is all that was measured, by name.
+// Report is the result of a measurement.
 type Report struct {
 	Form     int        `json:"form"`
 	Command  string     `json:"command"`
 	Revision string     `json:"revision"` // of the router that was measured
 	Machine  string     `json:"machine"`
-	Load     [2]float64 `json:"load"`  // the machine's load averages at the beginning and the end, this run's own work among it
+	Load     [2]float64 `json:"load"`  // load averages at the beginning and the end, including this run's own load
 	Began    string     `json:"began"` // RFC 3339
 	Took     float64    `json:"took_s"`
 	Runs     int        `json:"runs"`
-	Small    bool       `json:"small,omitempty"` // sizes of a test: nothing is to be quoted from it
-	Loop     Figure     `json:"loop"`            // the plain loop that processor times are set beside
+	Small    bool       `json:"small,omitempty"` // sizes of a test: its values must not be quoted
+	Loop     Figure     `json:"loop"`            // the plain loop that CPU times are compared with
 	Lines    []Line     `json:"lines"`
 	Figures  []Figure   `json:"figures"`
-	Missing  []string   `json:"missing,omitempty"` // names that were not measured
-	Notes    []string   `json:"notes,omitempty"`   // what was seen and is no figure
+	Missing  []string   `json:"missing,omitempty"` // names of quantities that were not measured
+	Notes    []string   `json:"notes,omitempty"`   // observations that are not figures
 }
 
-// Point is what was measured at one size, a value a run. Loops are the same values over the plain loop's time in the same run; there
-// are none where the value is no processor time.
+// Point is the values measured at one size, one per run. Loops are the same values divided by the plain loop's time in the same run;
+// it is empty if the value is not a CPU time.
 type Point struct {
 	X     float64   `json:"x"`
 	Runs  []float64 `json:"runs"`
@@ -54,17 +54,17 @@
 	Per      string    `json:"per"`
 	About    string    `json:"about"`
 	Points   []Point   `json:"points"`
-	Slope    float64   `json:"slope"`     // unit for one more of what is counted
-	Base     float64   `json:"base"`      // unit where there is none of it
-	Least    float64   `json:"least"`     // the runs' slopes, each fitted by itself
+	Slope    float64   `json:"slope"`     // units per additional one of Per
+	Base     float64   `json:"base"`      // units at zero of Per
+	Least    float64   `json:"least"`     // lowest and highest slope of the runs, each fitted separately
 	Most     float64   `json:"most"`      //
-	Residual float64   `json:"residual"`  // the largest distance of a point from the line, as a part of the largest point
+	Residual float64   `json:"residual"`  // largest distance of a point from the line, relative to the largest point
 	RSquared float64   `json:"r_squared"` // the coefficient of determination
 	Loops    float64   `json:"slope_loops,omitempty"`
-	Off      []float64 `json:"off,omitempty"` // where a point lies off the line by more than a tenth and more than its runs differ
+	Off      []float64 `json:"off,omitempty"` // points off the line by more than a tenth and by more than the spread of their runs
 }
 
-// Figure is one value.
+// Figure is a quantity measured at one size.
 type Figure struct {
 	Name  string    `json:"name"`
 	Unit  string    `json:"unit"`
@@ -76,7 +76,7 @@
 	Loops float64   `json:"loops,omitempty"`
 }
 
-// newLine fits a line through points.
+// newLine fits a line through the means of the points.
 func newLine(q Quantity, points []Point) Line {
 	l := Line{Name: q.Name, Unit: q.Unit, Per: q.Per, About: q.About, Points: points}
 	var x, y, loops []float64
@@ -129,12 +129,12 @@
 	return f
 }
 
-// At is what a line gives at a size, and how many times beyond its largest point that lies.
+// At returns the line's value at x, and the ratio of x to the line's largest measured point.
 func (l Line) At(x float64) (value, beyond float64) {
 	return l.Base + l.Slope*x, x / l.Points[len(l.Points)-1].X
 }
 
-// Read reads a report. The error tells that the file cannot be read, is none, or is of another form.
+// Read reads a report. It returns an error if the file cannot be read, is not a report, or has another version.
 func Read(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -142,7 +142,7 @@
 	}
 	var r Report
 	if err = json.Unmarshal(text, &r); err != nil {
-		return nil, fmt.Errorf("%s: not a report of scale: %w", path, err)
+		return nil, fmt.Errorf("%s: not a report of trestle-experiment scale: %w", path, err)
 	}
 	if r.Form != ReportVersion {
 		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, ReportVersion)
@@ -150,7 +150,7 @@
 	return &r, nil
 }
 
-// Write writes it to a file, whole or not at all.
+// Write writes the report to a file atomically.
 func (r *Report) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -169,7 +169,7 @@
 	return fmt.Sprintf("%.4g", x)
 }
 
-// Print writes the table. Every line has its name, so that a page can quote it.
+// Print writes the report as a table. Each row starts with the name of its quantity, so that documentation can refer to it.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n%s, load %.1f at the beginning and %.1f at the end; router %s; %d runs, %.0f s\n", r.Command, r.Machine, r.Load[0], r.Load[1],
 		r.Revision, r.Runs, r.Took)
@@ -216,11 +216,11 @@
 	return formatNumber(x)
 }
 
-// Against prints each value beside that of an earlier report. A difference counts where the two's runs do not overlap; of processor
-// times the ones over the plain loop are shown, too, as the machines or their load may differ.
+// Against prints each value next to that of an earlier report. A difference is significant if the runs of the two do not overlap. CPU
+// times are also shown relative to the plain loop, because the machines or their load may differ.
 func (r *Report) Against(out io.Writer, before *Report) error {
 	if before.Small != r.Small {
-		return errors.New("one of the two reports is of small sizes; they say nothing of one another")
+		return errors.New("one of the two reports has the small sizes of a test; only reports of the same sizes can be compared")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nAGAINST\tBEFORE\tNOW\tTIMES\tIN LOOPS, TIMES\t")
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -10,16 +10,17 @@
 	"bendtrestle/internal/eventloop"
 )
 
-const keyCount = 4000 // as many as the module's circle has places: after some seconds it has looked each of them up
+const keyCount = 4000 // as many as the balancer's ring has slots: within seconds, each slot has been looked up
 
-// runLoad lets clients ask a router at a rate, for a while before a window and through it. It gives what the window took of the router,
-// how many operations were asked for in all and how many of them got what was asked for.
+// runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the router's usage in the
+// window, the number of all requests, and the number of those that got their value.
 func (b *bench) runLoad(s *testbed, p *process, rate float64, warm time.Duration) (w usage, requested, served int, err error) {
 	loop, err := eventloop.New()
 	if err != nil {
 		return w, 0, 0, err
 	}
-	b.loadCount++ // ids of operations are counted from the seed on, and must not come again within the seconds for which a router remembers them
+	// The ids of requests count up from the seed. They must not repeat within the seconds for which a router remembers them.
+	b.loadCount++
 	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads}, Rate: rate, Keys: keyCount,
 		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
 	if err != nil {
@@ -47,13 +48,13 @@
 		if any, _ := o.Served(); any {
 			served++
 		} else {
-			b.addNote("a read at %.0f a second ended as %v", rate, o.How)
+			b.addNote("a read at %.0f requests per second ended as %v", rate, o.How)
 		}
 	}
 	return w, len(clients.Book().Ops), served, err
 }
 
-// measureRequests measures operations on small values, connections to servers and clients, and handshakes.
+// measureRequests measures requests for small values, connections to servers and clients, and handshakes.
 func measureRequests(b *bench) error {
 	most, top := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
 	requested, served := 0, 0
@@ -69,7 +70,7 @@
 	reusedRate := 0.0
 	err := b.withRouter(most, routerSetup{}, func(s *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
-			b.progressf("%.0f operations a second", rate)
+			b.progressf("%.0f requests per second", rate)
 			w, err := runLoad(s, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
@@ -82,7 +83,7 @@
 	if err != nil {
 		return err
 	}
-	b.progressf("a handshake for each operation")
+	b.progressf("a handshake for each request")
 	err = b.withRouter(most, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
 		before := acceptedConnections(s)
 		began := time.Now()
@@ -92,7 +93,7 @@
 		}
 		connectionsPerSecond := float64(acceptedConnections(s)-before) / time.Since(began).Seconds()
 		if connectionsPerSecond <= 0 {
-			return fmt.Errorf("no connection was made")
+			return fmt.Errorf("the router opened no connection to a server")
 		}
 		b.add("request.core.handshake", 0, (w.cpuRate()-reusedRate)/connectionsPerSecond, w.loop)
 		return nil
@@ -103,7 +104,7 @@
 	for _, n := range b.plan.Servers {
 		b.progressf("memory of connections to %d servers", n)
 		err = b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
-			w, err := runLoad(s, p, top, b.plan.Window) // until each has one, and the module has looked up most places
+			w, err := runLoad(s, p, top, b.plan.Window) // until each server has a connection and most slots are looked up
 			b.add("request.memory.servers", float64(n), w.resident, 0)
 			b.add("request.connections", float64(n), float64(acceptedConnections(s)), 0)
 			return err
@@ -112,7 +113,7 @@
 			return err
 		}
 	}
-	b.progressf("memory of clients' connections")
+	b.progressf("memory of client connections")
 	err = b.withRouter(most, routerSetup{}, func(_ *testbed, p *process) error {
 		var open []net.Conn
 		defer func() {
@@ -127,7 +128,7 @@
 					return err
 				}
 				if open = append(open, c); !repliesToNoOp(c) {
-					return fmt.Errorf("client %d: the router does not say that it serves", len(open))
+					return fmt.Errorf("client %d: the router does not reply to a no-op command", len(open))
 				}
 			}
 			now, _, err := residentKiB(p.pid())
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -17,24 +17,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// The layout of the loopback addresses, 127.NET.x.y: the router's, its list services', the servers' and the other routers'.
+// The layout of the loopback addresses 127.NET.x.y: the third byte is at or above the constant of its kind.
 const (
 	routerOctet       = 1
 	listServicesOctet = 2
-	peersOctet        = 10 // 16 numbers of 250 each
-	serversOctet      = 40 // eight of 250 each
+	peersOctet        = 10 // 16 values with 250 addresses each
+	serversOctet      = 40 // eight values with 250 addresses each
 	addressesPerOctet = 250
 
 	gossipPort        = 7946
-	routerDescriptors = 4096 // of a router: at the usual 1024 it has 372 connections to servers, fewer than there are servers
-	zoneCount         = 20   // of the fleet; a server is in one, in turn
+	routerDescriptors = 4096 // file descriptors: the usual 1024 leave 372 connections to servers, fewer than there are servers
+	zoneCount         = 20   // servers are assigned to zones in turn
 )
 
 func (b *bench) address(x, n, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", b.net, x+n/addressesPerOctet, 1+n%addressesPerOctet, port)
 }
 
-// peerAddress is where the n-th of the other routers is.
+// peerAddress returns the gossip address of the n-th other router.
 func (b *bench) peerAddress(n int) string { return b.address(peersOctet, n, gossipPort) }
 
 func (b *bench) peerAddresses(n int) []string {
@@ -45,25 +45,25 @@
 	return all
 }
 
-// testbed is stand-in cache servers with their list, on a loop of its own.
+// testbed is a set of emulated cache servers and their list services, on an event loop of their own.
 type testbed struct {
 	loop         *eventloop.Loop
 	fleet        *emulator.Fleet
-	listServices []*emulator.Agent // the same list at several addresses
-	listProxy    *countingProxy    // before the first of them; nil: there is none
+	listServices []*emulator.Agent // serve the same list at different addresses
+	listProxy    *countingProxy    // in front of a list service; nil: calls are not counted
 	ended        chan error
 }
 
-// smallReads is a traffic type of short values without much work.
+// smallReads is a traffic type with small values and little work per request.
 var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100, Promised: 0.150, HardStop: 0.750, Benefit: 5}
 
-// retryWhileAddressInUse calls f anew while an address that it wants is taken, for a while: a process that is just being started holds all sockets of this
-// one between its fork and its exec.
+// retryWhileAddressInUse calls f until it returns no address-in-use error, for about a second. Such errors are transient: a process that
+// is being started holds all sockets of this one between fork and exec.
 func retryWhileAddressInUse(ctx context.Context, f func() error) error {
 	const attempts, pause = 20, 50 * time.Millisecond
 	for n := 1; ; n++ {
 		err := f()
-		inUse := errors.Is(err, unix.EADDRINUSE) || err != nil && strings.Contains(err.Error(), unix.EADDRINUSE.Error()) // a child says it in words
+		inUse := errors.Is(err, unix.EADDRINUSE) || err != nil && strings.Contains(err.Error(), unix.EADDRINUSE.Error()) // a child process reports it as text
 		if !inUse {
 			return err
 		}
@@ -76,7 +76,7 @@
 	}
 }
 
-// openTestbed sets up so many servers.
+// openTestbed starts a testbed with the number of servers.
 func (b *bench) openTestbed(servers int) (s *testbed, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() error {
 		loop, err := eventloop.New()
@@ -96,7 +96,7 @@
 	return s, err
 }
 
-// addServers adds servers, and list services that name them.
+// addServers adds the servers and two list services for them.
 func (s *testbed) addServers(b *bench, servers int) error {
 	for n := range servers {
 		spec := emulator.Spec{Name: s.fleet.NextName(), Addr: b.address(serversOctet, n, 11300), Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
@@ -116,7 +116,7 @@
 	return nil
 }
 
-// onLoop calls f where the stand-ins may be touched.
+// onLoop calls f on the event loop, which owns the emulated servers, and waits for it.
 func (s *testbed) onLoop(f func()) {
 	done := make(chan struct{})
 	s.loop.Post(func() { f(); close(done) })
@@ -132,22 +132,22 @@
 	<-s.ended
 }
 
-// routerSetup is what differs between the routers that are measured.
+// routerSetup is the settings in which the measured routers differ.
 type routerSetup struct {
-	listService       int      // the list service's number
-	peers             []string // others' addresses; this router's own comes first in its configuration
-	fleetSize         int      // that there are; 0: as many as peers and this one
-	gossip            bool     // words to peers are allowed
-	serverIdleSeconds float64  // seconds until cache servers close an idle connection; 0: an hour
-	adminServer       bool     // the operators' door is open
+	listService       int      // index of the list service
+	peers             []string // addresses of the other routers; the router's own address comes first in the configuration
+	fleetSize         int      // 0: the peers and this router
+	gossip            bool     // sending gossip messages is allowed
+	serverIdleSeconds float64  // until idle connections to servers are closed; 0: an hour
+	adminServer       bool     // the admin server listens
 	zoneFailover      bool
 	recovery          bool
-	teamBudget        int  // one team's budget; 0: no team
-	countListCalls    bool // its calls of the list service are counted
-	invalid           bool // the configuration holds a fault
+	teamBudget        int  // budget of the one team; 0: no team
+	countListCalls    bool // a counting proxy is put in front of the list service
+	invalid           bool // the configuration has a fault
 }
 
-// configure writes a router's files.
+// configure writes the router's configuration and operators' file.
 func (b *bench) configure(s *testbed, c routerSetup) error {
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	if c.fleetSize == 0 {
@@ -183,7 +183,7 @@
 		conf["ops"] = b.address(routerOctet, 0, 9400)
 	}
 	if c.invalid {
-		conf["name"] = 7 // a text is wanted
+		conf["name"] = 7 // invalid: the name must be a string
 	}
 	text, err := json.Marshal(conf)
 	if err != nil {
@@ -213,7 +213,7 @@
 	return os.Rename(path+".new", path)
 }
 
-// startRouter starts a real router before a stage; it is not waited for.
+// startRouter starts a real router for the testbed's servers. It does not wait until the router is ready.
 func (b *bench) startRouter(s *testbed, c routerSetup) (*process, error) {
 	if err := b.configure(s, c); err != nil {
 		return nil, err
@@ -234,7 +234,7 @@
 	return p, nil
 }
 
-// withServers calls f with so many servers, and ends them after it.
+// withServers calls f with a testbed of the number of servers, and closes the testbed afterwards.
 func (b *bench) withServers(servers int, f func(s *testbed) error) error {
 	s, err := b.openTestbed(servers)
 	if err != nil {
@@ -244,7 +244,7 @@
 	return f(s)
 }
 
-// withRouter calls f with a ready and settled router before so many servers, and ends all after it.
+// withRouter calls f with a testbed and a router that is ready and has settled, and stops both afterwards.
 func (b *bench) withRouter(servers int, c routerSetup, f func(s *testbed, p *process) error) error {
 	return b.withServers(servers, func(s *testbed) (err error) {
 		if c.countListCalls {
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -90,9 +90,11 @@
 }
 
 var valueQuantities = []Quantity{
-	{"value.core.byte", coreTime, "byte", "reads of one value after another by some clients at once, by the value's size"},
-	{"value.core.byte.alone", coreTime, "byte", "the same by one client: nothing is shared between two values"},
-	{"value.wakeups.byte", "wake-ups", "byte", "how often the router's threads slept, in the runs of value.core.byte"},
+	{"value.core.byte", coreTime, "byte",
+		"reads of one value after another by several concurrent clients, by the size of the value"},
+	{"value.core.byte.alone", coreTime, "byte", "the same with one client, so that concurrent values share no work"},
+	{"value.wakeups.byte", "wake-ups", "byte",
+		"voluntary context switches of the router's threads in the runs of value.core.byte"},
 }
 
 // measureValues measures long values at the usual sizes, once; the bench has the runs.
@@ -175,7 +177,7 @@
 	}
 	quantities := slices.Clone(valueQuantities)
 	for _, size := range o.Sizes {
-		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer", "the most resident, by transfers held by clients that do not read"})
+		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer", "peak resident memory, by the number of transfers held open by clients that do not read"})
 	}
 	var lines []Line
 	for _, q := range quantities {
