--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -11,13 +11,13 @@
 )
 
 const (
-	maxGossipRouters        = 300             // routers that gossip at once: 2.4 cores at the 0.8% each of docs/design/gossip.md, 1.0 in docs/capacity/gossip-1.json
-	gossipRoutersPerProcess = 50              // to a process: 0.4 of a core at most, far below its two threads
-	gossipSettle            = 6 * time.Second // one that starts calls and pulls more for 5 s
+	maxGossipRouters        = 300             // 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 measured (docs/capacity/gossip-1.json)
+	gossipRoutersPerProcess = 50              // 0.4 of a core at most, far below the two threads of a process
+	gossipSettle            = 6 * time.Second // a router probes and pulls more often in its first 5 s
 )
 
-// gossipSizes gives the numbers of routers at which gossip is measured: the plan's that one machine bears and at which real routers
-// gossip, or thirds of the most where these are too few for a line.
+// gossipSizes returns the fleet sizes at which gossip is measured: those of the plan that one machine can run and at which real routers
+// gossip. If these are too few for a line, thirds of the maximum are added.
 func (b *bench) gossipSizes() (all []int) {
 	var skipped []string
 	for _, n := range b.plan.Routers {
@@ -28,7 +28,8 @@
 		all = append(all, n)
 	}
 	if len(skipped) > 0 {
-		b.addNote("gossip is not measured at %s routers: it takes at most %d, as one may cost up to 0.8%% of a core, and none so few that telling all takes fewer bytes",
+		b.addNote("gossip is not measured at %s routers: the measurement runs at most %d, because one may cost up to 0.8%% of a core, "+
+			"and it skips sizes at which broadcasting takes fewer bytes",
 			strings.Join(skipped, ", "), maxGossipRouters)
 	}
 	if len(all) < minPoints {
@@ -38,14 +39,14 @@
 	return slices.Compact(all)
 }
 
-// measureGossip measures fleets of hollow routers that gossip, each beside one whose routers tell all.
+// measureGossip measures fleets of simulated routers that gossip, each paired with one whose routers broadcast.
 func measureGossip(b *bench) error {
 	settle := gossipSettle
 	if b.plan.Small {
 		settle = b.plan.Settle
 	}
 	for _, n := range b.gossipSizes() {
-		b.progressf("%d hollow routers that gossip", n)
+		b.progressf("%d simulated routers that gossip", n)
 		w, err := b.measureTraffic("gossip", n, settle)
 		if err != nil {
 			return err
@@ -53,7 +54,7 @@
 		b.add("gossip.core.routers", float64(n), w.cpuRate(), w.loop)
 		b.add("gossip.bytes.mean", float64(n), w.meanBytes, 0)
 		b.add("gossip.bytes.most", float64(n), w.mostBytes, 0)
-		b.progressf("%d hollow routers that tell all", n)
+		b.progressf("%d simulated routers that broadcast", n)
 		if w, err = b.measureTraffic("all", n, b.plan.Settle); err != nil {
 			return err
 		}
@@ -63,13 +64,14 @@
 	return nil
 }
 
-// trafficUsage is what routers took in a window, and their bytes a second.
+// trafficUsage is what the routers used in a window, and their bytes per second.
 type trafficUsage struct {
 	usage
 	meanBytes, mostBytes float64
 }
 
-// measureTraffic lets a fleet's routers say a word a second each, of all servers in turn, and looks at it for a window once it is calm.
+// measureTraffic lets each router of a fleet send a message per second about all servers in turn. It waits for settle, then measures a
+// window.
 func (b *bench) measureTraffic(transport string, n int, settle time.Duration) (w trafficUsage, err error) {
 	err = b.withServers(slices.Max(b.plan.Servers), func(s *testbed) error {
 		known, err := fetchList(s.listServices[0].Addr(), "")
@@ -105,10 +107,10 @@
 			each := float64(bytes-before.RouterBytes[i]) / seconds
 			w.meanBytes, w.mostBytes = w.meanBytes+each/float64(n), max(w.mostBytes, each)
 		}
-		const maxLoss = 0.01 // of the datagrams, as where words are heard: with more lost, less is heard than the figures are of
+		const maxLoss = 0.01 // fraction of the datagrams; with more lost, the figures describe more traffic than the routers receive
 		sent := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
 		if received := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); received < (1-maxLoss)*sent && !b.plan.Small {
-			b.addNote("of %.0f datagrams of %d routers by the way %q %.1f%% were not heard", sent, n, transport, 100*(1-received/sent))
+			b.addNote("of %.0f datagrams that %d routers sent by transport %q %.1f%% were not received", sent, n, transport, 100*(1-received/sent))
 		}
 		return nil
 	})
--- a/internal/experiment/scale/hear.go
+++ b/internal/experiment/scale/hear.go
@@ -11,7 +11,7 @@
 	"bendtrestle/internal/policy/zonefailover"
 )
 
-// typicalMessage is what the module says: five servers, each with a usual time.
+// typicalMessage returns a gossip message as the balancer sends it: five servers, each with a typical latency.
 func typicalMessage(s *testbed) (message []byte) {
 	const servers, typicalLatency = 5, 32
 	all := s.fleet.Servers()
@@ -22,7 +22,7 @@
 	return message
 }
 
-// zoneMessages makes what each of some routers says of zones: eight of them, all well. It may be asked again and again.
+// zoneMessages returns a function that makes the next zone message of the n-th router: eight zones, all healthy.
 func (b *bench) zoneMessages(s *testbed, routers int) func(voice int) []byte {
 	servers, ids := map[string]int{}, map[uint16]bool{}
 	for _, server := range s.fleet.Servers() {
@@ -35,13 +35,14 @@
 		controllers[n].OnEndpoints(0, servers, ids)
 	}
 	return func(n int) []byte {
-		clocks[n] += 1000 // by its own clock, as it is always time to speak
+		clocks[n] += 1000 // the router's own clock moves so far that its next message is always due
 		controllers[n].Tick(clocks[n])
 		return controllers[n].NextMessage(clocks[n])
 	}
 }
 
-// measureReceipt has a router hear words at a rate, and gives what a window of that took, and how many words a second it had room for.
+// measureReceipt sends a router gossip messages at a rate for a window. It returns the router's usage and the messages per second that
+// its socket's receive buffer had room for.
 func (b *bench) measureReceipt(p *process, v *peerSockets, rate float64, payload func(voice int) []byte) (used usage, received float64, err error) {
 	ctx, stop := context.WithCancel(b.ctx)
 	defer stop()
@@ -63,18 +64,18 @@
 	if sendErr := <-sendResult; err == nil {
 		err = sendErr
 	}
-	const maxLoss = 0.01 // of the words: with more lost, a router is too slow for them, or the machine too busy
+	const maxLoss = 0.01 // fraction of the messages; with more lost, the router is too slow or the machine too busy
 	if received = rate - float64(after-before)/max(used.seconds, 1e-9); received < (1-maxLoss)*rate {
-		b.addNote("of %.0f words a second %.1f%% found no room at the router's socket", rate, 100*(1-received/rate))
+		b.addNote("of %.0f messages per second %.1f%% were dropped because the receive buffer of the router's socket was full", rate, 100*(1-received/rate))
 	}
 	return used, received, err
 }
 
-// fixedMessageRate is words a second where something else grows: so many that what a wake-up takes is shared by several of them, and 50 at once
-// are far below the 277 that a socket's usual room holds.
+// fixedMessageRate is the messages per second where another size varies. It is high enough that several messages share a wake-up, and
+// they come 50 at a time, far below the 277 that a socket's default receive buffer holds.
 const fixedMessageRate = 10000
 
-// measureReceiving measures hearing words.
+// measureReceiving measures receiving gossip messages.
 func measureReceiving(b *bench) error {
 	most, fewest, rate := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers), float64(fixedMessageRate)
 	if b.plan.Small {
@@ -99,7 +100,7 @@
 			return err
 		})
 	}
-	// one word's time: what is taken beyond the same router's before anybody spoke
+	// measureMessage computes the CPU time of one message: the usage beyond that of the same router before any message was sent.
 	measureMessage := func(p *process, v *peerSockets, payload func(int) []byte, record func(cpuMicros float64, s usage)) error {
 		before, err := b.measureWindow(p)
 		if err != nil {
@@ -112,7 +113,7 @@
 		return err
 	}
 	for _, n := range b.plan.Routers {
-		b.progressf("hearing %d peers before %d servers", n, most)
+		b.progressf("receiving from %d peers with %d servers", n, most)
 		err := withPeers(most, n, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
 			err := measureMessage(p, v, payload, func(cpuMicros float64, s usage) { b.add("hear.core.word.peers", float64(n), cpuMicros, s.loop) })
 			if err != nil {
@@ -127,7 +128,7 @@
 		}
 	}
 	for _, n := range b.plan.Servers {
-		b.progressf("hearing %d peers before %d servers", fewest, n)
+		b.progressf("receiving from %d peers with %d servers", fewest, n)
 		err := withPeers(n, fewest, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
 			return measureMessage(p, v, payload, func(cpuMicros float64, s usage) { b.add("hear.core.word.servers", float64(n), cpuMicros, s.loop) })
 		})
@@ -135,7 +136,7 @@
 			return err
 		}
 	}
-	b.progressf("hearing at growing rates")
+	b.progressf("receiving at rising rates")
 	err := withPeers(most, fewest, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
 		for _, n := range b.plan.Routers {
 			s, _, err := b.measureReceipt(p, v, float64(n), payload)
@@ -149,7 +150,7 @@
 	if err != nil {
 		return err
 	}
-	b.progressf("hearing of zones")
+	b.progressf("receiving zone messages")
 	err = withPeers(most, fewest, true, func(s *testbed, p *process, v *peerSockets, _ func(int) []byte) error {
 		payload, size := b.zoneMessages(s, fewest), 0
 		err := measureMessage(p, v, func(n int) []byte {
@@ -158,7 +159,7 @@
 			return message
 		}, func(cpuMicros float64, s usage) { b.add("hear.core.zones", 0, cpuMicros, s.loop) })
 		if size == 0 && err == nil {
-			err = fmt.Errorf("no words about zones were made")
+			err = fmt.Errorf("the zone controllers made no message")
 		}
 		b.add("hear.bytes.zones", 0, float64(size+headerBytes), 0)
 		return err
@@ -167,31 +168,32 @@
 	return err
 }
 
-// measureSending measures telling all peers: a router with zones on says a word each half second, as it would in a fleet of fifty.
+// measureSending measures broadcasts to all peers: a router with zone failover on sends a message every half second, as it does in a fleet
+// of fifty.
 func measureSending(b *bench) error {
 	const fleet, twoMessages = 50, 1200 * time.Millisecond
 	most := slices.Max(b.plan.Servers)
 	lost, datagrams, size, messages, seconds := 0, 0, 0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
-		b.progressf("telling %d peers", n)
+		b.progressf("sending to %d peers", n)
 		v, err := b.openPeerSockets(n)
 		if err != nil {
 			return err
 		}
 		err = b.withRouter(most, routerSetup{peers: b.peerAddresses(n), fleetSize: fleet, gossip: true, zoneFailover: true}, func(_ *testbed, p *process) error {
-			before, _, err := v.messages(b.ctx)
+			before, _, err := v.countMessages(b.ctx)
 			if err != nil {
 				return err
 			}
 			s, missing, sent := usage{}, 0, 0.0
-			for attempt := 0; sent == 0; attempt++ { // on a busy machine a window may end before the first word
+			for attempt := 0; sent == 0; attempt++ { // on a busy machine a window may end before the first message
 				if attempt == 5 {
-					return fmt.Errorf("no word came to %d peers in %.1f s", n, s.seconds*float64(attempt))
+					return fmt.Errorf("none of %d peers received a message within %.1f s", n, s.seconds*float64(attempt))
 				}
 				if s, err = p.measureWindow(b.ctx, max(b.plan.Window, twoMessages)); err != nil {
 					return err
 				}
-				after, more, err := v.messages(b.ctx)
+				after, more, err := v.countMessages(b.ctx)
 				if err != nil {
 					return err
 				}
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -22,7 +22,7 @@
 	"github.com/rs/zerolog"
 )
 
-// TestMain lets the test's own program be a router, hollow routers, or a laboratory that holds hollow routers until it is killed.
+// TestMain lets the test binary also run as a router, as simulated routers, or as a parent of simulated routers that runs until it is killed.
 func TestMain(m *testing.M) {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	var err error
@@ -56,7 +56,7 @@
 	return service.Run(set, signals, requestcore.DefaultBalancer, read, log)
 }
 
-// holdSimulatedRouters starts hollow routers, says so, and never ends by itself.
+// holdSimulatedRouters starts simulated routers, prints a line and blocks until it is killed.
 func holdSimulatedRouters() error {
 	o := Options{Plan: Little(), Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
 	o.Net, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
@@ -73,7 +73,7 @@
 	{"instanceId": "s-000", "hostPort": "127.0.0.1:11300", "lifecycle": "ready", "weight": 1},
 	{"instanceId": "s-001", "hostPort": "127.0.0.2:11300", "lifecycle": "ready", "weight": 1}]}`
 
-// options are for a run in a folder and at addresses of its own.
+// options returns options for a run in its own directory and at its own addresses.
 func options(t *testing.T, only ...string) Options {
 	t.Helper()
 	n, release, err := experiment.Reserve(os.Getpid())
@@ -87,7 +87,7 @@
 	return o
 }
 
-// processesLoggingIn gives the processes that work in a folder: those that were started for a run have their logs there.
+// processesLoggingIn returns the processes whose standard error is a file in dir: those of a run have their logs there.
 func processesLoggingIn(dir string) (pids []int) {
 	all, _ := filepath.Glob("/proc/[0-9]*")
 	for _, proc := range all {
@@ -100,12 +100,12 @@
 	return pids
 }
 
-// waitUntilGone waits until no process works in a folder any more.
+// waitUntilGone waits until no process logs in dir any more.
 func waitUntilGone(t *testing.T, dir string) {
 	t.Helper()
 	for until := time.Now().Add(10 * time.Second); len(processesLoggingIn(dir)) > 0; time.Sleep(10 * time.Millisecond) {
 		if time.Now().After(until) {
-			t.Fatalf("processes %v go on", processesLoggingIn(dir))
+			t.Fatalf("processes %v still run after 10 s", processesLoggingIn(dir))
 		}
 	}
 }
@@ -114,7 +114,7 @@
 	t.Helper()
 	i := slices.IndexFunc(r.Lines, func(l Line) bool { return l.Name == name })
 	if i < 0 {
-		t.Fatalf("no line %s", name)
+		t.Fatalf("the report has no line %s", name)
 	}
 	return r.Lines[i]
 }
@@ -123,7 +123,7 @@
 	t.Helper()
 	i := slices.IndexFunc(r.Figures, func(f Figure) bool { return f.Name == name })
 	if i < 0 {
-		t.Fatalf("no figure %s", name)
+		t.Fatalf("the report has no figure %s", name)
 	}
 	return r.Figures[i]
 }
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -18,7 +18,7 @@
 	"bendtrestle/internal/experiment/scale/simrouter"
 )
 
-// simProcess is a process of hollow routers.
+// simProcess is a child process that runs simulated routers.
 type simProcess struct {
 	process
 	stdin   io.WriteCloser
@@ -33,18 +33,19 @@
 	err error
 }
 
-// simFleet are the processes that hold a fleet of hollow routers.
+// simFleet is the processes that run a fleet of simulated routers.
 type simFleet struct {
 	bench     *bench
 	processes []*simProcess
 }
 
-// startSimFleet starts routers with these numbers among the peers, as many to a process as the plan allows, and waits until all hear.
+// startSimFleet starts count simulated routers from the spec's first peer on, as many per process as the plan allows. It waits until all
+// can receive messages.
 func (b *bench) startSimFleet(spec simrouter.Spec, count int) (h *simFleet, err error) {
 	return b.startSimFleetBy(b.plan.Hollow, spec, count)
 }
 
-// startSimFleetBy starts them with so many to a process at most.
+// startSimFleetBy is startSimFleet with at most perProcess routers in a process.
 func (b *bench) startSimFleetBy(perProcess int, spec simrouter.Spec, count int) (h *simFleet, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() (err error) {
 		h, err = b.tryStartSimFleet(perProcess, spec, count)
@@ -96,11 +97,11 @@
 	in.Close()
 	if err != nil {
 		out.Close()
-		return nil, fmt.Errorf("hollow routers: %w", err)
+		return nil, fmt.Errorf("starting simulated routers: %w", err)
 	}
 	go func() { c.cmd.Wait(); close(c.ended) }()
 	c.orders, c.stdout = json.NewEncoder(c.stdin), json.NewDecoder(bufio.NewReader(out))
-	go func() { // one answer for the spec and one for each order, until the process ends
+	go func() { // reads one answer to the spec and one to each order, until the process ends
 		defer out.Close()
 		for {
 			var a answerResult
@@ -122,12 +123,13 @@
 	return c, c.orders.Encode(spec)
 }
 
-// sendOrder gives all an order and waits for their answers; with none it waits for the answer to their spec. It gives their sums.
+// sendOrder sends an order to all processes, waits for their answers and returns the sum. If the order is nil, it waits for the answers to
+// the specs.
 func (h *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
 		for _, c := range h.processes {
 			if err := c.orders.Encode(o); err != nil {
-				return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", err, c.logTail())
+				return sum, fmt.Errorf("sending an order to simulated routers: %w; their log ends with\n%s", err, c.logTail())
 			}
 		}
 	}
@@ -139,10 +141,10 @@
 		case <-h.bench.ctx.Done():
 			return sum, h.bench.ctx.Err()
 		case <-timeout:
-			return sum, fmt.Errorf("hollow routers did not answer within %v", readyTimeout)
+			return sum, fmt.Errorf("simulated routers did not answer within %v", readyTimeout)
 		}
 		if a.err != nil {
-			return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", a.err, c.logTail())
+			return sum, fmt.Errorf("answer of simulated routers: %w; their log ends with\n%s", a.err, c.logTail())
 		}
 		if sum.Traffic.Add(a.Traffic, i == 0); i == 0 {
 			sum.OldestGeneration = a.OldestGeneration
@@ -157,7 +159,7 @@
 	return sum, nil
 }
 
-// processor is the processor time of all, and what they hold resident.
+// totals returns the CPU seconds and the resident KiB of all processes.
 func (h *simFleet) totals() (cpu, resident float64, err error) {
 	for _, c := range h.processes {
 		p, err := cpuSeconds(c.pid())
@@ -173,7 +175,7 @@
 	return cpu, resident, nil
 }
 
-// close ends them all: they end with their input, and are killed if they do not.
+// close ends all processes. They exit when their input is closed, and are killed if they do not exit in time.
 func (h *simFleet) close() {
 	for _, c := range h.processes {
 		c.stdin.Close()
@@ -189,12 +191,12 @@
 }
 
 const (
-	senderCount     = 37       // routers that say a word a second to all, where all of 3,700 would be 13.7 million datagrams a second
-	maxResidentKiB  = 12 << 20 // KiB that all hollow routers may hold resident
-	maxCPUDeviation = 0.25     // part by which a hollow router's processor time for a word may differ from a real one's
+	senderCount     = 37       // routers that broadcast a message per second; with all of 3,700 it would be 13.7 million datagrams a second
+	maxResidentKiB  = 12 << 20 // resident memory of all simulated routers
+	maxCPUDeviation = 0.25     // fraction by which a simulated router's CPU time per message may differ from a real one's
 )
 
-// spreadIndexes gives so many of the routers from first on, spread over all.
+// spreadIndexes returns n indexes spread evenly over the routers from first on.
 func spreadIndexes(first, routers, n int) (all []int) {
 	n = min(n, routers)
 	for i := range n {
@@ -203,12 +205,12 @@
 	return all
 }
 
-// measureSimulatedRouters measures fleets of hollow routers, and sets one beside a real one.
+// measureSimulatedRouters measures fleets of simulated routers, and compares a simulated router with a real one.
 func measureSimulatedRouters(b *bench) error {
 	most := slices.Max(b.plan.Servers)
 	lost, sent, size := 0.0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
-		b.progressf("%d hollow routers", n)
+		b.progressf("%d simulated routers", n)
 		err := b.withServers(most, func(s *testbed) error {
 			known, err := fetchList(s.listServices[0].Addr(), "")
 			if err != nil {
@@ -231,10 +233,10 @@
 			}
 			b.add("hollow.memory", float64(n), quiet.resident, 0)
 			if quiet.resident > maxResidentKiB {
-				return fmt.Errorf("%d hollow routers hold %.0f KiB; %d are what they may hold: take fewer by --routers", n, quiet.resident, maxResidentKiB)
+				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, more than the limit of %d; use fewer with --routers", n, quiet.resident, maxResidentKiB)
 			}
 			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
-			before, err := h.sendOrder(&simrouter.Order{}) // while nothing is on its way
+			before, err := h.sendOrder(&simrouter.Order{}) // while no datagram is in flight
 			if err != nil {
 				return err
 			}
@@ -268,7 +270,7 @@
 	return b.compareWithRealRouter()
 }
 
-// measureWindow is what all take in a window.
+// measureWindow returns what all processes use in a window.
 func (h *simFleet) measureWindow(b *bench) (w usage, err error) {
 	before, _, err := h.totals()
 	if err != nil {
@@ -283,7 +285,7 @@
 	return b.recordLoop(w), err
 }
 
-// stopAndSettle hushes all, and gives the counts once nothing is on its way.
+// stopAndSettle stops all sending, and returns the counters once no datagram is in flight.
 func (h *simFleet) stopAndSettle() (simrouter.Answer, error) {
 	a, err := h.sendOrder(&simrouter.Order{Stop: true})
 	for range 100 {
@@ -299,7 +301,7 @@
 	return a, err
 }
 
-// measureListChange measures how long a change of the list takes to be in force at all that follow it.
+// measureListChange measures the time until a change of the list is in force at all routers that watch it.
 func (b *bench) measureListChange(s *testbed, h *simFleet, n int) error {
 	a, err := h.sendOrder(&simrouter.Order{})
 	if err != nil {
@@ -311,7 +313,7 @@
 		s.fleet.Servers()[0].Drain()
 	})
 	wantGeneration := a.OldestGeneration + 1
-	err = h.processes[0].deadline(b.ctx, "a change of the list at hollow routers", func() bool {
+	err = h.processes[0].deadline(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
 		a, err = h.sendOrder(&simrouter.Order{})
 		return err != nil || a.OldestGeneration >= wantGeneration
 	})
@@ -321,14 +323,14 @@
 	return err
 }
 
-// compareWithRealRouter sets hollow routers beside a real one: in what they hear and tell, and in what a word takes of the processor.
+// compareWithRealRouter compares simulated routers with a real one: in the CPU time per message, and in the messages sent and received.
 func (b *bench) compareWithRealRouter() error {
 	most, fewest := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
 	rate := float64(fixedMessageRate)
 	if b.plan.Small {
 		rate = 200
 	}
-	b.progressf("a hollow router beside a real one")
+	b.progressf("comparing a simulated router with a real one")
 	v, err := b.openPeerSockets(fewest)
 	if err != nil {
 		return err
@@ -350,7 +352,7 @@
 	if err != nil {
 		return err
 	}
-	err = b.withServers(most, func(s *testbed) error { // at the real one's address, and as it is the only one of its process
+	err = b.withServers(most, func(s *testbed) error { // at the real router's address, alone in its process
 		known, err := fetchList(s.listServices[0].Addr(), "")
 		if err != nil {
 			return err
@@ -374,14 +376,14 @@
 	b.add("hollow.core.word", 0, perMessage["hollow"], 0)
 	b.add("hollow.agree.core", 0, perMessage["hollow"]/perMessage["real"], 0)
 	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small && (deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
-		b.addNote("a word takes %.0f us of a hollow router and %.0f of a real one: more than %.0f%% apart", perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
+		b.addNote("receiving a message takes %.0f us of CPU time in a simulated router and %.0f in a real one: more than %.0f%% apart", perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
 	}
 	return b.countBesideRealRouter(fewest)
 }
 
-// countBesideRealRouter puts a real router among hollow ones, and counts what each side says and hears.
+// countBesideRealRouter runs a real router in a fleet of simulated ones, and compares the messages that each side sends and receives.
 func (b *bench) countBesideRealRouter(n int) error {
-	b.progressf("a real router among %d hollow ones", n)
+	b.progressf("a real router in a fleet of %d simulated ones", n)
 	c := routerSetup{peers: b.peerAddresses(n), gossip: true, zoneFailover: true, adminServer: true, fleetSize: 50}
 	return b.withRouter(slices.Max(b.plan.Servers), c, func(s *testbed, p *process) error {
 		known, err := fetchList(s.listServices[0].Addr(), "")
@@ -422,10 +424,10 @@
 	})
 }
 
-// countsAtRest gives how many words a real router says that it has said, and what hollow ones have heard at that moment: when it says none
-// for longer than its door's figures are old.
+// countsAtRest returns the number of zone messages that the real router reports as sent, and the simulated routers' counters at the same
+// time. It waits for a pause between messages that is longer than the update interval of the real router's metrics.
 func (b *bench) countsAtRest(h *simFleet) (sent float64, a simrouter.Answer, err error) {
-	const refreshWait = 150 * time.Millisecond // its figures are published each tenth of a second
+	const refreshWait = 150 * time.Millisecond // the router updates its metrics every tenth of a second
 	for range 200 {
 		if sent, err = b.adminMetric("zone_words"); err != nil {
 			return 0, a, err
@@ -444,10 +446,10 @@
 			return sent, a, err
 		}
 	}
-	return 0, a, errors.New("the real router never falls silent for long enough to be counted")
+	return 0, a, errors.New("the real router made no pause between its zone messages that is long enough to compare the counters")
 }
 
-// adminMetric reads a number at the real router's door.
+// adminMetric reads a metric from the real router's admin server.
 func (b *bench) adminMetric(name string) (float64, error) {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 	response, err := client.Get("http://" + b.address(routerOctet, 0, 9400) + "/metrics")
@@ -466,5 +468,5 @@
 			return x, err
 		}
 	}
-	return 0, fmt.Errorf("the router's door has no figure %s", name)
+	return 0, fmt.Errorf("the router's admin server has no metric gw.%s", name)
 }
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -176,7 +176,7 @@
 
 // usage is the resources that a process used in a window.
 type usage struct {
-	seconds  float64 // by the clock
+	seconds  float64 // wall-clock time
 	cpu      float64 // seconds
 	wakeups  float64
 	resident float64 // KiB, at the end of the window
--- a/internal/experiment/scale/report_test.go
+++ b/internal/experiment/scale/report_test.go
@@ -18,18 +18,18 @@
 	return all
 }
 
-// A line is fitted through the means, its spread is of the runs' own slopes, and a point off it is named.
-func TestLine(t *testing.T) {
+// A line is fitted through the means of the points. Its spread is that of the single runs' slopes, and points off the line are listed.
+func TestLineFitSpreadAndOutliers(t *testing.T) {
 	l := newLine(someQuantity, points(map[float64][]float64{1: {4, 6}, 2: {6, 8}, 4: {10, 12}}, 1, 2, 4))
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
 	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.RSquared, 1) || l.Residual > 1e-9 || len(l.Off) > 0 || !near(l.Least, 2) || !near(l.Most, 2) {
-		t.Errorf("an exact line: %+v", l)
+		t.Errorf("exact points: %+v, want slope 2, base 3 and no deviation", l)
 	}
 	if at, beyond := l.At(8); !near(at, 19) || !near(beyond, 2) {
-		t.Errorf("at 8: %v, %v times beyond", at, beyond)
+		t.Errorf("at 8: value %v, %v times the largest size; want 19 and 2", at, beyond)
 	}
-	l = newLine(someQuantity, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10)) // squares are no line
-	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {                  // 9 is 7.9 from the line, and the largest is 100
+	l = newLine(someQuantity, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10)) // squares do not lie on a line
+	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {                  // 9 is 7.9 off the line, and the largest value is 100
 		t.Errorf("squares: off at %v, want %v; residual %v", l.Off, want, l.Residual)
 	}
 	l = newLine(someQuantity, points(map[float64][]float64{1: {1, 3}, 2: {1, 3}, 3: {5, 9}}, 1, 2, 3))
@@ -38,8 +38,8 @@
 	}
 }
 
-// Processor times are set beside the plain loop's of the same run.
-func TestLoops(t *testing.T) {
+// CPU times are divided by the plain loop's time of the same run; other values are not.
+func TestCPUTimesAreRelativeToPlainLoop(t *testing.T) {
 	b := newBench(t.Context(), Options{Plan: Little()})
 	for n := range 3 {
 		b.add("hear.core.word", float64(n+1), float64(100*(n+1)), 50e-6)
@@ -48,31 +48,31 @@
 	b.add("hear.lost", 0, 0, 0)
 	r := b.report(Options{})
 	if l := r.line(t, "hear.core.word"); math.Abs(l.Loops-2) > 1e-9 {
-		t.Errorf("100 us are %v loops of 50 us", l.Loops)
+		t.Errorf("slope of 100 us: %v loops of 50 us, want 2", l.Loops)
 	}
 	if f := r.figure(t, "hear.core.zones"); f.Loops != 2 {
-		t.Errorf("100 us are %v loops of 50 us", f.Loops)
+		t.Errorf("figure of 100 us: %v loops of 50 us, want 2", f.Loops)
 	}
 	if f := r.figure(t, "hear.lost"); f.Loops != 0 {
-		t.Errorf("no processor time is %v loops", f.Loops)
+		t.Errorf("a figure without CPU time: %v loops, want 0", f.Loops)
 	}
 }
 
-// What is not measured is named, or taken from another's report.
-func TestJoin(t *testing.T) {
+// A quantity that is not measured is taken from another report, or listed as missing.
+func TestReportTakesMissingQuantitiesFromOthers(t *testing.T) {
 	b := newBench(t.Context(), Options{Plan: Little()})
 	value := Line{Name: "value.core.byte", Points: []Point{{X: 1, Runs: []float64{1}}}, Slope: 7}
 	r := b.report(Options{Join: []*Report{{Lines: []Line{value}, Figures: []Figure{{Name: "hear.lost", Mean: 3}}}}})
 	if r.line(t, "value.core.byte").Slope != 7 || r.figure(t, "hear.lost").Mean != 3 {
-		t.Error("another's names are not joined")
+		t.Error("line and figure of the other report are not in this one")
 	}
 	if !strings.Contains(strings.Join(r.Missing, " "), "value.wakeups.byte") {
-		t.Errorf("not measured: %v", r.Missing)
+		t.Errorf("missing quantities are %v, want value.wakeups.byte among them", r.Missing)
 	}
 }
 
-// A report is read as it was written; an earlier one is set beside it, and what is no report is refused by its path.
-func TestAgainst(t *testing.T) {
+// A report can be read after it was written, and an earlier one is compared with it. A file that is not a report is an error with its path.
+func TestReportIsReadAndCompared(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	l := newLine(someQuantity, points(map[float64][]float64{1: {1, 1.1}, 2: {2, 2.1}, 3: {3, 3.1}}, 1, 2, 3))
 	was := &Report{Form: ReportVersion, Lines: []Line{l}, Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil)}}
@@ -91,17 +91,17 @@
 	}
 	for _, want := range []string{"some.core.thing  1       2    2.00", "runs do not overlap", "some.lost        2       2    1.00", "some.new         none    1"} {
 		if !strings.Contains(out.String(), want) {
-			t.Errorf("no %q in\n%s", want, out.String())
+			t.Errorf("the comparison has no %q:\n%s", want, out.String())
 		}
 	}
 	now.Small = true
 	if now.Against(&out, before) == nil {
-		t.Error("small sizes are compared with full ones")
+		t.Error("a report of small sizes is compared with one of full sizes, want an error")
 	}
 	for text, want := range map[string]string{`{"form": 99}`: `form 99; this program reads form 1`, `[]`: "not a report"} {
 		os.WriteFile(path, []byte(text), 0o600)
 		if _, err := Read(path); err == nil || !strings.Contains(err.Error(), want) || !strings.Contains(err.Error(), path) {
-			t.Errorf("%s: %v, want %s", text, err, want)
+			t.Errorf("%s: error %v, want %s and the path", text, err, want)
 		}
 	}
 }
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -10,7 +10,7 @@
 	"bendtrestle/internal/eventloop"
 )
 
-const keyCount = 4000 // as many as the balancer's ring has slots: within seconds, each slot has been looked up
+const keyCount = 4000 // about as many as the balancer's ring has slots, so that most slots are looked up within seconds
 
 // runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the router's usage in the
 // window, the number of all requests, and the number of those that got their value.
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -11,16 +11,17 @@
 	"bendtrestle/internal/policy/gossip"
 )
 
-// GossipBytesPerSecond is bytes a second, in and out with headers, that a router may spend: what operators allow unless they say otherwise.
+// GossipBytesPerSecond is the most that a router may send and receive per second, with headers: the default of the operators' file.
 const GossipBytesPerSecond = 7000
 
 const (
-	stepSeconds      = 0.05 // seconds between two steps, as the service has it
-	stepsPerDelivery = 2    // steps between two times that the module is fed, likewise
+	stepSeconds      = 0.05 // seconds between two steps, as in the router service
+	stepsPerDelivery = 2    // steps between two deliveries to the balancer, as in the router service
 )
 
-// gossipTransport is the way through a few of the others: the real fleet's part, stepped and fed as the service does. All of it belongs to the
-// loop. It steps whatever the number of routers; real ones that are so few that it does not pay tell all.
+// gossipTransport spreads messages by gossip through a few other routers. It runs the real gossiper and delivers to the balancer at the
+// intervals of the router service. All of it belongs to the event loop. It gossips at any fleet size; real routers broadcast if they are so
+// few that this takes fewer bytes.
 type gossipTransport struct {
 	member    Member
 	onMessage func(words []byte)
@@ -56,7 +57,7 @@
 		return nil, err
 	}
 	w.peers = open
-	p.Loop.Post(func() { // the routers of a process step in turn, not all at once
+	p.Loop.Post(func() { // the routers of a process step at different times
 		p.Loop.After(stepSeconds*float64(p.Index)/float64(len(p.Peers)), w.step)
 	})
 	return w, nil
@@ -88,7 +89,7 @@
 	w.gossiper.Report(w.member.Loop.Now(), message)
 }
 
-// Traffic counts as heard how often the module was fed: no message that another told comes to it by itself.
+// Traffic counts each delivery to the balancer as one received message, because gossip delivers no single message of another router.
 func (w *gossipTransport) Traffic() Traffic {
 	c := w.gossiper.Counters
 	return Traffic{Told: w.sent, Heard: w.delivered, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent, BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -1,6 +1,6 @@
-// Package simrouter is routers without clients, payload and connections to servers: the real ways to other routers, the real list of
-// servers and the real module, some hundreds to a process. What a real router costs for its fleet's size they cost, too, so that a
-// whole fleet fits on one machine; what they leave out is stated where they are set beside real ones.
+// Package simrouter runs simulated routers, some hundreds per process. A simulated router has no clients, no payload and no connections to
+// servers, but a real router's gossip transport, endpoint list and balancer. It costs what the size of the fleet costs a real router, so
+// that a whole fleet fits on one machine. Package scale compares simulated routers with real ones.
 package simrouter
 
 import (
@@ -16,20 +16,21 @@
 	"github.com/rs/zerolog"
 )
 
-// router is a hollow one. All of it but the counters of its way belongs to the loop that it shares with the others of its process.
+// router is a simulated router. All of it except the counters of its transport belongs to the event loop that the routers of a process
+// share.
 type router struct {
-	index        int // its number among the peers
+	index        int // among the peers
 	loop         *eventloop.Loop
 	transport    Transport
 	balancer     *balancer.Balancer
-	serverIDs    []uint64 // of the servers, as the list has them
+	serverIDs    []uint64 // in the order of the list
 	generation   uint64   // of the list that is in force
-	listSince    float64  // when that came into force, Unix seconds
-	zoneMessages uint64   // words that were no module's: about zones, from real routers
-	sendRound    int      // counts its talks and silences
+	listSince    float64  // when that list came into force, Unix seconds
+	zoneMessages uint64   // received messages that are not for the balancer: zone messages of real routers
+	sendRound    int      // counts starts and stops of periodic sending, so that an earlier timer ends
 }
 
-// host lets the module act: there is nothing that it could act on but the other routers.
+// host carries out the balancer's actions. Only gossip has an effect, because there are no requests and no servers.
 type host struct{ r *router }
 
 func (host) StartAttempt(uint64, uint64, float64, float64) {}
@@ -41,16 +42,16 @@
 func (host) SetTimer(float64, string)                      {}
 func (host) WatchEndpoints(bool)                           {}
 
-// settings are those of a router that hears others, as in a real one's configuration.
+// settings returns balancer settings of a router that gossips, with the values of a real router's configuration.
 func settings(me, routers int) balancer.Settings {
 	return balancer.Settings{Seed: uint32(me + 1), RouterIndex: me, RouterCount: routers, EventInterval: 0.002, WeightMode: balancer.WeightsStatic, MaxAttempts: 3, HedgingAllowed: true,
 		CancellationAllowed: true, MaxRetryAfter: 1.2, GossipAllowed: true, GossipPrice: 0.01, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9,
 		TrafficClasses: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
 }
 
-const observationBytes = 3 // bytes of the module's words; a longer message than usualSize is about zones
+const observationBytes = 3 // bytes of one observation in a gossip message
 
-// newRouter makes one that has a list. It hears from now on.
+// newRouter returns a router with an endpoint list. It receives messages from now on.
 func newRouter(loop *eventloop.Loop, open OpenFunc, p Member, initialList discovery.EndpointList) (*router, error) {
 	r := &router{index: p.Index, loop: loop}
 	r.balancer = balancer.New(loop.Now(), settings(p.Index, len(p.Peers)), host{r})
@@ -63,7 +64,7 @@
 	r.transport, err = open(p, func(message []byte) {
 		loop.Post(func() {
 			if len(message) > messageBytes {
-				r.zoneMessages++ // a real router asks its zones first
+				r.zoneMessages++ // the balancer sends no longer message; a real router passes it to zone failover
 				return
 			}
 			r.balancer.OnGossip(loop.Now(), message)
@@ -72,7 +73,7 @@
 	return r, err
 }
 
-// applyList takes a list.
+// applyList passes an endpoint list to the balancer.
 func (r *router) applyList(kind balancer.EndpointUpdate, list discovery.EndpointList) {
 	var endpoints []balancer.Endpoint
 	for _, e := range list.Instances {
@@ -85,9 +86,9 @@
 	r.generation, r.listSince = list.Generation, r.loop.Now()
 }
 
-// follow watches a list service as a real router does, until ctx ends.
+// follow watches a list service in the same way as a real router, until ctx ends.
 func (r *router) follow(ctx context.Context, addr string, seed uint32, log zerolog.Logger) {
-	const grace = 0.5 // seconds of a drain, as in the real routers' configuration
+	const grace = 0.5 // drain grace in seconds, as in the real routers' configuration
 	start := discovery.WatchStart{Generation: r.generation, SameService: true, Schedule: pollschedule.ForLocalAgent(grace, seed)}
 	go discovery.Watch(ctx, addr, start, func(list discovery.EndpointList) error {
 		taken := make(chan struct{})
@@ -109,9 +110,9 @@
 	}, func(error) {}, log)
 }
 
-const messageBytes = 15 // bytes of a word as the module says it: five servers
+const messageBytes = 15 // bytes of a typical message of the balancer: observations of five servers
 
-// send says a usual word: five servers, each with a usual time. They are the same five unless it begins with another one of the list.
+// send sends a typical message: five servers, each with a typical latency. first selects which five of the list.
 func (r *router) send(first int) {
 	var message []byte
 	for n := range messageBytes / observationBytes {
@@ -120,7 +121,8 @@
 	r.transport.Broadcast(message)
 }
 
-// sendPeriodically says a word each period, until hush; with all of servers other than the one before and than the next router.
+// sendPeriodically sends a message each period until stopSending. With all set, each message is about other servers than the previous one,
+// and routers start at different servers.
 func (r *router) sendPeriodically(first, period time.Duration, all bool) {
 	r.sendRound++
 	round := r.sendRound
--- a/internal/experiment/scale/simrouter/hollow_test.go
+++ b/internal/experiment/scale/simrouter/hollow_test.go
@@ -19,7 +19,7 @@
 	{"instanceId": "s-000", "hostPort": "127.0.0.1:11300", "lifecycle": "ready", "weight": 1},
 	{"instanceId": "s-001", "hostPort": "127.0.0.2:11300", "lifecycle": "ready", "weight": 1}]}`
 
-// freeAddresses gives so many addresses that nothing listens at.
+// freeAddresses returns n UDP addresses on which nothing listens.
 func freeAddresses(t *testing.T, n int) (all []string) {
 	t.Helper()
 	for range n {
@@ -33,7 +33,7 @@
 	return all
 }
 
-// testProcess is a process of hollow routers within this one.
+// testProcess runs Serve in this process.
 type testProcess struct {
 	t       *testing.T
 	orders  *json.Encoder
@@ -74,12 +74,13 @@
 	return s.answer()
 }
 
-// A word goes to each of the others once, and messages and bytes are counted exactly; talking goes on until it is hushed.
-func TestCounts(t *testing.T) {
+// A broadcast reaches each other router once, and messages, datagrams and bytes are counted exactly. Periodic sending goes on until it is
+// stopped.
+func TestBroadcastCountsMessagesAndBytes(t *testing.T) {
 	const n = 5
 	s := startTestProcess(t, Spec{Transport: "all", Peers: freeAddresses(t, n), Count: n, InitialList: []byte(servers)})
 	if a := s.answer(); a.Error != "" || a.Traffic != (Traffic{}) {
-		t.Fatalf("at first: %+v", a)
+		t.Fatalf("answer to the spec: %+v, want no error and no traffic", a)
 	}
 	s.order(Order{SendOnce: []int{0, 3}})
 	const out, size = 2 * (n - 1), 15 + 28
@@ -93,7 +94,7 @@
 	want := Traffic{Told: 2, Heard: out, DatagramsOut: out, DatagramsIn: out, BytesOut: out * size, BytesIn: out * size, LeastHeard: 1, MostHeard: 2,
 		LeastBytesIn: size, MostBytesIn: 2 * size, MostBytesOut: (n - 1) * size}
 	if a.Traffic != want {
-		t.Errorf("counted %+v, want %+v", a.Traffic, want)
+		t.Errorf("traffic is %+v, want %+v", a.Traffic, want)
 	}
 	s.order(Order{Send: []int{1}, Period: 5 * time.Millisecond})
 	for a.Traffic.Told < 5 {
@@ -101,7 +102,7 @@
 	}
 	a = s.order(Order{Stop: true})
 	if time.Sleep(30 * time.Millisecond); s.order(Order{}).Traffic.Told != a.Traffic.Told {
-		t.Error("one that is hushed goes on talking")
+		t.Error("a router sends messages after it was stopped")
 	}
 	s.in.Close()
 	if err := <-s.ended; err != nil {
@@ -109,37 +110,37 @@
 	}
 }
 
-// Routers that gossip reach every module by feeding, also with what one alone told; each router's bytes are those that all are summed up
-// from, and nothing is heard that was not sent.
-func TestGossip(t *testing.T) {
+// With gossip, a message that one router sent reaches the balancer of every router. The bytes of the single routers add up to the total,
+// and no more is received than was sent.
+func TestGossipReachesEveryBalancer(t *testing.T) {
 	const n = 5
 	s := startTestProcess(t, Spec{Transport: "gossip", Peers: freeAddresses(t, n), Count: n, InitialList: []byte(servers)})
 	if a := s.answer(); a.Error != "" || a.RouterBytes != nil {
-		t.Fatalf("at first: %+v", a)
+		t.Fatalf("answer to the spec: %+v, want no error and no bytes of single routers", a)
 	}
 	s.order(Order{SendOnce: []int{2}})
 	var a Answer
 	for until := time.Now().Add(20 * time.Second); a.Traffic.LeastHeard == 0; time.Sleep(10 * time.Millisecond) {
 		if a = s.order(Order{PerRouter: true}); time.Now().After(until) {
-			t.Fatalf("not every module was fed: %+v", a)
+			t.Fatalf("not every balancer got observations within 20 s: %+v", a)
 		}
 	}
 	c := a.Traffic
 	if c.Told != 1 || c.DatagramsIn == 0 || c.DatagramsIn > c.DatagramsOut || c.BytesIn > c.BytesOut {
-		t.Errorf("counted %+v", c)
+		t.Errorf("traffic is %+v, want one message, and no more datagrams and bytes received than sent", c)
 	}
 	if c.BytesOut < c.DatagramsOut*(headerBytes+1) || c.BytesOut > c.DatagramsOut*(headerBytes+256) {
-		t.Errorf("%d datagrams are %d bytes", c.DatagramsOut, c.BytesOut)
+		t.Errorf("%d datagrams have %d bytes, want 1 to 256 and the headers for each", c.DatagramsOut, c.BytesOut)
 	}
 	sum := uint64(0)
 	for _, bytes := range a.RouterBytes {
 		sum += bytes
 	}
 	if len(a.RouterBytes) != n || sum != c.BytesIn+c.BytesOut {
-		t.Errorf("%v bytes of each, and %d of all", a.RouterBytes, c.BytesIn+c.BytesOut)
+		t.Errorf("bytes of each router %v, want as many routers and a sum of %d", a.RouterBytes, c.BytesIn+c.BytesOut)
 	}
 	if a = s.order(Order{}); a.RouterBytes != nil {
-		t.Errorf("bytes of each were not asked for: %v", a.RouterBytes)
+		t.Errorf("the answer has the bytes of each router, though the order did not ask for them: %v", a.RouterBytes)
 	}
 	s.in.Close()
 	if err := <-s.ended; err != nil {
@@ -147,15 +148,15 @@
 	}
 }
 
-// What a router may spend here is what operators allow it.
-func TestGossipBudget(t *testing.T) {
+// GossipBytesPerSecond must equal the default of the operators' file. Otherwise simulated routers gossip with another budget than real ones.
+func TestGossipBudgetIsOperatorsDefault(t *testing.T) {
 	if f, err := operatorconfig.Read(""); err != nil || f.Gossip.BytesPerSecond != GossipBytesPerSecond {
-		t.Errorf("operators allow %v bytes, %v; here it is %v", f.Gossip.BytesPerSecond, err, GossipBytesPerSecond)
+		t.Errorf("the operators' default is %v bytes per second (error %v), but GossipBytesPerSecond is %v", f.Gossip.BytesPerSecond, err, GossipBytesPerSecond)
 	}
 }
 
-// Words are of the same five servers, or in turn of all.
-func TestSaid(t *testing.T) {
+// A message names five servers spread over the list; the argument of send shifts all five.
+func TestTypicalMessagesNameExpectedServers(t *testing.T) {
 	w := &recordingTransport{}
 	r := &router{transport: w}
 	for id := range 20 {
@@ -167,46 +168,46 @@
 	want := [][]byte{{0, 0, 32, 4, 0, 32, 8, 0, 32, 12, 0, 32, 16, 0, 32}, {1, 0, 32, 5, 0, 32, 9, 0, 32, 13, 0, 32, 17, 0, 32},
 		{19, 0, 32, 3, 0, 32, 7, 0, 32, 11, 0, 32, 15, 0, 32}}
 	if !reflect.DeepEqual(w.sent, want) {
-		t.Errorf("said %v, want %v", w.sent, want)
+		t.Errorf("sent %v, want %v", w.sent, want)
 	}
 }
 
-// recordingTransport is a way that keeps what is told.
+// recordingTransport records the messages that are sent.
 type recordingTransport struct{ sent [][]byte }
 
 func (w *recordingTransport) Broadcast(message []byte) { w.sent = append(w.sent, message) }
 func (w *recordingTransport) Traffic() Traffic         { return Traffic{} }
 
-// What a spec lacks is told, by what is wrong and what would be right.
-func TestFaultySpec(t *testing.T) {
+// An invalid spec is answered with an error that names the fault and the accepted values, and Serve returns.
+func TestInvalidSpecIsRejected(t *testing.T) {
 	at := freeAddresses(t, 2)
 	for _, c := range []struct {
 		spec Spec
 		want string
 	}{
-		{Spec{Transport: "some", Peers: at, Count: 2, InitialList: []byte(servers)}, `way "some": there are all, gossip`},
-		{Spec{Transport: "all", Peers: at, First: 1, Count: 2, InitialList: []byte(servers)}, "routers 1 to 2: there are 2 peers"},
-		{Spec{Transport: "all", Peers: at, Count: 2, InitialList: []byte(`{"generation": 1, "reset": true, "instances": []}`)}, "known: it names no server"},
+		{Spec{Transport: "some", Peers: at, Count: 2, InitialList: []byte(servers)}, `way "some" is unknown; want one of all, gossip`},
+		{Spec{Transport: "all", Peers: at, First: 1, Count: 2, InitialList: []byte(servers)}, "routers 1 to 2: want indexes of the 2 peers"},
+		{Spec{Transport: "all", Peers: at, Count: 2, InitialList: []byte(`{"generation": 1, "reset": true, "instances": []}`)}, "known: the list is empty; want at least one server"},
 		{Spec{Transport: "all", Peers: []string{"nowhere", at[0]}, Count: 1, InitialList: []byte(servers)}, "router 0:"},
 	} {
 		s := startTestProcess(t, c.spec)
 		if a := s.answer(); !strings.Contains(a.Error, c.want) {
-			t.Errorf("answered %q, want %q", a.Error, c.want)
+			t.Errorf("the error is %q, want %q", a.Error, c.want)
 		}
 		if err := <-s.ended; err == nil {
-			t.Errorf("%s: it goes on", c.want)
+			t.Errorf("%s: Serve returned no error", c.want)
 		}
 	}
 }
 
-// A way is found by its name alone, so that another can be put in.
-func TestWays(t *testing.T) {
+// Every transport is found by its name. An empty name is an error that lists the available ones.
+func TestTransportIsFoundByName(t *testing.T) {
 	for name := range Transports {
 		if _, err := opener(name); err != nil {
 			t.Errorf("%s: %v", name, err)
 		}
 	}
-	if _, err := opener(""); err == nil || fmt.Sprint(err) != `way "": there are all, gossip` {
-		t.Errorf("no name: %v", err)
+	if _, err := opener(""); err == nil || fmt.Sprint(err) != `way "" is unknown; want one of all, gossip` {
+		t.Errorf("empty name: error %v, want the list of names", err)
 	}
 }
--- a/internal/experiment/scale/simrouter/serve.go
+++ b/internal/experiment/scale/simrouter/serve.go
@@ -16,40 +16,41 @@
 	"github.com/rs/zerolog"
 )
 
-// Spec is what a process of hollow routers is told first.
+// Spec is the first input of a process of simulated routers.
 type Spec struct {
 	Transport   string          `json:"way"`
-	Peers       []string        `json:"peers"` // all routers, real ones too
-	First       int             `json:"first"` // the number of the first one here
+	Peers       []string        `json:"peers"` // addresses of all routers, including real ones
+	First       int             `json:"first"` // index of this process's first router among the peers
 	Count       int             `json:"count"`
-	InitialList json.RawMessage `json:"known"` // the list of servers, as a list service tells it
-	ListService string          `json:"list"`  // the list service
+	InitialList json.RawMessage `json:"known"` // endpoint list, as a list service sends it
+	ListService string          `json:"list"`  // address of the list service
 	Follow      []int           `json:"follow"`
-	Threads     int             `json:"threads"` // GOMAXPROCS, 0: as a real router
+	Threads     int             `json:"threads"` // GOMAXPROCS; 0: as in a real router
 }
 
-// Order is what it is told then, one after another.
+// Order is a command to a process of simulated routers.
 type Order struct {
-	Send          []int         `json:"talk,omitempty"` // these say a word each period from now on
+	Send          []int         `json:"talk,omitempty"` // indexes of the routers that send a message each period from now on
 	Period        time.Duration `json:"period,omitempty"`
-	RotateServers bool          `json:"all,omitempty"`      // what they say is in turn of all servers, and else of the same five
-	Stop          bool          `json:"hush,omitempty"`     // all fall silent
-	SendOnce      []int         `json:"say_once,omitempty"` // these say a word now
-	PerRouter     bool          `json:"each,omitempty"`     // the answer has each router's bytes
+	RotateServers bool          `json:"all,omitempty"`      // periodic messages are about all servers in turn, not always about the same five
+	Stop          bool          `json:"hush,omitempty"`     // all routers stop periodic sending
+	SendOnce      []int         `json:"say_once,omitempty"` // indexes of the routers that send one message now
+	PerRouter     bool          `json:"each,omitempty"`     // the answer includes the bytes of each router
 }
 
-// Answer is what it answers to its spec and to each order, once it is carried out.
+// Answer is the process's reply to its spec and to each order, after it has carried them out.
 type Answer struct {
 	Error            string  `json:"error,omitempty"`
 	Traffic          Traffic `json:"traffic"`
-	ZoneMessages     uint64  `json:"zoned"`  // words that only zones understand
-	OldestGeneration uint64  `json:"oldest"` // the oldest generation of the list among those that follow it
-	LatestChange     float64 `json:"latest"` // when the last of these came to the one that it has, Unix seconds
+	ZoneMessages     uint64  `json:"zoned"`  // zone messages received
+	OldestGeneration uint64  `json:"oldest"` // oldest list generation among the routers that watch the list
+	LatestChange     float64 `json:"latest"` // when the last of these routers applied its current list, Unix seconds
 
 	RouterBytes []uint64 `json:"each,omitempty"` // bytes of each router, in and out
 }
 
-// Serve is a process of hollow routers: it reads a spec and orders, each a JSON value, answers each, and ends with its input.
+// Serve runs simulated routers. It reads a spec and then orders from in, each a JSON value, and writes an answer to each. It returns when
+// in ends.
 func Serve(in io.Reader, out io.Writer, log zerolog.Logger) error {
 	orders, answers := json.NewDecoder(in), json.NewEncoder(out)
 	var s Spec
@@ -57,7 +58,7 @@
 		return fmt.Errorf("spec: %w", err)
 	}
 	debug.SetGCPercent(100)
-	runtime.GOMAXPROCS(max(2, s.Threads)) // two, as a real router's service has it
+	runtime.GOMAXPROCS(max(2, s.Threads)) // two, as in the router service
 	p, err := startProcess(s, log)
 	if err != nil {
 		answers.Encode(Answer{Error: err.Error()})
@@ -94,14 +95,14 @@
 		return nil, err
 	}
 	if s.First < 0 || s.Count < 1 || s.First+s.Count > len(s.Peers) {
-		return nil, fmt.Errorf("routers %d to %d: there are %d peers", s.First, s.First+s.Count-1, len(s.Peers))
+		return nil, fmt.Errorf("routers %d to %d: want indexes of the %d peers, and at least one router", s.First, s.First+s.Count-1, len(s.Peers))
 	}
 	initialList, err := discovery.Parse(s.InitialList)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if len(initialList.Instances) == 0 {
-		return nil, errors.New("known: it names no server, and words are of servers")
+		return nil, errors.New("known: the list is empty; want at least one server, because messages are about servers")
 	}
 	p := &process{spec: s}
 	if p.loop, err = eventloop.New(); err != nil {
@@ -124,7 +125,7 @@
 	return p, nil
 }
 
-// forEach calls f with those of some routers that are here.
+// forEach calls f with the routers of this process that have one of the indexes.
 func (p *process) forEach(numbers []int, f func(r *router, n int)) {
 	for _, n := range numbers {
 		if i := n - p.spec.First; i >= 0 && i < len(p.routers) {
@@ -148,7 +149,7 @@
 			}
 		}
 		p.forEach(o.SendOnce, func(r *router, _ int) { r.send(0) })
-		p.forEach(o.Send, func(r *router, n int) { // spread over the period, as routers that know nothing of one another are
+		p.forEach(o.Send, func(r *router, n int) { // spread over the period, as in a fleet of independent routers
 			r.sendPeriodically(o.Period*time.Duration(n)/time.Duration(len(p.spec.Peers)), o.Period, o.RotateServers)
 		})
 	})
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -14,53 +14,53 @@
 	"github.com/rs/zerolog"
 )
 
-// Transport is how one router's words come to the others: the seam at which routers that tell one another in another way are put in. Both are
-// called on the loop.
+// Transport brings one router's gossip messages to the others. Implementations can be exchanged. Its methods are called on the event
+// loop.
 type Transport interface {
-	Broadcast(message []byte) // to all others; what cannot be sent now is lost
+	Broadcast(message []byte) // sends to all other routers; what cannot be sent immediately is lost
 	Traffic() Traffic
 }
 
-// Member is where a router stands among the others.
+// Member describes a router's place in the fleet.
 type Member struct {
-	Index     int      // its number among the peers
-	Listen    string   // where it hears
-	Peers     []string // all routers' addresses, its own among them
-	ServerIDs []uint16 // the ends of the ids of the servers in its first list
+	Index     int      // among the peers
+	Listen    string   // address at which it receives messages
+	Peers     []string // addresses of all routers, including its own
+	ServerIDs []uint16 // last two bytes of the IDs of the servers in its first list
 	Loop      *eventloop.Loop
-	Deliver   func(words []byte) // takes, on the loop, any number of words that stand for what many routers told
+	Deliver   func(words []byte) // called on the event loop with observations that stand for those of many routers
 	Log       zerolog.Logger
 }
 
-// OpenFunc opens a router's way. heard is called with the words of each message that has come, on any goroutine.
+// OpenFunc opens a router's transport. onMessage is called with each received message, on any goroutine.
 type OpenFunc func(p Member, heard func(words []byte)) (Transport, error)
 
-// Transports are all that there are, by name.
+// Transports is the available transports by name.
 var Transports = map[string]OpenFunc{"all": openBroadcast, "gossip": openGossip}
 
-// opener gives one by its name; the error tells which there are.
+// opener returns the function that opens the transport with the name. The error lists the available names.
 func opener(name string) (OpenFunc, error) {
 	if open := Transports[name]; open != nil {
 		return open, nil
 	}
-	return nil, fmt.Errorf("way %q: there are %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)), ", "))
+	return nil, fmt.Errorf("way %q is unknown; want one of %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)), ", "))
 }
 
-// headerBytes are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
+// headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
 const headerBytes = 8 + 20
 
-// Traffic counts what has passed since the way was opened. Words is what routers say to one another, a datagram what goes out for it:
-// a way may put several words into one datagram, or send a word on. Bytes are those of the wire, with UDP's and IPv4's headers.
+// Traffic counts messages and datagrams since the transport was opened. A transport may put several messages into one datagram, or forward
+// a message. Bytes are those on the wire, with UDP and IPv4 headers.
 type Traffic struct {
 	Told, Heard                 uint64 // words
 	DatagramsOut, DatagramsIn   uint64
 	BytesOut, BytesIn           uint64
-	LeastHeard, MostHeard       uint64 // of a sum: by one of its routers
-	LeastBytesIn, MostBytesIn   uint64 // likewise
+	LeastHeard, MostHeard       uint64 // in a sum: of a single router
+	LeastBytesIn, MostBytesIn   uint64 // as above
 	LeastBytesOut, MostBytesOut uint64
 }
 
-// Add adds another's.
+// Add adds the counters of another router, or the sum of several. first says that t is empty, so that o sets the minimums.
 func (t *Traffic) Add(o Traffic, first bool) {
 	t.Told, t.Heard = t.Told+o.Told, t.Heard+o.Heard
 	t.DatagramsOut, t.DatagramsIn = t.DatagramsOut+o.DatagramsOut, t.DatagramsIn+o.DatagramsIn
@@ -73,7 +73,7 @@
 	t.LeastBytesOut, t.MostBytesOut = min(t.LeastBytesOut, o.LeastBytesOut), max(t.MostBytesOut, o.MostBytesOut)
 }
 
-// broadcastTransport is the router's own way: a datagram to each of the others for each word.
+// broadcastTransport is the real routers' broadcast: one datagram per message to each of the others.
 type broadcastTransport struct {
 	peers  *peertransport.Transport
 	others uint64
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -138,7 +138,7 @@
 	peers             []string // addresses of the other routers; the router's own address comes first in the configuration
 	fleetSize         int      // 0: the peers and this router
 	gossip            bool     // sending gossip messages is allowed
-	serverIdleSeconds float64  // until idle connections to servers are closed; 0: an hour
+	serverIdleSeconds float64  // until cache servers close idle connections; 0: an hour
 	adminServer       bool     // the admin server listens
 	zoneFailover      bool
 	recovery          bool
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -28,41 +28,42 @@
 	"golang.org/x/sys/unix"
 )
 
-// ValueOptions say at which sizes values are carried, and where.
+// ValueOptions are the settings of a measurement of long values.
 type ValueOptions struct {
 	Router    experiment.Program
 	Sizes     []int // bytes of a value
-	Transfers []int // held at once by clients that do not read
-	Bytes     int   // that are carried for one point, at least one value
-	AtOnce    int   // clients that ask one value after another
+	Transfers []int // numbers of concurrent transfers to clients that do not read
+	Bytes     int   // transferred for one point, at least one value
+	AtOnce    int   // concurrent clients; each requests one value after another
 	Runs      int
-	Settle    time.Duration // from when transfers are held until the memory is looked at
-	Net       int           // the second number of the loopback addresses
+	Settle    time.Duration // from the start of the transfers until the memory is measured
+	Net       int           // the second byte of the loopback addresses
 	Dir       string
-	Progress  io.Writer // nil: none
+	Progress  io.Writer // nil: no progress is printed
 }
 
-// UsualValues are the sizes that the operators expect, and those below and above: up to 64 KiB a value is held, beyond it is passed on.
+// UsualValues returns options with the sizes that operators expect and some below and above: the router buffers a value of up to 64 KiB
+// whole, and streams a longer one.
 func UsualValues() ValueOptions {
 	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, AtOnce: 8, Runs: 3,
-		Settle: 800 * time.Millisecond} // far below the 10 s after which a router ends who reads nothing
+		Settle: 800 * time.Millisecond} // far below the 10 s after which a router disconnects a client that reads nothing
 }
 
 const (
-	minValueBytes  = 1000    // bytes: a value's own head, and more
-	maxTransfers   = 256     // that the router's bounds leave places for
-	maxPointBytes  = 1 << 40 // a point of more takes hours
+	minValueBytes  = 1000    // bytes: an emulated value has a header of its own
+	maxTransfers   = 256     // concurrent transfers that the router's limits allow
+	maxPointBytes  = 1 << 40 // a point with more bytes takes hours
 	maxValueRuns   = 20
-	minValuePoints = 3 // of a line: two fit any line
+	minValuePoints = 3 // points of a line: any two points lie on a line
 
 	valueServerCount    = 8
 	valueDescriptors    = 4096
-	valueMemoryMB       = 256              // MB: at 256 transfers the bound that is looked for must not be this one
-	valueTimeout        = 20 * time.Second // for one value, on a machine that does other work
-	clientReceiveBuffer = 4096             // bytes that a client's kernel holds of one that does not read: the least that it takes
+	valueMemoryMB       = 256              // high enough that 256 transfers do not reach it
+	valueTimeout        = 20 * time.Second // for one value, on a busy machine
+	clientReceiveBuffer = 4096             // bytes; a client that does not read takes as little as possible out of the router
 )
 
-// Check tells every fault of the options, each by its flag, its value and what would be right.
+// Check returns every fault of the options, each with its flag, its value and the accepted values.
 func (o ValueOptions) Check() error {
 	var faults []error
 	fault := func(flag string, value any, right string, about ...any) {
@@ -72,19 +73,19 @@
 		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
 		sorted := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
 		if len(all) < minValuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
-			fault(flag, text, "three or more, rising, from %d to %d, as in %s", least, most, as)
+			fault(flag, text, "want three or more rising numbers from %d to %d, such as %s", least, most, as)
 		}
 	}
 	rising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
 	rising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
 	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
-		fault("bytes", o.Bytes, "from %d to %d", minValueBytes, maxPointBytes)
+		fault("bytes", o.Bytes, "want a number from %d to %d", minValueBytes, maxPointBytes)
 	}
 	if o.AtOnce < 1 || o.AtOnce > maxTransfers {
-		fault("at-once", o.AtOnce, "from 1 to %d", maxTransfers)
+		fault("at-once", o.AtOnce, "want a number from 1 to %d", maxTransfers)
 	}
 	if o.Runs < 1 || o.Runs > maxValueRuns {
-		fault("runs", o.Runs, "from 1 to %d", maxValueRuns)
+		fault("runs", o.Runs, "want a number from 1 to %d", maxValueRuns)
 	}
 	return errors.Join(faults...)
 }
@@ -97,7 +98,7 @@
 		"voluntary context switches of the router's threads in the runs of value.core.byte"},
 }
 
-// measureValues measures long values at the usual sizes, once; the bench has the runs.
+// measureValues measures long values at the usual sizes in a single run, because the bench repeats it.
 func measureValues(b *bench) error {
 	o := UsualValues()
 	o.Router, o.Runs, o.Net, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
@@ -108,7 +109,7 @@
 	lines, err := Values(b.ctx, o)
 	for _, l := range lines {
 		for _, p := range l.Points {
-			loop := 0.0 // seconds of the plain loop beside it
+			loop := 0.0 // CPU seconds of the plain loop next to it
 			if len(p.Loops) > 0 && p.Loops[0] > 0 {
 				loop = p.Runs[0] / p.Loops[0] / 1e6
 			}
@@ -118,8 +119,8 @@
 	return err
 }
 
-// Values measures what long values cost: processor time by their size, and the most memory by the transfers that clients hold who do
-// not read, a line for each size. The error tells why it could not be measured; all that was started has ended then.
+// Values measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients that do not read,
+// with a line for each size. All processes that it started have ended when it returns.
 func Values(ctx context.Context, o ValueOptions) ([]Line, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -191,7 +192,7 @@
 	return lines, nil
 }
 
-// valueTestbed is servers, a list of them and one router.
+// valueTestbed is a set of servers, a list service for them and a router.
 type valueTestbed struct {
 	loop        *eventloop.Loop
 	fleet       *emulator.Fleet
@@ -205,7 +206,8 @@
 	lastID      atomic.Uint64
 }
 
-// withTestbed does something with a stage of its own: a process's highest memory is of its whole life.
+// withTestbed calls do with a new testbed and closes it afterwards. Each measurement needs a router of its own, because the kernel reports
+// peak memory since the start of a process.
 func (o ValueOptions) withTestbed(ctx context.Context, do func(v *valueTestbed) error) error {
 	v, err := o.openTestbed(ctx)
 	if err == nil {
@@ -246,12 +248,12 @@
 	if v.listService, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
 		return v, fmt.Errorf("%w (another --net may be free)", err)
 	}
-	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] }) // the stand-in's own servers are only listed
+	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] }) // the emulated servers appear only in the list
 	go func() { v.ended <- v.loop.Run() }()
 	return v, v.startRouter(ctx, o)
 }
 
-// serveConnections takes the connections of a server that gives values as fast as they are taken, with one call of the kernel for each.
+// serveConnections accepts the connections of a server that sends values as fast as they are read, with one system call per value.
 func serveConnections(ln net.Listener, name string) {
 	for {
 		conn, err := ln.Accept()
@@ -359,7 +361,7 @@
 
 func (v *valueTestbed) close() {
 	if v.cmd != nil {
-		v.cmd.Process.Kill() // a router that was measured owes nobody anything
+		v.cmd.Process.Kill() // no graceful shutdown: nothing depends on a measured router any more
 		<-v.exited
 	}
 	for _, ln := range v.listeners {
@@ -374,7 +376,7 @@
 	}
 }
 
-// startRead sends a command and reads the head of its answer, which it may have to ask for again.
+// startRead sends a request for a value and reads the header of the reply. It repeats a rejected request.
 func (v *valueTestbed) startRead(conn net.Conn, in *bufio.Reader, size int) error {
 	conn.SetDeadline(time.Now().Add(valueTimeout))
 	for range 100 {
@@ -388,20 +390,20 @@
 		case line == fmt.Sprintf("VA %d O%s\r\n", size, id):
 			return nil
 		case !strings.HasPrefix(line, "SERVER_ERROR"):
-			return fmt.Errorf("a value of %d bytes begins %q", size, line)
+			return fmt.Errorf("the reply for a value of %d bytes starts with %q, not with its header", size, line)
 		}
-		time.Sleep(50 * time.Millisecond) // declined
+		time.Sleep(50 * time.Millisecond) // the request was rejected
 	}
-	return fmt.Errorf("a value of %d bytes was declined a hundred times%s", size, v.logTail())
+	return fmt.Errorf("a request for a value of %d bytes was rejected a hundred times%s", size, v.logTail())
 }
 
-// readValue takes a value's bytes and checks them as they come.
+// readValue reads a value's bytes and checks them as they arrive.
 func readValue(in *bufio.Reader, buf []byte, size int) error {
 	check := emulator.Check{Length: size}
 	for check.Came < size {
 		n, err := in.Read(buf[:min(len(buf), size-check.Came)])
 		if err != nil {
-			return fmt.Errorf("%d of %d bytes came: %w", check.Came, size, err)
+			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Came, size, err)
 		}
 		check.Take(buf[:n])
 	}
@@ -409,12 +411,12 @@
 		return errors.New(wrong)
 	}
 	if end, err := in.ReadString('\n'); end != "\r\n" {
-		return fmt.Errorf("behind a value of %d bytes comes %q, %v", size, end, err)
+		return fmt.Errorf("a value of %d bytes is followed by %q, not by a line end: %v", size, end, err)
 	}
 	return nil
 }
 
-// readValues asks for values one after another on one connection.
+// readValues reads n values one after another on one connection.
 func (v *valueTestbed) readValues(ctx context.Context, size, n int) error {
 	conn, err := net.DialTimeout("tcp", v.addr, valueTimeout)
 	if err != nil {
@@ -435,8 +437,8 @@
 	return nil
 }
 
-// measureReads has some clients ask for so many values each, and gives what of processor time the router took, how often its threads slept,
-// and the plain loop's time meanwhile, in seconds. A first value of each client is not counted: it makes the connections.
+// measureReads lets each client read n values. It returns the router's CPU seconds, the voluntary context switches of its threads, and the
+// CPU seconds of the plain loop. The first value of each client is not counted, because it opens connections to the servers.
 func (v *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
 	all := func(n int) error {
 		errs := make([]error, clients)
@@ -464,7 +466,7 @@
 	return after - before, countWakeups(pid) - wakeupsBefore, plainLoop(), err
 }
 
-// measureHeldTransfers has so many clients begin to take a value and read nothing of it, and gives the most that the router held resident, in KiB.
+// measureHeldTransfers lets n clients request a value and read nothing of it. It returns the router's peak resident memory in KiB.
 func (v *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64, err error) {
 	dialer := net.Dialer{Timeout: valueTimeout, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, clientReceiveBuffer) })
@@ -501,16 +503,17 @@
 	return peak, err
 }
 
-// Copy tells how often a byte of a value is copied on its way, as the code has it: no run tells that.
+// Copy is how often the router copies each byte of a value. It is counted from the code, because no measurement shows it.
 type Copy struct {
 	Name  string  `json:"name"`
-	Count float64 `json:"copies"` // from one place of the process's memory to another
+	Count float64 `json:"copies"` // within the memory of the process
 	About string  `json:"about"`
 }
 
-// Copies counts them. Each way has two copies of the kernel's besides, from a socket and to one.
+// Copies returns the number of copies for a streamed and for a buffered value. The kernel makes two more, from a socket and to a socket.
 func Copies() []Copy {
-	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512 // a value, its first memory (meta's firstPart), and what a ring takes at once while it is small
+	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and what a small ring buffer reads at a time.
+	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512
 	grown := 0
 	value := make([]byte, 0, firstCapacity)
 	for chunk := make([]byte, readChunk); len(value) < held; {
@@ -520,12 +523,12 @@
 		}
 	}
 	return []Copy{
-		{"value.copies.passed", 1, "above 64 KiB: the server's ring to the client's (caches.link.Part, sock.Conn.Write)"},
-		{"value.copies.held", 2 + float64(grown)/held, "of 60,000 bytes: ring to value and value to the client's ring, and the value as it grows (meta.readValue)"},
+		{"value.copies.passed", 1, "above 64 KiB: server's ring buffer to client's (upstream.memcacheCodec.Part, eventloop.Conn.Write)"},
+		{"value.copies.held", 2 + float64(grown)/held, "of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and the value as it grows (meta.readValue)"},
 	}
 }
 
-// PrintLines writes a table of lines, and below it their points and the copies.
+// PrintLines writes a table of the lines, followed by their points and the copies.
 func PrintLines(out io.Writer, lines []Line) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "name\tunit\tfor one more\tslope\tleast\tmost\twith none\tresidual\tr squared\tin plain loops\t")
--- a/internal/experiment/scale/voices.go
+++ b/internal/experiment/scale/voices.go
@@ -14,21 +14,21 @@
 	"golang.org/x/sys/unix"
 )
 
-// headerBytes are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
+// headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
 const headerBytes = 8 + 20
 
-// peerSockets are the sockets of routers that are none: what one says comes from the address by which it is known, and what it is told
-// waits at its socket to be counted.
+// peerSockets are UDP sockets at the addresses of the configured peers, without routers behind them. They send messages from these
+// addresses, and messages from the measured router wait in their receive buffers to be counted.
 type peerSockets struct {
 	sockets  []int
 	router   unix.SockaddrInet4
 	next     int
-	received []int // datagrams at each so far
-	bytes    int   // of all these
-	missing  int   // datagrams that did not come, as counted last
+	received []int // datagrams at each socket so far
+	bytes    int   // of all received datagrams
+	missing  int   // datagrams not received, as of the last count
 }
 
-// openPeerSockets opens so many, at the other routers' addresses.
+// openPeerSockets opens sockets at the addresses of the first n peers.
 func (b *bench) openPeerSockets(n int) (v *peerSockets, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() (err error) {
 		v, err = b.tryOpenPeerSockets(n)
@@ -43,13 +43,13 @@
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
 			v.close()
-			return nil, fmt.Errorf("socket %d of %d: %w (ulimit -n tells how many there may be)", i, n, err)
+			return nil, fmt.Errorf("socket %d of %d: %w (ulimit -n shows the limit of open files)", i, n, err)
 		}
 		v.sockets, v.received = append(v.sockets, fd), append(v.received, 0)
 		at := netip.MustParseAddrPort(b.peerAddress(i))
 		if err = unix.Bind(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
 			v.close()
-			return nil, fmt.Errorf("the address %s cannot be had: %w", at, err)
+			return nil, fmt.Errorf("cannot bind a peer socket to %s: %w", at, err)
 		}
 	}
 	to := netip.MustParseAddrPort(b.address(routerOctet, 0, gossipPort))
@@ -63,9 +63,10 @@
 	}
 }
 
-// send lets them say words in turn, so many a second, until ctx ends; it gives how many were sent. say gives the n-th voice's words.
+// send sends messages from the sockets in turn, at a rate per second, until ctx ends, and returns their number. payload returns the next
+// message of the n-th peer.
 func (v *peerSockets) send(ctx context.Context, rate float64, payload func(voice int) []byte) (sent int, err error) {
-	const step = 5 * time.Millisecond // at the highest rate 20 words at once, far below what a socket holds
+	const step = 5 * time.Millisecond // 20 messages at a time at the highest rate, far below what a receive buffer holds
 	began := time.Now()
 	tick := time.NewTicker(step)
 	defer tick.Stop()
@@ -77,14 +78,14 @@
 		}
 		for due := int(rate * time.Since(began).Seconds()); sent < due; sent++ {
 			if err = unix.Sendto(v.sockets[v.next], payload(v.next), 0, &v.router); err != nil {
-				return sent, fmt.Errorf("saying a word: %w", err)
+				return sent, fmt.Errorf("sending a message to the router: %w", err)
 			}
 			v.next = (v.next + 1) % len(v.sockets)
 		}
 	}
 }
 
-// receive takes what waits at all sockets, and counts it.
+// receive reads and counts the datagrams that wait at all sockets.
 func (v *peerSockets) receive() error {
 	buf := make([]byte, 2048)
 	for i, fd := range v.sockets {
@@ -93,7 +94,7 @@
 			if errors.Is(err, unix.EAGAIN) {
 				break
 			}
-			if errors.Is(err, unix.ECONNREFUSED) { // what it said itself found nobody
+			if errors.Is(err, unix.ECONNREFUSED) { // an earlier message found no socket at the router's address
 				continue
 			}
 			if err != nil {
@@ -106,10 +107,10 @@
 	return nil
 }
 
-// words counts the words that have come to all. It waits for one that has come to some and not to others; what is missing after that
-// is lost.
-func (v *peerSockets) messages(ctx context.Context) (messages, missing int, err error) {
-	const maxDelay = 200 * time.Millisecond // a word to all takes some milliseconds, and the next comes after half a second
+// countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It waits shortly for
+// datagrams that some peers have received and others have not.
+func (v *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
+	const maxDelay = 200 * time.Millisecond // a broadcast takes some milliseconds, and the next follows after half a second
 	for until := time.Now().Add(maxDelay); ; {
 		if err = v.receive(); err != nil {
 			return 0, 0, err
@@ -128,7 +129,7 @@
 	}
 }
 
-// droppedDatagrams counts the datagrams that a socket at an address had no room for.
+// droppedDatagrams returns the number of datagrams dropped because the receive buffer of the socket at the address was full.
 func droppedDatagrams(addr string) (n int, err error) {
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
