--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -30,7 +30,8 @@
 	run  func(b *bench) error
 }
 
-var parts = []part{{"idle", measureIdle}, {"hear", measureReceiving}, {"tell", measureSending}, {"start", measureStart}, {"conf", measureReloads}, {"list", measureLists}, {"request", measureRequests}, {"hollow", measureSimulatedRouters},
+var parts = []part{{"idle", measureIdle}, {"hear", measureReceiving}, {"tell", measureSending}, {"start", measureStart},
+	{"conf", measureReloads}, {"list", measureLists}, {"request", measureRequests}, {"hollow", measureSimulatedRouters},
 	{"gossip", measureGossip}, {"value", measureValues}}
 
 // Parts returns the names of all parts. Each quantity's name starts with the name of its part.
@@ -78,8 +79,8 @@
 	notes     []string
 }
 
-// add records a value of a quantity; x is the size that it belongs to, and has no effect on a single figure. A loop above 0 is the
-// CPU time of the plain loop at the same time, in seconds.
+// add records a value of a quantity; x is the size that it belongs to, and has no effect on a single figure. A loop
+// above 0 is the CPU time of the plain loop at the same time, in seconds.
 func (b *bench) add(name string, x, value, loop float64) {
 	q := quantityNamed(name)
 	figures := b.figures
@@ -90,16 +91,16 @@
 		if b.lines[name][x] == nil {
 			b.lines[name][x] = &Point{X: x}
 		}
-		b.lines[name][x].take(value, loop)
+		b.lines[name][x].record(value, loop)
 		return
 	}
 	if figures[name] == nil {
 		figures[name] = &Point{}
 	}
-	figures[name].take(value, loop)
+	figures[name].record(value, loop)
 }
 
-func (p *Point) take(value, loop float64) {
+func (p *Point) record(value, loop float64) {
 	if p.Runs = append(p.Runs, value); loop > 0 {
 		p.Loops = append(p.Loops, value/1e6/loop)
 	}
@@ -109,7 +110,7 @@
 func quantityNamed(name string) Quantity {
 	i := slices.IndexFunc(quantities, func(q Quantity) bool { return q.Name == name })
 	if i < 0 {
-		panic("quantity " + name + " is not in the table of quantities")
+		panic("unknown quantity " + name)
 	}
 	return quantities[i]
 }
@@ -119,33 +120,34 @@
 	return slices.ContainsFunc(quantities, func(q Quantity) bool { return q.hasPrefix(prefix) && b.plan.selects(q) })
 }
 
-func (b *bench) progressf(format string, about ...any) {
+func (b *bench) progressf(format string, args ...any) {
 	if b.progress != nil {
-		fmt.Fprintf(b.progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), b.run+1, b.plan.Runs, fmt.Sprintf(format, about...))
+		fmt.Fprintf(b.progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), b.run+1, b.plan.Runs,
+			fmt.Sprintf(format, args...))
 	}
 }
 
 // addNote records an observation that is not a figure. A text that is already recorded is not repeated.
-func (b *bench) addNote(format string, about ...any) {
-	if text := fmt.Sprintf(format, about...); !slices.Contains(b.notes, text) {
+func (b *bench) addNote(format string, args ...any) {
+	if text := fmt.Sprintf(format, args...); !slices.Contains(b.notes, text) {
 		b.notes = append(b.notes, text)
 	}
 }
 
 // recordLoop records the plain loop's time of a window, and returns the window's usage unchanged.
-func (b *bench) recordLoop(s usage) usage {
-	b.loopTimes = append(b.loopTimes, s.loop*1e6)
-	return s
+func (b *bench) recordLoop(used usage) usage {
+	b.loopTimes = append(b.loopTimes, used.loop*1e6)
+	return used
 }
 
 // measureWindow measures a process for the plan's window.
 func (b *bench) measureWindow(p *process) (usage, error) {
-	s, err := p.measureWindow(b.ctx, b.plan.Window)
-	return b.recordLoop(s), err
+	used, err := p.measureWindow(b.ctx, b.plan.Window)
+	return b.recordLoop(used), err
 }
 
-// Run measures everything that the plan selects. It returns an error if ctx ends before it is done. All processes that it started have
-// ended when it returns.
+// Run measures everything that the plan selects. It returns an error if ctx ends before it is done. All processes that
+// it started have ended when it returns.
 func Run(ctx context.Context, o Options) (*Report, error) {
 	b := newBench(ctx, o)
 	began, busy := time.Now(), loadAverage()
@@ -175,7 +177,8 @@
 func (b *bench) report(o Options) *Report {
 	r := &Report{Form: ReportVersion, Runs: b.plan.Runs, Small: b.plan.Small, Notes: b.notes}
 	if len(b.loopTimes) > 0 {
-		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime, About: "crc32 of a megabyte, measured with every window"}, b.loopTimes, nil)
+		r.Loop = newFigure(Quantity{Name: "loop", Unit: coreTime,
+			About: "crc32 of a megabyte, measured with every window"}, b.loopTimes, nil)
 	}
 	for _, q := range quantities {
 		if !b.plan.selects(q) {
@@ -237,16 +240,18 @@
 	return fmt.Sprintf("%d cores of %s%s, %s", runtime.NumCPU(), model, memory, runtime.Version())
 }
 
-// revision returns the version that the router's build prints. If the build does not know its revision and was built from this tree, the
-// revision is the tree's.
+// revision returns the version that the router's build prints. If the build does not know its revision and was built
+// from this tree, the revision is the tree's.
 func revision(ctx context.Context, p experiment.Program) string {
 	output := func(args ...string) string {
 		out, _ := exec.CommandContext(ctx, args[0], args[1:]...).Output()
 		return strings.TrimSpace(string(out))
 	}
 	version := cmp.Or(output(append(slices.Clone(p.Args), "version")...), p.Name)
-	if head := output("git", "rev-parse", "--short", "HEAD"); p.Name == "head" && head != "" && strings.Contains(version, "unknown") {
-		if version = strings.Replace(version, "unknown", head, 1); output("git", "status", "--porcelain", "--untracked-files=no") != "" {
+	if head := output("git", "rev-parse", "--short", "HEAD"); p.Name == "head" && head != "" &&
+		strings.Contains(version, "unknown") {
+		if version = strings.Replace(version, "unknown", head, 1); output("git",
+			"status", "--porcelain", "--untracked-files=no") != "" {
 			version += ", with changes"
 		}
 	}
--- a/internal/experiment/scale/conf.go
+++ b/internal/experiment/scale/conf.go
@@ -10,10 +10,10 @@
 
 // measureStart measures a router's start by the number of peers in its configuration.
 func measureStart(b *bench) error {
-	most := slices.Max(b.plan.Servers)
+	mostServers := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
 		b.progressf("start with %d peers", n)
-		err := b.withServers(most, func(s *testbed) error {
+		err := b.withServers(mostServers, func(s *testbed) error {
 			began := time.Now()
 			p, err := b.startRouter(s, routerSetup{peers: b.peerAddresses(n), gossip: true})
 			if err != nil {
@@ -23,7 +23,7 @@
 			if err = p.waitReady(b.ctx); err != nil {
 				return err
 			}
-			took := time.Since(began)
+			elapsed := time.Since(began)
 			processor, err := cpuSeconds(p.pid())
 			if err != nil {
 				return err
@@ -31,11 +31,11 @@
 			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // unused memory is returned later, if at all
 				return err
 			}
-			_, top, err := residentKiB(p.pid())
+			_, peak, err := residentKiB(p.pid())
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
 			b.add("start.core.peers", float64(n), processor*1e6, loop)
-			b.add("start.ready.peers", float64(n), took.Seconds()*1e3, 0)
-			b.add("start.memory.peers", float64(n), top, 0)
+			b.add("start.ready.peers", float64(n), elapsed.Seconds()*1e3, 0)
+			b.add("start.memory.peers", float64(n), peak, 0)
 			return err
 		})
 		if err != nil {
@@ -45,10 +45,11 @@
 	return nil
 }
 
-// measureReload makes a router reload its configuration several times in a row. It returns the CPU microseconds of one reload, beyond
-// what the router uses when idle, and the mean milliseconds until the configuration is in force. logLine is the text that the router logs
-// then; change returns the setup of the n-th reload.
-func (b *bench) measureReload(s *testbed, p *process, logLine string, change func(n int) routerSetup) (cpuMicros, delayMillis float64, err error) {
+// measureReload makes a router reload its configuration several times in a row. It returns the CPU microseconds of one
+// reload, beyond what the router uses when idle, and the mean milliseconds until the configuration is in force. logLine
+// is the text that the router logs then; change returns the setup of the n-th reload.
+func (b *bench) measureReload(s *testbed, p *process, logLine string,
+	change func(n int) routerSetup) (cpuMicros, delayMillis float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
 		return 0, 0, err
@@ -66,7 +67,8 @@
 		if err = p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			return 0, 0, err
 		}
-		if err = p.deadline(b.ctx, "waiting for a reload of the configuration", func() bool { return p.countLogLines(logLine) > seen }); err != nil {
+		if err = p.waitFor(b.ctx, "waiting for a reload of the configuration",
+			func() bool { return p.countLogLines(logLine) > seen }); err != nil {
 			return 0, 0, err
 		}
 		elapsed += time.Since(signalledAt).Seconds()
@@ -79,7 +81,8 @@
 	return usedSeconds * 1e6 / repetitions, elapsed * 1e3 / repetitions, nil
 }
 
-// Texts of the router's log lines about a reloaded configuration, a rejected one, a new endpoint list and changed teams.
+// Texts of the router's log lines about a reloaded configuration, a rejected one, a new endpoint list and changed
+// teams.
 const (
 	logReloaded       = `"message":"configured anew"`
 	logReloadRejected = `"message":"the new configuration cannot be used; the old one stays"`
@@ -89,31 +92,33 @@
 
 // measureReloads measures reloads of the configuration.
 func measureReloads(b *bench) error {
-	most := slices.Max(b.plan.Servers)
+	mostServers := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
 		b.progressf("reload with %d peers", n)
-		c := routerSetup{peers: b.peerAddresses(n), gossip: true, teamBudget: 1}
-		err := b.withRouter(most, c, func(s *testbed, p *process) error {
+		setup := routerSetup{peers: b.peerAddresses(n), gossip: true, teamBudget: 1}
+		err := b.withRouter(mostServers, setup, func(s *testbed, p *process) error {
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
-			same, force, err := b.measureReload(s, p, logReloaded, func(int) routerSetup { return c })
+			unchanged, delayMillis, err := b.measureReload(s, p, logReloaded, func(int) routerSetup { return setup })
 			if err != nil {
 				return err
 			}
-			b.add("conf.core.peers", float64(n), same, loop)
-			b.add("conf.force.peers", float64(n), force, 0)
-			_, top, err := residentKiB(p.pid())
+			b.add("conf.core.peers", float64(n), unchanged, loop)
+			b.add("conf.force.peers", float64(n), delayMillis, 0)
+			_, peak, err := residentKiB(p.pid())
 			if err != nil {
 				return err
 			}
-			b.add("conf.memory.peers", float64(n), top, 0)
+			b.add("conf.memory.peers", float64(n), peak, 0)
 			if n == 0 {
-				changed, _, err := b.measureReload(s, p, logContracts, func(k int) routerSetup { c := c; c.teamBudget = 2 + k; return c })
+				teamChange, _, err := b.measureReload(s, p, logContracts,
+					func(k int) routerSetup { setup := setup; setup.teamBudget = 2 + k; return setup })
 				if err != nil {
 					return err
 				}
-				b.add("conf.core.contract", 0, changed, loop)
+				b.add("conf.core.contract", 0, teamChange, loop)
 			}
-			faulty, _, err := b.measureReload(s, p, logReloadRejected, func(int) routerSetup { c := c; c.invalid = true; return c })
+			faulty, _, err := b.measureReload(s, p, logReloadRejected,
+				func(int) routerSetup { setup := setup; setup.invalid = true; return setup })
 			b.add("conf.core.faulty", float64(n), faulty, loop)
 			return err
 		})
--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -11,13 +11,14 @@
 )
 
 const (
-	maxGossipRouters        = 300             // 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 measured (docs/capacity/gossip-1.json)
+	// 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 measured (docs/capacity/gossip-1.json)
+	maxGossipRouters        = 300
 	gossipRoutersPerProcess = 50              // 0.4 of a core at most, far below the two threads of a process
 	gossipSettle            = 6 * time.Second // a router probes and pulls more often in its first 5 s
 )
 
-// gossipSizes returns the fleet sizes at which gossip is measured: those of the plan that one machine can run and at which real routers
-// gossip. If these are too few for a line, thirds of the maximum are added.
+// gossipSizes returns the fleet sizes at which gossip is measured: those of the plan that one machine can run and at
+// which real routers gossip. If these are too few for a line, thirds of the maximum are added.
 func (b *bench) gossipSizes() (all []int) {
 	var skipped []string
 	for _, n := range b.plan.Routers {
@@ -28,8 +29,8 @@
 		all = append(all, n)
 	}
 	if len(skipped) > 0 {
-		b.addNote("gossip is not measured at %s routers: the measurement runs at most %d, because one may cost up to 0.8%% of a core, "+
-			"and it skips sizes at which broadcasting takes fewer bytes",
+		b.addNote(
+			"gossip is not measured at %s routers: over %d use too much CPU at 0.8%% of a core each, or broadcasts use fewer bytes",
 			strings.Join(skipped, ", "), maxGossipRouters)
 	}
 	if len(all) < minPoints {
@@ -47,19 +48,19 @@
 	}
 	for _, n := range b.gossipSizes() {
 		b.progressf("%d simulated routers that gossip", n)
-		w, err := b.measureTraffic("gossip", n, settle)
+		traffic, err := b.measureTraffic("gossip", n, settle)
 		if err != nil {
 			return err
 		}
-		b.add("gossip.core.routers", float64(n), w.cpuRate(), w.loop)
-		b.add("gossip.bytes.mean", float64(n), w.meanBytes, 0)
-		b.add("gossip.bytes.most", float64(n), w.mostBytes, 0)
+		b.add("gossip.core.routers", float64(n), traffic.cpuRate(), traffic.loop)
+		b.add("gossip.bytes.mean", float64(n), traffic.meanBytes, 0)
+		b.add("gossip.bytes.most", float64(n), traffic.mostBytes, 0)
 		b.progressf("%d simulated routers that broadcast", n)
-		if w, err = b.measureTraffic("all", n, b.plan.Settle); err != nil {
+		if traffic, err = b.measureTraffic("all", n, b.plan.Settle); err != nil {
 			return err
 		}
-		b.add("gossip.pair.core.routers", float64(n), w.cpuRate(), w.loop)
-		b.add("gossip.pair.bytes.mean", float64(n), w.meanBytes, 0)
+		b.add("gossip.pair.core.routers", float64(n), traffic.cpuRate(), traffic.loop)
+		b.add("gossip.pair.bytes.mean", float64(n), traffic.meanBytes, 0)
 	}
 	return nil
 }
@@ -70,49 +71,54 @@
 	meanBytes, mostBytes float64
 }
 
-// measureTraffic lets each router of a fleet send a message per second about all servers in turn. It waits for settle, then measures a
-// window.
-func (b *bench) measureTraffic(transport string, n int, settle time.Duration) (w trafficUsage, err error) {
+// measureTraffic lets each router of a fleet send a message per second about all servers in turn. It waits for settle,
+// then measures a window.
+func (b *bench) measureTraffic(transport string, n int, settle time.Duration) (traffic trafficUsage, err error) {
 	err = b.withServers(slices.Max(b.plan.Servers), func(s *testbed) error {
 		known, err := fetchList(s.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		h, err := b.startSimFleetBy(min(b.plan.Hollow, gossipRoutersPerProcess),
-			simrouter.Spec{Transport: transport, Peers: b.peerAddresses(n), InitialList: known, ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}, n)
+		fleet, err := b.startSimFleetBy(min(b.plan.Hollow, gossipRoutersPerProcess),
+			simrouter.Spec{Transport: transport, Peers: b.peerAddresses(n), InitialList: known,
+				ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}, n)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		if _, err = h.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, n), Period: time.Second, RotateServers: true}); err != nil {
+		defer fleet.close()
+		if _, err = fleet.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, n), Period: time.Second,
+			RotateServers: true}); err != nil {
 			return err
 		}
-		if err = sleep(b.ctx, settle, &h.processes[0].process); err != nil {
+		if err = sleep(b.ctx, settle, &fleet.processes[0].process); err != nil {
 			return err
 		}
-		before, err := h.sendOrder(&simrouter.Order{PerRouter: true})
+		before, err := fleet.sendOrder(&simrouter.Order{PerRouter: true})
 		began := time.Now()
 		if err != nil {
 			return err
 		}
-		if w.usage, err = h.measureWindow(b); err != nil {
+		if traffic.usage, err = fleet.measureWindow(b); err != nil {
 			return err
 		}
-		after, err := h.sendOrder(&simrouter.Order{PerRouter: true})
+		after, err := fleet.sendOrder(&simrouter.Order{PerRouter: true})
 		seconds := time.Since(began).Seconds()
 		if err != nil {
 			return err
 		}
 		for i, bytes := range after.RouterBytes {
 			each := float64(bytes-before.RouterBytes[i]) / seconds
-			w.meanBytes, w.mostBytes = w.meanBytes+each/float64(n), max(w.mostBytes, each)
+			traffic.meanBytes, traffic.mostBytes = traffic.meanBytes+each/float64(n), max(traffic.mostBytes, each)
 		}
-		const maxLoss = 0.01 // fraction of the datagrams; with more lost, the figures describe more traffic than the routers receive
+		// fraction of the datagrams; with more lost, the figures describe more traffic than the routers receive
+		const maxLoss = 0.01
 		sent := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
-		if received := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); received < (1-maxLoss)*sent && !b.plan.Small {
-			b.addNote("of %.0f datagrams that %d routers sent by transport %q %.1f%% were not received", sent, n, transport, 100*(1-received/sent))
+		if received := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); received < (1-maxLoss)*sent &&
+			!b.plan.Small {
+			b.addNote("of %.0f datagrams that %d routers sent by transport %q %.1f%% were not received", sent, n,
+				transport, 100*(1-received/sent))
 		}
 		return nil
 	})
-	return w, err
+	return traffic, err
 }
--- a/internal/experiment/scale/gossips_test.go
+++ b/internal/experiment/scale/gossips_test.go
@@ -7,8 +7,8 @@
 	"testing"
 )
 
-// Gossip is measured at the sizes of the plan that one machine can run and at which gossip takes fewer bytes than broadcasts. A note names
-// the other sizes.
+// Gossip is measured at the sizes of the plan that one machine can run and at which gossip takes fewer bytes than
+// broadcasts. A note names the other sizes.
 func TestGossipSizes(t *testing.T) {
 	for _, c := range []struct {
 		routers, want []int
@@ -47,7 +47,8 @@
 	mean, most, pair := r.line(t, "gossip.bytes.mean"), r.line(t, "gossip.bytes.most"), r.line(t, "gossip.pair.bytes.mean")
 	for i, n := range Little().Routers {
 		if mean.Points[i].X != float64(n) || mean.Points[i].Runs[0] <= 0 || most.Points[i].Runs[0] < mean.Points[i].Runs[0] {
-			t.Errorf("%d routers that gossip: mean %v, maximum %v; want a mean above 0 and no lower maximum", n, mean.Points[i], most.Points[i])
+			t.Errorf("%d routers that gossip: mean %v, maximum %v; want a mean above 0 and no lower maximum", n,
+				mean.Points[i], most.Points[i])
 		}
 		if pair.Points[i].Runs[0] <= 0 {
 			t.Errorf("%d routers that broadcast: %v bytes, want more than 0", n, pair.Points[i])
--- a/internal/experiment/scale/hear.go
+++ b/internal/experiment/scale/hear.go
@@ -23,7 +23,7 @@
 }
 
 // zoneMessages returns a function that makes the next zone message of the n-th router: eight zones, all healthy.
-func (b *bench) zoneMessages(s *testbed, routers int) func(voice int) []byte {
+func (b *bench) zoneMessages(s *testbed, routers int) func(router int) []byte {
 	servers, ids := map[string]int{}, map[uint16]bool{}
 	for _, server := range s.fleet.Servers() {
 		servers[server.Zone]++
@@ -31,7 +31,8 @@
 	}
 	controllers, clocks := make([]*zonefailover.Controller, routers), make([]float64, routers)
 	for n := range controllers {
-		controllers[n] = zonefailover.New(zonefailover.Settings{RouterIndex: n + 1, RouterCount: routers + 1, Incarnation: 1, WarmupSeconds: 9})
+		controllers[n] = zonefailover.New(zonefailover.Settings{RouterIndex: n + 1, RouterCount: routers + 1,
+			Incarnation: 1, WarmupSeconds: 9})
 		controllers[n].OnEndpoints(0, servers, ids)
 	}
 	return func(n int) []byte {
@@ -41,14 +42,15 @@
 	}
 }
 
-// measureReceipt sends a router gossip messages at a rate for a window. It returns the router's usage and the messages per second that
-// its socket's receive buffer had room for.
-func (b *bench) measureReceipt(p *process, v *peerSockets, rate float64, payload func(voice int) []byte) (used usage, received float64, err error) {
+// measureReceipt sends a router gossip messages at a rate for a window. It returns the router's usage and the messages
+// per second that its socket's receive buffer had room for.
+func (b *bench) measureReceipt(p *process, sockets *peerSockets, rate float64,
+	payload func(peer int) []byte) (used usage, received float64, err error) {
 	ctx, stop := context.WithCancel(b.ctx)
 	defer stop()
 	sendResult := make(chan error, 1)
 	go func() {
-		_, err := v.send(ctx, rate, payload)
+		_, err := sockets.send(ctx, rate, payload)
 		sendResult <- err
 	}()
 	before, after := 0, 0
@@ -66,60 +68,68 @@
 	}
 	const maxLoss = 0.01 // fraction of the messages; with more lost, the router is too slow or the machine too busy
 	if received = rate - float64(after-before)/max(used.seconds, 1e-9); received < (1-maxLoss)*rate {
-		b.addNote("of %.0f messages per second %.1f%% were dropped because the receive buffer of the router's socket was full", rate, 100*(1-received/rate))
+		b.addNote("of %.0f messages per second %.1f%% were dropped: the receive buffer of the router's socket was full",
+			rate, 100*(1-received/rate))
 	}
 	return used, received, err
 }
 
-// fixedMessageRate is the messages per second where another size varies. It is high enough that several messages share a wake-up, and
-// they come 50 at a time, far below the 277 that a socket's default receive buffer holds.
+// fixedMessageRate is the messages per second where another size varies. It is high enough that several messages share
+// a wake-up, and they come 50 at a time, far below the 277 that a socket's default receive buffer holds.
 const fixedMessageRate = 10000
 
 // measureReceiving measures receiving gossip messages.
 func measureReceiving(b *bench) error {
-	most, fewest, rate := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers), float64(fixedMessageRate)
+	mostServers, fewestPeers, rate := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers), float64(fixedMessageRate)
 	if b.plan.Small {
 		rate = 200
 	}
 	dropped := 0
-	withPeers := func(servers, peers int, zoned bool, f func(s *testbed, p *process, v *peerSockets, payload func(int) []byte) error) error {
-		v, err := b.openPeerSockets(peers)
+	withPeers := func(servers, peers int, zoned bool, f func(s *testbed, p *process, sockets *peerSockets,
+		payload func(int) []byte) error) error {
+		sockets, err := b.openPeerSockets(peers)
 		if err != nil {
 			return err
 		}
-		defer v.close()
-		return b.withRouter(servers, routerSetup{peers: b.peerAddresses(peers), gossip: true, zoneFailover: zoned}, func(s *testbed, p *process) error {
-			message := typicalMessage(s)
-			err := f(s, p, v, func(int) []byte { return message })
-			if err != nil {
+		defer sockets.close()
+		return b.withRouter(servers, routerSetup{peers: b.peerAddresses(peers), gossip: true, zoneFailover: zoned},
+			func(s *testbed, p *process) error {
+				message := typicalMessage(s)
+				err := f(s, p, sockets, func(int) []byte { return message })
+				if err != nil {
+					return err
+				}
+				n, err := droppedDatagrams(b.address(routerOctet, 0, gossipPort))
+				dropped += n
+				b.add("hear.bytes.word", 0, float64(len(message)+headerBytes), 0)
 				return err
-			}
-			n, err := droppedDatagrams(b.address(routerOctet, 0, gossipPort))
-			dropped += n
-			b.add("hear.bytes.word", 0, float64(len(message)+headerBytes), 0)
-			return err
-		})
+			})
 	}
-	// measureMessage computes the CPU time of one message: the usage beyond that of the same router before any message was sent.
-	measureMessage := func(p *process, v *peerSockets, payload func(int) []byte, record func(cpuMicros float64, s usage)) error {
+	// measureMessage computes the CPU time of one message: the usage beyond that of the same router before any message
+	// was sent.
+	measureMessage := func(p *process, sockets *peerSockets, payload func(int) []byte,
+		record func(cpuMicros float64, s usage)) error {
 		before, err := b.measureWindow(p)
 		if err != nil {
 			return err
 		}
-		s, received, err := b.measureReceipt(p, v, rate, payload)
+		s, received, err := b.measureReceipt(p, sockets, rate, payload)
 		if err == nil {
 			record((s.cpuRate()-before.cpuRate())/max(received, 1), s)
 		}
 		return err
 	}
 	for _, n := range b.plan.Routers {
-		b.progressf("receiving from %d peers with %d servers", n, most)
-		err := withPeers(most, n, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
-			err := measureMessage(p, v, payload, func(cpuMicros float64, s usage) { b.add("hear.core.word.peers", float64(n), cpuMicros, s.loop) })
+		b.progressf("receiving from %d peers with %d servers", n, mostServers)
+		err := withPeers(mostServers, n, false, func(_ *testbed, p *process, sockets *peerSockets,
+			payload func(int) []byte) error {
+			err := measureMessage(p, sockets, payload, func(cpuMicros float64, s usage) {
+				b.add("hear.core.word.peers", float64(n), cpuMicros, s.loop)
+			})
 			if err != nil {
 				return err
 			}
-			s, _, err := b.measureReceipt(p, v, float64(n), payload)
+			s, _, err := b.measureReceipt(p, sockets, float64(n), payload)
 			b.add("hear.core.word", float64(n), s.cpuRate(), s.loop)
 			return err
 		})
@@ -128,18 +138,22 @@
 		}
 	}
 	for _, n := range b.plan.Servers {
-		b.progressf("receiving from %d peers with %d servers", fewest, n)
-		err := withPeers(n, fewest, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
-			return measureMessage(p, v, payload, func(cpuMicros float64, s usage) { b.add("hear.core.word.servers", float64(n), cpuMicros, s.loop) })
+		b.progressf("receiving from %d peers with %d servers", fewestPeers, n)
+		err := withPeers(n, fewestPeers, false, func(_ *testbed, p *process, sockets *peerSockets,
+			payload func(int) []byte) error {
+			return measureMessage(p, sockets, payload, func(cpuMicros float64, s usage) {
+				b.add("hear.core.word.servers", float64(n), cpuMicros, s.loop)
+			})
 		})
 		if err != nil {
 			return err
 		}
 	}
 	b.progressf("receiving at rising rates")
-	err := withPeers(most, fewest, false, func(_ *testbed, p *process, v *peerSockets, payload func(int) []byte) error {
+	err := withPeers(mostServers, fewestPeers, false, func(_ *testbed, p *process, sockets *peerSockets,
+		payload func(int) []byte) error {
 		for _, n := range b.plan.Routers {
-			s, _, err := b.measureReceipt(p, v, float64(n), payload)
+			s, _, err := b.measureReceipt(p, sockets, float64(n), payload)
 			if err != nil {
 				return err
 			}
@@ -151,9 +165,10 @@
 		return err
 	}
 	b.progressf("receiving zone messages")
-	err = withPeers(most, fewest, true, func(s *testbed, p *process, v *peerSockets, _ func(int) []byte) error {
-		payload, size := b.zoneMessages(s, fewest), 0
-		err := measureMessage(p, v, func(n int) []byte {
+	err = withPeers(mostServers, fewestPeers, true, func(s *testbed, p *process, sockets *peerSockets,
+		_ func(int) []byte) error {
+		payload, size := b.zoneMessages(s, fewestPeers), 0
+		err := measureMessage(p, sockets, func(n int) []byte {
 			message := payload(n)
 			size = len(message)
 			return message
@@ -168,46 +183,48 @@
 	return err
 }
 
-// measureSending measures broadcasts to all peers: a router with zone failover on sends a message every half second, as it does in a fleet
-// of fifty.
+// measureSending measures broadcasts to all peers: a router with zone failover on sends a message every half second, as
+// it does in a fleet of fifty.
 func measureSending(b *bench) error {
 	const fleet, twoMessages = 50, 1200 * time.Millisecond
-	most := slices.Max(b.plan.Servers)
+	mostServers := slices.Max(b.plan.Servers)
 	lost, datagrams, size, messages, seconds := 0, 0, 0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
 		b.progressf("sending to %d peers", n)
-		v, err := b.openPeerSockets(n)
+		sockets, err := b.openPeerSockets(n)
 		if err != nil {
 			return err
 		}
-		err = b.withRouter(most, routerSetup{peers: b.peerAddresses(n), fleetSize: fleet, gossip: true, zoneFailover: true}, func(_ *testbed, p *process) error {
-			before, _, err := v.countMessages(b.ctx)
+		err = b.withRouter(mostServers, routerSetup{peers: b.peerAddresses(n), fleetSize: fleet, gossip: true,
+			zoneFailover: true}, func(_ *testbed, p *process) error {
+			before, _, err := sockets.countMessages(b.ctx)
 			if err != nil {
 				return err
 			}
 			s, missing, sent := usage{}, 0, 0.0
 			for attempt := 0; sent == 0; attempt++ { // on a busy machine a window may end before the first message
 				if attempt == 5 {
-					return fmt.Errorf("none of %d peers received a message within %.1f s", n, s.seconds*float64(attempt))
+					return fmt.Errorf("none of %d peers received a message within %.1f s", n,
+						s.seconds*float64(attempt))
 				}
 				if s, err = p.measureWindow(b.ctx, max(b.plan.Window, twoMessages)); err != nil {
 					return err
 				}
-				after, more, err := v.countMessages(b.ctx)
+				after, more, err := sockets.countMessages(b.ctx)
 				if err != nil {
 					return err
 				}
 				missing, sent = missing+more, float64(after-before)
 			}
 			b.recordLoop(s)
-			for _, received := range v.received {
+			for _, received := range sockets.received {
 				datagrams += received
 			}
-			size, lost, messages, seconds = size+v.bytes, lost+missing, messages+sent, seconds+s.seconds
+			size, lost, messages, seconds = size+sockets.bytes, lost+missing, messages+sent, seconds+s.seconds
 			b.add("tell.core.datagram", float64(n), s.cpu*1e6/sent, s.loop)
 			return nil
 		})
-		v.close()
+		sockets.close()
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -22,7 +22,8 @@
 	"github.com/rs/zerolog"
 )
 
-// TestMain lets the test binary also run as a router, as simulated routers, or as a parent of simulated routers that runs until it is killed.
+// TestMain lets the test binary also run as a router, as simulated routers, or as a parent of simulated routers that
+// runs until it is killed.
 func TestMain(m *testing.M) {
 	log := zerolog.New(os.Stderr).With().Timestamp().Logger()
 	var err error
@@ -61,7 +62,8 @@
 	o := Options{Plan: Little(), Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
 	o.Net, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
 	b := newBench(context.Background(), o)
-	_, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: b.peerAddresses(8), InitialList: []byte(twoServers)}, 8)
+	_, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: b.peerAddresses(8),
+		InitialList: []byte(twoServers)}, 8)
 	if err == nil {
 		fmt.Println("holding")
 		select {}
@@ -103,8 +105,8 @@
 // waitUntilGone waits until no process logs in dir any more.
 func waitUntilGone(t *testing.T, dir string) {
 	t.Helper()
-	for until := time.Now().Add(10 * time.Second); len(processesLoggingIn(dir)) > 0; time.Sleep(10 * time.Millisecond) {
-		if time.Now().After(until) {
+	for deadline := time.Now().Add(10 * time.Second); len(processesLoggingIn(dir)) > 0; time.Sleep(10 * time.Millisecond) {
+		if time.Now().After(deadline) {
 			t.Fatalf("processes %v still run after 10 s", processesLoggingIn(dir))
 		}
 	}
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -39,8 +39,8 @@
 	processes []*simProcess
 }
 
-// startSimFleet starts count simulated routers from the spec's first peer on, as many per process as the plan allows. It waits until all
-// can receive messages.
+// startSimFleet starts count simulated routers from the spec's first peer on, as many per process as the plan allows.
+// It waits until all can receive messages.
 func (b *bench) startSimFleet(spec simrouter.Spec, count int) (h *simFleet, err error) {
 	return b.startSimFleetBy(b.plan.Hollow, spec, count)
 }
@@ -75,7 +75,8 @@
 }
 
 func (b *bench) startSimProcess(n int, spec simrouter.Spec) (*simProcess, error) {
-	c := &simProcess{process: process{logPath: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}, count: spec.Count,
+	c := &simProcess{process: process{logPath: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)),
+		ended: make(chan struct{})}, count: spec.Count,
 		answers: make(chan answerResult)}
 	log, err := os.Create(c.logPath)
 	if err != nil {
@@ -123,38 +124,39 @@
 	return c, c.orders.Encode(spec)
 }
 
-// sendOrder sends an order to all processes, waits for their answers and returns the sum. If the order is nil, it waits for the answers to
-// the specs.
+// sendOrder sends an order to all processes, waits for their answers and returns the sum. If the order is nil, it waits
+// for the answers to the specs.
 func (h *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
 		for _, c := range h.processes {
 			if err := c.orders.Encode(o); err != nil {
-				return sum, fmt.Errorf("sending an order to simulated routers: %w; their log ends with\n%s", err, c.logTail())
+				return sum, fmt.Errorf("sending an order to simulated routers: %w; their log ends with\n%s", err,
+					c.logTail())
 			}
 		}
 	}
 	timeout := time.After(readyTimeout)
 	for i, c := range h.processes {
-		var a answerResult
+		var result answerResult
 		select {
-		case a = <-c.answers:
+		case result = <-c.answers:
 		case <-h.bench.ctx.Done():
 			return sum, h.bench.ctx.Err()
 		case <-timeout:
 			return sum, fmt.Errorf("simulated routers did not answer within %v", readyTimeout)
 		}
-		if a.err != nil {
-			return sum, fmt.Errorf("answer of simulated routers: %w; their log ends with\n%s", a.err, c.logTail())
+		if result.err != nil {
+			return sum, fmt.Errorf("answer of simulated routers: %w; their log ends with\n%s", result.err, c.logTail())
 		}
-		if sum.Traffic.Add(a.Traffic, i == 0); i == 0 {
-			sum.OldestGeneration = a.OldestGeneration
+		if sum.Traffic.Add(result.Traffic, i == 0); i == 0 {
+			sum.OldestGeneration = result.OldestGeneration
 		}
-		sum.ZoneMessages += a.ZoneMessages
-		if a.OldestGeneration > 0 {
-			sum.OldestGeneration = min(max(sum.OldestGeneration, 1), a.OldestGeneration)
+		sum.ZoneMessages += result.ZoneMessages
+		if result.OldestGeneration > 0 {
+			sum.OldestGeneration = min(max(sum.OldestGeneration, 1), result.OldestGeneration)
 		}
-		sum.LatestChange = max(sum.LatestChange, a.LatestChange)
-		sum.RouterBytes = append(sum.RouterBytes, a.RouterBytes...)
+		sum.LatestChange = max(sum.LatestChange, result.LatestChange)
+		sum.RouterBytes = append(sum.RouterBytes, result.RouterBytes...)
 	}
 	return sum, nil
 }
@@ -191,9 +193,11 @@
 }
 
 const (
-	senderCount     = 37       // routers that broadcast a message per second; with all of 3,700 it would be 13.7 million datagrams a second
-	maxResidentKiB  = 12 << 20 // resident memory of all simulated routers
-	maxCPUDeviation = 0.25     // fraction by which a simulated router's CPU time per message may differ from a real one's
+	// routers that broadcast a message per second; with all of 3,700 it would be 13.7 million datagrams a second
+	senderCount    = 37
+	maxResidentKiB = 12 << 20 // resident memory of all simulated routers
+	// fraction by which a simulated router's CPU time per message may differ from a real one's
+	maxCPUDeviation = 0.25
 )
 
 // spreadIndexes returns n indexes spread evenly over the routers from first on.
@@ -207,58 +211,63 @@
 
 // measureSimulatedRouters measures fleets of simulated routers, and compares a simulated router with a real one.
 func measureSimulatedRouters(b *bench) error {
-	most := slices.Max(b.plan.Servers)
+	mostServers := slices.Max(b.plan.Servers)
 	lost, sent, size := 0.0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
 		b.progressf("%d simulated routers", n)
-		err := b.withServers(most, func(s *testbed) error {
+		err := b.withServers(mostServers, func(s *testbed) error {
 			known, err := fetchList(s.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
 			began := time.Now()
-			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: known, ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
-			h, err := b.startSimFleet(spec, n)
+			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: known,
+				ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
+			fleet, err := b.startSimFleet(spec, n)
 			if err != nil {
 				return err
 			}
-			defer h.close()
+			defer fleet.close()
 			b.add("hollow.ready", float64(n), time.Since(began).Seconds()*1e3, 0)
-			if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 				return err
 			}
-			quiet, err := h.measureWindow(b)
+			quiet, err := fleet.measureWindow(b)
 			if err != nil {
 				return err
 			}
 			b.add("hollow.memory", float64(n), quiet.resident, 0)
 			if quiet.resident > maxResidentKiB {
-				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, more than the limit of %d; use fewer with --routers", n, quiet.resident, maxResidentKiB)
+				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, more than the limit of %d; use fewer with --routers",
+					n, quiet.resident, maxResidentKiB)
 			}
 			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
-			before, err := h.sendOrder(&simrouter.Order{}) // while no datagram is in flight
+			before, err := fleet.sendOrder(&simrouter.Order{}) // while no datagram is in flight
 			if err != nil {
 				return err
 			}
-			if _, err = h.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, senderCount), Period: time.Second}); err != nil {
+			if _, err = fleet.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, senderCount),
+				Period: time.Second}); err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 				return err
 			}
-			w, err := h.measureWindow(b)
+			used, err := fleet.measureWindow(b)
 			if err != nil {
 				return err
 			}
-			after, err := h.stopAndSettle()
+			after, err := fleet.stopAndSettle()
 			if err != nil {
 				return err
 			}
 			receivedNow := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn)
 			sentNow := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
-			lost, sent, size = lost+sentNow-receivedNow, sent+sentNow, size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
-			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), w.cpuRate()-quiet.cpuRate(), w.loop)
-			return b.measureListChange(s, h, n)
+			lost, sent, size = lost+sentNow-receivedNow, sent+sentNow,
+				size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
+			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), used.cpuRate()-quiet.cpuRate(),
+				used.loop)
+			return b.measureListChange(s, fleet, n)
 		})
 		if err != nil {
 			return err
@@ -271,39 +280,39 @@
 }
 
 // measureWindow returns what all processes use in a window.
-func (h *simFleet) measureWindow(b *bench) (w usage, err error) {
+func (h *simFleet) measureWindow(b *bench) (used usage, err error) {
 	before, _, err := h.totals()
 	if err != nil {
-		return w, err
+		return used, err
 	}
 	began := time.Now()
 	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &h.processes[0].process); err != nil {
-		return w, err
+		return used, err
 	}
 	after, resident, err := h.totals()
-	w.seconds, w.cpu, w.resident, w.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
-	return b.recordLoop(w), err
+	used.seconds, used.cpu, used.resident, used.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
+	return b.recordLoop(used), err
 }
 
 // stopAndSettle stops all sending, and returns the counters once no datagram is in flight.
 func (h *simFleet) stopAndSettle() (simrouter.Answer, error) {
-	a, err := h.sendOrder(&simrouter.Order{Stop: true})
+	answer, err := h.sendOrder(&simrouter.Order{Stop: true})
 	for range 100 {
-		if err != nil || a.Traffic.DatagramsIn >= a.Traffic.DatagramsOut {
+		if err != nil || answer.Traffic.DatagramsIn >= answer.Traffic.DatagramsOut {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
-		before := a.Traffic.DatagramsIn
-		if a, err = h.sendOrder(&simrouter.Order{}); err == nil && a.Traffic.DatagramsIn == before {
+		before := answer.Traffic.DatagramsIn
+		if answer, err = h.sendOrder(&simrouter.Order{}); err == nil && answer.Traffic.DatagramsIn == before {
 			break
 		}
 	}
-	return a, err
+	return answer, err
 }
 
 // measureListChange measures the time until a change of the list is in force at all routers that watch it.
-func (b *bench) measureListChange(s *testbed, h *simFleet, n int) error {
-	a, err := h.sendOrder(&simrouter.Order{})
+func (b *bench) measureListChange(s *testbed, fleet *simFleet, n int) error {
+	answer, err := fleet.sendOrder(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
@@ -312,76 +321,83 @@
 		changedAt = s.loop.Now()
 		s.fleet.Servers()[0].Drain()
 	})
-	wantGeneration := a.OldestGeneration + 1
-	err = h.processes[0].deadline(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
-		a, err = h.sendOrder(&simrouter.Order{})
-		return err != nil || a.OldestGeneration >= wantGeneration
+	wantGeneration := answer.OldestGeneration + 1
+	err = fleet.processes[0].waitFor(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
+		answer, err = fleet.sendOrder(&simrouter.Order{})
+		return err != nil || answer.OldestGeneration >= wantGeneration
 	})
 	if err == nil {
-		b.add("hollow.force.list", float64(n), max(0, a.LatestChange-changedAt)*1e3, 0)
+		b.add("hollow.force.list", float64(n), max(0, answer.LatestChange-changedAt)*1e3, 0)
 	}
 	return err
 }
 
-// compareWithRealRouter compares simulated routers with a real one: in the CPU time per message, and in the messages sent and received.
+// compareWithRealRouter compares simulated routers with a real one: in the CPU time per message, and in the messages
+// sent and received.
 func (b *bench) compareWithRealRouter() error {
-	most, fewest := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
+	mostServers, fewestPeers := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
 	rate := float64(fixedMessageRate)
 	if b.plan.Small {
 		rate = 200
 	}
 	b.progressf("comparing a simulated router with a real one")
-	v, err := b.openPeerSockets(fewest)
+	sockets, err := b.openPeerSockets(fewestPeers)
 	if err != nil {
 		return err
 	}
-	defer v.close()
+	defer sockets.close()
 	perMessage := map[string]float64{}
 	measureMessage := func(name string, p *process, message []byte) error {
 		before, err := b.measureWindow(p)
 		if err != nil {
 			return err
 		}
-		s, received, err := b.measureReceipt(p, v, rate, func(int) []byte { return message })
-		perMessage[name] = (s.cpuRate() - before.cpuRate()) / max(received, 1)
+		used, received, err := b.measureReceipt(p, sockets, rate, func(int) []byte { return message })
+		perMessage[name] = (used.cpuRate() - before.cpuRate()) / max(received, 1)
 		return err
 	}
-	err = b.withRouter(most, routerSetup{peers: b.peerAddresses(fewest), gossip: true}, func(s *testbed, p *process) error {
-		return measureMessage("real", p, typicalMessage(s))
-	})
+	err = b.withRouter(mostServers, routerSetup{peers: b.peerAddresses(fewestPeers), gossip: true},
+		func(s *testbed, p *process) error {
+			return measureMessage("real", p, typicalMessage(s))
+		})
 	if err != nil {
 		return err
 	}
-	err = b.withServers(most, func(s *testbed) error { // at the real router's address, alone in its process
+	err = b.withServers(mostServers, func(s *testbed) error { // at the real router's address, alone in its process
 		known, err := fetchList(s.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
 		own := b.address(routerOctet, 0, gossipPort)
-		h, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: append([]string{own}, b.peerAddresses(fewest)...), InitialList: known, ListService: s.listServices[0].Addr(), Follow: []int{0}}, 1)
+		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all",
+			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: known, ListService: s.listServices[0].Addr(),
+			Follow: []int{0}}, 1)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		if err = sleep(b.ctx, b.plan.Settle, &h.processes[0].process); err != nil {
+		defer fleet.close()
+		if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 			return err
 		}
-		return measureMessage("hollow", &h.processes[0].process, typicalMessage(s))
+		return measureMessage("hollow", &fleet.processes[0].process, typicalMessage(s))
 	})
 	if err != nil {
 		return err
 	}
-	v.close()
-	v.sockets = nil
+	sockets.close()
+	sockets.sockets = nil
 	b.add("hollow.core.word", 0, perMessage["hollow"], 0)
 	b.add("hollow.agree.core", 0, perMessage["hollow"]/perMessage["real"], 0)
-	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small && (deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
-		b.addNote("receiving a message takes %.0f us of CPU time in a simulated router and %.0f in a real one: more than %.0f%% apart", perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
+	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small &&
+		(deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
+		b.addNote("one message costs a simulated router %.0f us of CPU time and a real one %.0f: more than %.0f%% apart",
+			perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
 	}
-	return b.countBesideRealRouter(fewest)
+	return b.countBesideRealRouter(fewestPeers)
 }
 
-// countBesideRealRouter runs a real router in a fleet of simulated ones, and compares the messages that each side sends and receives.
+// countBesideRealRouter runs a real router in a fleet of simulated ones, and compares the messages that each side sends
+// and receives.
 func (b *bench) countBesideRealRouter(n int) error {
 	b.progressf("a real router in a fleet of %d simulated ones", n)
 	c := routerSetup{peers: b.peerAddresses(n), gossip: true, zoneFailover: true, adminServer: true, fleetSize: 50}
@@ -391,25 +407,26 @@
 			return err
 		}
 		peers := append([]string{b.address(routerOctet, 0, gossipPort)}, b.peerAddresses(n)...)
-		h, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: known, ListService: s.listServices[0].Addr()}, n)
+		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: known,
+			ListService: s.listServices[0].Addr()}, n)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		sentBefore, before, err := b.countsAtRest(h)
+		defer fleet.close()
+		sentBefore, before, err := b.countsAtRest(fleet)
 		if err != nil {
 			return err
 		}
 		allSimulated := spreadIndexes(1, n, n)
 		for range repetitions {
-			if _, err = h.sendOrder(&simrouter.Order{SendOnce: allSimulated}); err != nil {
+			if _, err = fleet.sendOrder(&simrouter.Order{SendOnce: allSimulated}); err != nil {
 				return err
 			}
 			if err = sleep(b.ctx, 200*time.Millisecond, p); err != nil {
 				return err
 			}
 		}
-		sentAfter, after, err := b.countsAtRest(h)
+		sentAfter, after, err := b.countsAtRest(fleet)
 		if err != nil {
 			return err
 		}
@@ -417,36 +434,40 @@
 		if err != nil {
 			return err
 		}
-		b.add("hollow.agree.heard", 0, float64(after.Traffic.Heard-after.ZoneMessages)-float64(repetitions*n*(n-1)), 0)
+		b.add("hollow.agree.heard", 0, float64(after.Traffic.Received-after.ZoneMessages)-float64(repetitions*n*(n-1)),
+			0)
 		b.add("hollow.agree.real", 0, float64(dropped), 0)
-		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-(sentAfter-sentBefore)*float64(n), 0)
+		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-(sentAfter-sentBefore)*float64(n),
+			0)
 		return nil
 	})
 }
 
-// countsAtRest returns the number of zone messages that the real router reports as sent, and the simulated routers' counters at the same
-// time. It waits for a pause between messages that is longer than the update interval of the real router's metrics.
-func (b *bench) countsAtRest(h *simFleet) (sent float64, a simrouter.Answer, err error) {
+// countsAtRest returns the number of zone messages that the real router reports as sent, and the simulated routers'
+// counters at the same time. It waits for a pause between messages that is longer than the update interval of the real
+// router's metrics.
+func (b *bench) countsAtRest(fleet *simFleet) (sent float64, answer simrouter.Answer, err error) {
 	const refreshWait = 150 * time.Millisecond // the router updates its metrics every tenth of a second
 	for range 200 {
 		if sent, err = b.adminMetric("zone_words"); err != nil {
-			return 0, a, err
+			return 0, answer, err
 		}
 		if err = sleep(b.ctx, refreshWait, nil); err != nil {
-			return 0, a, err
+			return 0, answer, err
 		}
-		if a, err = h.sendOrder(&simrouter.Order{}); err != nil {
-			return 0, a, err
+		if answer, err = fleet.sendOrder(&simrouter.Order{}); err != nil {
+			return 0, answer, err
 		}
 		if err = sleep(b.ctx, refreshWait, nil); err != nil {
-			return 0, a, err
+			return 0, answer, err
 		}
-		now, err := b.adminMetric("zone_words")
-		if err != nil || now == sent {
-			return sent, a, err
+		sentAfter, err := b.adminMetric("zone_words")
+		if err != nil || sentAfter == sent {
+			return sent, answer, err
 		}
 	}
-	return 0, a, errors.New("the real router made no pause between its zone messages that is long enough to compare the counters")
+	return 0, answer,
+		errors.New("the real router made no pause between its zone messages that is long enough to compare the counters")
 }
 
 // adminMetric reads a metric from the real router's admin server.
--- a/internal/experiment/scale/list.go
+++ b/internal/experiment/scale/list.go
@@ -96,8 +96,8 @@
 	return io.ReadAll(response.Body)
 }
 
-// measureLists measures the endpoint list: its size, the cost of applying a full list and a change of one server, and the calls to the
-// list service while nothing changes.
+// measureLists measures the endpoint list: its size, the cost of applying a full list and a change of one server, and
+// the calls to the list service while nothing changes.
 func measureLists(b *bench) error {
 	for _, n := range b.plan.Servers {
 		b.progressf("list of %d servers", n)
@@ -112,7 +112,8 @@
 			if err != nil {
 				return err
 			}
-			moved, force, err := b.measureReload(s, p, logListInForce, func(k int) routerSetup { return routerSetup{listService: 1 - k%2} })
+			moved, force, err := b.measureReload(s, p, logListInForce,
+				func(k int) routerSetup { return routerSetup{listService: 1 - k%2} })
 			if err != nil {
 				return err
 			}
@@ -125,8 +126,8 @@
 			b.add("list.core.change", float64(n), each, loop)
 			b.add("list.force.change", float64(n), force, 0)
 			b.add("list.bytes.change", 0, size, 0)
-			_, top, err := residentKiB(p.pid())
-			b.add("list.memory.servers", float64(n), top, 0)
+			_, peak, err := residentKiB(p.pid())
+			b.add("list.memory.servers", float64(n), peak, 0)
 			return err
 		})
 		if err != nil {
@@ -134,18 +135,20 @@
 		}
 	}
 	b.progressf("calls to the list service without changes")
-	return b.withRouter(slices.Max(b.plan.Servers), routerSetup{countListCalls: true}, func(s *testbed, p *process) error {
-		calls, size := s.listProxy.calls.Load(), s.listProxy.bytes.Load()
-		w, err := p.measureWindow(b.ctx, max(b.plan.Window, time.Second))
-		b.recordLoop(w)
-		b.add("list.calls", 0, float64(s.listProxy.calls.Load()-calls)/w.seconds, 0)
-		b.add("list.bytes.calls", 0, float64(s.listProxy.bytes.Load()-size)/w.seconds, 0)
-		return err
-	})
+	return b.withRouter(slices.Max(b.plan.Servers), routerSetup{countListCalls: true},
+		func(s *testbed, p *process) error {
+			calls, size := s.listProxy.calls.Load(), s.listProxy.bytes.Load()
+			used, err := p.measureWindow(b.ctx, max(b.plan.Window, time.Second))
+			b.recordLoop(used)
+			b.add("list.calls", 0, float64(s.listProxy.calls.Load()-calls)/used.seconds, 0)
+			b.add("list.bytes.calls", 0, float64(s.listProxy.bytes.Load()-size)/used.seconds, 0)
+			return err
+		})
 }
 
-// measureListChanges drains servers and brings them back, one after another. For one such change it returns the router's CPU microseconds
-// beyond what it uses when idle, the milliseconds until it is in force, and the bytes of the list service's response.
+// measureListChanges drains servers and brings them back, one after another. For one such change it returns the
+// router's CPU microseconds beyond what it uses when idle, the milliseconds until it is in force, and the bytes of the
+// list service's response.
 func (b *bench) measureListChanges(s *testbed, p *process) (cpuMicros, delay, size float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
@@ -165,7 +168,8 @@
 				server.Undrain()
 			}
 		})
-		if err = p.deadline(b.ctx, "waiting for a change of the list", func() bool { return p.countLogLines(logListInForce) > seen }); err != nil {
+		if err = p.waitFor(b.ctx, "waiting for a change of the list",
+			func() bool { return p.countLogLines(logListInForce) > seen }); err != nil {
 			return 0, 0, 0, err
 		}
 		elapsed += time.Since(changedAt).Seconds()
@@ -175,6 +179,7 @@
 		return 0, 0, 0, err
 	}
 	cpuMicros = (after - before - idleUsage.cpuRate()/1e6*time.Since(began).Seconds()) * 1e6 / (2 * repetitions)
-	last, err := fetchList(s.listServices[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0", len(s.fleet.Servers())+2*repetitions-1))
+	last, err := fetchList(s.listServices[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0",
+		len(s.fleet.Servers())+2*repetitions-1))
 	return cpuMicros, elapsed * 1e3 / (2 * repetitions), float64(len(last)), err
 }
--- a/internal/experiment/scale/plan.go
+++ b/internal/experiment/scale/plan.go
@@ -1,9 +1,11 @@
-// Package scale measures what one router costs as its fleet grows: CPU time, memory, messages and bytes, each per additional
-// server, peer, gossip message, request or change. It measures real router processes on loopback. Simulated routers stand in for
-// hundreds of others: they have a real router's gossip transport, endpoint list and balancer, but no clients.
+// Package scale measures what one router costs as its fleet grows: CPU time, memory, messages and bytes, each per
+// additional server, peer, gossip message, request or change. It measures real router processes on loopback. Simulated
+// routers stand in for hundreds of others: they have a real router's gossip transport, endpoint list and balancer, but
+// no clients.
 //
-// CPU time is user and system time together, as the kernel counts it for the process, never wall-clock time. It is compared with
-// the time of a plain loop (crc32 of a megabyte) that runs next to it, because other work on the machine slows down both.
+// CPU time is user and system time together, as the kernel counts it for the process, never wall-clock time. It is
+// compared with the time of a plain loop (crc32 of a megabyte) that runs next to it, because other work on the machine
+// slows down both.
 package scale
 
 import (
@@ -48,22 +50,24 @@
 
 // Check returns every fault of the plan, each with its flag, its value and the accepted values.
 func (p Plan) Check() (faults []error) {
-	fault := func(flag string, value any, right string) {
-		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, right))
+	fault := func(flag string, value any, want string) {
+		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, want))
 	}
-	sizes := func(flag string, all []int, most int) {
-		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
-		rising := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
-		if len(all) < minPoints || !rising || all[0] < 1 || all[len(all)-1] > most {
+	checkSizes := func(flag string, values []int, most int) {
+		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(values), " ", ","), "[]")
+		rising := slices.IsSorted(values) && len(slices.Compact(slices.Clone(values))) == len(values)
+		if len(values) < minPoints || !rising || values[0] < 1 || values[len(values)-1] > most {
 			fault(flag, text, fmt.Sprintf("want three or more rising sizes from 1 to %d, such as 38,100,380", most))
 		}
 	}
-	sizes("routers", p.Routers, maxRouters)
-	sizes("servers", p.Servers, maxServers)
-	if rates := p.Rates; len(rates) < minPoints || !slices.IsSorted(rates) || len(slices.Compact(slices.Clone(rates))) < len(rates) ||
+	checkSizes("routers", p.Routers, maxRouters)
+	checkSizes("servers", p.Servers, maxServers)
+	if rates := p.Rates; len(rates) < minPoints || !slices.IsSorted(rates) ||
+		len(slices.Compact(slices.Clone(rates))) < len(rates) ||
 		rates[0] < 1 || rates[len(rates)-1] > maxRate {
 		fault("rates", strings.Trim(strings.ReplaceAll(fmt.Sprint(rates), " ", ","), "[]"),
-			fmt.Sprintf("want three or more rising rates from 1 to %d requests per second, such as 200,400,800", maxRate))
+			fmt.Sprintf("want three or more rising rates from 1 to %d requests per second, such as 200,400,800",
+				maxRate))
 	}
 	if p.Runs < 1 || p.Runs > maxRuns {
 		fault("runs", p.Runs, fmt.Sprintf("want a number from 1 to %d; at least 3 show the spread", maxRuns))
@@ -73,7 +77,8 @@
 	}
 	for _, only := range p.Only {
 		if !slices.ContainsFunc(quantities, func(q Quantity) bool { return q.hasPrefix(only) }) {
-			fault("only", only, "want a prefix of a name, one of "+strings.Join(Parts(), ", ")+", or a full name such as "+quantities[0].Name)
+			fault("only", only, "want a prefix of a name, one of "+
+				strings.Join(Parts(), ", ")+", or a full name such as "+quantities[0].Name)
 		}
 	}
 	return faults
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -21,7 +21,8 @@
 	"golang.org/x/sys/unix"
 )
 
-// process is a child process. It has its own process group, and the kernel kills it when this process ends for any reason.
+// process is a child process. It has its own process group, and the kernel kills it when this process ends for any
+// reason.
 type process struct {
 	cmd        *exec.Cmd
 	logPath    string
@@ -31,8 +32,9 @@
 }
 
 const (
-	readyTimeout = 30 * time.Second // a router takes some tenths of a second to become ready, and more on a busy machine
-	exitTimeout  = 5 * time.Second  // for simulated routers to exit once their input is closed, before they are killed
+	// a router takes some tenths of a second to become ready, and more on a busy machine
+	readyTimeout = 30 * time.Second
+	exitTimeout  = 5 * time.Second // for simulated routers to exit once their input is closed, before they are killed
 )
 
 // startProcess starts a program and redirects its output to a log file.
@@ -72,7 +74,8 @@
 		case <-ctx.Done():
 			return ctx.Err()
 		case <-p.ended:
-			return fmt.Errorf("the router ended before it was ready, with exit status %d; its log ends with\n%s", p.cmd.ProcessState.ExitCode(), p.logTail())
+			return fmt.Errorf("the router ended before it was ready, with exit status %d; its log ends with\n%s",
+				p.cmd.ProcessState.ExitCode(), p.logTail())
 		case <-time.After(2 * time.Millisecond):
 		}
 	}
@@ -114,7 +117,7 @@
 }
 
 // waitFor waits until condition is true. It returns an error if the process ends or the time runs out before that.
-func (p *process) deadline(ctx context.Context, event string, condition func() bool) error {
+func (p *process) waitFor(ctx context.Context, event string, condition func() bool) error {
 	for deadline := time.Now().Add(readyTimeout); !condition(); {
 		select {
 		case <-ctx.Done():
@@ -130,8 +133,8 @@
 	return nil
 }
 
-// cpuSeconds returns the CPU time that all threads of a process have used, in seconds. It reads the kernel's CPU clock of the process,
-// which counts nanoseconds; /proc counts only hundredths of a second.
+// cpuSeconds returns the CPU time that all threads of a process have used, in seconds. It reads the kernel's CPU clock
+// of the process, which counts nanoseconds; /proc counts only hundredths of a second.
 func cpuSeconds(pid int) (float64, error) {
 	const scheduled = 2 // CPUCLOCK_SCHED of the kernel's posix-timers.h: user and system time together
 	var at unix.Timespec
@@ -188,23 +191,23 @@
 func (s usage) cpuRate() float64 { return s.cpu * 1e6 / s.seconds }
 
 // measureWindow returns what the process uses during the window.
-func (p *process) measureWindow(ctx context.Context, window time.Duration) (s usage, err error) {
+func (p *process) measureWindow(ctx context.Context, window time.Duration) (used usage, err error) {
 	before, err := cpuSeconds(p.pid())
 	if err != nil {
-		return s, err
+		return used, err
 	}
 	began, woken := time.Now(), countWakeups(p.pid())
 	if err = sleep(ctx, window, p); err != nil {
-		return s, err
+		return used, err
 	}
 	after, err := cpuSeconds(p.pid())
 	if err != nil {
-		return s, err
+		return used, err
 	}
-	s.seconds, s.cpu, s.wakeups = time.Since(began).Seconds(), after-before, countWakeups(p.pid())-woken
-	s.resident, s.peak, err = residentKiB(p.pid())
-	s.loop = plainLoop()
-	return s, err
+	used.seconds, used.cpu, used.wakeups = time.Since(began).Seconds(), after-before, countWakeups(p.pid())-woken
+	used.resident, used.peak, err = residentKiB(p.pid())
+	used.loop = plainLoop()
+	return used, err
 }
 
 // sleep waits for the duration. It returns an error if ctx or the process ends before that; p may be nil.
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -17,8 +17,8 @@
 // ReportVersion is the version of the report's JSON. Reports of another version cannot be read.
 const ReportVersion = 1
 
-// maxPointDeviation is the relative distance from the line above which a point is reported: twice the difference between two runs on a
-// busy machine.
+// maxPointDeviation is the relative distance from the line above which a point is reported: twice the difference
+// between two runs on a busy machine.
 const maxPointDeviation = 0.1
 
 // Report is the result of a measurement.
@@ -39,8 +39,8 @@
 	Notes    []string   `json:"notes,omitempty"`   // observations that are not figures
 }
 
-// Point is the values measured at one size, one per run. Loops are the same values divided by the plain loop's time in the same run;
-// it is empty if the value is not a CPU time.
+// Point is the values measured at one size, one per run. Loops are the same values divided by the plain loop's time in
+// the same run; it is empty if the value is not a CPU time.
 type Point struct {
 	X     float64   `json:"x"`
 	Runs  []float64 `json:"runs"`
@@ -61,7 +61,7 @@
 	Residual float64   `json:"residual"`  // largest distance of a point from the line, relative to the largest point
 	RSquared float64   `json:"r_squared"` // the coefficient of determination
 	Loops    float64   `json:"slope_loops,omitempty"`
-	Off      []float64 `json:"off,omitempty"` // points off the line by more than a tenth and by more than the spread of their runs
+	Off      []float64 `json:"off,omitempty"` // points off by more than a tenth and more than their runs differ
 }
 
 // Figure is a quantity measured at one size.
@@ -145,7 +145,8 @@
 		return nil, fmt.Errorf("%s: not a report of trestle-experiment scale: %w", path, err)
 	}
 	if r.Form != ReportVersion {
-		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, ReportVersion)
+		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it",
+			path, r.Form, ReportVersion)
 	}
 	return &r, nil
 }
@@ -169,11 +170,13 @@
 	return fmt.Sprintf("%.4g", x)
 }
 
-// Print writes the report as a table. Each row starts with the name of its quantity, so that documentation can refer to it.
+// Print writes the report as a table. Each row starts with the name of its quantity, so that documentation can refer to
+// it.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n%s, load %.1f at the beginning and %.1f at the end; router %s; %d runs, %.0f s\n", r.Command, r.Machine, r.Load[0], r.Load[1],
 		r.Revision, r.Runs, r.Took)
-	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n", formatNumber(r.Loop.Mean), formatNumber(r.Loop.Least), formatNumber(r.Loop.Most))
+	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n",
+		formatNumber(r.Loop.Mean), formatNumber(r.Loop.Least), formatNumber(r.Loop.Most))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(r.Lines) > 0 {
 		fmt.Fprintln(w, "SLOPE\tFOR ONE\tIS\tRUNS\tUNIT\tIN LOOPS\tAT NONE\tR2\tRESIDUAL\tPOINTS")
@@ -190,7 +193,8 @@
 				off += " " + formatNumber(x)
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, formatNumber(l.Slope), formatNumber(l.Least), formatNumber(l.Most), l.Unit,
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, formatNumber(l.Slope),
+			formatNumber(l.Least), formatNumber(l.Most), l.Unit,
 			formatLoops(l.Loops), formatNumber(l.Base), l.RSquared, 100*l.Residual, strings.Join(points, " "), off)
 	}
 	w.Flush()
@@ -198,7 +202,8 @@
 		fmt.Fprintln(w, "\nFIGURE\tIS\tRUNS\tUNIT\tIN LOOPS")
 	}
 	for _, f := range r.Figures {
-		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, formatNumber(f.Mean), formatNumber(f.Least), formatNumber(f.Most), f.Unit, formatLoops(f.Loops))
+		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, formatNumber(f.Mean), formatNumber(f.Least),
+			formatNumber(f.Most), f.Unit, formatLoops(f.Loops))
 	}
 	w.Flush()
 	for _, n := range r.Notes {
@@ -216,8 +221,8 @@
 	return formatNumber(x)
 }
 
-// Against prints each value next to that of an earlier report. A difference is significant if the runs of the two do not overlap. CPU
-// times are also shown relative to the plain loop, because the machines or their load may differ.
+// Against prints each value next to that of an earlier report. A difference is significant if the runs of the two do
+// not overlap. CPU times are also shown relative to the plain loop, because the machines or their load may differ.
 func (r *Report) Against(out io.Writer, before *Report) error {
 	if before.Small != r.Small {
 		return errors.New("one of the two reports has the small sizes of a test; only reports of the same sizes can be compared")
@@ -235,7 +240,8 @@
 		if disjoint {
 			remark = "runs do not overlap"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(before), formatNumber(now), ratio(now, before), ratio(nowLoops, beforeLoops), remark)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(before), formatNumber(now), ratio(now, before),
+			ratio(nowLoops, beforeLoops), remark)
 	}
 	for _, l := range r.Lines {
 		i := slices.IndexFunc(before.Lines, func(b Line) bool { return b.Name == l.Name })
--- a/internal/experiment/scale/report_test.go
+++ b/internal/experiment/scale/report_test.go
@@ -18,18 +18,22 @@
 	return all
 }
 
-// A line is fitted through the means of the points. Its spread is that of the single runs' slopes, and points off the line are listed.
+// A line is fitted through the means of the points. Its spread is that of the single runs' slopes, and points off the
+// line are listed.
 func TestLineFitSpreadAndOutliers(t *testing.T) {
 	l := newLine(someQuantity, points(map[float64][]float64{1: {4, 6}, 2: {6, 8}, 4: {10, 12}}, 1, 2, 4))
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.RSquared, 1) || l.Residual > 1e-9 || len(l.Off) > 0 || !near(l.Least, 2) || !near(l.Most, 2) {
+	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.RSquared, 1) || l.Residual > 1e-9 || len(l.Off) > 0 ||
+		!near(l.Least, 2) || !near(l.Most, 2) {
 		t.Errorf("exact points: %+v, want slope 2, base 3 and no deviation", l)
 	}
 	if at, beyond := l.At(8); !near(at, 19) || !near(beyond, 2) {
 		t.Errorf("at 8: value %v, %v times the largest size; want 19 and 2", at, beyond)
 	}
-	l = newLine(someQuantity, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10)) // squares do not lie on a line
-	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {                  // 9 is 7.9 off the line, and the largest value is 100
+	// squares do not lie on a line
+	l = newLine(someQuantity, points(map[float64][]float64{1: {1}, 2: {4}, 3: {9}, 10: {100}}, 1, 2, 3, 10))
+	// 9 is 7.9 off the line, and the largest value is 100
+	if want := []float64{1, 2, 3}; !slices.Equal(l.Off, want) || !near(l.Residual, 0.079) {
 		t.Errorf("squares: off at %v, want %v; residual %v", l.Off, want, l.Residual)
 	}
 	l = newLine(someQuantity, points(map[float64][]float64{1: {1, 3}, 2: {1, 3}, 3: {5, 9}}, 1, 2, 3))
@@ -71,19 +75,22 @@
 	}
 }
 
-// A report can be read after it was written, and an earlier one is compared with it. A file that is not a report is an error with its path.
+// A report can be read after it was written, and an earlier one is compared with it. A file that is not a report is an
+// error with its path.
 func TestReportIsReadAndCompared(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "report.json")
 	l := newLine(someQuantity, points(map[float64][]float64{1: {1, 1.1}, 2: {2, 2.1}, 3: {3, 3.1}}, 1, 2, 3))
-	was := &Report{Form: ReportVersion, Lines: []Line{l}, Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil)}}
-	if err := was.Write(path); err != nil {
+	earlier := &Report{Form: ReportVersion, Lines: []Line{l},
+		Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil)}}
+	if err := earlier.Write(path); err != nil {
 		t.Fatal(err)
 	}
 	before, err := Read(path)
 	if err != nil {
 		t.Fatal(err)
 	}
-	now := &Report{Form: ReportVersion, Lines: []Line{newLine(someQuantity, points(map[float64][]float64{1: {2}, 2: {4}, 3: {6}}, 1, 2, 3))},
+	now := &Report{Form: ReportVersion, Lines: []Line{newLine(someQuantity, points(
+		map[float64][]float64{1: {2}, 2: {4}, 3: {6}}, 1, 2, 3))},
 		Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil), newFigure(Quantity{Name: "some.new"}, []float64{1}, nil)}}
 	var out strings.Builder
 	if err = now.Against(&out, before); err != nil {
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -12,19 +12,22 @@
 
 const keyCount = 4000 // about as many as the balancer's ring has slots, so that most slots are looked up within seconds
 
-// runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the router's usage in the
-// window, the number of all requests, and the number of those that got their value.
-func (b *bench) runLoad(s *testbed, p *process, rate float64, warm time.Duration) (w usage, requested, served int, err error) {
+// runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the
+// router's usage in the window, the number of all requests, and the number of those that got their value.
+func (b *bench) runLoad(s *testbed, p *process, rate float64, warm time.Duration) (
+	used usage, requested, served int, err error) {
 	loop, err := eventloop.New()
 	if err != nil {
-		return w, 0, 0, err
+		return used, 0, 0, err
 	}
-	// The ids of requests count up from the seed. They must not repeat within the seconds for which a router remembers them.
+	// The ids of requests count up from the seed. They must not repeat within the seconds for which a router remembers
+	// them.
 	b.loadCount++
-	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads}, Rate: rate, Keys: keyCount,
+	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads},
+		Rate: rate, Keys: keyCount,
 		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
 	if err != nil {
-		return w, 0, 0, err
+		return used, 0, 0, err
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- loop.Run() }()
@@ -35,7 +38,7 @@
 	}
 	on(func() { clients.Start(1e6) })
 	if err = sleep(b.ctx, warm, p); err == nil {
-		w, err = b.measureWindow(p)
+		used, err = b.measureWindow(p)
 	}
 	on(clients.Stop)
 	busy := true
@@ -44,39 +47,39 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, o := range clients.Book().Ops {
-		if any, _ := o.Served(); any {
+	for _, request := range clients.Book().Ops {
+		if any, _ := request.Served(); any {
 			served++
 		} else {
-			b.addNote("a read at %.0f requests per second ended as %v", rate, o.How)
+			b.addNote("a read at %.0f requests per second ended as %v", rate, request.How)
 		}
 	}
-	return w, len(clients.Book().Ops), served, err
+	return used, len(clients.Book().Ops), served, err
 }
 
 // measureRequests measures requests for small values, connections to servers and clients, and handshakes.
 func measureRequests(b *bench) error {
-	most, top := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
+	mostServers, topRate := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
 	requested, served := 0, 0
 	runLoad := func(s *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
-		w, n, done, err := b.runLoad(s, p, rate, warm)
+		used, n, done, err := b.runLoad(s, p, rate, warm)
 		requested, served = requested+n, served+done
-		return w, err
+		return used, err
 	}
 	acceptedConnections := func(s *testbed) (n int) {
 		s.onLoop(func() { n = len(s.fleet.Book().Accepts) })
 		return n
 	}
 	reusedRate := 0.0
-	err := b.withRouter(most, routerSetup{}, func(s *testbed, p *process) error {
+	err := b.withRouter(mostServers, routerSetup{}, func(s *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
 			b.progressf("%.0f requests per second", rate)
-			w, err := runLoad(s, p, rate, b.plan.Settle)
+			used, err := runLoad(s, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
 			}
-			b.add("request.core.operation", rate, w.cpuRate(), w.loop)
-			reusedRate = w.cpuRate()
+			b.add("request.core.operation", rate, used.cpuRate(), used.loop)
+			reusedRate = used.cpuRate()
 		}
 		return nil
 	})
@@ -84,10 +87,10 @@
 		return err
 	}
 	b.progressf("a handshake for each request")
-	err = b.withRouter(most, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
+	err = b.withRouter(mostServers, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
 		before := acceptedConnections(s)
 		began := time.Now()
-		w, err := runLoad(s, p, top, b.plan.Settle)
+		used, err := runLoad(s, p, topRate, b.plan.Settle)
 		if err != nil {
 			return err
 		}
@@ -95,7 +98,7 @@
 		if connectionsPerSecond <= 0 {
 			return fmt.Errorf("the router opened no connection to a server")
 		}
-		b.add("request.core.handshake", 0, (w.cpuRate()-reusedRate)/connectionsPerSecond, w.loop)
+		b.add("request.core.handshake", 0, (used.cpuRate()-reusedRate)/connectionsPerSecond, used.loop)
 		return nil
 	})
 	if err != nil {
@@ -104,8 +107,9 @@
 	for _, n := range b.plan.Servers {
 		b.progressf("memory of connections to %d servers", n)
 		err = b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
-			w, err := runLoad(s, p, top, b.plan.Window) // until each server has a connection and most slots are looked up
-			b.add("request.memory.servers", float64(n), w.resident, 0)
+			// until each server has a connection and most slots are looked up
+			used, err := runLoad(s, p, topRate, b.plan.Window)
+			b.add("request.memory.servers", float64(n), used.resident, 0)
 			b.add("request.connections", float64(n), float64(acceptedConnections(s)), 0)
 			return err
 		})
@@ -114,7 +118,7 @@
 		}
 	}
 	b.progressf("memory of client connections")
-	err = b.withRouter(most, routerSetup{}, func(_ *testbed, p *process) error {
+	err = b.withRouter(mostServers, routerSetup{}, func(_ *testbed, p *process) error {
 		var open []net.Conn
 		defer func() {
 			for _, c := range open {
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -14,8 +14,8 @@
 	"time"
 )
 
-// Each part measures all of its quantities, fits its lines, and gives exact counts where they are known. No process that it started still
-// runs afterwards. No times are asserted, because machines differ.
+// Each part measures all of its quantities, fits its lines, and gives exact counts where they are known. No process
+// that it started still runs afterwards. No times are asserted, because machines differ.
 func TestEveryPartMeasuresAllItsQuantities(t *testing.T) {
 	exact := map[string]float64{"hear.bytes.word": 15 + 28, "hear.lost": 0, "tell.lost": 0, "hollow.lost": 0, "hollow.bytes.datagram": 15 + 28,
 		"hollow.agree.heard": 0, "hollow.agree.told": 0, "hollow.agree.real": 0}
@@ -67,7 +67,8 @@
 		t.Fatal(err)
 	}
 	if l := r.line(t, "list.bytes.servers"); l.Residual > 0.01 || l.Slope < 100 || l.Slope > 200 {
-		t.Errorf("a list grows by %v bytes per server with a residual of %v, want 100 to 200 and at most 0.01", l.Slope, l.Residual)
+		t.Errorf("a list grows by %v bytes per server with a residual of %v, want 100 to 200 and at most 0.01", l.Slope,
+			l.Residual)
 	}
 }
 
@@ -130,15 +131,22 @@
 		change func(p *Plan)
 		want   []string
 	}{
-		{func(p *Plan) { p.Routers = []int{100, 300} }, []string{"--routers 100,300: want three or more rising sizes from 1 to 4000"}},
-		{func(p *Plan) { p.Servers = []int{38, 380, 100} }, []string{"--servers 38,380,100: want three or more rising sizes from 1 to 2000"}},
-		{func(p *Plan) { p.Servers = []int{38, 100, 100} }, []string{"--servers 38,100,100: want three or more rising sizes"}},
-		{func(p *Plan) { p.Routers = []int{1, 2, 5000} }, []string{"--routers 1,2,5000: want three or more rising sizes"}},
-		{func(p *Plan) { p.Rates = []float64{0, 1, 2} }, []string{"--rates 0,1,2: want three or more rising rates from 1 to 5000 requests per second"}},
+		{func(p *Plan) { p.Routers = []int{100, 300} },
+			[]string{"--routers 100,300: want three or more rising sizes from 1 to 4000"}},
+		{func(p *Plan) { p.Servers = []int{38, 380, 100} },
+			[]string{"--servers 38,380,100: want three or more rising sizes from 1 to 2000"}},
+		{func(p *Plan) { p.Servers = []int{38, 100, 100} },
+			[]string{"--servers 38,100,100: want three or more rising sizes"}},
+		{func(p *Plan) { p.Routers = []int{1, 2, 5000} },
+			[]string{"--routers 1,2,5000: want three or more rising sizes"}},
+		{func(p *Plan) { p.Rates = []float64{0, 1, 2} },
+			[]string{"--rates 0,1,2: want three or more rising rates from 1 to 5000 requests per second"}},
 		{func(p *Plan) { p.Runs = 0 }, []string{"--runs 0: want a number from 1 to 20"}},
 		{func(p *Plan) { p.Window = time.Millisecond }, []string{"--seconds 0.001: want a number from 0.1 to 600"}},
-		{func(p *Plan) { p.Only = []string{"hear", "here"} }, []string{"--only here: want a prefix of a name, one of idle, hear,"}},
-		{func(p *Plan) { p.Runs, p.Rates = 21, nil }, []string{"--rates : want three or more rising rates", "--runs 21: want a number from 1 to 20"}},
+		{func(p *Plan) { p.Only = []string{"hear", "here"} },
+			[]string{"--only here: want a prefix of a name, one of idle, hear,"}},
+		{func(p *Plan) { p.Runs, p.Rates = 21, nil }, []string{"--rates : want three or more rising rates",
+			"--runs 21: want a number from 1 to 20"}},
 	} {
 		p := Full()
 		c.change(&p)
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -11,7 +11,8 @@
 	"bendtrestle/internal/policy/gossip"
 )
 
-// GossipBytesPerSecond is the most that a router may send and receive per second, with headers: the default of the operators' file.
+// GossipBytesPerSecond is the most that a router may send and receive per second, with headers: the default of the
+// operators' file.
 const GossipBytesPerSecond = 7000
 
 const (
@@ -19,12 +20,12 @@
 	stepsPerDelivery = 2    // steps between two deliveries to the balancer, as in the router service
 )
 
-// gossipTransport spreads messages by gossip through a few other routers. It runs the real gossiper and delivers to the balancer at the
-// intervals of the router service. All of it belongs to the event loop. It gossips at any fleet size; real routers broadcast if they are so
-// few that this takes fewer bytes.
+// gossipTransport spreads messages by gossip through a few other routers. It runs the real gossiper and delivers to the
+// balancer at the intervals of the router service. All of it belongs to the event loop. It gossips at any fleet size;
+// real routers broadcast if they are so few that this takes fewer bytes.
 type gossipTransport struct {
 	member    Member
-	onMessage func(words []byte)
+	onMessage func(message []byte)
 	peers     *peertransport.Transport
 	gossiper  *gossip.Gossiper
 	steps     int
@@ -32,9 +33,9 @@
 	sent, delivered, datagramsIn uint64
 }
 
-func openGossip(p Member, onMessage func(datagram []byte)) (Transport, error) {
+func openGossip(member Member, onMessage func(datagram []byte)) (Transport, error) {
 	var addressHashes []uint32
-	for _, text := range p.Peers {
+	for _, text := range member.Peers {
 		at, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
@@ -42,30 +43,32 @@
 		addressHashes = append(addressHashes, crc32.ChecksumIEEE([]byte(at.String())))
 	}
 	longestObjective := 0.0
-	routerSettings := settings(p.Index, len(p.Peers))
+	routerSettings := settings(member.Index, len(member.Peers))
 	for _, t := range routerSettings.TrafficClasses {
 		longestObjective = max(longestObjective, t.LatencyObjective)
 	}
-	incarnation := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + p.Listen))
-	w := &gossipTransport{member: p, onMessage: onMessage, gossiper: gossip.New(p.Loop.Now(), gossip.Settings{Self: p.Index, Seed: routerSettings.Seed ^ incarnation, Incarnation: incarnation,
-		BytesPerSecond: GossipBytesPerSecond, LongestObjective: longestObjective}, gossip.NewView(addressHashes))}
-	w.gossiper.SetServers(p.ServerIDs)
-	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Index, func(_ netip.AddrPort, place int, datagram []byte) {
-		p.Loop.Post(func() { w.receive(place, datagram) })
-	}, p.Log)
+	incarnation := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + member.Listen))
+	w := &gossipTransport{member: member, onMessage: onMessage, gossiper: gossip.New(member.Loop.Now(),
+		gossip.Settings{Self: member.Index, Seed: routerSettings.Seed ^ incarnation, Incarnation: incarnation,
+			BytesPerSecond: GossipBytesPerSecond, LongestObjective: longestObjective}, gossip.NewView(addressHashes))}
+	w.gossiper.SetServers(member.ServerIDs)
+	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index, func(_ netip.AddrPort, place int,
+		datagram []byte) {
+		member.Loop.Post(func() { w.receive(place, datagram) })
+	}, member.Log)
 	if err != nil {
 		return nil, err
 	}
 	w.peers = open
-	p.Loop.Post(func() { // the routers of a process step at different times
-		p.Loop.After(stepSeconds*float64(p.Index)/float64(len(p.Peers)), w.step)
+	member.Loop.Post(func() { // the routers of a process step at different times
+		member.Loop.After(stepSeconds*float64(member.Index)/float64(len(member.Peers)), w.step)
 	})
 	return w, nil
 }
 
-func (w *gossipTransport) receive(from int, datagram []byte) {
+func (w *gossipTransport) receive(sender int, datagram []byte) {
 	w.datagramsIn++
-	if !w.gossiper.OnDatagram(w.member.Loop.Now(), from, datagram) {
+	if !w.gossiper.OnDatagram(w.member.Loop.Now(), sender, datagram) {
 		w.onMessage(datagram)
 	}
 }
@@ -89,9 +92,12 @@
 	w.gossiper.Report(w.member.Loop.Now(), message)
 }
 
-// Traffic counts each delivery to the balancer as one received message, because gossip delivers no single message of another router.
+// Traffic counts each delivery to the balancer as one received message, because gossip delivers no single message of
+// another router.
 func (w *gossipTransport) Traffic() Traffic {
 	c := w.gossiper.Counters
-	return Traffic{Told: w.sent, Heard: w.delivered, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent, BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
-		LeastHeard: w.delivered, MostHeard: w.delivered, LeastBytesIn: c.BytesReceived, MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
+	return Traffic{Sent: w.sent, Received: w.delivered, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent,
+		BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
+		LeastReceived: w.delivered, MostReceived: w.delivered, LeastBytesIn: c.BytesReceived,
+		MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
 }
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -1,6 +1,7 @@
-// Package simrouter runs simulated routers, some hundreds per process. A simulated router has no clients, no payload and no connections to
-// servers, but a real router's gossip transport, endpoint list and balancer. It costs what the size of the fleet costs a real router, so
-// that a whole fleet fits on one machine. Package scale compares simulated routers with real ones.
+// Package simrouter runs simulated routers, some hundreds per process. A simulated router has no clients, no payload
+// and no connections to servers, but a real router's gossip transport, endpoint list and balancer. It costs what the
+// size of the fleet costs a real router, so that a whole fleet fits on one machine. Package scale compares simulated
+// routers with real ones.
 package simrouter
 
 import (
@@ -16,8 +17,8 @@
 	"github.com/rs/zerolog"
 )
 
-// router is a simulated router. All of it except the counters of its transport belongs to the event loop that the routers of a process
-// share.
+// router is a simulated router. All of it except the counters of its transport belongs to the event loop that the
+// routers of a process share.
 type router struct {
 	index        int // among the peers
 	loop         *eventloop.Loop
@@ -52,16 +53,17 @@
 const observationBytes = 3 // bytes of one observation in a gossip message
 
 // newRouter returns a router with an endpoint list. It receives messages from now on.
-func newRouter(loop *eventloop.Loop, open OpenFunc, p Member, initialList discovery.EndpointList) (*router, error) {
-	r := &router{index: p.Index, loop: loop}
-	r.balancer = balancer.New(loop.Now(), settings(p.Index, len(p.Peers)), host{r})
+func newRouter(loop *eventloop.Loop, open OpenFunc, member Member, initialList discovery.EndpointList) (*router,
+	error) {
+	r := &router{index: member.Index, loop: loop}
+	r.balancer = balancer.New(loop.Now(), settings(member.Index, len(member.Peers)), host{r})
 	r.applyList(balancer.UpdateFull, initialList)
 	for _, id := range r.serverIDs {
-		p.ServerIDs = append(p.ServerIDs, uint16(id))
+		member.ServerIDs = append(member.ServerIDs, uint16(id))
 	}
-	p.Loop, p.Deliver = loop, func(message []byte) { r.balancer.OnGossip(loop.Now(), message) }
+	member.Loop, member.Deliver = loop, func(message []byte) { r.balancer.OnGossip(loop.Now(), message) }
 	var err error
-	r.transport, err = open(p, func(message []byte) {
+	r.transport, err = open(member, func(message []byte) {
 		loop.Post(func() {
 			if len(message) > messageBytes {
 				r.zoneMessages++ // the balancer sends no longer message; a real router passes it to zone failover
@@ -116,13 +118,14 @@
 func (r *router) send(first int) {
 	var message []byte
 	for n := range messageBytes / observationBytes {
-		message = append(binary.LittleEndian.AppendUint16(message, uint16(r.serverIDs[(first+n*len(r.serverIDs)*observationBytes/messageBytes)%len(r.serverIDs)])), 32)
+		message = append(binary.LittleEndian.AppendUint16(message,
+			uint16(r.serverIDs[(first+n*len(r.serverIDs)*observationBytes/messageBytes)%len(r.serverIDs)])), 32)
 	}
 	r.transport.Broadcast(message)
 }
 
-// sendPeriodically sends a message each period until stopSending. With all set, each message is about other servers than the previous one,
-// and routers start at different servers.
+// sendPeriodically sends a message each period until stopSending. With all set, each message is about other servers
+// than the previous one, and routers start at different servers.
 func (r *router) sendPeriodically(first, period time.Duration, all bool) {
 	r.sendRound++
 	round := r.sendRound
--- a/internal/experiment/scale/simrouter/hollow_test.go
+++ b/internal/experiment/scale/simrouter/hollow_test.go
@@ -45,7 +45,8 @@
 func startTestProcess(t *testing.T, spec any) *testProcess {
 	in, orders := io.Pipe()
 	answers, out := io.Pipe()
-	s := &testProcess{t: t, orders: json.NewEncoder(orders), answers: json.NewDecoder(answers), in: orders, ended: make(chan error, 1)}
+	s := &testProcess{t: t, orders: json.NewEncoder(orders), answers: json.NewDecoder(answers), in: orders,
+		ended: make(chan error, 1)}
 	go func() {
 		err := Serve(in, out, zerolog.Nop())
 		in.CloseWithError(err)
@@ -74,8 +75,8 @@
 	return s.answer()
 }
 
-// A broadcast reaches each other router once, and messages, datagrams and bytes are counted exactly. Periodic sending goes on until it is
-// stopped.
+// A broadcast reaches each other router once, and messages, datagrams and bytes are counted exactly. Periodic sending
+// goes on until it is stopped.
 func TestBroadcastCountsMessagesAndBytes(t *testing.T) {
 	const n = 5
 	s := startTestProcess(t, Spec{Transport: "all", Peers: freeAddresses(t, n), Count: n, InitialList: []byte(servers)})
@@ -91,17 +92,18 @@
 		}
 		time.Sleep(10 * time.Millisecond)
 	}
-	want := Traffic{Told: 2, Heard: out, DatagramsOut: out, DatagramsIn: out, BytesOut: out * size, BytesIn: out * size, LeastHeard: 1, MostHeard: 2,
+	want := Traffic{Sent: 2, Received: out, DatagramsOut: out, DatagramsIn: out, BytesOut: out * size,
+		BytesIn: out * size, LeastReceived: 1, MostReceived: 2,
 		LeastBytesIn: size, MostBytesIn: 2 * size, MostBytesOut: (n - 1) * size}
 	if a.Traffic != want {
 		t.Errorf("traffic is %+v, want %+v", a.Traffic, want)
 	}
 	s.order(Order{Send: []int{1}, Period: 5 * time.Millisecond})
-	for a.Traffic.Told < 5 {
+	for a.Traffic.Sent < 5 {
 		a = s.order(Order{})
 	}
 	a = s.order(Order{Stop: true})
-	if time.Sleep(30 * time.Millisecond); s.order(Order{}).Traffic.Told != a.Traffic.Told {
+	if time.Sleep(30 * time.Millisecond); s.order(Order{}).Traffic.Sent != a.Traffic.Sent {
 		t.Error("a router sends messages after it was stopped")
 	}
 	s.in.Close()
@@ -110,23 +112,24 @@
 	}
 }
 
-// With gossip, a message that one router sent reaches the balancer of every router. The bytes of the single routers add up to the total,
-// and no more is received than was sent.
+// With gossip, a message that one router sent reaches the balancer of every router. The bytes of the single routers add
+// up to the total, and no more is received than was sent.
 func TestGossipReachesEveryBalancer(t *testing.T) {
 	const n = 5
-	s := startTestProcess(t, Spec{Transport: "gossip", Peers: freeAddresses(t, n), Count: n, InitialList: []byte(servers)})
+	s := startTestProcess(t, Spec{Transport: "gossip", Peers: freeAddresses(t, n), Count: n,
+		InitialList: []byte(servers)})
 	if a := s.answer(); a.Error != "" || a.RouterBytes != nil {
 		t.Fatalf("answer to the spec: %+v, want no error and no bytes of single routers", a)
 	}
 	s.order(Order{SendOnce: []int{2}})
 	var a Answer
-	for until := time.Now().Add(20 * time.Second); a.Traffic.LeastHeard == 0; time.Sleep(10 * time.Millisecond) {
+	for until := time.Now().Add(20 * time.Second); a.Traffic.LeastReceived == 0; time.Sleep(10 * time.Millisecond) {
 		if a = s.order(Order{PerRouter: true}); time.Now().After(until) {
 			t.Fatalf("not every balancer got observations within 20 s: %+v", a)
 		}
 	}
 	c := a.Traffic
-	if c.Told != 1 || c.DatagramsIn == 0 || c.DatagramsIn > c.DatagramsOut || c.BytesIn > c.BytesOut {
+	if c.Sent != 1 || c.DatagramsIn == 0 || c.DatagramsIn > c.DatagramsOut || c.BytesIn > c.BytesOut {
 		t.Errorf("traffic is %+v, want one message, and no more datagrams and bytes received than sent", c)
 	}
 	if c.BytesOut < c.DatagramsOut*(headerBytes+1) || c.BytesOut > c.DatagramsOut*(headerBytes+256) {
@@ -148,17 +151,19 @@
 	}
 }
 
-// GossipBytesPerSecond must equal the default of the operators' file. Otherwise simulated routers gossip with another budget than real ones.
+// GossipBytesPerSecond must equal the default of the operators' file. Otherwise simulated routers gossip with another
+// budget than real ones.
 func TestGossipBudgetIsOperatorsDefault(t *testing.T) {
 	if f, err := operatorconfig.Read(""); err != nil || f.Gossip.BytesPerSecond != GossipBytesPerSecond {
-		t.Errorf("the operators' default is %v bytes per second (error %v), but GossipBytesPerSecond is %v", f.Gossip.BytesPerSecond, err, GossipBytesPerSecond)
+		t.Errorf("the operators' default is %v bytes per second (error %v), but GossipBytesPerSecond is %v",
+			f.Gossip.BytesPerSecond, err, GossipBytesPerSecond)
 	}
 }
 
 // A message names five servers spread over the list; the argument of send shifts all five.
 func TestTypicalMessagesNameExpectedServers(t *testing.T) {
-	w := &recordingTransport{}
-	r := &router{transport: w}
+	transport := &recordingTransport{}
+	r := &router{transport: transport}
 	for id := range 20 {
 		r.serverIDs = append(r.serverIDs, uint64(0x10000+id))
 	}
@@ -167,8 +172,8 @@
 	r.send(39)
 	want := [][]byte{{0, 0, 32, 4, 0, 32, 8, 0, 32, 12, 0, 32, 16, 0, 32}, {1, 0, 32, 5, 0, 32, 9, 0, 32, 13, 0, 32, 17, 0, 32},
 		{19, 0, 32, 3, 0, 32, 7, 0, 32, 11, 0, 32, 15, 0, 32}}
-	if !reflect.DeepEqual(w.sent, want) {
-		t.Errorf("sent %v, want %v", w.sent, want)
+	if !reflect.DeepEqual(transport.sent, want) {
+		t.Errorf("sent %v, want %v", transport.sent, want)
 	}
 }
 
@@ -185,10 +190,15 @@
 		spec Spec
 		want string
 	}{
-		{Spec{Transport: "some", Peers: at, Count: 2, InitialList: []byte(servers)}, `way "some" is unknown; want one of all, gossip`},
-		{Spec{Transport: "all", Peers: at, First: 1, Count: 2, InitialList: []byte(servers)}, "routers 1 to 2: want indexes of the 2 peers"},
-		{Spec{Transport: "all", Peers: at, Count: 2, InitialList: []byte(`{"generation": 1, "reset": true, "instances": []}`)}, "known: the list is empty; want at least one server"},
-		{Spec{Transport: "all", Peers: []string{"nowhere", at[0]}, Count: 1, InitialList: []byte(servers)}, "router 0:"},
+		{Spec{Transport: "some", Peers: at, Count: 2, InitialList: []byte(servers)},
+			`way "some" is unknown; want one of all, gossip`},
+		{Spec{Transport: "all", Peers: at, First: 1, Count: 2, InitialList: []byte(servers)},
+			"routers 1 to 2: want indexes of the 2 peers"},
+		{Spec{Transport: "all", Peers: at, Count: 2,
+			InitialList: []byte(`{"generation": 1, "reset": true, "instances": []}`)},
+			"known: the list is empty; want at least one server"},
+		{Spec{Transport: "all", Peers: []string{"nowhere", at[0]}, Count: 1, InitialList: []byte(servers)},
+			"router 0:"},
 	} {
 		s := startTestProcess(t, c.spec)
 		if a := s.answer(); !strings.Contains(a.Error, c.want) {
--- a/internal/experiment/scale/simrouter/serve.go
+++ b/internal/experiment/scale/simrouter/serve.go
@@ -30,9 +30,9 @@
 
 // Order is a command to a process of simulated routers.
 type Order struct {
-	Send          []int         `json:"talk,omitempty"` // indexes of the routers that send a message each period from now on
+	Send          []int         `json:"talk,omitempty"` // indexes of routers that send a message each period from now on
 	Period        time.Duration `json:"period,omitempty"`
-	RotateServers bool          `json:"all,omitempty"`      // periodic messages are about all servers in turn, not always about the same five
+	RotateServers bool          `json:"all,omitempty"`      // cycle through all servers; else always the same five
 	Stop          bool          `json:"hush,omitempty"`     // all routers stop periodic sending
 	SendOnce      []int         `json:"say_once,omitempty"` // indexes of the routers that send one message now
 	PerRouter     bool          `json:"each,omitempty"`     // the answer includes the bytes of each router
@@ -49,35 +49,35 @@
 	RouterBytes []uint64 `json:"each,omitempty"` // bytes of each router, in and out
 }
 
-// Serve runs simulated routers. It reads a spec and then orders from in, each a JSON value, and writes an answer to each. It returns when
-// in ends.
+// Serve runs simulated routers. It reads a spec and then orders from in, each a JSON value, and writes an answer to
+// each. It returns when in ends.
 func Serve(in io.Reader, out io.Writer, log zerolog.Logger) error {
 	orders, answers := json.NewDecoder(in), json.NewEncoder(out)
-	var s Spec
-	if err := orders.Decode(&s); err != nil {
+	var spec Spec
+	if err := orders.Decode(&spec); err != nil {
 		return fmt.Errorf("spec: %w", err)
 	}
 	debug.SetGCPercent(100)
-	runtime.GOMAXPROCS(max(2, s.Threads)) // two, as in the router service
-	p, err := startProcess(s, log)
+	runtime.GOMAXPROCS(max(2, spec.Threads)) // two, as in the router service
+	p, err := startProcess(spec, log)
 	if err != nil {
 		answers.Encode(Answer{Error: err.Error()})
 		return err
 	}
 	defer p.stop()
 	go p.loop.Run()
-	var o Order
+	var order Order
 	for {
-		if err := answers.Encode(p.counters(o.PerRouter)); err != nil {
+		if err := answers.Encode(p.counters(order.PerRouter)); err != nil {
 			return err
 		}
-		o = Order{}
-		if err := orders.Decode(&o); errors.Is(err, io.EOF) {
+		order = Order{}
+		if err := orders.Decode(&order); errors.Is(err, io.EOF) {
 			return nil
 		} else if err != nil {
 			return fmt.Errorf("order: %w", err)
 		}
-		p.execute(o)
+		p.execute(order)
 	}
 }
 
@@ -89,37 +89,39 @@
 	stop      context.CancelFunc
 }
 
-func startProcess(s Spec, log zerolog.Logger) (*process, error) {
-	open, err := opener(s.Transport)
+func startProcess(spec Spec, log zerolog.Logger) (*process, error) {
+	open, err := opener(spec.Transport)
 	if err != nil {
 		return nil, err
 	}
-	if s.First < 0 || s.Count < 1 || s.First+s.Count > len(s.Peers) {
-		return nil, fmt.Errorf("routers %d to %d: want indexes of the %d peers, and at least one router", s.First, s.First+s.Count-1, len(s.Peers))
+	if spec.First < 0 || spec.Count < 1 || spec.First+spec.Count > len(spec.Peers) {
+		return nil, fmt.Errorf("routers %d to %d: want indexes of the %d peers, and at least one router", spec.First,
+			spec.First+spec.Count-1, len(spec.Peers))
 	}
-	initialList, err := discovery.Parse(s.InitialList)
+	initialList, err := discovery.Parse(spec.InitialList)
 	if err != nil {
 		return nil, fmt.Errorf("known: %w", err)
 	}
 	if len(initialList.Instances) == 0 {
 		return nil, errors.New("known: the list is empty; want at least one server, because messages are about servers")
 	}
-	p := &process{spec: s}
+	p := &process{spec: spec}
 	if p.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
 	ctx, stop := context.WithCancel(context.Background())
 	p.stop = stop
-	for n := s.First; n < s.First+s.Count; n++ {
-		r, err := newRouter(p.loop, open, Member{Index: n, Listen: s.Peers[n], Peers: s.Peers, Log: log}, initialList)
+	for n := spec.First; n < spec.First+spec.Count; n++ {
+		r, err := newRouter(p.loop, open, Member{Index: n, Listen: spec.Peers[n], Peers: spec.Peers, Log: log},
+			initialList)
 		if err != nil {
 			stop()
 			return nil, fmt.Errorf("router %d: %w", n, err)
 		}
 		p.routers = append(p.routers, r)
 	}
-	p.forEach(s.Follow, func(r *router, n int) {
-		r.follow(ctx, s.ListService, uint32(n+1), log)
+	p.forEach(spec.Follow, func(r *router, n int) {
+		r.follow(ctx, spec.ListService, uint32(n+1), log)
 		p.followers = append(p.followers, r)
 	})
 	return p, nil
@@ -141,35 +143,36 @@
 	<-done
 }
 
-func (p *process) execute(o Order) {
+func (p *process) execute(order Order) {
 	p.onLoop(func() {
-		if o.Stop {
+		if order.Stop {
 			for _, r := range p.routers {
 				r.stopSending()
 			}
 		}
-		p.forEach(o.SendOnce, func(r *router, _ int) { r.send(0) })
-		p.forEach(o.Send, func(r *router, n int) { // spread over the period, as in a fleet of independent routers
-			r.sendPeriodically(o.Period*time.Duration(n)/time.Duration(len(p.spec.Peers)), o.Period, o.RotateServers)
+		p.forEach(order.SendOnce, func(r *router, _ int) { r.send(0) })
+		p.forEach(order.Send, func(r *router, n int) { // spread over the period, as in a fleet of independent routers
+			r.sendPeriodically(order.Period*time.Duration(n)/time.Duration(len(p.spec.Peers)), order.Period,
+				order.RotateServers)
 		})
 	})
 }
 
-func (p *process) counters(perRouter bool) (a Answer) {
+func (p *process) counters(perRouter bool) (answer Answer) {
 	p.onLoop(func() {
 		for i, r := range p.routers {
 			t := r.transport.Traffic()
-			if a.Traffic.Add(t, i == 0); perRouter {
-				a.RouterBytes = append(a.RouterBytes, t.BytesIn+t.BytesOut)
+			if answer.Traffic.Add(t, i == 0); perRouter {
+				answer.RouterBytes = append(answer.RouterBytes, t.BytesIn+t.BytesOut)
 			}
-			a.ZoneMessages += r.zoneMessages
+			answer.ZoneMessages += r.zoneMessages
 		}
 		for i, r := range p.followers {
-			if i == 0 || r.generation < a.OldestGeneration {
-				a.OldestGeneration = r.generation
+			if i == 0 || r.generation < answer.OldestGeneration {
+				answer.OldestGeneration = r.generation
 			}
-			a.LatestChange = max(a.LatestChange, r.listSince)
+			answer.LatestChange = max(answer.LatestChange, r.listSince)
 		}
 	})
-	return a
+	return answer
 }
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -14,8 +14,8 @@
 	"github.com/rs/zerolog"
 )
 
-// Transport brings one router's gossip messages to the others. Implementations can be exchanged. Its methods are called on the event
-// loop.
+// Transport brings one router's gossip messages to the others. Implementations can be exchanged. Its methods are called
+// on the event loop.
 type Transport interface {
 	Broadcast(message []byte) // sends to all other routers; what cannot be sent immediately is lost
 	Traffic() Traffic
@@ -28,12 +28,13 @@
 	Peers     []string // addresses of all routers, including its own
 	ServerIDs []uint16 // last two bytes of the IDs of the servers in its first list
 	Loop      *eventloop.Loop
-	Deliver   func(words []byte) // called on the event loop with observations that stand for those of many routers
-	Log       zerolog.Logger
+	// called on the event loop with observations that stand for those of many routers
+	Deliver func(observations []byte)
+	Log     zerolog.Logger
 }
 
 // OpenFunc opens a router's transport. onMessage is called with each received message, on any goroutine.
-type OpenFunc func(p Member, heard func(words []byte)) (Transport, error)
+type OpenFunc func(p Member, onMessage func(message []byte)) (Transport, error)
 
 // Transports is the available transports by name.
 var Transports = map[string]OpenFunc{"all": openBroadcast, "gossip": openGossip}
@@ -43,32 +44,36 @@
 	if open := Transports[name]; open != nil {
 		return open, nil
 	}
-	return nil, fmt.Errorf("way %q is unknown; want one of %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)), ", "))
+	return nil, fmt.Errorf("way %q is unknown; want one of %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)),
+		", "))
 }
 
 // headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
 const headerBytes = 8 + 20
 
-// Traffic counts messages and datagrams since the transport was opened. A transport may put several messages into one datagram, or forward
-// a message. Bytes are those on the wire, with UDP and IPv4 headers.
+// Traffic counts messages and datagrams since the transport was opened. A transport may put several messages into one
+// datagram, or forward a message. Bytes are those on the wire, with UDP and IPv4 headers.
 type Traffic struct {
-	Told, Heard                 uint64 // words
+	Sent                        uint64 `json:"Told"`  // messages
+	Received                    uint64 `json:"Heard"` // messages
 	DatagramsOut, DatagramsIn   uint64
 	BytesOut, BytesIn           uint64
-	LeastHeard, MostHeard       uint64 // in a sum: of a single router
+	LeastReceived               uint64 `json:"LeastHeard"` // in a sum: by a single router
+	MostReceived                uint64 `json:"MostHeard"`  // as above
 	LeastBytesIn, MostBytesIn   uint64 // as above
 	LeastBytesOut, MostBytesOut uint64
 }
 
-// Add adds the counters of another router, or the sum of several. first says that t is empty, so that o sets the minimums.
+// Add adds the counters of another router, or the sum of several. first says that t is empty, so that o sets the
+// minimums.
 func (t *Traffic) Add(o Traffic, first bool) {
-	t.Told, t.Heard = t.Told+o.Told, t.Heard+o.Heard
+	t.Sent, t.Received = t.Sent+o.Sent, t.Received+o.Received
 	t.DatagramsOut, t.DatagramsIn = t.DatagramsOut+o.DatagramsOut, t.DatagramsIn+o.DatagramsIn
 	t.BytesOut, t.BytesIn = t.BytesOut+o.BytesOut, t.BytesIn+o.BytesIn
 	if first {
-		t.LeastHeard, t.LeastBytesIn, t.LeastBytesOut = o.LeastHeard, o.LeastBytesIn, o.LeastBytesOut
+		t.LeastReceived, t.LeastBytesIn, t.LeastBytesOut = o.LeastReceived, o.LeastBytesIn, o.LeastBytesOut
 	}
-	t.LeastHeard, t.MostHeard = min(t.LeastHeard, o.LeastHeard), max(t.MostHeard, o.MostHeard)
+	t.LeastReceived, t.MostReceived = min(t.LeastReceived, o.LeastReceived), max(t.MostReceived, o.MostReceived)
 	t.LeastBytesIn, t.MostBytesIn = min(t.LeastBytesIn, o.LeastBytesIn), max(t.MostBytesIn, o.MostBytesIn)
 	t.LeastBytesOut, t.MostBytesOut = min(t.LeastBytesOut, o.LeastBytesOut), max(t.MostBytesOut, o.MostBytesOut)
 }
@@ -81,13 +86,14 @@
 	sent, received, bytesOut, bytesIn atomic.Uint64
 }
 
-func openBroadcast(p Member, onMessage func(message []byte)) (Transport, error) {
-	w := &broadcastTransport{others: uint64(len(p.Peers) - 1)}
-	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Index, func(_ netip.AddrPort, _ int, message []byte) {
+func openBroadcast(member Member, onMessage func(message []byte)) (Transport, error) {
+	w := &broadcastTransport{others: uint64(len(member.Peers) - 1)}
+	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index, func(_ netip.AddrPort, _ int,
+		message []byte) {
 		w.received.Add(1)
 		w.bytesIn.Add(uint64(len(message) + headerBytes))
 		onMessage(message)
-	}, p.Log)
+	}, member.Log)
 	w.peers = open
 	return w, err
 }
@@ -99,7 +105,9 @@
 }
 
 func (w *broadcastTransport) Traffic() Traffic {
-	heard, in, out := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
-	return Traffic{Told: w.sent.Load(), Heard: heard, DatagramsIn: heard, DatagramsOut: w.sent.Load() * w.others, BytesIn: in, BytesOut: out,
-		LeastHeard: heard, MostHeard: heard, LeastBytesIn: in, MostBytesIn: in, LeastBytesOut: out, MostBytesOut: out}
+	received, bytesIn, bytesOut := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
+	return Traffic{Sent: w.sent.Load(), Received: received, DatagramsIn: received,
+		DatagramsOut: w.sent.Load() * w.others, BytesIn: bytesIn, BytesOut: bytesOut,
+		LeastReceived: received, MostReceived: received, LeastBytesIn: bytesIn, MostBytesIn: bytesIn,
+		LeastBytesOut: bytesOut, MostBytesOut: bytesOut}
 }
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -25,9 +25,10 @@
 	serversOctet      = 40 // eight values with 250 addresses each
 	addressesPerOctet = 250
 
-	gossipPort        = 7946
-	routerDescriptors = 4096 // file descriptors: the usual 1024 leave 372 connections to servers, fewer than there are servers
-	zoneCount         = 20   // servers are assigned to zones in turn
+	gossipPort = 7946
+	// file descriptors: the usual 1024 leave 372 connections to servers, fewer than there are servers
+	routerDescriptors = 4096
+	zoneCount         = 20 // servers are assigned to zones in turn
 )
 
 func (b *bench) address(x, n, port int) string {
@@ -55,15 +56,17 @@
 }
 
 // smallReads is a traffic type with small values and little work per request.
-var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100, Promised: 0.150, HardStop: 0.750, Benefit: 5}
+var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100,
+	Promised: 0.150, HardStop: 0.750, Benefit: 5}
 
-// retryWhileAddressInUse calls f until it returns no address-in-use error, for about a second. Such errors are transient: a process that
-// is being started holds all sockets of this one between fork and exec.
+// retryWhileAddressInUse calls f until it returns no address-in-use error, for about a second. Such errors are
+// transient: a process that is being started holds all sockets of this one between fork and exec.
 func retryWhileAddressInUse(ctx context.Context, f func() error) error {
 	const attempts, pause = 20, 50 * time.Millisecond
 	for n := 1; ; n++ {
 		err := f()
-		inUse := errors.Is(err, unix.EADDRINUSE) || err != nil && strings.Contains(err.Error(), unix.EADDRINUSE.Error()) // a child process reports it as text
+		// a child process reports it as text
+		inUse := errors.Is(err, unix.EADDRINUSE) || err != nil && strings.Contains(err.Error(), unix.EADDRINUSE.Error())
 		if !inUse {
 			return err
 		}
@@ -84,7 +87,8 @@
 			return err
 		}
 		s = &testbed{loop: loop, ended: make(chan error, 1)}
-		s.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64, Takes: 0.001, Multiple: 4, Time: 3, Halt: 1},
+		s.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64,
+			Takes: 0.001, Multiple: 4, Time: 3, Halt: 1},
 			emulator.Delay{})
 		go func() { s.ended <- loop.Run() }()
 		s.onLoop(func() { err = s.addServers(b, servers) })
@@ -99,7 +103,8 @@
 // addServers adds the servers and two list services for them.
 func (s *testbed) addServers(b *bench, servers int) error {
 	for n := range servers {
-		spec := emulator.Spec{Name: s.fleet.NextName(), Addr: b.address(serversOctet, n, 11300), Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
+		spec := emulator.Spec{Name: s.fleet.NextName(), Addr: b.address(serversOctet, n, 11300),
+			Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
 			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, Keep: 100000, Cancels: true,
 			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, Fall: 3}}
 		if _, err := s.fleet.Add(spec, false); err != nil {
@@ -134,12 +139,13 @@
 
 // routerSetup is the settings in which the measured routers differ.
 type routerSetup struct {
-	listService       int      // index of the list service
-	peers             []string // addresses of the other routers; the router's own address comes first in the configuration
-	fleetSize         int      // 0: the peers and this router
-	gossip            bool     // sending gossip messages is allowed
-	serverIdleSeconds float64  // until cache servers close idle connections; 0: an hour
-	adminServer       bool     // the admin server listens
+	listService int // index of the list service
+	// addresses of the other routers; the router's own address comes first in the configuration
+	peers             []string
+	fleetSize         int     // 0: the peers and this router
+	gossip            bool    // sending gossip messages is allowed
+	serverIdleSeconds float64 // until cache servers close idle connections; 0: an hour
+	adminServer       bool    // the admin server listens
 	zoneFailover      bool
 	recovery          bool
 	teamBudget        int  // budget of the one team; 0: no team
@@ -157,18 +163,22 @@
 		c.serverIdleSeconds = 3600
 	}
 	conf := map[string]any{
-		"name": "n0", "listen": b.address(routerOctet, 0, 11211), "discovery": s.listServices[c.listService].Addr(), "seed": "1",
+		"name": "n0", "listen": b.address(routerOctet, 0, 11211), "discovery": s.listServices[c.listService].Addr(),
+		"seed":   "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": routerDescriptors},
 		"known":  json.RawMessage(`{"generation": 0, "reset": true, "instances": []}`),
 		"settings": map[string]any{
 			"me": 0, "fleetSize": c.fleetSize, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
-			"limits": map[string]any{"cancelling": true, "secondCopies": true, "mostExecutions": 3, "probes": false, "peers": c.gossip,
-				"retryAfter": true, "maxRetryAfter": ns(1.2), "connIdle": ns(c.serverIdleSeconds), "connectTimeout": ns(0.075), "streamsPerConn": 100},
+			"limits": map[string]any{"cancelling": true, "secondCopies": true, "mostExecutions": 3, "probes": false,
+				"peers":      c.gossip,
+				"retryAfter": true, "maxRetryAfter": ns(1.2), "connIdle": ns(c.serverIdleSeconds),
+				"connectTimeout": ns(0.075), "streamsPerConn": 100},
 			"rules":     map[string]any{"drainGrace": ns(0.5), "fall": ns(3), "startCapacity": 0.3, "tipMultiple": 4.0, "warmWithin": ns(9)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
-			"trafficTypes": []any{map[string]any{"name": smallReads.Name, "effect": "retryable", "promisedTime": ns(smallReads.Promised),
-				"hardStop": ns(smallReads.HardStop), "benefit": smallReads.Benefit}},
+			"trafficTypes": []any{map[string]any{"name": smallReads.Name, "effect": "retryable",
+				"promisedTime": ns(smallReads.Promised),
+				"hardStop":     ns(smallReads.HardStop), "benefit": smallReads.Benefit}},
 			"tenants": []any{},
 		},
 	}
@@ -197,8 +207,9 @@
 		fmt.Fprint(&operators, "[zones]\non = true\n")
 	}
 	if c.teamBudget > 0 {
-		fmt.Fprintf(&operators, "[broker]\nothers = \"platform\"\n[[team]]\nname = \"one\"\ntenant = \"one\"\nbudget = %d\nburst = 100\n"+
-			"[[team.type]]\nname = \"one\"\neffect = \"reissuable\"\npromised_ms = 150\nhard_stop_ms = 750\nbenefit = 5\n", c.teamBudget)
+		fmt.Fprintf(&operators,
+			"[broker]\nothers = \"platform\"\n[[team]]\nname = \"one\"\ntenant = \"one\"\nbudget = %d\nburst = 100\n"+
+				"[[team.type]]\nname = \"one\"\neffect = \"reissuable\"\npromised_ms = 150\nhard_stop_ms = 750\nbenefit = 5\n", c.teamBudget)
 	}
 	if err = writeFileAtomically(filepath.Join(b.dir, "router.toml"), []byte(operators.String())); err != nil {
 		return err
@@ -249,7 +260,8 @@
 	return b.withServers(servers, func(s *testbed) (err error) {
 		if c.countListCalls {
 			err = retryWhileAddressInUse(b.ctx, func() (err error) {
-				s.listProxy, err = newCountingProxy(b.address(listServicesOctet, len(s.listServices), 8500), s.listServices[c.listService].Addr())
+				s.listProxy, err = newCountingProxy(b.address(listServicesOctet, len(s.listServices), 8500),
+					s.listServices[c.listService].Addr())
 				return err
 			})
 			if err != nil {
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -42,11 +42,12 @@
 	Progress  io.Writer // nil: no progress is printed
 }
 
-// UsualValues returns options with the sizes that operators expect and some below and above: the router buffers a value of up to 64 KiB
-// whole, and streams a longer one.
+// UsualValues returns options with the sizes that operators expect and some below and above: the router buffers a value
+// of up to 64 KiB whole, and streams a longer one.
 func UsualValues() ValueOptions {
 	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, AtOnce: 8, Runs: 3,
-		Settle: 800 * time.Millisecond} // far below the 10 s after which a router disconnects a client that reads nothing
+		// far below the 10 s after which a router disconnects a client that reads nothing
+		Settle: 800 * time.Millisecond}
 }
 
 const (
@@ -56,28 +57,29 @@
 	maxValueRuns   = 20
 	minValuePoints = 3 // points of a line: any two points lie on a line
 
-	valueServerCount    = 8
-	valueDescriptors    = 4096
-	valueMemoryMB       = 256              // high enough that 256 transfers do not reach it
-	valueTimeout        = 20 * time.Second // for one value, on a busy machine
-	clientReceiveBuffer = 4096             // bytes; a client that does not read takes as little as possible out of the router
+	valueServerCount = 8
+	valueDescriptors = 4096
+	valueMemoryMB    = 256              // high enough that 256 transfers do not reach it
+	valueTimeout     = 20 * time.Second // for one value, on a busy machine
+	// bytes; small, so that the values that a client does not read stay in the router
+	clientReceiveBuffer = 4096
 )
 
 // Check returns every fault of the options, each with its flag, its value and the accepted values.
 func (o ValueOptions) Check() error {
 	var faults []error
-	fault := func(flag string, value any, right string, about ...any) {
-		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, fmt.Sprintf(right, about...)))
+	fault := func(flag string, value any, want string, args ...any) {
+		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, fmt.Sprintf(want, args...)))
 	}
-	rising := func(flag string, all []int, least, most int, as string) {
+	checkRising := func(flag string, all []int, least, most int, example string) {
 		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
 		sorted := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
 		if len(all) < minValuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
-			fault(flag, text, "want three or more rising numbers from %d to %d, such as %s", least, most, as)
+			fault(flag, text, "want three or more rising numbers from %d to %d, such as %s", least, most, example)
 		}
 	}
-	rising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
-	rising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
+	checkRising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
+	checkRising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
 	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
 		fault("bytes", o.Bytes, "want a number from %d to %d", minValueBytes, maxPointBytes)
 	}
@@ -119,8 +121,8 @@
 	return err
 }
 
-// Values measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients that do not read,
-// with a line for each size. All processes that it started have ended when it returns.
+// Values measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients
+// that do not read, with a line for each size. All processes that it started have ended when it returns.
 func Values(ctx context.Context, o ValueOptions) ([]Line, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -133,13 +135,14 @@
 		if points[name][x] == nil {
 			points[name][x] = &Point{X: x}
 		}
-		points[name][x].take(value, loop)
+		points[name][x].record(value, loop)
 	}
 	heldName := func(size int) string { return fmt.Sprintf("value.memory.transfer.%d", size) }
 	for run := range o.Runs {
-		say := func(format string, about ...any) {
+		progressf := func(format string, args ...any) {
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), run+1, o.Runs, fmt.Sprintf(format, about...))
+				fmt.Fprintf(o.Progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), run+1, o.Runs,
+					fmt.Sprintf(format, args...))
 			}
 		}
 		for _, size := range o.Sizes {
@@ -155,7 +158,7 @@
 					if clients == o.AtOnce && name == "value.core.byte" {
 						add("value.wakeups.byte", float64(size), wakeups/values, 0)
 					}
-					say("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
+					progressf("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
 						float64(size)*values/cpu/1e6, cpu/values/float64(size)*(1<<20)/loop)
 				}
 				return nil
@@ -167,7 +170,7 @@
 				err := o.withTestbed(ctx, func(v *valueTestbed) error {
 					peak, err := v.measureHeldTransfers(ctx, size, n, o.Settle)
 					add(heldName(size), float64(n), peak, 0)
-					say("%s: %d held, %.0f KiB at most", heldName(size), n, peak)
+					progressf("%s: %d held, %.0f KiB at most", heldName(size), n, peak)
 					return err
 				})
 				if err != nil {
@@ -178,7 +181,8 @@
 	}
 	quantities := slices.Clone(valueQuantities)
 	for _, size := range o.Sizes {
-		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer", "peak resident memory, by the number of transfers held open by clients that do not read"})
+		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer",
+			"peak resident memory, by the number of transfers held open by clients that do not read"})
 	}
 	var lines []Line
 	for _, q := range quantities {
@@ -206,8 +210,8 @@
 	lastID      atomic.Uint64
 }
 
-// withTestbed calls do with a new testbed and closes it afterwards. Each measurement needs a router of its own, because the kernel reports
-// peak memory since the start of a process.
+// withTestbed calls do with a new testbed and closes it afterwards. Each measurement needs a router of its own, because
+// the kernel reports peak memory since the start of a process.
 func (o ValueOptions) withTestbed(ctx context.Context, do func(v *valueTestbed) error) error {
 	v, err := o.openTestbed(ctx)
 	if err == nil {
@@ -220,13 +224,15 @@
 }
 
 func (o ValueOptions) openTestbed(ctx context.Context) (*valueTestbed, error) {
-	v := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211", o.Net), logPath: filepath.Join(o.Dir, "values.log")}
+	v := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211",
+		o.Net), logPath: filepath.Join(o.Dir, "values.log")}
 	var err error
 	if v.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
 	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
+	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
+		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServerCount {
 		spec := emulator.Spec{Name: v.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
@@ -248,12 +254,14 @@
 	if v.listService, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
 		return v, fmt.Errorf("%w (another --net may be free)", err)
 	}
-	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] }) // the emulated servers appear only in the list
+	// the emulated servers appear only in the list
+	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
 	go func() { v.ended <- v.loop.Run() }()
 	return v, v.startRouter(ctx, o)
 }
 
-// serveConnections accepts the connections of a server that sends values as fast as they are read, with one system call per value.
+// serveConnections accepts the connections of a server that sends values as fast as they are read, with one system call
+// per value.
 func serveConnections(ln net.Listener, name string) {
 	for {
 		conn, err := ln.Accept()
@@ -296,7 +304,8 @@
 
 func (v *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
-	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.listService.Addr(), "seed": "0badcafe", "known": v.listService.Known(),
+	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.listService.Addr(), "seed": "0badcafe",
+		"known":  v.listService.Known(),
 		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
@@ -306,7 +315,8 @@
 				"warmWithin": ns(9 * time.Second)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
 			"trafficTypes": []any{map[string]any{"name": "bulk", "effect": "retryable", "keyScope": "all", "dedupWindow": 0,
-				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueTimeout), "benefit": 1, "runsIn": nil, "allowedOn": nil}},
+				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueTimeout), "benefit": 1, "runsIn": nil,
+				"allowedOn": nil}},
 			"tenants": []any{}}}
 	text, err := json.Marshal(conf)
 	if err != nil {
@@ -437,8 +447,9 @@
 	return nil
 }
 
-// measureReads lets each client read n values. It returns the router's CPU seconds, the voluntary context switches of its threads, and the
-// CPU seconds of the plain loop. The first value of each client is not counted, because it opens connections to the servers.
+// measureReads lets each client read n values. It returns the router's CPU seconds, the voluntary context switches of
+// its threads, and the CPU seconds of the plain loop. The first value of each client is not counted, because it opens
+// connections to the servers.
 func (v *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
 	all := func(n int) error {
 		errs := make([]error, clients)
@@ -466,10 +477,15 @@
 	return after - before, countWakeups(pid) - wakeupsBefore, plainLoop(), err
 }
 
-// measureHeldTransfers lets n clients request a value and read nothing of it. It returns the router's peak resident memory in KiB.
-func (v *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64, err error) {
+// measureHeldTransfers lets n clients request a value and read nothing of it. It returns the router's peak resident
+// memory in KiB.
+func (v *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64,
+	err error) {
 	dialer := net.Dialer{Timeout: valueTimeout, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, clientReceiveBuffer) })
+		return c.Control(func(fd uintptr) {
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF,
+				clientReceiveBuffer)
+		})
 	}}
 	errs := make([]error, n)
 	conns := make([]net.Conn, n)
@@ -503,16 +519,19 @@
 	return peak, err
 }
 
-// Copy is how often the router copies each byte of a value. It is counted from the code, because no measurement shows it.
+// Copy is how often the router copies each byte of a value. It is counted from the code, because no measurement shows
+// it.
 type Copy struct {
 	Name  string  `json:"name"`
 	Count float64 `json:"copies"` // within the memory of the process
 	About string  `json:"about"`
 }
 
-// Copies returns the number of copies for a streamed and for a buffered value. The kernel makes two more, from a socket and to a socket.
+// Copies returns the number of copies for a streamed and for a buffered value. The kernel makes two more, from a socket
+// and to a socket.
 func Copies() []Copy {
-	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and what a small ring buffer reads at a time.
+	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and what a small ring buffer reads
+	// at a time.
 	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512
 	grown := 0
 	value := make([]byte, 0, firstCapacity)
@@ -523,8 +542,10 @@
 		}
 	}
 	return []Copy{
-		{"value.copies.passed", 1, "above 64 KiB: server's ring buffer to client's (upstream.memcacheCodec.Part, eventloop.Conn.Write)"},
-		{"value.copies.held", 2 + float64(grown)/held, "of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and the value as it grows (meta.readValue)"},
+		{"value.copies.passed", 1,
+			"above 64 KiB: server's ring buffer to client's (upstream.memcacheCodec.Part, eventloop.Conn.Write)"},
+		{"value.copies.held", 2 + float64(grown)/held,
+			"of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and the value as it grows (meta.readValue)"},
 	}
 }
 
--- a/internal/experiment/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -10,7 +10,8 @@
 	"bendtrestle/internal/experiment"
 )
 
-// All quantities of long values are measured through a real router process. The sizes are small; their values must not be quoted.
+// All quantities of long values are measured through a real router process. The sizes are small; their values must not
+// be quoted.
 func TestValuesAreMeasured(t *testing.T) {
 	program, dir, err := experiment.Build(t.Context())
 	if err != nil {
--- a/internal/experiment/scale/voices.go
+++ b/internal/experiment/scale/voices.go
@@ -17,8 +17,8 @@
 // headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
 const headerBytes = 8 + 20
 
-// peerSockets are UDP sockets at the addresses of the configured peers, without routers behind them. They send messages from these
-// addresses, and messages from the measured router wait in their receive buffers to be counted.
+// peerSockets are UDP sockets at the addresses of the configured peers, without routers behind them. They send messages
+// from these addresses, and messages from the measured router wait in their receive buffers to be counted.
 type peerSockets struct {
 	sockets  []int
 	router   unix.SockaddrInet4
@@ -63,10 +63,11 @@
 	}
 }
 
-// send sends messages from the sockets in turn, at a rate per second, until ctx ends, and returns their number. payload returns the next
-// message of the n-th peer.
-func (v *peerSockets) send(ctx context.Context, rate float64, payload func(voice int) []byte) (sent int, err error) {
-	const step = 5 * time.Millisecond // 20 messages at a time at the highest rate, far below what a receive buffer holds
+// send sends messages from the sockets in turn, at a rate per second, until ctx ends, and returns their number. payload
+// returns the next message of the n-th peer.
+func (v *peerSockets) send(ctx context.Context, rate float64, payload func(peer int) []byte) (sent int, err error) {
+	// 20 messages at a time at the highest rate, far below what a receive buffer holds
+	const step = 5 * time.Millisecond
 	began := time.Now()
 	tick := time.NewTicker(step)
 	defer tick.Stop()
@@ -107,10 +108,11 @@
 	return nil
 }
 
-// countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It waits shortly for
-// datagrams that some peers have received and others have not.
+// countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It
+// waits shortly for datagrams that some peers have received and others have not.
 func (v *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
-	const maxDelay = 200 * time.Millisecond // a broadcast takes some milliseconds, and the next follows after half a second
+	// a broadcast takes some milliseconds, and the next follows after half a second
+	const maxDelay = 200 * time.Millisecond
 	for until := time.Now().Add(maxDelay); ; {
 		if err = v.receive(); err != nil {
 			return 0, 0, err
@@ -129,7 +131,8 @@
 	}
 }
 
-// droppedDatagrams returns the number of datagrams dropped because the receive buffer of the socket at the address was full.
+// droppedDatagrams returns the number of datagrams dropped because the receive buffer of the socket at the address was
+// full.
 func droppedDatagrams(addr string) (n int, err error) {
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
