--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -54,7 +54,7 @@
 	Router   experiment.Program
 	Self     []string // the command that starts a process of simulated routers: this program itself
 	SelfEnv  []string // environment variables of that command, in addition to this process's
-	Net      int      // the second byte of the loopback addresses
+	Net      int
 	Dir      string
 	Command  string
 	Join     []*Report // earlier reports; their quantities fill in those that this run does not measure
@@ -83,7 +83,7 @@
 // above 0 is the CPU time of the plain loop at the same time, in seconds.
 func (b *bench) add(name string, x, value, loop float64) {
 	q := quantityNamed(name)
-	figures := b.figures
+	single := b.figures
 	if q.Per != "" {
 		if b.lines[name] == nil {
 			b.lines[name] = map[float64]*Point{}
@@ -94,10 +94,10 @@
 		b.lines[name][x].record(value, loop)
 		return
 	}
-	if figures[name] == nil {
-		figures[name] = &Point{}
+	if single[name] == nil {
+		single[name] = &Point{}
 	}
-	figures[name].record(value, loop)
+	single[name].record(value, loop)
 }
 
 func (p *Point) record(value, loop float64) {
--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -11,7 +11,7 @@
 )
 
 const (
-	// 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 measured (docs/capacity/gossip-1.json)
+	// 300 routers use 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 in docs/capacity/gossip-1.json
 	maxGossipRouters        = 300
 	gossipRoutersPerProcess = 50              // 0.4 of a core at most, far below the two threads of a process
 	gossipSettle            = 6 * time.Second // a router probes and pulls more often in its first 5 s
@@ -30,7 +30,7 @@
 	}
 	if len(skipped) > 0 {
 		b.addNote(
-			"gossip is not measured at %s routers: over %d use too much CPU at 0.8%% of a core each, or broadcasts use fewer bytes",
+			"gossip is not measured at %s routers: over %d need too much CPU at 0.8%% each, or broadcasts use fewer bytes",
 			strings.Join(skipped, ", "), maxGossipRouters)
 	}
 	if len(all) < minPoints {
@@ -110,8 +110,7 @@
 			each := float64(bytes-before.RouterBytes[i]) / seconds
 			traffic.meanBytes, traffic.mostBytes = traffic.meanBytes+each/float64(n), max(traffic.mostBytes, each)
 		}
-		// fraction of the datagrams; with more lost, the figures describe more traffic than the routers receive
-		const maxLoss = 0.01
+		const maxLoss = 0.01 // fraction of the datagrams; with more lost, the routers receive less than the figures say
 		sent := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
 		if received := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); received < (1-maxLoss)*sent &&
 			!b.plan.Small {
--- a/internal/experiment/scale/hear.go
+++ b/internal/experiment/scale/hear.go
@@ -188,7 +188,7 @@
 func measureSending(b *bench) error {
 	const fleet, twoMessages = 50, 1200 * time.Millisecond
 	mostServers := slices.Max(b.plan.Servers)
-	lost, datagrams, size, messages, seconds := 0, 0, 0, 0.0, 0.0
+	lost, datagrams, size, messages, totalSeconds := 0, 0, 0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
 		b.progressf("sending to %d peers", n)
 		sockets, err := b.openPeerSockets(n)
@@ -220,7 +220,7 @@
 			for _, received := range sockets.received {
 				datagrams += received
 			}
-			size, lost, messages, seconds = size+sockets.bytes, lost+missing, messages+sent, seconds+s.seconds
+			size, lost, messages, totalSeconds = size+sockets.bytes, lost+missing, messages+sent, totalSeconds+s.seconds
 			b.add("tell.core.datagram", float64(n), s.cpu*1e6/sent, s.loop)
 			return nil
 		})
@@ -229,7 +229,7 @@
 			return err
 		}
 	}
-	b.add("tell.words", 0, messages/seconds, 0)
+	b.add("tell.words", 0, messages/totalSeconds, 0)
 	b.add("tell.bytes.datagram", 0, float64(size)/float64(datagrams)+headerBytes, 0)
 	b.add("tell.lost", 0, float64(lost), 0)
 	return nil
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -35,7 +35,7 @@
 
 // simFleet is the processes that run a fleet of simulated routers.
 type simFleet struct {
-	bench     *bench
+	owner     *bench
 	processes []*simProcess
 }
 
@@ -55,7 +55,7 @@
 }
 
 func (b *bench) tryStartSimFleet(perProcess int, spec simrouter.Spec, count int) (*simFleet, error) {
-	h := &simFleet{bench: b}
+	h := &simFleet{owner: b}
 	for first := spec.First; first < spec.First+count; first += perProcess {
 		processSpec := spec
 		processSpec.First, processSpec.Count = first, min(perProcess, spec.First+count-first)
@@ -140,8 +140,8 @@
 		var result answerResult
 		select {
 		case result = <-c.answers:
-		case <-h.bench.ctx.Done():
-			return sum, h.bench.ctx.Err()
+		case <-h.owner.ctx.Done():
+			return sum, h.owner.ctx.Err()
 		case <-timeout:
 			return sum, fmt.Errorf("simulated routers did not answer within %v", readyTimeout)
 		}
@@ -193,11 +193,9 @@
 }
 
 const (
-	// routers that broadcast a message per second; with all of 3,700 it would be 13.7 million datagrams a second
-	senderCount    = 37
-	maxResidentKiB = 12 << 20 // resident memory of all simulated routers
-	// fraction by which a simulated router's CPU time per message may differ from a real one's
-	maxCPUDeviation = 0.25
+	senderCount     = 37       // broadcast a message per second; all 3,700 would send 13.7 million datagrams a second
+	maxResidentKiB  = 12 << 20 // resident memory of all simulated routers
+	maxCPUDeviation = 0.25     // relative difference of a simulated and a real router's CPU time per message
 )
 
 // spreadIndexes returns n indexes spread evenly over the routers from first on.
@@ -238,7 +236,7 @@
 			}
 			b.add("hollow.memory", float64(n), quiet.resident, 0)
 			if quiet.resident > maxResidentKiB {
-				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, more than the limit of %d; use fewer with --routers",
+				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, the limit is %d; use fewer with --routers",
 					n, quiet.resident, maxResidentKiB)
 			}
 			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
@@ -311,8 +309,8 @@
 }
 
 // measureListChange measures the time until a change of the list is in force at all routers that watch it.
-func (b *bench) measureListChange(s *testbed, fleet *simFleet, n int) error {
-	answer, err := fleet.sendOrder(&simrouter.Order{})
+func (b *bench) measureListChange(s *testbed, simulated *simFleet, n int) error {
+	answer, err := simulated.sendOrder(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
@@ -322,8 +320,8 @@
 		s.fleet.Servers()[0].Drain()
 	})
 	wantGeneration := answer.OldestGeneration + 1
-	err = fleet.processes[0].waitFor(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
-		answer, err = fleet.sendOrder(&simrouter.Order{})
+	err = simulated.processes[0].waitFor(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
+		answer, err = simulated.sendOrder(&simrouter.Order{})
 		return err != nil || answer.OldestGeneration >= wantGeneration
 	})
 	if err == nil {
@@ -341,18 +339,18 @@
 		rate = 200
 	}
 	b.progressf("comparing a simulated router with a real one")
-	sockets, err := b.openPeerSockets(fewestPeers)
+	peers, err := b.openPeerSockets(fewestPeers)
 	if err != nil {
 		return err
 	}
-	defer sockets.close()
+	defer peers.close()
 	perMessage := map[string]float64{}
 	measureMessage := func(name string, p *process, message []byte) error {
 		before, err := b.measureWindow(p)
 		if err != nil {
 			return err
 		}
-		used, received, err := b.measureReceipt(p, sockets, rate, func(int) []byte { return message })
+		used, received, err := b.measureReceipt(p, peers, rate, func(int) []byte { return message })
 		perMessage[name] = (used.cpuRate() - before.cpuRate()) / max(received, 1)
 		return err
 	}
@@ -370,8 +368,9 @@
 		}
 		own := b.address(routerOctet, 0, gossipPort)
 		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all",
-			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: known, ListService: s.listServices[0].Addr(),
-			Follow: []int{0}}, 1)
+			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: known,
+			ListService: s.listServices[0].Addr(),
+			Follow:      []int{0}}, 1)
 		if err != nil {
 			return err
 		}
@@ -384,13 +383,13 @@
 	if err != nil {
 		return err
 	}
-	sockets.close()
-	sockets.sockets = nil
+	peers.close()
+	peers.sockets = nil
 	b.add("hollow.core.word", 0, perMessage["hollow"], 0)
 	b.add("hollow.agree.core", 0, perMessage["hollow"]/perMessage["real"], 0)
 	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small &&
 		(deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
-		b.addNote("one message costs a simulated router %.0f us of CPU time and a real one %.0f: more than %.0f%% apart",
+		b.addNote("a message costs a simulated router %.0f us of CPU time and a real one %.0f: over %.0f%% apart",
 			perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
 	}
 	return b.countBesideRealRouter(fewestPeers)
@@ -467,7 +466,7 @@
 		}
 	}
 	return 0, answer,
-		errors.New("the real router made no pause between its zone messages that is long enough to compare the counters")
+		errors.New("the real router's zone messages have no pause long enough to compare the counters")
 }
 
 // adminMetric reads a metric from the real router's admin server.
--- a/internal/experiment/scale/process.go
+++ b/internal/experiment/scale/process.go
@@ -25,16 +25,15 @@
 // reason.
 type process struct {
 	cmd        *exec.Cmd
-	logPath    string
+	logPath    string // of the standard error, and of a router's standard output
 	addr       string // of a router: its address for clients
 	configPath string // of a router
 	ended      chan struct{}
 }
 
 const (
-	// a router takes some tenths of a second to become ready, and more on a busy machine
-	readyTimeout = 30 * time.Second
-	exitTimeout  = 5 * time.Second // for simulated routers to exit once their input is closed, before they are killed
+	readyTimeout = 30 * time.Second // a router is ready after some tenths of a second, and later on a busy machine
+	exitTimeout  = 5 * time.Second  // for simulated routers to exit once their input is closed, before they are killed
 )
 
 // startProcess starts a program and redirects its output to a log file.
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -59,7 +59,7 @@
 	Least    float64   `json:"least"`     // lowest and highest slope of the runs, each fitted separately
 	Most     float64   `json:"most"`      //
 	Residual float64   `json:"residual"`  // largest distance of a point from the line, relative to the largest point
-	RSquared float64   `json:"r_squared"` // the coefficient of determination
+	R2       float64   `json:"r_squared"` // the coefficient of determination
 	Loops    float64   `json:"slope_loops,omitempty"`
 	Off      []float64 `json:"off,omitempty"` // points off by more than a tenth and more than their runs differ
 }
@@ -87,7 +87,7 @@
 		}
 	}
 	l.Base, l.Slope = stat.LinearRegression(x, y, nil, false)
-	l.RSquared = stat.RSquared(x, y, nil, l.Base, l.Slope)
+	l.R2 = stat.RSquared(x, y, nil, l.Base, l.Slope)
 	if len(loops) == len(x) {
 		_, l.Loops = stat.LinearRegression(x, loops, nil, false)
 	}
@@ -195,7 +195,7 @@
 		}
 		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, formatNumber(l.Slope),
 			formatNumber(l.Least), formatNumber(l.Most), l.Unit,
-			formatLoops(l.Loops), formatNumber(l.Base), l.RSquared, 100*l.Residual, strings.Join(points, " "), off)
+			formatLoops(l.Loops), formatNumber(l.Base), l.R2, 100*l.Residual, strings.Join(points, " "), off)
 	}
 	w.Flush()
 	if len(r.Figures) > 0 {
@@ -225,23 +225,23 @@
 // not overlap. CPU times are also shown relative to the plain loop, because the machines or their load may differ.
 func (r *Report) Against(out io.Writer, before *Report) error {
 	if before.Small != r.Small {
-		return errors.New("one of the two reports has the small sizes of a test; only reports of the same sizes can be compared")
+		return errors.New("one of the two reports has the small sizes of a test; want two reports of the same kind")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nAGAINST\tBEFORE\tNOW\tTIMES\tIN LOOPS, TIMES\t")
-	ratio := func(now, before float64) string {
-		if before == 0 {
+	ratio := func(now, old float64) string {
+		if old == 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%.2f", now/before)
+		return fmt.Sprintf("%.2f", now/old)
 	}
-	row := func(name string, before, now, beforeLoops, nowLoops float64, disjoint bool) {
+	row := func(name string, old, now, oldLoops, nowLoops float64, disjoint bool) {
 		remark := ""
 		if disjoint {
 			remark = "runs do not overlap"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(before), formatNumber(now), ratio(now, before),
-			ratio(nowLoops, beforeLoops), remark)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(old), formatNumber(now), ratio(now, old),
+			ratio(nowLoops, oldLoops), remark)
 	}
 	for _, l := range r.Lines {
 		i := slices.IndexFunc(before.Lines, func(b Line) bool { return b.Name == l.Name })
--- a/internal/experiment/scale/report_test.go
+++ b/internal/experiment/scale/report_test.go
@@ -23,7 +23,7 @@
 func TestLineFitSpreadAndOutliers(t *testing.T) {
 	l := newLine(someQuantity, points(map[float64][]float64{1: {4, 6}, 2: {6, 8}, 4: {10, 12}}, 1, 2, 4))
 	near := func(a, b float64) bool { return math.Abs(a-b) < 1e-9 }
-	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.RSquared, 1) || l.Residual > 1e-9 || len(l.Off) > 0 ||
+	if !near(l.Slope, 2) || !near(l.Base, 3) || !near(l.R2, 1) || l.Residual > 1e-9 || len(l.Off) > 0 ||
 		!near(l.Least, 2) || !near(l.Most, 2) {
 		t.Errorf("exact points: %+v, want slope 2, base 3 and no deviation", l)
 	}
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -61,7 +61,7 @@
 func measureRequests(b *bench) error {
 	mostServers, topRate := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
 	requested, served := 0, 0
-	runLoad := func(s *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
+	load := func(s *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
 		used, n, done, err := b.runLoad(s, p, rate, warm)
 		requested, served = requested+n, served+done
 		return used, err
@@ -74,7 +74,7 @@
 	err := b.withRouter(mostServers, routerSetup{}, func(s *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
 			b.progressf("%.0f requests per second", rate)
-			used, err := runLoad(s, p, rate, b.plan.Settle)
+			used, err := load(s, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
 			}
@@ -90,7 +90,7 @@
 	err = b.withRouter(mostServers, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
 		before := acceptedConnections(s)
 		began := time.Now()
-		used, err := runLoad(s, p, topRate, b.plan.Settle)
+		used, err := load(s, p, topRate, b.plan.Settle)
 		if err != nil {
 			return err
 		}
@@ -108,7 +108,7 @@
 		b.progressf("memory of connections to %d servers", n)
 		err = b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
 			// until each server has a connection and most slots are looked up
-			used, err := runLoad(s, p, topRate, b.plan.Window)
+			used, err := load(s, p, topRate, b.plan.Window)
 			b.add("request.memory.servers", float64(n), used.resident, 0)
 			b.add("request.connections", float64(n), float64(acceptedConnections(s)), 0)
 			return err
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -50,7 +50,7 @@
 					continue
 				}
 				l := r.line(t, q.Name)
-				if len(l.Points) < minPoints || math.IsNaN(l.Slope+l.Base+l.Residual+l.RSquared) {
+				if len(l.Points) < minPoints || math.IsNaN(l.Slope+l.Base+l.Residual+l.R2) {
 					t.Errorf("%s is not a fitted line: %+v", q.Name, l)
 				}
 			}
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -23,7 +23,7 @@
 	index        int // among the peers
 	loop         *eventloop.Loop
 	transport    Transport
-	balancer     *balancer.Balancer
+	loadBalancer *balancer.Balancer
 	serverIDs    []uint64 // in the order of the list
 	generation   uint64   // of the list that is in force
 	listSince    float64  // when that list came into force, Unix seconds
@@ -56,12 +56,12 @@
 func newRouter(loop *eventloop.Loop, open OpenFunc, member Member, initialList discovery.EndpointList) (*router,
 	error) {
 	r := &router{index: member.Index, loop: loop}
-	r.balancer = balancer.New(loop.Now(), settings(member.Index, len(member.Peers)), host{r})
+	r.loadBalancer = balancer.New(loop.Now(), settings(member.Index, len(member.Peers)), host{r})
 	r.applyList(balancer.UpdateFull, initialList)
 	for _, id := range r.serverIDs {
 		member.ServerIDs = append(member.ServerIDs, uint16(id))
 	}
-	member.Loop, member.Deliver = loop, func(message []byte) { r.balancer.OnGossip(loop.Now(), message) }
+	member.Loop, member.Deliver = loop, func(message []byte) { r.loadBalancer.OnGossip(loop.Now(), message) }
 	var err error
 	r.transport, err = open(member, func(message []byte) {
 		loop.Post(func() {
@@ -69,7 +69,7 @@
 				r.zoneMessages++ // the balancer sends no longer message; a real router passes it to zone failover
 				return
 			}
-			r.balancer.OnGossip(loop.Now(), message)
+			r.loadBalancer.OnGossip(loop.Now(), message)
 		})
 	})
 	return r, err
@@ -84,7 +84,7 @@
 			r.serverIDs = append(r.serverIDs, e.ID)
 		}
 	}
-	r.balancer.OnEndpoints(r.loop.Now(), kind, endpoints)
+	r.loadBalancer.OnEndpoints(r.loop.Now(), kind, endpoints)
 	r.generation, r.listSince = list.Generation, r.loop.Now()
 }
 
--- a/internal/experiment/scale/simrouter/hollow_test.go
+++ b/internal/experiment/scale/simrouter/hollow_test.go
@@ -162,8 +162,8 @@
 
 // A message names five servers spread over the list; the argument of send shifts all five.
 func TestTypicalMessagesNameExpectedServers(t *testing.T) {
-	transport := &recordingTransport{}
-	r := &router{transport: transport}
+	recording := &recordingTransport{}
+	r := &router{transport: recording}
 	for id := range 20 {
 		r.serverIDs = append(r.serverIDs, uint64(0x10000+id))
 	}
@@ -172,8 +172,8 @@
 	r.send(39)
 	want := [][]byte{{0, 0, 32, 4, 0, 32, 8, 0, 32, 12, 0, 32, 16, 0, 32}, {1, 0, 32, 5, 0, 32, 9, 0, 32, 13, 0, 32, 17, 0, 32},
 		{19, 0, 32, 3, 0, 32, 7, 0, 32, 11, 0, 32, 15, 0, 32}}
-	if !reflect.DeepEqual(transport.sent, want) {
-		t.Errorf("sent %v, want %v", transport.sent, want)
+	if !reflect.DeepEqual(recording.sent, want) {
+		t.Errorf("sent %v, want %v", recording.sent, want)
 	}
 }
 
--- a/internal/experiment/scale/simrouter/serve.go
+++ b/internal/experiment/scale/simrouter/serve.go
@@ -30,11 +30,11 @@
 
 // Order is a command to a process of simulated routers.
 type Order struct {
-	Send          []int         `json:"talk,omitempty"` // indexes of routers that send a message each period from now on
+	Send          []int         `json:"talk,omitempty"` // routers that send a message each period from now on
 	Period        time.Duration `json:"period,omitempty"`
 	RotateServers bool          `json:"all,omitempty"`      // cycle through all servers; else always the same five
 	Stop          bool          `json:"hush,omitempty"`     // all routers stop periodic sending
-	SendOnce      []int         `json:"say_once,omitempty"` // indexes of the routers that send one message now
+	SendOnce      []int         `json:"say_once,omitempty"` // routers that send one message now
 	PerRouter     bool          `json:"each,omitempty"`     // the answer includes the bytes of each router
 }
 
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -28,9 +28,8 @@
 	Peers     []string // addresses of all routers, including its own
 	ServerIDs []uint16 // last two bytes of the IDs of the servers in its first list
 	Loop      *eventloop.Loop
-	// called on the event loop with observations that stand for those of many routers
-	Deliver func(observations []byte)
-	Log     zerolog.Logger
+	Deliver   func(observations []byte) // called on the event loop; they stand for observations of many routers
+	Log       zerolog.Logger
 }
 
 // OpenFunc opens a router's transport. onMessage is called with each received message, on any goroutine.
@@ -105,9 +104,9 @@
 }
 
 func (w *broadcastTransport) Traffic() Traffic {
-	received, bytesIn, bytesOut := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
+	received, receivedBytes, sentBytes := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
 	return Traffic{Sent: w.sent.Load(), Received: received, DatagramsIn: received,
-		DatagramsOut: w.sent.Load() * w.others, BytesIn: bytesIn, BytesOut: bytesOut,
-		LeastReceived: received, MostReceived: received, LeastBytesIn: bytesIn, MostBytesIn: bytesIn,
-		LeastBytesOut: bytesOut, MostBytesOut: bytesOut}
+		DatagramsOut: w.sent.Load() * w.others, BytesIn: receivedBytes, BytesOut: sentBytes,
+		LeastReceived: received, MostReceived: received, LeastBytesIn: receivedBytes, MostBytesIn: receivedBytes,
+		LeastBytesOut: sentBytes, MostBytesOut: sentBytes}
 }
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -25,10 +25,9 @@
 	serversOctet      = 40 // eight values with 250 addresses each
 	addressesPerOctet = 250
 
-	gossipPort = 7946
-	// file descriptors: the usual 1024 leave 372 connections to servers, fewer than there are servers
-	routerDescriptors = 4096
-	zoneCount         = 20 // servers are assigned to zones in turn
+	gossipPort        = 7946
+	routerDescriptors = 4096 // the usual 1024 leave 372 connections to servers, fewer than there are servers
+	zoneCount         = 20   // servers are assigned to zones in turn
 )
 
 func (b *bench) address(x, n, port int) string {
@@ -139,13 +138,12 @@
 
 // routerSetup is the settings in which the measured routers differ.
 type routerSetup struct {
-	listService int // index of the list service
-	// addresses of the other routers; the router's own address comes first in the configuration
-	peers             []string
-	fleetSize         int     // 0: the peers and this router
-	gossip            bool    // sending gossip messages is allowed
-	serverIdleSeconds float64 // until cache servers close idle connections; 0: an hour
-	adminServer       bool    // the admin server listens
+	listService       int      // index of the list service
+	peers             []string // addresses of the other routers; the configuration has the router's own before them
+	fleetSize         int      // 0: the peers and this router
+	gossip            bool     // sending gossip messages is allowed
+	serverIdleSeconds float64  // until cache servers close idle connections; 0: an hour
+	adminServer       bool     // the admin server listens
 	zoneFailover      bool
 	recovery          bool
 	teamBudget        int  // budget of the one team; 0: no team
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -57,12 +57,11 @@
 	maxValueRuns   = 20
 	minValuePoints = 3 // points of a line: any two points lie on a line
 
-	valueServerCount = 8
-	valueDescriptors = 4096
-	valueMemoryMB    = 256              // high enough that 256 transfers do not reach it
-	valueTimeout     = 20 * time.Second // for one value, on a busy machine
-	// bytes; small, so that the values that a client does not read stay in the router
-	clientReceiveBuffer = 4096
+	valueServerCount    = 8
+	valueDescriptors    = 4096
+	valueMemoryMB       = 256              // high enough that 256 transfers do not reach it
+	valueTimeout        = 20 * time.Second // for one value, on a busy machine
+	clientReceiveBuffer = 4096             // bytes; small, so that unread values stay in the router
 )
 
 // Check returns every fault of the options, each with its flag, its value and the accepted values.
@@ -530,8 +529,8 @@
 // Copies returns the number of copies for a streamed and for a buffered value. The kernel makes two more, from a socket
 // and to a socket.
 func Copies() []Copy {
-	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and what a small ring buffer reads
-	// at a time.
+	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and the read size of a small ring
+	// buffer.
 	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512
 	grown := 0
 	value := make([]byte, 0, firstCapacity)
@@ -545,7 +544,7 @@
 		{"value.copies.passed", 1,
 			"above 64 KiB: server's ring buffer to client's (upstream.memcacheCodec.Part, eventloop.Conn.Write)"},
 		{"value.copies.held", 2 + float64(grown)/held,
-			"of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and the value as it grows (meta.readValue)"},
+			"of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and growing (meta.readValue)"},
 	}
 }
 
@@ -555,7 +554,7 @@
 	fmt.Fprintln(w, "name\tunit\tfor one more\tslope\tleast\tmost\twith none\tresidual\tr squared\tin plain loops\t")
 	for _, l := range lines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.3f\t%.4f\t%.4g\t\n", l.Name, l.Unit, l.Per, l.Slope, l.Least, l.Most, l.Base, l.Residual,
-			l.RSquared, l.Loops)
+			l.R2, l.Loops)
 	}
 	fmt.Fprintln(w, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(w, "name\tat\tmean\tleast\tmost\tin plain loops\tMB a second of a core\t")
--- a/internal/experiment/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -69,7 +69,8 @@
 	if err == nil {
 		t.Fatal("invalid options give no error")
 	}
-	for _, want := range []string{"--sizes 60000,5000000: want three or more rising numbers from 1000 to 4194304, such as 60000,200000,1000000,4000000",
+	for _, want := range []string{
+		"--sizes 60000,5000000: want three or more rising numbers from 1000 to 4194304, such as 60000,200000,1000000,4000000",
 		"--transfers 4,2,1: want three or more rising numbers from 1 to 256", "--bytes 7: want a number from 1000",
 		"--at-once 0: want a number from 1 to 256", "--runs 21: want a number from 1 to 20"} {
 		if !strings.Contains(err.Error(), want) {
--- a/internal/experiment/scale/voices.go
+++ b/internal/experiment/scale/voices.go
@@ -111,8 +111,7 @@
 // countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It
 // waits shortly for datagrams that some peers have received and others have not.
 func (v *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
-	// a broadcast takes some milliseconds, and the next follows after half a second
-	const maxDelay = 200 * time.Millisecond
+	const maxDelay = 200 * time.Millisecond // a broadcast takes milliseconds, and the next follows after half a second
 	for until := time.Now().Add(maxDelay); ; {
 		if err = v.receive(); err != nil {
 			return 0, 0, err
