--- a/internal/experiment/scale/conf.go
+++ b/internal/experiment/scale/conf.go
@@ -13,9 +13,9 @@
 	mostServers := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
 		b.progressf("start with %d peers", n)
-		err := b.withServers(mostServers, func(s *testbed) error {
+		err := b.withServers(mostServers, func(t *testbed) error {
 			began := time.Now()
-			p, err := b.startRouter(s, routerSetup{peers: b.peerAddresses(n), gossip: true})
+			p, err := b.startRouter(t, routerSetup{peers: b.peerAddresses(n), gossip: true})
 			if err != nil {
 				return err
 			}
@@ -28,7 +28,7 @@
 			if err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // unused memory is returned later, if at all
+			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // a process returns unused memory late, if at all
 				return err
 			}
 			_, peak, err := residentKiB(p.pid())
@@ -48,7 +48,7 @@
 // measureReload makes a router reload its configuration several times in a row. It returns the CPU microseconds of one
 // reload, beyond what the router uses when idle, and the mean milliseconds until the configuration is in force. logLine
 // is the text that the router logs then; change returns the setup of the n-th reload.
-func (b *bench) measureReload(s *testbed, p *process, logLine string,
+func (b *bench) measureReload(t *testbed, p *process, logLine string,
 	change func(n int) routerSetup) (cpuMicros, delayMillis float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
@@ -60,7 +60,7 @@
 		return 0, 0, err
 	}
 	for n := range repetitions {
-		if err = b.configure(s, change(n)); err != nil {
+		if err = b.configure(t, change(n)); err != nil {
 			return 0, 0, err
 		}
 		seen, signalledAt := p.countLogLines(logLine), time.Now()
@@ -96,9 +96,9 @@
 	for _, n := range append([]int{0}, b.plan.Routers...) {
 		b.progressf("reload with %d peers", n)
 		setup := routerSetup{peers: b.peerAddresses(n), gossip: true, teamBudget: 1}
-		err := b.withRouter(mostServers, setup, func(s *testbed, p *process) error {
+		err := b.withRouter(mostServers, setup, func(t *testbed, p *process) error {
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
-			unchanged, delayMillis, err := b.measureReload(s, p, logReloaded, func(int) routerSetup { return setup })
+			unchanged, delayMillis, err := b.measureReload(t, p, logReloaded, func(int) routerSetup { return setup })
 			if err != nil {
 				return err
 			}
@@ -110,14 +110,14 @@
 			}
 			b.add("conf.memory.peers", float64(n), peak, 0)
 			if n == 0 {
-				teamChange, _, err := b.measureReload(s, p, logContracts,
+				teamChange, _, err := b.measureReload(t, p, logContracts,
 					func(k int) routerSetup { setup := setup; setup.teamBudget = 2 + k; return setup })
 				if err != nil {
 					return err
 				}
 				b.add("conf.core.contract", 0, teamChange, loop)
 			}
-			faulty, _, err := b.measureReload(s, p, logReloadRejected,
+			faulty, _, err := b.measureReload(t, p, logReloadRejected,
 				func(int) routerSetup { setup := setup; setup.invalid = true; return setup })
 			b.add("conf.core.faulty", float64(n), faulty, loop)
 			return err
--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -74,14 +74,14 @@
 // measureTraffic lets each router of a fleet send a message per second about all servers in turn. It waits for settle,
 // then measures a window.
 func (b *bench) measureTraffic(transport string, n int, settle time.Duration) (traffic trafficUsage, err error) {
-	err = b.withServers(slices.Max(b.plan.Servers), func(s *testbed) error {
-		known, err := fetchList(s.listServices[0].Addr(), "")
+	err = b.withServers(slices.Max(b.plan.Servers), func(t *testbed) error {
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
 		fleet, err := b.startSimFleetBy(min(b.plan.Hollow, gossipRoutersPerProcess),
-			simrouter.Spec{Transport: transport, Peers: b.peerAddresses(n), InitialList: known,
-				ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}, n)
+			simrouter.Spec{Transport: transport, Peers: b.peerAddresses(n), InitialList: initialList,
+				ListService: t.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}, n)
 		if err != nil {
 			return err
 		}
--- a/internal/experiment/scale/hear.go
+++ b/internal/experiment/scale/hear.go
@@ -12,9 +12,9 @@
 )
 
 // typicalMessage returns a gossip message as the balancer sends it: five servers, each with a typical latency.
-func typicalMessage(s *testbed) (message []byte) {
+func typicalMessage(t *testbed) (message []byte) {
 	const servers, typicalLatency = 5, 32
-	all := s.fleet.Servers()
+	all := t.fleet.Servers()
 	for n := range servers {
 		message = binary.LittleEndian.AppendUint16(message, uint16(discovery.ID(all[n*len(all)/servers].Name)))
 		message = append(message, typicalLatency)
@@ -23,9 +23,9 @@
 }
 
 // zoneMessages returns a function that makes the next zone message of the n-th router: eight zones, all healthy.
-func (b *bench) zoneMessages(s *testbed, routers int) func(router int) []byte {
+func (b *bench) zoneMessages(t *testbed, routers int) func(router int) []byte {
 	servers, ids := map[string]int{}, map[uint16]bool{}
-	for _, server := range s.fleet.Servers() {
+	for _, server := range t.fleet.Servers() {
 		servers[server.Zone]++
 		ids[uint16(discovery.ID(server.Name))] = true
 	}
@@ -85,7 +85,7 @@
 		rate = 200
 	}
 	dropped := 0
-	withPeers := func(servers, peers int, zoned bool, f func(s *testbed, p *process, sockets *peerSockets,
+	withPeers := func(servers, peers int, zoned bool, f func(t *testbed, p *process, sockets *peerSockets,
 		payload func(int) []byte) error) error {
 		sockets, err := b.openPeerSockets(peers)
 		if err != nil {
@@ -93,9 +93,9 @@
 		}
 		defer sockets.close()
 		return b.withRouter(servers, routerSetup{peers: b.peerAddresses(peers), gossip: true, zoneFailover: zoned},
-			func(s *testbed, p *process) error {
-				message := typicalMessage(s)
-				err := f(s, p, sockets, func(int) []byte { return message })
+			func(t *testbed, p *process) error {
+				message := typicalMessage(t)
+				err := f(t, p, sockets, func(int) []byte { return message })
 				if err != nil {
 					return err
 				}
@@ -165,9 +165,9 @@
 		return err
 	}
 	b.progressf("receiving zone messages")
-	err = withPeers(mostServers, fewestPeers, true, func(s *testbed, p *process, sockets *peerSockets,
+	err = withPeers(mostServers, fewestPeers, true, func(t *testbed, p *process, sockets *peerSockets,
 		_ func(int) []byte) error {
-		payload, size := b.zoneMessages(s, fewestPeers), 0
+		payload, size := b.zoneMessages(t, fewestPeers), 0
 		err := measureMessage(p, sockets, func(n int) []byte {
 			message := payload(n)
 			size = len(message)
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -41,37 +41,37 @@
 
 // startSimFleet starts count simulated routers from the spec's first peer on, as many per process as the plan allows.
 // It waits until all can receive messages.
-func (b *bench) startSimFleet(spec simrouter.Spec, count int) (h *simFleet, err error) {
+func (b *bench) startSimFleet(spec simrouter.Spec, count int) (f *simFleet, err error) {
 	return b.startSimFleetBy(b.plan.Hollow, spec, count)
 }
 
 // startSimFleetBy is startSimFleet with at most perProcess routers in a process.
-func (b *bench) startSimFleetBy(perProcess int, spec simrouter.Spec, count int) (h *simFleet, err error) {
+func (b *bench) startSimFleetBy(perProcess int, spec simrouter.Spec, count int) (f *simFleet, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() (err error) {
-		h, err = b.tryStartSimFleet(perProcess, spec, count)
+		f, err = b.tryStartSimFleet(perProcess, spec, count)
 		return err
 	})
-	return h, err
+	return f, err
 }
 
 func (b *bench) tryStartSimFleet(perProcess int, spec simrouter.Spec, count int) (*simFleet, error) {
-	h := &simFleet{owner: b}
+	f := &simFleet{owner: b}
 	for first := spec.First; first < spec.First+count; first += perProcess {
 		processSpec := spec
 		processSpec.First, processSpec.Count = first, min(perProcess, spec.First+count-first)
-		c, err := b.startSimProcess(len(h.processes), processSpec)
+		c, err := b.startSimProcess(len(f.processes), processSpec)
 		if err != nil {
-			h.close()
+			f.close()
 			return nil, err
 		}
-		h.processes = append(h.processes, c)
+		f.processes = append(f.processes, c)
 	}
-	_, err := h.sendOrder(nil)
+	_, err := f.sendOrder(nil)
 	if err != nil {
-		h.close()
+		f.close()
 		return nil, err
 	}
-	return h, nil
+	return f, nil
 }
 
 func (b *bench) startSimProcess(n int, spec simrouter.Spec) (*simProcess, error) {
@@ -126,9 +126,9 @@
 
 // sendOrder sends an order to all processes, waits for their answers and returns the sum. If the order is nil, it waits
 // for the answers to the specs.
-func (h *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
+func (f *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
-		for _, c := range h.processes {
+		for _, c := range f.processes {
 			if err := c.orders.Encode(o); err != nil {
 				return sum, fmt.Errorf("sending an order to simulated routers: %w; their log ends with\n%s", err,
 					c.logTail())
@@ -136,12 +136,12 @@
 		}
 	}
 	timeout := time.After(readyTimeout)
-	for i, c := range h.processes {
+	for i, c := range f.processes {
 		var result answerResult
 		select {
 		case result = <-c.answers:
-		case <-h.owner.ctx.Done():
-			return sum, h.owner.ctx.Err()
+		case <-f.owner.ctx.Done():
+			return sum, f.owner.ctx.Err()
 		case <-timeout:
 			return sum, fmt.Errorf("simulated routers did not answer within %v", readyTimeout)
 		}
@@ -162,8 +162,8 @@
 }
 
 // totals returns the CPU seconds and the resident KiB of all processes.
-func (h *simFleet) totals() (cpu, resident float64, err error) {
-	for _, c := range h.processes {
+func (f *simFleet) totals() (cpu, resident float64, err error) {
+	for _, c := range f.processes {
 		p, err := cpuSeconds(c.pid())
 		if err != nil {
 			return 0, 0, err
@@ -178,12 +178,12 @@
 }
 
 // close ends all processes. They exit when their input is closed, and are killed if they do not exit in time.
-func (h *simFleet) close() {
-	for _, c := range h.processes {
+func (f *simFleet) close() {
+	for _, c := range f.processes {
 		c.stdin.Close()
 	}
 	timeout := time.After(exitTimeout)
-	for _, c := range h.processes {
+	for _, c := range f.processes {
 		select {
 		case <-c.ended:
 		case <-timeout:
@@ -213,14 +213,14 @@
 	lost, sent, size := 0.0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
 		b.progressf("%d simulated routers", n)
-		err := b.withServers(mostServers, func(s *testbed) error {
-			known, err := fetchList(s.listServices[0].Addr(), "")
+		err := b.withServers(mostServers, func(t *testbed) error {
+			initialList, err := fetchList(t.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
 			began := time.Now()
-			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: known,
-				ListService: s.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
+			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: initialList,
+				ListService: t.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
 			fleet, err := b.startSimFleet(spec, n)
 			if err != nil {
 				return err
@@ -236,7 +236,7 @@
 			}
 			b.add("hollow.memory", float64(n), quiet.resident, 0)
 			if quiet.resident > maxResidentKiB {
-				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, the limit is %d; use fewer with --routers",
+				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, limit %d; use fewer with --routers",
 					n, quiet.resident, maxResidentKiB)
 			}
 			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
@@ -265,7 +265,7 @@
 				size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
 			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), used.cpuRate()-quiet.cpuRate(),
 				used.loop)
-			return b.measureListChange(s, fleet, n)
+			return b.measureListChange(t, fleet, n)
 		})
 		if err != nil {
 			return err
@@ -278,30 +278,30 @@
 }
 
 // measureWindow returns what all processes use in a window.
-func (h *simFleet) measureWindow(b *bench) (used usage, err error) {
-	before, _, err := h.totals()
+func (f *simFleet) measureWindow(b *bench) (used usage, err error) {
+	before, _, err := f.totals()
 	if err != nil {
 		return used, err
 	}
 	began := time.Now()
-	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &h.processes[0].process); err != nil {
+	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &f.processes[0].process); err != nil {
 		return used, err
 	}
-	after, resident, err := h.totals()
+	after, resident, err := f.totals()
 	used.seconds, used.cpu, used.resident, used.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
 	return b.recordLoop(used), err
 }
 
 // stopAndSettle stops all sending, and returns the counters once no datagram is in flight.
-func (h *simFleet) stopAndSettle() (simrouter.Answer, error) {
-	answer, err := h.sendOrder(&simrouter.Order{Stop: true})
+func (f *simFleet) stopAndSettle() (simrouter.Answer, error) {
+	answer, err := f.sendOrder(&simrouter.Order{Stop: true})
 	for range 100 {
 		if err != nil || answer.Traffic.DatagramsIn >= answer.Traffic.DatagramsOut {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
 		before := answer.Traffic.DatagramsIn
-		if answer, err = h.sendOrder(&simrouter.Order{}); err == nil && answer.Traffic.DatagramsIn == before {
+		if answer, err = f.sendOrder(&simrouter.Order{}); err == nil && answer.Traffic.DatagramsIn == before {
 			break
 		}
 	}
@@ -309,15 +309,15 @@
 }
 
 // measureListChange measures the time until a change of the list is in force at all routers that watch it.
-func (b *bench) measureListChange(s *testbed, simulated *simFleet, n int) error {
+func (b *bench) measureListChange(t *testbed, simulated *simFleet, n int) error {
 	answer, err := simulated.sendOrder(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
 	var changedAt float64
-	s.onLoop(func() {
-		changedAt = s.loop.Now()
-		s.fleet.Servers()[0].Drain()
+	t.onLoop(func() {
+		changedAt = t.loop.Now()
+		t.fleet.Servers()[0].Drain()
 	})
 	wantGeneration := answer.OldestGeneration + 1
 	err = simulated.processes[0].waitFor(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
@@ -355,22 +355,21 @@
 		return err
 	}
 	err = b.withRouter(mostServers, routerSetup{peers: b.peerAddresses(fewestPeers), gossip: true},
-		func(s *testbed, p *process) error {
-			return measureMessage("real", p, typicalMessage(s))
+		func(t *testbed, p *process) error {
+			return measureMessage("real", p, typicalMessage(t))
 		})
 	if err != nil {
 		return err
 	}
-	err = b.withServers(mostServers, func(s *testbed) error { // at the real router's address, alone in its process
-		known, err := fetchList(s.listServices[0].Addr(), "")
+	err = b.withServers(mostServers, func(t *testbed) error { // at the real router's address, alone in its process
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
 		own := b.address(routerOctet, 0, gossipPort)
 		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all",
-			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: known,
-			ListService: s.listServices[0].Addr(),
-			Follow:      []int{0}}, 1)
+			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: initialList,
+			ListService: t.listServices[0].Addr(), Follow: []int{0}}, 1)
 		if err != nil {
 			return err
 		}
@@ -378,7 +377,7 @@
 		if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 			return err
 		}
-		return measureMessage("hollow", &fleet.processes[0].process, typicalMessage(s))
+		return measureMessage("hollow", &fleet.processes[0].process, typicalMessage(t))
 	})
 	if err != nil {
 		return err
@@ -400,14 +399,14 @@
 func (b *bench) countBesideRealRouter(n int) error {
 	b.progressf("a real router in a fleet of %d simulated ones", n)
 	c := routerSetup{peers: b.peerAddresses(n), gossip: true, zoneFailover: true, adminServer: true, fleetSize: 50}
-	return b.withRouter(slices.Max(b.plan.Servers), c, func(s *testbed, p *process) error {
-		known, err := fetchList(s.listServices[0].Addr(), "")
+	return b.withRouter(slices.Max(b.plan.Servers), c, func(t *testbed, p *process) error {
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
 		peers := append([]string{b.address(routerOctet, 0, gossipPort)}, b.peerAddresses(n)...)
-		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: known,
-			ListService: s.listServices[0].Addr()}, n)
+		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: initialList,
+			ListService: t.listServices[0].Addr()}, n)
 		if err != nil {
 			return err
 		}
@@ -433,11 +432,11 @@
 		if err != nil {
 			return err
 		}
-		b.add("hollow.agree.heard", 0, float64(after.Traffic.Received-after.ZoneMessages)-float64(repetitions*n*(n-1)),
-			0)
+		b.add("hollow.agree.heard", 0, float64(after.Traffic.Received-after.ZoneMessages)-
+			float64(repetitions*n*(n-1)), 0)
 		b.add("hollow.agree.real", 0, float64(dropped), 0)
-		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-(sentAfter-sentBefore)*float64(n),
-			0)
+		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-
+			(sentAfter-sentBefore)*float64(n), 0)
 		return nil
 	})
 }
--- a/internal/experiment/scale/list.go
+++ b/internal/experiment/scale/list.go
@@ -101,30 +101,30 @@
 func measureLists(b *bench) error {
 	for _, n := range b.plan.Servers {
 		b.progressf("list of %d servers", n)
-		err := b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
+		err := b.withRouter(n, routerSetup{}, func(t *testbed, p *process) error {
 			loop := b.recordLoop(usage{loop: plainLoop()}).loop
-			whole, err := fetchList(s.listServices[0].Addr(), "")
+			fullList, err := fetchList(t.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
-			b.add("list.bytes.servers", float64(n), float64(len(whole)), 0)
-			same, _, err := b.measureReload(s, p, logReloaded, func(int) routerSetup { return routerSetup{} })
+			b.add("list.bytes.servers", float64(n), float64(len(fullList)), 0)
+			reloadMicros, _, err := b.measureReload(t, p, logReloaded, func(int) routerSetup { return routerSetup{} })
 			if err != nil {
 				return err
 			}
-			moved, force, err := b.measureReload(s, p, logListInForce,
+			moveMicros, delayMillis, err := b.measureReload(t, p, logListInForce,
 				func(k int) routerSetup { return routerSetup{listService: 1 - k%2} })
 			if err != nil {
 				return err
 			}
-			b.add("list.core.servers", float64(n), moved-same, loop)
-			b.add("list.force.servers", float64(n), force, 0)
-			each, force, size, err := b.measureListChanges(s, p)
+			b.add("list.core.servers", float64(n), moveMicros-reloadMicros, loop)
+			b.add("list.force.servers", float64(n), delayMillis, 0)
+			changeMicros, delayMillis, size, err := b.measureListChanges(t, p)
 			if err != nil {
 				return err
 			}
-			b.add("list.core.change", float64(n), each, loop)
-			b.add("list.force.change", float64(n), force, 0)
+			b.add("list.core.change", float64(n), changeMicros, loop)
+			b.add("list.force.change", float64(n), delayMillis, 0)
 			b.add("list.bytes.change", 0, size, 0)
 			_, peak, err := residentKiB(p.pid())
 			b.add("list.memory.servers", float64(n), peak, 0)
@@ -136,12 +136,12 @@
 	}
 	b.progressf("calls to the list service without changes")
 	return b.withRouter(slices.Max(b.plan.Servers), routerSetup{countListCalls: true},
-		func(s *testbed, p *process) error {
-			calls, size := s.listProxy.calls.Load(), s.listProxy.bytes.Load()
+		func(t *testbed, p *process) error {
+			calls, size := t.listProxy.calls.Load(), t.listProxy.bytes.Load()
 			used, err := p.measureWindow(b.ctx, max(b.plan.Window, time.Second))
 			b.recordLoop(used)
-			b.add("list.calls", 0, float64(s.listProxy.calls.Load()-calls)/used.seconds, 0)
-			b.add("list.bytes.calls", 0, float64(s.listProxy.bytes.Load()-size)/used.seconds, 0)
+			b.add("list.calls", 0, float64(t.listProxy.calls.Load()-calls)/used.seconds, 0)
+			b.add("list.bytes.calls", 0, float64(t.listProxy.bytes.Load()-size)/used.seconds, 0)
 			return err
 		})
 }
@@ -149,7 +149,7 @@
 // measureListChanges drains servers and brings them back, one after another. For one such change it returns the
 // router's CPU microseconds beyond what it uses when idle, the milliseconds until it is in force, and the bytes of the
 // list service's response.
-func (b *bench) measureListChanges(s *testbed, p *process) (cpuMicros, delay, size float64, err error) {
+func (b *bench) measureListChanges(t *testbed, p *process) (cpuMicros, delay, size float64, err error) {
 	idleUsage, err := b.measureWindow(p)
 	if err != nil {
 		return 0, 0, 0, err
@@ -161,8 +161,8 @@
 	}
 	for n := range 2 * repetitions {
 		seen, changedAt := p.countLogLines(logListInForce), time.Now()
-		s.onLoop(func() {
-			if server := s.fleet.Servers()[n/2%len(s.fleet.Servers())]; n%2 == 0 {
+		t.onLoop(func() {
+			if server := t.fleet.Servers()[n/2%len(t.fleet.Servers())]; n%2 == 0 {
 				server.Drain()
 			} else {
 				server.Undrain()
@@ -179,7 +179,7 @@
 		return 0, 0, 0, err
 	}
 	cpuMicros = (after - before - idleUsage.cpuRate()/1e6*time.Since(began).Seconds()) * 1e6 / (2 * repetitions)
-	last, err := fetchList(s.listServices[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0",
-		len(s.fleet.Servers())+2*repetitions-1))
+	last, err := fetchList(t.listServices[0].Addr(), fmt.Sprintf("?from=%d&hold_ms=0",
+		len(t.fleet.Servers())+2*repetitions-1))
 	return cpuMicros, elapsed * 1e3 / (2 * repetitions), float64(len(last)), err
 }
--- a/internal/experiment/scale/names.go
+++ b/internal/experiment/scale/names.go
@@ -15,7 +15,7 @@
 	{"idle.core.recovery", coreRate, "", "the same with recovery on"},
 	{"idle.core.teams", coreRate, "", "the same with a quota for one team"},
 	{"idle.core.all", coreRate, "",
-		"all of these features and a team, with the largest number of peers, which get its zone messages"},
+		"the same with admin server, zone failover, recovery and a team, sending zone messages to the most peers"},
 	{"idle.wakeups.plain", "wake-ups/s", "", "of the router with no optional feature on"},
 	{"idle.wakeups.all", "wake-ups/s", "", "of the router with all of these features on"},
 	{"idle.memory.all", "KiB", "", "resident memory of the same router"},
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -14,7 +14,7 @@
 
 // runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the
 // router's usage in the window, the number of all requests, and the number of those that got their value.
-func (b *bench) runLoad(s *testbed, p *process, rate float64, warm time.Duration) (
+func (b *bench) runLoad(t *testbed, p *process, rate float64, warm time.Duration) (
 	used usage, requested, served int, err error) {
 	loop, err := eventloop.New()
 	if err != nil {
@@ -61,20 +61,20 @@
 func measureRequests(b *bench) error {
 	mostServers, topRate := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
 	requested, served := 0, 0
-	load := func(s *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
-		used, n, done, err := b.runLoad(s, p, rate, warm)
+	load := func(t *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
+		used, n, done, err := b.runLoad(t, p, rate, warm)
 		requested, served = requested+n, served+done
 		return used, err
 	}
-	acceptedConnections := func(s *testbed) (n int) {
-		s.onLoop(func() { n = len(s.fleet.Book().Accepts) })
+	acceptedConnections := func(t *testbed) (n int) {
+		t.onLoop(func() { n = len(t.fleet.Book().Accepts) })
 		return n
 	}
 	reusedRate := 0.0
-	err := b.withRouter(mostServers, routerSetup{}, func(s *testbed, p *process) error {
+	err := b.withRouter(mostServers, routerSetup{}, func(t *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
 			b.progressf("%.0f requests per second", rate)
-			used, err := load(s, p, rate, b.plan.Settle)
+			used, err := load(t, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
 			}
@@ -87,14 +87,14 @@
 		return err
 	}
 	b.progressf("a handshake for each request")
-	err = b.withRouter(mostServers, routerSetup{serverIdleSeconds: 0.001}, func(s *testbed, p *process) error {
-		before := acceptedConnections(s)
+	err = b.withRouter(mostServers, routerSetup{serverIdleSeconds: 0.001}, func(t *testbed, p *process) error {
+		before := acceptedConnections(t)
 		began := time.Now()
-		used, err := load(s, p, topRate, b.plan.Settle)
+		used, err := load(t, p, topRate, b.plan.Settle)
 		if err != nil {
 			return err
 		}
-		connectionsPerSecond := float64(acceptedConnections(s)-before) / time.Since(began).Seconds()
+		connectionsPerSecond := float64(acceptedConnections(t)-before) / time.Since(began).Seconds()
 		if connectionsPerSecond <= 0 {
 			return fmt.Errorf("the router opened no connection to a server")
 		}
@@ -106,11 +106,11 @@
 	}
 	for _, n := range b.plan.Servers {
 		b.progressf("memory of connections to %d servers", n)
-		err = b.withRouter(n, routerSetup{}, func(s *testbed, p *process) error {
+		err = b.withRouter(n, routerSetup{}, func(t *testbed, p *process) error {
 			// until each server has a connection and most slots are looked up
-			used, err := load(s, p, topRate, b.plan.Window)
+			used, err := load(t, p, topRate, b.plan.Window)
 			b.add("request.memory.servers", float64(n), used.resident, 0)
-			b.add("request.connections", float64(n), float64(acceptedConnections(s)), 0)
+			b.add("request.connections", float64(n), float64(acceptedConnections(t)), 0)
 			return err
 		})
 		if err != nil {
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -33,7 +33,7 @@
 	sent, delivered, datagramsIn uint64
 }
 
-func openGossip(member Member, onMessage func(datagram []byte)) (Transport, error) {
+func openGossip(member Member, onMessage func(message []byte)) (Transport, error) {
 	var addressHashes []uint32
 	for _, text := range member.Peers {
 		at, err := netip.ParseAddrPort(text)
@@ -48,56 +48,56 @@
 		longestObjective = max(longestObjective, t.LatencyObjective)
 	}
 	incarnation := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + member.Listen))
-	w := &gossipTransport{member: member, onMessage: onMessage, gossiper: gossip.New(member.Loop.Now(),
+	t := &gossipTransport{member: member, onMessage: onMessage, gossiper: gossip.New(member.Loop.Now(),
 		gossip.Settings{Self: member.Index, Seed: routerSettings.Seed ^ incarnation, Incarnation: incarnation,
 			BytesPerSecond: GossipBytesPerSecond, LongestObjective: longestObjective}, gossip.NewView(addressHashes))}
-	w.gossiper.SetServers(member.ServerIDs)
-	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index, func(_ netip.AddrPort, place int,
-		datagram []byte) {
-		member.Loop.Post(func() { w.receive(place, datagram) })
-	}, member.Log)
+	t.gossiper.SetServers(member.ServerIDs)
+	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index,
+		func(_ netip.AddrPort, sender int, datagram []byte) {
+			member.Loop.Post(func() { t.receive(sender, datagram) })
+		}, member.Log)
 	if err != nil {
 		return nil, err
 	}
-	w.peers = open
+	t.peers = open
 	member.Loop.Post(func() { // the routers of a process step at different times
-		member.Loop.After(stepSeconds*float64(member.Index)/float64(len(member.Peers)), w.step)
+		member.Loop.After(stepSeconds*float64(member.Index)/float64(len(member.Peers)), t.step)
 	})
-	return w, nil
+	return t, nil
 }
 
-func (w *gossipTransport) receive(sender int, datagram []byte) {
-	w.datagramsIn++
-	if !w.gossiper.OnDatagram(w.member.Loop.Now(), sender, datagram) {
-		w.onMessage(datagram)
+func (t *gossipTransport) receive(sender int, datagram []byte) {
+	t.datagramsIn++
+	if !t.gossiper.OnDatagram(t.member.Loop.Now(), sender, datagram) {
+		t.onMessage(datagram)
 	}
 }
 
-func (w *gossipTransport) step() {
-	now := w.member.Loop.Now()
-	for _, d := range w.gossiper.Tick(now) {
-		w.peers.Send(d.To, d.Bytes)
+func (t *gossipTransport) step() {
+	now := t.member.Loop.Now()
+	for _, d := range t.gossiper.Tick(now) {
+		t.peers.Send(d.To, d.Bytes)
 	}
-	if w.steps++; w.steps%stepsPerDelivery == 0 {
-		if observations := w.gossiper.SynthesizeObservations(now); len(observations) > 0 {
-			w.delivered++
-			w.member.Deliver(observations)
+	if t.steps++; t.steps%stepsPerDelivery == 0 {
+		if observations := t.gossiper.SynthesizeObservations(now); len(observations) > 0 {
+			t.delivered++
+			t.member.Deliver(observations)
 		}
 	}
-	w.member.Loop.After(stepSeconds, w.step)
+	t.member.Loop.After(stepSeconds, t.step)
 }
 
-func (w *gossipTransport) Broadcast(message []byte) {
-	w.sent++
-	w.gossiper.Report(w.member.Loop.Now(), message)
+func (t *gossipTransport) Broadcast(message []byte) {
+	t.sent++
+	t.gossiper.Report(t.member.Loop.Now(), message)
 }
 
 // Traffic counts each delivery to the balancer as one received message, because gossip delivers no single message of
 // another router.
-func (w *gossipTransport) Traffic() Traffic {
-	c := w.gossiper.Counters
-	return Traffic{Sent: w.sent, Received: w.delivered, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent,
+func (t *gossipTransport) Traffic() Traffic {
+	c := t.gossiper.Counters
+	return Traffic{Sent: t.sent, Received: t.delivered, DatagramsIn: t.datagramsIn, DatagramsOut: c.DatagramsSent,
 		BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
-		LeastReceived: w.delivered, MostReceived: w.delivered, LeastBytesIn: c.BytesReceived,
+		LeastReceived: t.delivered, MostReceived: t.delivered, LeastBytesIn: c.BytesReceived,
 		MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
 }
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -53,8 +53,8 @@
 const observationBytes = 3 // bytes of one observation in a gossip message
 
 // newRouter returns a router with an endpoint list. It receives messages from now on.
-func newRouter(loop *eventloop.Loop, open OpenFunc, member Member, initialList discovery.EndpointList) (*router,
-	error) {
+func newRouter(loop *eventloop.Loop, open OpenFunc, member Member,
+	initialList discovery.EndpointList) (*router, error) {
 	r := &router{index: member.Index, loop: loop}
 	r.loadBalancer = balancer.New(loop.Now(), settings(member.Index, len(member.Peers)), host{r})
 	r.applyList(balancer.UpdateFull, initialList)
@@ -66,7 +66,7 @@
 	r.transport, err = open(member, func(message []byte) {
 		loop.Post(func() {
 			if len(message) > messageBytes {
-				r.zoneMessages++ // the balancer sends no longer message; a real router passes it to zone failover
+				r.zoneMessages++ // zone messages are longer; a real router passes messages to zone failover first
 				return
 			}
 			r.loadBalancer.OnGossip(loop.Now(), message)
@@ -93,7 +93,7 @@
 	const grace = 0.5 // drain grace in seconds, as in the real routers' configuration
 	start := discovery.WatchStart{Generation: r.generation, SameService: true, Schedule: pollschedule.ForLocalAgent(grace, seed)}
 	go discovery.Watch(ctx, addr, start, func(list discovery.EndpointList) error {
-		taken := make(chan struct{})
+		applied := make(chan struct{})
 		r.loop.Post(func() {
 			kind := balancer.UpdateDelta
 			if list.Complete {
@@ -102,10 +102,10 @@
 			if list.Complete || len(list.Instances) > 0 {
 				r.applyList(kind, list)
 			}
-			close(taken)
+			close(applied)
 		})
 		select {
-		case <-taken:
+		case <-applied:
 		case <-ctx.Done():
 		}
 		return nil
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -86,27 +86,27 @@
 }
 
 func openBroadcast(member Member, onMessage func(message []byte)) (Transport, error) {
-	w := &broadcastTransport{others: uint64(len(member.Peers) - 1)}
+	t := &broadcastTransport{others: uint64(len(member.Peers) - 1)}
 	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index, func(_ netip.AddrPort, _ int,
 		message []byte) {
-		w.received.Add(1)
-		w.bytesIn.Add(uint64(len(message) + headerBytes))
+		t.received.Add(1)
+		t.bytesIn.Add(uint64(len(message) + headerBytes))
 		onMessage(message)
 	}, member.Log)
-	w.peers = open
-	return w, err
+	t.peers = open
+	return t, err
 }
 
-func (w *broadcastTransport) Broadcast(message []byte) {
-	w.sent.Add(1)
-	w.bytesOut.Add(w.others * uint64(len(message)+headerBytes))
-	w.peers.Broadcast(message)
+func (t *broadcastTransport) Broadcast(message []byte) {
+	t.sent.Add(1)
+	t.bytesOut.Add(t.others * uint64(len(message)+headerBytes))
+	t.peers.Broadcast(message)
 }
 
-func (w *broadcastTransport) Traffic() Traffic {
-	received, receivedBytes, sentBytes := w.received.Load(), w.bytesIn.Load(), w.bytesOut.Load()
-	return Traffic{Sent: w.sent.Load(), Received: received, DatagramsIn: received,
-		DatagramsOut: w.sent.Load() * w.others, BytesIn: receivedBytes, BytesOut: sentBytes,
+func (t *broadcastTransport) Traffic() Traffic {
+	received, receivedBytes, sentBytes := t.received.Load(), t.bytesIn.Load(), t.bytesOut.Load()
+	return Traffic{Sent: t.sent.Load(), Received: received, DatagramsIn: received,
+		DatagramsOut: t.sent.Load() * t.others, BytesIn: receivedBytes, BytesOut: sentBytes,
 		LeastReceived: received, MostReceived: received, LeastBytesIn: receivedBytes, MostBytesIn: receivedBytes,
 		LeastBytesOut: sentBytes, MostBytesOut: sentBytes}
 }
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -79,61 +79,61 @@
 }
 
 // openTestbed starts a testbed with the number of servers.
-func (b *bench) openTestbed(servers int) (s *testbed, err error) {
+func (b *bench) openTestbed(servers int) (t *testbed, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() error {
 		loop, err := eventloop.New()
 		if err != nil {
 			return err
 		}
-		s = &testbed{loop: loop, ended: make(chan error, 1)}
-		s.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64,
+		t = &testbed{loop: loop, ended: make(chan error, 1)}
+		t.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64,
 			Takes: 0.001, Multiple: 4, Time: 3, Halt: 1},
 			emulator.Delay{})
-		go func() { s.ended <- loop.Run() }()
-		s.onLoop(func() { err = s.addServers(b, servers) })
+		go func() { t.ended <- loop.Run() }()
+		t.onLoop(func() { err = t.addServers(b, servers) })
 		if err != nil {
-			s.close()
+			t.close()
 		}
 		return err
 	})
-	return s, err
+	return t, err
 }
 
 // addServers adds the servers and two list services for them.
-func (s *testbed) addServers(b *bench, servers int) error {
+func (t *testbed) addServers(b *bench, servers int) error {
 	for n := range servers {
-		spec := emulator.Spec{Name: s.fleet.NextName(), Addr: b.address(serversOctet, n, 11300),
+		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: b.address(serversOctet, n, 11300),
 			Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
 			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, Keep: 100000, Cancels: true,
 			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, Fall: 3}}
-		if _, err := s.fleet.Add(spec, false); err != nil {
+		if _, err := t.fleet.Add(spec, false); err != nil {
 			return err
 		}
 	}
 	for n := range 2 {
-		a, err := s.fleet.List().Agent(b.address(listServicesOctet, n, 8500))
+		a, err := t.fleet.List().Agent(b.address(listServicesOctet, n, 8500))
 		if err != nil {
 			return err
 		}
-		s.listServices = append(s.listServices, a)
+		t.listServices = append(t.listServices, a)
 	}
 	return nil
 }
 
 // onLoop calls f on the event loop, which owns the emulated servers, and waits for it.
-func (s *testbed) onLoop(f func()) {
+func (t *testbed) onLoop(f func()) {
 	done := make(chan struct{})
-	s.loop.Post(func() { f(); close(done) })
+	t.loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-func (s *testbed) close() {
-	if s.listProxy != nil {
-		s.listProxy.close()
+func (t *testbed) close() {
+	if t.listProxy != nil {
+		t.listProxy.close()
 	}
-	s.onLoop(s.fleet.Close)
-	s.loop.Post(s.loop.Stop)
-	<-s.ended
+	t.onLoop(t.fleet.Close)
+	t.loop.Post(t.loop.Stop)
+	<-t.ended
 }
 
 // routerSetup is the settings in which the measured routers differ.
@@ -152,7 +152,7 @@
 }
 
 // configure writes the router's configuration and operators' file.
-func (b *bench) configure(s *testbed, c routerSetup) error {
+func (b *bench) configure(t *testbed, c routerSetup) error {
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	if c.fleetSize == 0 {
 		c.fleetSize = 1 + len(c.peers)
@@ -161,7 +161,7 @@
 		c.serverIdleSeconds = 3600
 	}
 	conf := map[string]any{
-		"name": "n0", "listen": b.address(routerOctet, 0, 11211), "discovery": s.listServices[c.listService].Addr(),
+		"name": "n0", "listen": b.address(routerOctet, 0, 11211), "discovery": t.listServices[c.listService].Addr(),
 		"seed":   "1",
 		"limits": map[string]any{"cores": 1, "memory_mb": 192, "sockets": routerDescriptors},
 		"known":  json.RawMessage(`{"generation": 0, "reset": true, "instances": []}`),
@@ -184,8 +184,8 @@
 		own := b.address(routerOctet, 0, gossipPort)
 		conf["peer_listen"], conf["peers"] = own, append([]string{own}, c.peers...)
 	}
-	if s.listProxy != nil {
-		conf["discovery"] = s.listProxy.ln.Addr().String()
+	if t.listProxy != nil {
+		conf["discovery"] = t.listProxy.ln.Addr().String()
 	}
 	if c.adminServer {
 		conf["ops"] = b.address(routerOctet, 0, 9400)
@@ -223,8 +223,8 @@
 }
 
 // startRouter starts a real router for the testbed's servers. It does not wait until the router is ready.
-func (b *bench) startRouter(s *testbed, c routerSetup) (*process, error) {
-	if err := b.configure(s, c); err != nil {
+func (b *bench) startRouter(t *testbed, c routerSetup) (*process, error) {
+	if err := b.configure(t, c); err != nil {
 		return nil, err
 	}
 	env := []string{"GW_CONFIG=" + filepath.Join(b.dir, "router.json"), "GW_OPERATORS=" + filepath.Join(b.dir, "router.toml"), "TMPDIR="}
@@ -244,30 +244,30 @@
 }
 
 // withServers calls f with a testbed of the number of servers, and closes the testbed afterwards.
-func (b *bench) withServers(servers int, f func(s *testbed) error) error {
-	s, err := b.openTestbed(servers)
+func (b *bench) withServers(servers int, f func(t *testbed) error) error {
+	t, err := b.openTestbed(servers)
 	if err != nil {
 		return err
 	}
-	defer s.close()
-	return f(s)
+	defer t.close()
+	return f(t)
 }
 
 // withRouter calls f with a testbed and a router that is ready and has settled, and stops both afterwards.
-func (b *bench) withRouter(servers int, c routerSetup, f func(s *testbed, p *process) error) error {
-	return b.withServers(servers, func(s *testbed) (err error) {
+func (b *bench) withRouter(servers int, c routerSetup, f func(t *testbed, p *process) error) error {
+	return b.withServers(servers, func(t *testbed) (err error) {
 		if c.countListCalls {
 			err = retryWhileAddressInUse(b.ctx, func() (err error) {
-				s.listProxy, err = newCountingProxy(b.address(listServicesOctet, len(s.listServices), 8500),
-					s.listServices[c.listService].Addr())
+				t.listProxy, err = newCountingProxy(b.address(listServicesOctet, len(t.listServices), 8500),
+					t.listServices[c.listService].Addr())
 				return err
 			})
 			if err != nil {
-				s.listProxy = nil
+				t.listProxy = nil
 				return err
 			}
 		}
-		p, err := b.startRouter(s, c)
+		p, err := b.startRouter(t, c)
 		if err != nil {
 			return err
 		}
@@ -278,6 +278,6 @@
 		if err = sleep(b.ctx, b.plan.Settle, p); err != nil {
 			return err
 		}
-		return f(s, p)
+		return f(t, p)
 	})
 }
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -145,10 +145,10 @@
 			}
 		}
 		for _, size := range o.Sizes {
-			err := o.withTestbed(ctx, func(v *valueTestbed) error {
+			err := o.withTestbed(ctx, func(t *valueTestbed) error {
 				for name, clients := range map[string]int{"value.core.byte": o.AtOnce, "value.core.byte.alone": 1} {
 					n := max(1, o.Bytes/size/clients)
-					cpu, wakeups, loop, err := v.measureReads(ctx, size, clients, n)
+					cpu, wakeups, loop, err := t.measureReads(ctx, size, clients, n)
 					if err != nil {
 						return err
 					}
@@ -166,8 +166,8 @@
 				return nil, err
 			}
 			for _, n := range o.Transfers {
-				err := o.withTestbed(ctx, func(v *valueTestbed) error {
-					peak, err := v.measureHeldTransfers(ctx, size, n, o.Settle)
+				err := o.withTestbed(ctx, func(t *valueTestbed) error {
+					peak, err := t.measureHeldTransfers(ctx, size, n, o.Settle)
 					add(heldName(size), float64(n), peak, 0)
 					progressf("%s: %d held, %.0f KiB at most", heldName(size), n, peak)
 					return err
@@ -211,32 +211,32 @@
 
 // withTestbed calls do with a new testbed and closes it afterwards. Each measurement needs a router of its own, because
 // the kernel reports peak memory since the start of a process.
-func (o ValueOptions) withTestbed(ctx context.Context, do func(v *valueTestbed) error) error {
-	v, err := o.openTestbed(ctx)
+func (o ValueOptions) withTestbed(ctx context.Context, do func(t *valueTestbed) error) error {
+	t, err := o.openTestbed(ctx)
 	if err == nil {
-		err = do(v)
+		err = do(t)
 	}
-	if v != nil {
-		v.close()
+	if t != nil {
+		t.close()
 	}
 	return err
 }
 
 func (o ValueOptions) openTestbed(ctx context.Context) (*valueTestbed, error) {
-	v := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211",
+	t := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211",
 		o.Net), logPath: filepath.Join(o.Dir, "values.log")}
 	var err error
-	if v.loop, err = eventloop.New(); err != nil {
+	if t.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
 	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
+	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
 		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServerCount {
-		spec := emulator.Spec{Name: v.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
-		if _, err = v.fleet.Add(spec, false); err != nil {
-			return v, fmt.Errorf("%w (another --net may be free)", err)
+		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
+		if _, err = t.fleet.Add(spec, false); err != nil {
+			return t, fmt.Errorf("%w (another --net may be free)", err)
 		}
 		var ln net.Listener
 		listen := func() (err error) {
@@ -244,19 +244,19 @@
 			return err
 		}
 		if err = retryWhileAddressInUse(ctx, listen); err != nil {
-			return v, err
+			return t, err
 		}
-		v.listeners = append(v.listeners, ln)
+		t.listeners = append(t.listeners, ln)
 		via[spec.Name] = ln.Addr().String()
 		go serveConnections(ln, spec.Name)
 	}
-	if v.listService, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
-		return v, fmt.Errorf("%w (another --net may be free)", err)
+	if t.listService, err = t.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
+		return t, fmt.Errorf("%w (another --net may be free)", err)
 	}
-	// the emulated servers appear only in the list
-	v.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
-	go func() { v.ended <- v.loop.Run() }()
-	return v, v.startRouter(ctx, o)
+	// The emulated servers are only listed; requests go to the listeners.
+	t.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
+	go func() { t.ended <- t.loop.Run() }()
+	return t, t.startRouter(ctx, o)
 }
 
 // serveConnections accepts the connections of a server that sends values as fast as they are read, with one system call
@@ -301,10 +301,10 @@
 	}
 }
 
-func (v *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
+func (t *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
-	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.listService.Addr(), "seed": "0badcafe",
-		"known":  v.listService.Known(),
+	conf := map[string]any{"name": "n0", "listen": t.addr, "discovery": t.listService.Addr(), "seed": "0badcafe",
+		"known":  t.listService.Known(),
 		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
@@ -325,31 +325,31 @@
 	if err = os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	log, err := os.Create(v.logPath)
+	log, err := os.Create(t.logPath)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	v.cmd = exec.Command(o.Router.Args[0], o.Router.Args[1:]...)
-	v.cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
-	v.cmd.Stdout, v.cmd.Stderr = log, log
-	v.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err = v.cmd.Start(); err != nil {
-		v.cmd = nil
+	t.cmd = exec.Command(o.Router.Args[0], o.Router.Args[1:]...)
+	t.cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
+	t.cmd.Stdout, t.cmd.Stderr = log, log
+	t.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	if err = t.cmd.Start(); err != nil {
+		t.cmd = nil
 		return fmt.Errorf("router: %w", err)
 	}
-	go func() { v.cmd.Wait(); close(v.exited) }()
+	go func() { t.cmd.Wait(); close(t.exited) }()
 	limit := unix.Rlimit{Cur: valueDescriptors, Max: valueDescriptors}
-	unix.Prlimit(v.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
+	unix.Prlimit(t.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
 	for until := time.Now().Add(valueTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-v.exited:
-			return fmt.Errorf("the router ended before it was ready%s", v.logTail())
+		case <-t.exited:
+			return fmt.Errorf("the router ended before it was ready%s", t.logTail())
 		default:
 		}
-		if c, err := net.DialTimeout("tcp", v.addr, time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", t.addr, time.Second); err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
 			io.WriteString(c, "mn\r\n")
 			line, _ := bufio.NewReader(c).ReadString('\n')
@@ -359,43 +359,43 @@
 			}
 		}
 	}
-	return fmt.Errorf("the router was not ready within %v%s", valueTimeout, v.logTail())
+	return fmt.Errorf("the router was not ready within %v%s", valueTimeout, t.logTail())
 }
 
-func (v *valueTestbed) logTail() string {
-	text, _ := os.ReadFile(v.logPath)
+func (t *valueTestbed) logTail() string {
+	text, _ := os.ReadFile(t.logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return "; its log ends with\n" + strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-func (v *valueTestbed) close() {
-	if v.cmd != nil {
-		v.cmd.Process.Kill() // no graceful shutdown: nothing depends on a measured router any more
-		<-v.exited
+func (t *valueTestbed) close() {
+	if t.cmd != nil {
+		t.cmd.Process.Kill() // no graceful shutdown: nothing depends on a measured router any more
+		<-t.exited
 	}
-	for _, ln := range v.listeners {
+	for _, ln := range t.listeners {
 		ln.Close()
 	}
-	if v.loop != nil && v.listService != nil {
+	if t.loop != nil && t.listService != nil {
 		done := make(chan struct{})
-		v.loop.Post(func() { v.fleet.Close(); close(done) })
+		t.loop.Post(func() { t.fleet.Close(); close(done) })
 		<-done
-		v.loop.Post(v.loop.Stop)
-		<-v.ended
+		t.loop.Post(t.loop.Stop)
+		<-t.ended
 	}
 }
 
 // startRead sends a request for a value and reads the header of the reply. It repeats a rejected request.
-func (v *valueTestbed) startRead(conn net.Conn, in *bufio.Reader, size int) error {
+func (t *valueTestbed) startRead(conn net.Conn, in *bufio.Reader, size int) error {
 	conn.SetDeadline(time.Now().Add(valueTimeout))
 	for range 100 {
-		n := v.lastID.Add(1)
+		n := t.lastID.Add(1)
 		id := fmt.Sprintf("%08x%08x", os.Getpid(), n)
 		fmt.Fprintf(conn, "mg v-%d-%d v O%s Pc=bulk,d=%d\r\n", size, n%1000, id, valueTimeout.Milliseconds())
 		line, err := in.ReadString('\n')
 		switch {
 		case err != nil:
-			return fmt.Errorf("a value of %d bytes: %w%s", size, err, v.logTail())
+			return fmt.Errorf("a value of %d bytes: %w%s", size, err, t.logTail())
 		case line == fmt.Sprintf("VA %d O%s\r\n", size, id):
 			return nil
 		case !strings.HasPrefix(line, "SERVER_ERROR"):
@@ -403,7 +403,7 @@
 		}
 		time.Sleep(50 * time.Millisecond) // the request was rejected
 	}
-	return fmt.Errorf("a request for a value of %d bytes was rejected a hundred times%s", size, v.logTail())
+	return fmt.Errorf("a request for a value of %d bytes was rejected a hundred times%s", size, t.logTail())
 }
 
 // readValue reads a value's bytes and checks them as they arrive.
@@ -426,8 +426,8 @@
 }
 
 // readValues reads n values one after another on one connection.
-func (v *valueTestbed) readValues(ctx context.Context, size, n int) error {
-	conn, err := net.DialTimeout("tcp", v.addr, valueTimeout)
+func (t *valueTestbed) readValues(ctx context.Context, size, n int) error {
+	conn, err := net.DialTimeout("tcp", t.addr, valueTimeout)
 	if err != nil {
 		return err
 	}
@@ -435,7 +435,7 @@
 	in, buf := bufio.NewReaderSize(conn, 4096), make([]byte, 256<<10)
 	for range n {
 		if err = ctx.Err(); err == nil {
-			if err = v.startRead(conn, in, size); err == nil {
+			if err = t.startRead(conn, in, size); err == nil {
 				err = readValue(in, buf, size)
 			}
 		}
@@ -449,13 +449,13 @@
 // measureReads lets each client read n values. It returns the router's CPU seconds, the voluntary context switches of
 // its threads, and the CPU seconds of the plain loop. The first value of each client is not counted, because it opens
 // connections to the servers.
-func (v *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
+func (t *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
 	all := func(n int) error {
 		errs := make([]error, clients)
 		var done sync.WaitGroup
 		for i := range clients {
 			done.Add(1)
-			go func() { defer done.Done(); errs[i] = v.readValues(ctx, size, n) }()
+			go func() { defer done.Done(); errs[i] = t.readValues(ctx, size, n) }()
 		}
 		done.Wait()
 		return errors.Join(errs...)
@@ -463,7 +463,7 @@
 	if err = all(1); err != nil {
 		return 0, 0, 0, err
 	}
-	pid := v.cmd.Process.Pid
+	pid := t.cmd.Process.Pid
 	before, err := cpuSeconds(pid)
 	if err != nil {
 		return 0, 0, 0, err
@@ -478,12 +478,11 @@
 
 // measureHeldTransfers lets n clients request a value and read nothing of it. It returns the router's peak resident
 // memory in KiB.
-func (v *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64,
+func (t *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64,
 	err error) {
 	dialer := net.Dialer{Timeout: valueTimeout, Control: func(_, _ string, c syscall.RawConn) error {
 		return c.Control(func(fd uintptr) {
-			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF,
-				clientReceiveBuffer)
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, clientReceiveBuffer)
 		})
 	}}
 	errs := make([]error, n)
@@ -493,8 +492,8 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if conns[i], errs[i] = dialer.DialContext(ctx, "tcp", v.addr); errs[i] == nil {
-				errs[i] = v.startRead(conns[i], bufio.NewReaderSize(conns[i], 64), size)
+			if conns[i], errs[i] = dialer.DialContext(ctx, "tcp", t.addr); errs[i] == nil {
+				errs[i] = t.startRead(conns[i], bufio.NewReaderSize(conns[i], 64), size)
 			}
 		}()
 	}
@@ -514,7 +513,7 @@
 		return 0, ctx.Err()
 	case <-time.After(settle):
 	}
-	_, peak, err = residentKiB(v.cmd.Process.Pid)
+	_, peak, err = residentKiB(t.cmd.Process.Pid)
 	return peak, err
 }
 
--- a/internal/experiment/scale/voices.go
+++ b/internal/experiment/scale/voices.go
@@ -29,45 +29,44 @@
 }
 
 // openPeerSockets opens sockets at the addresses of the first n peers.
-func (b *bench) openPeerSockets(n int) (v *peerSockets, err error) {
+func (b *bench) openPeerSockets(n int) (s *peerSockets, err error) {
 	err = retryWhileAddressInUse(b.ctx, func() (err error) {
-		v, err = b.tryOpenPeerSockets(n)
+		s, err = b.tryOpenPeerSockets(n)
 		return err
 	})
-	return v, err
+	return s, err
 }
 
 func (b *bench) tryOpenPeerSockets(n int) (*peerSockets, error) {
-	v := &peerSockets{}
+	s := &peerSockets{}
 	for i := range n {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
-			v.close()
+			s.close()
 			return nil, fmt.Errorf("socket %d of %d: %w (ulimit -n shows the limit of open files)", i, n, err)
 		}
-		v.sockets, v.received = append(v.sockets, fd), append(v.received, 0)
+		s.sockets, s.received = append(s.sockets, fd), append(s.received, 0)
 		at := netip.MustParseAddrPort(b.peerAddress(i))
 		if err = unix.Bind(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
-			v.close()
+			s.close()
 			return nil, fmt.Errorf("cannot bind a peer socket to %s: %w", at, err)
 		}
 	}
 	to := netip.MustParseAddrPort(b.address(routerOctet, 0, gossipPort))
-	v.router = unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}
-	return v, nil
+	s.router = unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}
+	return s, nil
 }
 
-func (v *peerSockets) close() {
-	for _, fd := range v.sockets {
+func (s *peerSockets) close() {
+	for _, fd := range s.sockets {
 		unix.Close(fd)
 	}
 }
 
 // send sends messages from the sockets in turn, at a rate per second, until ctx ends, and returns their number. payload
 // returns the next message of the n-th peer.
-func (v *peerSockets) send(ctx context.Context, rate float64, payload func(peer int) []byte) (sent int, err error) {
-	// 20 messages at a time at the highest rate, far below what a receive buffer holds
-	const step = 5 * time.Millisecond
+func (s *peerSockets) send(ctx context.Context, rate float64, payload func(peer int) []byte) (sent int, err error) {
+	const step = 5 * time.Millisecond // 20 messages at once at the highest rate, far below what a receive buffer holds
 	began := time.Now()
 	tick := time.NewTicker(step)
 	defer tick.Stop()
@@ -78,18 +77,18 @@
 		case <-tick.C:
 		}
 		for due := int(rate * time.Since(began).Seconds()); sent < due; sent++ {
-			if err = unix.Sendto(v.sockets[v.next], payload(v.next), 0, &v.router); err != nil {
+			if err = unix.Sendto(s.sockets[s.next], payload(s.next), 0, &s.router); err != nil {
 				return sent, fmt.Errorf("sending a message to the router: %w", err)
 			}
-			v.next = (v.next + 1) % len(v.sockets)
+			s.next = (s.next + 1) % len(s.sockets)
 		}
 	}
 }
 
 // receive reads and counts the datagrams that wait at all sockets.
-func (v *peerSockets) receive() error {
+func (s *peerSockets) receive() error {
 	buf := make([]byte, 2048)
-	for i, fd := range v.sockets {
+	for i, fd := range s.sockets {
 		for {
 			size, _, err := unix.Recvfrom(fd, buf, 0)
 			if errors.Is(err, unix.EAGAIN) {
@@ -101,27 +100,27 @@
 			if err != nil {
 				return err
 			}
-			v.received[i]++
-			v.bytes += size
+			s.received[i]++
+			s.bytes += size
 		}
 	}
 	return nil
 }
 
 // countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It
-// waits shortly for datagrams that some peers have received and others have not.
-func (v *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
+// waits briefly for datagrams that some peers have received and others have not.
+func (s *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
 	const maxDelay = 200 * time.Millisecond // a broadcast takes milliseconds, and the next follows after half a second
 	for until := time.Now().Add(maxDelay); ; {
-		if err = v.receive(); err != nil {
+		if err = s.receive(); err != nil {
 			return 0, 0, err
 		}
-		messages, missing = slices.Max(v.received), 0
-		for _, n := range v.received {
+		messages, missing = slices.Max(s.received), 0
+		for _, n := range s.received {
 			missing += messages - n
 		}
-		if missing == v.missing || time.Now().After(until) {
-			missing, v.missing = missing-v.missing, missing
+		if missing == s.missing || time.Now().After(until) {
+			missing, s.missing = missing-s.missing, missing
 			return messages, missing, nil
 		}
 		if err = sleep(ctx, 5*time.Millisecond, nil); err != nil {
