--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -230,16 +230,16 @@
 			if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 				return err
 			}
-			quiet, err := fleet.measureWindow(b)
+			idleUsage, err := fleet.measureWindow(b)
 			if err != nil {
 				return err
 			}
-			b.add("hollow.memory", float64(n), quiet.resident, 0)
-			if quiet.resident > maxResidentKiB {
+			b.add("hollow.memory", float64(n), idleUsage.resident, 0)
+			if idleUsage.resident > maxResidentKiB {
 				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, limit %d; use fewer with --routers",
-					n, quiet.resident, maxResidentKiB)
+					n, idleUsage.resident, maxResidentKiB)
 			}
-			b.add("hollow.core.quiet", float64(n), quiet.cpuRate(), quiet.loop)
+			b.add("hollow.core.quiet", float64(n), idleUsage.cpuRate(), idleUsage.loop)
 			before, err := fleet.sendOrder(&simrouter.Order{}) // while no datagram is in flight
 			if err != nil {
 				return err
@@ -263,7 +263,7 @@
 			sentNow := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
 			lost, sent, size = lost+sentNow-receivedNow, sent+sentNow,
 				size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
-			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), used.cpuRate()-quiet.cpuRate(),
+			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), used.cpuRate()-idleUsage.cpuRate(),
 				used.loop)
 			return b.measureListChange(t, fleet, n)
 		})
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -96,7 +96,7 @@
 
 func (f writer) Write(p []byte) (int, error) { return f(p) }
 
-// Simulated routers end when the process that started them is killed. Otherwise they would run on and load the machine.
+// Simulated routers end with the process that started them, even if that process is killed.
 func TestSimulatedRoutersEndWithTheirParent(t *testing.T) {
 	t.Parallel()
 	o := options(t)
