--- a/internal/experiment/scale/conf.go
+++ b/internal/experiment/scale/conf.go
@@ -6,36 +6,36 @@
 	"time"
 )
 
-const repeats = 6 // of what is over at once and is measured one after another: the mean of these is one run
+const repetitions = 6 // of an action too short to measure alone; their mean is the value of one run
 
-// begin measures a start by the peers that the configuration names.
-func begin(b *bench) error {
-	most := slices.Max(b.plan.Servers)
+// measureStart measures a router's start by the number of peers in its configuration.
+func measureStart(b *bench) error {
+	mostServers := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
-		b.say("starting with %d peers", n)
-		err := b.before(most, func(s *stage) error {
+		b.progressf("start with %d peers", n)
+		err := b.withServers(mostServers, func(t *testbed) error {
 			began := time.Now()
-			p, err := b.router(s, setup{peers: b.others(n), words: true})
+			p, err := b.startRouter(t, routerSetup{peers: b.peerAddresses(n), gossip: true})
 			if err != nil {
 				return err
 			}
 			defer p.kill()
-			if err = p.ready(b.ctx); err != nil {
+			if err = p.waitReady(b.ctx); err != nil {
 				return err
 			}
-			took := time.Since(began)
-			processor, err := processorOf(p.pid())
+			elapsed := time.Since(began)
+			processor, err := cpuSeconds(p.pid())
 			if err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // what is not needed any more is given back later, if at all
+			if err = sleep(b.ctx, b.plan.Settle, p); err != nil { // a process returns unused memory late, if at all
 				return err
 			}
-			_, top, err := memoryOf(p.pid())
-			loop := b.measured(spent{loop: plainLoop()}).loop
+			_, peak, err := residentKiB(p.pid())
+			loop := b.recordLoop(usage{loop: plainLoop()}).loop
 			b.add("start.core.peers", float64(n), processor*1e6, loop)
-			b.add("start.ready.peers", float64(n), took.Seconds()*1e3, 0)
-			b.add("start.memory.peers", float64(n), top, 0)
+			b.add("start.ready.peers", float64(n), elapsed.Seconds()*1e3, 0)
+			b.add("start.memory.peers", float64(n), peak, 0)
 			return err
 		})
 		if err != nil {
@@ -45,74 +45,80 @@
 	return nil
 }
 
-// hangUp has a router read its configuration anew, some times one after another, and gives what one time takes of the processor,
-// beyond what it takes doing nothing, and by the clock until it is in force. done tells what its log says then; change makes the files.
-func (b *bench) hangUp(s *stage, p *process, done string, change func(n int) setup) (each, force float64, err error) {
-	idling, err := b.watch(p)
+// measureReload makes a router reload its configuration several times in a row. It returns the CPU microseconds of one
+// reload, beyond what the router uses when idle, and the mean milliseconds until the configuration is in force. logLine
+// is the text that the router logs then; change returns the setup of the n-th reload.
+func (b *bench) measureReload(t *testbed, p *process, logLine string,
+	change func(n int) routerSetup) (cpuMicros, delayMillis float64, err error) {
+	idleUsage, err := b.measureWindow(p)
 	if err != nil {
 		return 0, 0, err
 	}
-	began, passed := time.Now(), 0.0
-	before, err := processorOf(p.pid())
+	began, elapsed := time.Now(), 0.0
+	before, err := cpuSeconds(p.pid())
 	if err != nil {
 		return 0, 0, err
 	}
-	for n := range repeats {
-		if err = b.configure(s, change(n)); err != nil {
+	for n := range repetitions {
+		if err = b.configure(t, change(n)); err != nil {
 			return 0, 0, err
 		}
-		known, told := p.said(done), time.Now()
+		seen, signalledAt := p.countLogLines(logLine), time.Now()
 		if err = p.cmd.Process.Signal(syscall.SIGHUP); err != nil {
 			return 0, 0, err
 		}
-		if err = p.until(b.ctx, "a changed configuration", func() bool { return p.said(done) > known }); err != nil {
+		if err = p.waitFor(b.ctx, "waiting for a reload of the configuration",
+			func() bool { return p.countLogLines(logLine) > seen }); err != nil {
 			return 0, 0, err
 		}
-		passed += time.Since(told).Seconds()
+		elapsed += time.Since(signalledAt).Seconds()
 	}
-	after, err := processorOf(p.pid())
+	after, err := cpuSeconds(p.pid())
 	if err != nil {
 		return 0, 0, err
 	}
-	took := after - before - idling.rate()/1e6*time.Since(began).Seconds()
-	return took * 1e6 / repeats, passed * 1e3 / repeats, nil
+	usedSeconds := after - before - idleUsage.cpuRate()/1e6*time.Since(began).Seconds()
+	return usedSeconds * 1e6 / repetitions, elapsed * 1e3 / repetitions, nil
 }
 
-// The lines of a router's log by which a new configuration, a faulty one and a list are known.
+// Texts of the router's log lines about a reloaded configuration, a rejected one, a new endpoint list and changed
+// teams.
 const (
-	saysAnew   = `"message":"configured anew"`
-	saysFaulty = `"message":"the new configuration cannot be used; the old one stays"`
-	saysList   = `"message":"list"`
-	saysTeams  = `"message":"contracts"`
+	logReloaded       = `"message":"configured anew"`
+	logReloadRejected = `"message":"the new configuration cannot be used; the old one stays"`
+	logListInForce    = `"message":"list"`
+	logContracts      = `"message":"contracts"`
 )
 
-// conf measures changes of the configuration.
-func conf(b *bench) error {
-	most := slices.Max(b.plan.Servers)
+// measureReloads measures reloads of the configuration.
+func measureReloads(b *bench) error {
+	mostServers := slices.Max(b.plan.Servers)
 	for _, n := range append([]int{0}, b.plan.Routers...) {
-		b.say("configuring anew with %d peers", n)
-		c := setup{peers: b.others(n), words: true, teams: 1}
-		err := b.with(most, c, func(s *stage, p *process) error {
-			loop := b.measured(spent{loop: plainLoop()}).loop
-			same, force, err := b.hangUp(s, p, saysAnew, func(int) setup { return c })
+		b.progressf("reload with %d peers", n)
+		setup := routerSetup{peers: b.peerAddresses(n), gossip: true, teamBudget: 1}
+		err := b.withRouter(mostServers, setup, func(t *testbed, p *process) error {
+			loop := b.recordLoop(usage{loop: plainLoop()}).loop
+			unchanged, delayMillis, err := b.measureReload(t, p, logReloaded, func(int) routerSetup { return setup })
 			if err != nil {
 				return err
 			}
-			b.add("conf.core.peers", float64(n), same, loop)
-			b.add("conf.force.peers", float64(n), force, 0)
-			_, top, err := memoryOf(p.pid())
+			b.add("conf.core.peers", float64(n), unchanged, loop)
+			b.add("conf.force.peers", float64(n), delayMillis, 0)
+			_, peak, err := residentKiB(p.pid())
 			if err != nil {
 				return err
 			}
-			b.add("conf.memory.peers", float64(n), top, 0)
+			b.add("conf.memory.peers", float64(n), peak, 0)
 			if n == 0 {
-				changed, _, err := b.hangUp(s, p, saysTeams, func(k int) setup { c := c; c.teams = 2 + k; return c })
+				teamChange, _, err := b.measureReload(t, p, logContracts,
+					func(k int) routerSetup { setup := setup; setup.teamBudget = 2 + k; return setup })
 				if err != nil {
 					return err
 				}
-				b.add("conf.core.contract", 0, changed, loop)
+				b.add("conf.core.contract", 0, teamChange, loop)
 			}
-			faulty, _, err := b.hangUp(s, p, saysFaulty, func(int) setup { c := c; c.garbled = true; return c })
+			faulty, _, err := b.measureReload(t, p, logReloadRejected,
+				func(int) routerSetup { setup := setup; setup.invalid = true; return setup })
 			b.add("conf.core.faulty", float64(n), faulty, loop)
 			return err
 		})
--- a/internal/experiment/scale/gossips.go
+++ b/internal/experiment/scale/gossips.go
@@ -11,106 +11,113 @@
 )
 
 const (
-	mostGossips = 300             // routers that gossip at once: 2.4 cores at the 0.8% each of docs/design/gossip.md, 1.0 in docs/capacity/gossip-1.json
-	gossipsEach = 50              // to a process: 0.4 of a core at most, far below its two threads
-	gossipCalm  = 6 * time.Second // one that starts calls and pulls more for 5 s
+	// 300 routers use 2.4 cores at 0.8% of a core each (docs/design/gossip.md), 1.0 in docs/capacity/gossip-1.json
+	maxGossipRouters        = 300
+	gossipRoutersPerProcess = 50              // 0.4 of a core at most, far below the two threads of a process
+	gossipSettle            = 6 * time.Second // a router probes and pulls more often in its first 5 s
 )
 
-// gossipSizes gives the numbers of routers at which gossip is measured: the plan's that one machine bears and at which real routers
-// gossip, or thirds of the most where these are too few for a line.
+// gossipSizes returns the fleet sizes at which gossip is measured: those of the plan that one machine can run and at
+// which real routers gossip. If these are too few for a line, thirds of the maximum are added.
 func (b *bench) gossipSizes() (all []int) {
-	var left []string
+	var skipped []string
 	for _, n := range b.plan.Routers {
-		if n > mostGossips || !b.plan.Small && !gossip.CheaperThanBroadcast(n, simrouter.GossipBudget) {
-			left = append(left, fmt.Sprint(n))
+		if n > maxGossipRouters || !b.plan.Small && !gossip.CheaperThanBroadcast(n, simrouter.GossipBytesPerSecond) {
+			skipped = append(skipped, fmt.Sprint(n))
 			continue
 		}
 		all = append(all, n)
 	}
-	if len(left) > 0 {
-		b.note("gossip is not measured at %s routers: it takes at most %d, as one may cost up to 0.8%% of a core, and none so few that telling all takes fewer bytes",
-			strings.Join(left, ", "), mostGossips)
+	if len(skipped) > 0 {
+		b.addNote(
+			"gossip is not measured at %s routers: over %d need too much CPU at 0.8%% each, or broadcasts use fewer bytes",
+			strings.Join(skipped, ", "), maxGossipRouters)
 	}
-	if len(all) < leastPoints {
-		all = append(all, mostGossips/3, 2*mostGossips/3, mostGossips)
+	if len(all) < minPoints {
+		all = append(all, maxGossipRouters/3, 2*maxGossipRouters/3, maxGossipRouters)
 	}
 	slices.Sort(all)
 	return slices.Compact(all)
 }
 
-// gossipPart measures fleets of hollow routers that gossip, each beside one whose routers tell all.
-func gossipPart(b *bench) error {
-	calm := gossipCalm
+// measureGossip measures fleets of simulated routers that gossip, each paired with one whose routers broadcast.
+func measureGossip(b *bench) error {
+	settle := gossipSettle
 	if b.plan.Small {
-		calm = b.plan.Settle
+		settle = b.plan.Settle
 	}
 	for _, n := range b.gossipSizes() {
-		b.say("%d hollow routers that gossip", n)
-		w, err := b.talking("gossip", n, calm)
+		b.progressf("%d simulated routers that gossip", n)
+		traffic, err := b.measureTraffic("gossip", n, settle)
 		if err != nil {
 			return err
 		}
-		b.add("gossip.core.routers", float64(n), w.rate(), w.loop)
-		b.add("gossip.bytes.mean", float64(n), w.meanBytes, 0)
-		b.add("gossip.bytes.most", float64(n), w.mostBytes, 0)
-		b.say("%d hollow routers that tell all", n)
-		if w, err = b.talking("all", n, b.plan.Settle); err != nil {
+		b.add("gossip.core.routers", float64(n), traffic.cpuRate(), traffic.loop)
+		b.add("gossip.bytes.mean", float64(n), traffic.meanBytes, 0)
+		b.add("gossip.bytes.most", float64(n), traffic.mostBytes, 0)
+		b.progressf("%d simulated routers that broadcast", n)
+		if traffic, err = b.measureTraffic("all", n, b.plan.Settle); err != nil {
 			return err
 		}
-		b.add("gossip.pair.core.routers", float64(n), w.rate(), w.loop)
-		b.add("gossip.pair.bytes.mean", float64(n), w.meanBytes, 0)
+		b.add("gossip.pair.core.routers", float64(n), traffic.cpuRate(), traffic.loop)
+		b.add("gossip.pair.bytes.mean", float64(n), traffic.meanBytes, 0)
 	}
 	return nil
 }
 
-// talked is what routers took in a window, and their bytes a second.
-type talked struct {
-	spent
+// trafficUsage is what the routers used in a window, and their bytes per second.
+type trafficUsage struct {
+	usage
 	meanBytes, mostBytes float64
 }
 
-// talking lets a fleet's routers say a word a second each, of all servers in turn, and looks at it for a window once it is calm.
-func (b *bench) talking(way string, n int, calm time.Duration) (w talked, err error) {
-	err = b.before(slices.Max(b.plan.Servers), func(s *stage) error {
-		known, err := fetch(s.lists[0].Addr(), "")
+// measureTraffic lets each router of a fleet send a message per second about all servers in turn. It waits for settle,
+// then measures a window.
+func (b *bench) measureTraffic(transport string, n int, settle time.Duration) (traffic trafficUsage, err error) {
+	err = b.withServers(slices.Max(b.plan.Servers), func(t *testbed) error {
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		h, err := b.hollowsBy(min(b.plan.Hollow, gossipsEach),
-			simrouter.Spec{Way: way, Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}, n)
+		fleet, err := b.startSimFleetBy(min(b.plan.Hollow, gossipRoutersPerProcess),
+			simrouter.Spec{Transport: transport, Peers: b.peerAddresses(n), InitialList: initialList,
+				ListService: t.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}, n)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		if _, err = h.ask(&simrouter.Order{Talk: sample(0, n, n), Period: time.Second, All: true}); err != nil {
+		defer fleet.close()
+		if _, err = fleet.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, n), Period: time.Second,
+			RotateServers: true}); err != nil {
 			return err
 		}
-		if err = sleep(b.ctx, calm, &h.all[0].process); err != nil {
+		if err = sleep(b.ctx, settle, &fleet.processes[0].process); err != nil {
 			return err
 		}
-		before, err := h.ask(&simrouter.Order{Each: true})
+		before, err := fleet.sendOrder(&simrouter.Order{PerRouter: true})
 		began := time.Now()
 		if err != nil {
 			return err
 		}
-		if w.spent, err = h.window(b); err != nil {
+		if traffic.usage, err = fleet.measureWindow(b); err != nil {
 			return err
 		}
-		after, err := h.ask(&simrouter.Order{Each: true})
+		after, err := fleet.sendOrder(&simrouter.Order{PerRouter: true})
 		seconds := time.Since(began).Seconds()
 		if err != nil {
 			return err
 		}
-		for i, bytes := range after.Each {
-			each := float64(bytes-before.Each[i]) / seconds
-			w.meanBytes, w.mostBytes = w.meanBytes+each/float64(n), max(w.mostBytes, each)
+		for i, bytes := range after.RouterBytes {
+			each := float64(bytes-before.RouterBytes[i]) / seconds
+			traffic.meanBytes, traffic.mostBytes = traffic.meanBytes+each/float64(n), max(traffic.mostBytes, each)
 		}
-		const much = 0.01 // of the datagrams, as where words are heard: with more lost, less is heard than the figures are of
-		out := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
-		if in := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); in < (1-much)*out && !b.plan.Small {
-			b.note("of %.0f datagrams of %d routers by the way %q %.1f%% were not heard", out, n, way, 100*(1-in/out))
+		const maxLoss = 0.01 // fraction of the datagrams; with more lost, the routers receive less than the figures say
+		sent := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
+		if received := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn); received < (1-maxLoss)*sent &&
+			!b.plan.Small {
+			b.addNote("of %.0f datagrams that %d routers sent by transport %q %.1f%% were not received", sent, n,
+				transport, 100*(1-received/sent))
 		}
 		return nil
 	})
-	return w, err
+	return traffic, err
 }
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -18,65 +18,67 @@
 	"bendtrestle/internal/experiment/scale/simrouter"
 )
 
-// child is a process of hollow routers.
-type child struct {
+// simProcess is a child process that runs simulated routers.
+type simProcess struct {
 	process
-	in      io.WriteCloser
-	out     *json.Decoder
+	stdin   io.WriteCloser
+	stdout  *json.Decoder
 	orders  *json.Encoder
-	answers chan answered
+	answers chan answerResult
 	count   int
 }
 
-type answered struct {
+type answerResult struct {
 	simrouter.Answer
 	err error
 }
 
-// hollows are the processes that hold a fleet of hollow routers.
-type hollows struct {
-	b   *bench
-	all []*child
+// simFleet is the processes that run a fleet of simulated routers.
+type simFleet struct {
+	owner     *bench
+	processes []*simProcess
 }
 
-// hollows starts routers with these numbers among the peers, as many to a process as the plan allows, and waits until all hear.
-func (b *bench) hollows(spec simrouter.Spec, numbers int) (h *hollows, err error) {
-	return b.hollowsBy(b.plan.Hollow, spec, numbers)
+// startSimFleet starts count simulated routers from the spec's first peer on, as many per process as the plan allows.
+// It waits until all can receive messages.
+func (b *bench) startSimFleet(spec simrouter.Spec, count int) (f *simFleet, err error) {
+	return b.startSimFleetBy(b.plan.Hollow, spec, count)
 }
 
-// hollowsBy starts them with so many to a process at most.
-func (b *bench) hollowsBy(most int, spec simrouter.Spec, numbers int) (h *hollows, err error) {
-	err = again(b.ctx, func() (err error) {
-		h, err = b.openHollows(most, spec, numbers)
+// startSimFleetBy is startSimFleet with at most perProcess routers in a process.
+func (b *bench) startSimFleetBy(perProcess int, spec simrouter.Spec, count int) (f *simFleet, err error) {
+	err = retryWhileAddressInUse(b.ctx, func() (err error) {
+		f, err = b.tryStartSimFleet(perProcess, spec, count)
 		return err
 	})
-	return h, err
+	return f, err
 }
 
-func (b *bench) openHollows(most int, spec simrouter.Spec, numbers int) (*hollows, error) {
-	h := &hollows{b: b}
-	for first := spec.First; first < spec.First+numbers; first += most {
-		one := spec
-		one.First, one.Count = first, min(most, spec.First+numbers-first)
-		c, err := b.child(len(h.all), one)
+func (b *bench) tryStartSimFleet(perProcess int, spec simrouter.Spec, count int) (*simFleet, error) {
+	f := &simFleet{owner: b}
+	for first := spec.First; first < spec.First+count; first += perProcess {
+		processSpec := spec
+		processSpec.First, processSpec.Count = first, min(perProcess, spec.First+count-first)
+		c, err := b.startSimProcess(len(f.processes), processSpec)
 		if err != nil {
-			h.close()
+			f.close()
 			return nil, err
 		}
-		h.all = append(h.all, c)
+		f.processes = append(f.processes, c)
 	}
-	_, err := h.ask(nil)
+	_, err := f.sendOrder(nil)
 	if err != nil {
-		h.close()
+		f.close()
 		return nil, err
 	}
-	return h, nil
+	return f, nil
 }
 
-func (b *bench) child(n int, spec simrouter.Spec) (*child, error) {
-	c := &child{process: process{log: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)), ended: make(chan struct{})}, count: spec.Count,
-		answers: make(chan answered)}
-	log, err := os.Create(c.log)
+func (b *bench) startSimProcess(n int, spec simrouter.Spec) (*simProcess, error) {
+	c := &simProcess{process: process{logPath: filepath.Join(b.dir, fmt.Sprintf("hollow-%d.log", n)),
+		ended: make(chan struct{})}, count: spec.Count,
+		answers: make(chan answerResult)}
+	log, err := os.Create(c.logPath)
 	if err != nil {
 		return nil, err
 	}
@@ -84,7 +86,7 @@
 	c.cmd = exec.Command(b.self[0], b.self[1:]...)
 	c.cmd.Env, c.cmd.Stderr = append(os.Environ(), b.selfEnv...), log
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if c.in, err = c.cmd.StdinPipe(); err != nil {
+	if c.stdin, err = c.cmd.StdinPipe(); err != nil {
 		return nil, err
 	}
 	out, in, err := os.Pipe()
@@ -96,15 +98,15 @@
 	in.Close()
 	if err != nil {
 		out.Close()
-		return nil, fmt.Errorf("hollow routers: %w", err)
+		return nil, fmt.Errorf("starting simulated routers: %w", err)
 	}
 	go func() { c.cmd.Wait(); close(c.ended) }()
-	c.orders, c.out = json.NewEncoder(c.in), json.NewDecoder(bufio.NewReader(out))
-	go func() { // one answer for the spec and one for each order, until the process ends
+	c.orders, c.stdout = json.NewEncoder(c.stdin), json.NewDecoder(bufio.NewReader(out))
+	go func() { // reads one answer to the spec and one to each order, until the process ends
 		defer out.Close()
 		for {
-			var a answered
-			if a.err = c.out.Decode(&a.Answer); a.err == nil && a.Error != "" {
+			var a answerResult
+			if a.err = c.stdout.Decode(&a.Answer); a.err == nil && a.Error != "" {
 				a.err = errors.New(a.Error)
 			}
 			select {
@@ -122,80 +124,82 @@
 	return c, c.orders.Encode(spec)
 }
 
-// ask gives all an order and waits for their answers; with none it waits for the answer to their spec. It gives their sums.
-func (h *hollows) ask(o *simrouter.Order) (sum simrouter.Answer, err error) {
+// sendOrder sends an order to all processes, waits for their answers and returns the sum. If the order is nil, it waits
+// for the answers to the specs.
+func (f *simFleet) sendOrder(o *simrouter.Order) (sum simrouter.Answer, err error) {
 	if o != nil {
-		for _, c := range h.all {
+		for _, c := range f.processes {
 			if err := c.orders.Encode(o); err != nil {
-				return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", err, c.tail())
+				return sum, fmt.Errorf("sending an order to simulated routers: %w; their log ends with\n%s", err,
+					c.logTail())
 			}
 		}
 	}
-	late := time.After(readying)
-	for i, c := range h.all {
-		var a answered
+	timeout := time.After(readyTimeout)
+	for i, c := range f.processes {
+		var result answerResult
 		select {
-		case a = <-c.answers:
-		case <-h.b.ctx.Done():
-			return sum, h.b.ctx.Err()
-		case <-late:
-			return sum, fmt.Errorf("hollow routers did not answer within %v", readying)
+		case result = <-c.answers:
+		case <-f.owner.ctx.Done():
+			return sum, f.owner.ctx.Err()
+		case <-timeout:
+			return sum, fmt.Errorf("simulated routers did not answer within %v", readyTimeout)
 		}
-		if a.err != nil {
-			return sum, fmt.Errorf("hollow routers: %w; their log ends with\n%s", a.err, c.tail())
+		if result.err != nil {
+			return sum, fmt.Errorf("answer of simulated routers: %w; their log ends with\n%s", result.err, c.logTail())
 		}
-		if sum.Traffic.Add(a.Traffic, i == 0); i == 0 {
-			sum.Oldest = a.Oldest
+		if sum.Traffic.Add(result.Traffic, i == 0); i == 0 {
+			sum.OldestGeneration = result.OldestGeneration
 		}
-		sum.Zoned += a.Zoned
-		if a.Oldest > 0 {
-			sum.Oldest = min(max(sum.Oldest, 1), a.Oldest)
+		sum.ZoneMessages += result.ZoneMessages
+		if result.OldestGeneration > 0 {
+			sum.OldestGeneration = min(max(sum.OldestGeneration, 1), result.OldestGeneration)
 		}
-		sum.Latest = max(sum.Latest, a.Latest)
-		sum.Each = append(sum.Each, a.Each...)
+		sum.LatestChange = max(sum.LatestChange, result.LatestChange)
+		sum.RouterBytes = append(sum.RouterBytes, result.RouterBytes...)
 	}
 	return sum, nil
 }
 
-// processor is the processor time of all, and what they hold resident.
-func (h *hollows) spent() (processor, resident float64, err error) {
-	for _, c := range h.all {
-		p, err := processorOf(c.pid())
+// totals returns the CPU seconds and the resident KiB of all processes.
+func (f *simFleet) totals() (cpu, resident float64, err error) {
+	for _, c := range f.processes {
+		p, err := cpuSeconds(c.pid())
 		if err != nil {
 			return 0, 0, err
 		}
-		m, _, err := memoryOf(c.pid())
+		m, _, err := residentKiB(c.pid())
 		if err != nil {
 			return 0, 0, err
 		}
-		processor, resident = processor+p, resident+m
+		cpu, resident = cpu+p, resident+m
 	}
-	return processor, resident, nil
+	return cpu, resident, nil
 }
 
-// close ends them all: they end with their input, and are killed if they do not.
-func (h *hollows) close() {
-	for _, c := range h.all {
-		c.in.Close()
+// close ends all processes. They exit when their input is closed, and are killed if they do not exit in time.
+func (f *simFleet) close() {
+	for _, c := range f.processes {
+		c.stdin.Close()
 	}
-	late := time.After(ending)
-	for _, c := range h.all {
+	timeout := time.After(exitTimeout)
+	for _, c := range f.processes {
 		select {
 		case <-c.ended:
-		case <-late:
+		case <-timeout:
 		}
 		c.kill()
 	}
 }
 
 const (
-	tellers   = 37       // routers that say a word a second to all, where all of 3,700 would be 13.7 million datagrams a second
-	mostKept  = 12 << 20 // KiB that all hollow routers may hold resident
-	agreement = 0.25     // part by which a hollow router's processor time for a word may differ from a real one's
+	senderCount     = 37       // broadcast a message per second; all 3,700 would send 13.7 million datagrams a second
+	maxResidentKiB  = 12 << 20 // resident memory of all simulated routers
+	maxCPUDeviation = 0.25     // relative difference of a simulated and a real router's CPU time per message
 )
 
-// sample gives so many of the routers from first on, spread over all.
-func sample(first, routers, n int) (all []int) {
+// spreadIndexes returns n indexes spread evenly over the routers from first on.
+func spreadIndexes(first, routers, n int) (all []int) {
 	n = min(n, routers)
 	for i := range n {
 		all = append(all, first+i*routers/n)
@@ -203,259 +207,276 @@
 	return all
 }
 
-// hollowPart measures fleets of hollow routers, and sets one beside a real one.
-func hollowPart(b *bench) error {
-	most := slices.Max(b.plan.Servers)
-	lost, said, size := 0.0, 0.0, 0.0
+// measureSimulatedRouters measures fleets of simulated routers, and compares a simulated router with a real one.
+func measureSimulatedRouters(b *bench) error {
+	mostServers := slices.Max(b.plan.Servers)
+	lost, sent, size := 0.0, 0.0, 0.0
 	for _, n := range b.plan.Routers {
-		b.say("%d hollow routers", n)
-		err := b.before(most, func(s *stage) error {
-			known, err := fetch(s.lists[0].Addr(), "")
+		b.progressf("%d simulated routers", n)
+		err := b.withServers(mostServers, func(t *testbed) error {
+			initialList, err := fetchList(t.listServices[0].Addr(), "")
 			if err != nil {
 				return err
 			}
 			began := time.Now()
-			spec := simrouter.Spec{Way: "all", Peers: b.others(n), Known: known, List: s.lists[0].Addr(), Follow: sample(0, n, tellers)}
-			h, err := b.hollows(spec, n)
+			spec := simrouter.Spec{Transport: "all", Peers: b.peerAddresses(n), InitialList: initialList,
+				ListService: t.listServices[0].Addr(), Follow: spreadIndexes(0, n, senderCount)}
+			fleet, err := b.startSimFleet(spec, n)
 			if err != nil {
 				return err
 			}
-			defer h.close()
+			defer fleet.close()
 			b.add("hollow.ready", float64(n), time.Since(began).Seconds()*1e3, 0)
-			if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 				return err
 			}
-			quiet, err := h.window(b)
+			idleUsage, err := fleet.measureWindow(b)
 			if err != nil {
 				return err
 			}
-			b.add("hollow.memory", float64(n), quiet.resident, 0)
-			if quiet.resident > mostKept {
-				return fmt.Errorf("%d hollow routers hold %.0f KiB; %d are what they may hold: take fewer by --routers", n, quiet.resident, mostKept)
+			b.add("hollow.memory", float64(n), idleUsage.resident, 0)
+			if idleUsage.resident > maxResidentKiB {
+				return fmt.Errorf("%d simulated routers use %.0f KiB of memory, limit %d; use fewer with --routers",
+					n, idleUsage.resident, maxResidentKiB)
 			}
-			b.add("hollow.core.quiet", float64(n), quiet.rate(), quiet.loop)
-			told, err := h.ask(&simrouter.Order{}) // while nothing is on its way
+			b.add("hollow.core.quiet", float64(n), idleUsage.cpuRate(), idleUsage.loop)
+			before, err := fleet.sendOrder(&simrouter.Order{}) // while no datagram is in flight
 			if err != nil {
 				return err
 			}
-			if _, err = h.ask(&simrouter.Order{Talk: sample(0, n, tellers), Period: time.Second}); err != nil {
+			if _, err = fleet.sendOrder(&simrouter.Order{Send: spreadIndexes(0, n, senderCount),
+				Period: time.Second}); err != nil {
 				return err
 			}
-			if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+			if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 				return err
 			}
-			w, err := h.window(b)
+			used, err := fleet.measureWindow(b)
 			if err != nil {
 				return err
 			}
-			done, err := h.settled()
+			after, err := fleet.stopAndSettle()
 			if err != nil {
 				return err
 			}
-			heard := float64(done.Traffic.DatagramsIn - told.Traffic.DatagramsIn)
-			out := float64(done.Traffic.DatagramsOut - told.Traffic.DatagramsOut)
-			lost, said, size = lost+out-heard, said+out, size+float64(done.Traffic.BytesIn-told.Traffic.BytesIn)
-			b.add("hollow.core.datagrams", float64(min(n, tellers)*(n-1)), w.rate()-quiet.rate(), w.loop)
-			return b.hollowChange(s, h, n)
+			receivedNow := float64(after.Traffic.DatagramsIn - before.Traffic.DatagramsIn)
+			sentNow := float64(after.Traffic.DatagramsOut - before.Traffic.DatagramsOut)
+			lost, sent, size = lost+sentNow-receivedNow, sent+sentNow,
+				size+float64(after.Traffic.BytesIn-before.Traffic.BytesIn)
+			b.add("hollow.core.datagrams", float64(min(n, senderCount)*(n-1)), used.cpuRate()-idleUsage.cpuRate(),
+				used.loop)
+			return b.measureListChange(t, fleet, n)
 		})
 		if err != nil {
 			return err
 		}
 	}
-	b.add("hollow.datagrams", 0, said, 0)
+	b.add("hollow.datagrams", 0, sent, 0)
 	b.add("hollow.lost", 0, lost, 0)
-	b.add("hollow.bytes.datagram", 0, size/(said-lost), 0)
-	return b.agree()
+	b.add("hollow.bytes.datagram", 0, size/(sent-lost), 0)
+	return b.compareWithRealRouter()
 }
 
-// window is what all take in a window.
-func (h *hollows) window(b *bench) (w spent, err error) {
-	before, _, err := h.spent()
+// measureWindow returns what all processes use in a window.
+func (f *simFleet) measureWindow(b *bench) (used usage, err error) {
+	before, _, err := f.totals()
 	if err != nil {
-		return w, err
+		return used, err
 	}
 	began := time.Now()
-	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &h.all[0].process); err != nil {
-		return w, err
+	if err = sleep(b.ctx, max(b.plan.Window, 500*time.Millisecond), &f.processes[0].process); err != nil {
+		return used, err
 	}
-	after, resident, err := h.spent()
-	w.seconds, w.processor, w.resident, w.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
-	return b.measured(w), err
+	after, resident, err := f.totals()
+	used.seconds, used.cpu, used.resident, used.loop = time.Since(began).Seconds(), after-before, resident, plainLoop()
+	return b.recordLoop(used), err
 }
 
-// settled hushes all, and gives the counts once nothing is on its way.
-func (h *hollows) settled() (simrouter.Answer, error) {
-	a, err := h.ask(&simrouter.Order{Hush: true})
+// stopAndSettle stops all sending, and returns the counters once no datagram is in flight.
+func (f *simFleet) stopAndSettle() (simrouter.Answer, error) {
+	answer, err := f.sendOrder(&simrouter.Order{Stop: true})
 	for range 100 {
-		if err != nil || a.Traffic.DatagramsIn >= a.Traffic.DatagramsOut {
+		if err != nil || answer.Traffic.DatagramsIn >= answer.Traffic.DatagramsOut {
 			break
 		}
 		time.Sleep(50 * time.Millisecond)
-		before := a.Traffic.DatagramsIn
-		if a, err = h.ask(&simrouter.Order{}); err == nil && a.Traffic.DatagramsIn == before {
+		before := answer.Traffic.DatagramsIn
+		if answer, err = f.sendOrder(&simrouter.Order{}); err == nil && answer.Traffic.DatagramsIn == before {
 			break
 		}
 	}
-	return a, err
+	return answer, err
 }
 
-// hollowChange measures how long a change of the list takes to be in force at all that follow it.
-func (b *bench) hollowChange(s *stage, h *hollows, n int) error {
-	a, err := h.ask(&simrouter.Order{})
+// measureListChange measures the time until a change of the list is in force at all routers that watch it.
+func (b *bench) measureListChange(t *testbed, simulated *simFleet, n int) error {
+	answer, err := simulated.sendOrder(&simrouter.Order{})
 	if err != nil {
 		return err
 	}
-	var at float64
-	s.on(func() {
-		at = s.loop.Now()
-		s.fleet.Servers()[0].Drain()
+	var changedAt float64
+	t.onLoop(func() {
+		changedAt = t.loop.Now()
+		t.fleet.Servers()[0].Drain()
 	})
-	wanted := a.Oldest + 1
-	err = h.all[0].until(b.ctx, "a change of the list at hollow routers", func() bool {
-		a, err = h.ask(&simrouter.Order{})
-		return err != nil || a.Oldest >= wanted
+	wantGeneration := answer.OldestGeneration + 1
+	err = simulated.processes[0].waitFor(b.ctx, "waiting for a change of the list at simulated routers", func() bool {
+		answer, err = simulated.sendOrder(&simrouter.Order{})
+		return err != nil || answer.OldestGeneration >= wantGeneration
 	})
 	if err == nil {
-		b.add("hollow.force.list", float64(n), max(0, a.Latest-at)*1e3, 0)
+		b.add("hollow.force.list", float64(n), max(0, answer.LatestChange-changedAt)*1e3, 0)
 	}
 	return err
 }
 
-// agree sets hollow routers beside a real one: in what they hear and tell, and in what a word takes of the processor.
-func (b *bench) agree() error {
-	most, fewest := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
-	rate := float64(fixedRate)
+// compareWithRealRouter compares simulated routers with a real one: in the CPU time per message, and in the messages
+// sent and received.
+func (b *bench) compareWithRealRouter() error {
+	mostServers, fewestPeers := slices.Max(b.plan.Servers), slices.Min(b.plan.Routers)
+	rate := float64(fixedMessageRate)
 	if b.plan.Small {
 		rate = 200
 	}
-	b.say("a hollow router beside a real one")
-	v, err := b.voices(fewest)
+	b.progressf("comparing a simulated router with a real one")
+	peers, err := b.openPeerSockets(fewestPeers)
 	if err != nil {
 		return err
 	}
-	defer v.close()
-	times := map[string]float64{}
-	one := func(name string, p *process, words []byte) error {
-		before, err := b.watch(p)
+	defer peers.close()
+	perMessage := map[string]float64{}
+	measureMessage := func(name string, p *process, message []byte) error {
+		before, err := b.measureWindow(p)
 		if err != nil {
 			return err
 		}
-		s, heard, err := b.listen(p, v, rate, func(int) []byte { return words })
-		times[name] = (s.rate() - before.rate()) / max(heard, 1)
+		used, received, err := b.measureReceipt(p, peers, rate, func(int) []byte { return message })
+		perMessage[name] = (used.cpuRate() - before.cpuRate()) / max(received, 1)
 		return err
 	}
-	err = b.with(most, setup{peers: b.others(fewest), words: true}, func(s *stage, p *process) error {
-		return one("real", p, usualWord(s))
-	})
+	err = b.withRouter(mostServers, routerSetup{peers: b.peerAddresses(fewestPeers), gossip: true},
+		func(t *testbed, p *process) error {
+			return measureMessage("real", p, typicalMessage(t))
+		})
 	if err != nil {
 		return err
 	}
-	err = b.before(most, func(s *stage) error { // at the real one's address, and as it is the only one of its process
-		known, err := fetch(s.lists[0].Addr(), "")
+	err = b.withServers(mostServers, func(t *testbed) error { // at the real router's address, alone in its process
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		own := b.at(routerAt, 0, wordsPort)
-		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: append([]string{own}, b.others(fewest)...), Known: known, List: s.lists[0].Addr(), Follow: []int{0}}, 1)
+		own := b.address(routerOctet, 0, gossipPort)
+		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all",
+			Peers: append([]string{own}, b.peerAddresses(fewestPeers)...), InitialList: initialList,
+			ListService: t.listServices[0].Addr(), Follow: []int{0}}, 1)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		if err = sleep(b.ctx, b.plan.Settle, &h.all[0].process); err != nil {
+		defer fleet.close()
+		if err = sleep(b.ctx, b.plan.Settle, &fleet.processes[0].process); err != nil {
 			return err
 		}
-		return one("hollow", &h.all[0].process, usualWord(s))
+		return measureMessage("hollow", &fleet.processes[0].process, typicalMessage(t))
 	})
 	if err != nil {
 		return err
 	}
-	v.close()
-	v.sockets = nil
-	b.add("hollow.core.word", 0, times["hollow"], 0)
-	b.add("hollow.agree.core", 0, times["hollow"]/times["real"], 0)
-	if off := times["hollow"]/times["real"] - 1; !b.plan.Small && (off > agreement || off < -agreement) {
-		b.note("a word takes %.0f us of a hollow router and %.0f of a real one: more than %.0f%% apart", times["hollow"], times["real"], 100*agreement)
+	peers.close()
+	peers.sockets = nil
+	b.add("hollow.core.word", 0, perMessage["hollow"], 0)
+	b.add("hollow.agree.core", 0, perMessage["hollow"]/perMessage["real"], 0)
+	if deviation := perMessage["hollow"]/perMessage["real"] - 1; !b.plan.Small &&
+		(deviation > maxCPUDeviation || deviation < -maxCPUDeviation) {
+		b.addNote("a message costs a simulated router %.0f us of CPU time and a real one %.0f: over %.0f%% apart",
+			perMessage["hollow"], perMessage["real"], 100*maxCPUDeviation)
 	}
-	return b.among(fewest)
+	return b.countBesideRealRouter(fewestPeers)
 }
 
-// among puts a real router among hollow ones, and counts what each side says and hears.
-func (b *bench) among(n int) error {
-	b.say("a real router among %d hollow ones", n)
-	c := setup{peers: b.others(n), words: true, zones: true, door: true, routers: 50}
-	return b.with(slices.Max(b.plan.Servers), c, func(s *stage, p *process) error {
-		known, err := fetch(s.lists[0].Addr(), "")
+// countBesideRealRouter runs a real router in a fleet of simulated ones, and compares the messages that each side sends
+// and receives.
+func (b *bench) countBesideRealRouter(n int) error {
+	b.progressf("a real router in a fleet of %d simulated ones", n)
+	c := routerSetup{peers: b.peerAddresses(n), gossip: true, zoneFailover: true, adminServer: true, fleetSize: 50}
+	return b.withRouter(slices.Max(b.plan.Servers), c, func(t *testbed, p *process) error {
+		initialList, err := fetchList(t.listServices[0].Addr(), "")
 		if err != nil {
 			return err
 		}
-		peers := append([]string{b.at(routerAt, 0, wordsPort)}, b.others(n)...)
-		h, err := b.hollows(simrouter.Spec{Way: "all", Peers: peers, First: 1, Known: known, List: s.lists[0].Addr()}, n)
+		peers := append([]string{b.address(routerOctet, 0, gossipPort)}, b.peerAddresses(n)...)
+		fleet, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: peers, First: 1, InitialList: initialList,
+			ListService: t.listServices[0].Addr()}, n)
 		if err != nil {
 			return err
 		}
-		defer h.close()
-		said, before, err := b.still(h)
+		defer fleet.close()
+		sentBefore, before, err := b.countsAtRest(fleet)
 		if err != nil {
 			return err
 		}
-		everyone := sample(1, n, n)
-		for range repeats {
-			if _, err = h.ask(&simrouter.Order{SayOnce: everyone}); err != nil {
+		allSimulated := spreadIndexes(1, n, n)
+		for range repetitions {
+			if _, err = fleet.sendOrder(&simrouter.Order{SendOnce: allSimulated}); err != nil {
 				return err
 			}
 			if err = sleep(b.ctx, 200*time.Millisecond, p); err != nil {
 				return err
 			}
 		}
-		now, a, err := b.still(h)
+		sentAfter, after, err := b.countsAtRest(fleet)
 		if err != nil {
 			return err
 		}
-		dropped, err := lost(b.at(routerAt, 0, wordsPort))
+		dropped, err := droppedDatagrams(b.address(routerOctet, 0, gossipPort))
 		if err != nil {
 			return err
 		}
-		b.add("hollow.agree.heard", 0, float64(a.Traffic.Heard-a.Zoned)-float64(repeats*n*(n-1)), 0)
+		b.add("hollow.agree.heard", 0, float64(after.Traffic.Received-after.ZoneMessages)-
+			float64(repetitions*n*(n-1)), 0)
 		b.add("hollow.agree.real", 0, float64(dropped), 0)
-		b.add("hollow.agree.told", 0, float64(a.Zoned-before.Zoned)-(now-said)*float64(n), 0)
+		b.add("hollow.agree.told", 0, float64(after.ZoneMessages-before.ZoneMessages)-
+			(sentAfter-sentBefore)*float64(n), 0)
 		return nil
 	})
 }
 
-// still gives how many words a real router says that it has said, and what hollow ones have heard at that moment: when it says none
-// for longer than its door's figures are old.
-func (b *bench) still(h *hollows) (said float64, a simrouter.Answer, err error) {
-	const older = 150 * time.Millisecond // its figures are published each tenth of a second
+// countsAtRest returns the number of zone messages that the real router reports as sent, and the simulated routers'
+// counters at the same time. It waits for a pause between messages that is longer than the update interval of the real
+// router's metrics.
+func (b *bench) countsAtRest(fleet *simFleet) (sent float64, answer simrouter.Answer, err error) {
+	const refreshWait = 150 * time.Millisecond // the router updates its metrics every tenth of a second
 	for range 200 {
-		if said, err = b.figure("zone_words"); err != nil {
-			return 0, a, err
+		if sent, err = b.adminMetric("zone_words"); err != nil {
+			return 0, answer, err
 		}
-		if err = sleep(b.ctx, older, nil); err != nil {
-			return 0, a, err
+		if err = sleep(b.ctx, refreshWait, nil); err != nil {
+			return 0, answer, err
 		}
-		if a, err = h.ask(&simrouter.Order{}); err != nil {
-			return 0, a, err
+		if answer, err = fleet.sendOrder(&simrouter.Order{}); err != nil {
+			return 0, answer, err
 		}
-		if err = sleep(b.ctx, older, nil); err != nil {
-			return 0, a, err
+		if err = sleep(b.ctx, refreshWait, nil); err != nil {
+			return 0, answer, err
 		}
-		now, err := b.figure("zone_words")
-		if err != nil || now == said {
-			return said, a, err
+		sentAfter, err := b.adminMetric("zone_words")
+		if err != nil || sentAfter == sent {
+			return sent, answer, err
 		}
 	}
-	return 0, a, errors.New("the real router never falls silent for long enough to be counted")
+	return 0, answer,
+		errors.New("the real router's zone messages have no pause long enough to compare the counters")
 }
 
-// figure reads a number at the real router's door.
-func (b *bench) figure(name string) (float64, error) {
+// adminMetric reads a metric from the real router's admin server.
+func (b *bench) adminMetric(name string) (float64, error) {
 	client := http.Client{Timeout: 5 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
-	answer, err := client.Get("http://" + b.at(routerAt, 0, 9400) + "/metrics")
+	response, err := client.Get("http://" + b.address(routerOctet, 0, 9400) + "/metrics")
 	if err != nil {
 		return 0, err
 	}
-	defer answer.Body.Close()
-	text, err := io.ReadAll(answer.Body)
+	defer response.Body.Close()
+	text, err := io.ReadAll(response.Body)
 	if err != nil {
 		return 0, err
 	}
@@ -466,5 +487,5 @@
 			return x, err
 		}
 	}
-	return 0, fmt.Errorf("the router's door has no figure %s", name)
+	return 0, fmt.Errorf("the router's admin server has no metric gw.%s", name)
 }
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -14,33 +14,33 @@
 	"gonum.org/v1/gonum/stat"
 )
 
-// Form is the version of the report's JSON; a report of another is not compared with.
-const Form = 1
+// ReportVersion is the version of the report's JSON. Reports of another version cannot be read.
+const ReportVersion = 1
 
-// offLine is the part of its own size by which a point may lie off its line before it is named: twice what a run on a busy machine
-// differs from the next.
-const offLine = 0.1
+// maxPointDeviation is the relative distance from the line above which a point is reported: twice the difference
+// between two runs on a busy machine.
+const maxPointDeviation = 0.1
 
-// Report is all that was measured, by name.
+// Report is the result of a measurement.
 type Report struct {
 	Form     int        `json:"form"`
 	Command  string     `json:"command"`
 	Revision string     `json:"revision"` // of the router that was measured
 	Machine  string     `json:"machine"`
-	Load     [2]float64 `json:"load"`  // the machine's load averages at the beginning and the end, this run's own work among it
+	Load     [2]float64 `json:"load"`  // load averages at the beginning and the end, including this run's own load
 	Began    string     `json:"began"` // RFC 3339
 	Took     float64    `json:"took_s"`
 	Runs     int        `json:"runs"`
-	Small    bool       `json:"small,omitempty"` // sizes of a test: nothing is to be quoted from it
-	Loop     Figure     `json:"loop"`            // the plain loop that processor times are set beside
+	Small    bool       `json:"small,omitempty"` // sizes of a test: its values must not be quoted
+	Loop     Figure     `json:"loop"`            // the plain loop that CPU times are compared with
 	Lines    []Line     `json:"lines"`
 	Figures  []Figure   `json:"figures"`
-	Missing  []string   `json:"missing,omitempty"` // names that were not measured
-	Notes    []string   `json:"notes,omitempty"`   // what was seen and is no figure
+	Missing  []string   `json:"missing,omitempty"` // names of quantities that were not measured
+	Notes    []string   `json:"notes,omitempty"`   // observations that are not figures
 }
 
-// Point is what was measured at one size, a value a run. Loops are the same values over the plain loop's time in the same run; there
-// are none where the value is no processor time.
+// Point is the values measured at one size, one per run. Loops are the same values divided by the plain loop's time in
+// the same run; it is empty if the value is not a CPU time.
 type Point struct {
 	X     float64   `json:"x"`
 	Runs  []float64 `json:"runs"`
@@ -49,22 +49,22 @@
 
 // Line is a straight line through the means of at least three points.
 type Line struct {
-	Name      string    `json:"name"`
-	Unit      string    `json:"unit"`
-	Per       string    `json:"per"`
-	About     string    `json:"about"`
-	Points    []Point   `json:"points"`
-	Slope     float64   `json:"slope"`     // unit for one more of what is counted
-	Base      float64   `json:"base"`      // unit where there is none of it
-	Least     float64   `json:"least"`     // the runs' slopes, each fitted by itself
-	Most      float64   `json:"most"`      //
-	Residual  float64   `json:"residual"`  // the largest distance of a point from the line, as a part of the largest point
-	Determine float64   `json:"r_squared"` // the coefficient of determination
-	Loops     float64   `json:"slope_loops,omitempty"`
-	Off       []float64 `json:"off,omitempty"` // where a point lies off the line by more than a tenth and more than its runs differ
+	Name     string    `json:"name"`
+	Unit     string    `json:"unit"`
+	Per      string    `json:"per"`
+	About    string    `json:"about"`
+	Points   []Point   `json:"points"`
+	Slope    float64   `json:"slope"`     // units per additional one of Per
+	Base     float64   `json:"base"`      // units at zero of Per
+	Least    float64   `json:"least"`     // lowest and highest slope of the runs, each fitted separately
+	Most     float64   `json:"most"`      //
+	Residual float64   `json:"residual"`  // largest distance of a point from the line, relative to the largest point
+	R2       float64   `json:"r_squared"` // the coefficient of determination
+	Loops    float64   `json:"slope_loops,omitempty"`
+	Off      []float64 `json:"off,omitempty"` // points off by more than a tenth and more than their runs differ
 }
 
-// Figure is one value.
+// Figure is a quantity measured at one size.
 type Figure struct {
 	Name  string    `json:"name"`
 	Unit  string    `json:"unit"`
@@ -76,7 +76,7 @@
 	Loops float64   `json:"loops,omitempty"`
 }
 
-// newLine fits a line through points.
+// newLine fits a line through the means of the points.
 func newLine(q Quantity, points []Point) Line {
 	l := Line{Name: q.Name, Unit: q.Unit, Per: q.Per, About: q.About, Points: points}
 	var x, y, loops []float64
@@ -87,7 +87,7 @@
 		}
 	}
 	l.Base, l.Slope = stat.LinearRegression(x, y, nil, false)
-	l.Determine = stat.RSquared(x, y, nil, l.Base, l.Slope)
+	l.R2 = stat.RSquared(x, y, nil, l.Base, l.Slope)
 	if len(loops) == len(x) {
 		_, l.Loops = stat.LinearRegression(x, loops, nil, false)
 	}
@@ -97,22 +97,22 @@
 	}
 	for i, p := range points {
 		fitted := l.Base + l.Slope*p.X
-		off := math.Abs(y[i] - fitted)
-		l.Residual = max(l.Residual, off/max(largest, 1e-12))
-		if off > offLine*math.Abs(fitted) && off > slices.Max(p.Runs)-slices.Min(p.Runs) {
+		distance := math.Abs(y[i] - fitted)
+		l.Residual = max(l.Residual, distance/max(largest, 1e-12))
+		if distance > maxPointDeviation*math.Abs(fitted) && distance > slices.Max(p.Runs)-slices.Min(p.Runs) {
 			l.Off = append(l.Off, p.X)
 		}
 	}
 	l.Least, l.Most = l.Slope, l.Slope
 	for run := range points[0].Runs {
-		var each []float64
+		var runValues []float64
 		for _, p := range points {
 			if run < len(p.Runs) {
-				each = append(each, p.Runs[run])
+				runValues = append(runValues, p.Runs[run])
 			}
 		}
-		if len(each) == len(x) {
-			_, slope := stat.LinearRegression(x, each, nil, false)
+		if len(runValues) == len(x) {
+			_, slope := stat.LinearRegression(x, runValues, nil, false)
 			if l.Least, l.Most = min(l.Least, slope), max(l.Most, slope); run == 0 {
 				l.Least, l.Most = slope, slope
 			}
@@ -129,12 +129,12 @@
 	return f
 }
 
-// At is what a line gives at a size, and how many times beyond its largest point that lies.
+// At returns the line's value at x, and the ratio of x to the line's largest measured point.
 func (l Line) At(x float64) (value, beyond float64) {
 	return l.Base + l.Slope*x, x / l.Points[len(l.Points)-1].X
 }
 
-// Read reads a report. The error tells that the file cannot be read, is none, or is of another form.
+// Read reads a report. It returns an error if the file cannot be read, is not a report, or has another version.
 func Read(path string) (*Report, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
@@ -142,15 +142,16 @@
 	}
 	var r Report
 	if err = json.Unmarshal(text, &r); err != nil {
-		return nil, fmt.Errorf("%s: not a report of scale: %w", path, err)
+		return nil, fmt.Errorf("%s: not a report of trestle-experiment scale: %w", path, err)
 	}
-	if r.Form != Form {
-		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it", path, r.Form, Form)
+	if r.Form != ReportVersion {
+		return nil, fmt.Errorf("%s: form %d; this program reads form %d, as trestle-experiment scale --json writes it",
+			path, r.Form, ReportVersion)
 	}
 	return &r, nil
 }
 
-// Write writes it to a file, whole or not at all.
+// Write writes the report to a file atomically.
 func (r *Report) Write(path string) error {
 	text, err := json.MarshalIndent(r, "", " ")
 	if err != nil {
@@ -162,18 +163,20 @@
 	return os.Rename(path+".new", path)
 }
 
-func short(x float64) string {
+func formatNumber(x float64) string {
 	if a := math.Abs(x); a >= 1e5 || a > 0 && a < 1e-3 {
 		return fmt.Sprintf("%.3g", x)
 	}
 	return fmt.Sprintf("%.4g", x)
 }
 
-// Print writes the table. Every line has its name, so that a page can quote it.
+// Print writes the report as a table. Each row starts with the name of its quantity, so that documentation can refer to
+// it.
 func (r *Report) Print(out io.Writer) {
 	fmt.Fprintf(out, "%s\n%s, load %.1f at the beginning and %.1f at the end; router %s; %d runs, %.0f s\n", r.Command, r.Machine, r.Load[0], r.Load[1],
 		r.Revision, r.Runs, r.Took)
-	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n", short(r.Loop.Mean), short(r.Loop.Least), short(r.Loop.Most))
+	fmt.Fprintf(out, "the plain loop, crc32 of a megabyte: %s us of processor (%s to %s)\n\n",
+		formatNumber(r.Loop.Mean), formatNumber(r.Loop.Least), formatNumber(r.Loop.Most))
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	if len(r.Lines) > 0 {
 		fmt.Fprintln(w, "SLOPE\tFOR ONE\tIS\tRUNS\tUNIT\tIN LOOPS\tAT NONE\tR2\tRESIDUAL\tPOINTS")
@@ -181,24 +184,26 @@
 	for _, l := range r.Lines {
 		var points []string
 		for _, p := range l.Points {
-			points = append(points, short(p.X)+":"+short(stat.Mean(p.Runs, nil)))
+			points = append(points, formatNumber(p.X)+":"+formatNumber(stat.Mean(p.Runs, nil)))
 		}
 		off := ""
 		if len(l.Off) > 0 {
 			off = " OFF THE LINE at"
 			for _, x := range l.Off {
-				off += " " + short(x)
+				off += " " + formatNumber(x)
 			}
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, short(l.Slope), short(l.Least), short(l.Most), l.Unit,
-			loopsOf(l.Loops), short(l.Base), l.Determine, 100*l.Residual, strings.Join(points, " "), off)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s..%s\t%s\t%s\t%s\t%.3f\t%.0f%%\t%s%s\n", l.Name, l.Per, formatNumber(l.Slope),
+			formatNumber(l.Least), formatNumber(l.Most), l.Unit,
+			formatLoops(l.Loops), formatNumber(l.Base), l.R2, 100*l.Residual, strings.Join(points, " "), off)
 	}
 	w.Flush()
 	if len(r.Figures) > 0 {
 		fmt.Fprintln(w, "\nFIGURE\tIS\tRUNS\tUNIT\tIN LOOPS")
 	}
 	for _, f := range r.Figures {
-		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, short(f.Mean), short(f.Least), short(f.Most), f.Unit, loopsOf(f.Loops))
+		fmt.Fprintf(w, "%s\t%s\t%s..%s\t%s\t%s\n", f.Name, formatNumber(f.Mean), formatNumber(f.Least),
+			formatNumber(f.Most), f.Unit, formatLoops(f.Loops))
 	}
 	w.Flush()
 	for _, n := range r.Notes {
@@ -209,38 +214,39 @@
 	}
 }
 
-func loopsOf(x float64) string {
+func formatLoops(x float64) string {
 	if x == 0 {
 		return "-"
 	}
-	return short(x)
+	return formatNumber(x)
 }
 
-// Against prints each value beside that of an earlier report. A difference counts where the two's runs do not overlap; of processor
-// times the ones over the plain loop are shown, too, as the machines or their load may differ.
+// Against prints each value next to that of an earlier report. A difference is significant if the runs of the two do
+// not overlap. CPU times are also shown relative to the plain loop, because the machines or their load may differ.
 func (r *Report) Against(out io.Writer, before *Report) error {
 	if before.Small != r.Small {
-		return errors.New("one of the two reports is of small sizes; they say nothing of one another")
+		return errors.New("one of the two reports has the small sizes of a test; want two reports of the same kind")
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	fmt.Fprintln(w, "\nAGAINST\tBEFORE\tNOW\tTIMES\tIN LOOPS, TIMES\t")
-	times := func(now, then float64) string {
-		if then == 0 {
+	ratio := func(now, old float64) string {
+		if old == 0 {
 			return "-"
 		}
-		return fmt.Sprintf("%.2f", now/then)
+		return fmt.Sprintf("%.2f", now/old)
 	}
-	row := func(name string, then, now, thenLoops, nowLoops float64, apart bool) {
-		said := ""
-		if apart {
-			said = "runs do not overlap"
+	row := func(name string, old, now, oldLoops, nowLoops float64, disjoint bool) {
+		remark := ""
+		if disjoint {
+			remark = "runs do not overlap"
 		}
-		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, short(then), short(now), times(now, then), times(nowLoops, thenLoops), said)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%s\t%s\t%s\n", name, formatNumber(old), formatNumber(now), ratio(now, old),
+			ratio(nowLoops, oldLoops), remark)
 	}
 	for _, l := range r.Lines {
 		i := slices.IndexFunc(before.Lines, func(b Line) bool { return b.Name == l.Name })
 		if i < 0 {
-			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", l.Name, short(l.Slope))
+			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", l.Name, formatNumber(l.Slope))
 			continue
 		}
 		b := before.Lines[i]
@@ -249,7 +255,7 @@
 	for _, f := range r.Figures {
 		i := slices.IndexFunc(before.Figures, func(b Figure) bool { return b.Name == f.Name })
 		if i < 0 {
-			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", f.Name, short(f.Mean))
+			fmt.Fprintf(w, "%s\tnone\t%s\t-\t-\tnew\n", f.Name, formatNumber(f.Mean))
 			continue
 		}
 		b := before.Figures[i]
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -10,20 +10,24 @@
 	"bendtrestle/internal/eventloop"
 )
 
-const keys = 4000 // as many as the module's circle has places: after some seconds it has looked each of them up
+const keyCount = 4000 // about as many as the balancer's ring has slots, so that most slots are looked up within seconds
 
-// load lets clients ask a router at a rate, for a while before a window and through it. It gives what the window took of the router,
-// how many operations were asked for in all and how many of them got what was asked for.
-func (b *bench) load(s *stage, p *process, rate float64, warm time.Duration) (w spent, asked, served int, err error) {
+// runLoad runs clients that send requests at a rate, for the warm-up time and then for a window. It returns the
+// router's usage in the window, the number of all requests, and the number of those that got their value.
+func (b *bench) runLoad(t *testbed, p *process, rate float64, warm time.Duration) (
+	used usage, requested, served int, err error) {
 	loop, err := eventloop.New()
 	if err != nil {
-		return w, 0, 0, err
+		return used, 0, 0, err
 	}
-	b.loads++ // ids of operations are counted from the seed on, and must not come again within the seconds for which a router remembers them
-	clients, err := emulator.NewClients(loop, b.loads<<20, emulator.Load{Types: []*emulator.TrafficType{small}, Rate: rate, Keys: keys,
+	// The ids of requests count up from the seed. They must not repeat within the seconds for which a router remembers
+	// them.
+	b.loadCount++
+	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads},
+		Rate: rate, Keys: keyCount,
 		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
 	if err != nil {
-		return w, 0, 0, err
+		return used, 0, 0, err
 	}
 	ended := make(chan error, 1)
 	go func() { ended <- loop.Run() }()
@@ -34,7 +38,7 @@
 	}
 	on(func() { clients.Start(1e6) })
 	if err = sleep(b.ctx, warm, p); err == nil {
-		w, err = b.watch(p)
+		used, err = b.measureWindow(p)
 	}
 	on(clients.Stop)
 	busy := true
@@ -43,77 +47,78 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, o := range clients.Book().Ops {
-		if any, _ := o.Served(); any {
+	for _, request := range clients.Book().Ops {
+		if any, _ := request.Served(); any {
 			served++
 		} else {
-			b.note("a read at %.0f a second ended as %v", rate, o.How)
+			b.addNote("a read at %.0f requests per second ended as %v", rate, request.How)
 		}
 	}
-	return w, len(clients.Book().Ops), served, err
+	return used, len(clients.Book().Ops), served, err
 }
 
-// request measures operations on small values, connections to servers and clients, and handshakes.
-func request(b *bench) error {
-	most, top := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
-	asked, served := 0, 0
-	play := func(s *stage, p *process, rate float64, warm time.Duration) (spent, error) {
-		w, n, done, err := b.load(s, p, rate, warm)
-		asked, served = asked+n, served+done
-		return w, err
+// measureRequests measures requests for small values, connections to servers and clients, and handshakes.
+func measureRequests(b *bench) error {
+	mostServers, topRate := slices.Max(b.plan.Servers), slices.Max(b.plan.Rates)
+	requested, served := 0, 0
+	load := func(t *testbed, p *process, rate float64, warm time.Duration) (usage, error) {
+		used, n, done, err := b.runLoad(t, p, rate, warm)
+		requested, served = requested+n, served+done
+		return used, err
 	}
-	accepts := func(s *stage) (n int) {
-		s.on(func() { n = len(s.fleet.Book().Accepts) })
+	acceptedConnections := func(t *testbed) (n int) {
+		t.onLoop(func() { n = len(t.fleet.Book().Accepts) })
 		return n
 	}
-	kept := 0.0
-	err := b.with(most, setup{}, func(s *stage, p *process) error {
+	reusedRate := 0.0
+	err := b.withRouter(mostServers, routerSetup{}, func(t *testbed, p *process) error {
 		for _, rate := range b.plan.Rates {
-			b.say("%.0f operations a second", rate)
-			w, err := play(s, p, rate, b.plan.Settle)
+			b.progressf("%.0f requests per second", rate)
+			used, err := load(t, p, rate, b.plan.Settle)
 			if err != nil {
 				return err
 			}
-			b.add("request.core.operation", rate, w.rate(), w.loop)
-			kept = w.rate()
+			b.add("request.core.operation", rate, used.cpuRate(), used.loop)
+			reusedRate = used.cpuRate()
 		}
 		return nil
 	})
 	if err != nil {
 		return err
 	}
-	b.say("a handshake for each operation")
-	err = b.with(most, setup{idle: 0.001}, func(s *stage, p *process) error {
-		before := accepts(s)
+	b.progressf("a handshake for each request")
+	err = b.withRouter(mostServers, routerSetup{serverIdleSeconds: 0.001}, func(t *testbed, p *process) error {
+		before := acceptedConnections(t)
 		began := time.Now()
-		w, err := play(s, p, top, b.plan.Settle)
+		used, err := load(t, p, topRate, b.plan.Settle)
 		if err != nil {
 			return err
 		}
-		made := float64(accepts(s)-before) / time.Since(began).Seconds()
-		if made <= 0 {
-			return fmt.Errorf("no connection was made")
+		connectionsPerSecond := float64(acceptedConnections(t)-before) / time.Since(began).Seconds()
+		if connectionsPerSecond <= 0 {
+			return fmt.Errorf("the router opened no connection to a server")
 		}
-		b.add("request.core.handshake", 0, (w.rate()-kept)/made, w.loop)
+		b.add("request.core.handshake", 0, (used.cpuRate()-reusedRate)/connectionsPerSecond, used.loop)
 		return nil
 	})
 	if err != nil {
 		return err
 	}
 	for _, n := range b.plan.Servers {
-		b.say("memory of connections to %d servers", n)
-		err = b.with(n, setup{}, func(s *stage, p *process) error {
-			w, err := play(s, p, top, b.plan.Window) // until each has one, and the module has looked up most places
-			b.add("request.memory.servers", float64(n), w.resident, 0)
-			b.add("request.connections", float64(n), float64(accepts(s)), 0)
+		b.progressf("memory of connections to %d servers", n)
+		err = b.withRouter(n, routerSetup{}, func(t *testbed, p *process) error {
+			// until each server has a connection and most slots are looked up
+			used, err := load(t, p, topRate, b.plan.Window)
+			b.add("request.memory.servers", float64(n), used.resident, 0)
+			b.add("request.connections", float64(n), float64(acceptedConnections(t)), 0)
 			return err
 		})
 		if err != nil {
 			return err
 		}
 	}
-	b.say("memory of clients' connections")
-	err = b.with(most, setup{}, func(_ *stage, p *process) error {
+	b.progressf("memory of client connections")
+	err = b.withRouter(mostServers, routerSetup{}, func(_ *testbed, p *process) error {
 		var open []net.Conn
 		defer func() {
 			for _, c := range open {
@@ -126,11 +131,11 @@
 				if err != nil {
 					return err
 				}
-				if open = append(open, c); !answers(c) {
-					return fmt.Errorf("client %d: the router does not say that it serves", len(open))
+				if open = append(open, c); !repliesToNoOp(c) {
+					return fmt.Errorf("client %d: the router does not reply to a no-op command", len(open))
 				}
 			}
-			now, _, err := memoryOf(p.pid())
+			now, _, err := residentKiB(p.pid())
 			if err != nil {
 				return err
 			}
@@ -138,7 +143,7 @@
 		}
 		return nil
 	})
-	b.add("request.unserved", 0, float64(asked-served), 0)
-	b.add("request.asked", 0, float64(asked), 0)
+	b.add("request.unserved", 0, float64(requested-served), 0)
+	b.add("request.asked", 0, float64(requested), 0)
 	return err
 }
--- a/internal/experiment/scale/simrouter/gossip.go
+++ b/internal/experiment/scale/simrouter/gossip.go
@@ -11,86 +11,93 @@
 	"bendtrestle/internal/policy/gossip"
 )
 
-// GossipBudget is bytes a second, in and out with headers, that a router may spend: what operators allow unless they say otherwise.
-const GossipBudget = 7000
+// GossipBytesPerSecond is the most that a router may send and receive per second, with headers: the default of the
+// operators' file.
+const GossipBytesPerSecond = 7000
 
 const (
-	gossiping = 0.05 // seconds between two steps, as the service has it
-	feeding   = 2    // steps between two times that the module is fed, likewise
+	stepSeconds      = 0.05 // seconds between two steps, as in the router service
+	stepsPerDelivery = 2    // steps between two deliveries to the balancer, as in the router service
 )
 
-// gossips is the way through a few of the others: the real fleet's part, stepped and fed as the service does. All of it belongs to the
-// loop. It steps whatever the number of routers; real ones that are so few that it does not pay tell all.
-type gossips struct {
-	p     Place
-	heard func(words []byte)
-	peers *peertransport.Transport
-	fleet *gossip.Gossiper
-	steps int
+// gossipTransport spreads messages by gossip through a few other routers. It runs the real gossiper and delivers to the
+// balancer at the intervals of the router service. All of it belongs to the event loop. It gossips at any fleet size;
+// real routers broadcast if they are so few that this takes fewer bytes.
+type gossipTransport struct {
+	member    Member
+	onMessage func(message []byte)
+	peers     *peertransport.Transport
+	gossiper  *gossip.Gossiper
+	steps     int
 
-	told, fed, datagramsIn uint64
+	sent, delivered, datagramsIn uint64
 }
 
-func openGossip(p Place, heard func(words []byte)) (Way, error) {
-	var names []uint32
-	for _, text := range p.Peers {
+func openGossip(member Member, onMessage func(message []byte)) (Transport, error) {
+	var addressHashes []uint32
+	for _, text := range member.Peers {
 		at, err := netip.ParseAddrPort(text)
 		if err != nil {
 			return nil, err
 		}
-		names = append(names, crc32.ChecksumIEEE([]byte(at.String())))
+		addressHashes = append(addressHashes, crc32.ChecksumIEEE([]byte(at.String())))
 	}
-	longest := 0.0
-	set := settings(p.Me, len(p.Peers))
-	for _, t := range set.TrafficClasses {
-		longest = max(longest, t.LatencyObjective)
+	longestObjective := 0.0
+	routerSettings := settings(member.Index, len(member.Peers))
+	for _, t := range routerSettings.TrafficClasses {
+		longestObjective = max(longestObjective, t.LatencyObjective)
 	}
-	life := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + p.Listen))
-	w := &gossips{p: p, heard: heard, fleet: gossip.New(p.Loop.Now(), gossip.Settings{Self: p.Me, Seed: set.Seed ^ life, Incarnation: life,
-		BytesPerSecond: GossipBudget, LongestObjective: longest}, gossip.NewView(names))}
-	w.fleet.SetServers(p.Servers)
-	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, place int, words []byte) {
-		p.Loop.Post(func() { w.hear(place, words) })
-	}, p.Log)
+	incarnation := crc32.ChecksumIEEE([]byte(time.Now().String() + strconv.Itoa(os.Getpid()) + member.Listen))
+	t := &gossipTransport{member: member, onMessage: onMessage, gossiper: gossip.New(member.Loop.Now(),
+		gossip.Settings{Self: member.Index, Seed: routerSettings.Seed ^ incarnation, Incarnation: incarnation,
+			BytesPerSecond: GossipBytesPerSecond, LongestObjective: longestObjective}, gossip.NewView(addressHashes))}
+	t.gossiper.SetServers(member.ServerIDs)
+	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index,
+		func(_ netip.AddrPort, sender int, datagram []byte) {
+			member.Loop.Post(func() { t.receive(sender, datagram) })
+		}, member.Log)
 	if err != nil {
 		return nil, err
 	}
-	w.peers = open
-	p.Loop.Post(func() { // the routers of a process step in turn, not all at once
-		p.Loop.After(gossiping*float64(p.Me)/float64(len(p.Peers)), w.step)
+	t.peers = open
+	member.Loop.Post(func() { // the routers of a process step at different times
+		member.Loop.After(stepSeconds*float64(member.Index)/float64(len(member.Peers)), t.step)
 	})
-	return w, nil
+	return t, nil
 }
 
-func (w *gossips) hear(from int, words []byte) {
-	w.datagramsIn++
-	if !w.fleet.OnDatagram(w.p.Loop.Now(), from, words) {
-		w.heard(words)
+func (t *gossipTransport) receive(sender int, datagram []byte) {
+	t.datagramsIn++
+	if !t.gossiper.OnDatagram(t.member.Loop.Now(), sender, datagram) {
+		t.onMessage(datagram)
 	}
 }
 
-func (w *gossips) step() {
-	now := w.p.Loop.Now()
-	for _, d := range w.fleet.Tick(now) {
-		w.peers.Send(d.To, d.Bytes)
+func (t *gossipTransport) step() {
+	now := t.member.Loop.Now()
+	for _, d := range t.gossiper.Tick(now) {
+		t.peers.Send(d.To, d.Bytes)
 	}
-	if w.steps++; w.steps%feeding == 0 {
-		if words := w.fleet.SynthesizeObservations(now); len(words) > 0 {
-			w.fed++
-			w.p.Feed(words)
+	if t.steps++; t.steps%stepsPerDelivery == 0 {
+		if observations := t.gossiper.SynthesizeObservations(now); len(observations) > 0 {
+			t.delivered++
+			t.member.Deliver(observations)
 		}
 	}
-	w.p.Loop.After(gossiping, w.step)
+	t.member.Loop.After(stepSeconds, t.step)
 }
 
-func (w *gossips) Tell(words []byte) {
-	w.told++
-	w.fleet.Report(w.p.Loop.Now(), words)
+func (t *gossipTransport) Broadcast(message []byte) {
+	t.sent++
+	t.gossiper.Report(t.member.Loop.Now(), message)
 }
 
-// Traffic counts as heard how often the module was fed: no message that another told comes to it by itself.
-func (w *gossips) Traffic() Traffic {
-	c := w.fleet.Counters
-	return Traffic{Told: w.told, Heard: w.fed, DatagramsIn: w.datagramsIn, DatagramsOut: c.DatagramsSent, BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
-		LeastHeard: w.fed, MostHeard: w.fed, LeastBytesIn: c.BytesReceived, MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
+// Traffic counts each delivery to the balancer as one received message, because gossip delivers no single message of
+// another router.
+func (t *gossipTransport) Traffic() Traffic {
+	c := t.gossiper.Counters
+	return Traffic{Sent: t.sent, Received: t.delivered, DatagramsIn: t.datagramsIn, DatagramsOut: c.DatagramsSent,
+		BytesIn: c.BytesReceived, BytesOut: c.BytesSent,
+		LeastReceived: t.delivered, MostReceived: t.delivered, LeastBytesIn: c.BytesReceived,
+		MostBytesIn: c.BytesReceived, LeastBytesOut: c.BytesSent, MostBytesOut: c.BytesSent}
 }
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -1,6 +1,7 @@
-// Package simrouter is routers without clients, payload and connections to servers: the real ways to other routers, the real list of
-// servers and the real module, some hundreds to a process. What a real router costs for its fleet's size they cost, too, so that a
-// whole fleet fits on one machine; what they leave out is stated where they are set beside real ones.
+// Package simrouter runs simulated routers, some hundreds per process. A simulated router has no clients, no payload
+// and no connections to servers, but a real router's gossip transport, endpoint list and balancer. It costs what the
+// size of the fleet costs a real router, so that a whole fleet fits on one machine. Package scale compares simulated
+// routers with real ones.
 package simrouter
 
 import (
@@ -16,123 +17,127 @@
 	"github.com/rs/zerolog"
 )
 
-// router is a hollow one. All of it but the counters of its way belongs to the loop that it shares with the others of its process.
+// router is a simulated router. All of it except the counters of its transport belongs to the event loop that the
+// routers of a process share.
 type router struct {
-	me         int // its number among the peers
-	loop       *eventloop.Loop
-	way        Way
-	module     *balancer.Balancer
-	ids        []uint64 // of the servers, as the list has them
-	generation uint64   // of the list that is in force
-	since      float64  // when that came into force, Unix seconds
-	zoned      uint64   // words that were no module's: about zones, from real routers
-	turn       int      // counts its talks and silences
+	index        int // among the peers
+	loop         *eventloop.Loop
+	transport    Transport
+	loadBalancer *balancer.Balancer
+	serverIDs    []uint64 // in the order of the list
+	generation   uint64   // of the list that is in force
+	listSince    float64  // when that list came into force, Unix seconds
+	zoneMessages uint64   // received messages that are not for the balancer: zone messages of real routers
+	sendRound    int      // counts starts and stops of periodic sending, so that an earlier timer ends
 }
 
-// host lets the module act: there is nothing that it could act on but the other routers.
+// host carries out the balancer's actions. Only gossip has an effect, because there are no requests and no servers.
 type host struct{ r *router }
 
 func (host) StartAttempt(uint64, uint64, float64, float64) {}
 func (host) CancelAttempt(uint64, int)                     {}
 func (host) Reject(uint64, float64, balancer.RejectReason) {}
 func (host) Fail(uint64)                                   {}
-func (h host) Gossip(words []byte)                         { h.r.way.Tell(words) }
+func (h host) Gossip(message []byte)                       { h.r.transport.Broadcast(message) }
 func (host) Probe(uint64)                                  {}
 func (host) SetTimer(float64, string)                      {}
 func (host) WatchEndpoints(bool)                           {}
 
-// settings are those of a router that hears others, as in a real one's configuration.
+// settings returns balancer settings of a router that gossips, with the values of a real router's configuration.
 func settings(me, routers int) balancer.Settings {
 	return balancer.Settings{Seed: uint32(me + 1), RouterIndex: me, RouterCount: routers, EventInterval: 0.002, WeightMode: balancer.WeightsStatic, MaxAttempts: 3, HedgingAllowed: true,
 		CancellationAllowed: true, MaxRetryAfter: 1.2, GossipAllowed: true, GossipPrice: 0.01, OverloadWindow: 3, OverloadFactor: 4, WarmupStartCapacity: 0.3, WarmupDuration: 9,
 		TrafficClasses: []balancer.TrafficClass{{Name: "read", Idempotency: balancer.Idempotent, LatencyObjective: 0.150, Deadline: 0.750, PriorityWeight: 5}}}
 }
 
-const wordSize = 3 // bytes of the module's words; a longer message than usualSize is about zones
+const observationBytes = 3 // bytes of one observation in a gossip message
 
-// begin makes one that has a list. It hears from now on.
-func begin(loop *eventloop.Loop, open Open, p Place, known discovery.EndpointList) (*router, error) {
-	r := &router{me: p.Me, loop: loop}
-	r.module = balancer.New(loop.Now(), settings(p.Me, len(p.Peers)), host{r})
-	r.take(balancer.UpdateFull, known)
-	for _, id := range r.ids {
-		p.Servers = append(p.Servers, uint16(id))
+// newRouter returns a router with an endpoint list. It receives messages from now on.
+func newRouter(loop *eventloop.Loop, open OpenFunc, member Member,
+	initialList discovery.EndpointList) (*router, error) {
+	r := &router{index: member.Index, loop: loop}
+	r.loadBalancer = balancer.New(loop.Now(), settings(member.Index, len(member.Peers)), host{r})
+	r.applyList(balancer.UpdateFull, initialList)
+	for _, id := range r.serverIDs {
+		member.ServerIDs = append(member.ServerIDs, uint16(id))
 	}
-	p.Loop, p.Feed = loop, func(words []byte) { r.module.OnGossip(loop.Now(), words) }
+	member.Loop, member.Deliver = loop, func(message []byte) { r.loadBalancer.OnGossip(loop.Now(), message) }
 	var err error
-	r.way, err = open(p, func(words []byte) {
+	r.transport, err = open(member, func(message []byte) {
 		loop.Post(func() {
-			if len(words) > usualSize {
-				r.zoned++ // a real router asks its zones first
+			if len(message) > messageBytes {
+				r.zoneMessages++ // zone messages are longer; a real router passes messages to zone failover first
 				return
 			}
-			r.module.OnGossip(loop.Now(), words)
+			r.loadBalancer.OnGossip(loop.Now(), message)
 		})
 	})
 	return r, err
 }
 
-// take takes a list.
-func (r *router) take(kind balancer.EndpointUpdate, l discovery.EndpointList) {
-	var members []balancer.Endpoint
-	for _, e := range l.Instances {
-		members = append(members, e.Endpoint)
+// applyList passes an endpoint list to the balancer.
+func (r *router) applyList(kind balancer.EndpointUpdate, list discovery.EndpointList) {
+	var endpoints []balancer.Endpoint
+	for _, e := range list.Instances {
+		endpoints = append(endpoints, e.Endpoint)
 		if kind == balancer.UpdateFull {
-			r.ids = append(r.ids, e.ID)
+			r.serverIDs = append(r.serverIDs, e.ID)
 		}
 	}
-	r.module.OnEndpoints(r.loop.Now(), kind, members)
-	r.generation, r.since = l.Generation, r.loop.Now()
+	r.loadBalancer.OnEndpoints(r.loop.Now(), kind, endpoints)
+	r.generation, r.listSince = list.Generation, r.loop.Now()
 }
 
-// follow watches a list service as a real router does, until ctx ends.
+// follow watches a list service in the same way as a real router, until ctx ends.
 func (r *router) follow(ctx context.Context, addr string, seed uint32, log zerolog.Logger) {
-	const grace = 0.5 // seconds of a drain, as in the real routers' configuration
+	const grace = 0.5 // drain grace in seconds, as in the real routers' configuration
 	start := discovery.WatchStart{Generation: r.generation, SameService: true, Schedule: pollschedule.ForLocalAgent(grace, seed)}
-	go discovery.Watch(ctx, addr, start, func(l discovery.EndpointList) error {
-		taken := make(chan struct{})
+	go discovery.Watch(ctx, addr, start, func(list discovery.EndpointList) error {
+		applied := make(chan struct{})
 		r.loop.Post(func() {
 			kind := balancer.UpdateDelta
-			if l.Complete {
-				kind, r.ids = balancer.UpdateFull, nil
+			if list.Complete {
+				kind, r.serverIDs = balancer.UpdateFull, nil
 			}
-			if l.Complete || len(l.Instances) > 0 {
-				r.take(kind, l)
+			if list.Complete || len(list.Instances) > 0 {
+				r.applyList(kind, list)
 			}
-			close(taken)
+			close(applied)
 		})
 		select {
-		case <-taken:
+		case <-applied:
 		case <-ctx.Done():
 		}
 		return nil
 	}, func(error) {}, log)
 }
 
-const usualSize = 15 // bytes of a word as the module says it: five servers
+const messageBytes = 15 // bytes of a typical message of the balancer: observations of five servers
 
-// say says a usual word: five servers, each with a usual time. They are the same five unless it begins with another one of the list.
-func (r *router) say(from int) {
-	var words []byte
-	for n := range usualSize / wordSize {
-		words = append(binary.LittleEndian.AppendUint16(words, uint16(r.ids[(from+n*len(r.ids)*wordSize/usualSize)%len(r.ids)])), 32)
+// send sends a typical message: five servers, each with a typical latency. first selects which five of the list.
+func (r *router) send(first int) {
+	var message []byte
+	for n := range messageBytes / observationBytes {
+		message = append(binary.LittleEndian.AppendUint16(message,
+			uint16(r.serverIDs[(first+n*len(r.serverIDs)*observationBytes/messageBytes)%len(r.serverIDs)])), 32)
 	}
-	r.way.Tell(words)
+	r.transport.Broadcast(message)
 }
 
-// talk says a word each period, until hush; with all of servers other than the one before and than the next router.
-func (r *router) talk(first, period time.Duration, all bool) {
-	r.turn++
-	turn := r.turn
-	from := 0
+// sendPeriodically sends a message each period until stopSending. With all set, each message is about other servers
+// than the previous one, and routers start at different servers.
+func (r *router) sendPeriodically(first, period time.Duration, all bool) {
+	r.sendRound++
+	round := r.sendRound
+	firstServer := 0
 	if all {
-		from = r.me
+		firstServer = r.index
 	}
 	var next func()
 	next = func() {
-		if r.turn == turn {
-			if r.say(from); all {
-				from++
+		if r.sendRound == round {
+			if r.send(firstServer); all {
+				firstServer++
 			}
 			r.loop.After(period.Seconds(), next)
 		}
@@ -140,4 +145,4 @@
 	r.loop.After(first.Seconds(), next)
 }
 
-func (r *router) hush() { r.turn++ }
+func (r *router) stopSending() { r.sendRound++ }
--- a/internal/experiment/scale/simrouter/way.go
+++ b/internal/experiment/scale/simrouter/way.go
@@ -14,92 +14,99 @@
 	"github.com/rs/zerolog"
 )
 
-// Way is how one router's words come to the others: the seam at which routers that tell one another in another way are put in. Both are
-// called on the loop.
-type Way interface {
-	Tell(words []byte) // to all others; what cannot be sent now is lost
+// Transport brings one router's gossip messages to the others. Implementations can be exchanged. Its methods are called
+// on the event loop.
+type Transport interface {
+	Broadcast(message []byte) // sends to all other routers; what cannot be sent immediately is lost
 	Traffic() Traffic
 }
 
-// Place is where a router stands among the others.
-type Place struct {
-	Me      int      // its number among the peers
-	Listen  string   // where it hears
-	Peers   []string // all routers' addresses, its own among them
-	Servers []uint16 // the ends of the ids of the servers in its first list
-	Loop    *eventloop.Loop
-	Feed    func(words []byte) // takes, on the loop, any number of words that stand for what many routers told
-	Log     zerolog.Logger
+// Member describes a router's place in the fleet.
+type Member struct {
+	Index     int      // among the peers
+	Listen    string   // address at which it receives messages
+	Peers     []string // addresses of all routers, including its own
+	ServerIDs []uint16 // last two bytes of the IDs of the servers in its first list
+	Loop      *eventloop.Loop
+	Deliver   func(observations []byte) // called on the event loop; they stand for observations of many routers
+	Log       zerolog.Logger
 }
 
-// Open opens a router's way. heard is called with the words of each message that has come, on any goroutine.
-type Open func(p Place, heard func(words []byte)) (Way, error)
+// OpenFunc opens a router's transport. onMessage is called with each received message, on any goroutine.
+type OpenFunc func(p Member, onMessage func(message []byte)) (Transport, error)
 
-// Ways are all that there are, by name.
-var Ways = map[string]Open{"all": openAll, "gossip": openGossip}
+// Transports is the available transports by name.
+var Transports = map[string]OpenFunc{"all": openBroadcast, "gossip": openGossip}
 
-// way gives one by its name; the error tells which there are.
-func way(name string) (Open, error) {
-	if open := Ways[name]; open != nil {
+// opener returns the function that opens the transport with the name. The error lists the available names.
+func opener(name string) (OpenFunc, error) {
+	if open := Transports[name]; open != nil {
 		return open, nil
 	}
-	return nil, fmt.Errorf("way %q: there are %s", name, strings.Join(slices.Sorted(maps.Keys(Ways)), ", "))
+	return nil, fmt.Errorf("way %q is unknown; want one of %s", name, strings.Join(slices.Sorted(maps.Keys(Transports)),
+		", "))
 }
 
-// headers are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
-const headers = 8 + 20
+// headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
+const headerBytes = 8 + 20
 
-// Traffic counts what has passed since the way was opened. Words is what routers say to one another, a datagram what goes out for it:
-// a way may put several words into one datagram, or send a word on. Bytes are those of the wire, with UDP's and IPv4's headers.
+// Traffic counts messages and datagrams since the transport was opened. A transport may put several messages into one
+// datagram, or forward a message. Bytes are those on the wire, with UDP and IPv4 headers.
 type Traffic struct {
-	Told, Heard                 uint64 // words
+	Sent                        uint64 `json:"Told"`  // messages
+	Received                    uint64 `json:"Heard"` // messages
 	DatagramsOut, DatagramsIn   uint64
 	BytesOut, BytesIn           uint64
-	LeastHeard, MostHeard       uint64 // of a sum: by one of its routers
-	LeastBytesIn, MostBytesIn   uint64 // likewise
+	LeastReceived               uint64 `json:"LeastHeard"` // in a sum: by a single router
+	MostReceived                uint64 `json:"MostHeard"`  // as above
+	LeastBytesIn, MostBytesIn   uint64 // as above
 	LeastBytesOut, MostBytesOut uint64
 }
 
-// Add adds another's.
+// Add adds the counters of another router, or the sum of several. first says that t is empty, so that o sets the
+// minimums.
 func (t *Traffic) Add(o Traffic, first bool) {
-	t.Told, t.Heard = t.Told+o.Told, t.Heard+o.Heard
+	t.Sent, t.Received = t.Sent+o.Sent, t.Received+o.Received
 	t.DatagramsOut, t.DatagramsIn = t.DatagramsOut+o.DatagramsOut, t.DatagramsIn+o.DatagramsIn
 	t.BytesOut, t.BytesIn = t.BytesOut+o.BytesOut, t.BytesIn+o.BytesIn
 	if first {
-		t.LeastHeard, t.LeastBytesIn, t.LeastBytesOut = o.LeastHeard, o.LeastBytesIn, o.LeastBytesOut
+		t.LeastReceived, t.LeastBytesIn, t.LeastBytesOut = o.LeastReceived, o.LeastBytesIn, o.LeastBytesOut
 	}
-	t.LeastHeard, t.MostHeard = min(t.LeastHeard, o.LeastHeard), max(t.MostHeard, o.MostHeard)
+	t.LeastReceived, t.MostReceived = min(t.LeastReceived, o.LeastReceived), max(t.MostReceived, o.MostReceived)
 	t.LeastBytesIn, t.MostBytesIn = min(t.LeastBytesIn, o.LeastBytesIn), max(t.MostBytesIn, o.MostBytesIn)
 	t.LeastBytesOut, t.MostBytesOut = min(t.LeastBytesOut, o.LeastBytesOut), max(t.MostBytesOut, o.MostBytesOut)
 }
 
-// all is the router's own way: a datagram to each of the others for each word.
-type all struct {
+// broadcastTransport is the real routers' broadcast: one datagram per message to each of the others.
+type broadcastTransport struct {
 	peers  *peertransport.Transport
 	others uint64
 
-	told, heard, bytesOut, bytesIn atomic.Uint64
+	sent, received, bytesOut, bytesIn atomic.Uint64
 }
 
-func openAll(p Place, heard func(words []byte)) (Way, error) {
-	w := &all{others: uint64(len(p.Peers) - 1)}
-	open, err := peertransport.Open(p.Listen, "", p.Peers, p.Me, func(_ netip.AddrPort, _ int, words []byte) {
-		w.heard.Add(1)
-		w.bytesIn.Add(uint64(len(words) + headers))
-		heard(words)
-	}, p.Log)
-	w.peers = open
-	return w, err
+func openBroadcast(member Member, onMessage func(message []byte)) (Transport, error) {
+	t := &broadcastTransport{others: uint64(len(member.Peers) - 1)}
+	open, err := peertransport.Open(member.Listen, "", member.Peers, member.Index, func(_ netip.AddrPort, _ int,
+		message []byte) {
+		t.received.Add(1)
+		t.bytesIn.Add(uint64(len(message) + headerBytes))
+		onMessage(message)
+	}, member.Log)
+	t.peers = open
+	return t, err
 }
 
-func (w *all) Tell(words []byte) {
-	w.told.Add(1)
-	w.bytesOut.Add(w.others * uint64(len(words)+headers))
-	w.peers.Broadcast(words)
+func (t *broadcastTransport) Broadcast(message []byte) {
+	t.sent.Add(1)
+	t.bytesOut.Add(t.others * uint64(len(message)+headerBytes))
+	t.peers.Broadcast(message)
 }
 
-func (w *all) Traffic() Traffic {
-	heard, in, out := w.heard.Load(), w.bytesIn.Load(), w.bytesOut.Load()
-	return Traffic{Told: w.told.Load(), Heard: heard, DatagramsIn: heard, DatagramsOut: w.told.Load() * w.others, BytesIn: in, BytesOut: out,
-		LeastHeard: heard, MostHeard: heard, LeastBytesIn: in, MostBytesIn: in, LeastBytesOut: out, MostBytesOut: out}
+func (t *broadcastTransport) Traffic() Traffic {
+	received, receivedBytes, sentBytes := t.received.Load(), t.bytesIn.Load(), t.bytesOut.Load()
+	return Traffic{Sent: t.sent.Load(), Received: received, DatagramsIn: received,
+		DatagramsOut: t.sent.Load() * t.others, BytesIn: receivedBytes, BytesOut: sentBytes,
+		LeastReceived: received, MostReceived: received, LeastBytesIn: receivedBytes, MostBytesIn: receivedBytes,
+		LeastBytesOut: sentBytes, MostBytesOut: sentBytes}
 }
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -28,85 +28,89 @@
 	"golang.org/x/sys/unix"
 )
 
-// ValueOptions say at which sizes values are carried, and where.
+// ValueOptions are the settings of a measurement of long values.
 type ValueOptions struct {
 	Router    experiment.Program
 	Sizes     []int // bytes of a value
-	Transfers []int // held at once by clients that do not read
-	Bytes     int   // that are carried for one point, at least one value
-	AtOnce    int   // clients that ask one value after another
+	Transfers []int // numbers of concurrent transfers to clients that do not read
+	Bytes     int   // transferred for one point, at least one value
+	AtOnce    int   // concurrent clients; each requests one value after another
 	Runs      int
-	Settle    time.Duration // from when transfers are held until the memory is looked at
-	Net       int           // the second number of the loopback addresses
+	Settle    time.Duration // from the start of the transfers until the memory is measured
+	Net       int           // the second byte of the loopback addresses
 	Dir       string
-	Progress  io.Writer // nil: none
+	Progress  io.Writer // nil: no progress is printed
 }
 
-// UsualValues are the sizes that the operators expect, and those below and above: up to 64 KiB a value is held, beyond it is passed on.
+// UsualValues returns options with the sizes that operators expect and some below and above: the router buffers a value
+// of up to 64 KiB whole, and streams a longer one.
 func UsualValues() ValueOptions {
 	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, AtOnce: 8, Runs: 3,
-		Settle: 800 * time.Millisecond} // far below the 10 s after which a router ends who reads nothing
+		// far below the 10 s after which a router disconnects a client that reads nothing
+		Settle: 800 * time.Millisecond}
 }
 
 const (
-	valueLeast     = 1000    // bytes: a value's own head, and more
-	valueTransfers = 256     // that the router's bounds leave places for
-	valueBytes     = 1 << 40 // a point of more takes hours
-	valueRuns      = 20
-	valuePoints    = 3 // of a line: two fit any line
+	minValueBytes  = 1000    // bytes: an emulated value has a header of its own
+	maxTransfers   = 256     // concurrent transfers that the router's limits allow
+	maxPointBytes  = 1 << 40 // a point with more bytes takes hours
+	maxValueRuns   = 20
+	minValuePoints = 3 // points of a line: any two points lie on a line
 
-	valueServers     = 8
-	valueDescriptors = 4096
-	valueMemory      = 256              // MB: at 256 transfers the bound that is looked for must not be this one
-	valueWait        = 20 * time.Second // for one value, on a machine that does other work
-	valueWindow      = 4096             // bytes that a client's kernel holds of one that does not read: the least that it takes
+	valueServerCount    = 8
+	valueDescriptors    = 4096
+	valueMemoryMB       = 256              // high enough that 256 transfers do not reach it
+	valueTimeout        = 20 * time.Second // for one value, on a busy machine
+	clientReceiveBuffer = 4096             // bytes; small, so that unread values stay in the router
 )
 
-// Check tells every fault of the options, each by its flag, its value and what would be right.
+// Check returns every fault of the options, each with its flag, its value and the accepted values.
 func (o ValueOptions) Check() error {
 	var faults []error
-	fault := func(flag string, value any, right string, about ...any) {
-		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, fmt.Sprintf(right, about...)))
+	fault := func(flag string, value any, want string, args ...any) {
+		faults = append(faults, fmt.Errorf("--%s %v: %s", flag, value, fmt.Sprintf(want, args...)))
 	}
-	rising := func(flag string, all []int, least, most int, as string) {
+	checkRising := func(flag string, all []int, least, most int, example string) {
 		text := strings.Trim(strings.ReplaceAll(fmt.Sprint(all), " ", ","), "[]")
 		sorted := slices.IsSorted(all) && len(slices.Compact(slices.Clone(all))) == len(all)
-		if len(all) < valuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
-			fault(flag, text, "three or more, rising, from %d to %d, as in %s", least, most, as)
+		if len(all) < minValuePoints || !sorted || all[0] < least || all[len(all)-1] > most {
+			fault(flag, text, "want three or more rising numbers from %d to %d, such as %s", least, most, example)
 		}
 	}
-	rising("sizes", o.Sizes, valueLeast, meta.LongBound, "60000,200000,1000000,4000000")
-	rising("transfers", o.Transfers, 1, valueTransfers, "1,16,64,256")
-	if o.Bytes < valueLeast || o.Bytes > valueBytes {
-		fault("bytes", o.Bytes, "from %d to %d", valueLeast, valueBytes)
+	checkRising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
+	checkRising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
+	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
+		fault("bytes", o.Bytes, "want a number from %d to %d", minValueBytes, maxPointBytes)
 	}
-	if o.AtOnce < 1 || o.AtOnce > valueTransfers {
-		fault("at-once", o.AtOnce, "from 1 to %d", valueTransfers)
+	if o.AtOnce < 1 || o.AtOnce > maxTransfers {
+		fault("at-once", o.AtOnce, "want a number from 1 to %d", maxTransfers)
 	}
-	if o.Runs < 1 || o.Runs > valueRuns {
-		fault("runs", o.Runs, "from 1 to %d", valueRuns)
+	if o.Runs < 1 || o.Runs > maxValueRuns {
+		fault("runs", o.Runs, "want a number from 1 to %d", maxValueRuns)
 	}
 	return errors.Join(faults...)
 }
 
 var valueQuantities = []Quantity{
-	{"value.core.byte", coreTime, "byte", "reads of one value after another by some clients at once, by the value's size"},
-	{"value.core.byte.alone", coreTime, "byte", "the same by one client: nothing is shared between two values"},
-	{"value.wakeups.byte", "wake-ups", "byte", "how often the router's threads slept, in the runs of value.core.byte"},
+	{"value.core.byte", coreTime, "byte",
+		"reads of one value after another by several concurrent clients, by the size of the value"},
+	{"value.core.byte.alone", coreTime, "byte", "the same with one client, so that concurrent values share no work"},
+	{"value.wakeups.byte", "wake-ups", "byte",
+		"voluntary context switches of the router's threads in the runs of value.core.byte"},
 }
 
-// valuePart measures long values at the usual sizes, once; the bench has the runs.
-func valuePart(b *bench) error {
+// measureValues measures long values at the usual sizes in a single run, because the bench repeats it.
+func measureValues(b *bench) error {
 	o := UsualValues()
 	o.Router, o.Runs, o.Net, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
 	if b.plan.Small {
 		o.Transfers, o.Bytes, o.AtOnce, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
 	}
-	b.say("long values")
+	b.progressf("long values")
 	lines, err := Values(b.ctx, o)
 	for _, l := range lines {
 		for _, p := range l.Points {
-			loop := 0.0 // seconds of the plain loop beside it
+			loop := 0.0 // CPU seconds of the plain loop next to it
 			if len(p.Loops) > 0 && p.Loops[0] > 0 {
 				loop = p.Runs[0] / p.Loops[0] / 1e6
 			}
@@ -116,8 +120,8 @@
 	return err
 }
 
-// Values measures what long values cost: processor time by their size, and the most memory by the transfers that clients hold who do
-// not read, a line for each size. The error tells why it could not be measured; all that was started has ended then.
+// Values measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients
+// that do not read, with a line for each size. All processes that it started have ended when it returns.
 func Values(ctx context.Context, o ValueOptions) ([]Line, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
@@ -130,30 +134,31 @@
 		if points[name][x] == nil {
 			points[name][x] = &Point{X: x}
 		}
-		points[name][x].take(value, loop)
+		points[name][x].record(value, loop)
 	}
-	held := func(size int) string { return fmt.Sprintf("value.memory.transfer.%d", size) }
+	heldName := func(size int) string { return fmt.Sprintf("value.memory.transfer.%d", size) }
 	for run := range o.Runs {
-		say := func(format string, about ...any) {
+		progressf := func(format string, args ...any) {
 			if o.Progress != nil {
-				fmt.Fprintf(o.Progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), run+1, o.Runs, fmt.Sprintf(format, about...))
+				fmt.Fprintf(o.Progress, "%s run %d of %d: %s\n", time.Now().Format(time.TimeOnly), run+1, o.Runs,
+					fmt.Sprintf(format, args...))
 			}
 		}
 		for _, size := range o.Sizes {
-			err := o.on(ctx, func(v *valueStage) error {
+			err := o.withTestbed(ctx, func(t *valueTestbed) error {
 				for name, clients := range map[string]int{"value.core.byte": o.AtOnce, "value.core.byte.alone": 1} {
 					n := max(1, o.Bytes/size/clients)
-					core, wakeups, loop, err := v.carry(ctx, size, clients, n)
+					cpu, wakeups, loop, err := t.measureReads(ctx, size, clients, n)
 					if err != nil {
 						return err
 					}
 					values := float64(n * clients)
-					add(name, float64(size), core*1e6/values, loop)
+					add(name, float64(size), cpu*1e6/values, loop)
 					if clients == o.AtOnce && name == "value.core.byte" {
 						add("value.wakeups.byte", float64(size), wakeups/values, 0)
 					}
-					say("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
-						float64(size)*values/core/1e6, core/values/float64(size)*(1<<20)/loop)
+					progressf("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
+						float64(size)*values/cpu/1e6, cpu/values/float64(size)*(1<<20)/loop)
 				}
 				return nil
 			})
@@ -161,10 +166,10 @@
 				return nil, err
 			}
 			for _, n := range o.Transfers {
-				err := o.on(ctx, func(v *valueStage) error {
-					most, err := v.hold(ctx, size, n, o.Settle)
-					add(held(size), float64(n), most, 0)
-					say("%s: %d held, %.0f KiB at most", held(size), n, most)
+				err := o.withTestbed(ctx, func(t *valueTestbed) error {
+					peak, err := t.measureHeldTransfers(ctx, size, n, o.Settle)
+					add(heldName(size), float64(n), peak, 0)
+					progressf("%s: %d held, %.0f KiB at most", heldName(size), n, peak)
 					return err
 				})
 				if err != nil {
@@ -175,7 +180,8 @@
 	}
 	quantities := slices.Clone(valueQuantities)
 	for _, size := range o.Sizes {
-		quantities = append(quantities, Quantity{held(size), "KiB", "transfer", "the most resident, by transfers held by clients that do not read"})
+		quantities = append(quantities, Quantity{heldName(size), "KiB", "transfer",
+			"peak resident memory, by the number of transfers held open by clients that do not read"})
 	}
 	var lines []Line
 	for _, q := range quantities {
@@ -189,78 +195,83 @@
 	return lines, nil
 }
 
-// valueStage is servers, a list of them and one router.
-type valueStage struct {
-	loop    *eventloop.Loop
-	fleet   *emulator.Fleet
-	agent   *emulator.Agent
-	ended   chan error
-	sources []net.Listener
-	cmd     *exec.Cmd
-	gone    chan struct{}
-	addr    string
-	log     string
-	ids     atomic.Uint64
+// valueTestbed is a set of servers, a list service for them and a router.
+type valueTestbed struct {
+	loop        *eventloop.Loop
+	fleet       *emulator.Fleet
+	listService *emulator.Agent
+	ended       chan error
+	listeners   []net.Listener
+	cmd         *exec.Cmd
+	exited      chan struct{}
+	addr        string
+	logPath     string
+	lastID      atomic.Uint64
 }
 
-// on does something with a stage of its own: a process's highest memory is of its whole life.
-func (o ValueOptions) on(ctx context.Context, do func(v *valueStage) error) error {
-	v, err := o.open(ctx)
+// withTestbed calls do with a new testbed and closes it afterwards. Each measurement needs a router of its own, because
+// the kernel reports peak memory since the start of a process.
+func (o ValueOptions) withTestbed(ctx context.Context, do func(t *valueTestbed) error) error {
+	t, err := o.openTestbed(ctx)
 	if err == nil {
-		err = do(v)
+		err = do(t)
 	}
-	if v != nil {
-		v.close()
+	if t != nil {
+		t.close()
 	}
 	return err
 }
 
-func (o ValueOptions) open(ctx context.Context) (*valueStage, error) {
-	v := &valueStage{ended: make(chan error, 1), gone: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211", o.Net), log: filepath.Join(o.Dir, "values.log")}
+func (o ValueOptions) openTestbed(ctx context.Context) (*valueTestbed, error) {
+	t := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211",
+		o.Net), logPath: filepath.Join(o.Dir, "values.log")}
 	var err error
-	if v.loop, err = eventloop.New(); err != nil {
+	if t.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
-	kind := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	v.fleet = emulator.NewFleet(v.loop, 1, []*emulator.TrafficType{kind}, emulator.LedgerSpec{AtOnce: 1, Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
+	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
+	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
+		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
-	for n := range valueServers {
-		spec := emulator.Spec{Name: v.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
-		if _, err = v.fleet.Add(spec, false); err != nil {
-			return v, fmt.Errorf("%w (another --net may be free)", err)
+	for n := range valueServerCount {
+		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
+		if _, err = t.fleet.Add(spec, false); err != nil {
+			return t, fmt.Errorf("%w (another --net may be free)", err)
 		}
 		var ln net.Listener
 		listen := func() (err error) {
 			ln, err = net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.Net, n+1))
 			return err
 		}
-		if err = again(ctx, listen); err != nil {
-			return v, err
+		if err = retryWhileAddressInUse(ctx, listen); err != nil {
+			return t, err
 		}
-		v.sources = append(v.sources, ln)
+		t.listeners = append(t.listeners, ln)
 		via[spec.Name] = ln.Addr().String()
-		go accept(ln, spec.Name)
+		go serveConnections(ln, spec.Name)
 	}
-	if v.agent, err = v.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
-		return v, fmt.Errorf("%w (another --net may be free)", err)
+	if t.listService, err = t.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
+		return t, fmt.Errorf("%w (another --net may be free)", err)
 	}
-	v.agent.Via(func(s *emulator.Server) string { return via[s.Name] }) // the stand-in's own servers are only listed
-	go func() { v.ended <- v.loop.Run() }()
-	return v, v.start(ctx, o)
+	// The emulated servers are only listed; requests go to the listeners.
+	t.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
+	go func() { t.ended <- t.loop.Run() }()
+	return t, t.startRouter(ctx, o)
 }
 
-// accept takes the connections of a server that gives values as fast as they are taken, with one call of the kernel for each.
-func accept(ln net.Listener, name string) {
+// serveConnections accepts the connections of a server that sends values as fast as they are read, with one system call
+// per value.
+func serveConnections(ln net.Listener, name string) {
 	for {
 		conn, err := ln.Accept()
 		if err != nil {
 			return
 		}
-		go give(conn, name)
+		go serveValues(conn, name)
 	}
 }
 
-func give(conn net.Conn, name string) {
+func serveValues(conn net.Conn, name string) {
 	defer conn.Close()
 	in := bufio.NewReaderSize(conn, 4096)
 	for n := uint64(0); ; n++ {
@@ -290,10 +301,11 @@
 	}
 }
 
-func (v *valueStage) start(ctx context.Context, o ValueOptions) error {
+func (t *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
-	conf := map[string]any{"name": "n0", "listen": v.addr, "discovery": v.agent.Addr(), "seed": "0badcafe", "known": v.agent.Known(),
-		"limits": map[string]any{"cores": 1, "memory_mb": valueMemory, "sockets": valueDescriptors},
+	conf := map[string]any{"name": "n0", "listen": t.addr, "discovery": t.listService.Addr(), "seed": "0badcafe",
+		"known":  t.listService.Known(),
+		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
 			"limits": map[string]any{"cancelling": true, "secondCopies": false, "mostExecutions": 5, "probes": false, "peers": false, "retryAfter": true,
@@ -302,7 +314,8 @@
 				"warmWithin": ns(9 * time.Second)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
 			"trafficTypes": []any{map[string]any{"name": "bulk", "effect": "retryable", "keyScope": "all", "dedupWindow": 0,
-				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueWait), "benefit": 1, "runsIn": nil, "allowedOn": nil}},
+				"promisedTime": ns(10 * time.Second), "hardStop": ns(valueTimeout), "benefit": 1, "runsIn": nil,
+				"allowedOn": nil}},
 			"tenants": []any{}}}
 	text, err := json.Marshal(conf)
 	if err != nil {
@@ -312,31 +325,31 @@
 	if err = os.WriteFile(path, text, 0o600); err != nil {
 		return err
 	}
-	log, err := os.Create(v.log)
+	log, err := os.Create(t.logPath)
 	if err != nil {
 		return err
 	}
 	defer log.Close()
-	v.cmd = exec.Command(o.Router.Args[0], o.Router.Args[1:]...)
-	v.cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
-	v.cmd.Stdout, v.cmd.Stderr = log, log
-	v.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	if err = v.cmd.Start(); err != nil {
-		v.cmd = nil
+	t.cmd = exec.Command(o.Router.Args[0], o.Router.Args[1:]...)
+	t.cmd.Env = append(os.Environ(), "GW_CONFIG="+path)
+	t.cmd.Stdout, t.cmd.Stderr = log, log
+	t.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
+	if err = t.cmd.Start(); err != nil {
+		t.cmd = nil
 		return fmt.Errorf("router: %w", err)
 	}
-	go func() { v.cmd.Wait(); close(v.gone) }()
+	go func() { t.cmd.Wait(); close(t.exited) }()
 	limit := unix.Rlimit{Cur: valueDescriptors, Max: valueDescriptors}
-	unix.Prlimit(v.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
-	for until := time.Now().Add(valueWait); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
+	unix.Prlimit(t.cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
+	for until := time.Now().Add(valueTimeout); time.Now().Before(until); time.Sleep(5 * time.Millisecond) {
 		select {
 		case <-ctx.Done():
 			return ctx.Err()
-		case <-v.gone:
-			return fmt.Errorf("the router ended before it was ready%s", v.tail())
+		case <-t.exited:
+			return fmt.Errorf("the router ended before it was ready%s", t.logTail())
 		default:
 		}
-		if c, err := net.DialTimeout("tcp", v.addr, time.Second); err == nil {
+		if c, err := net.DialTimeout("tcp", t.addr, time.Second); err == nil {
 			c.SetDeadline(time.Now().Add(time.Second))
 			io.WriteString(c, "mn\r\n")
 			line, _ := bufio.NewReader(c).ReadString('\n')
@@ -346,60 +359,60 @@
 			}
 		}
 	}
-	return fmt.Errorf("the router was not ready within %v%s", valueWait, v.tail())
+	return fmt.Errorf("the router was not ready within %v%s", valueTimeout, t.logTail())
 }
 
-func (v *valueStage) tail() string {
-	text, _ := os.ReadFile(v.log)
+func (t *valueTestbed) logTail() string {
+	text, _ := os.ReadFile(t.logPath)
 	lines := strings.Split(strings.TrimSpace(string(text)), "\n")
 	return "; its log ends with\n" + strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-func (v *valueStage) close() {
-	if v.cmd != nil {
-		v.cmd.Process.Kill() // a router that was measured owes nobody anything
-		<-v.gone
+func (t *valueTestbed) close() {
+	if t.cmd != nil {
+		t.cmd.Process.Kill() // no graceful shutdown: nothing depends on a measured router any more
+		<-t.exited
 	}
-	for _, ln := range v.sources {
+	for _, ln := range t.listeners {
 		ln.Close()
 	}
-	if v.loop != nil && v.agent != nil {
+	if t.loop != nil && t.listService != nil {
 		done := make(chan struct{})
-		v.loop.Post(func() { v.fleet.Close(); close(done) })
+		t.loop.Post(func() { t.fleet.Close(); close(done) })
 		<-done
-		v.loop.Post(v.loop.Stop)
-		<-v.ended
+		t.loop.Post(t.loop.Stop)
+		<-t.ended
 	}
 }
 
-// ask sends a command and reads the head of its answer, which it may have to ask for again.
-func (v *valueStage) ask(conn net.Conn, in *bufio.Reader, size int) error {
-	conn.SetDeadline(time.Now().Add(valueWait))
+// startRead sends a request for a value and reads the header of the reply. It repeats a rejected request.
+func (t *valueTestbed) startRead(conn net.Conn, in *bufio.Reader, size int) error {
+	conn.SetDeadline(time.Now().Add(valueTimeout))
 	for range 100 {
-		n := v.ids.Add(1)
+		n := t.lastID.Add(1)
 		id := fmt.Sprintf("%08x%08x", os.Getpid(), n)
-		fmt.Fprintf(conn, "mg v-%d-%d v O%s Pc=bulk,d=%d\r\n", size, n%1000, id, valueWait.Milliseconds())
+		fmt.Fprintf(conn, "mg v-%d-%d v O%s Pc=bulk,d=%d\r\n", size, n%1000, id, valueTimeout.Milliseconds())
 		line, err := in.ReadString('\n')
 		switch {
 		case err != nil:
-			return fmt.Errorf("a value of %d bytes: %w%s", size, err, v.tail())
+			return fmt.Errorf("a value of %d bytes: %w%s", size, err, t.logTail())
 		case line == fmt.Sprintf("VA %d O%s\r\n", size, id):
 			return nil
 		case !strings.HasPrefix(line, "SERVER_ERROR"):
-			return fmt.Errorf("a value of %d bytes begins %q", size, line)
+			return fmt.Errorf("the reply for a value of %d bytes starts with %q, not with its header", size, line)
 		}
-		time.Sleep(50 * time.Millisecond) // declined
+		time.Sleep(50 * time.Millisecond) // the request was rejected
 	}
-	return fmt.Errorf("a value of %d bytes was declined a hundred times%s", size, v.tail())
+	return fmt.Errorf("a request for a value of %d bytes was rejected a hundred times%s", size, t.logTail())
 }
 
-// read takes a value's bytes and checks them as they come.
-func read(in *bufio.Reader, buf []byte, size int) error {
+// readValue reads a value's bytes and checks them as they arrive.
+func readValue(in *bufio.Reader, buf []byte, size int) error {
 	check := emulator.Check{Length: size}
 	for check.Came < size {
 		n, err := in.Read(buf[:min(len(buf), size-check.Came)])
 		if err != nil {
-			return fmt.Errorf("%d of %d bytes came: %w", check.Came, size, err)
+			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Came, size, err)
 		}
 		check.Take(buf[:n])
 	}
@@ -407,14 +420,14 @@
 		return errors.New(wrong)
 	}
 	if end, err := in.ReadString('\n'); end != "\r\n" {
-		return fmt.Errorf("behind a value of %d bytes comes %q, %v", size, end, err)
+		return fmt.Errorf("a value of %d bytes is followed by %q, not by a line end: %v", size, end, err)
 	}
 	return nil
 }
 
-// fetch asks for values one after another on one connection.
-func (v *valueStage) fetch(ctx context.Context, size, n int) error {
-	conn, err := net.DialTimeout("tcp", v.addr, valueWait)
+// readValues reads n values one after another on one connection.
+func (t *valueTestbed) readValues(ctx context.Context, size, n int) error {
+	conn, err := net.DialTimeout("tcp", t.addr, valueTimeout)
 	if err != nil {
 		return err
 	}
@@ -422,8 +435,8 @@
 	in, buf := bufio.NewReaderSize(conn, 4096), make([]byte, 256<<10)
 	for range n {
 		if err = ctx.Err(); err == nil {
-			if err = v.ask(conn, in, size); err == nil {
-				err = read(in, buf, size)
+			if err = t.startRead(conn, in, size); err == nil {
+				err = readValue(in, buf, size)
 			}
 		}
 		if err != nil {
@@ -433,15 +446,16 @@
 	return nil
 }
 
-// carry has some clients ask for so many values each, and gives what of processor time the router took, how often its threads slept,
-// and the plain loop's time meanwhile, in seconds. A first value of each client is not counted: it makes the connections.
-func (v *valueStage) carry(ctx context.Context, size, clients, n int) (core, wakeups, loop float64, err error) {
+// measureReads lets each client read n values. It returns the router's CPU seconds, the voluntary context switches of
+// its threads, and the CPU seconds of the plain loop. The first value of each client is not counted, because it opens
+// connections to the servers.
+func (t *valueTestbed) measureReads(ctx context.Context, size, clients, n int) (cpu, wakeups, loop float64, err error) {
 	all := func(n int) error {
 		errs := make([]error, clients)
 		var done sync.WaitGroup
 		for i := range clients {
 			done.Add(1)
-			go func() { defer done.Done(); errs[i] = v.fetch(ctx, size, n) }()
+			go func() { defer done.Done(); errs[i] = t.readValues(ctx, size, n) }()
 		}
 		done.Wait()
 		return errors.Join(errs...)
@@ -449,23 +463,27 @@
 	if err = all(1); err != nil {
 		return 0, 0, 0, err
 	}
-	pid := v.cmd.Process.Pid
-	before, err := processorOf(pid)
+	pid := t.cmd.Process.Pid
+	before, err := cpuSeconds(pid)
 	if err != nil {
 		return 0, 0, 0, err
 	}
-	slept := wakeupsOf(pid)
+	wakeupsBefore := countWakeups(pid)
 	if err = all(n); err != nil {
 		return 0, 0, 0, err
 	}
-	after, err := processorOf(pid)
-	return after - before, wakeupsOf(pid) - slept, plainLoop(), err
+	after, err := cpuSeconds(pid)
+	return after - before, countWakeups(pid) - wakeupsBefore, plainLoop(), err
 }
 
-// hold has so many clients begin to take a value and read nothing of it, and gives the most that the router held resident, in KiB.
-func (v *valueStage) hold(ctx context.Context, size, n int, settle time.Duration) (most float64, err error) {
-	small := net.Dialer{Timeout: valueWait, Control: func(_, _ string, c syscall.RawConn) error {
-		return c.Control(func(fd uintptr) { unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, valueWindow) })
+// measureHeldTransfers lets n clients request a value and read nothing of it. It returns the router's peak resident
+// memory in KiB.
+func (t *valueTestbed) measureHeldTransfers(ctx context.Context, size, n int, settle time.Duration) (peak float64,
+	err error) {
+	dialer := net.Dialer{Timeout: valueTimeout, Control: func(_, _ string, c syscall.RawConn) error {
+		return c.Control(func(fd uintptr) {
+			unix.SetsockoptInt(int(fd), unix.SOL_SOCKET, unix.SO_RCVBUF, clientReceiveBuffer)
+		})
 	}}
 	errs := make([]error, n)
 	conns := make([]net.Conn, n)
@@ -474,8 +492,8 @@
 		done.Add(1)
 		go func() {
 			defer done.Done()
-			if conns[i], errs[i] = small.DialContext(ctx, "tcp", v.addr); errs[i] == nil {
-				errs[i] = v.ask(conns[i], bufio.NewReaderSize(conns[i], 64), size)
+			if conns[i], errs[i] = dialer.DialContext(ctx, "tcp", t.addr); errs[i] == nil {
+				errs[i] = t.startRead(conns[i], bufio.NewReaderSize(conns[i], 64), size)
 			}
 		}()
 	}
@@ -495,41 +513,47 @@
 		return 0, ctx.Err()
 	case <-time.After(settle):
 	}
-	_, most, err = memoryOf(v.cmd.Process.Pid)
-	return most, err
+	_, peak, err = residentKiB(t.cmd.Process.Pid)
+	return peak, err
 }
 
-// Copy tells how often a byte of a value is copied on its way, as the code has it: no run tells that.
+// Copy is how often the router copies each byte of a value. It is counted from the code, because no measurement shows
+// it.
 type Copy struct {
 	Name  string  `json:"name"`
-	User  float64 `json:"copies"` // from one place of the process's memory to another
+	Count float64 `json:"copies"` // within the memory of the process
 	About string  `json:"about"`
 }
 
-// Copies counts them. Each way has two copies of the kernel's besides, from a socket and to one.
+// Copies returns the number of copies for a streamed and for a buffered value. The kernel makes two more, from a socket
+// and to a socket.
 func Copies() []Copy {
-	const held, first, turn = 60_000, 4 << 10, 512 // a value, its first memory (meta's firstPart), and what a ring takes at once while it is small
+	// Bytes: a value, the initial capacity of its buffer (meta's initialValueBytes), and the read size of a small ring
+	// buffer.
+	const held, firstCapacity, readChunk = 60_000, 4 << 10, 512
 	grown := 0
-	value := make([]byte, 0, first)
-	for part := make([]byte, turn); len(value) < held; {
+	value := make([]byte, 0, firstCapacity)
+	for chunk := make([]byte, readChunk); len(value) < held; {
 		n, before := len(value), cap(value)
-		if value = append(value, part[:min(turn, held-n)]...); cap(value) != before {
+		if value = append(value, chunk[:min(readChunk, held-n)]...); cap(value) != before {
 			grown += n
 		}
 	}
 	return []Copy{
-		{"value.copies.passed", 1, "above 64 KiB: the server's ring to the client's (caches.link.Part, sock.Conn.Write)"},
-		{"value.copies.held", 2 + float64(grown)/held, "of 60,000 bytes: ring to value and value to the client's ring, and the value as it grows (meta.readValue)"},
+		{"value.copies.passed", 1,
+			"above 64 KiB: server's ring buffer to client's (upstream.memcacheCodec.Part, eventloop.Conn.Write)"},
+		{"value.copies.held", 2 + float64(grown)/held,
+			"of 60,000 bytes: ring buffer to value, value to the client's ring buffer, and growing (meta.readValue)"},
 	}
 }
 
-// PrintLines writes a table of lines, and below it their points and the copies.
+// PrintLines writes a table of the lines, followed by their points and the copies.
 func PrintLines(out io.Writer, lines []Line) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintln(w, "name\tunit\tfor one more\tslope\tleast\tmost\twith none\tresidual\tr squared\tin plain loops\t")
 	for _, l := range lines {
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.4g\t%.3f\t%.4f\t%.4g\t\n", l.Name, l.Unit, l.Per, l.Slope, l.Least, l.Most, l.Base, l.Residual,
-			l.Determine, l.Loops)
+			l.R2, l.Loops)
 	}
 	fmt.Fprintln(w, "\t\t\t\t\t\t\t\t\t\t")
 	fmt.Fprintln(w, "name\tat\tmean\tleast\tmost\tin plain loops\tMB a second of a core\t")
@@ -551,6 +575,6 @@
 	fmt.Fprintln(w, "\t\t\t\t\t\t\t")
 	w.Flush()
 	for _, c := range Copies() {
-		fmt.Fprintf(out, "%s  %.1f  counted from the code: %s\n", c.Name, c.User, c.About)
+		fmt.Fprintf(out, "%s  %.1f  counted from the code: %s\n", c.Name, c.Count, c.About)
 	}
 }
--- a/internal/experiment/scale/voices.go
+++ b/internal/experiment/scale/voices.go
@@ -14,58 +14,59 @@
 	"golang.org/x/sys/unix"
 )
 
-// headers are the bytes of a datagram beside what it says: UDP's 8 and IPv4's 20.
-const headers = 8 + 20
+// headerBytes is the size of a datagram's headers: 8 of UDP and 20 of IPv4.
+const headerBytes = 8 + 20
 
-// voices are the sockets of routers that are none: what one says comes from the address by which it is known, and what it is told
-// waits at its socket to be counted.
-type voices struct {
-	sockets []int
-	to      unix.SockaddrInet4
-	next    int
-	heard   []int // datagrams at each so far
-	bytes   int   // of all these
-	missing int   // datagrams that did not come, as counted last
+// peerSockets are UDP sockets at the addresses of the configured peers, without routers behind them. They send messages
+// from these addresses, and messages from the measured router wait in their receive buffers to be counted.
+type peerSockets struct {
+	sockets  []int
+	router   unix.SockaddrInet4
+	next     int
+	received []int // datagrams at each socket so far
+	bytes    int   // of all received datagrams
+	missing  int   // datagrams not received, as of the last count
 }
 
-// voices opens so many, at the other routers' addresses.
-func (b *bench) voices(n int) (v *voices, err error) {
-	err = again(b.ctx, func() (err error) {
-		v, err = b.openVoices(n)
+// openPeerSockets opens sockets at the addresses of the first n peers.
+func (b *bench) openPeerSockets(n int) (s *peerSockets, err error) {
+	err = retryWhileAddressInUse(b.ctx, func() (err error) {
+		s, err = b.tryOpenPeerSockets(n)
 		return err
 	})
-	return v, err
+	return s, err
 }
 
-func (b *bench) openVoices(n int) (*voices, error) {
-	v := &voices{}
+func (b *bench) tryOpenPeerSockets(n int) (*peerSockets, error) {
+	s := &peerSockets{}
 	for i := range n {
 		fd, err := unix.Socket(unix.AF_INET, unix.SOCK_DGRAM|unix.SOCK_NONBLOCK|unix.SOCK_CLOEXEC, 0)
 		if err != nil {
-			v.close()
-			return nil, fmt.Errorf("socket %d of %d: %w (ulimit -n tells how many there may be)", i, n, err)
+			s.close()
+			return nil, fmt.Errorf("socket %d of %d: %w (ulimit -n shows the limit of open files)", i, n, err)
 		}
-		v.sockets, v.heard = append(v.sockets, fd), append(v.heard, 0)
-		at := netip.MustParseAddrPort(b.other(i))
+		s.sockets, s.received = append(s.sockets, fd), append(s.received, 0)
+		at := netip.MustParseAddrPort(b.peerAddress(i))
 		if err = unix.Bind(fd, &unix.SockaddrInet4{Port: int(at.Port()), Addr: at.Addr().As4()}); err != nil {
-			v.close()
-			return nil, fmt.Errorf("the address %s cannot be had: %w", at, err)
+			s.close()
+			return nil, fmt.Errorf("cannot bind a peer socket to %s: %w", at, err)
 		}
 	}
-	to := netip.MustParseAddrPort(b.at(routerAt, 0, wordsPort))
-	v.to = unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}
-	return v, nil
+	to := netip.MustParseAddrPort(b.address(routerOctet, 0, gossipPort))
+	s.router = unix.SockaddrInet4{Port: int(to.Port()), Addr: to.Addr().As4()}
+	return s, nil
 }
 
-func (v *voices) close() {
-	for _, fd := range v.sockets {
+func (s *peerSockets) close() {
+	for _, fd := range s.sockets {
 		unix.Close(fd)
 	}
 }
 
-// speak lets them say words in turn, so many a second, until ctx ends; it gives how many were sent. say gives the n-th voice's words.
-func (v *voices) speak(ctx context.Context, rate float64, say func(voice int) []byte) (sent int, err error) {
-	const step = 5 * time.Millisecond // at the highest rate 20 words at once, far below what a socket holds
+// send sends messages from the sockets in turn, at a rate per second, until ctx ends, and returns their number. payload
+// returns the next message of the n-th peer.
+func (s *peerSockets) send(ctx context.Context, rate float64, payload func(peer int) []byte) (sent int, err error) {
+	const step = 5 * time.Millisecond // 20 messages at once at the highest rate, far below what a receive buffer holds
 	began := time.Now()
 	tick := time.NewTicker(step)
 	defer tick.Stop()
@@ -76,51 +77,51 @@
 		case <-tick.C:
 		}
 		for due := int(rate * time.Since(began).Seconds()); sent < due; sent++ {
-			if err = unix.Sendto(v.sockets[v.next], say(v.next), 0, &v.to); err != nil {
-				return sent, fmt.Errorf("saying a word: %w", err)
+			if err = unix.Sendto(s.sockets[s.next], payload(s.next), 0, &s.router); err != nil {
+				return sent, fmt.Errorf("sending a message to the router: %w", err)
 			}
-			v.next = (v.next + 1) % len(v.sockets)
+			s.next = (s.next + 1) % len(s.sockets)
 		}
 	}
 }
 
-// take takes what waits at all sockets, and counts it.
-func (v *voices) take() error {
+// receive reads and counts the datagrams that wait at all sockets.
+func (s *peerSockets) receive() error {
 	buf := make([]byte, 2048)
-	for i, fd := range v.sockets {
+	for i, fd := range s.sockets {
 		for {
 			size, _, err := unix.Recvfrom(fd, buf, 0)
 			if errors.Is(err, unix.EAGAIN) {
 				break
 			}
-			if errors.Is(err, unix.ECONNREFUSED) { // what it said itself found nobody
+			if errors.Is(err, unix.ECONNREFUSED) { // an earlier message found no socket at the router's address
 				continue
 			}
 			if err != nil {
 				return err
 			}
-			v.heard[i]++
-			v.bytes += size
+			s.received[i]++
+			s.bytes += size
 		}
 	}
 	return nil
 }
 
-// words counts the words that have come to all. It waits for one that has come to some and not to others; what is missing after that
-// is lost.
-func (v *voices) words(ctx context.Context) (words, missing int, err error) {
-	const late = 200 * time.Millisecond // a word to all takes some milliseconds, and the next comes after half a second
-	for until := time.Now().Add(late); ; {
-		if err = v.take(); err != nil {
+// countMessages returns the number of broadcasts so far, and how many datagrams were lost since the last count. It
+// waits briefly for datagrams that some peers have received and others have not.
+func (s *peerSockets) countMessages(ctx context.Context) (messages, missing int, err error) {
+	const maxDelay = 200 * time.Millisecond // a broadcast takes milliseconds, and the next follows after half a second
+	for until := time.Now().Add(maxDelay); ; {
+		if err = s.receive(); err != nil {
 			return 0, 0, err
 		}
-		words, missing = slices.Max(v.heard), 0
-		for _, n := range v.heard {
-			missing += words - n
+		messages, missing = slices.Max(s.received), 0
+		for _, n := range s.received {
+			missing += messages - n
 		}
-		if missing == v.missing || time.Now().After(until) {
-			missing, v.missing = missing-v.missing, missing
-			return words, missing, nil
+		if missing == s.missing || time.Now().After(until) {
+			missing, s.missing = missing-s.missing, missing
+			return messages, missing, nil
 		}
 		if err = sleep(ctx, 5*time.Millisecond, nil); err != nil {
 			return 0, 0, err
@@ -128,8 +129,9 @@
 	}
 }
 
-// lost counts the datagrams that a socket at an address had no room for.
-func lost(addr string) (n int, err error) {
+// droppedDatagrams returns the number of datagrams dropped because the receive buffer of the socket at the address was
+// full.
+func droppedDatagrams(addr string) (n int, err error) {
 	at := netip.MustParseAddrPort(addr)
 	ip := at.Addr().As4()
 	local := fmt.Sprintf("%02X%02X%02X%02X:%04X", ip[3], ip[2], ip[1], ip[0], at.Port())
