--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -86,7 +86,7 @@
 // RunFleet runs the emulated cache servers and list services until ctx ends. It writes to the path config a
 // configuration for a router that uses them; the configurations of further routers get the suffix .N.
 func RunFleet(ctx context.Context, s *Scenario, o Options, config string, out io.Writer) error {
-	w := &world{scenario: s, options: o, types: s.types(), budgetFactors: map[string]float64{}}
+	w := &world{scenario: s, options: o, types: s.trafficClasses(), budgetFactors: map[string]float64{}}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return err
@@ -160,9 +160,9 @@
 		return f.Kind != "surge" && f.Kind != "hot-key" && !strings.HasPrefix(f.Kind, "read-")
 	})
 	s = &clientsOnly
-	types := s.types()
+	types := s.trafficClasses()
 	s.Routers.Skew = nil
-	clients, err := emulator.NewClients(loop, o.Seed, s.load(types), to, nil)
+	clients, err := emulator.NewClients(loop, o.Seed, s.clientLoad(types), to, nil)
 	if err != nil {
 		return LoadResult{}, err
 	}
--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -34,7 +34,7 @@
 		return p, err
 	}
 	if name == "head" {
-		root, err := output(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
+		root, err := commandOutput(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
 		if err != nil {
 			return Program{}, fmt.Errorf("head: %w", err)
 		}
@@ -44,7 +44,7 @@
 		path, err := filepath.Abs(name)
 		return Program{Name: filepath.Base(name), Args: []string{path}}, err
 	}
-	commit, err := output(ctx, ".", "git", "rev-parse", "--verify", "--quiet", name+"^{commit}")
+	commit, err := commandOutput(ctx, ".", "git", "rev-parse", "--verify", "--quiet", name+"^{commit}")
 	if err != nil {
 		return Program{}, fmt.Errorf("%q is not head, a baseline (%s), a program's path or a revision", name, strings.Join(baseline.Names(), ", "))
 	}
@@ -71,7 +71,7 @@
 }
 
 func build(ctx context.Context, name, root, to string) (Program, error) {
-	if _, err := output(ctx, root, "go", "build", "-o", to, "./cmd/bendtrestle"); err != nil {
+	if _, err := commandOutput(ctx, root, "go", "build", "-o", to, "./cmd/bendtrestle"); err != nil {
 		return Program{}, fmt.Errorf("%s: %w", name, err)
 	}
 	return Program{Name: name, Args: []string{to}}, nil
@@ -79,7 +79,7 @@
 
 // output runs a command and returns its standard output without surrounding space. The error of a failed command
 // contains its standard error.
-func output(ctx context.Context, dir, command string, args ...string) (string, error) {
+func commandOutput(ctx context.Context, dir, command string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, command, args...)
 	cmd.Dir = dir
 	var stderr strings.Builder
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -24,7 +24,7 @@
 		return
 	}
 	if where != "none" && where != "ledger" {
-		if t, err = w.scenario.target(where, f.Target, f.Pool); err != nil {
+		if t, err = w.scenario.parseTarget(where, f.Target, f.Pool); err != nil {
 			w.fail(err)
 			return
 		}
@@ -61,7 +61,7 @@
 	if t.number >= 0 {
 		return []int{t.number}
 	}
-	return draw(chance, all, t.count)
+	return randomIndices(chance, all, t.count)
 }
 
 // servers returns the cache servers that a target selects. A server named by its number and the servers of zones are
@@ -79,7 +79,7 @@
 		return hit
 	}
 	in := fleet.Serving()
-	for _, i := range draw(chance, len(in), t.count) {
+	for _, i := range randomIndices(chance, len(in), t.count) {
 		hit = append(hit, in[i])
 	}
 	return hit
@@ -96,7 +96,7 @@
 // playTimedFault plays a fault that starts and ends for all its targets at the same time.
 func (w *world) playTimedFault(f Fault, t target, chance *rand.Rand, halt chan struct{}) {
 	var ends []func() error
-	plain := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
+	addEnd := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
 	reading := strings.HasPrefix(f.Kind, "read-")
 	about, length := "", f.For
 	var fleet *emulator.Fleet // nil in a load run, which has no faults of servers
@@ -111,36 +111,36 @@
 		switch f.Kind {
 		case "hot-key":
 			key := fmt.Sprintf("hot-%.2f", f.At)
-			plain(w.clients.Heat(key, f.Part))
+			addEnd(w.clients.Heat(key, f.Part))
 			about = fmt.Sprintf("%s for %v of the arrivals", key, f.Part)
 		case "surge":
-			plain(w.clients.Surge(kind, tenant, f.Factor))
+			addEnd(w.clients.Surge(kind, tenant, f.Factor))
 			about = fmt.Sprintf("%s %v times", f.Target, f.Factor)
 		case "read-slow", "read-pause", "read-leave":
-			plain(w.clients.Read(emulator.Reading{Part: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
+			addEnd(w.clients.Read(emulator.Reading{Part: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
 			about = fmt.Sprintf("%v of the reads", f.Part)
 		case "dear":
 			for _, t := range w.types {
 				if t.Name == kind || t.Tenant == tenant && tenant != "" || kind == "" && tenant == "" {
 					before := t.Work
 					t.Work *= f.Factor
-					plain(func() { t.Work = before })
+					addEnd(func() { t.Work = before })
 				}
 			}
 			about = fmt.Sprintf("%s work %v times", f.Target, f.Factor)
 		case "ledger-stall":
-			plain(fleet.Ledger().Stall())
+			addEnd(fleet.Ledger().Stall())
 		case "ledger-slow":
-			plain(fleet.Ledger().Slow(f.Factor))
+			addEnd(fleet.Ledger().Slow(f.Factor))
 		default:
 			hit := w.servers(fleet, t, chance)
 			about = serverNames(hit)
 			for _, s := range hit {
 				switch f.Kind {
 				case "stall":
-					plain(s.Stall())
+					addEnd(s.Stall())
 				case "slow":
-					plain(s.Slow(f.Factor))
+					addEnd(s.Slow(f.Factor))
 				case "crash":
 					ends = append(ends, s.Crash())
 				case "restart":
@@ -153,21 +153,21 @@
 				case "refuse":
 					ends = append(ends, s.Refuse())
 				case "reset":
-					plain(s.Reset(f.Part))
+					addEnd(s.Reset(f.Part))
 				case "spoil":
-					plain(s.Spoil(f.Part))
+					addEnd(s.Spoil(f.Part))
 				case "error":
-					plain(s.Fail(f.Part))
+					addEnd(s.Fail(f.Part))
 				case "close-behind":
-					plain(s.CloseBehind(f.Part))
+					addEnd(s.CloseBehind(f.Part))
 				case "reset-behind":
-					plain(s.ResetBehind(f.Part))
+					addEnd(s.ResetBehind(f.Part))
 				case "break-off":
-					plain(s.BreakOff(f.Part))
+					addEnd(s.BreakOff(f.Part))
 				case "reset-under":
-					plain(s.ResetUnder(f.Part))
+					addEnd(s.ResetUnder(f.Part))
 				case "cease":
-					plain(s.Cease(f.Part))
+					addEnd(s.Cease(f.Part))
 				}
 			}
 		}
@@ -240,24 +240,24 @@
 // playListFault plays a fault of the list service.
 func (w *world) playListFault(f Fault, hit []int, halt chan struct{}) {
 	var ends []func() error
-	plain := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
+	addEnd := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
 	pool := w.poolIndex(f.Pool)
 	for _, n := range hit {
 		switch a := w.agents[pool][n]; f.Kind {
 		case "list-late":
-			plain(a.Delay(f.Delay))
+			addEnd(a.Delay(f.Delay))
 		case "list-lag":
-			plain(a.Freeze())
+			addEnd(a.Freeze())
 		case "list-silent":
-			plain(a.Silence())
+			addEnd(a.Silence())
 		case "list-refuse":
 			ends = append(ends, a.Refuse())
 		case "list-old":
-			plain(a.Older(f.Count))
+			addEnd(a.Older(f.Count))
 		case "list-move":
 			w.mu.Lock()
 			w.listMoves++
-			addr := w.address(agentsAt, n, 8500+1000*pool+w.listMoves)
+			addr := w.address(agentAddrByte, n, 8500+1000*pool+w.listMoves)
 			w.mu.Unlock()
 			if err := a.Move(addr); err != nil {
 				w.fail(err)
@@ -320,7 +320,7 @@
 				return
 			}
 			w.recordEvent("router %d gets SIGTERM", n)
-			r.stop(w.patience())
+			r.stop(w.shutdownSeconds())
 			if !w.restartRouter(n) {
 				return
 			}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -124,7 +124,7 @@
 				mine.Seed = o.Seed + uint64(i)
 				mine.Dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%d", s.Name, mine.Seed))
 				if failures[i] = os.MkdirAll(mine.Dir, 0o755); failures[i] == nil {
-					rounds[i], failures[i] = round(ctx, s, all, mine, i)
+					rounds[i], failures[i] = playRound(ctx, s, all, mine, i)
 				}
 			}
 		}()
@@ -158,7 +158,7 @@
 }
 
 // round plays all routers on one seed, beginning with router number first modulo their number.
-func round(ctx context.Context, s *Scenario, all []Program, o Options, first int) ([]Result, error) {
+func playRound(ctx context.Context, s *Scenario, all []Program, o Options, first int) ([]Result, error) {
 	results := make([]Result, len(all))
 	for turn := range all {
 		which := (turn + first) % len(all)
--- a/internal/experiment/exits.go
+++ b/internal/experiment/exits.go
@@ -33,7 +33,7 @@
 // computeZoneLosses returns the effect of each fault that removes a zone or a region.
 func computeZoneLosses(s *Scenario, rec *Records) (all []ZoneLoss) {
 	for _, f := range s.Faults {
-		t, err := s.group(f.Target, nil)
+		t, err := s.parseGroup(f.Target, nil)
 		if err != nil || !slices.Contains([]string{"part", "vanish", "crash"}, f.Kind) || len(f.Target) < 5 || f.Target[:4] != "zone" && f.Target[:4] != "regi" {
 			continue
 		}
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -94,10 +94,10 @@
 	counts, inTime := map[string]int{}, map[string]int{}
 	var dues, worths, gains []float64
 	for _, o := range rec.Clients.Ops {
-		any, timely := o.Served()
+		served, timely := o.Served()
 		sec := second(o.Due)
 		if sec != nil {
-			sec.count(o, any, timely)
+			sec.count(o, served, timely)
 		}
 		if o.Due < from || o.Due > to {
 			continue
@@ -115,7 +115,7 @@
 		case timely:
 			gain = o.Type.Benefit
 			inTime[name]++
-		case any:
+		case served:
 			f.Late++
 		case o.How == emulator.Declined:
 			f.Declined++
@@ -124,7 +124,7 @@
 		default:
 			f.Unserved++
 		}
-		if any {
+		if served {
 			recordSeconds(all, o.Took())
 			recordSeconds(byType[name], o.Took())
 		}
@@ -187,12 +187,12 @@
 	return f
 }
 
-func (s *Second) count(o *emulator.Op, any, timely bool) {
+func (s *Second) count(o *emulator.Op, served, timely bool) {
 	s.Due++
 	switch {
 	case timely:
 		s.InTime++
-	case any:
+	case served:
 		s.Late++
 	case o.How == emulator.Declined:
 		s.Declined++
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -138,8 +138,8 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	said := slices.ContainsFunc(o.Tries, func(t *emulator.Try) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
-	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && said { // a client that retried without an answer that allows a retry caused the second effect itself
+	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Try) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
+	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // a client that retried without an answer that allows a retry caused the second effect itself
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
 }
@@ -214,13 +214,13 @@
 			by = x
 		}
 	}
-	but := "no cache server made it"
+	evidence := "no cache server made it"
 	if by != nil && by.Whole > 0 {
-		but = by.Server.Name + " sent it whole"
+		evidence = by.Server.Name + " sent it whole"
 	} else if by != nil {
-		but = by.Server.Name + " was still sending"
+		evidence = by.Server.Name + " was still sending"
 	}
-	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Came, t.Length, how, but)
+	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Came, t.Length, how, evidence)
 	j.certain()
 }
 
@@ -397,27 +397,27 @@
 		text string
 	}
 	var all []line
-	say := func(at float64, format string, about ...any) {
+	add := func(at float64, format string, about ...any) {
 		if at > 0 {
 			all = append(all, line{at, fmt.Sprintf(format, about...)})
 		}
 	}
-	say(o.Due, "due: request %d, %s, key %s", o.N, o.Type.Name, o.Key)
+	add(o.Due, "due: request %d, %s, key %s", o.N, o.Type.Name, o.Key)
 	for _, t := range o.Tries {
-		say(t.Began, "attempt %s starts at router %d, waits %.0f ms", t.ID, t.Router, t.Wait*1e3)
-		say(t.Sent, "attempt %s is sent whole", t.ID)
+		add(t.Began, "attempt %s starts at router %d, waits %.0f ms", t.ID, t.Router, t.Wait*1e3)
+		add(t.Sent, "attempt %s is sent whole", t.ID)
 		if t.Again {
-			say(t.AgainAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
+			add(t.AgainAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
 		}
 		if t.Length > 0 {
-			say(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Came, t.Length)
+			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Came, t.Length)
 		}
-		say(t.Ended, "attempt %s ends: %s %s", t.ID, t.How, t.Strange())
+		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.How, t.Strange())
 		for _, x := range j.executions[t.ID] {
-			say(x.First, "execution of %s reaches %s", t.ID, x.Server.Name)
-			say(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.How)
-			say(x.Whole, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
-			say(x.Broke, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
+			add(x.First, "execution of %s reaches %s", t.ID, x.Server.Name)
+			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.How)
+			add(x.Whole, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
+			add(x.Broke, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.at, b.at) })
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -66,11 +66,11 @@
 var partitionTraffic = []string{"servers", "words", "list"}
 
 func (s *Scenario) checkPart(key string, f Fault) {
-	if _, err := s.group(f.Target, nil); err != nil {
+	if _, err := s.parseGroup(f.Target, nil); err != nil {
 		s.file.Fault(key+".target", "%v", err)
 	}
 	if f.From != "" && f.From != "rest" {
-		if _, err := s.group(f.From, nil); err != nil {
+		if _, err := s.parseGroup(f.From, nil); err != nil {
 			s.file.Fault(key+".from", "%v", err)
 		}
 	}
@@ -89,7 +89,7 @@
 
 // group parses a group of processes: router:N, routers:COUNT, routers:PART%, routers, server:N, servers, lists, zone:N
 // or region:NAME. A count selects the routers with the lowest numbers, so that each run selects the same ones.
-func (s *Scenario) group(text string, servers func() []*emulator.Server) (func(faultproxy.End) bool, error) {
+func (s *Scenario) parseGroup(text string, servers func() []*emulator.Server) (func(faultproxy.End) bool, error) {
 	what, of, _ := strings.Cut(text, ":")
 	none := func(faultproxy.End) bool { return false }
 	switch what {
@@ -102,7 +102,7 @@
 			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.N))
 		}, nil
 	case "router", "routers":
-		t, err := s.target("router", text, "")
+		t, err := s.parseTarget("router", text, "")
 		if err != nil {
 			return none, err
 		}
@@ -110,7 +110,7 @@
 			return e.Kind == faultproxy.Router && (t.number >= 0 && e.N == t.number || t.number < 0 && e.N < t.count)
 		}, nil
 	case "server", "servers":
-		t, err := s.target("server", text, "")
+		t, err := s.parseTarget("server", text, "")
 		if err != nil {
 			return none, err
 		}
@@ -129,14 +129,14 @@
 // rule returns the relays' rule for a fault between processes.
 func (w *world) rule(f Fault) (faultproxy.Rule, error) {
 	fleet := func() []*emulator.Server { return w.fleet.Servers() }
-	in, err := w.scenario.group(f.Target, fleet)
+	in, err := w.scenario.parseGroup(f.Target, fleet)
 	if err != nil {
 		return faultproxy.Rule{}, err
 	}
 	// Each router has a list service of its own, which is on its router's side of the cut unless it is named.
 	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.List }
 	if f.From != "" && f.From != "rest" {
-		if out, err = w.scenario.group(f.From, fleet); err != nil {
+		if out, err = w.scenario.parseGroup(f.From, fleet); err != nil {
 			return faultproxy.Rule{}, err
 		}
 	}
@@ -195,17 +195,17 @@
 }
 
 // The third byte of a relay's address is this plus the number of the router that uses the relay.
-const relaysAt = 120
+const relayAddrByte = 120
 
 // relays starts relays between all processes.
 func (w *world) relays() error {
 	w.net = faultproxy.New(w.fleetLoop.Now, w.options.Seed)
 	at := func(router, n, port int) string {
-		return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, relaysAt+router, 1+n%200, port+n/200)
+		return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, relayAddrByte+router, 1+n%200, port+n/200)
 	}
 	if w.scenario.Routers.Peers {
 		err := w.net.Words(w.scenario.Routers.Count, func(of, router int) string { return at(router, of, 7946) },
-			func(router int) string { return w.address(routersAt, router, 7946) })
+			func(router int) string { return w.address(routerAddrByte, router, 7946) })
 		if err != nil {
 			return err
 		}
@@ -231,21 +231,21 @@
 
 // peersOf returns the peer addresses of all routers as configured at router n: those of relays, if there are any, but
 // for its own.
-func (w *world) peersOf(n int) []string {
-	all := w.peers()
+func (w *world) peerAddrsAt(n int) []string {
+	all := w.peerAddrs()
 	if w.net == nil {
 		return all
 	}
 	for of := range all {
 		if of != n {
-			all[of] = fmt.Sprintf("127.%d.%d.%d:7946", w.options.Net, relaysAt+n, 1+of)
+			all[of] = fmt.Sprintf("127.%d.%d.%d:7946", w.options.Net, relayAddrByte+n, 1+of)
 		}
 	}
 	return all
 }
 
 // listOf returns the address of a router's list service, or of the relay before it.
-func (w *world) listOf(n int) string {
+func (w *world) listServiceAddr(n int) string {
 	if w.net == nil {
 		return w.agents[0][n].Addr()
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -94,7 +94,7 @@
 
 // begin builds the world and starts the routers. If it returns an error with a world, the caller has to end the world.
 func begin(ctx context.Context, s *Scenario, o Options) (*world, error) {
-	w := &world{scenario: s, options: o, types: s.types(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
+	w := &world{scenario: s, options: o, types: s.trafficClasses(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return nil, err
@@ -123,7 +123,7 @@
 		rec.Told = append(rec.Told, told)
 	}
 	for _, n := range w.routerNodes {
-		rec.Processes = append(rec.Processes, n.history()...)
+		rec.Processes = append(rec.Processes, n.processHistory()...)
 		rec.StopIntervals = append(rec.StopIntervals, n.stops...)
 	}
 }
@@ -144,9 +144,9 @@
 
 // First values of the third byte of the addresses of routers, list service agents and cache servers.
 const (
-	routersAt = 1
-	agentsAt  = 2
-	serversAt = 10
+	routerAddrByte = 1
+	agentAddrByte  = 2
+	serverAddrByte = 10
 )
 
 // build creates the emulated servers, list services, relays and clients, and the configurations of the routers. The
@@ -188,12 +188,12 @@
 	w.fleet = w.fleets[0]
 	var routers []string
 	for n := range s.Routers.Count {
-		addr := w.address(routersAt, n, 11211)
-		if err = free(addr); err != nil {
+		addr := w.address(routerAddrByte, n, 11211)
+		if err = checkAddressFree(addr); err != nil {
 			return err
 		}
 		for i, f := range w.fleets {
-			a, err := f.List().Agent(w.address(agentsAt, n, 8500+1000*i))
+			a, err := f.List().Agent(w.address(agentAddrByte, n, 8500+1000*i))
 			if err != nil {
 				return fmt.Errorf("%w (another --net may be free)", err)
 			}
@@ -209,16 +209,16 @@
 		}
 	}
 	for n, r := range w.routerNodes {
-		r.config = w.scenario.config(n, routers, w.agents[0][n], w.options.Seed, w.peersOf(n))
-		r.config["discovery"] = w.listOf(n)
+		r.config = w.scenario.config(n, routers, w.agents[0][n], w.options.Seed, w.peerAddrsAt(n))
+		r.config["discovery"] = w.listServiceAddr(n)
 		if s.List.Forgets {
 			delete(r.config, "known")
 		}
-		if len(w.peers()) > 0 {
-			r.config["peer_listen"] = w.peers()[n]
+		if len(w.peerAddrs()) > 0 {
+			r.config["peer_listen"] = w.peerAddrs()[n]
 		}
 		if s.Routers.Doors {
-			r.config["ops"] = w.address(routersAt, n, 9400)
+			r.config["ops"] = w.address(routerAddrByte, n, 9400)
 		}
 		if s.Routers.Folders {
 			r.folder = filepath.Join(w.options.Dir, fmt.Sprintf("router-%d.folder", n))
@@ -234,7 +234,7 @@
 			fronts[t.Name] = append(fronts[t.Name], w.tileFront(n, t.Name))
 		}
 	}
-	w.clients, err = emulator.NewClients(w.clientLoop, w.options.Seed, w.scenario.load(w.types), routers, fronts)
+	w.clients, err = emulator.NewClients(w.clientLoop, w.options.Seed, w.scenario.clientLoad(w.types), routers, fronts)
 	return err
 }
 
@@ -246,10 +246,10 @@
 // recoveryEnabled reports whether the routers store snapshots for their next processes.
 func (w *world) recoveryEnabled() bool { return w.scenario.Routers.Folders && !w.options.Router.Plain }
 
-func (w *world) peers() (all []string) {
+func (w *world) peerAddrs() (all []string) {
 	if w.scenario.Routers.Peers {
 		for n := range w.scenario.Routers.Count {
-			all = append(all, w.address(routersAt, n, 7946))
+			all = append(all, w.address(routerAddrByte, n, 7946))
 		}
 	}
 	return all
@@ -271,7 +271,7 @@
 // tileFront returns the address at which a router serves a team's map tiles.
 func (w *world) tileFront(n int, team string) string {
 	i := slices.IndexFunc(w.scenario.Teams, func(t TeamPart) bool { return t.Name == team })
-	return w.address(routersAt, n, 8080+i)
+	return w.address(routerAddrByte, n, 8080+i)
 }
 
 // poolIndex returns the index of a pool in fleets; 0 for the default pool.
@@ -280,7 +280,7 @@
 }
 
 // load returns the emulator's settings of the clients.
-func (s *Scenario) load(types []*emulator.TrafficType) emulator.Load {
+func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
 	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TryShare: c.TryShare,
 		Pause: c.PauseMS / 1e3, Honour: c.Honour, Impatient: c.Impatient, Use: emulator.Connections(c.Connections),
@@ -306,7 +306,7 @@
 	f, n, name := w.scenario.Fleet, len(fleet.Servers()), fleet.NextName()
 	chance := fleet.Chance("spec/" + name)
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
-	return emulator.Spec{Name: name, Addr: w.address(serversAt+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
+	return emulator.Spec{Name: name, Addr: w.address(serverAddrByte+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
 		Machine: f.Machines[n/f.Zones%len(f.Machines)], Cell: n / f.Zones / f.Cell, Cores: f.Cores, Speed: speed, Weight: float64(f.Cores), Queue: f.Queue,
 		PerConnection: f.PerConnection, Connections: f.Connections, Handshake: f.HandshakeMS / 1e3, Idle: f.Idle,
 		Keep: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
@@ -317,8 +317,8 @@
 func (s *Scenario) config(n int, routers []string, agent *emulator.Agent, seed uint64, peers []string) map[string]any {
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	var types []map[string]any
-	for _, t := range s.types() {
-		types = append(types, map[string]any{"name": t.Name, "effect": wire[t.Effect],
+	for _, t := range s.trafficClasses() {
+		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Effect],
 			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.Group],
 			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
 			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null if the class may run anywhere
@@ -436,7 +436,7 @@
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r.stop(w.patience())
+			r.stop(w.shutdownSeconds())
 		}()
 	}
 	all.Wait()
@@ -457,14 +457,14 @@
 
 // longestAnswer returns the longest time from a command until its answer is complete, in seconds.
 func (w *world) longestAnswer() float64 {
-	if w.scenario.long() {
+	if w.scenario.hasLongValues() {
 		return w.longestStop() + longValueSeconds
 	}
 	return w.longestStop()
 }
 
 // patience returns how many seconds a router has to exit after SIGTERM.
-func (w *world) patience() float64 { return w.longestAnswer() + exitMargin }
+func (w *world) shutdownSeconds() float64 { return w.longestAnswer() + exitMargin }
 
 const exitMargin = 1.2 // seconds after the longest deadline for a router to shut down, for which the protocol allows 0.7, and to exit
 
@@ -484,7 +484,7 @@
 }
 
 // draw returns n random indices below all, sorted.
-func draw(chance *rand.Rand, all, n int) []int {
+func randomIndices(chance *rand.Rand, all, n int) []int {
 	picked := chance.Perm(all)[:min(n, all)]
 	slices.Sort(picked)
 	return picked
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -179,7 +179,7 @@
 		t.Fatal(err)
 	}
 	<-r.ended
-	if l := r.history()[0]; l.How != endMemoryLimit || l.MaxMemoryMB <= 1 {
+	if l := r.processHistory()[0]; l.How != endMemoryLimit || l.MaxMemoryMB <= 1 {
 		t.Errorf("got %+v, want an end by the memory limit", l)
 	}
 }
@@ -195,7 +195,7 @@
 	}
 	time.Sleep(200 * time.Millisecond)
 	r.stop(0.3)
-	if l := r.history()[0]; l.How != endKilled || l.Told == 0 {
+	if l := r.processHistory()[0]; l.How != endKilled || l.Told == 0 {
 		t.Errorf("got %+v, want a killed process with the time of SIGTERM", l)
 	}
 	if text, err := os.ReadFile(filepath.Join(r.dir, "router-0.json")); err != nil || !strings.Contains(string(text), `"a": 1`) {
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -81,14 +81,14 @@
 	if err != nil {
 		return err
 	}
-	if err = replace(r.file("json"), text); err != nil || r.operators == "" {
+	if err = writeAtomically(r.file("json"), text); err != nil || r.operators == "" {
 		return err
 	}
-	return replace(r.file("toml"), []byte(r.operators))
+	return writeAtomically(r.file("toml"), []byte(r.operators))
 }
 
 // replace writes a file atomically: a reader finds the old or the new text.
-func replace(path string, text []byte) error {
+func writeAtomically(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
 	}
@@ -266,11 +266,11 @@
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.number, life.Exit, r.tail())
+			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.number, life.Exit, r.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("router %d was not ready within %v s%s", r.number, within, r.tail())
+	return fmt.Errorf("router %d was not ready within %v s%s", r.number, within, r.logTail())
 }
 
 // isServing reports whether a router answers the command mn, by which it confirms that it serves requests.
@@ -287,7 +287,7 @@
 }
 
 // tail returns the last lines of the router's log for an error text.
-func (r *routerNode) tail() string {
+func (r *routerNode) logTail() string {
 	text, err := os.ReadFile(r.file("log"))
 	if err != nil || len(text) == 0 {
 		return ""
@@ -297,7 +297,7 @@
 }
 
 // history returns the router's processes so far.
-func (r *routerNode) history() (all []RouterProcess) {
+func (r *routerNode) processHistory() (all []RouterProcess) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	for _, l := range r.processes {
@@ -307,7 +307,7 @@
 }
 
 // free returns an error that names the address if the lab cannot listen at it.
-func free(addr string) error {
+func checkAddressFree(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		var of *net.OpError
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -210,7 +210,7 @@
 		return nil, err
 	}
 	s.file = file
-	return s.checked()
+	return s.validate()
 }
 
 // ParseScenario parses and checks the text of a scenario. Its error lists all mistakes with the given file name.
@@ -221,65 +221,65 @@
 		return nil, err
 	}
 	s.file = file
-	return s.checked()
+	return s.validate()
 }
 
 var (
-	effects = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
-	groups  = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	wire    = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
+	effects         = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
+	groups          = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+	platformEffects = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
 )
 
 // above and within each report a mistake if x is outside its bounds.
-func (s *Scenario) above(key string, x, least float64) {
+func (s *Scenario) checkAbove(key string, x, least float64) {
 	if !(x > least) || math.IsInf(x, 0) {
 		s.file.Fault(key, "%v is not above %v", x, least)
 	}
 }
 
-func (s *Scenario) within(key string, x, from, to float64) {
+func (s *Scenario) checkBetween(key string, x, from, to float64) {
 	if !(x >= from && x <= to) {
 		s.file.Fault(key, "%v is not between %v and %v", x, from, to)
 	}
 }
 
-func (s *Scenario) checked() (*Scenario, error) {
+func (s *Scenario) validate() (*Scenario, error) {
 	if s.Name == "" {
 		s.file.Fault("name", "missing")
 	}
-	s.within("seconds", s.Seconds, 0.5, 3600)
-	s.within("settle", s.Settle, 0, s.Seconds/2)
+	s.checkBetween("seconds", s.Seconds, 0.5, 3600)
+	s.checkBetween("settle", s.Settle, 0, s.Seconds/2)
 	f := &s.Fleet
-	s.within("fleet.servers", float64(f.Servers), 1, 400)
-	s.within("fleet.zones", float64(f.Zones), 1, 50)
-	s.within("fleet.cell", float64(f.Cell), 1, 400)
-	s.within("fleet.cores", float64(f.Cores), 1, 64)
+	s.checkBetween("fleet.servers", float64(f.Servers), 1, 400)
+	s.checkBetween("fleet.zones", float64(f.Zones), 1, 50)
+	s.checkBetween("fleet.cell", float64(f.Cell), 1, 400)
+	s.checkBetween("fleet.cores", float64(f.Cores), 1, 64)
 	if len(f.Speed) != 2 || !(f.Speed[0] > 0) || f.Speed[1] < f.Speed[0] {
 		s.file.Fault("fleet.speed", "%v is not a lowest and a highest speed above 0", f.Speed)
 	}
 	if len(f.Machines) == 0 || slices.Contains(f.Machines, "") {
 		s.file.Fault("fleet.machines", "%q does not name a machine type for every server", f.Machines)
 	}
-	s.within("fleet.queue", float64(f.Queue), 0, 1e6)
-	s.within("fleet.per_connection", float64(f.PerConnection), 1, 1e4)
-	s.within("fleet.connections", float64(f.Connections), 1, 1e5)
-	s.within("fleet.filled", f.Filled, 0, 1)
-	s.within("fleet.cold_from", f.ColdFrom, 0.01, 1)
-	s.within("fleet.warm", f.Warm, 0, 600)
-	s.within("ledger.at_once", float64(s.Ledger.AtOnce), 1, 1e4)
-	s.above("ledger.takes_ms", s.Ledger.TakesMS, 0)
-	s.within("routers.count", float64(s.Routers.Count), 1, 100)
-	s.above("list.within", s.List.Within, 0)
-	s.within("list.calls", s.List.Calls, 0, 1e6)
-	s.above("routers.cores", s.Routers.Cores, 0)
-	s.within("routers.memory_mb", float64(s.Routers.MemoryMB), 32, 1e6)
-	s.within("routers.sockets", float64(s.Routers.Sockets), 64, 1e6)
-	s.above("clients.rate", s.Clients.Rate, 0)
-	s.within("clients.keys", float64(s.Clients.Keys), 1, 1e7)
-	s.within("clients.zipf", s.Clients.Zipf, 0, 3)
-	s.within("clients.retries", float64(s.Clients.Retries), 0, 20)
-	s.within("clients.try_share", s.Clients.TryShare, 0.01, 1)
-	s.within("clients.impatient", s.Clients.Impatient, 0, 1)
+	s.checkBetween("fleet.queue", float64(f.Queue), 0, 1e6)
+	s.checkBetween("fleet.per_connection", float64(f.PerConnection), 1, 1e4)
+	s.checkBetween("fleet.connections", float64(f.Connections), 1, 1e5)
+	s.checkBetween("fleet.filled", f.Filled, 0, 1)
+	s.checkBetween("fleet.cold_from", f.ColdFrom, 0.01, 1)
+	s.checkBetween("fleet.warm", f.Warm, 0, 600)
+	s.checkBetween("ledger.at_once", float64(s.Ledger.AtOnce), 1, 1e4)
+	s.checkAbove("ledger.takes_ms", s.Ledger.TakesMS, 0)
+	s.checkBetween("routers.count", float64(s.Routers.Count), 1, 100)
+	s.checkAbove("list.within", s.List.Within, 0)
+	s.checkBetween("list.calls", s.List.Calls, 0, 1e6)
+	s.checkAbove("routers.cores", s.Routers.Cores, 0)
+	s.checkBetween("routers.memory_mb", float64(s.Routers.MemoryMB), 32, 1e6)
+	s.checkBetween("routers.sockets", float64(s.Routers.Sockets), 64, 1e6)
+	s.checkAbove("clients.rate", s.Clients.Rate, 0)
+	s.checkBetween("clients.keys", float64(s.Clients.Keys), 1, 1e7)
+	s.checkBetween("clients.zipf", s.Clients.Zipf, 0, 3)
+	s.checkBetween("clients.retries", float64(s.Clients.Retries), 0, 20)
+	s.checkBetween("clients.try_share", s.Clients.TryShare, 0.01, 1)
+	s.checkBetween("clients.impatient", s.Clients.Impatient, 0, 1)
 	if !slices.Contains([]string{"kept", "new", "once"}, s.Clients.Connections) {
 		s.file.Fault("clients.connections", "%q is not kept, new or once", s.Clients.Connections)
 	}
@@ -306,12 +306,12 @@
 			s.file.Fault(key("group"), "%q is not all, zone or cell", t.Group)
 		}
 		if t.Effect == "numbered" {
-			s.above(key("window"), t.Window, 0)
+			s.checkAbove(key("window"), t.Window, 0)
 		}
-		s.above(key("share"), t.Share, 0)
-		s.above(key("work_ms"), t.WorkMS, 0)
-		s.above(key("promised_ms"), t.PromisedMS, 0)
-		s.above(key("benefit"), t.Benefit, 0)
+		s.checkAbove(key("share"), t.Share, 0)
+		s.checkAbove(key("work_ms"), t.WorkMS, 0)
+		s.checkAbove(key("promised_ms"), t.PromisedMS, 0)
+		s.checkAbove(key("benefit"), t.Benefit, 0)
 		most := meta.LongBound
 		if t.Scheme != "" {
 			most = maxTileBytes
@@ -325,8 +325,8 @@
 		if t.Scheme != "" && (t.Write || t.Effect != "reissuable") {
 			s.file.Fault(key("scheme"), "traffic types of map tiles have to be reads and reissuable")
 		}
-		s.places(key("runs_in"), t.RunsIn, zones)
-		s.places(key("allowed_on"), t.AllowedOn, f.Machines)
+		s.checkPlaces(key("runs_in"), t.RunsIn, zones)
+		s.checkPlaces(key("allowed_on"), t.AllowedOn, f.Machines)
 		if t.HardStopMS < t.PromisedMS {
 			s.file.Fault(key("hard_stop_ms"), "%v is below the promised time, %v", t.HardStopMS, t.PromisedMS)
 		}
@@ -347,13 +347,13 @@
 const maxTileBytes = 60000
 
 // long reports whether a class's values are too large to be buffered whole, so that routers stream them.
-func (t TypePart) long() bool { return t.Size > meta.ValueBound }
+func (t TypePart) hasLongValues() bool { return t.Size > meta.ValueBound }
 
-func (s *Scenario) long() bool { return slices.ContainsFunc(s.Types, TypePart.long) }
+func (s *Scenario) hasLongValues() bool { return slices.ContainsFunc(s.Types, TypePart.hasLongValues) }
 
 // places reports names of zones or machine types without servers: requests that are bound to only these could never be
 // served.
-func (s *Scenario) places(key string, named, there []string) {
+func (s *Scenario) checkPlaces(key string, named, there []string) {
 	if named != nil && len(named) == 0 {
 		s.file.Fault(key, "names nothing; leave it out where any will do")
 	}
@@ -374,12 +374,12 @@
 	parts := 0.0
 	for i, p := range s.Pools {
 		key := func(k string) string { return fmt.Sprintf("pool.%d.%s", i, k) }
-		if p.Name == "" || s.pool(p.Name) != &s.Pools[i] {
+		if p.Name == "" || s.poolByName(p.Name) != &s.Pools[i] {
 			s.file.Fault(key("name"), "%q is empty or there twice", p.Name)
 		}
-		s.within(key("servers"), float64(p.Servers), 1, 190)
-		s.within(key("capacity"), p.Capacity, 0, 1e6)
-		s.within(key("connections"), p.Connections, 0.001, 0.9)
+		s.checkBetween(key("servers"), float64(p.Servers), 1, 190)
+		s.checkBetween(key("capacity"), p.Capacity, 0, 1e6)
+		s.checkBetween(key("connections"), p.Connections, 0.001, 0.9)
 		parts += p.Connections
 	}
 	if parts > 0.9 || len(s.Pools) > 20 {
@@ -392,14 +392,14 @@
 			s.file.Fault(key("name"), "%q is there twice", t.Name)
 		}
 		names[t.Name] = true
-		if t.Pool != "" && s.pool(t.Pool) == nil {
+		if t.Pool != "" && s.poolByName(t.Pool) == nil {
 			s.file.Fault(key("pool"), "there is no pool %q", t.Pool)
 		}
 		if !slices.ContainsFunc(s.Types, func(k TypePart) bool { return k.Tenant == t.Name }) {
 			s.file.Fault(key("name"), "no traffic type has the tenant %q", t.Name)
 		}
-		s.within(key("budget"), t.Budget, 0, 1e6)
-		p := s.pool(t.Pool)
+		s.checkBetween(key("budget"), t.Budget, 0, 1e6)
+		p := s.poolByName(t.Pool)
 		for _, k := range s.Types {
 			if k.Tenant == t.Name && (k.Scheme != "") != (p != nil && p.Scheme != "") {
 				s.file.Fault(key("pool"), "traffic type %q and the pool have to be both for map tiles, or neither", k.Name)
@@ -477,13 +477,13 @@
 	"reset-under":    {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
 	"cease":          {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
 	"read-slow":      {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true, secondParameter: "rate", secondMin: minReadRate, secondMax: 1e9},
-	"read-pause":     {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true, secondParameter: "delay", secondMin: 0, secondMax: longestPause},
+	"read-pause":     {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true, secondParameter: "delay", secondMin: 0, secondMax: maxReadPause},
 	"read-leave":     {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
 }
 
 const (
 	minReadRate      = 200_000 // bytes a second: the longest value takes 21 s, and a router that shuts down allows it 30 s
-	longestPause     = 8       // seconds: a router closes the connection of a client that reads nothing for 10 s
+	maxReadPause     = 8       // seconds: a router closes the connection of a client that reads nothing for 10 s
 	longValueSeconds = 30      // seconds for which a long value may continue after the longest deadline
 )
 
@@ -524,13 +524,13 @@
 	} else if f.From != "" || f.What != nil {
 		s.file.Fault(key+".from", "%s has neither from nor what", f.Kind)
 	}
-	if k.longValuesOnly && !s.long() {
+	if k.longValuesOnly && !s.hasLongValues() {
 		s.file.Fault(key+".kind", "%s needs a type whose size is above %d", f.Kind, meta.ValueBound)
 	}
 	if strings.HasPrefix(f.Kind, "state-") && !s.Routers.Folders {
 		s.file.Fault(key+".kind", "%s needs routers.folders", f.Kind)
 	}
-	if f.Pool != "" && (!slices.Contains([]string{"server", "list", "ledger"}, k.targets) && f.Kind != "grow" || s.pool(f.Pool) == nil) {
+	if f.Pool != "" && (!slices.Contains([]string{"server", "list", "ledger"}, k.targets) && f.Kind != "grow" || s.poolByName(f.Pool) == nil) {
 		s.file.Fault(key+".pool", "%q is not a pool, or this kind of fault has no pool", f.Pool)
 		return
 	}
@@ -555,21 +555,21 @@
 		}
 		return nil
 	}
-	_, err := s.target(on, text, pool)
+	_, err := s.parseTarget(on, text, pool)
 	return err
 }
 
 // pool returns the settings of a pool, or nil if there is none with that name.
-func (s *Scenario) pool(name string) *PoolPart {
+func (s *Scenario) poolByName(name string) *PoolPart {
 	if i := slices.IndexFunc(s.Pools, func(p PoolPart) bool { return p.Name == name }); i >= 0 {
 		return &s.Pools[i]
 	}
 	return nil
 }
 
-func (s *Scenario) target(on, text, pool string) (target, error) {
+func (s *Scenario) parseTarget(on, text, pool string) (target, error) {
 	servers := s.Fleet.Servers
-	if p := s.pool(pool); p != nil {
+	if p := s.poolByName(pool); p != nil {
 		servers = p.Servers
 	}
 	most := map[string]int{"server": servers, "router": s.Routers.Count, "list": s.Routers.Count}[on]
@@ -620,7 +620,7 @@
 }
 
 // types returns the traffic classes as the emulator's settings.
-func (s *Scenario) types() (all []*emulator.TrafficType) {
+func (s *Scenario) trafficClasses() (all []*emulator.TrafficType) {
 	for _, t := range s.Types {
 		all = append(all, &emulator.TrafficType{Name: t.Name, Share: t.Share, Write: t.Write, Effect: effects[t.Effect],
 			Group: groups[t.Group], Window: t.Window, Work: t.WorkMS / 1e3, Spread: t.Spread, Size: t.Size,
--- a/internal/experiment/state.go
+++ b/internal/experiment/state.go
@@ -15,7 +15,7 @@
 		}
 	case "state-damaged":
 		for _, n := range hit {
-			w.fail(eachFile(w.routerNodes[n].folder, damage))
+			w.fail(eachFile(w.routerNodes[n].folder, flipByte))
 		}
 	case "state-old":
 		kept := map[string][]byte{}
@@ -28,7 +28,7 @@
 		w.recordEvent("%s of routers %v is copied", f.Kind, hit)
 		w.waitUntil(f.At+f.For, halt)
 		for path, text := range kept {
-			w.fail(replace(path, text))
+			w.fail(writeAtomically(path, text))
 		}
 	}
 	w.recordEvent("%s of routers %v", f.Kind, hit)
@@ -53,7 +53,7 @@
 }
 
 // damage flips a bit of the byte in the middle of a file.
-func damage(path string) error {
+func flipByte(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
 		return err
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -106,8 +106,8 @@
 	if first >= last {
 		first, last = from, to
 	}
-	asked, got, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
-	late, of := map[string][]float64{}, map[string]string{} // of has the tenant by attempt id, because tile servers have no tenants
+	asked, gained, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
+	declineSeconds, tenantOf := map[string][]float64{}, map[string]string{} // of has the tenant by attempt id, because tile servers have no tenants
 	for _, o := range rec.Clients.Ops {
 		name := o.Type.Tenant
 		if name == "" || o.Due < from || o.Due > to {
@@ -117,21 +117,21 @@
 		f.Requests++
 		asked[name] += o.Type.Benefit
 		if _, timely := o.Served(); timely {
-			got[name] += o.Type.Benefit
+			gained[name] += o.Type.Benefit
 		}
 		if o.How == emulator.Declined {
 			f.Declined++
 		}
 		for _, t := range o.Tries {
-			of[t.ID] = name
+			tenantOf[t.ID] = name
 			if t.How == emulator.Declined && t.Sent > 0 {
-				late[name] = append(late[name], t.Ended-t.Sent)
+				declineSeconds[name] = append(declineSeconds[name], t.Ended-t.Sent)
 			}
 		}
 		all[name] = f
 	}
 	for _, x := range rec.Fleet.Executions {
-		name := of[x.ID]
+		name := tenantOf[x.ID]
 		if f, there := all[name]; there && x.First >= first && x.First < last && x.End > x.First {
 			f.Load += (x.End - x.First) / (last - first)
 			all[name] = f
@@ -139,8 +139,8 @@
 	}
 	for name, f := range all {
 		f.Declined /= float64(f.Requests)
-		f.BenefitInTime = fraction(got[name], asked[name])
-		times := emulator.Lateness{Times: late[name]}
+		f.BenefitInTime = fraction(gained[name], asked[name])
+		times := emulator.Lateness{Times: declineSeconds[name]}
 		f.DeclinedP99 = times.Part(0.99) * 1e3
 		if i := slices.IndexFunc(s.Teams, func(t TeamPart) bool { return t.Name == name }); i >= 0 {
 			f.Budget = s.Teams[i].Budget
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -228,12 +228,12 @@
 	return lines[max(0, len(lines)-most):]
 }
 
-var caller = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
 // Ask calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
 // decoded into it.
 func (x *World) Ask(router int, path, body string, into any) (status int, err error) {
-	method, url := http.MethodGet, "http://"+x.world.address(routersAt, router, 9400)+path
+	method, url := http.MethodGet, "http://"+x.world.address(routerAddrByte, router, 9400)+path
 	if body != "" {
 		method = http.MethodPost
 	}
@@ -242,7 +242,7 @@
 		return 0, err
 	}
 	q.Header.Set("Accept", "application/json")
-	answer, err := caller.Do(q)
+	answer, err := adminClient.Do(q)
 	if err != nil {
 		return 0, err
 	}
