--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -77,7 +77,7 @@
 	return Program{Name: name, Args: []string{to}}, nil
 }
 
-// output runs a command and returns its standard output without surrounding space. The error of a failed command
+// commandOutput runs a command and returns its standard output without surrounding space. The error of a failed command
 // contains its standard error.
 func commandOutput(ctx context.Context, dir, command string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, command, args...)
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -54,7 +54,7 @@
 	A              float64 `json:"a"`
 	B              float64 `json:"b"`
 	MeanDifference float64 `json:"a_less_b"`
-	Noise          float64 `json:"noise"` // half the width of the 95% confidence interval of the mean by Student's t; -1 with one pair
+	Noise          float64 `json:"noise"` // half the 95% confidence interval of the mean, by Student's t; -1 with one pair
 	Better         string  `json:"better"`
 }
 
@@ -157,7 +157,7 @@
 	return done, nil
 }
 
-// round plays all routers on one seed, beginning with router number first modulo their number.
+// playRound plays all routers on one seed, beginning with router number first modulo their number.
 func playRound(ctx context.Context, s *Scenario, all []Program, o Options, first int) ([]Result, error) {
 	results := make([]Result, len(all))
 	for turn := range all {
--- a/internal/experiment/exits.go
+++ b/internal/experiment/exits.go
@@ -14,9 +14,9 @@
 type ZoneLoss struct {
 	Fault           string  `json:"fault"`
 	At              float64 `json:"at"`
-	WastedWrites    int     `json:"burnt"`           // writes of routers to the lost servers; counted only if relays cut the connections
+	WastedWrites    int     `json:"burnt"`           // writes of routers to the lost servers, if relays cut the connections
 	WritingRouters  int     `json:"senders"`         // routers with such writes
-	FirstLeft       float64 `json:"first_left_s"`    // seconds from the loss until the first of them stopped, apart from trial attempts
+	FirstLeft       float64 `json:"first_left_s"`    // seconds from the loss until the first of them stopped, but for trial attempts
 	LastLeft        float64 `json:"last_left_s"`     // the same for the last of them
 	LostAfterLoss   float64 `json:"benefit_lost"`    // fraction of the benefit that was lost in the first 10 s of the loss ...
 	LostAfterReturn float64 `json:"lost_after_heal"` // ... and in the 10 s after its end
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -139,7 +139,7 @@
 		j.checkPlacement(o, t)
 	}
 	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Try) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
-	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // a client that retried without an answer that allows a retry caused the second effect itself
+	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
 }
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -87,8 +87,8 @@
 	}
 }
 
-// group parses a group of processes: router:N, routers:COUNT, routers:PART%, routers, server:N, servers, lists, zone:N
-// or region:NAME. A count selects the routers with the lowest numbers, so that each run selects the same ones.
+// parseGroup parses a group of processes: router:N, routers:COUNT, routers:PART%, routers, server:N, servers, lists,
+// zone:N or region:NAME. A count selects the routers with the lowest numbers, so that each run selects the same ones.
 func (s *Scenario) parseGroup(text string, servers func() []*emulator.Server) (func(faultproxy.End) bool, error) {
 	what, of, _ := strings.Cut(text, ":")
 	none := func(faultproxy.End) bool { return false }
@@ -165,7 +165,7 @@
 		r.Effect.Delay = f.Delay
 	case "words-lose":
 		r.Effect.Lose = f.Part
-	case "words-late": // a random half of the delay reorders the messages
+	case "words-late": // up to half more delay at random, so that messages are reordered
 		r.Effect.Delay, r.Effect.Spread = f.Delay, f.Delay/2
 	case "words-double":
 		r.Effect.Double = f.Part
@@ -218,7 +218,7 @@
 			return err
 		}
 		known := map[*emulator.Server]string{}
-		agent.Via(func(s *emulator.Server) string { // called only by the agent
+		agent.Via(func(s *emulator.Server) string { // only the agent calls it, one call at a time: known needs no lock
 			if known[s] == "" {
 				known[s] = at(n, len(known), 11300)
 				w.fail(w.net.Conn(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
@@ -229,8 +229,8 @@
 	return nil
 }
 
-// peersOf returns the peer addresses of all routers as configured at router n: those of relays, if there are any, but
-// for its own.
+// peerAddrsAt returns the peer addresses of all routers as configured at router n: those of relays, if there are any,
+// but for its own.
 func (w *world) peerAddrsAt(n int) []string {
 	all := w.peerAddrs()
 	if w.net == nil {
@@ -244,7 +244,7 @@
 	return all
 }
 
-// listOf returns the address of a router's list service, or of the relay before it.
+// listServiceAddr returns the address of a router's list service, or of the relay before it.
 func (w *world) listServiceAddr(n int) string {
 	if w.net == nil {
 		return w.agents[0][n].Addr()
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -160,7 +160,7 @@
 	}
 	s := w.scenario
 	var keys []string
-	for n := int(s.Fleet.Filled*float64(s.Clients.Keys)) - 1; n >= 0; n-- { // the most popular last, so that it is evicted last
+	for n := int(s.Fleet.Filled*float64(s.Clients.Keys)) - 1; n >= 0; n-- { // the most popular last: it is evicted last
 		keys = append(keys, emulator.Key(n))
 	}
 	for i := range 1 + len(s.Pools) {
@@ -279,7 +279,7 @@
 	return 1 + slices.IndexFunc(w.scenario.Pools, func(p PoolPart) bool { return p.Name == pool })
 }
 
-// load returns the emulator's settings of the clients.
+// clientLoad returns the emulator's settings of the clients.
 func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
 	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TryShare: c.TryShare,
@@ -352,7 +352,7 @@
 	return conf
 }
 
-const startTimeout = 15 // seconds for a router to become ready: it takes some tenths of a second, and more if all start concurrently
+const startTimeout = 15 // seconds until ready: usually some tenths, and more if all routers start concurrently
 
 func (w *world) startRouters(ctx context.Context) error {
 	for _, r := range w.routerNodes {
@@ -463,10 +463,10 @@
 	return w.longestStop()
 }
 
-// patience returns how many seconds a router has to exit after SIGTERM.
+// shutdownSeconds returns how many seconds a router has to exit after SIGTERM.
 func (w *world) shutdownSeconds() float64 { return w.longestAnswer() + exitMargin }
 
-const exitMargin = 1.2 // seconds after the longest deadline for a router to shut down, for which the protocol allows 0.7, and to exit
+const exitMargin = 1.2 // seconds after the longest deadline: 0.7 to shut down by the protocol, the rest to exit
 
 // recordEvent records a fault's begin or end with its time.
 func (w *world) recordEvent(format string, about ...any) {
@@ -483,7 +483,7 @@
 	}
 }
 
-// draw returns n random indices below all, sorted.
+// randomIndices returns n random indices below all, sorted.
 func randomIndices(chance *rand.Rand, all, n int) []int {
 	picked := chance.Perm(all)[:min(n, all)]
 	slices.Sort(picked)
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -44,8 +44,8 @@
 	endReason        string // reason for which the lab ended it
 }
 
-// StopInterval is an interval in which the lab had stopped a router's process by SIGSTOP. To is 0 if the process was not
-// continued.
+// StopInterval is an interval in which the lab had stopped a router's process by SIGSTOP. To is 0 if the process was
+// not continued.
 type StopInterval struct {
 	Router   int
 	From, To float64
@@ -87,7 +87,7 @@
 	return writeAtomically(r.file("toml"), []byte(r.operators))
 }
 
-// replace writes a file atomically: a reader finds the old or the new text.
+// writeAtomically writes a file atomically: a reader finds the old or the new text.
 func writeAtomically(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
@@ -286,7 +286,7 @@
 	return err == nil && strings.TrimSpace(line) == "MN"
 }
 
-// tail returns the last lines of the router's log for an error text.
+// logTail returns the last lines of the router's log for an error text.
 func (r *routerNode) logTail() string {
 	text, err := os.ReadFile(r.file("log"))
 	if err != nil || len(text) == 0 {
@@ -296,7 +296,7 @@
 	return "; its log ends with\n" + strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-// history returns the router's processes so far.
+// processHistory returns the router's processes so far.
 func (r *routerNode) processHistory() (all []RouterProcess) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
@@ -306,7 +306,7 @@
 	return all
 }
 
-// free returns an error that names the address if the lab cannot listen at it.
+// checkAddressFree returns an error that names the address if the lab cannot listen at it.
 func checkAddressFree(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -36,7 +36,7 @@
 	Regions []RegionPart `toml:"region"`
 	Broker  BrokerPart   `toml:"broker"`
 	Faults  []Fault      `toml:"fault"`
-	Control []string     `toml:"control"` // kinds of fault that the control run leaves out; without any, there is no control run
+	Control []string     `toml:"control"` // kinds of fault left out of the control run; none: no control run
 	file    *tomlfile.File
 }
 
@@ -55,7 +55,7 @@
 	Idle          float64   `toml:"idle"`
 	Keep          int       `toml:"keep"`
 	Cancels       bool      `toml:"cancels"`
-	Filled        float64   `toml:"filled"` // fraction of the keys, the most popular ones, that all servers cache at the start
+	Filled        float64   `toml:"filled"` // fraction of the keys, the most popular, that all servers cache at the start
 	ColdFrom      float64   `toml:"cold_from"`
 	Warm          float64   `toml:"warm"`
 }
@@ -73,7 +73,7 @@
 type ListPart struct {
 	Delay   float64 `toml:"delay"`
 	Spread  float64 `toml:"spread"`
-	Calls   float64 `toml:"calls"`   // calls a second that it accepts from all routers together, which then have to poll it; 0 for no bound
+	Calls   float64 `toml:"calls"`   // a second, accepted from all routers together, which then poll it; 0 for no bound
 	Forgets bool    `toml:"forgets"` // the platform's configuration contains no endpoint list for a router that starts
 	Within  float64 `toml:"within"`  // seconds within which routers have to poll it, if calls are bounded
 }
@@ -138,7 +138,7 @@
 	HardStopMS float64 `toml:"hard_stop_ms"`
 	Benefit    float64 `toml:"benefit"`
 	Tenant     string  `toml:"tenant"`
-	Scheme     string  `toml:"scheme"` // xyz, wmts-kvp or wmts-rest for map tiles, which need a team with a pool of tile servers
+	Scheme     string  `toml:"scheme"` // of map tiles: xyz, wmts-kvp or wmts-rest; they need a team with a pool of tile servers
 
 	RunsIn    []string `toml:"runs_in"`    // the only zones (zone-0, zone-1 ...) that it may be sent to (rule 5); all if left out
 	AllowedOn []string `toml:"allowed_on"` // the only machine types that it may be sent to; all if left out
@@ -230,7 +230,7 @@
 	platformEffects = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
 )
 
-// above and within each report a mistake if x is outside its bounds.
+// checkAbove and checkBetween each report a mistake if x is outside its bounds.
 func (s *Scenario) checkAbove(key string, x, least float64) {
 	if !(x > least) || math.IsInf(x, 0) {
 		s.file.Fault(key, "%v is not above %v", x, least)
@@ -346,13 +346,13 @@
 // are seldom larger.
 const maxTileBytes = 60000
 
-// long reports whether a class's values are too large to be buffered whole, so that routers stream them.
+// hasLongValues reports whether a class's values are too large to be buffered whole, so that routers stream them.
 func (t TypePart) hasLongValues() bool { return t.Size > meta.ValueBound }
 
 func (s *Scenario) hasLongValues() bool { return slices.ContainsFunc(s.Types, TypePart.hasLongValues) }
 
-// places reports names of zones or machine types without servers: requests that are bound to only these could never be
-// served.
+// checkPlaces reports names of zones or machine types without servers: requests that are bound to only these could
+// never be served.
 func (s *Scenario) checkPlaces(key string, named, there []string) {
 	if named != nil && len(named) == 0 {
 		s.file.Fault(key, "names nothing; leave it out where any will do")
@@ -559,7 +559,7 @@
 	return err
 }
 
-// pool returns the settings of a pool, or nil if there is none with that name.
+// poolByName returns the settings of a pool, or nil if there is none with that name.
 func (s *Scenario) poolByName(name string) *PoolPart {
 	if i := slices.IndexFunc(s.Pools, func(p PoolPart) bool { return p.Name == name }); i >= 0 {
 		return &s.Pools[i]
@@ -619,7 +619,7 @@
 	return t, err
 }
 
-// types returns the traffic classes as the emulator's settings.
+// trafficClasses returns the traffic classes as the emulator's settings.
 func (s *Scenario) trafficClasses() (all []*emulator.TrafficType) {
 	for _, t := range s.Types {
 		all = append(all, &emulator.TrafficType{Name: t.Name, Share: t.Share, Write: t.Write, Effect: effects[t.Effect],
--- a/internal/experiment/state.go
+++ b/internal/experiment/state.go
@@ -52,7 +52,7 @@
 	return nil
 }
 
-// damage flips a bit of the byte in the middle of a file.
+// flipByte flips a bit of the byte in the middle of a file.
 func flipByte(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -107,7 +107,7 @@
 		first, last = from, to
 	}
 	asked, gained, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
-	declineSeconds, tenantOf := map[string][]float64{}, map[string]string{} // of has the tenant by attempt id, because tile servers have no tenants
+	declineSeconds, tenantOf := map[string][]float64{}, map[string]string{} // by attempt id: tile servers have no tenants
 	for _, o := range rec.Clients.Ops {
 		name := o.Type.Tenant
 		if name == "" || o.Due < from || o.Due > to {
