--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -119,36 +119,36 @@
 	// In its own process group, the router gets no interrupt from the terminal: the lab decides when it ends. The
 	// kernel kills it when the lab dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	life := &RouterProcess{Router: r.number, From: r.now()}
+	process := &RouterProcess{Router: r.number, From: r.now()}
 	if err = cmd.Start(); err != nil {
 		return fmt.Errorf("router %d: %w", r.number, err)
 	}
 	limit := unix.Rlimit{Cur: uint64(r.sockets), Max: uint64(r.sockets)}
 	unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
 	r.cmd, r.ended = cmd, make(chan struct{})
-	r.processes = append(r.processes, life)
-	go r.wait(cmd, life, r.ended)
+	r.processes = append(r.processes, process)
+	go r.wait(cmd, process, r.ended)
 	return nil
 }
 
 // wait waits for the end of a process and records how it ended.
-func (r *routerNode) wait(cmd *exec.Cmd, life *RouterProcess, ended chan struct{}) {
+func (r *routerNode) wait(cmd *exec.Cmd, process *RouterProcess, ended chan struct{}) {
 	done := make(chan struct{})
-	go r.watchMemory(cmd.Process.Pid, life, done)
+	go r.watchMemory(cmd.Process.Pid, process, done)
 	cmd.Wait()
 	close(done)
 	r.mu.Lock()
-	life.To, life.How, life.Exit = r.now(), life.endReason, cmd.ProcessState.ExitCode()
-	if life.How == endNone || life.How == endAsked && life.Exit != 0 {
-		life.How = endCrashed
+	process.To, process.How, process.Exit = r.now(), process.endReason, cmd.ProcessState.ExitCode()
+	if process.How == endNone || process.How == endAsked && process.Exit != 0 {
+		process.How = endCrashed
 	}
-	life.CPU = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+	process.CPU = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 	r.mu.Unlock()
 	close(ended)
 }
 
 // watchMemory kills a process that uses more memory than allowed, as the platform does.
-func (r *routerNode) watchMemory(pid int, life *RouterProcess, done chan struct{}) {
+func (r *routerNode) watchMemory(pid int, process *RouterProcess, done chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -165,7 +165,7 @@
 		}
 		mb := float64(resident) * float64(os.Getpagesize()) / (1 << 20)
 		r.mu.Lock()
-		life.MaxMemoryMB = max(life.MaxMemoryMB, mb)
+		process.MaxMemoryMB = max(process.MaxMemoryMB, mb)
 		r.mu.Unlock()
 		if mb > float64(r.memoryMB) {
 			r.signalEnd(syscall.SIGKILL, endMemoryLimit)
@@ -180,12 +180,12 @@
 	if r.cmd == nil || len(r.processes) == 0 {
 		return
 	}
-	life := r.processes[len(r.processes)-1]
-	if life.To > 0 {
+	process := r.processes[len(r.processes)-1]
+	if process.To > 0 {
 		return
 	}
-	if life.endReason = why; why == endAsked {
-		life.Told = r.now()
+	if process.endReason = why; why == endAsked {
+		process.Told = r.now()
 	}
 	r.cmd.Process.Signal(sig)
 }
@@ -255,18 +255,18 @@
 // ready waits until the router reports that it serves requests.
 func (r *routerNode) ready(within float64) error {
 	r.mu.Lock()
-	ended, life := r.ended, r.processes[len(r.processes)-1]
+	ended, process := r.ended, r.processes[len(r.processes)-1]
 	r.mu.Unlock()
 	for until := r.now() + within; r.now() < until; {
 		if isServing(r.addr) {
 			r.mu.Lock()
-			life.Ready = r.now()
+			process.Ready = r.now()
 			r.mu.Unlock()
 			return nil
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.number, life.Exit, r.logTail())
+			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.number, process.Exit, r.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
