--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -17,7 +17,7 @@
 // World is a run that its caller controls: real routers, emulated servers and clients, with faults that begin and end
 // when an observed condition holds. All observations are from the emulated servers, the clients and the relays.
 type World struct {
-	world *world
+	run *world
 }
 
 // Open starts a run. Its clients send requests until Close. The scenario's faults are not played.
@@ -38,7 +38,7 @@
 
 // Close stops the clients, waits for the requests in flight, ends all processes and returns the records.
 func (x *World) Close() (*Records, error) {
-	w := x.world
+	w := x.run
 	rec := &Records{From: w.startTime, To: w.clientLoop.Now()}
 	runOnLoop(w.clientLoop, w.clients.Stop)
 	longest := w.longestAnswer()
@@ -51,10 +51,10 @@
 }
 
 // Now returns the time in Unix seconds.
-func (x *World) Now() float64 { return x.world.fleetLoop.Now() }
+func (x *World) Now() float64 { return x.run.fleetLoop.Now() }
 
 // Since returns the seconds since the clients started.
-func (x *World) Since() float64 { return x.Now() - x.world.startTime }
+func (x *World) Since() float64 { return x.Now() - x.run.startTime }
 
 // Until waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
 // hold within bound seconds.
@@ -71,14 +71,14 @@
 
 // Cut begins a fault between processes; heal ends it.
 func (x *World) Cut(f Fault) (heal func() error, err error) {
-	r, err := x.world.rule(f)
+	r, err := x.run.rule(f)
 	if err != nil {
 		return nil, err
 	}
-	x.world.recordEvent("%s %s begins", f.Kind, f.Target)
-	end, err := x.world.net.Begin(r)
+	x.run.recordEvent("%s %s begins", f.Kind, f.Target)
+	end, err := x.run.net.Begin(r)
 	return func() error {
-		x.world.recordEvent("%s %s ends", f.Kind, f.Target)
+		x.run.recordEvent("%s %s ends", f.Kind, f.Target)
 		return end()
 	}, err
 }
@@ -93,12 +93,12 @@
 			}
 		}
 	})
-	x.world.recordEvent("fault in %s begins", zone)
+	x.run.recordEvent("fault in %s begins", zone)
 	return func() {
-		x.world.recordEvent("fault in %s ends", zone)
+		x.run.recordEvent("fault in %s ends", zone)
 		x.OnFleet(func(*emulator.Fleet) {
 			for _, end := range ends {
-				x.world.fail(end())
+				x.run.fail(end())
 			}
 		})
 	}
@@ -107,12 +107,12 @@
 // OnFleet runs f on the event loop of the emulated servers, where their records and faults may be accessed, and waits
 // for it.
 func (x *World) OnFleet(f func(f *emulator.Fleet)) {
-	runOnLoop(x.world.fleetLoop, func() { f(x.world.fleet) })
+	runOnLoop(x.run.fleetLoop, func() { f(x.run.fleet) })
 }
 
 // OnClients runs f on the event loop of the clients, where their records may be read, and waits for it.
 func (x *World) OnClients(f func(c *emulator.Clients)) {
-	runOnLoop(x.world.clientLoop, func() { f(x.world.clients) })
+	runOnLoop(x.run.clientLoop, func() { f(x.run.clients) })
 }
 
 // Served returns the fraction of the requests due between two times that were answered within the latency objective,
@@ -149,7 +149,7 @@
 // Burnt counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
 func (x *World) Burnt(zone string, since float64) map[int]int {
 	by := map[int]int{}
-	for _, s := range x.world.net.Sent() {
+	for _, s := range x.run.net.Sent() {
 		if s.At >= since && s.To.Zone == zone {
 			by[s.Router]++
 		}
@@ -158,37 +158,37 @@
 }
 
 // Words returns the newest gossip messages between routers, at most as many as given.
-func (x *World) Words(most int) []faultproxy.Word { return x.world.net.Last(most) }
+func (x *World) Words(most int) []faultproxy.Word { return x.run.net.Last(most) }
 
 // Kill sends SIGKILL to routers' processes and waits until they have ended.
 func (x *World) Kill(routers ...int) {
 	for _, n := range routers {
-		x.world.routerNodes[n].kill()
-		x.world.recordEvent("router %d is killed", n)
+		x.run.routerNodes[n].kill()
+		x.run.recordEvent("router %d is killed", n)
 	}
 }
 
 // Stop stops routers' processes by SIGSTOP, which they cannot observe.
 func (x *World) Stop(routers ...int) {
 	for _, n := range routers {
-		x.world.routerNodes[n].pause()
-		x.world.recordEvent("router %d is stopped", n)
+		x.run.routerNodes[n].pause()
+		x.run.recordEvent("router %d is stopped", n)
 	}
 }
 
 // Go continues routers' processes after Stop.
 func (x *World) Go(routers ...int) {
 	for _, n := range routers {
-		x.world.routerNodes[n].resume()
-		x.world.recordEvent("router %d continues", n)
+		x.run.routerNodes[n].resume()
+		x.run.recordEvent("router %d continues", n)
 	}
 }
 
 // Start starts new processes of routers, with the endpoint list that their last processes had.
 func (x *World) Start(routers ...int) error {
 	for _, n := range routers {
-		if !x.world.startRouter(n) {
-			return x.world.failed
+		if !x.run.startRouter(n) {
+			return x.run.failed
 		}
 	}
 	return nil
@@ -197,7 +197,7 @@
 // Ready waits until routers serve requests.
 func (x *World) Ready(within float64, routers ...int) error {
 	for _, n := range routers {
-		if err := x.world.routerNodes[n].ready(within); err != nil {
+		if err := x.run.routerNodes[n].ready(within); err != nil {
 			return err
 		}
 	}
@@ -205,21 +205,21 @@
 }
 
 // Folder returns the path of a router's folder that outlives its processes.
-func (x *World) Folder(router int) string { return x.world.routerNodes[router].folder }
+func (x *World) Folder(router int) string { return x.run.routerNodes[router].folder }
 
 // Routers returns the number of routers.
-func (x *World) Routers() int { return len(x.world.routerNodes) }
+func (x *World) Routers() int { return len(x.run.routerNodes) }
 
 // Played returns the faults and actions so far, with their times.
 func (x *World) Played() []string {
-	x.world.mu.Lock()
-	defer x.world.mu.Unlock()
-	return append([]string(nil), x.world.played...)
+	x.run.mu.Lock()
+	defer x.run.mu.Unlock()
+	return append([]string(nil), x.run.played...)
 }
 
 // Log returns the last lines of a router's log that contain a text, the newest last.
 func (x *World) Log(router int, holds string, most int) (lines []string) {
-	text, _ := os.ReadFile(x.world.routerNodes[router].file("log"))
+	text, _ := os.ReadFile(x.run.routerNodes[router].file("log"))
 	for line := range strings.Lines(string(text)) {
 		if strings.Contains(line, holds) {
 			lines = append(lines, strings.TrimSpace(line))
@@ -233,7 +233,7 @@
 // Ask calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
 // decoded into it.
 func (x *World) Ask(router int, path, body string, into any) (status int, err error) {
-	method, url := http.MethodGet, "http://"+x.world.address(routerAddrByte, router, 9400)+path
+	method, url := http.MethodGet, "http://"+x.run.address(routerAddrByte, router, 9400)+path
 	if body != "" {
 		method = http.MethodPost
 	}
@@ -256,12 +256,12 @@
 
 // Operators changes a router's operators' file and sends SIGHUP to its process.
 func (x *World) Operators(router int, change func(text string) string) error {
-	n := x.world.routerNodes[router]
+	n := x.run.routerNodes[router]
 	return n.reload(func() { n.operators = change(n.operators) })
 }
 
 // Judge returns the verdict and the figures of this run's records.
-func (x *World) Judge(rec *Records) Result { return NewResult(x.world.scenario, x.world.options, rec) }
+func (x *World) Judge(rec *Records) Result { return NewResult(x.run.scenario, x.run.options, rec) }
 
 // Build builds the router of this working tree in a new temporary folder, and returns the folder's path.
 func Build(ctx context.Context) (Program, string, error) {
@@ -289,10 +289,10 @@
 			spec := s.Spec
 			spec.Name = f.NextName()
 			_, err := f.Add(spec, true)
-			x.world.fail(err)
+			x.run.fail(err)
 		}
 	})
-	x.world.recordEvent("%s has new servers", zone)
+	x.run.recordEvent("%s has new servers", zone)
 }
 
 // Course returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
