--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -61,7 +61,7 @@
 			st.attempt("x", emulator.Declined, 1.05)
 			st.execution("x", a, 1.2, emulator.Cancelled)
 		}, []int{1}},
-		"sent to a server just before its answer": {"read", func(st *runRecord) {
+		"on its way to a server when answered": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Declined, 1.05)
 			st.execution("x", a, 1.08, emulator.Cancelled)
 		}, nil},
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -298,8 +298,8 @@
 	}
 }
 
-// One team surges to 15 times its rate, far beyond its budget, while another stays within its own. The rules are kept,
-// and only requests of the first are declined.
+// One team surges to about ten times its budget while another stays within its own. The rules are kept, and the surge does
+// not cause rejections of the other team.
 func TestSurgeBeyondQuotaIsDeclinedForThatTeamOnly(t *testing.T) {
 	t.Parallel()
 	const teams = `name = "teams"
