--- a/internal/experiment/recoveries.go
+++ b/internal/experiment/recoveries.go
@@ -15,8 +15,8 @@
 	Fault                     string  `json:"fault"`
 	At                        float64 `json:"at"`
 	Started                   float64 `json:"started"`        // when the last new process started, in seconds of the run
-	FullServiceSeconds        float64 `json:"full_service_s"` // until two consecutive seconds had 98% of the benefit of the two before the fault
-	Never                     bool    `json:"never"`          // full service was not reached in the run, or not before the next fault of this kind
+	FullServiceSeconds        float64 `json:"full_service_s"` // from then until two seconds in a row had 98% of the fraction in time before
+	Never                     bool    `json:"never"`          // not reached in the run, or not before the next fault of this kind
 	BenefitLost               float64 `json:"benefit_lost"`   // fraction of the benefit lost from the fault until full service
 	MostHandshakesAtOneServer int     `json:"handshakes"`     // most connections that one server accepted in a second, from the fault on
 	MostHandshakes            int     `json:"handshakes_all"` // most connections that all servers together accepted in a second
