--- a/internal/experiment/build.go
+++ b/internal/experiment/build.go
@@ -13,8 +13,9 @@
 	"bendtrestle/internal/experiment/baseline"
 )
 
-// Resolve finds what a name means as a router: "head" (this working tree, built), "plain" (the same, which leaves no zones as one), a baseline, "flat:SECONDS" (this
-// program, whose budgets count every operation alike), a program's path, or a revision of this repository, which is built aside in dir.
+// Resolve returns the router program for a name: "head" (this working tree, built), "plain" (the same without zone
+// failover and recovery), a baseline, "flat:SECONDS" (this program, whose budgets charge every request the same number
+// of seconds), a program's path, or a revision of this repository, which is built in dir.
 func Resolve(ctx context.Context, name, dir string) (Program, error) {
 	if slices.Contains(baseline.Names(), name) {
 		self, err := os.Executable()
@@ -22,7 +23,7 @@
 	}
 	if text, flat := strings.CutPrefix(name, "flat:"); flat {
 		if x, err := strconv.ParseFloat(text, 64); err != nil || !(x > 0) {
-			return Program{}, fmt.Errorf("%q: %q is not seconds above 0", name, text)
+			return Program{}, fmt.Errorf("%q: %q is not a number of seconds above 0", name, text)
 		}
 		self, err := os.Executable()
 		return Program{Name: name, Args: []string{self, "router", "--flat", text}}, err
@@ -33,7 +34,7 @@
 		return p, err
 	}
 	if name == "head" {
-		root, err := output(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
+		root, err := commandOutput(ctx, ".", "go", "list", "-m", "-f", "{{.Dir}}")
 		if err != nil {
 			return Program{}, fmt.Errorf("head: %w", err)
 		}
@@ -43,7 +44,7 @@
 		path, err := filepath.Abs(name)
 		return Program{Name: filepath.Base(name), Args: []string{path}}, err
 	}
-	commit, err := output(ctx, ".", "git", "rev-parse", "--verify", "--quiet", name+"^{commit}")
+	commit, err := commandOutput(ctx, ".", "git", "rev-parse", "--verify", "--quiet", name+"^{commit}")
 	if err != nil {
 		return Program{}, fmt.Errorf("%q is not head, a baseline (%s), a program's path or a revision", name, strings.Join(baseline.Names(), ", "))
 	}
@@ -51,7 +52,7 @@
 	if err := os.MkdirAll(tree, 0o755); err != nil {
 		return Program{}, err
 	}
-	// An archive leaves the repository as it is; a work tree of git's own would be noted in it.
+	// git archive leaves the repository unchanged; git worktree would record the new tree in it.
 	archive := exec.CommandContext(ctx, "git", "archive", "--format=tar", commit)
 	extract := exec.CommandContext(ctx, "tar", "-x", "-C", tree)
 	if extract.Stdin, err = archive.StdoutPipe(); err != nil {
@@ -70,21 +71,22 @@
 }
 
 func build(ctx context.Context, name, root, to string) (Program, error) {
-	if _, err := output(ctx, root, "go", "build", "-o", to, "./cmd/bendtrestle"); err != nil {
+	if _, err := commandOutput(ctx, root, "go", "build", "-o", to, "./cmd/bendtrestle"); err != nil {
 		return Program{}, fmt.Errorf("%s: %w", name, err)
 	}
 	return Program{Name: name, Args: []string{to}}, nil
 }
 
-// output runs a command and gives what it says, or its complaint as the error.
-func output(ctx context.Context, dir, command string, args ...string) (string, error) {
+// commandOutput runs a command and returns its standard output without surrounding space. The error of a failed command
+// contains its standard error.
+func commandOutput(ctx context.Context, dir, command string, args ...string) (string, error) {
 	cmd := exec.CommandContext(ctx, command, args...)
 	cmd.Dir = dir
-	var complaint strings.Builder
-	cmd.Stderr = &complaint
+	var stderr strings.Builder
+	cmd.Stderr = &stderr
 	text, err := cmd.Output()
 	if err != nil {
-		return "", fmt.Errorf("%s %s: %w %s", command, strings.Join(args, " "), err, strings.TrimSpace(complaint.String()))
+		return "", fmt.Errorf("%s %s: %w %s", command, strings.Join(args, " "), err, strings.TrimSpace(stderr.String()))
 	}
 	return strings.TrimSpace(string(text)), nil
 }
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -16,74 +16,79 @@
 	"gonum.org/v1/gonum/stat/distuv"
 )
 
-// Measure is one figure that is compared.
+// Measure is one figure of a comparison.
 type Measure struct {
 	Name   string
 	Better int // 1 if more is better, -1 if less
-	of     func(Figures) float64
+	value  func(Figures) float64
 }
 
-// Measures are those that a comparison looks at, the first being what the product is judged by.
+// Measures are the figures of a comparison. The first is the one that the product is judged by.
 var Measures = []Measure{
-	{"benefit in time", 1, func(f Figures) float64 { return f.Whole }},
-	{"worst spell", 1, func(f Figures) float64 { return f.Worst }},
-	{"worst type", 1, func(f Figures) float64 { return f.WorstType }},
+	{"benefit in time", 1, func(f Figures) float64 { return f.BenefitInTime }},
+	{"worst spell", 1, func(f Figures) float64 { return f.WorstIntervalBenefit }},
+	{"worst type", 1, func(f Figures) float64 { return f.WorstTypeBenefit }},
 	{"finished late", -1, func(f Figures) float64 { return f.Late }},
 	{"declined", -1, func(f Figures) float64 { return f.Declined }},
-	{"executions an op", -1, func(f Figures) float64 { return f.Executions }},
-	{"fetches an op", -1, func(f Figures) float64 { return f.Fetches }},
+	{"executions an op", -1, func(f Figures) float64 { return f.ExecutionsPerRequest }},
+	{"fetches an op", -1, func(f Figures) float64 { return f.FetchesPerRequest }},
 	{"p50 ms", -1, func(f Figures) float64 { return f.P50 }},
 	{"p99 ms", -1, func(f Figures) float64 { return f.P99 }},
-	{"burnt", -1, func(f Figures) float64 { return float64(f.Burnt) }},
-	{"lost after loss", -1, func(f Figures) float64 { return meanExit(f, func(x Exit) float64 { return x.LostAt }) }},
-	{"lost after heal", -1, func(f Figures) float64 { return meanExit(f, func(x Exit) float64 { return x.LostBack }) }},
-	{"back s", -1, func(f Figures) float64 { return meanExit(f, func(x Exit) float64 { return x.Back }) }},
-	{"full service s", -1, func(f Figures) float64 { return meanRecovery(f, func(r Recovery) float64 { return r.Full }) }},
-	{"lost until full", -1, func(f Figures) float64 { return meanRecovery(f, func(r Recovery) float64 { return r.Lost }) }},
-	{"handshakes", -1, func(f Figures) float64 { return meanRecovery(f, func(r Recovery) float64 { return float64(r.All) }) }},
+	{"burnt", -1, func(f Figures) float64 { return float64(f.WastedWrites) }},
+	{"lost after loss", -1, func(f Figures) float64 { return meanZoneLoss(f, func(x ZoneLoss) float64 { return x.LostAfterLoss }) }},
+	{"lost after heal", -1, func(f Figures) float64 { return meanZoneLoss(f, func(x ZoneLoss) float64 { return x.LostAfterReturn }) }},
+	{"back s", -1, func(f Figures) float64 { return meanZoneLoss(f, func(x ZoneLoss) float64 { return x.ReturnSeconds }) }},
+	{"full service s", -1, func(f Figures) float64 {
+		return meanRecovery(f, func(r Recovery) float64 { return r.FullServiceSeconds })
+	}},
+	{"lost until full", -1, func(f Figures) float64 { return meanRecovery(f, func(r Recovery) float64 { return r.BenefitLost }) }},
+	{"handshakes", -1, func(f Figures) float64 {
+		return meanRecovery(f, func(r Recovery) float64 { return float64(r.MostHandshakes) })
+	}},
 	{"cpu us a try", -1, func(f Figures) float64 { return f.RouterCPU }},
 }
 
-// Difference is A less B in one measure, over pairs of one seed each.
+// Difference is the mean of A minus B in one measure, over pairs of runs with the same seed.
 type Difference struct {
-	Measure string  `json:"measure"`
-	A       float64 `json:"a"`
-	B       float64 `json:"b"`
-	Mean    float64 `json:"a_less_b"`
-	Noise   float64 `json:"noise"` // -1 with one pair, else half the width of the 95% interval of the mean, by Student's t
-	Better  string  `json:"better"`
+	Measure        string  `json:"measure"`
+	A              float64 `json:"a"`
+	B              float64 `json:"b"`
+	MeanDifference float64 `json:"a_less_b"`
+	Noise          float64 `json:"noise"` // half the 95% confidence interval of the mean, by Student's t; -1 with one pair
+	Better         string  `json:"better"`
 }
 
-// Comparison is two routers on one scenario.
+// Comparison is the result of two routers on one scenario.
 type Comparison struct {
-	Scenario    string       `json:"scenario"`
-	A           string       `json:"a"`
-	B           string       `json:"b"`
-	Pairs       int          `json:"pairs"`
-	Left        int          `json:"pairs_left_out"` // void ones
-	RulesA      int          `json:"runs_a_with_broken_rules"`
-	RulesB      int          `json:"runs_b_with_broken_rules"`
-	Differences []Difference `json:"differences"`
-	Runs        []Result     `json:"runs"`
+	Scenario     string       `json:"scenario"`
+	A            string       `json:"a"`
+	B            string       `json:"b"`
+	Pairs        int          `json:"pairs"`
+	LeftOutPairs int          `json:"pairs_left_out"` // because a run of the pair was void
+	RulesA       int          `json:"runs_a_with_broken_rules"`
+	RulesB       int          `json:"runs_b_with_broken_rules"`
+	Differences  []Difference `json:"differences"`
+	Runs         []Result     `json:"runs"`
 }
 
-// Differ sets paired runs side by side. A difference counts where it is beyond the noise.
-func Differ(a, b []Result) []Difference {
+// CompareRuns returns the differences of paired runs in all measures. One router is better if the difference exceeds
+// the noise.
+func CompareRuns(a, b []Result) []Difference {
 	var all []Difference
 	for _, m := range Measures {
 		var xs, ys, ds []float64
 		for i := range a {
-			x, y := m.of(a[i].Figures), m.of(b[i].Figures)
+			x, y := m.value(a[i].Figures), m.value(b[i].Figures)
 			xs, ys, ds = append(xs, x), append(ys, y), append(ds, x-y)
 		}
 		d := Difference{Measure: m.Name, A: stat.Mean(xs, nil), B: stat.Mean(ys, nil), Noise: -1, Better: "-"}
-		d.Mean = d.A - d.B
+		d.MeanDifference = d.A - d.B
 		if n := float64(len(ds)); n >= 2 {
 			t := distuv.StudentsT{Mu: 0, Sigma: 1, Nu: n - 1}.Quantile(0.975)
 			d.Noise = t * stat.StdDev(ds, nil) / math.Sqrt(n)
 		}
-		if d.Noise >= 0 && math.Abs(d.Mean) > d.Noise {
-			if d.Better = "A"; d.Mean*float64(m.Better) < 0 {
+		if d.Noise >= 0 && math.Abs(d.MeanDifference) > d.Noise {
+			if d.Better = "A"; d.MeanDifference*float64(m.Better) < 0 {
 				d.Better = "B"
 			}
 		}
@@ -92,9 +97,9 @@
 	return all
 }
 
-// Compare plays all routers on each seed, turn about: the one that was first with one seed is second with the next. The
-// first is set beside each of the others. A void run is played once more; where it is void again, its pairs are left out.
-// Lanes says how many seeds are played at once, each at addresses of its own.
+// Compare plays all routers on each seed. The order rotates: the router that is played first changes from seed to seed.
+// The first router is compared with each of the others. A void run is repeated once; if it is void again, its pairs are
+// left out. lanes is the number of seeds that are played concurrently, each at its own addresses.
 func Compare(ctx context.Context, s *Scenario, all []Program, o Options, seeds, lanes int, note io.Writer) ([]Comparison, error) {
 	rounds, failures := make([][]Result, seeds), make([]error, seeds)
 	var lane sync.WaitGroup
@@ -108,10 +113,10 @@
 		go func() {
 			defer lane.Done()
 			mine, release := o, func() {}
-			if n > 0 { // the first lane has the place that was asked for
+			if n > 0 { // the first lane uses the addresses in the options
 				var err error
 				if mine.Net, release, err = Reserve(o.Net + n); err != nil {
-					return // the other lanes play its seeds
+					return // the other lanes play all seeds
 				}
 			}
 			defer release()
@@ -119,7 +124,7 @@
 				mine.Seed = o.Seed + uint64(i)
 				mine.Dir = filepath.Join(o.Dir, fmt.Sprintf("%s-%d", s.Name, mine.Seed))
 				if failures[i] = os.MkdirAll(mine.Dir, 0o755); failures[i] == nil {
-					rounds[i], failures[i] = round(ctx, s, all, mine, i)
+					rounds[i], failures[i] = playRound(ctx, s, all, mine, i)
 				}
 			}
 		}()
@@ -136,7 +141,7 @@
 			a, b := r[0], r[other]
 			c.Runs = append(c.Runs, a, b)
 			if a.Void != "" || b.Void != "" {
-				c.Left++
+				c.LeftOutPairs++
 				fmt.Fprintf(note, "%s, seed %d is left out: %s\n", s.Name, a.Seed, cmp.Or(a.Void, b.Void))
 				continue
 			}
@@ -145,15 +150,15 @@
 			as, bs = append(as, a), append(bs, b)
 		}
 		if c.Pairs = len(as); c.Pairs > 0 {
-			c.Differences = Differ(as, bs)
+			c.Differences = CompareRuns(as, bs)
 		}
 		done = append(done, c)
 	}
 	return done, nil
 }
 
-// round plays all routers on one seed; which is first goes round with the seeds.
-func round(ctx context.Context, s *Scenario, all []Program, o Options, first int) ([]Result, error) {
+// playRound plays all routers on one seed, beginning with router number first modulo their number.
+func playRound(ctx context.Context, s *Scenario, all []Program, o Options, first int) ([]Result, error) {
 	results := make([]Result, len(all))
 	for turn := range all {
 		which := (turn + first) % len(all)
@@ -174,13 +179,13 @@
 	return results, nil
 }
 
-// PrintComparison writes one table.
+// PrintComparison writes a comparison as a table.
 func PrintComparison(out io.Writer, c Comparison) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', tabwriter.AlignRight)
 	fmt.Fprintf(w, "%s\tA: %s\tB: %s\tA less B\tnoise (95%%)\tbetter\t\n", c.Scenario, c.A, c.B)
 	for _, d := range c.Differences {
-		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t\n", d.Measure, d.A, d.B, d.Mean, d.Noise, d.Better)
+		fmt.Fprintf(w, "%s\t%.4f\t%.4f\t%+.4f\t%.4f\t%s\t\n", d.Measure, d.A, d.B, d.MeanDifference, d.Noise, d.Better)
 	}
 	w.Flush()
-	fmt.Fprintf(out, "%d pairs, %d left out as void; runs with a broken rule: A %d, B %d\n", c.Pairs, c.Left, c.RulesA, c.RulesB)
+	fmt.Fprintf(out, "%d pairs, %d left out as void; runs with a broken rule: A %d, B %d\n", c.Pairs, c.LeftOutPairs, c.RulesA, c.RulesB)
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -18,14 +18,14 @@
 	"github.com/rs/zerolog"
 )
 
-// TestMain lets the test's own program be a router: the product's, a baseline, or one that breaks a rule.
+// TestMain runs the tests or, if LAB_ROUTER is set, a router: the product's, a baseline, or one that breaks a rule.
 func TestMain(m *testing.M) {
 	as := os.Getenv("LAB_ROUTER")
 	switch {
 	case as == "":
 		os.Exit(m.Run())
 	case strings.HasPrefix(as, "bad:"):
-		scripted(strings.TrimPrefix(as, "bad:"))
+		runFaultyRouter(strings.TrimPrefix(as, "bad:"))
 		return
 	}
 	make := requestcore.NewBalancer(requestcore.DefaultBalancer)
@@ -49,8 +49,8 @@
 	}
 }
 
-// as gives this program as a router.
-func as(t *testing.T, name string) Program {
+// routerProgram returns this test binary as a router program of the given kind.
+func routerProgram(t *testing.T, name string) Program {
 	self, err := os.Executable()
 	if err != nil {
 		t.Fatal(err)
@@ -58,15 +58,16 @@
 	return Program{Name: name, Args: []string{"/usr/bin/env", "LAB_ROUTER=" + name, self}}
 }
 
-// played plays a scenario with a router. On a machine that is busy with other things the lab may run late; then it is
-// played again, for a void run says nothing.
-func played(t *testing.T, s *Scenario, program Program) Result {
+// playUntilValid plays a scenario with a router until a run is not void. The lab may run late on a busy machine, and
+// then the run is void and proves nothing.
+func playUntilValid(t *testing.T, s *Scenario, program Program) Result {
 	t.Helper()
-	return playedUntil(t, s, program, func(Result) bool { return true })
+	return playUntilConclusive(t, s, program, func(Result) bool { return true })
 }
 
-// playedUntil plays until a run says enough.
-func playedUntil(t *testing.T, s *Scenario, program Program, enough func(Result) bool) Result {
+// playUntilConclusive plays a scenario until a run is not void and enough returns true. After ten runs it skips the
+// test.
+func playUntilConclusive(t *testing.T, s *Scenario, program Program, enough func(Result) bool) Result {
 	t.Helper()
 	for try := 0; ; try++ {
 		n, release, err := Reserve(os.Getpid())
@@ -84,7 +85,7 @@
 			return r
 		}
 		if try == 9 {
-			t.Skipf("the lab was late ten times: %s", r.Void)
+			t.Skipf("no conclusive run in ten, because the lab ran late: %s", r.Void)
 		}
 	}
 }
@@ -132,14 +133,14 @@
 	return s
 }
 
-// A run of one operation, in a book that a test fills. Times are seconds after 1000.
-type story struct {
+// runRecord is a run with one request, whose records a test fills in. Times are seconds after 1000.
+type runRecord struct {
 	s   *Scenario
 	rec *Records
 	op  *emulator.Op
 }
 
-var kindsOf = map[string]*emulator.TrafficType{
+var trafficTypes = map[string]*emulator.TrafficType{
 	"read":  {Name: "read", Effect: balancer.Idempotent, Benefit: 1, Promised: 0.1, HardStop: 0.5},
 	"put":   {Name: "put", Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
 	"pay":   {Name: "pay", Write: true, Effect: balancer.AtMostOnce, Benefit: 1, Promised: 0.1, HardStop: 0.5},
@@ -150,41 +151,41 @@
 	return &emulator.Server{Spec: emulator.Spec{Name: name, Zone: zone}}
 }
 
-func tell(kind string) *story {
-	usual := Usual()
-	st := &story{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.Book{}, Clients: &emulator.ClientBook{},
+func newRunRecord(kind string) *runRecord {
+	usual := DefaultScenario()
+	st := &runRecord{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.Book{}, Clients: &emulator.ClientBook{},
 		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Told: make([][]emulator.Told, 2)}}
-	st.op = &emulator.Op{Type: kindsOf[kind], Key: "k", Due: 1001}
+	st.op = &emulator.Op{Type: trafficTypes[kind], Key: "k", Due: 1001}
 	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.op)
 	return st
 }
 
-// try adds a try at router 0, from 1 s on.
-func (st *story) try(id string, how emulator.End, ended float64) *emulator.Try {
+// attempt adds an attempt at router 0 that starts at 1 s.
+func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Try {
 	t := &emulator.Try{Op: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, How: how, Got: 7}
 	st.op.Tries = append(st.op.Tries, t)
 	st.op.How, st.op.Done = how, t.Ended
 	return t
 }
 
-// run adds an execution that came whole at a time.
-func (st *story) run(id string, on *emulator.Server, at float64, how emulator.How) *emulator.Execution {
+// execution adds an execution whose request reached the server whole at a time.
+func (st *runRecord) execution(id string, on *emulator.Server, at float64, how emulator.How) *emulator.Execution {
 	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, How: how, Made: 7}
 	st.rec.Fleet.Executions = append(st.rec.Fleet.Executions, x)
 	return x
 }
 
-// part adds a try of whose long value a part came.
-func (st *story) part(id string, how emulator.End, ended float64) *emulator.Try {
-	t := st.try(id, how, ended)
+// partialAttempt adds an attempt whose client received part of a long value.
+func (st *runRecord) partialAttempt(id string, how emulator.End, ended float64) *emulator.Try {
+	t := st.attempt(id, how, ended)
 	t.Length, t.Came, t.Begun, t.Got = 1<<20, 70000, 7, 0
 	return t
 }
 
-// long adds an execution that was answered with a long value, which its kernel had whole at one time, or which its server broke off
-// at another; 0: never.
-func (st *story) long(id string, on *emulator.Server, whole, broke float64) *emulator.Execution {
-	x := st.run(id, on, 1.01, emulator.Answered)
+// longExecution adds an execution with a long value. At the time whole, the server's kernel had all of it; at the time
+// broke, the server broke it off. 0 means never.
+func (st *runRecord) longExecution(id string, on *emulator.Server, whole, broke float64) *emulator.Execution {
+	x := st.execution(id, on, 1.01, emulator.Answered)
 	x.Length = 1 << 20
 	if whole > 0 {
 		x.Whole = 1000 + whole
@@ -195,8 +196,8 @@
 	return x
 }
 
-// broken gives the rules that were broken, in order.
-func (st *story) broken() (rules []int) {
+// brokenRules returns the rules that were broken, in order.
+func (st *runRecord) brokenRules() (rules []int) {
 	for _, b := range Judge(st.s, st.rec).Breaches {
 		rules = append(rules, b.Rule)
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -20,57 +20,58 @@
 	"bendtrestle/internal/experiment/faultproxy"
 )
 
-// Options say how a scenario is played.
+// Options are the options of a run.
 type Options struct {
 	Seed     uint64
 	Router   Program
-	Net      int       // the second number of the loopback addresses: 127.NET.x.y
-	Dir      string    // for configurations and logs
-	Progress io.Writer // nil: none
-	Fixed    bool      // the list service of the first router is at the address of the example configuration
+	Net      int       // second byte of the loopback addresses: 127.NET.x.y
+	Dir      string    // folder of configurations and logs
+	Progress io.Writer // nil for no progress display
+	Fixed    bool      // the first router's list service has the address of the example configuration
 }
 
-// Records is all that was seen of a run, by the stand-ins, the clients and the lab, and nothing that a router said.
+// Records are the records of a run by the emulated servers, the clients and the lab. They contain no data from routers.
 type Records struct {
-	From, To    float64 // when operations could be due
-	Fleet       *emulator.Book
-	Clients     *emulator.ClientBook
-	Told        [][]emulator.Told // by router
-	Lives       []Life
-	Stops       []Stop
-	FleetLate   *emulator.Lateness
-	ClientsLate *emulator.Lateness
-	Interrupted bool
-	Played      []string             // the faults, as they were played
-	Burnt       []faultproxy.Sending // what routers wrote where nothing came through
+	From, To      float64 // interval in which requests are due
+	Fleet         *emulator.Book
+	Clients       *emulator.ClientBook
+	Told          [][]emulator.Told // by router
+	Processes     []RouterProcess
+	StopIntervals []StopInterval
+	FleetLate     *emulator.Lateness
+	ClientsLate   *emulator.Lateness
+	Interrupted   bool
+	Played        []string             // the faults with the times at which they began and ended
+	WastedWrites  []faultproxy.Sending // writes of routers to connections that relays had cut
 }
 
-// world is a run under way.
+// world is the state of a run.
 type world struct {
-	s        *Scenario
-	o        Options
-	types    []*emulator.TrafficType
-	fleet    *emulator.Fleet   // the usual pool's
-	fleets   []*emulator.Fleet // all pools', the usual one first, then in the scenario's order
-	clients  *emulator.Clients
-	fleetOn  *eventloop.Loop
-	clientOn *eventloop.Loop
-	agents   [][]*emulator.Agent // by pool, then by router
-	nodes    []*node
-	factors  map[string]float64 // of the teams' budgets, by faults
-	chance   *rand.Rand         // of the faults' targets
-	began    float64
-	ended    chan error // of the two loops
-	moves    int
-	net      *faultproxy.Net // nil: there are none
-	lists    []string        // where routers ask for the list, through relays
+	scenario      *Scenario
+	options       Options
+	types         []*emulator.TrafficType
+	fleet         *emulator.Fleet   // of the default pool
+	fleets        []*emulator.Fleet // of all pools: the default one, then the others in the scenario's order
+	clients       *emulator.Clients
+	fleetLoop     *eventloop.Loop
+	clientLoop    *eventloop.Loop
+	agents        [][]*emulator.Agent // by pool, then by router
+	routerNodes   []*routerNode
+	budgetFactors map[string]float64 // by team: factors on the budgets, set by faults
+	random        *rand.Rand         // draws random targets of faults
+	startTime     float64
+	loopErrors    chan error // receives the errors of the two event loops
+	listMoves     int
+	net           *faultproxy.Net // nil without relays
+	listAddrs     []string        // by router: address of the relay to its list service
 
 	mu     sync.Mutex
 	played []string
 	failed error
 }
 
-// Play plays a scenario once. An error means that it could not be played; what routers did wrong is in the records.
+// Play plays a scenario once. It returns an error if the scenario could not be played. Faults of routers are in the
+// records.
 func Play(ctx context.Context, s *Scenario, o Options) (*Records, error) {
 	w, err := begin(ctx, s, o)
 	if w == nil {
@@ -91,19 +92,19 @@
 	return rec, nil
 }
 
-// begin sets all up and starts the routers. With an error there may be a world that is to be ended.
+// begin builds the world and starts the routers. If it returns an error with a world, the caller has to end the world.
 func begin(ctx context.Context, s *Scenario, o Options) (*world, error) {
-	w := &world{s: s, o: o, types: s.types(), chance: rand.New(rand.NewPCG(o.Seed, 77)), factors: map[string]float64{}, ended: make(chan error, 2)}
+	w := &world{scenario: s, options: o, types: s.trafficClasses(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return nil, err
 	}
-	go func() { w.ended <- w.fleetOn.Run() }()
-	go func() { w.ended <- w.clientOn.Run() }()
+	go func() { w.loopErrors <- w.fleetLoop.Run() }()
+	go func() { w.loopErrors <- w.clientLoop.Run() }()
 	return w, w.startRouters(ctx)
 }
 
-// collect takes together what was seen, once all has ended.
+// collect fills in the records after all processes have ended.
 func (w *world) collect(rec *Records) {
 	rec.Played = w.played
 	rec.Fleet, rec.Clients = &emulator.Book{}, w.clients.Book()
@@ -111,23 +112,23 @@
 		rec.Fleet.Join(f.Book())
 	}
 	if w.net != nil {
-		rec.Burnt = w.net.Sent()
+		rec.WastedWrites = w.net.Sent()
 	}
 	rec.FleetLate, rec.ClientsLate = w.fleet.Late(), w.clients.Late()
-	for n := range w.nodes {
+	for n := range w.routerNodes {
 		var told []emulator.Told
 		for _, agents := range w.agents {
 			told = append(told, agents[n].Told()...)
 		}
 		rec.Told = append(rec.Told, told)
 	}
-	for _, n := range w.nodes {
-		rec.Lives = append(rec.Lives, n.history()...)
-		rec.Stops = append(rec.Stops, n.stops...)
+	for _, n := range w.routerNodes {
+		rec.Processes = append(rec.Processes, n.processHistory()...)
+		rec.StopIntervals = append(rec.StopIntervals, n.stops...)
 	}
 }
 
-// abandon lets go of what was built and never ran.
+// abandon closes the emulated servers, list services and relays.
 func (w *world) abandon() {
 	for _, f := range w.fleets {
 		f.Close()
@@ -138,31 +139,32 @@
 }
 
 func (w *world) address(kind, n, port int) string {
-	return fmt.Sprintf("127.%d.%d.%d:%d", w.o.Net, kind+n/200, 1+n%200, port)
+	return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, kind+n/200, 1+n%200, port)
 }
 
-// The third number of addresses, by what has them.
+// First values of the third byte of the addresses of routers, list service agents and cache servers.
 const (
-	routersAt = 1
-	agentsAt  = 2
-	serversAt = 10
+	routerAddrByte = 1
+	agentAddrByte  = 2
+	serverAddrByte = 10
 )
 
-// build sets up the stand-ins. Nothing of theirs runs yet.
+// build creates the emulated servers, list services, relays and clients, and the configurations of the routers. The
+// event loops do not run yet.
 func (w *world) build() (err error) {
-	if w.fleetOn, err = eventloop.New(); err != nil {
+	if w.fleetLoop, err = eventloop.New(); err != nil {
 		return err
 	}
-	if w.clientOn, err = eventloop.New(); err != nil {
+	if w.clientLoop, err = eventloop.New(); err != nil {
 		return err
 	}
-	s := w.s
+	s := w.scenario
 	var keys []string
-	for n := int(s.Fleet.Filled*float64(s.Clients.Keys)) - 1; n >= 0; n-- { // the most popular last: it stays longest
+	for n := int(s.Fleet.Filled*float64(s.Clients.Keys)) - 1; n >= 0; n-- { // the most popular last: it is evicted last
 		keys = append(keys, emulator.Key(n))
 	}
 	for i := range 1 + len(s.Pools) {
-		f := emulator.NewFleet(w.fleetOn, w.o.Seed+uint64(i)<<32, w.types, emulator.LedgerSpec{AtOnce: s.Ledger.AtOnce,
+		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.LedgerSpec{AtOnce: s.Ledger.AtOnce,
 			Takes: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, Time: s.Ledger.Within, Halt: s.Ledger.Halt},
 			emulator.Delay{Base: s.List.Delay, Spread: s.List.Spread})
 		f.List().Bound(s.List.Calls)
@@ -186,137 +188,140 @@
 	w.fleet = w.fleets[0]
 	var routers []string
 	for n := range s.Routers.Count {
-		addr := w.address(routersAt, n, 11211)
-		if err = free(addr); err != nil {
+		addr := w.address(routerAddrByte, n, 11211)
+		if err = checkAddressFree(addr); err != nil {
 			return err
 		}
 		for i, f := range w.fleets {
-			a, err := f.List().Agent(w.address(agentsAt, n, 8500+1000*i))
+			a, err := f.List().Agent(w.address(agentAddrByte, n, 8500+1000*i))
 			if err != nil {
 				return fmt.Errorf("%w (another --net may be free)", err)
 			}
 			w.agents[i] = append(w.agents[i], a)
 		}
 		routers = append(routers, addr)
-		w.nodes = append(w.nodes, &node{n: n, addr: addr, program: w.o.Router, dir: w.o.Dir, memoryMB: s.Routers.MemoryMB,
-			sockets: s.Routers.Sockets, now: w.fleetOn.Now})
+		w.routerNodes = append(w.routerNodes, &routerNode{number: n, addr: addr, program: w.options.Router, dir: w.options.Dir, memoryMB: s.Routers.MemoryMB,
+			sockets: s.Routers.Sockets, now: w.fleetLoop.Now})
 	}
 	if s.relayed() {
 		if err = w.relays(); err != nil {
 			return fmt.Errorf("%w (another --net may be free)", err)
 		}
 	}
-	for n, r := range w.nodes {
-		r.conf = w.s.config(n, routers, w.agents[0][n], w.o.Seed, w.peersOf(n))
-		r.conf["discovery"] = w.listOf(n)
+	for n, r := range w.routerNodes {
+		r.config = w.scenario.config(n, routers, w.agents[0][n], w.options.Seed, w.peerAddrsAt(n))
+		r.config["discovery"] = w.listServiceAddr(n)
 		if s.List.Forgets {
-			delete(r.conf, "known")
+			delete(r.config, "known")
 		}
-		if len(w.peers()) > 0 {
-			r.conf["peer_listen"] = w.peers()[n]
+		if len(w.peerAddrs()) > 0 {
+			r.config["peer_listen"] = w.peerAddrs()[n]
 		}
 		if s.Routers.Doors {
-			r.conf["ops"] = w.address(routersAt, n, 9400)
+			r.config["ops"] = w.address(routerAddrByte, n, 9400)
 		}
 		if s.Routers.Folders {
-			r.folder = filepath.Join(w.o.Dir, fmt.Sprintf("router-%d.folder", n))
+			r.folder = filepath.Join(w.options.Dir, fmt.Sprintf("router-%d.folder", n))
 			if err = os.MkdirAll(r.folder, 0o755); err != nil {
 				return err
 			}
 		}
 		r.operators = w.operators(n)
 	}
-	fronts := map[string][]string{} // where tiles are taken, by team
+	fronts := map[string][]string{} // by team: the routers' listen addresses for map tiles
 	for _, t := range s.Teams {
 		for n := 0; s.hasTiles(t.Name) && n < s.Routers.Count; n++ {
 			fronts[t.Name] = append(fronts[t.Name], w.tileFront(n, t.Name))
 		}
 	}
-	w.clients, err = emulator.NewClients(w.clientOn, w.o.Seed, w.s.load(w.types), routers, fronts)
+	w.clients, err = emulator.NewClients(w.clientLoop, w.options.Seed, w.scenario.clientLoad(w.types), routers, fronts)
 	return err
 }
 
-// zones tells whether the routers leave zones as one.
-func (w *world) zones() bool { return w.s.Routers.Zones && !w.o.Router.Plain }
+// zoneFailoverEnabled reports whether zone failover is on at the routers.
+func (w *world) zoneFailoverEnabled() bool {
+	return w.scenario.Routers.Zones && !w.options.Router.Plain
+}
 
-// keeps tells whether the routers keep what helps their next process.
-func (w *world) keeps() bool { return w.s.Routers.Folders && !w.o.Router.Plain }
+// recoveryEnabled reports whether the routers store snapshots for their next processes.
+func (w *world) recoveryEnabled() bool { return w.scenario.Routers.Folders && !w.options.Router.Plain }
 
-func (w *world) peers() (all []string) {
-	if w.s.Routers.Peers {
-		for n := range w.s.Routers.Count {
-			all = append(all, w.address(routersAt, n, 7946))
+func (w *world) peerAddrs() (all []string) {
+	if w.scenario.Routers.Peers {
+		for n := range w.scenario.Routers.Count {
+			all = append(all, w.address(routerAddrByte, n, 7946))
 		}
 	}
 	return all
 }
 
-// operators gives a router's operators' file as it is to be now; empty without teams.
+// operators returns the current text of a router's operators' file. It is empty if no team, zone failover or recovery
+// needs it.
 func (w *world) operators(n int) string {
-	if len(w.s.Teams) == 0 && !w.zones() && !w.keeps() {
+	if len(w.scenario.Teams) == 0 && !w.zoneFailoverEnabled() && !w.recoveryEnabled() {
 		return ""
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	lists := func(pool string) string { return w.agents[w.at(pool)][n].Addr() }
+	lists := func(pool string) string { return w.agents[w.poolIndex(pool)][n].Addr() }
 	tileFront := func(team string) string { return w.tileFront(n, team) }
-	return w.s.operators(lists, tileFront, w.factors, w.zones(), w.keeps())
+	return w.scenario.operators(lists, tileFront, w.budgetFactors, w.zoneFailoverEnabled(), w.recoveryEnabled())
 }
 
-// tileFront is where a router takes a team's map tiles.
+// tileFront returns the address at which a router serves a team's map tiles.
 func (w *world) tileFront(n int, team string) string {
-	i := slices.IndexFunc(w.s.Teams, func(t TeamPart) bool { return t.Name == team })
-	return w.address(routersAt, n, 8080+i)
+	i := slices.IndexFunc(w.scenario.Teams, func(t TeamPart) bool { return t.Name == team })
+	return w.address(routerAddrByte, n, 8080+i)
 }
 
-// at gives the number of a pool among the fleets.
-func (w *world) at(pool string) int {
-	return 1 + slices.IndexFunc(w.s.Pools, func(p PoolPart) bool { return p.Name == pool })
+// poolIndex returns the index of a pool in fleets; 0 for the default pool.
+func (w *world) poolIndex(pool string) int {
+	return 1 + slices.IndexFunc(w.scenario.Pools, func(p PoolPart) bool { return p.Name == pool })
 }
 
-// load gives the clients as the stand-ins take them.
-func (s *Scenario) load(types []*emulator.TrafficType) emulator.Load {
+// clientLoad returns the emulator's settings of the clients.
+func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
 	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TryShare: c.TryShare,
 		Pause: c.PauseMS / 1e3, Honour: c.Honour, Impatient: c.Impatient, Use: emulator.Connections(c.Connections),
 		Most: c.Most, Skew: s.Routers.Skew}
 }
 
-// tileType is the traffic type of a pool's tiles.
+// tileType returns the traffic class of the map tiles in a pool, or nil if it has none.
 func (w *world) tileType(pool string) *emulator.TrafficType {
 	for _, t := range w.types {
 		if t.Scheme == "" {
 			continue
 		}
-		if i := slices.IndexFunc(w.s.Teams, func(x TeamPart) bool { return x.Name == t.Tenant }); w.s.Teams[i].Pool == pool {
+		if i := slices.IndexFunc(w.scenario.Teams, func(x TeamPart) bool { return x.Name == t.Tenant }); w.scenario.Teams[i].Pool == pool {
 			return t
 		}
 	}
 	return nil
 }
 
-// spec draws the next cache server of a pool.
+// spec returns the settings of the next cache server of a pool, with a random speed.
 func (w *world) spec(pool int) emulator.Spec {
 	fleet := w.fleets[pool]
-	f, n, name := w.s.Fleet, len(fleet.Servers()), fleet.NextName()
+	f, n, name := w.scenario.Fleet, len(fleet.Servers()), fleet.NextName()
 	chance := fleet.Chance("spec/" + name)
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
-	return emulator.Spec{Name: name, Addr: w.address(serversAt+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
+	return emulator.Spec{Name: name, Addr: w.address(serverAddrByte+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
 		Machine: f.Machines[n/f.Zones%len(f.Machines)], Cell: n / f.Zones / f.Cell, Cores: f.Cores, Speed: speed, Weight: float64(f.Cores), Queue: f.Queue,
 		PerConnection: f.PerConnection, Connections: f.Connections, Handshake: f.HandshakeMS / 1e3, Idle: f.Idle,
-		Keep: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.s.Rules.Multiple,
-			Fall: w.s.Rules.Fall}}
+		Keep: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
+			Fall: w.scenario.Rules.Fall}}
 }
 
-// config is what a router is told, in the platform's words.
+// config returns the platform's configuration of a router, in the format of the file at GW_CONFIG.
 func (s *Scenario) config(n int, routers []string, agent *emulator.Agent, seed uint64, peers []string) map[string]any {
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	var types []map[string]any
-	for _, t := range s.types() {
-		types = append(types, map[string]any{"name": t.Name, "effect": wire[t.Effect],
+	for _, t := range s.trafficClasses() {
+		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Effect],
 			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.Group],
 			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
-			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null where it is not bound
+			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null if the class may run anywhere
 	}
 	conf := map[string]any{
 		"name": fmt.Sprintf("n%d", n), "listen": routers[n], "discovery": agent.Addr(),
@@ -347,16 +352,16 @@
 	return conf
 }
 
-const starting = 15 // seconds for a router to become ready: it takes some tenths, and more where all start at once
+const startTimeout = 15 // seconds until ready: usually some tenths, and more if all routers start concurrently
 
 func (w *world) startRouters(ctx context.Context) error {
-	for _, r := range w.nodes {
+	for _, r := range w.routerNodes {
 		if err := r.start(); err != nil {
 			return err
 		}
 	}
-	for _, r := range w.nodes {
-		if err := r.ready(starting); err != nil {
+	for _, r := range w.routerNodes {
+		if err := r.ready(startTimeout); err != nil {
 			return err
 		}
 		if ctx.Err() != nil {
@@ -366,83 +371,83 @@
 	return nil
 }
 
-// on runs f on a loop and waits for it.
-func on(loop *eventloop.Loop, f func()) {
+// runOnLoop runs f on an event loop and waits until it has returned.
+func runOnLoop(loop *eventloop.Loop, f func()) {
 	done := make(chan struct{})
 	loop.Post(func() { f(); close(done) })
 	<-done
 }
 
-// play lets operations come and faults happen, until all is answered.
+// play runs the clients and the faults until all requests have ended.
 func (w *world) play(ctx context.Context) *Records {
 	rec := &Records{}
-	on(w.clientOn, func() {
-		w.began = w.clientOn.Now()
-		w.clients.Start(w.s.Seconds)
+	runOnLoop(w.clientLoop, func() {
+		w.startTime = w.clientLoop.Now()
+		w.clients.Start(w.scenario.Seconds)
 	})
-	rec.From, rec.To = w.began, w.began+w.s.Seconds
+	rec.From, rec.To = w.startTime, w.startTime+w.scenario.Seconds
 	halt := make(chan struct{})
 	var faults sync.WaitGroup
-	for i, f := range w.s.Faults {
+	for i, f := range w.scenario.Faults {
 		faults.Add(1)
 		go func() {
 			defer faults.Done()
-			w.cause(i, f, halt)
+			w.playFault(i, f, halt)
 		}()
 	}
 	longest := w.longestAnswer()
 	last := rec.To + longest + 1
-	for busy := true; busy && w.clientOn.Now() < last; {
+	for busy := true; busy && w.clientLoop.Now() < last; {
 		select {
 		case <-ctx.Done():
 			rec.Interrupted = true
-			on(w.clientOn, w.clients.Stop)
-			last = min(last, w.clientOn.Now()+longest+0.5)
+			runOnLoop(w.clientLoop, w.clients.Stop)
+			last = min(last, w.clientLoop.Now()+longest+0.5)
 			ctx = context.Background()
 		case <-time.After(20 * time.Millisecond):
 		}
-		on(w.clientOn, func() { busy = w.clients.Busy() })
+		runOnLoop(w.clientLoop, func() { busy = w.clients.Busy() })
 		w.progress(rec)
 	}
 	if rec.Interrupted {
-		rec.To = min(rec.To, w.clientOn.Now())
+		rec.To = min(rec.To, w.clientLoop.Now())
 	}
 	close(halt)
 	faults.Wait()
-	if w.o.Progress != nil {
-		fmt.Fprint(w.o.Progress, "\r\x1b[K")
+	if w.options.Progress != nil {
+		fmt.Fprint(w.options.Progress, "\r\x1b[K")
 	}
 	return rec
 }
 
 func (w *world) progress(rec *Records) {
-	if w.o.Progress == nil {
+	if w.options.Progress == nil {
 		return
 	}
-	at := w.clientOn.Now() - rec.From
-	fmt.Fprintf(w.o.Progress, "\r\x1b[K%s, %s, seed %d: %.1f of %.0f s", w.s.Name, w.o.Router.Name, w.o.Seed, min(at, w.s.Seconds),
-		w.s.Seconds)
+	at := w.clientLoop.Now() - rec.From
+	fmt.Fprintf(w.options.Progress, "\r\x1b[K%s, %s, seed %d: %.1f of %.0f s", w.scenario.Name, w.options.Router.Name, w.options.Seed, min(at, w.scenario.Seconds),
+		w.scenario.Seconds)
 }
 
-// end stops routers and stand-ins.
+// end stops the routers, then the emulated servers and clients.
 func (w *world) end() {
 	var all sync.WaitGroup
-	for _, r := range w.nodes {
+	for _, r := range w.routerNodes {
 		all.Add(1)
 		go func() {
 			defer all.Done()
-			r.stop(w.patience())
+			r.stop(w.shutdownSeconds())
 		}()
 	}
 	all.Wait()
-	on(w.fleetOn, w.abandon)
-	w.fleetOn.Post(w.fleetOn.Stop)
-	w.clientOn.Post(w.clientOn.Stop)
-	<-w.ended
-	<-w.ended
+	runOnLoop(w.fleetLoop, w.abandon)
+	w.fleetLoop.Post(w.fleetLoop.Stop)
+	w.clientLoop.Post(w.clientLoop.Stop)
+	<-w.loopErrors
+	<-w.loopErrors
 }
 
-// longestStop is the longest hard stop of all types, in seconds.
+// longestStop returns the longest deadline of all traffic classes, in seconds.
 func (w *world) longestStop() (longest float64) {
 	for _, t := range w.types {
 		longest = max(longest, t.HardStop)
@@ -450,24 +455,24 @@
 	return longest
 }
 
-// longestAnswer is how many seconds after its command an answer may be whole.
+// longestAnswer returns the longest time from a command until its answer is complete, in seconds.
 func (w *world) longestAnswer() float64 {
-	if w.s.long() {
-		return w.longestStop() + passing
+	if w.scenario.hasLongValues() {
+		return w.longestStop() + longValueSeconds
 	}
 	return w.longestStop()
 }
 
-// patience is how many seconds a router has to end.
-func (w *world) patience() float64 { return w.longestAnswer() + margin }
+// shutdownSeconds returns how many seconds a router has to exit after SIGTERM.
+func (w *world) shutdownSeconds() float64 { return w.longestAnswer() + exitMargin }
 
-const margin = 1.2 // seconds after the longest hard stop that a router has to end, by the protocol 0.7, and to exit
+const exitMargin = 1.2 // seconds after the longest deadline: 0.7 to shut down by the protocol, the rest to exit
 
-// note keeps what was played, with its time.
-func (w *world) note(format string, about ...any) {
+// recordEvent records a fault's begin or end with its time.
+func (w *world) recordEvent(format string, about ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.played = append(w.played, fmt.Sprintf("%6.2f s  ", w.clientOn.Now()-w.began)+fmt.Sprintf(format, about...))
+	w.played = append(w.played, fmt.Sprintf("%6.2f s  ", w.clientLoop.Now()-w.startTime)+fmt.Sprintf(format, about...))
 }
 
 func (w *world) fail(err error) {
@@ -478,28 +483,28 @@
 	}
 }
 
-// draw picks n of the indices below all.
-func draw(chance *rand.Rand, all, n int) []int {
+// randomIndices returns n random indices below all, sorted.
+func randomIndices(chance *rand.Rand, all, n int) []int {
 	picked := chance.Perm(all)[:min(n, all)]
 	slices.Sort(picked)
 	return picked
 }
 
-// TempDir makes a folder for a run.
+// TempDir creates a temporary folder for a run.
 func TempDir() (string, error) { return os.MkdirTemp("", "trestle-experiment-") }
 
-var reserved sync.Map // listeners by number
+var reserved sync.Map // listeners that hold a number, by number
 
-// Reserve finds a second number of loopback addresses that no other lab on this machine uses, beginning with one, and
-// holds it until release is called.
+// Reserve finds a second byte of loopback addresses that no other lab on this machine uses, and reserves it until
+// release is called. The search begins at a number derived from first.
 func Reserve(first int) (n int, release func(), err error) {
 	for i := range 200 {
 		n := 16 + (first+i)%200
 		at := netip.AddrFrom4([4]byte{127, byte(n), 0, 1})
 		if ln, err := net.Listen("tcp", netip.AddrPortFrom(at, 11211).String()); err == nil {
-			reserved.Store(n, ln) // a listener that nobody holds would be closed by the collector
+			reserved.Store(n, ln) // the garbage collector would close an unreferenced listener
 			return n, func() { reserved.Delete(n); ln.Close() }, nil
 		}
 	}
-	return 0, nil, errors.New("no second number of loopback addresses is free")
+	return 0, nil, errors.New("no second byte of loopback addresses is free")
 }
--- a/internal/experiment/process.go
+++ b/internal/experiment/process.go
@@ -17,42 +17,43 @@
 	"golang.org/x/sys/unix"
 )
 
-// Program is what is started as a router: a command that reads GW_CONFIG.
+// Program is a router's command line. The program reads the file at GW_CONFIG.
 type Program struct {
-	Name  string   // as reports call it
-	Plain bool     // it leaves no zones as one, whatever the scenario says
-	Args  []string // the command
+	Name  string   // name in reports
+	Plain bool     // without zone failover and recovery, whatever the scenario sets
+	Args  []string // program and arguments
 }
 
-// How a router's process ended.
+// Reasons for the end of a router's process.
 const (
-	stillRuns = ""
-	asked     = "asked to end"
-	killed    = "killed by the scenario"
-	tooLarge  = "killed, for it held more memory than it may"
-	crashed   = "ended by itself"
+	endNone        = ""
+	endAsked       = "asked to end"
+	endKilled      = "killed by the scenario"
+	endMemoryLimit = "killed, for it held more memory than it may"
+	endCrashed     = "ended by itself"
 )
 
-// Life is one process of a router, from its start to its end.
-type Life struct {
+// RouterProcess describes one process of a router, from its start to its end.
+type RouterProcess struct {
 	Router           int
-	From, Ready, To  float64 // Unix seconds; 0: not yet
+	From, Ready, To  float64 // Unix seconds; 0 before the event
 	How              string
 	Exit             int
-	Told             float64 // when it was asked to end, 0 if it was not
+	Told             float64 // Unix seconds of SIGTERM; 0 without
 	CPU, MaxMemoryMB float64
-	by               string // what the lab did to it
+	endReason        string // reason for which the lab ended it
 }
 
-// Stop is a time for which a router's process stood still by the lab's doing. To is 0 if it never went on.
-type Stop struct {
+// StopInterval is an interval in which the lab had stopped a router's process by SIGSTOP. To is 0 if the process was
+// not continued.
+type StopInterval struct {
 	Router   int
 	From, To float64
 }
 
-// node is one router: its address, its configuration, and its process if one runs.
-type node struct {
-	n        int
+// routerNode is one router: its address, its configuration, and its current process if one runs.
+type routerNode struct {
+	number   int
 	addr     string
 	program  Program
 	dir      string
@@ -61,41 +62,41 @@
 	now      func() float64
 
 	mu        sync.Mutex
-	conf      map[string]any
-	operators string // the text of its operators' file; empty: it has none
+	config    map[string]any
+	operators string // text of its operators' file; empty if it has none
 	cmd       *exec.Cmd
 	ended     chan struct{}
-	lives     []*Life
-	stops     []Stop
-	folder    string // that outlives its processes; empty: they have none
+	processes []*RouterProcess
+	stops     []StopInterval
+	folder    string // folder that outlives its processes; empty if they have none
 }
 
-func (r *node) file(name string) string {
-	return filepath.Join(r.dir, fmt.Sprintf("router-%d.%s", r.n, name))
+func (r *routerNode) file(name string) string {
+	return filepath.Join(r.dir, fmt.Sprintf("router-%d.%s", r.number, name))
 }
 
-// write puts the configuration on disk, whole or not at all.
-func (r *node) write() error {
-	text, err := json.MarshalIndent(r.conf, "", " ")
+// write writes the configuration files, each atomically.
+func (r *routerNode) write() error {
+	text, err := json.MarshalIndent(r.config, "", " ")
 	if err != nil {
 		return err
 	}
-	if err = replace(r.file("json"), text); err != nil || r.operators == "" {
+	if err = writeAtomically(r.file("json"), text); err != nil || r.operators == "" {
 		return err
 	}
-	return replace(r.file("toml"), []byte(r.operators))
+	return writeAtomically(r.file("toml"), []byte(r.operators))
 }
 
-// replace writes a file whole or not at all.
-func replace(path string, text []byte) error {
+// writeAtomically writes a file atomically: a reader finds the old or the new text.
+func writeAtomically(path string, text []byte) error {
 	if err := os.WriteFile(path+".new", text, 0o600); err != nil {
 		return err
 	}
 	return os.Rename(path+".new", path)
 }
 
-// start begins a process, with the descriptors that the scenario allows.
-func (r *node) start() error {
+// start starts a process with the scenario's limit of file descriptors.
+func (r *routerNode) start() error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	if err := r.write(); err != nil {
@@ -115,38 +116,39 @@
 		cmd.Env = append(cmd.Env, "TMPDIR="+r.folder)
 	}
 	cmd.Stdout, cmd.Stderr = log, log
-	// A group of its own: an interrupt at the terminal is the lab's to pass on. It dies with the lab.
+	// In its own process group, the router gets no interrupt from the terminal: the lab decides when it ends. The
+	// kernel kills it when the lab dies.
 	cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
-	life := &Life{Router: r.n, From: r.now()}
+	process := &RouterProcess{Router: r.number, From: r.now()}
 	if err = cmd.Start(); err != nil {
-		return fmt.Errorf("router %d: %w", r.n, err)
+		return fmt.Errorf("router %d: %w", r.number, err)
 	}
 	limit := unix.Rlimit{Cur: uint64(r.sockets), Max: uint64(r.sockets)}
 	unix.Prlimit(cmd.Process.Pid, unix.RLIMIT_NOFILE, &limit, nil)
 	r.cmd, r.ended = cmd, make(chan struct{})
-	r.lives = append(r.lives, life)
-	go r.wait(cmd, life, r.ended)
+	r.processes = append(r.processes, process)
+	go r.wait(cmd, process, r.ended)
 	return nil
 }
 
-// wait follows a process to its end.
-func (r *node) wait(cmd *exec.Cmd, life *Life, ended chan struct{}) {
+// wait waits for the end of a process and records how it ended.
+func (r *routerNode) wait(cmd *exec.Cmd, process *RouterProcess, ended chan struct{}) {
 	done := make(chan struct{})
-	go r.watchMemory(cmd.Process.Pid, life, done)
+	go r.watchMemory(cmd.Process.Pid, process, done)
 	cmd.Wait()
 	close(done)
 	r.mu.Lock()
-	life.To, life.How, life.Exit = r.now(), life.by, cmd.ProcessState.ExitCode()
-	if life.How == stillRuns || life.How == asked && life.Exit != 0 {
-		life.How = crashed
+	process.To, process.How, process.Exit = r.now(), process.endReason, cmd.ProcessState.ExitCode()
+	if process.How == endNone || process.How == endAsked && process.Exit != 0 {
+		process.How = endCrashed
 	}
-	life.CPU = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
+	process.CPU = (cmd.ProcessState.UserTime() + cmd.ProcessState.SystemTime()).Seconds()
 	r.mu.Unlock()
 	close(ended)
 }
 
-// watchMemory kills a process that holds more than it may, as the platform does.
-func (r *node) watchMemory(pid int, life *Life, done chan struct{}) {
+// watchMemory kills a process that uses more memory than allowed, as the platform does.
+func (r *routerNode) watchMemory(pid int, process *RouterProcess, done chan struct{}) {
 	for {
 		select {
 		case <-done:
@@ -163,33 +165,33 @@
 		}
 		mb := float64(resident) * float64(os.Getpagesize()) / (1 << 20)
 		r.mu.Lock()
-		life.MaxMemoryMB = max(life.MaxMemoryMB, mb)
+		process.MaxMemoryMB = max(process.MaxMemoryMB, mb)
 		r.mu.Unlock()
 		if mb > float64(r.memoryMB) {
-			r.end(syscall.SIGKILL, tooLarge)
+			r.signalEnd(syscall.SIGKILL, endMemoryLimit)
 		}
 	}
 }
 
-// end sends a signal and notes why.
-func (r *node) end(sig syscall.Signal, why string) {
+// signalEnd sends a signal to the running process and records why.
+func (r *routerNode) signalEnd(sig syscall.Signal, why string) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cmd == nil || len(r.lives) == 0 {
+	if r.cmd == nil || len(r.processes) == 0 {
 		return
 	}
-	life := r.lives[len(r.lives)-1]
-	if life.To > 0 {
+	process := r.processes[len(r.processes)-1]
+	if process.To > 0 {
 		return
 	}
-	if life.by = why; why == asked {
-		life.Told = r.now()
+	if process.endReason = why; why == endAsked {
+		process.Told = r.now()
 	}
 	r.cmd.Process.Signal(sig)
 }
 
-// stop asks it to end, and kills it if it does not in time.
-func (r *node) stop(patience float64) {
+// stop sends SIGTERM, and kills the process if it has not exited after patience seconds.
+func (r *routerNode) stop(patience float64) {
 	r.mu.Lock()
 	ended := r.ended
 	r.mu.Unlock()
@@ -197,38 +199,38 @@
 		return
 	}
 	r.resume()
-	r.end(syscall.SIGTERM, asked)
+	r.signalEnd(syscall.SIGTERM, endAsked)
 	select {
 	case <-ended:
 	case <-time.After(time.Duration(patience * float64(time.Second))):
-		r.end(syscall.SIGKILL, killed)
+		r.signalEnd(syscall.SIGKILL, endKilled)
 		<-ended
 	}
 }
 
-// kill ends it at once.
-func (r *node) kill() {
+// kill sends SIGKILL and waits for the end of the process.
+func (r *routerNode) kill() {
 	r.mu.Lock()
 	ended := r.ended
 	r.mu.Unlock()
 	if ended != nil {
-		r.end(syscall.SIGKILL, killed)
+		r.signalEnd(syscall.SIGKILL, endKilled)
 		<-ended
 	}
 }
 
-// pause stops it where it stands; resume lets it go on. It does not notice.
-func (r *node) pause() { r.signal(syscall.SIGSTOP) }
+// pause stops the process by SIGSTOP, which the process cannot observe; resume continues it.
+func (r *routerNode) pause() { r.signal(syscall.SIGSTOP) }
 
-func (r *node) resume() { r.signal(syscall.SIGCONT) }
+func (r *routerNode) resume() { r.signal(syscall.SIGCONT) }
 
-func (r *node) signal(sig syscall.Signal) {
+func (r *routerNode) signal(sig syscall.Signal) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	if r.cmd != nil && len(r.lives) > 0 && r.lives[len(r.lives)-1].To == 0 {
+	if r.cmd != nil && len(r.processes) > 0 && r.processes[len(r.processes)-1].To == 0 {
 		last := len(r.stops) - 1
 		if open := last >= 0 && r.stops[last].To == 0; sig == syscall.SIGSTOP && !open {
-			r.stops = append(r.stops, Stop{Router: r.n, From: r.now()})
+			r.stops = append(r.stops, StopInterval{Router: r.number, From: r.now()})
 		} else if sig == syscall.SIGCONT && open {
 			r.stops[last].To = r.now()
 		}
@@ -236,8 +238,8 @@
 	}
 }
 
-// reload changes the configuration and tells the process.
-func (r *node) reload(change func()) error {
+// reload changes the configuration, writes it and sends SIGHUP to the process.
+func (r *routerNode) reload(change func()) error {
 	r.mu.Lock()
 	defer r.mu.Unlock()
 	change()
@@ -250,29 +252,29 @@
 	return nil
 }
 
-// ready waits until it says that it serves.
-func (r *node) ready(within float64) error {
+// ready waits until the router reports that it serves requests.
+func (r *routerNode) ready(within float64) error {
 	r.mu.Lock()
-	ended, life := r.ended, r.lives[len(r.lives)-1]
+	ended, process := r.ended, r.processes[len(r.processes)-1]
 	r.mu.Unlock()
 	for until := r.now() + within; r.now() < until; {
-		if asks(r.addr) {
+		if isServing(r.addr) {
 			r.mu.Lock()
-			life.Ready = r.now()
+			process.Ready = r.now()
 			r.mu.Unlock()
 			return nil
 		}
 		select {
 		case <-ended:
-			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.n, life.Exit, r.tail())
+			return fmt.Errorf("router %d ended before it was ready, with exit status %d%s", r.number, process.Exit, r.logTail())
 		case <-time.After(10 * time.Millisecond):
 		}
 	}
-	return fmt.Errorf("router %d was not ready within %v s%s", r.n, within, r.tail())
+	return fmt.Errorf("router %d was not ready within %v s%s", r.number, within, r.logTail())
 }
 
-// asks tells whether a router answers that it serves.
-func asks(addr string) bool {
+// isServing reports whether a router answers the command mn, by which it confirms that it serves requests.
+func isServing(addr string) bool {
 	conn, err := net.DialTimeout("tcp", addr, 200*time.Millisecond)
 	if err != nil {
 		return false
@@ -284,8 +286,8 @@
 	return err == nil && strings.TrimSpace(line) == "MN"
 }
 
-// tail gives the end of its log.
-func (r *node) tail() string {
+// logTail returns the last lines of the router's log for an error text.
+func (r *routerNode) logTail() string {
 	text, err := os.ReadFile(r.file("log"))
 	if err != nil || len(text) == 0 {
 		return ""
@@ -294,25 +296,25 @@
 	return "; its log ends with\n" + strings.Join(lines[max(0, len(lines)-5):], "\n")
 }
 
-// history gives its processes so far.
-func (r *node) history() (all []Life) {
+// processHistory returns the router's processes so far.
+func (r *routerNode) processHistory() (all []RouterProcess) {
 	r.mu.Lock()
 	defer r.mu.Unlock()
-	for _, l := range r.lives {
+	for _, l := range r.processes {
 		all = append(all, *l)
 	}
 	return all
 }
 
-// free tells whether an address can be listened at; a fault names it.
-func free(addr string) error {
+// checkAddressFree returns an error that names the address if the lab cannot listen at it.
+func checkAddressFree(addr string) error {
 	ln, err := net.Listen("tcp", addr)
 	if err != nil {
 		var of *net.OpError
 		if errors.As(err, &of) {
 			err = of.Err
 		}
-		return fmt.Errorf("the address %s cannot be had: %w (another --net may be free)", addr, err)
+		return fmt.Errorf("cannot listen at %s: %w (another --net may be free)", addr, err)
 	}
 	return ln.Close()
 }
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -1,5 +1,6 @@
-// Package experiment plays scenarios: stand-ins, real router processes and clients, with faults at stated times. It judges what
-// happened by the stand-ins' own records, and sets builds and policies side by side.
+// Package experiment plays scenarios: real router processes between emulated cache servers and clients, with faults at
+// stated times. It judges the runs by the records of the emulated servers and clients, and compares builds and
+// policies.
 package experiment
 
 import (
@@ -17,12 +18,12 @@
 	"bendtrestle/internal/tomlfile"
 )
 
-// Scenario is a file that says what is played. Times are seconds, or milliseconds where the key ends in _ms.
+// Scenario is the content of a scenario file. Times are seconds, or milliseconds if the key ends in _ms.
 type Scenario struct {
 	Name    string       `toml:"name"`
 	About   string       `toml:"about"`
 	Seconds float64      `toml:"seconds"`
-	Settle  float64      `toml:"settle"` // before its figures count
+	Settle  float64      `toml:"settle"` // requests due before this time do not count in the figures
 	Fleet   FleetPart    `toml:"fleet"`
 	Ledger  LedgerPart   `toml:"ledger"`
 	List    ListPart     `toml:"list"`
@@ -35,7 +36,7 @@
 	Regions []RegionPart `toml:"region"`
 	Broker  BrokerPart   `toml:"broker"`
 	Faults  []Fault      `toml:"fault"`
-	Control []string     `toml:"control"` // kinds of fault without which it is played as well, to compare
+	Control []string     `toml:"control"` // kinds of fault left out of the control run; none: no control run
 	file    *tomlfile.File
 }
 
@@ -43,10 +44,10 @@
 type FleetPart struct {
 	Servers       int       `toml:"servers"`
 	Zones         int       `toml:"zones"`
-	Cell          int       `toml:"cell"`     // servers of one cell
-	Machines      []string  `toml:"machines"` // kinds, given to the servers of a zone in turn
+	Cell          int       `toml:"cell"`     // servers per cell
+	Machines      []string  `toml:"machines"` // machine types, assigned to the servers of a zone in turn
 	Cores         int       `toml:"cores"`
-	Speed         []float64 `toml:"speed"` // from, to
+	Speed         []float64 `toml:"speed"` // lowest and highest factor on the speed of a server, drawn at random
 	Queue         int       `toml:"queue"`
 	PerConnection int       `toml:"per_connection"`
 	Connections   int       `toml:"connections"`
@@ -54,7 +55,7 @@
 	Idle          float64   `toml:"idle"`
 	Keep          int       `toml:"keep"`
 	Cancels       bool      `toml:"cancels"`
-	Filled        float64   `toml:"filled"` // part of the keys that all hold at the start, the most popular first
+	Filled        float64   `toml:"filled"` // fraction of the keys, the most popular, that all servers cache at the start
 	ColdFrom      float64   `toml:"cold_from"`
 	Warm          float64   `toml:"warm"`
 }
@@ -72,9 +73,9 @@
 type ListPart struct {
 	Delay   float64 `toml:"delay"`
 	Spread  float64 `toml:"spread"`
-	Calls   float64 `toml:"calls"`   // that it takes a second from all routers together, which then have to ask it; 0: any number
-	Forgets bool    `toml:"forgets"` // the platform gives a router that starts no list
-	Within  float64 `toml:"within"`  // seconds within which it wants to be asked, where it is bounded
+	Calls   float64 `toml:"calls"`   // a second, accepted from all routers together, which then poll it; 0 for no bound
+	Forgets bool    `toml:"forgets"` // the platform's configuration contains no endpoint list for a router that starts
+	Within  float64 `toml:"within"`  // seconds within which routers have to poll it, if calls are bounded
 }
 
 // RoutersPart describes the routers.
@@ -85,14 +86,14 @@
 	Sockets  int       `toml:"sockets"`
 	Peers    bool      `toml:"peers"`
 	Probes   bool      `toml:"probes"`
-	Skew     []float64 `toml:"skew"`    // their parts of the arrivals, as weights
-	Zones    bool      `toml:"zones"`   // they leave zones and return to them as one
-	Relays   bool      `toml:"relays"`  // relays stand between them and all else, also without a fault that needs them
-	Doors    bool      `toml:"doors"`   // the operators' doors are open
-	Folders  bool      `toml:"folders"` // each has a folder of its own that outlives its processes
+	Skew     []float64 `toml:"skew"`    // weights of their shares of the requests
+	Zones    bool      `toml:"zones"`   // zone failover is on
+	Relays   bool      `toml:"relays"`  // all their traffic goes through relays, even if no fault needs relays
+	Doors    bool      `toml:"doors"`   // their admin servers are on
+	Folders  bool      `toml:"folders"` // each has its own folder that outlives its processes
 }
 
-// RegionPart is zones that share what they depend on.
+// RegionPart is a region: zones with common dependencies.
 type RegionPart struct {
 	Name  string   `toml:"name"`
 	Zones []string `toml:"zones"`
@@ -112,7 +113,7 @@
 	Most        int     `toml:"most"`
 }
 
-// RulesPart is the rules' figures.
+// RulesPart has the parameters of the rules.
 type RulesPart struct {
 	GraceMS        float64 `toml:"grace_ms"`
 	Fall           float64 `toml:"fall"`
@@ -122,7 +123,7 @@
 	RetryAfter     bool    `toml:"retry_after"`
 }
 
-// TypePart is a traffic type.
+// TypePart is a traffic class.
 type TypePart struct {
 	Name       string  `toml:"name"`
 	Share      float64 `toml:"share"`
@@ -137,28 +138,29 @@
 	HardStopMS float64 `toml:"hard_stop_ms"`
 	Benefit    float64 `toml:"benefit"`
 	Tenant     string  `toml:"tenant"`
-	Scheme     string  `toml:"scheme"` // xyz, wmts-kvp, wmts-rest: it is map tiles, of a team with a pool of tile servers
+	Scheme     string  `toml:"scheme"` // of map tiles: xyz, wmts-kvp or wmts-rest; they need a team with a pool of tile servers
 
-	RunsIn    []string `toml:"runs_in"`    // zones, zone-0 and on, to which alone it may be sent (rule 5); left out: all
-	AllowedOn []string `toml:"allowed_on"` // kinds of machine, likewise
+	RunsIn    []string `toml:"runs_in"`    // the only zones (zone-0, zone-1 ...) that it may be sent to (rule 5); all if left out
+	AllowedOn []string `toml:"allowed_on"` // the only machine types that it may be sent to; all if left out
 }
 
-// BrokerPart says what the routers do with contracts.
+// BrokerPart describes how the routers apply quotas.
 type BrokerPart struct {
-	Budgets string `toml:"budgets"` // load: as the product has them, and the default; none: nobody comes near one
+	Budgets string `toml:"budgets"` // load, the default: the teams' budgets; none: budgets that no team reaches
 	Others  string `toml:"others"`
 }
 
-// PoolPart is a pool besides the usual one, with a fleet and an origin of its own, described as the usual one is.
+// PoolPart is a pool besides the default one. It has its own cache servers and origin, with the settings of the default
+// pool.
 type PoolPart struct {
 	Name        string  `toml:"name"`
 	Servers     int     `toml:"servers"`
 	Capacity    float64 `toml:"capacity"`
 	Connections float64 `toml:"connections"`
-	Scheme      string  `toml:"scheme"` // its servers are tile servers, asked so
+	Scheme      string  `toml:"scheme"` // its servers are tile servers with this URL scheme
 }
 
-// TeamPart is a contract. The team's traffic types are those that name it as their tenant.
+// TeamPart is a team with its quota. The team's traffic classes are those with its name as their tenant.
 type TeamPart struct {
 	Name   string   `toml:"name"`
 	Pool   string   `toml:"pool"`
@@ -168,25 +170,25 @@
 	Weight float64  `toml:"weight"`
 }
 
-// Fault is something that happens.
+// Fault is a fault or another event of a scenario.
 type Fault struct {
 	Kind   string   `toml:"kind"`
 	Target string   `toml:"target"`
-	Pool   string   `toml:"pool"` // whose servers, list or origin; "": the usual one's
+	Pool   string   `toml:"pool"` // pool of the servers, list or origin; "" for the default pool
 	At     float64  `toml:"at"`
 	For    float64  `toml:"for"`
-	Factor float64  `toml:"factor"` // of slow and surge
-	Part   float64  `toml:"part"`   // of answers, or of arrivals
-	Drain  float64  `toml:"drain"`  // seconds from draining to gone
-	Count  int      `toml:"count"`  // servers that come; changes ago
+	Factor float64  `toml:"factor"` // factor of slow, surge, dear, ledger-slow and contract
+	Part   float64  `toml:"part"`   // fraction of the answers, requests or messages
+	Drain  float64  `toml:"drain"`  // seconds from draining to removed
+	Count  int      `toml:"count"`  // servers that are added; or how many changes old a list is
 	Delay  float64  `toml:"delay"`  // seconds
 	Rate   float64  `toml:"rate"`   // bytes a second
-	From   string   `toml:"from"`   // of a part: the other group; left out: the rest
-	What   []string `toml:"what"`   // of a part: servers, words, list; left out: all
+	From   string   `toml:"from"`   // of faults between processes: the other group; all other processes if left out
+	What   []string `toml:"what"`   // of faults between processes: servers, words, list; all if left out
 }
 
-// Usual is what a scenario has where its file says nothing.
-func Usual() Scenario {
+// DefaultScenario returns the default values of a scenario.
+func DefaultScenario() Scenario {
 	return Scenario{
 		Seconds: 10, Settle: 1,
 		Fleet: FleetPart{Servers: 6, Zones: 2, Cell: 3, Machines: []string{"stand-in"}, Cores: 1, Speed: []float64{1, 1}, Queue: 400, PerConnection: 100,
@@ -200,84 +202,84 @@
 	}
 }
 
-// ReadScenario reads and checks a file. All faults are told at once, by file, line and key.
+// ReadScenario reads and checks a scenario file. Its error lists all mistakes, each with file, line and key.
 func ReadScenario(path string) (*Scenario, error) {
-	s := Usual()
+	s := DefaultScenario()
 	file, err := tomlfile.Read(path, &s)
 	if err != nil {
 		return nil, err
 	}
 	s.file = file
-	return s.checked()
+	return s.validate()
 }
 
-// ParseScenario reads a scenario from a text.
+// ParseScenario parses and checks the text of a scenario. Its error lists all mistakes with the given file name.
 func ParseScenario(name, text string) (*Scenario, error) {
-	s := Usual()
+	s := DefaultScenario()
 	file, err := tomlfile.Parse(name, []byte(text), &s)
 	if err != nil {
 		return nil, err
 	}
 	s.file = file
-	return s.checked()
+	return s.validate()
 }
 
 var (
-	effects = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
-	groups  = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
-	wire    = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
+	effects         = map[string]balancer.Idempotency{"reissuable": balancer.Idempotent, "numbered": balancer.IdempotencyKeyed, "at-most-once": balancer.AtMostOnce}
+	groups          = map[string]balancer.DeduplicationScope{"": balancer.ScopeAll, "all": balancer.ScopeAll, "zone": balancer.ScopeZone, "cell": balancer.ScopeCell}
+	platformEffects = map[balancer.Idempotency]string{balancer.Idempotent: "retryable", balancer.IdempotencyKeyed: "dedup", balancer.AtMostOnce: "unsafe"}
 )
 
-// above and part check one figure.
-func (s *Scenario) above(key string, x, least float64) {
+// checkAbove and checkBetween each report a mistake if x is outside its bounds.
+func (s *Scenario) checkAbove(key string, x, least float64) {
 	if !(x > least) || math.IsInf(x, 0) {
 		s.file.Fault(key, "%v is not above %v", x, least)
 	}
 }
 
-func (s *Scenario) within(key string, x, from, to float64) {
+func (s *Scenario) checkBetween(key string, x, from, to float64) {
 	if !(x >= from && x <= to) {
 		s.file.Fault(key, "%v is not between %v and %v", x, from, to)
 	}
 }
 
-func (s *Scenario) checked() (*Scenario, error) {
+func (s *Scenario) validate() (*Scenario, error) {
 	if s.Name == "" {
 		s.file.Fault("name", "missing")
 	}
-	s.within("seconds", s.Seconds, 0.5, 3600)
-	s.within("settle", s.Settle, 0, s.Seconds/2)
+	s.checkBetween("seconds", s.Seconds, 0.5, 3600)
+	s.checkBetween("settle", s.Settle, 0, s.Seconds/2)
 	f := &s.Fleet
-	s.within("fleet.servers", float64(f.Servers), 1, 400)
-	s.within("fleet.zones", float64(f.Zones), 1, 50)
-	s.within("fleet.cell", float64(f.Cell), 1, 400)
-	s.within("fleet.cores", float64(f.Cores), 1, 64)
+	s.checkBetween("fleet.servers", float64(f.Servers), 1, 400)
+	s.checkBetween("fleet.zones", float64(f.Zones), 1, 50)
+	s.checkBetween("fleet.cell", float64(f.Cell), 1, 400)
+	s.checkBetween("fleet.cores", float64(f.Cores), 1, 64)
 	if len(f.Speed) != 2 || !(f.Speed[0] > 0) || f.Speed[1] < f.Speed[0] {
-		s.file.Fault("fleet.speed", "%v is not a least and a largest speed above 0", f.Speed)
+		s.file.Fault("fleet.speed", "%v is not a lowest and a highest speed above 0", f.Speed)
 	}
 	if len(f.Machines) == 0 || slices.Contains(f.Machines, "") {
-		s.file.Fault("fleet.machines", "%q does not name a kind for every server", f.Machines)
-	}
-	s.within("fleet.queue", float64(f.Queue), 0, 1e6)
-	s.within("fleet.per_connection", float64(f.PerConnection), 1, 1e4)
-	s.within("fleet.connections", float64(f.Connections), 1, 1e5)
-	s.within("fleet.filled", f.Filled, 0, 1)
-	s.within("fleet.cold_from", f.ColdFrom, 0.01, 1)
-	s.within("fleet.warm", f.Warm, 0, 600)
-	s.within("ledger.at_once", float64(s.Ledger.AtOnce), 1, 1e4)
-	s.above("ledger.takes_ms", s.Ledger.TakesMS, 0)
-	s.within("routers.count", float64(s.Routers.Count), 1, 100)
-	s.above("list.within", s.List.Within, 0)
-	s.within("list.calls", s.List.Calls, 0, 1e6)
-	s.above("routers.cores", s.Routers.Cores, 0)
-	s.within("routers.memory_mb", float64(s.Routers.MemoryMB), 32, 1e6)
-	s.within("routers.sockets", float64(s.Routers.Sockets), 64, 1e6)
-	s.above("clients.rate", s.Clients.Rate, 0)
-	s.within("clients.keys", float64(s.Clients.Keys), 1, 1e7)
-	s.within("clients.zipf", s.Clients.Zipf, 0, 3)
-	s.within("clients.retries", float64(s.Clients.Retries), 0, 20)
-	s.within("clients.try_share", s.Clients.TryShare, 0.01, 1)
-	s.within("clients.impatient", s.Clients.Impatient, 0, 1)
+		s.file.Fault("fleet.machines", "%q does not name a machine type for every server", f.Machines)
+	}
+	s.checkBetween("fleet.queue", float64(f.Queue), 0, 1e6)
+	s.checkBetween("fleet.per_connection", float64(f.PerConnection), 1, 1e4)
+	s.checkBetween("fleet.connections", float64(f.Connections), 1, 1e5)
+	s.checkBetween("fleet.filled", f.Filled, 0, 1)
+	s.checkBetween("fleet.cold_from", f.ColdFrom, 0.01, 1)
+	s.checkBetween("fleet.warm", f.Warm, 0, 600)
+	s.checkBetween("ledger.at_once", float64(s.Ledger.AtOnce), 1, 1e4)
+	s.checkAbove("ledger.takes_ms", s.Ledger.TakesMS, 0)
+	s.checkBetween("routers.count", float64(s.Routers.Count), 1, 100)
+	s.checkAbove("list.within", s.List.Within, 0)
+	s.checkBetween("list.calls", s.List.Calls, 0, 1e6)
+	s.checkAbove("routers.cores", s.Routers.Cores, 0)
+	s.checkBetween("routers.memory_mb", float64(s.Routers.MemoryMB), 32, 1e6)
+	s.checkBetween("routers.sockets", float64(s.Routers.Sockets), 64, 1e6)
+	s.checkAbove("clients.rate", s.Clients.Rate, 0)
+	s.checkBetween("clients.keys", float64(s.Clients.Keys), 1, 1e7)
+	s.checkBetween("clients.zipf", s.Clients.Zipf, 0, 3)
+	s.checkBetween("clients.retries", float64(s.Clients.Retries), 0, 20)
+	s.checkBetween("clients.try_share", s.Clients.TryShare, 0.01, 1)
+	s.checkBetween("clients.impatient", s.Clients.Impatient, 0, 1)
 	if !slices.Contains([]string{"kept", "new", "once"}, s.Clients.Connections) {
 		s.file.Fault("clients.connections", "%q is not kept, new or once", s.Clients.Connections)
 	}
@@ -304,15 +306,15 @@
 			s.file.Fault(key("group"), "%q is not all, zone or cell", t.Group)
 		}
 		if t.Effect == "numbered" {
-			s.above(key("window"), t.Window, 0)
+			s.checkAbove(key("window"), t.Window, 0)
 		}
-		s.above(key("share"), t.Share, 0)
-		s.above(key("work_ms"), t.WorkMS, 0)
-		s.above(key("promised_ms"), t.PromisedMS, 0)
-		s.above(key("benefit"), t.Benefit, 0)
+		s.checkAbove(key("share"), t.Share, 0)
+		s.checkAbove(key("work_ms"), t.WorkMS, 0)
+		s.checkAbove(key("promised_ms"), t.PromisedMS, 0)
+		s.checkAbove(key("benefit"), t.Benefit, 0)
 		most := meta.LongBound
 		if t.Scheme != "" {
-			most = tileMost
+			most = maxTileBytes
 		}
 		if t.Size < 0 || t.Size > most {
 			s.file.Fault(key("size"), "%d bytes are not between 0 and %d", t.Size, most)
@@ -321,10 +323,10 @@
 			s.file.Fault(key("scheme"), "%q is not xyz, wmts-kvp or wmts-rest", t.Scheme)
 		}
 		if t.Scheme != "" && (t.Write || t.Effect != "reissuable") {
-			s.file.Fault(key("scheme"), "map tiles are read, and reissuable")
+			s.file.Fault(key("scheme"), "traffic types of map tiles have to be reads and reissuable")
 		}
-		s.places(key("runs_in"), t.RunsIn, zones)
-		s.places(key("allowed_on"), t.AllowedOn, f.Machines)
+		s.checkPlaces(key("runs_in"), t.RunsIn, zones)
+		s.checkPlaces(key("allowed_on"), t.AllowedOn, f.Machines)
 		if t.HardStopMS < t.PromisedMS {
 			s.file.Fault(key("hard_stop_ms"), "%v is below the promised time, %v", t.HardStopMS, t.PromisedMS)
 		}
@@ -340,22 +342,24 @@
 	return s, nil
 }
 
-// tileMost is the bytes of a tile at most: tiles are held, also by the stand-ins, and map tiles seldom have more.
-const tileMost = 60000
+// maxTileBytes is the largest size of a tile in bytes. Routers and emulated servers buffer whole tiles, and map tiles
+// are seldom larger.
+const maxTileBytes = 60000
 
-// long tells whether a type's values are passed on as they come.
-func (t TypePart) long() bool { return t.Size > meta.ValueBound }
+// hasLongValues reports whether a class's values are too large to be buffered whole, so that routers stream them.
+func (t TypePart) hasLongValues() bool { return t.Size > meta.ValueBound }
 
-func (s *Scenario) long() bool { return slices.ContainsFunc(s.Types, TypePart.long) }
+func (s *Scenario) hasLongValues() bool { return slices.ContainsFunc(s.Types, TypePart.hasLongValues) }
 
-// places tells of places that no server is in: what is bound to nothing but these could not be served on the best of days.
-func (s *Scenario) places(key string, named, there []string) {
+// checkPlaces reports names of zones or machine types without servers: requests that are bound to only these could
+// never be served.
+func (s *Scenario) checkPlaces(key string, named, there []string) {
 	if named != nil && len(named) == 0 {
 		s.file.Fault(key, "names nothing; leave it out where any will do")
 	}
 	for _, name := range named {
 		if !slices.Contains(there, name) {
-			s.file.Fault(key, "%q is none of %s", name, strings.Join(there, ", "))
+			s.file.Fault(key, "%q is not one of %s", name, strings.Join(there, ", "))
 		}
 	}
 }
@@ -370,16 +374,16 @@
 	parts := 0.0
 	for i, p := range s.Pools {
 		key := func(k string) string { return fmt.Sprintf("pool.%d.%s", i, k) }
-		if p.Name == "" || s.pool(p.Name) != &s.Pools[i] {
+		if p.Name == "" || s.poolByName(p.Name) != &s.Pools[i] {
 			s.file.Fault(key("name"), "%q is empty or there twice", p.Name)
 		}
-		s.within(key("servers"), float64(p.Servers), 1, 190)
-		s.within(key("capacity"), p.Capacity, 0, 1e6)
-		s.within(key("connections"), p.Connections, 0.001, 0.9)
+		s.checkBetween(key("servers"), float64(p.Servers), 1, 190)
+		s.checkBetween(key("capacity"), p.Capacity, 0, 1e6)
+		s.checkBetween(key("connections"), p.Connections, 0.001, 0.9)
 		parts += p.Connections
 	}
 	if parts > 0.9 || len(s.Pools) > 20 {
-		s.file.Fault("pool", "%d pools with %v of the connections: at most 20 with 0.9", len(s.Pools), parts)
+		s.file.Fault("pool", "%d pools with a fraction of %v of the connections: at most 20 pools with 0.9 are allowed", len(s.Pools), parts)
 	}
 	names := map[string]bool{}
 	for i, t := range s.Teams {
@@ -388,17 +392,17 @@
 			s.file.Fault(key("name"), "%q is there twice", t.Name)
 		}
 		names[t.Name] = true
-		if t.Pool != "" && s.pool(t.Pool) == nil {
+		if t.Pool != "" && s.poolByName(t.Pool) == nil {
 			s.file.Fault(key("pool"), "there is no pool %q", t.Pool)
 		}
 		if !slices.ContainsFunc(s.Types, func(k TypePart) bool { return k.Tenant == t.Name }) {
 			s.file.Fault(key("name"), "no traffic type has the tenant %q", t.Name)
 		}
-		s.within(key("budget"), t.Budget, 0, 1e6)
-		p := s.pool(t.Pool)
+		s.checkBetween(key("budget"), t.Budget, 0, 1e6)
+		p := s.poolByName(t.Pool)
 		for _, k := range s.Types {
 			if k.Tenant == t.Name && (k.Scheme != "") != (p != nil && p.Scheme != "") {
-				s.file.Fault(key("pool"), "traffic type %q is of map tiles and the pool is not, or the other way round", k.Name)
+				s.file.Fault(key("pool"), "traffic type %q and the pool have to be both for map tiles, or neither", k.Name)
 			}
 		}
 	}
@@ -408,86 +412,86 @@
 		}
 	}
 	for _, k := range s.Control {
-		if _, known := kinds[k]; !known {
+		if _, known := faultKinds[k]; !known {
 			s.file.Fault("control", "%q is not a fault", k)
 		}
 	}
 }
 
-// A kind of fault: what it may hit, and which figures it needs.
-type kind struct {
-	on    string  // server, router, list, type, ledger or none
-	needs string  // or "" for none
-	least float64 // of that figure
-	most  float64
-	keeps bool // its length may be 0: it is over at once, or for good
-	zero  bool // its figure may be 0
-	long  bool // it happens at values of more than 64 KiB
-	also  string
-	from  float64 // least of that second figure
-	to    float64 // and most
+// faultKind describes a kind of fault: its targets and parameters.
+type faultKind struct {
+	targets         string  // server, router, list, type, team, ledger, part (between processes) or none
+	parameter       string  // name of its parameter, or "" for none
+	paramMin        float64 // least value of that parameter
+	paramMax        float64
+	instantAllowed  bool // its duration may be 0: it has no duration, or is permanent
+	zeroAllowed     bool // its parameter may be 0
+	longValuesOnly  bool // it applies only to values of more than 64 KiB
+	secondParameter string
+	secondMin       float64 // least value of the second parameter
+	secondMax       float64 // and largest value
 }
 
-var kinds = map[string]kind{
-	"stall":          {on: "server"},
-	"slow":           {on: "server", needs: "factor", least: 1, most: 1000},
-	"crash":          {on: "server"},
-	"vanish":         {on: "server"},
-	"restart":        {on: "server", keeps: true},
-	"refuse":         {on: "server"},
-	"reset":          {on: "server", needs: "part", least: 0, most: 1},
-	"spoil":          {on: "server", needs: "part", least: 0, most: 1},
-	"error":          {on: "server", needs: "part", least: 0, most: 1},
-	"drain":          {on: "server"},
-	"deploy":         {on: "server"},
-	"shrink":         {on: "server"},
-	"grow":           {on: "none", needs: "count", least: 1, most: 400, keeps: true},
-	"ledger-stall":   {on: "ledger"},
-	"ledger-slow":    {on: "ledger", needs: "factor", least: 1, most: 1000},
-	"list-late":      {on: "list", needs: "delay", least: 0, most: 600},
-	"list-lag":       {on: "list"},
-	"list-silent":    {on: "list"},
-	"list-refuse":    {on: "list"},
-	"list-old":       {on: "list", needs: "count", least: 1, most: 1000},
-	"list-move":      {on: "list", keeps: true},
-	"contract":       {on: "team", needs: "factor", least: 0, most: 1000, zero: true},
-	"hot-key":        {on: "none", needs: "part", least: 0, most: 1},
-	"dear":           {on: "type", needs: "factor", least: 0, most: 1000},
-	"surge":          {on: "type", needs: "factor", least: 0, most: 1000},
-	"router-kill":    {on: "router"},
-	"router-restart": {on: "router", keeps: true},
-	"router-stop":    {on: "router"},
-	"state-lost":     {on: "router", keeps: true},
-	"state-old":      {on: "router"},
-	"state-damaged":  {on: "router", keeps: true},
-	"part":           {on: "part"},
-	"part-one-way":   {on: "part"},
-	"conns-late":     {on: "part", needs: "delay", least: 0, most: 60},
-	"conns-reset":    {on: "part", keeps: true},
-	"words-lose":     {on: "part", needs: "part", least: 0, most: 1},
-	"words-late":     {on: "part", needs: "delay", least: 0, most: 600},
-	"words-double":   {on: "part", needs: "part", least: 0, most: 1},
-	"close-behind":   {on: "server", needs: "part", least: 0, most: 1, long: true},
-	"reset-behind":   {on: "server", needs: "part", least: 0, most: 1, long: true},
-	"break-off":      {on: "server", needs: "part", least: 0, most: 1, long: true},
-	"reset-under":    {on: "server", needs: "part", least: 0, most: 1, long: true},
-	"cease":          {on: "server", needs: "part", least: 0, most: 1, long: true},
-	"read-slow":      {on: "none", needs: "part", least: 0, most: 1, long: true, also: "rate", from: slowest, to: 1e9},
-	"read-pause":     {on: "none", needs: "part", least: 0, most: 1, long: true, also: "delay", from: 0, to: longestPause},
-	"read-leave":     {on: "none", needs: "part", least: 0, most: 1, long: true},
+var faultKinds = map[string]faultKind{
+	"stall":          {targets: "server"},
+	"slow":           {targets: "server", parameter: "factor", paramMin: 1, paramMax: 1000},
+	"crash":          {targets: "server"},
+	"vanish":         {targets: "server"},
+	"restart":        {targets: "server", instantAllowed: true},
+	"refuse":         {targets: "server"},
+	"reset":          {targets: "server", parameter: "part", paramMin: 0, paramMax: 1},
+	"spoil":          {targets: "server", parameter: "part", paramMin: 0, paramMax: 1},
+	"error":          {targets: "server", parameter: "part", paramMin: 0, paramMax: 1},
+	"drain":          {targets: "server"},
+	"deploy":         {targets: "server"},
+	"shrink":         {targets: "server"},
+	"grow":           {targets: "none", parameter: "count", paramMin: 1, paramMax: 400, instantAllowed: true},
+	"ledger-stall":   {targets: "ledger"},
+	"ledger-slow":    {targets: "ledger", parameter: "factor", paramMin: 1, paramMax: 1000},
+	"list-late":      {targets: "list", parameter: "delay", paramMin: 0, paramMax: 600},
+	"list-lag":       {targets: "list"},
+	"list-silent":    {targets: "list"},
+	"list-refuse":    {targets: "list"},
+	"list-old":       {targets: "list", parameter: "count", paramMin: 1, paramMax: 1000},
+	"list-move":      {targets: "list", instantAllowed: true},
+	"contract":       {targets: "team", parameter: "factor", paramMin: 0, paramMax: 1000, zeroAllowed: true},
+	"hot-key":        {targets: "none", parameter: "part", paramMin: 0, paramMax: 1},
+	"dear":           {targets: "type", parameter: "factor", paramMin: 0, paramMax: 1000},
+	"surge":          {targets: "type", parameter: "factor", paramMin: 0, paramMax: 1000},
+	"router-kill":    {targets: "router"},
+	"router-restart": {targets: "router", instantAllowed: true},
+	"router-stop":    {targets: "router"},
+	"state-lost":     {targets: "router", instantAllowed: true},
+	"state-old":      {targets: "router"},
+	"state-damaged":  {targets: "router", instantAllowed: true},
+	"part":           {targets: "part"},
+	"part-one-way":   {targets: "part"},
+	"conns-late":     {targets: "part", parameter: "delay", paramMin: 0, paramMax: 60},
+	"conns-reset":    {targets: "part", instantAllowed: true},
+	"words-lose":     {targets: "part", parameter: "part", paramMin: 0, paramMax: 1},
+	"words-late":     {targets: "part", parameter: "delay", paramMin: 0, paramMax: 600},
+	"words-double":   {targets: "part", parameter: "part", paramMin: 0, paramMax: 1},
+	"close-behind":   {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
+	"reset-behind":   {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
+	"break-off":      {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
+	"reset-under":    {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
+	"cease":          {targets: "server", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
+	"read-slow":      {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true, secondParameter: "rate", secondMin: minReadRate, secondMax: 1e9},
+	"read-pause":     {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true, secondParameter: "delay", secondMin: 0, secondMax: maxReadPause},
+	"read-leave":     {targets: "none", parameter: "part", paramMin: 0, paramMax: 1, longValuesOnly: true},
 }
 
 const (
-	slowest      = 200_000 // bytes a second: the longest value takes 21 s, and a router that ends leaves it 30
-	longestPause = 8       // seconds: a router ends the connection of a client that takes nothing for 10
-	passing      = 30      // seconds for which a long value may go on when all else has ended
+	minReadRate      = 200_000 // bytes a second: the longest value takes 21 s, and a router that shuts down allows it 30 s
+	maxReadPause     = 8       // seconds: a router closes the connection of a client that reads nothing for 10 s
+	longValueSeconds = 30      // seconds for which a long value may continue after the longest deadline
 )
 
-// Kinds names all kinds of fault.
-func Kinds() []string { return slices.Sorted(maps.Keys(kinds)) }
+// Kinds returns the names of all kinds of fault.
+func Kinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
 
 func (s *Scenario) checkFault(key string, f Fault) {
-	k, known := kinds[f.Kind]
+	k, known := faultKinds[f.Kind]
 	if !known {
 		s.file.Fault(key+".kind", "%q is not a fault; there are %s", f.Kind, strings.Join(Kinds(), ", "))
 		return
@@ -497,75 +501,75 @@
 		s.file.Fault(key+".at", "%v is below 0", f.At)
 	case f.At >= s.Seconds:
 		s.file.Fault(key+".at", "%v is past the end, %v", f.At, s.Seconds)
-	case f.For < 0 || f.For == 0 && !k.keeps:
+	case f.For < 0 || f.For == 0 && !k.instantAllowed:
 		s.file.Fault(key+".for", "%v is not above 0", f.For)
 	case f.At+f.For > s.Seconds:
 		s.file.Fault(key+".for", "it ends at %v, past the end, %v", f.At+f.For, s.Seconds)
 	}
 	figures := map[string]float64{"factor": f.Factor, "part": f.Part, "count": float64(f.Count), "delay": f.Delay, "rate": f.Rate}
 	for _, name := range []string{"factor", "part", "count", "delay", "rate"} {
-		least, most := k.least, k.most
-		if name == k.also {
-			least, most = k.from, k.to
+		paramMin, paramMax := k.paramMin, k.paramMax
+		if name == k.secondParameter {
+			paramMin, paramMax = k.secondMin, k.secondMax
 		}
-		if x := figures[name]; (name == k.needs || name == k.also) && !((x > 0 || k.zero) && x >= least && x <= most) {
-			s.file.Fault(key+"."+name, "%v is not above 0 and between %v and %v", x, least, most)
-		} else if name != k.needs && name != k.also && x != 0 {
-			s.file.Fault(key+"."+name, "%s has none", f.Kind)
+		if x := figures[name]; (name == k.parameter || name == k.secondParameter) && !((x > 0 || k.zeroAllowed) && x >= paramMin && x <= paramMax) {
+			s.file.Fault(key+"."+name, "%v is not above 0 and between %v and %v", x, paramMin, paramMax)
+		} else if name != k.parameter && name != k.secondParameter && x != 0 {
+			s.file.Fault(key+"."+name, "%s has no such parameter", f.Kind)
 		}
 	}
-	if k.on == "part" {
+	if k.targets == "part" {
 		s.checkPart(key, f)
 		return
 	} else if f.From != "" || f.What != nil {
 		s.file.Fault(key+".from", "%s has neither from nor what", f.Kind)
 	}
-	if k.long && !s.long() {
+	if k.longValuesOnly && !s.hasLongValues() {
 		s.file.Fault(key+".kind", "%s needs a type whose size is above %d", f.Kind, meta.ValueBound)
 	}
 	if strings.HasPrefix(f.Kind, "state-") && !s.Routers.Folders {
 		s.file.Fault(key+".kind", "%s needs routers.folders", f.Kind)
 	}
-	if f.Pool != "" && (!slices.Contains([]string{"server", "list", "ledger"}, k.on) && f.Kind != "grow" || s.pool(f.Pool) == nil) {
-		s.file.Fault(key+".pool", "%q is not a pool, or this fault has none", f.Pool)
+	if f.Pool != "" && (!slices.Contains([]string{"server", "list", "ledger"}, k.targets) && f.Kind != "grow" || s.poolByName(f.Pool) == nil) {
+		s.file.Fault(key+".pool", "%q is not a pool, or this kind of fault has no pool", f.Pool)
 		return
 	}
-	if err := s.checkTarget(k.on, f.Target, f.Pool); err != nil {
+	if err := s.checkTarget(k.targets, f.Target, f.Pool); err != nil {
 		s.file.Fault(key+".target", "%v", err)
 	}
 }
 
-// Target names what a fault hits: one by number, so many, a part, or all.
+// target selects what a fault applies to: one by number, several at random, or all.
 type target struct {
 	what   string   // server, router, list, type, tenant
-	number int      // of one, else -1
-	count  int      // of many drawn by chance
-	name   string   // of a type or tenant
-	zones  []string // of servers: all that are in them
+	number int      // number of the one selected, else -1
+	count  int      // how many are drawn at random
+	name   string   // name of a type, tenant or team
+	zones  []string // zones whose servers are selected
 }
 
 func (s *Scenario) checkTarget(on, text, pool string) error {
 	if on == "none" || on == "ledger" {
 		if text != "" {
-			return fmt.Errorf("%q: this fault has none", text)
+			return fmt.Errorf("%q: this kind of fault has no target", text)
 		}
 		return nil
 	}
-	_, err := s.target(on, text, pool)
+	_, err := s.parseTarget(on, text, pool)
 	return err
 }
 
-// pool gives a pool's part, nil if there is none.
-func (s *Scenario) pool(name string) *PoolPart {
+// poolByName returns the settings of a pool, or nil if there is none with that name.
+func (s *Scenario) poolByName(name string) *PoolPart {
 	if i := slices.IndexFunc(s.Pools, func(p PoolPart) bool { return p.Name == name }); i >= 0 {
 		return &s.Pools[i]
 	}
 	return nil
 }
 
-func (s *Scenario) target(on, text, pool string) (target, error) {
+func (s *Scenario) parseTarget(on, text, pool string) (target, error) {
 	servers := s.Fleet.Servers
-	if p := s.pool(pool); p != nil {
+	if p := s.poolByName(pool); p != nil {
 		servers = p.Servers
 	}
 	most := map[string]int{"server": servers, "router": s.Routers.Count, "list": s.Routers.Count}[on]
@@ -615,8 +619,8 @@
 	return t, err
 }
 
-// types gives the traffic types as the stand-ins take them.
-func (s *Scenario) types() (all []*emulator.TrafficType) {
+// trafficClasses returns the traffic classes as the emulator's settings.
+func (s *Scenario) trafficClasses() (all []*emulator.TrafficType) {
 	for _, t := range s.Types {
 		all = append(all, &emulator.TrafficType{Name: t.Name, Share: t.Share, Write: t.Write, Effect: effects[t.Effect],
 			Group: groups[t.Group], Window: t.Window, Work: t.WorkMS / 1e3, Spread: t.Spread, Size: t.Size,
--- a/internal/experiment/state.go
+++ b/internal/experiment/state.go
@@ -5,36 +5,36 @@
 	"path/filepath"
 )
 
-// causeAtState does something to what routers have stored: it is lost, damaged in the middle of each file, or put back after the fault's
-// length as it was at its beginning. A router that runs is not told.
-func (w *world) causeAtState(f Fault, hit []int, halt chan struct{}) {
+// playStateFault changes the files that routers have stored. They are deleted, damaged by one byte in the middle, or
+// restored after the fault's duration to their content at its beginning. Running routers get no notice.
+func (w *world) playStateFault(f Fault, hit []int, halt chan struct{}) {
 	switch f.Kind {
 	case "state-lost":
 		for _, n := range hit {
-			w.fail(eachFile(w.nodes[n].folder, func(path string) error { return os.Remove(path) }))
+			w.fail(eachFile(w.routerNodes[n].folder, func(path string) error { return os.Remove(path) }))
 		}
 	case "state-damaged":
 		for _, n := range hit {
-			w.fail(eachFile(w.nodes[n].folder, damage))
+			w.fail(eachFile(w.routerNodes[n].folder, flipByte))
 		}
 	case "state-old":
 		kept := map[string][]byte{}
 		for _, n := range hit {
-			w.fail(eachFile(w.nodes[n].folder, func(path string) (err error) {
+			w.fail(eachFile(w.routerNodes[n].folder, func(path string) (err error) {
 				kept[path], err = os.ReadFile(path)
 				return err
 			}))
 		}
-		w.note("%s of routers %v is copied", f.Kind, hit)
-		w.until(f.At+f.For, halt)
+		w.recordEvent("%s of routers %v is copied", f.Kind, hit)
+		w.waitUntil(f.At+f.For, halt)
 		for path, text := range kept {
-			w.fail(replace(path, text))
+			w.fail(writeAtomically(path, text))
 		}
 	}
-	w.note("%s of routers %v", f.Kind, hit)
+	w.recordEvent("%s of routers %v", f.Kind, hit)
 }
 
-// eachFile acts on all files of a folder; one that goes meanwhile is no fault.
+// eachFile calls act for all files of a folder. It ignores files that are deleted meanwhile.
 func eachFile(folder string, act func(path string) error) error {
 	all, err := filepath.Glob(filepath.Join(folder, "*"))
 	if err != nil {
@@ -52,8 +52,8 @@
 	return nil
 }
 
-// damage changes a byte in the middle of a file.
-func damage(path string) error {
+// flipByte flips a bit of the byte in the middle of a file.
+func flipByte(path string) error {
 	text, err := os.ReadFile(path)
 	if err != nil || len(text) == 0 {
 		return err
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -13,7 +13,8 @@
 	"bendtrestle/internal/tiles"
 )
 
-// operators writes the routers' operators' file for a scenario with teams: their contracts, each budget times a factor.
+// operators returns the text of a router's operators' file with the scenario's pools and teams. Each team's budget is
+// multiplied by its factor.
 func (s *Scenario) operators(lists, tileFront func(name string) string, factors map[string]float64, zones, recovery bool) string {
 	var b strings.Builder
 	others := s.Broker.Others
@@ -46,7 +47,7 @@
 		if t.Burst != nil {
 			burst = *t.Burst
 		}
-		if s.Broker.Budgets == "none" { // as good as none: nobody comes near it
+		if s.Broker.Budgets == "none" { // a budget that no team reaches
 			budget, burst = 1e6, 1e6
 		}
 		fmt.Fprintf(&b, "\n[[team]]\nname = %q\npool = %q\nbudget = %v\nburst = %v\nborrow = %v\nweight = %v\n", t.Name, t.Pool, budget, burst,
@@ -64,7 +65,7 @@
 					k.Name, k.Effect, k.Group, k.Window, k.PromisedMS, k.HardStopMS, k.Benefit)
 				for key, places := range map[string][]string{"runs_in": k.RunsIn, "allowed_on": k.AllowedOn} {
 					if places != nil {
-						text, _ := json.Marshal(places) // a list of texts is written alike in TOML
+						text, _ := json.Marshal(places) // JSON and TOML have the same syntax for lists of strings
 						fmt.Fprintf(&b, "%s = %s\n", key, text)
 					}
 				}
@@ -74,29 +75,29 @@
 	return b.String()
 }
 
-// hasTiles tells whether a team's traffic is map tiles.
+// hasTiles reports whether a team has traffic classes of map tiles.
 func (s *Scenario) hasTiles(team string) bool {
 	return slices.ContainsFunc(s.Types, func(k TypePart) bool { return k.Tenant == team && k.Scheme != "" })
 }
 
-// Layers are what the stand-in tile servers and the routers' fronts offer.
+// Layers returns the tile service of the emulated tile servers and of the routers: one layer of roads.
 func Layers() *tiles.Service {
 	return tiles.New("Maps", []*tiles.Layer{{Name: "roads", Title: "Roads", Formats: []string{"png"}, Styles: []string{"default"},
 		Sets: []string{tiles.Google}, MaxZoom: 18}}, nil)
 }
 
-// TenantFigures is one tenant's part of a run.
+// TenantFigures are the figures of one tenant.
 type TenantFigures struct {
-	Operations  int     `json:"operations"`
-	Share       float64 `json:"benefit_in_time"`
-	Declined    float64 `json:"declined"`        // part of its operations, in the end
-	DeclinedP99 float64 `json:"declined_p99_ms"` // of all tries that were declined, from when they were sent
-	Load        float64 `json:"load"`            // seconds of executions at servers, a second, while faults were on
-	Budget      float64 `json:"budget,omitempty"`
+	Requests      int     `json:"operations"`
+	BenefitInTime float64 `json:"benefit_in_time"`
+	Declined      float64 `json:"declined"`        // fraction of its requests whose last attempt was declined
+	DeclinedP99   float64 `json:"declined_p99_ms"` // of all declined attempts, from when they were sent
+	Load          float64 `json:"load"`            // seconds of executions at servers per second, from the first fault's begin to the last one's end
+	Budget        float64 `json:"budget,omitempty"`
 }
 
-// tenants reckons what each tenant got, its load being that of the time from the first fault's begin to the last's end.
-func tenants(s *Scenario, rec *Records) map[string]TenantFigures {
+// computeTenants computes the figures of each tenant.
+func computeTenants(s *Scenario, rec *Records) map[string]TenantFigures {
 	from, to := rec.From+s.Settle, rec.To
 	first, last := to, from
 	for _, f := range s.Faults {
@@ -105,41 +106,41 @@
 	if first >= last {
 		first, last = from, to
 	}
-	asked, got, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
-	late, of := map[string][]float64{}, map[string]string{} // tenants, by a try's id: tile servers know no tenants
+	asked, gained, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
+	declineSeconds, tenantOf := map[string][]float64{}, map[string]string{} // by attempt id: tile servers have no tenants
 	for _, o := range rec.Clients.Ops {
 		name := o.Type.Tenant
 		if name == "" || o.Due < from || o.Due > to {
 			continue
 		}
 		f := all[name]
-		f.Operations++
+		f.Requests++
 		asked[name] += o.Type.Benefit
 		if _, timely := o.Served(); timely {
-			got[name] += o.Type.Benefit
+			gained[name] += o.Type.Benefit
 		}
 		if o.How == emulator.Declined {
 			f.Declined++
 		}
 		for _, t := range o.Tries {
-			of[t.ID] = name
+			tenantOf[t.ID] = name
 			if t.How == emulator.Declined && t.Sent > 0 {
-				late[name] = append(late[name], t.Ended-t.Sent)
+				declineSeconds[name] = append(declineSeconds[name], t.Ended-t.Sent)
 			}
 		}
 		all[name] = f
 	}
 	for _, x := range rec.Fleet.Executions {
-		name := of[x.ID]
+		name := tenantOf[x.ID]
 		if f, there := all[name]; there && x.First >= first && x.First < last && x.End > x.First {
 			f.Load += (x.End - x.First) / (last - first)
 			all[name] = f
 		}
 	}
 	for name, f := range all {
-		f.Declined /= float64(f.Operations)
-		f.Share = share(got[name], asked[name])
-		times := emulator.Lateness{Times: late[name]}
+		f.Declined /= float64(f.Requests)
+		f.BenefitInTime = fraction(gained[name], asked[name])
+		times := emulator.Lateness{Times: declineSeconds[name]}
 		f.DeclinedP99 = times.Part(0.99) * 1e3
 		if i := slices.IndexFunc(s.Teams, func(t TeamPart) bool { return t.Name == name }); i >= 0 {
 			f.Budget = s.Teams[i].Budget
@@ -149,10 +150,10 @@
 	return all
 }
 
-// WithControl tells whether a scenario is played without some of its faults as well.
+// WithControl reports whether a scenario is also played without some of its faults.
 func (s *Scenario) WithControl() bool { return len(s.Control) > 0 }
 
-// Without gives the scenario that is played to compare with: it lacks the faults that the control names.
+// Without returns the control scenario: this one without the kinds of fault in Control.
 func (s *Scenario) Without() *Scenario {
 	c := *s
 	c.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return slices.Contains(s.Control, f.Kind) })
@@ -160,7 +161,8 @@
 	return &c
 }
 
-// PrintTenants sets what each tenant got beside what it got without the faults; results come in pairs of one seed.
+// PrintTenants writes the figures of each tenant beside those of the control run without the faults. The two slices are
+// paired by seed.
 func PrintTenants(out io.Writer, with, control []Result) {
 	if len(with) == 0 || len(with[0].Figures.Tenants) == 0 {
 		return
@@ -173,14 +175,14 @@
 			f := r.Figures.Tenants[name]
 			before, difference, part := "-", "-", "-"
 			if i < len(control) {
-				x := control[i].Figures.Tenants[name].Share
-				before, difference = fmt.Sprintf("%.4f", x), fmt.Sprintf("%+.4f", f.Share-x)
-				sum += f.Share - x
+				x := control[i].Figures.Tenants[name].BenefitInTime
+				before, difference = fmt.Sprintf("%.4f", x), fmt.Sprintf("%+.4f", f.BenefitInTime-x)
+				sum += f.BenefitInTime - x
 			}
 			if f.Budget > 0 {
 				part = fmt.Sprintf("%.3f", f.Load/f.Budget)
 			}
-			fmt.Fprintf(w, "%s\t%d\t%d\t%.4f\t%s\t%s\t%.4f\t%.1f\t%.3f\t%.3f\t%s\t\n", name, r.Seed, f.Operations, f.Share, before, difference,
+			fmt.Fprintf(w, "%s\t%d\t%d\t%.4f\t%s\t%s\t%.4f\t%.1f\t%.3f\t%.3f\t%s\t\n", name, r.Seed, f.Requests, f.BenefitInTime, before, difference,
 				f.Declined, f.DeclinedP99, f.Load, f.Budget, part)
 		}
 		if len(control) > 1 {
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -14,13 +14,13 @@
 	"bendtrestle/internal/experiment/faultproxy"
 )
 
-// World is a run whose course its holder decides: real routers, stand-ins and clients, with faults begun and ended when something
-// seen from outside is the case. What it tells is told by the stand-ins, the clients and the relays.
+// World is a run that its caller controls: real routers, emulated servers and clients, with faults that begin and end
+// when an observed condition holds. All observations are from the emulated servers, the clients and the relays.
 type World struct {
-	w *world
+	run *world
 }
 
-// Open starts one; its clients' operations arrive until Close. The scenario's faults are not played.
+// Open starts a run. Its clients send requests until Close. The scenario's faults are not played.
 func Open(ctx context.Context, s *Scenario, o Options) (*World, error) {
 	w, err := begin(ctx, s, o)
 	if err != nil {
@@ -29,60 +29,61 @@
 		}
 		return nil, err
 	}
-	on(w.clientOn, func() {
-		w.began = w.clientOn.Now()
+	runOnLoop(w.clientLoop, func() {
+		w.startTime = w.clientLoop.Now()
 		w.clients.Start(1e6)
 	})
 	return &World{w}, nil
 }
 
-// Close lets no more operations arrive, waits for those that are open, ends all processes and gives the records.
+// Close stops the clients, waits for the requests in flight, ends all processes and returns the records.
 func (x *World) Close() (*Records, error) {
-	w := x.w
-	rec := &Records{From: w.began, To: w.clientOn.Now()}
-	on(w.clientOn, w.clients.Stop)
+	w := x.run
+	rec := &Records{From: w.startTime, To: w.clientLoop.Now()}
+	runOnLoop(w.clientLoop, w.clients.Stop)
 	longest := w.longestAnswer()
-	for busy := true; busy && w.clientOn.Now() < rec.To+longest+1; time.Sleep(soon) {
-		on(w.clientOn, func() { busy = w.clients.Busy() })
+	for busy := true; busy && w.clientLoop.Now() < rec.To+longest+1; time.Sleep(pollInterval) {
+		runOnLoop(w.clientLoop, func() { busy = w.clients.Busy() })
 	}
 	w.end()
 	w.collect(rec)
 	return rec, w.failed
 }
 
-// Now is the time, in Unix seconds.
-func (x *World) Now() float64 { return x.w.fleetOn.Now() }
+// Now returns the time in Unix seconds.
+func (x *World) Now() float64 { return x.run.fleetLoop.Now() }
 
-// Since is the time since the clients began.
-func (x *World) Since() float64 { return x.Now() - x.w.began }
+// Since returns the seconds since the clients started.
+func (x *World) Since() float64 { return x.Now() - x.run.startTime }
 
-// Until waits until something holds; an error tells that it does not within a bound of seconds.
+// Until waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
+// hold within bound seconds.
 func (x *World) Until(what string, bound float64, holds func() bool) (took float64, err error) {
 	began := x.Now()
 	for !holds() {
 		if x.Now()-began > bound {
 			return bound, fmt.Errorf("%s: not within %v s", what, bound)
 		}
-		time.Sleep(soon)
+		time.Sleep(pollInterval)
 	}
 	return x.Now() - began, nil
 }
 
-// Cut begins a fault between processes, of a kind of a scenario's; heal ends it.
+// Cut begins a fault between processes; heal ends it.
 func (x *World) Cut(f Fault) (heal func() error, err error) {
-	r, err := x.w.rule(f)
+	r, err := x.run.rule(f)
 	if err != nil {
 		return nil, err
 	}
-	x.w.note("%s %s begins", f.Kind, f.Target)
-	end, err := x.w.net.Begin(r)
+	x.run.recordEvent("%s %s begins", f.Kind, f.Target)
+	end, err := x.run.net.Begin(r)
 	return func() error {
-		x.w.note("%s %s ends", f.Kind, f.Target)
+		x.run.recordEvent("%s %s ends", f.Kind, f.Target)
 		return end()
 	}, err
 }
 
-// Fault begins a fault on all cache servers of a zone, by what is done to each; end undoes it.
+// Fault calls begin for each cache server of a zone; end calls the functions that begin returned.
 func (x *World) Fault(zone string, begin func(s *emulator.Server) (end func() error)) (end func()) {
 	var ends []func() error
 	x.OnFleet(func(f *emulator.Fleet) {
@@ -92,24 +93,30 @@
 			}
 		}
 	})
-	x.w.note("trouble in %s begins", zone)
+	x.run.recordEvent("fault in %s begins", zone)
 	return func() {
-		x.w.note("trouble in %s ends", zone)
+		x.run.recordEvent("fault in %s ends", zone)
 		x.OnFleet(func(*emulator.Fleet) {
 			for _, end := range ends {
-				x.w.fail(end())
+				x.run.fail(end())
 			}
 		})
 	}
 }
 
-// OnFleet calls where the stand-ins' records and faults may be touched.
-func (x *World) OnFleet(f func(f *emulator.Fleet)) { on(x.w.fleetOn, func() { f(x.w.fleet) }) }
+// OnFleet runs f on the event loop of the emulated servers, where their records and faults may be accessed, and waits
+// for it.
+func (x *World) OnFleet(f func(f *emulator.Fleet)) {
+	runOnLoop(x.run.fleetLoop, func() { f(x.run.fleet) })
+}
 
-// OnClients calls where the clients' records may be read.
-func (x *World) OnClients(f func(c *emulator.Clients)) { on(x.w.clientOn, func() { f(x.w.clients) }) }
+// OnClients runs f on the event loop of the clients, where their records may be read, and waits for it.
+func (x *World) OnClients(f func(c *emulator.Clients)) {
+	runOnLoop(x.run.clientLoop, func() { f(x.run.clients) })
+}
 
-// Served is the part of the operations due between two times, all over by now, that were answered in the promised time.
+// Served returns the fraction of the requests due between two times that were answered within the latency objective,
+// and the number of these requests. All of them must have ended.
 func (x *World) Served(from, to float64) (part float64, n int) {
 	x.OnClients(func(c *emulator.Clients) {
 		in := 0
@@ -126,7 +133,7 @@
 	return part, n
 }
 
-// Arrived counts the executions that servers of a zone saw since a time; of the routers, those that sent them.
+// Arrived returns the number of executions that reached servers of a zone since a time.
 func (x *World) Arrived(zone string, since float64) (n int) {
 	x.OnFleet(func(f *emulator.Fleet) {
 		all := f.Book().Executions
@@ -139,10 +146,10 @@
 	return n
 }
 
-// Burnt counts what routers have written to servers of a zone since a time while nothing came through, by router.
+// Burnt counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
 func (x *World) Burnt(zone string, since float64) map[int]int {
 	by := map[int]int{}
-	for _, s := range x.w.net.Sent() {
+	for _, s := range x.run.net.Sent() {
 		if s.At >= since && s.To.Zone == zone {
 			by[s.Router]++
 		}
@@ -150,69 +157,69 @@
 	return by
 }
 
-// Words gives the newest words between routers.
-func (x *World) Words(most int) []faultproxy.Word { return x.w.net.Last(most) }
+// Words returns the newest gossip messages between routers, at most as many as given.
+func (x *World) Words(most int) []faultproxy.Word { return x.run.net.Last(most) }
 
-// Kill ends routers' processes at once, Stop stands them still, Go lets them go on, Start begins new ones and Ready waits for them.
+// Kill sends SIGKILL to routers' processes and waits until they have ended.
 func (x *World) Kill(routers ...int) {
 	for _, n := range routers {
-		x.w.nodes[n].kill()
-		x.w.note("router %d is killed", n)
+		x.run.routerNodes[n].kill()
+		x.run.recordEvent("router %d is killed", n)
 	}
 }
 
-// Stop stands routers still; they do not notice.
+// Stop stops routers' processes by SIGSTOP, which they cannot observe.
 func (x *World) Stop(routers ...int) {
 	for _, n := range routers {
-		x.w.nodes[n].pause()
-		x.w.note("router %d is stopped", n)
+		x.run.routerNodes[n].pause()
+		x.run.recordEvent("router %d is stopped", n)
 	}
 }
 
-// Go lets routers that were stopped go on.
+// Go continues routers' processes after Stop.
 func (x *World) Go(routers ...int) {
 	for _, n := range routers {
-		x.w.nodes[n].resume()
-		x.w.note("router %d goes on", n)
+		x.run.routerNodes[n].resume()
+		x.run.recordEvent("router %d continues", n)
 	}
 }
 
-// Start begins new processes of routers, which know the list as their last ones had it.
+// Start starts new processes of routers, with the endpoint list that their last processes had.
 func (x *World) Start(routers ...int) error {
 	for _, n := range routers {
-		if !x.w.begun(n) {
-			return x.w.failed
+		if !x.run.startRouter(n) {
+			return x.run.failed
 		}
 	}
 	return nil
 }
 
-// Ready waits until routers serve.
+// Ready waits until routers serve requests.
 func (x *World) Ready(within float64, routers ...int) error {
 	for _, n := range routers {
-		if err := x.w.nodes[n].ready(within); err != nil {
+		if err := x.run.routerNodes[n].ready(within); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// Folder is what outlives a router's processes.
-func (x *World) Folder(router int) string { return x.w.nodes[router].folder }
+// Folder returns the path of a router's folder that outlives its processes.
+func (x *World) Folder(router int) string { return x.run.routerNodes[router].folder }
 
-// Routers is how many there are.
-func (x *World) Routers() int { return len(x.w.nodes) }
+// Routers returns the number of routers.
+func (x *World) Routers() int { return len(x.run.routerNodes) }
 
-// Played is what was done so far, with its times.
+// Played returns the faults and actions so far, with their times.
 func (x *World) Played() []string {
-	x.w.mu.Lock()
-	defer x.w.mu.Unlock()
-	return append([]string(nil), x.w.played...)
+	x.run.mu.Lock()
+	defer x.run.mu.Unlock()
+	return append([]string(nil), x.run.played...)
 }
 
-// Log is the lines of a router's log that hold a text, the newest last.
+// Log returns the last lines of a router's log that contain a text, the newest last.
 func (x *World) Log(router int, holds string, most int) (lines []string) {
-	text, _ := os.ReadFile(x.w.nodes[router].file("log"))
+	text, _ := os.ReadFile(x.run.routerNodes[router].file("log"))
 	for line := range strings.Lines(string(text)) {
 		if strings.Contains(line, holds) {
 			lines = append(lines, strings.TrimSpace(line))
@@ -221,11 +228,12 @@
 	return lines[max(0, len(lines)-most):]
 }
 
-var caller = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
+var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ask calls a router's door: GET without a body, else POST; into takes the answer as JSON, nil takes none.
+// Ask calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
+// decoded into it.
 func (x *World) Ask(router int, path, body string, into any) (status int, err error) {
-	method, url := http.MethodGet, "http://"+x.w.address(routersAt, router, 9400)+path
+	method, url := http.MethodGet, "http://"+x.run.address(routerAddrByte, router, 9400)+path
 	if body != "" {
 		method = http.MethodPost
 	}
@@ -234,7 +242,7 @@
 		return 0, err
 	}
 	q.Header.Set("Accept", "application/json")
-	answer, err := caller.Do(q)
+	answer, err := adminClient.Do(q)
 	if err != nil {
 		return 0, err
 	}
@@ -246,16 +254,16 @@
 	return answer.StatusCode, err
 }
 
-// Operators rewrites a router's operators' file, and tells its process by SIGHUP.
+// Operators changes a router's operators' file and sends SIGHUP to its process.
 func (x *World) Operators(router int, change func(text string) string) error {
-	n := x.w.nodes[router]
+	n := x.run.routerNodes[router]
 	return n.reload(func() { n.operators = change(n.operators) })
 }
 
-// Judge makes the verdict on records of this run.
-func (x *World) Judge(rec *Records) Result { return NewResult(x.w.s, x.w.o, rec) }
+// Judge returns the verdict and the figures of this run's records.
+func (x *World) Judge(rec *Records) Result { return NewResult(x.run.scenario, x.run.options, rec) }
 
-// Build builds the router of this working tree into a folder.
+// Build builds the router of this working tree in a new temporary folder, and returns the folder's path.
 func Build(ctx context.Context) (Program, string, error) {
 	dir, err := os.MkdirTemp("", "trestle-experiment-build-")
 	if err != nil {
@@ -265,7 +273,7 @@
 	return p, dir, err
 }
 
-// Replace ends all servers of a zone for good and brings others, cold, at the same addresses.
+// Replace removes all servers of a zone permanently and starts new, cold ones at the same addresses.
 func (x *World) Replace(zone string) {
 	var gone []*emulator.Server
 	x.OnFleet(func(f *emulator.Fleet) {
@@ -276,18 +284,18 @@
 			}
 		}
 	})
-	x.OnFleet(func(f *emulator.Fleet) { // a later turn: the listeners are closed by then
+	x.OnFleet(func(f *emulator.Fleet) { // in a later turn of the event loop, so that the listeners are closed
 		for _, s := range gone {
 			spec := s.Spec
 			spec.Name = f.NextName()
 			_, err := f.Add(spec, true)
-			x.w.fail(err)
+			x.run.fail(err)
 		}
 	})
-	x.w.note("%s has other servers", zone)
+	x.run.recordEvent("%s has new servers", zone)
 }
 
-// Course counts the executions that servers of a zone saw since a time, by slices of so many seconds.
+// Course returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
 func (x *World) Course(zone string, since, slice float64) []int {
 	counts := make([]int, int(max(0, x.Now()-since)/slice))
 	x.OnFleet(func(f *emulator.Fleet) {
