--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -13,188 +13,196 @@
 	"golang.org/x/sys/unix"
 )
 
-// connRelay stands for a cache server or a list service at one router. Cut off, it lets no connection come up, and what is
-// under way on those that are stands still until it is healed, as on a network that loses all packets.
+// connRelay listens at addr and relays the connections from one router to its target, one cache server or the router's
+// list service, which listens at real. While a rule cuts the two off, no new connection is established, and data on
+// established connections is held until the rule ends, as on a network that loses all packets.
 type connRelay struct {
-	n           *Net
-	router, to  End
-	addr, real  string
-	mu          sync.Mutex
-	ln          net.Listener
-	accepting   chan struct{} // closed once the listener is closed indeed
-	silent      func()        // while it is cut off
-	carried     map[*carried]bool
-	there, back Effect
-	down        bool // the real end refuses
-	mute        bool // the real end lets no connection come up
-	over        bool
+	network           *Net
+	router, to        End
+	addr, real        string
+	mu                sync.Mutex
+	listener          net.Listener
+	acceptDone        chan struct{} // closed when the accept loop has returned and the listener's address is free
+	stopSilence       func()        // ends the emulation of a silent address; nil when there is none
+	relayed           map[*relayed]bool
+	forward, backward Effect
+	targetRefuses     bool // the target refuses connections
+	targetSilent      bool // connections to the target time out
+	stopped           bool
 }
 
-// carried is one connection and its two halves.
-type carried struct {
-	r            *connRelay
+// relayed is one relayed connection: client is the router's side, real the target's side.
+type relayed struct {
+	relay        *connRelay
 	client, real net.Conn
 }
 
-// Conn puts a relay before an address, for one router.
-func (n *Net) Conn(router, to End, addr, real string) error {
-	c := &connRelay{n: n, router: router, to: to, addr: addr, real: real, carried: map[*carried]bool{}}
-	n.mu.Lock()
-	n.conns = append(n.conns, c)
-	n.mu.Unlock()
-	return c.attend()
+// Conn starts a relay at addr for one router's connections to the target that listens at real.
+func (network *Net) Conn(router, to End, addr, real string) error {
+	c := &connRelay{network: network, router: router, to: to, addr: addr, real: real, relayed: map[*relayed]bool{}}
+	network.mu.Lock()
+	network.conns = append(network.conns, c)
+	network.mu.Unlock()
+	return c.applyRules()
 }
 
-// attend listens, or is silent, as the rules have it.
-func (c *connRelay) attend() (err error) {
-	c.n.mu.Lock()
-	there, back, closed := c.n.between(c.router, c.to), c.n.between(c.to, c.router), c.n.closed
-	c.n.mu.Unlock()
+// applyRules makes the relay listen, refuse connections or be silent, according to the rules in force and the state of
+// the target.
+func (c *connRelay) applyRules() (err error) {
+	c.network.mu.Lock()
+	forward, backward, closed := c.network.effectLocked(c.router, c.to), c.network.effectLocked(c.to, c.router),
+		c.network.closed
+	c.network.mu.Unlock()
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	c.there, c.back = there, back
-	cut := there.Cut || back.Cut || c.mute
+	c.forward, c.backward = forward, backward
+	cut := forward.Cut || backward.Cut || c.targetSilent
 	switch {
-	case c.over || closed:
-	case cut && c.silent == nil:
-		c.shut()
-		err = take(func() (err error) {
-			end, err := emulator.BeSilent(c.addr)
+	case c.stopped || closed:
+	case cut && c.stopSilence == nil:
+		c.closeListener()
+		err = bindWithRetry(func() (err error) {
+			stop, err := emulator.BeSilent(c.addr)
 			if err == nil {
-				c.silent = end
+				c.stopSilence = stop
 			}
 			return err
 		})
-	case !cut && c.down:
-		c.speak()
-		c.shut()
-	case !cut && c.ln == nil:
-		c.speak()
-		err = take(func() (err error) {
-			c.ln, err = net.Listen("tcp4", c.addr)
+	case !cut && c.targetRefuses:
+		c.endSilence()
+		c.closeListener()
+	case !cut && c.listener == nil:
+		c.endSilence()
+		err = bindWithRetry(func() (err error) {
+			c.listener, err = net.Listen("tcp4", c.addr)
 			return err
 		})
 		if err == nil {
-			c.accepting = make(chan struct{})
-			c.n.wg.Add(1)
-			go c.accept(c.ln, c.accepting)
+			c.acceptDone = make(chan struct{})
+			c.network.wg.Add(1)
+			go c.accept(c.listener, c.acceptDone)
 		}
 	}
 	return err
 }
 
-// take tries for an address: a process that the lab just starts holds all sockets between its fork and its exec.
-func take(address func() error) (err error) {
+// bindWithRetry retries bind, up to 30 times: a process that the laboratory is starting holds all of its sockets
+// between fork and exec, so an address can stay in use for a moment.
+func bindWithRetry(bind func() error) (err error) {
 	for range 30 {
-		if err = address(); err == nil {
+		if err = bind(); err == nil {
 			break
 		}
-		time.Sleep(again)
+		time.Sleep(pollInterval)
 	}
 	return err
 }
 
-// speak ends the silence. The relay is locked.
-func (c *connRelay) speak() {
-	if c.silent != nil {
-		c.silent()
-		c.silent = nil
+// endSilence stops the emulation of a silent address. The caller holds c.mu.
+func (c *connRelay) endSilence() {
+	if c.stopSilence != nil {
+		c.stopSilence()
+		c.stopSilence = nil
 	}
 }
 
-// shut closes the listener, and waits until its address is free: a call that accepts holds it for a moment longer. The relay is locked.
-func (c *connRelay) shut() {
-	if c.ln != nil {
-		c.ln.Close()
-		<-c.accepting
-		c.ln = nil
+// closeListener closes the listener and waits until its address is free: a pending accept call keeps it in use for a
+// moment longer. The caller holds c.mu.
+func (c *connRelay) closeListener() {
+	if c.listener != nil {
+		c.listener.Close()
+		<-c.acceptDone
+		c.listener = nil
 	}
 }
 
-func (c *connRelay) accept(ln net.Listener, over chan struct{}) {
-	defer c.n.wg.Done()
-	defer close(over)
+func (c *connRelay) accept(listener net.Listener, done chan struct{}) {
+	defer c.network.wg.Done()
+	defer close(done)
 	for {
-		client, err := ln.Accept()
+		client, err := listener.Accept()
 		if err != nil {
 			return
 		}
-		c.n.wg.Add(1)
-		go c.open(client)
+		c.network.wg.Add(1)
+		go c.serve(client)
 	}
 }
 
 const (
-	again    = 10 * time.Millisecond // between two looks whether a real end takes connections again
-	reaching = 50 * time.Millisecond // on this machine one comes up far sooner, or not at all
+	pollInterval = 10 * time.Millisecond // between two checks of a target, a held connection or an address
+	dialTimeout  = 50 * time.Millisecond // on loopback a connection is established far sooner, or not at all
 )
 
-// follow refuses connections, or lets none come up, as the real end does, until that takes them again.
-func (c *connRelay) follow(err error) {
-	stands := func(err error) (still, other bool) {
+// followTarget makes the relay refuse connections, or be silent, as the target does, until the target accepts
+// connections again. err is the error of the last dial.
+func (c *connRelay) followTarget(err error) {
+	update := func(err error) (failing, changed bool) {
 		c.mu.Lock()
 		defer c.mu.Unlock()
-		timeout, is := err.(net.Error)
-		before := c.mute
-		c.mute = err != nil && is && timeout.Timeout()
-		c.down = err != nil && !c.mute
-		return err != nil && !c.over, before != c.mute
+		netErr, ok := err.(net.Error)
+		wasSilent := c.targetSilent
+		c.targetSilent = err != nil && ok && netErr.Timeout()
+		c.targetRefuses = err != nil && !c.targetSilent
+		return err != nil && !c.stopped, wasSilent != c.targetSilent
 	}
 	c.mu.Lock()
-	first := !c.down && !c.mute
+	firstFailure := !c.targetRefuses && !c.targetSilent
 	c.mu.Unlock()
-	stands(err)
-	if c.attend(); !first {
+	update(err)
+	if c.applyRules(); !firstFailure {
 		return
 	}
-	c.n.wg.Add(1)
+	c.network.wg.Add(1)
 	go func() {
-		defer c.n.wg.Done()
+		defer c.network.wg.Done()
 		for {
-			time.Sleep(again)
-			conn, err := net.DialTimeout("tcp4", c.real, reaching)
+			time.Sleep(pollInterval)
+			conn, err := net.DialTimeout("tcp4", c.real, dialTimeout)
 			if err == nil {
 				conn.Close()
 			}
-			still, other := stands(err)
-			if !still || other {
-				c.attend()
+			failing, changed := update(err)
+			if !failing || changed {
+				c.applyRules()
 			}
-			if !still {
+			if !failing {
 				return
 			}
 		}
 	}()
 }
 
-// open carries one connection. A relay has to accept before it can know whether the real end does: one that this one refuses is reset,
-// one that it lets stand is let stand; those that come after fare as they would there.
-func (c *connRelay) open(client net.Conn) {
-	defer c.n.wg.Done()
-	real, err := net.DialTimeout("tcp4", c.real, reaching)
-	x := &carried{r: c, client: client, real: real}
+// serve relays one connection. The relay has to accept it before it can find out whether the target does. If the target
+// refuses, the router's connection is reset; if the dial times out, the connection stays open without an answer. Later
+// connections are refused or time out as they would at the target.
+func (c *connRelay) serve(client net.Conn) {
+	defer c.network.wg.Done()
+	real, err := net.DialTimeout("tcp4", c.real, dialTimeout)
+	conn := &relayed{relay: c, client: client, real: real}
 	c.mu.Lock()
-	c.carried[x] = true
-	over := c.over
+	c.relayed[conn] = true
+	stopped := c.stopped
 	c.mu.Unlock()
 	if err != nil {
-		c.follow(err)
-		if timeout, is := err.(net.Error); !over && is && timeout.Timeout() {
+		c.followTarget(err)
+		if netErr, ok := err.(net.Error); !stopped && ok && netErr.Timeout() {
 			io.Copy(io.Discard, client)
 		}
-		over = true
+		stopped = true
 	}
-	if over {
-		x.close(true)
+	if stopped {
+		conn.close(true)
 		return
 	}
-	c.n.wg.Add(2)
-	go x.copy(client, real, func() Effect { return c.there }, true)
-	go x.copy(real, client, func() Effect { return c.back }, false)
+	c.network.wg.Add(2)
+	go conn.copy(client, real, func() Effect { return c.forward }, true)
+	go conn.copy(real, client, func() Effect { return c.backward }, false)
 }
 
-// given tells whether the other side has given a connection up, so that its kernel sends nothing any more.
-func given(conn net.Conn) bool {
+// aborted reports whether the peer has aborted the connection instead of closing it, so that its kernel sends nothing
+// more.
+func aborted(conn net.Conn) bool {
 	raw, err := conn.(*net.TCPConn).SyscallConn()
 	if err != nil {
 		return true
@@ -206,8 +214,8 @@
 	return failed != 0 || err != nil
 }
 
-func (x *carried) close(reset bool) {
-	for _, conn := range []net.Conn{x.client, x.real} {
+func (rc *relayed) close(reset bool) {
+	for _, conn := range []net.Conn{rc.client, rc.real} {
 		if conn == nil {
 			continue
 		}
@@ -216,44 +224,44 @@
 		}
 		conn.Close()
 	}
-	x.r.mu.Lock()
-	delete(x.r.carried, x)
-	x.r.mu.Unlock()
+	rc.relay.mu.Lock()
+	delete(rc.relay.relayed, rc)
+	rc.relay.mu.Unlock()
 }
 
-// copy carries one direction, until either end is over. An end that is given up, not closed, takes what is under way with it.
-func (x *carried) copy(from, to net.Conn, effect func() Effect, there bool) {
-	c := x.r
-	defer c.n.wg.Done()
+// copy relays one direction until either side ends. If a side is aborted instead of closed, data in flight is lost.
+func (rc *relayed) copy(from, to net.Conn, effect func() Effect, fromRouter bool) {
+	c := rc.relay
+	defer c.network.wg.Done()
 	buf := make([]byte, 32<<10)
 	for {
 		size, err := from.Read(buf)
 		data := buf[:size]
 		if c.cut(effect) {
-			data, err = x.hold(from, data, err, effect, there)
+			data, err = rc.hold(from, data, err, effect, fromRouter)
 		}
-		if err != nil && (err != io.EOF || given(from)) {
-			x.close(true)
+		if err != nil && (err != io.EOF || aborted(from)) {
+			rc.close(true)
 			return
 		}
 		if len(data) > 0 {
 			c.mu.Lock()
 			e := effect()
 			c.mu.Unlock()
-			if wait := e.Delay + e.Spread*c.n.draw(); wait > 0 {
+			if wait := e.Delay + e.Spread*c.network.randomFloat(); wait > 0 {
 				time.Sleep(seconds(wait))
 			}
-			if _, other := to.Write(data); other != nil {
-				x.close(true)
+			if _, writeErr := to.Write(data); writeErr != nil {
+				rc.close(true)
 				return
 			}
 		}
-		if err != nil { // an end that is given up is closed first
+		if err != nil { // an aborted connection is closed first: wait before checking
 			if tcp, ok := to.(*net.TCPConn); ok {
 				tcp.CloseWrite()
 			}
-			time.Sleep(again)
-			x.close(given(from))
+			time.Sleep(pollInterval)
+			rc.close(aborted(from))
 			return
 		}
 	}
@@ -262,28 +270,29 @@
 func (c *connRelay) cut(effect func() Effect) bool {
 	c.mu.Lock()
 	defer c.mu.Unlock()
-	return effect().Cut && !c.over
+	return effect().Cut && !c.stopped
 }
 
-const mostHeld = 1 << 20 // bytes that wait on one connection: a kernel would hold no more
+const maxHeldBytes = 1 << 20 // per connection and direction, as a kernel would buffer no more
 
-// hold keeps what comes while nothing gets through, and gives it once something does.
-func (x *carried) hold(from net.Conn, data []byte, err error, effect func() Effect, there bool) ([]byte, error) {
-	c, held, came := x.r, slices.Clone(data), len(data) > 0
-	more := make([]byte, 4096)
+// hold buffers what arrives on from while the direction is cut off, and returns it when the cut ends. It records that a
+// router sent data meanwhile.
+func (rc *relayed) hold(from net.Conn, data []byte, err error, effect func() Effect, fromRouter bool) ([]byte, error) {
+	c, held, received := rc.relay, slices.Clone(data), len(data) > 0
+	chunk := make([]byte, 4096)
 	for c.cut(effect) {
-		if came && there {
-			c.n.note(Sending{At: c.n.now(), Router: c.router.N, To: c.to})
+		if received && fromRouter {
+			c.network.recordBlocked(Sending{At: c.network.now(), Router: c.router.N, To: c.to})
 		}
-		came = false
-		if err != nil || len(held) > mostHeld {
-			time.Sleep(again)
+		received = false
+		if err != nil || len(held) > maxHeldBytes {
+			time.Sleep(pollInterval)
 			continue
 		}
-		from.SetReadDeadline(time.Now().Add(again))
-		size, now := from.Read(more)
-		held, came = append(held, more[:size]...), size > 0
-		if timeout, is := now.(net.Error); now != nil && !(is && timeout.Timeout()) {
+		from.SetReadDeadline(time.Now().Add(pollInterval))
+		size, now := from.Read(chunk)
+		held, received = append(held, chunk[:size]...), size > 0
+		if netErr, ok := now.(net.Error); now != nil && !(ok && netErr.Timeout()) {
 			err = now
 		}
 	}
@@ -291,11 +300,12 @@
 	return held, err
 }
 
-// Reset breaks all connections that go through relays between ends, as a firewall does that forgets them.
-func (n *Net) Reset(match func(router, to End) bool) (broken int) {
-	n.mu.Lock()
-	conns := slices.Clone(n.conns)
-	n.mu.Unlock()
+// Reset resets all relayed connections between matching ends, as a firewall does that has lost its connection table.
+// It returns their number.
+func (network *Net) Reset(match func(router, to End) bool) (broken int) {
+	network.mu.Lock()
+	conns := slices.Clone(network.conns)
+	network.mu.Unlock()
 	for _, c := range conns {
 		if !match(c.router, c.to) {
 			continue
@@ -307,21 +317,21 @@
 
 func (c *connRelay) breakAll() (broken int) {
 	c.mu.Lock()
-	all := slices.Collect(maps.Keys(c.carried))
+	all := slices.Collect(maps.Keys(c.relayed))
 	c.mu.Unlock()
-	for _, x := range all {
-		x.close(true)
+	for _, conn := range all {
+		conn.close(true)
 	}
 	return len(all)
 }
 
 func (c *connRelay) close() {
 	c.mu.Lock()
-	c.over = true
-	if c.ln != nil {
-		c.ln.Close()
+	c.stopped = true
+	if c.listener != nil {
+		c.listener.Close()
 	}
-	c.speak()
+	c.endSilence()
 	c.mu.Unlock()
 	c.breakAll()
 }
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -1,6 +1,7 @@
-// Package faultproxy stands between processes: words between routers, and connections from routers to cache servers and to the
-// list service, go through relays of the laboratory, which cut, delay, lose, double and reorder what they carry, in either
-// direction by itself, and heal. A relay notes what a router wanted to send where nothing came through.
+// Package faultproxy injects network faults between processes of the laboratory. Datagrams between routers, and
+// connections from routers to cache servers and to the list service, go through its relays. Relays block and delay
+// traffic, and lose, duplicate and reorder datagrams, in either direction separately, until the fault ends. A relay records
+// when a router sends data over a blocked connection.
 package faultproxy
 
 import (
@@ -12,7 +13,7 @@
 	"time"
 )
 
-// End is one end of what is carried: a router by its number, a cache server by its name, or a router's list service.
+// End is one end of a relay: a router by its number, a cache server by its name, or a router's list service.
 type End struct {
 	Kind Kind
 	N    int    // of a router, and of the router whose list service it is
@@ -20,23 +21,25 @@
 	Zone string // of a cache server
 }
 
-// Kind is what stands at an end.
+// Kind is the kind of process at an end.
 type Kind uint8
 
-// The kinds.
+// The kinds of ends.
 const (
 	Router Kind = iota
 	Server
 	List
 )
 
-// Effect is what happens to what goes from one end to another. Effects of several rules add up.
+// Effect is what happens to traffic from one end to another. When several rules match, a cut by any of them applies,
+// their delays and spreads are added, their fractions of datagrams not lost are multiplied, and the highest fraction of
+// duplicates applies.
 type Effect struct {
 	Cut    bool
 	Delay  float64 // seconds
-	Spread float64 // seconds by which each delay is longer, drawn evenly: words overtake each other, connections keep their order
-	Lose   float64 // part of the words that is lost
-	Double float64 // part of the words that comes twice, the second one up to half a second later
+	Spread float64 // seconds, bound of a random extra delay: datagrams overtake each other, connections keep their order
+	Lose   float64 // fraction of datagrams that is lost
+	Double float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
 }
 
 // Rule is a fault between ends, while it is in force.
@@ -45,28 +48,28 @@
 	Effect Effect
 }
 
-// Sending is what a router wrote to an end that was cut off.
+// Sending records that a router sent data to an end that was cut off.
 type Sending struct {
 	At     float64 // Unix seconds
 	Router int
 	To     End
 }
 
-// Net is all relays of a run.
+// Net holds all relays of a run.
 type Net struct {
-	mu     sync.Mutex
-	now    func() float64
-	chance *rand.Rand
-	rules  []*Rule
-	words  []*wordsRelay
-	conns  []*connRelay
-	sent   []Sending
-	last   []Word
-	closed bool
-	wg     sync.WaitGroup
-}
-
-// Word is a message that went between two routers.
+	mu        sync.Mutex
+	now       func() float64
+	random    *rand.Rand
+	rules     []*Rule
+	datagrams []*datagramRelay
+	conns     []*connRelay
+	blocked   []Sending
+	recent    []Word
+	closed    bool
+	wg        sync.WaitGroup
+}
+
+// Word records a datagram from one router to another.
 type Word struct {
 	At       float64
 	From, To int
@@ -75,119 +78,119 @@
 }
 
 const (
-	mostSent  = 200_000 // notes kept: far more than a run of minutes makes
-	lastWords = 4000    // the newest: what a failure's report shows
+	maxBlockedSends = 200_000 // records kept: far more than a run of minutes produces
+	recentDatagrams = 4000    // newest records kept, for the report of a failure
 )
 
-// New makes an empty one; now gives Unix seconds.
+// New returns a Net without relays; now returns Unix seconds, and seed determines all random draws.
 func New(now func() float64, seed uint64) *Net {
-	return &Net{now: now, chance: rand.New(rand.NewPCG(seed, 99))}
+	return &Net{now: now, random: rand.New(rand.NewPCG(seed, 99))}
 }
 
-// Begin puts a rule in force; heal ends it.
-func (n *Net) Begin(r Rule) (heal func() error, err error) {
+// Begin puts a rule in force. Calling heal ends it; further calls do nothing.
+func (network *Net) Begin(r Rule) (heal func() error, err error) {
 	rule := &r
-	n.mu.Lock()
-	n.rules = append(n.rules, rule)
-	n.mu.Unlock()
+	network.mu.Lock()
+	network.rules = append(network.rules, rule)
+	network.mu.Unlock()
 	var once sync.Once
 	heal = func() (err error) {
 		once.Do(func() {
-			n.mu.Lock()
-			n.rules = slices.DeleteFunc(n.rules, func(x *Rule) bool { return x == rule })
-			n.mu.Unlock()
-			err = n.changed()
+			network.mu.Lock()
+			network.rules = slices.DeleteFunc(network.rules, func(other *Rule) bool { return other == rule })
+			network.mu.Unlock()
+			err = network.updateRelays()
 		})
 		return err
 	}
-	return heal, n.changed()
+	return heal, network.updateRelays()
 }
 
-// between is the effect of all rules on one direction. The net is locked.
-func (n *Net) between(from, to End) (e Effect) {
-	pass := 1.0
-	for _, r := range n.rules {
+// effectLocked returns the combined effect of all rules on one direction. The caller holds network.mu.
+func (network *Net) effectLocked(from, to End) (e Effect) {
+	passed := 1.0
+	for _, r := range network.rules {
 		if !r.Match(from, to) {
 			continue
 		}
 		e.Cut = e.Cut || r.Effect.Cut
 		e.Delay += r.Effect.Delay
 		e.Spread += r.Effect.Spread
-		pass *= 1 - r.Effect.Lose
+		passed *= 1 - r.Effect.Lose
 		e.Double = max(e.Double, r.Effect.Double)
 	}
-	e.Lose = 1 - pass
+	e.Lose = 1 - passed
 	return e
 }
 
-func (n *Net) effect(from, to End) Effect {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.between(from, to)
+func (network *Net) effect(from, to End) Effect {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return network.effectLocked(from, to)
 }
 
-// changed brings all relays of connections in line with the rules.
-func (n *Net) changed() (err error) {
-	n.mu.Lock()
-	conns := slices.Clone(n.conns)
-	n.mu.Unlock()
+// updateRelays makes all connection relays follow the rules in force.
+func (network *Net) updateRelays() (err error) {
+	network.mu.Lock()
+	conns := slices.Clone(network.conns)
+	network.mu.Unlock()
 	for _, c := range conns {
-		err = errors.Join(err, c.attend())
+		err = errors.Join(err, c.applyRules())
 	}
 	return err
 }
 
-func (n *Net) note(s Sending) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if len(n.sent) < mostSent {
-		n.sent = append(n.sent, s)
+func (network *Net) recordBlocked(s Sending) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if len(network.blocked) < maxBlockedSends {
+		network.blocked = append(network.blocked, s)
 	}
 }
 
-func (n *Net) noteWord(w Word) {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	if n.last = append(n.last, w); len(n.last) > 2*lastWords {
-		n.last = slices.Clone(n.last[lastWords:])
+func (network *Net) recordDatagram(w Word) {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	if network.recent = append(network.recent, w); len(network.recent) > 2*recentDatagrams {
+		network.recent = slices.Clone(network.recent[recentDatagrams:])
 	}
 }
 
-// Sent gives what routers wrote to ends that were cut off, in the order of time.
-func (n *Net) Sent() []Sending {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	all := slices.Clone(n.sent)
+// Sent returns the records of data that routers sent to ends that were cut off, ordered by time.
+func (network *Net) Sent() []Sending {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	all := slices.Clone(network.blocked)
 	slices.SortStableFunc(all, func(a, b Sending) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// Last gives the newest words that went between routers.
-func (n *Net) Last(most int) []Word {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return slices.Clone(n.last[max(0, len(n.last)-most):])
+// Last returns the records of the newest datagrams between routers, up to most of them.
+func (network *Net) Last(most int) []Word {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return slices.Clone(network.recent[max(0, len(network.recent)-most):])
 }
 
-func (n *Net) draw() float64 {
-	n.mu.Lock()
-	defer n.mu.Unlock()
-	return n.chance.Float64()
+func (network *Net) randomFloat() float64 {
+	network.mu.Lock()
+	defer network.mu.Unlock()
+	return network.random.Float64()
 }
 
-// Close ends all relays and waits for them.
-func (n *Net) Close() {
-	n.mu.Lock()
-	n.closed = true
-	words, conns := n.words, n.conns
-	n.mu.Unlock()
-	for _, w := range words {
-		w.close()
+// Close closes all relays and waits for their goroutines.
+func (network *Net) Close() {
+	network.mu.Lock()
+	network.closed = true
+	datagrams, conns := network.datagrams, network.conns
+	network.mu.Unlock()
+	for _, d := range datagrams {
+		d.close()
 	}
 	for _, c := range conns {
 		c.close()
 	}
-	n.wg.Wait()
+	network.wg.Wait()
 }
 
 func seconds(x float64) time.Duration { return time.Duration(x * float64(time.Second)) }
