--- a/cmd/trestle-experiment/alone.go
+++ b/cmd/trestle-experiment/fleet.go
@@ -16,11 +16,11 @@
 }
 
 func (c *fleetCommand) Run(ctx context.Context) error {
-	s, err := experiment.UsualScenario(c.Scenario)
+	scenario, err := experiment.UsualScenario(c.Scenario)
 	if err != nil {
-		return faulty(err)
+		return usageError(err)
 	}
-	return experiment.RunFleet(ctx, s, experiment.Options{Seed: c.Seed, Net: c.Net}, c.Config, os.Stdout)
+	return experiment.RunFleet(ctx, scenario, experiment.Options{Seed: c.Seed, Net: c.Net}, c.Config, os.Stdout)
 }
 
 type loadCommand struct {
@@ -33,29 +33,29 @@
 }
 
 func (c *loadCommand) Run(ctx context.Context) error {
-	s, err := experiment.UsualScenario(c.Scenario)
+	scenario, err := experiment.UsualScenario(c.Scenario)
 	if err != nil {
-		return faulty(err)
+		return usageError(err)
 	}
 	if c.Rate > 0 {
-		s.Clients.Rate = c.Rate
+		scenario.Clients.Rate = c.Rate
 	}
 	if c.Seconds > 0 {
-		s.Seconds, s.Settle = c.Seconds, min(s.Settle, c.Seconds/2)
+		scenario.Seconds, scenario.Settle = c.Seconds, min(scenario.Settle, c.Seconds/2)
 	}
-	r, err := experiment.RunLoad(ctx, s, experiment.Options{Seed: c.Seed, Progress: progress()}, c.To)
+	result, err := experiment.RunLoad(ctx, scenario, experiment.Options{Seed: c.Seed, Progress: progressWriter()}, c.To)
 	if err != nil {
 		return err
 	}
 	if c.JSON != "" {
-		if err := experiment.WriteJSON(c.JSON, r); err != nil {
+		if err := experiment.WriteJSON(c.JSON, result); err != nil {
 			return err
 		}
 	}
-	experiment.PrintLoad(os.Stdout, r)
-	if r.Void != "" {
-		fmt.Println("void:", r.Void)
-		return exit(void)
+	experiment.PrintLoad(os.Stdout, result)
+	if result.Void != "" {
+		fmt.Println("void:", result.Void)
+		return exitStatus(exitVoid)
 	}
 	return nil
 }
--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -1,5 +1,5 @@
-// Command trestle-experiment plays a fleet, clients and faults round real routers on loopback, judges what happened, and sets
-// builds and policies side by side.
+// Command trestle-experiment runs real routers on loopback with an emulated fleet, clients and faults, checks the
+// results against rules, and compares builds and policies.
 package main
 
 import (
@@ -26,86 +26,86 @@
 
 // The exit statuses.
 const (
-	kept        = 0
-	broken      = 1
-	misused     = 2 // the arguments or a file cannot be used; nothing was started
-	void        = 3 // the lab itself was late: the run says nothing
-	unplayed    = 4 // a router never became ready, or a port was taken
-	interrupted = 5 // ended halfway: what is printed is a part
+	exitRulesKept   = 0
+	exitRuleBroken  = 1
+	exitUsage       = 2 // an argument or a file cannot be used; nothing was started
+	exitVoid        = 3 // the laboratory itself was late: the run is no evidence
+	exitCannotRun   = 4 // a router never became ready, or a port was in use
+	exitInterrupted = 5 // ended early: the printed results are partial
 )
 
 type arguments struct {
-	Run     runCommand     `cmd:"" help:"Play a scenario: stand-ins, real routers, clients, faults; judge it and print its figures."`
-	Compare compareCommand `cmd:"" help:"Play a scenario with two routers, turn about, and print paired differences with their noise."`
-	Fleet   fleetCommand   `cmd:"" help:"Run the stand-ins alone, to try a router by hand."`
-	Load    loadCommand    `cmd:"" help:"Run a scenario's clients against any addresses."`
-	Faults  faultsCommand  `cmd:"" help:"Name the faults that a scenario may have."`
-	Values  valuesCommand  `cmd:"" help:"Measure what long values cost a router: processor time and memory, as lines with names."`
-	Scale   scaleCommand   `cmd:"" help:"Measure what a router costs for one more server, peer, word, request or change, and print each by its name."`
-	Hollow  hollowCommand  `cmd:"" hidden:"" help:"Be hollow routers, as trestle-experiment scale starts them."`
-	Router  routerCommand  `cmd:"" hidden:"" help:"Be a router with a baseline policy, as the lab starts it."`
+	Run     runCommand              `cmd:"" help:"Play a scenario: stand-ins, real routers, clients, faults; judge it and print its figures."`
+	Compare compareCommand          `cmd:"" help:"Play a scenario with two routers, turn about, and print paired differences with their noise."`
+	Fleet   fleetCommand            `cmd:"" help:"Run the stand-ins alone, to try a router by hand."`
+	Load    loadCommand             `cmd:"" help:"Run a scenario's clients against any addresses."`
+	Faults  faultsCommand           `cmd:"" help:"Name the faults that a scenario may have."`
+	Values  valuesCommand           `cmd:"" help:"Measure what long values cost a router: processor time and memory, as lines with names."`
+	Scale   scaleCommand            `cmd:"" help:"Measure what a router costs for one more server, peer, word, request or change, and print each by its name."`
+	Hollow  simulatedRoutersCommand `cmd:"" hidden:"" help:"Be hollow routers, as trestle-experiment scale starts them."`
+	Router  routerCommand           `cmd:"" hidden:"" help:"Be a router with a baseline policy, as the lab starts it."`
 }
 
 func main() {
 	var args arguments
 	parser := kong.Must(&args, kong.Name("trestle-experiment"), kong.UsageOnError(),
-		kong.Description("A laboratory for routers: everything runs on loopback addresses of this machine.\n\n"+
-			"Exit status: 0 rules kept, 1 a rule broken, 2 arguments or file faulty, 3 void (the lab was late), 4 not playable, 5 interrupted."))
+		kong.Description("A laboratory for routers. Everything runs on loopback addresses of this machine.\n\n"+
+			"Exit status: 0 rules kept, 1 a rule broken, 2 bad arguments or file, 3 void (laboratory late), 4 cannot run, 5 interrupted."))
 	command, err := parser.Parse(os.Args[1:])
 	if err != nil {
 		fmt.Fprintln(os.Stderr, "trestle-experiment:", err)
-		os.Exit(misused)
+		os.Exit(exitUsage)
 	}
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
 	defer stop()
 	command.BindTo(ctx, (*context.Context)(nil))
 	err = command.Run()
-	var status exit
+	var status exitStatus
 	switch {
 	case errors.As(err, &status):
 		os.Exit(int(status))
 	case errors.Is(err, context.Canceled):
 		fmt.Fprintln(os.Stderr, "trestle-experiment: interrupted")
-		os.Exit(interrupted)
+		os.Exit(exitInterrupted)
 	case err != nil:
 		fmt.Fprintln(os.Stderr, "trestle-experiment:", err)
-		os.Exit(unplayed)
+		os.Exit(exitCannotRun)
 	}
 }
 
-// exit ends the program with a status, after all has been said.
-type exit int
+// exitStatus is an error that ends the program with this status; its cause has been printed before.
+type exitStatus int
 
-func (e exit) Error() string { return fmt.Sprint("exit status ", int(e)) }
+func (e exitStatus) Error() string { return fmt.Sprint("exit status ", int(e)) }
 
-// faulty tells of a file or an argument that cannot be used.
-func faulty(err error) error {
+// usageError prints why a file or an argument cannot be used, and returns the exit status for it.
+func usageError(err error) error {
 	fmt.Fprintln(os.Stderr, err)
-	return exit(misused)
+	return exitStatus(exitUsage)
 }
 
-// place is where a run happens.
-type place struct {
+// runSettings are the flags for the network and the folder of a run.
+type runSettings struct {
 	Net  int    `help:"Second number of the loopback addresses, 127.NET.x.y; 0 looks for a free one." default:"0"`
 	Keep string `help:"Folder for configurations and logs, kept; else a temporary one, kept only if a rule breaks." type:"path"`
 }
 
-// prepare gives options and what cleans up.
-func (p place) prepare() (experiment.Options, func(keep bool), error) {
-	o, clean := experiment.Options{Net: p.Net, Dir: p.Keep}, func(bool) {}
-	if o.Net == 0 {
-		n, _, err := experiment.Reserve(os.Getpid()) // held until the program ends
+// prepare returns the options of a run and a function that cleans up after it; with keep the folder stays.
+func (p runSettings) prepare() (experiment.Options, func(keep bool), error) {
+	options, cleanUp := experiment.Options{Net: p.Net, Dir: p.Keep}, func(bool) {}
+	if options.Net == 0 {
+		network, _, err := experiment.Reserve(os.Getpid()) // reserved until the program ends
 		if err != nil {
-			return o, clean, err
+			return options, cleanUp, err
 		}
-		o.Net = n
+		options.Net = network
 	}
 	if p.Keep != "" {
-		return o, clean, os.MkdirAll(p.Keep, 0o755)
+		return options, cleanUp, os.MkdirAll(p.Keep, 0o755)
 	}
 	dir, err := experiment.TempDir()
-	o.Dir = dir
-	return o, func(keep bool) {
+	options.Dir = dir
+	return options, func(keep bool) {
 		if !keep {
 			os.RemoveAll(dir)
 		}
@@ -119,52 +119,52 @@
 	Repeat   int    `help:"Runs, with seeds one after another." default:"1"`
 	JSON     string `help:"File for all figures." type:"path" name:"json"`
 	Plot     string `help:"PNG file for a picture of the last run: benefit, zones and origin over time." type:"path"`
-	place
+	runSettings
 }
 
 func (c *runCommand) Run(ctx context.Context) error {
-	s, err := experiment.ReadScenario(c.Scenario)
+	scenario, err := experiment.ReadScenario(c.Scenario)
 	if err != nil {
-		return faulty(err)
+		return usageError(err)
 	}
-	o, clean, err := c.prepare()
+	options, cleanUp, err := c.prepare()
 	if err != nil {
 		return err
 	}
-	logs := ""
-	defer func() { clean(logs != "") }()
-	program, err := experiment.Resolve(ctx, c.Router, o.Dir)
+	logDir := ""
+	defer func() { cleanUp(logDir != "") }()
+	program, err := experiment.Resolve(ctx, c.Router, options.Dir)
 	if err != nil {
-		return faulty(err)
+		return usageError(err)
 	}
-	o.Router, o.Progress = program, progress()
+	options.Router, options.Progress = program, progressWriter()
 	var results, control []experiment.Result
 	for i := range max(1, c.Repeat) {
-		o.Seed = c.Seed + uint64(i)
-		played := []*experiment.Scenario{s}
-		if s.WithControl() {
-			played = append(played, s.Without())
+		options.Seed = c.Seed + uint64(i)
+		variants := []*experiment.Scenario{scenario}
+		if scenario.WithControl() {
+			variants = append(variants, scenario.Without())
 		}
-		for n, s := range played {
-			rec, err := experiment.Play(ctx, s, o)
+		for variant, scenario := range variants {
+			records, err := experiment.Play(ctx, scenario, options)
 			if err != nil {
 				return err
 			}
-			r := experiment.NewResult(s, o, rec)
-			if c.Plot != "" && n == 0 {
-				if err = chart.Draw(c.Plot, s, rec); err != nil {
+			result := experiment.NewResult(scenario, options, records)
+			if c.Plot != "" && variant == 0 {
+				if err = chart.Draw(c.Plot, scenario, records); err != nil {
 					return err
 				}
 			}
-			if r.Verdict == experiment.RulesBroken {
-				logs = o.Dir
+			if result.Verdict == experiment.RulesBroken {
+				logDir = options.Dir
 			}
-			if n == 0 {
-				results = append(results, r)
+			if variant == 0 {
+				results = append(results, result)
 			} else {
-				control = append(control, r)
+				control = append(control, result)
 			}
-			if rec.Interrupted {
+			if records.Interrupted {
 				break
 			}
 		}
@@ -177,19 +177,20 @@
 			return err
 		}
 	}
-	experiment.Print(os.Stdout, s, results, logs)
+	experiment.Print(os.Stdout, scenario, results, logDir)
 	experiment.PrintTenants(os.Stdout, results, control)
-	if status := statuses[experiment.Overall(append(results, control...))]; status != kept {
-		return exit(status)
+	if status := verdictStatuses[experiment.Overall(append(results, control...))]; status != exitRulesKept {
+		return exitStatus(status)
 	}
 	return nil
 }
 
-var statuses = map[string]int{experiment.RulesKept: kept, experiment.RulesBroken: broken, experiment.RunVoid: void, experiment.Interrupted: interrupted}
+var verdictStatuses = map[string]int{experiment.RulesKept: exitRulesKept, experiment.RulesBroken: exitRuleBroken,
+	experiment.RunVoid: exitVoid, experiment.Interrupted: exitInterrupted}
 
-// progress gives where a progress line goes: standard error, if a person watches.
-func progress() io.Writer {
-	if at, err := os.Stderr.Stat(); err == nil && at.Mode()&os.ModeCharDevice != 0 {
+// progressWriter returns standard error if it is a terminal, and nil otherwise: progress is for interactive use.
+func progressWriter() io.Writer {
+	if info, err := os.Stderr.Stat(); err == nil && info.Mode()&os.ModeCharDevice != 0 {
 		return os.Stderr
 	}
 	return nil
@@ -203,48 +204,48 @@
 	Lanes    int      `help:"Seeds that are played at once: a lane wants a core." default:"1"`
 	Seed     uint64   `help:"The first pair's." default:"1"`
 	JSON     string   `help:"File for all figures." type:"path" name:"json"`
-	place
+	runSettings
 }
 
 func (c *compareCommand) Run(ctx context.Context) error {
-	var all []*experiment.Scenario
+	var scenarios []*experiment.Scenario
 	for _, path := range c.Scenario {
-		s, err := experiment.ReadScenario(path)
+		scenario, err := experiment.ReadScenario(path)
 		if err != nil {
-			return faulty(err)
+			return usageError(err)
 		}
-		all = append(all, s)
+		scenarios = append(scenarios, scenario)
 	}
-	o, clean, err := c.prepare()
+	options, cleanUp, err := c.prepare()
 	if err != nil {
 		return err
 	}
-	defer clean(false)
+	defer cleanUp(false)
 	var programs []experiment.Program
 	for _, name := range append([]string{c.A}, c.B...) {
-		program, err := experiment.Resolve(ctx, name, o.Dir)
+		program, err := experiment.Resolve(ctx, name, options.Dir)
 		if err != nil {
-			return faulty(err)
+			return usageError(err)
 		}
 		programs = append(programs, program)
 	}
-	var done []experiment.Comparison
-	for _, s := range all {
-		o.Progress, o.Seed = progress(), c.Seed
+	var all []experiment.Comparison
+	for _, scenario := range scenarios {
+		options.Progress, options.Seed = progressWriter(), c.Seed
 		if c.Lanes > 1 {
-			o.Progress = nil
+			options.Progress = nil
 		}
-		these, err := experiment.Compare(ctx, s, programs, o, c.Seeds, c.Lanes, os.Stderr)
+		comparisons, err := experiment.Compare(ctx, scenario, programs, options, c.Seeds, c.Lanes, os.Stderr)
 		if err != nil {
 			return err
 		}
-		for _, one := range these {
-			experiment.PrintComparison(os.Stdout, one)
+		for _, comparison := range comparisons {
+			experiment.PrintComparison(os.Stdout, comparison)
 		}
-		done = append(done, these...)
+		all = append(all, comparisons...)
 	}
 	if c.JSON != "" {
-		return experiment.WriteJSON(c.JSON, done)
+		return experiment.WriteJSON(c.JSON, all)
 	}
 	return nil
 }
@@ -257,25 +258,25 @@
 	AtOnce    int    `help:"Clients that ask one value after another." default:"8"`
 	Runs      int    `help:"Of the whole." default:"3"`
 	JSON      string `help:"File for all lines and points." type:"path" name:"json"`
-	place
+	runSettings
 }
 
 func (c *valuesCommand) Run(ctx context.Context) error {
-	v := scale.ValueOptions{Sizes: c.Sizes, Transfers: c.Transfers, Bytes: c.Bytes, AtOnce: c.AtOnce, Runs: c.Runs, Progress: os.Stderr,
-		Settle: scale.UsualValues().Settle}
-	if err := v.Check(); err != nil {
-		return faulty(err)
+	options := scale.ValueOptions{Sizes: c.Sizes, Transfers: c.Transfers, Bytes: c.Bytes, AtOnce: c.AtOnce, Runs: c.Runs,
+		Progress: os.Stderr, Settle: scale.UsualValues().Settle}
+	if err := options.Check(); err != nil {
+		return usageError(err)
 	}
-	o, clean, err := c.prepare()
+	environment, cleanUp, err := c.prepare()
 	if err != nil {
 		return err
 	}
-	defer clean(false)
-	if v.Router, err = experiment.Resolve(ctx, c.Router, o.Dir); err != nil {
-		return faulty(err)
+	defer cleanUp(false)
+	if options.Router, err = experiment.Resolve(ctx, c.Router, environment.Dir); err != nil {
+		return usageError(err)
 	}
-	v.Net, v.Dir = o.Net, o.Dir
-	lines, err := scale.Values(ctx, v)
+	options.Net, options.Dir = environment.Net, environment.Dir
+	lines, err := scale.Values(ctx, options)
 	if err != nil {
 		return err
 	}
@@ -289,8 +290,8 @@
 type faultsCommand struct{}
 
 func (faultsCommand) Run() error {
-	for _, k := range experiment.Kinds() {
-		fmt.Println(experiment.Describe(k))
+	for _, kind := range experiment.Kinds() {
+		fmt.Println(experiment.Describe(kind))
 	}
 	return nil
 }
@@ -300,24 +301,24 @@
 	Flat   float64 `help:"What every operation counts of its team's budget, whatever it takes: a plain rate."`
 }
 
-// Run is the product's own router but for its decisions.
+// Run runs the product's router, with the balancer replaced by a baseline policy unless the policy is "logic".
 func (c *routerCommand) Run() error {
 	module := requestcore.NewBalancer(requestcore.DefaultBalancer)
 	if c.Policy != "logic" {
 		var err error
 		if module, err = baseline.Maker(c.Policy); err != nil {
-			return faulty(err)
+			return usageError(err)
 		}
 	}
 	signals := service.Signals()
 	read := func() (service.Setup, error) {
-		theirs, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
-		conf, other := config.Read(os.Getenv)
-		return service.Setup{Platform: conf, Operators: theirs, FlatCost: c.Flat}, errors.Join(err, other)
+		operators, err := operatorconfig.Read(os.Getenv("GW_OPERATORS"))
+		platform, platformErr := config.Read(os.Getenv)
+		return service.Setup{Platform: platform, Operators: operators, FlatCost: c.Flat}, errors.Join(err, platformErr)
 	}
-	set, err := read()
+	setup, err := read()
 	if err != nil {
-		return faulty(err)
+		return usageError(err)
 	}
-	return service.Run(set, signals, module, read, zerolog.New(os.Stderr).With().Timestamp().Logger())
+	return service.Run(setup, signals, module, read, zerolog.New(os.Stderr).With().Timestamp().Logger())
 }
--- a/cmd/trestle-experiment/scale.go
+++ b/cmd/trestle-experiment/scale.go
@@ -29,7 +29,7 @@
 	Against string    `help:"An earlier report, to be compared with." type:"existingfile"`
 	Join    []string  `help:"Reports that have names which are not measured here." type:"existingfile"`
 	Quiet   bool      `help:"No lines of progress."`
-	place
+	runSettings
 }
 
 func (c *scaleCommand) plan() scale.Plan {
@@ -56,38 +56,38 @@
 	return p
 }
 
-// Run measures, prints the table and keeps the report.
+// Run measures, prints the table and, with --json, writes the report.
 func (c *scaleCommand) Run(ctx context.Context) error {
 	plan := c.plan()
 	if faults := plan.Check(); len(faults) > 0 {
 		for _, fault := range faults {
 			fmt.Fprintln(os.Stderr, "trestle-experiment scale:", fault)
 		}
-		return exit(misused)
+		return exitStatus(exitUsage)
 	}
-	var before *scale.Report
-	var join []*scale.Report
+	var previous *scale.Report
+	var joined []*scale.Report
 	if c.Against != "" {
 		var err error
-		if before, err = scale.Read(c.Against); err != nil {
-			return faulty(fmt.Errorf("--against: %w", err))
+		if previous, err = scale.Read(c.Against); err != nil {
+			return usageError(fmt.Errorf("--against: %w", err))
 		}
 	}
 	for _, path := range c.Join {
-		r, err := scale.Read(path)
+		report, err := scale.Read(path)
 		if err != nil {
-			return faulty(fmt.Errorf("--join: %w", err))
+			return usageError(fmt.Errorf("--join: %w", err))
 		}
-		join = append(join, r)
+		joined = append(joined, report)
 	}
-	o, clean, err := c.prepare()
+	options, cleanUp, err := c.prepare()
 	if err != nil {
 		return err
 	}
-	defer clean(false)
-	program, err := experiment.Resolve(ctx, c.Router, o.Dir)
+	defer cleanUp(false)
+	program, err := experiment.Resolve(ctx, c.Router, options.Dir)
 	if err != nil {
-		return faulty(fmt.Errorf("--router: %w", err))
+		return usageError(fmt.Errorf("--router: %w", err))
 	}
 	self, err := os.Executable()
 	if err != nil {
@@ -97,41 +97,41 @@
 	if c.Quiet {
 		progress = nil
 	}
-	r, err := scale.Run(ctx, scale.Options{Plan: plan, Router: program, Self: []string{self, "hollow"}, Net: o.Net, Dir: o.Dir,
-		Command: command(os.Args[1:]), Join: join, Progress: progress})
+	report, err := scale.Run(ctx, scale.Options{Plan: plan, Router: program, Self: []string{self, "hollow"},
+		Net: options.Net, Dir: options.Dir, Command: reportCommand(os.Args[1:]), Join: joined, Progress: progress})
 	if err != nil {
 		return err
 	}
-	r.Print(os.Stdout)
-	if before != nil {
-		if err = r.Against(os.Stdout, before); err != nil {
-			return faulty(fmt.Errorf("--against %s: %w", c.Against, err))
+	report.Print(os.Stdout)
+	if previous != nil {
+		if err = report.Against(os.Stdout, previous); err != nil {
+			return usageError(fmt.Errorf("--against %s: %w", c.Against, err))
 		}
 	}
 	if c.JSON != "" {
-		return r.Write(c.JSON)
+		return report.Write(c.JSON)
 	}
 	return nil
 }
 
-// command is how a report says that it was made: without the folders of the machine.
-func command(args []string) string {
-	said := []string{"trestle-experiment"}
+// reportCommand returns the command line that a report records, without the folders of the machine.
+func reportCommand(args []string) string {
+	words := []string{"trestle-experiment"}
 	for _, arg := range args {
-		flag, value, both := strings.Cut(arg, "=")
-		if both && filepath.IsAbs(value) {
+		flag, value, hasValue := strings.Cut(arg, "=")
+		if hasValue && filepath.IsAbs(value) {
 			arg = flag + "=" + filepath.Base(value)
 		} else if filepath.IsAbs(arg) {
 			arg = filepath.Base(arg)
 		}
-		said = append(said, arg)
+		words = append(words, arg)
 	}
-	return strings.Join(said, " ")
+	return strings.Join(words, " ")
 }
 
-type hollowCommand struct{}
+type simulatedRoutersCommand struct{}
 
-// Run is a process of hollow routers, as trestle-experiment scale starts it.
-func (hollowCommand) Run() error {
+// Run serves simulated routers in this process, as trestle-experiment scale starts it.
+func (simulatedRoutersCommand) Run() error {
 	return simrouter.Serve(os.Stdin, os.Stdout, zerolog.New(os.Stderr).With().Timestamp().Logger())
 }
