--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -13,9 +13,9 @@
 	"golang.org/x/sys/unix"
 )
 
-// connRelay listens at addr and relays the connections from one router to its target, one cache server or the router's
-// list service, which listens at real. While a rule cuts the two off, no new connection is established, and data on
-// established connections is held until the rule ends, as on a network that loses all packets.
+// connRelay listens at addr and relays the connections from one router to its target, one cache server or the
+// router's list service, which listens at real. While a rule cuts the two off, no new connection is established, and
+// data on established connections is held until the rule ends, as on a network that loses all packets.
 type connRelay struct {
 	network           *Net
 	router, to        End
@@ -46,8 +46,8 @@
 	return c.applyRules()
 }
 
-// applyRules makes the relay listen, refuse connections or be silent, according to the rules in force and the state of
-// the target.
+// applyRules makes the relay listen, refuse connections or be silent, according to the rules in force and the state
+// of the target.
 func (c *connRelay) applyRules() (err error) {
 	c.network.mu.Lock()
 	forward, backward, closed := c.network.effectLocked(c.router, c.to), c.network.effectLocked(c.to, c.router),
@@ -173,9 +173,9 @@
 	}()
 }
 
-// serve relays one connection. The relay has to accept it before it can find out whether the target does. If the target
-// refuses, the router's connection is reset; if the dial times out, the connection stays open without an answer. Later
-// connections are refused or time out as they would at the target.
+// serve relays one connection. The relay has to accept it before it can find out whether the target does. If the
+// target refuses, the router's connection is reset; if the dial times out, the connection stays open without an
+// answer. Later connections are refused or time out as they would at the target.
 func (c *connRelay) serve(client net.Conn) {
 	defer c.network.wg.Done()
 	real, err := net.DialTimeout("tcp4", c.real, dialTimeout)
@@ -275,8 +275,8 @@
 
 const maxHeldBytes = 1 << 20 // per connection and direction, as a kernel would buffer no more
 
-// hold buffers what arrives on from while the direction is cut off, and returns it when the cut ends. It records that a
-// router sent data meanwhile.
+// hold buffers what arrives on from while the direction is cut off, and returns it when the cut ends. It records that
+// a router sent data meanwhile.
 func (rc *relayed) hold(from net.Conn, data []byte, err error, effect func() Effect, fromRouter bool) ([]byte, error) {
 	c, held, received := rc.relay, slices.Clone(data), len(data) > 0
 	chunk := make([]byte, 4096)
--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// datagramRelay receives the datagrams that one router sends to another and forwards them to the receiver. It sends them
-// from the socket of the reverse relay, whose address is the one that the receiver has for the sender.
+// datagramRelay receives the datagrams that one router sends to another and forwards them to the receiver. It sends
+// them from the socket of the reverse relay, whose address is the one that the receiver has for the sender.
 type datagramRelay struct {
 	network  *Net
 	to, from int // numbers of the receiving and the sending router
@@ -17,8 +17,8 @@
 	real     netip.AddrPort
 }
 
-// Words starts relays between all pairs of routers. address returns the address at which router from reaches router to;
-// real returns the address on which a router listens.
+// Words starts relays between all pairs of routers. address returns the address at which router from reaches router
+// to; real returns the address on which a router listens.
 func (network *Net) Words(routers int, address func(to, from int) string, real func(router int) string) error {
 	all := map[[2]int]*datagramRelay{}
 	for to := range routers {
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -1,7 +1,7 @@
 // Package faultproxy injects network faults between processes of the laboratory. Datagrams between routers, and
 // connections from routers to cache servers and to the list service, go through its relays. Relays block and delay
-// traffic, and lose, duplicate and reorder datagrams, in either direction separately, until the fault ends. A relay records
-// when a router sends data over a blocked connection.
+// traffic, and lose, duplicate and reorder datagrams, in either direction separately, until the fault ends. A relay
+// records when a router sends data over a blocked connection.
 package faultproxy
 
 import (
@@ -32,8 +32,8 @@
 )
 
 // Effect is what happens to traffic from one end to another. When several rules match, a cut by any of them applies,
-// their delays and spreads are added, their fractions of datagrams not lost are multiplied, and the highest fraction of
-// duplicates applies.
+// their delays and spreads are added, their fractions of datagrams not lost are multiplied, and the highest fraction
+// of duplicates applies.
 type Effect struct {
 	Cut    bool
 	Delay  float64 // seconds
--- a/internal/experiment/multiprocess/doc.go
+++ b/internal/experiment/multiprocess/doc.go
@@ -1,3 +1,4 @@
-// Package multiprocess holds the tests of many processes of the program that fail together: each starts real routers with stand-ins and
-// clients, brings faults between them, and has its verdict from the stand-ins', the clients' and the relays' records.
+// Package multiprocess contains tests of failures that hit many router processes together. Each test starts real
+// routers with emulated cache servers and clients, injects faults between them, and checks the records of the
+// emulated servers, the clients and the relays.
 package multiprocess
--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -14,18 +14,18 @@
 	"bendtrestle/internal/experiment"
 )
 
-var program experiment.Program
+var builtRouter experiment.Program
 
-// TestMain builds the program once. Its processes end with the test's, however that ends.
+// TestMain builds the router once for all tests. The router processes end with the test process, however it ends.
 func TestMain(m *testing.M) {
 	ctx, stop := signal.NotifyContext(context.Background(), os.Interrupt, syscall.SIGTERM)
-	built, dir, err := experiment.Build(ctx)
+	program, dir, err := experiment.Build(ctx)
 	stop()
 	if err != nil {
 		fmt.Fprintln(os.Stderr, err)
 		os.Exit(1)
 	}
-	program = built
+	builtRouter = program
 	status := m.Run()
 	os.RemoveAll(dir)
 	os.Exit(status)
@@ -33,9 +33,9 @@
 
 const seed = 7
 
-var places = make(chan struct{}, 2) // runs at once: each has a dozen processes and wants two cores
+var runSlots = make(chan struct{}, 2) // limits concurrent runs: each has a dozen processes and needs two cores
 
-const usual = `name = "together"
+const baseScenario = `name = "together"
 seconds = 1000
 [fleet]
 servers = 12
@@ -57,7 +57,7 @@
 rate = 400
 `
 
-const types = `
+const trafficTypes = `
 [[type]]
 name = "slots"
 share = 0.7
@@ -90,64 +90,67 @@
 benefit = 4
 `
 
-// fleet is a run in a test.
+// fleet is one run of the laboratory in a test.
 type fleet struct {
 	*experiment.World
-	t    *testing.T
-	mark float64 // what was due before is not looked at
+	t            *testing.T
+	ignoreBefore float64 // Unix seconds; requests due earlier are not counted
 }
 
-// start begins a run; what change makes of the usual scenario is played. When the test ends, so does the run, and the rules are judged.
+// start begins a run of the base scenario, after change if that is not nil. When the test ends, it ends the run and
+// checks the rules.
 func start(t *testing.T, change func(text string) string) *fleet {
 	t.Helper()
 	if testing.Short() {
 		t.Skip("starts many processes")
 	}
-	text := usual
+	text := baseScenario
 	if change != nil {
-		text = change(usual)
+		text = change(baseScenario)
 	}
 	t.Parallel()
-	places <- struct{}{}
-	s, err := experiment.ParseScenario("together.toml", text+types)
+	runSlots <- struct{}{}
+	scenario, err := experiment.ParseScenario("together.toml", text+trafficTypes)
 	if err != nil {
-		<-places
+		<-runSlots
 		t.Fatal(err)
 	}
 	n, release, err := experiment.Reserve(os.Getpid())
 	if err != nil {
-		<-places
+		<-runSlots
 		t.Fatal(err)
 	}
-	x, err := experiment.Open(context.Background(), s, experiment.Options{Seed: seed, Router: program, Net: n, Dir: t.TempDir()})
+	world, err := experiment.Open(context.Background(), scenario,
+		experiment.Options{Seed: seed, Router: builtRouter, Net: n, Dir: t.TempDir()})
 	if err != nil {
 		release()
-		<-places
+		<-runSlots
 		t.Fatal(err)
 	}
-	f := &fleet{World: x, t: t}
+	f := &fleet{World: world, t: t}
 	t.Cleanup(func() {
-		defer func() { <-places }()
-		words := f.Words(20)
-		rec, err := f.Close()
+		defer func() { <-runSlots }()
+		datagrams := f.Words(20)
+		records, err := f.Close()
 		release()
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		r := f.Judge(rec)
-		for i, b := range r.Breaches {
-			if r.Void == "" && i < 3 {
-				t.Errorf("%v\n    %s", b, strings.Join(b.Course, "\n    "))
+		result := f.Judge(records)
+		for i, breach := range result.Breaches {
+			if result.Void == "" && i < 3 {
+				t.Errorf("%v\n    %s", breach, strings.Join(breach.Course, "\n    "))
 			}
 		}
 		if t.Failed() {
-			t.Logf("seed %d, in %.1f s of service; lab: %s", seed, rec.To-rec.From, r.Void)
-			for _, line := range rec.Played {
+			t.Logf("seed %d, %.1f s of service, run void because: %q", seed, records.To-records.From, result.Void)
+			for _, line := range records.Played {
 				t.Log(line)
 			}
-			for _, w := range words {
-				t.Logf("word at %.3f s from %d to %d, %d bytes, lost %t", w.At-rec.From, w.From, w.To, w.Bytes, w.Lost)
+			for _, datagram := range datagrams {
+				t.Logf("datagram at %.3f s from router %d to router %d, %d bytes, lost %t",
+					datagram.At-records.From, datagram.From, datagram.To, datagram.Bytes, datagram.Lost)
 			}
 			for n := range f.Routers() {
 				for _, line := range f.Log(n, `"message":"zone"`, 8) {
@@ -159,33 +162,34 @@
 	return f
 }
 
-// until waits for a condition, and gives how long that took.
-func (f *fleet) until(what string, bound float64, holds func() bool) float64 {
+// waitFor waits for a condition, at most bound seconds, and returns how long that took.
+func (f *fleet) waitFor(what string, bound float64, condition func() bool) float64 {
 	f.t.Helper()
-	took, err := f.Until(what, bound, holds)
+	took, err := f.Until(what, bound, condition)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Logf("%6.2f s: %s, after %.2f s", f.Since(), what, took)
+	f.t.Logf("%6.2f s: %s, after waiting %.2f s", f.Since(), what, took)
 	return took
 }
 
-// during holds for a time that something is so at each look.
-func (f *fleet) during(what string, seconds float64, holds func() bool) {
+// requireDuring fails the test if the condition is false at any check, every 50 ms, within the given seconds.
+func (f *fleet) requireDuring(what string, seconds float64, condition func() bool) {
 	f.t.Helper()
 	for end := f.Now() + seconds; f.Now() < end; time.Sleep(50 * time.Millisecond) {
-		if !holds() {
-			f.t.Fatalf("%.2f s: no longer %s", f.Since(), what)
+		if !condition() {
+			f.t.Fatalf("%.2f s: condition became false: %s", f.Since(), what)
 		}
 	}
 }
 
-// cut begins a fault between processes.
-func (f *fleet) cut(kind, target, from string, part float64, what ...string) (heal func()) {
+// beginFault begins a fault between processes. amount is the delay in seconds for the kinds that end in -late, and
+// the fraction affected for the others.
+func (f *fleet) beginFault(kind, target, from string, amount float64, what ...string) (heal func()) {
 	f.t.Helper()
-	fault := experiment.Fault{Kind: kind, Target: target, From: from, What: what, Part: part}
+	fault := experiment.Fault{Kind: kind, Target: target, From: from, What: what, Part: amount}
 	if strings.HasSuffix(kind, "-late") {
-		fault.Delay, fault.Part = part, 0
+		fault.Delay, fault.Part = amount, 0
 	}
 	end, err := f.Cut(fault)
 	if err != nil {
@@ -198,60 +202,64 @@
 	}
 }
 
-// calm waits until all is served and a zone gets its part, and gives how many executions it gets in a second.
-func (f *fleet) calm(zone string) float64 {
+// steadyRate waits until 99 % of a second's requests are served in time, for more than 2 s and at most 10 s, and
+// returns a zone's executions per second.
+func (f *fleet) steadyRate(zone string) float64 {
 	f.t.Helper()
 	began := f.Now()
-	f.until("calm", 10, func() bool { return f.Now()-began > 2 && f.serves(1, 0.99) })
+	f.waitFor("calm", 10, func() bool { return f.Now()-began > 2 && f.servedInTime(1, 0.99) })
 	return float64(f.Arrived(zone, f.Now()-1.5)) / 1.5
 }
 
-// serves tells whether the operations that were due in the last seconds, and are over, were answered in the promised time but for a part.
-func (f *fleet) serves(seconds, least float64) bool {
-	to := f.Now() - 0.5 // by then an operation is in time or not
-	if to-seconds < f.mark {
+// servedInTime reports whether at least minFraction of the requests that were due within the given seconds, up to half
+// a second ago, met their latency objective.
+func (f *fleet) servedInTime(seconds, minFraction float64) bool {
+	to := f.Now() - 0.5 // by then a request has met its latency objective or missed it
+	if to-seconds < f.ignoreBefore {
 		return false
 	}
-	part, n := f.Served(to-seconds, to)
-	return n > 50 && part >= least
+	fraction, n := f.Served(to-seconds, to)
+	return n > 50 && fraction >= minFraction
 }
 
-// tries is how many writes in vain in half a second are those of the few that try a zone: three routers with two or so each.
-const tries = 8
+// maxTrialWrites bounds the blocked writes in half a second that trial attempts in an evacuated zone cause: three
+// routers with about two each.
+const maxTrialWrites = 8
 
-// left tells whether routers have left a zone: nearly nothing is written there while nothing comes through.
-func (f *fleet) left(zone string) func() bool {
-	return f.leftBy(zone, func(int) bool { return true })
+// evacuated returns a condition for a zone that is cut off: the routers have evacuated it, and write there no more than
+// trial attempts do.
+func (f *fleet) evacuated(zone string) func() bool {
+	return f.evacuatedBy(zone, func(int) bool { return true })
 }
 
-// leftBy is left for some routers.
-func (f *fleet) leftBy(zone string, who func(router int) bool) func() bool {
+// evacuatedBy is like evacuated, for the routers that include selects.
+func (f *fleet) evacuatedBy(zone string, include func(router int) bool) func() bool {
 	since := f.Now()
 	return func() bool {
-		burnt := 0
+		blocked := 0
 		for router, n := range f.Burnt(zone, f.Now()-0.5) {
-			if who(router) {
-				burnt += n
+			if include(router) {
+				blocked += n
 			}
 		}
-		return f.Now()-since > 0.6 && burnt <= tries
+		return f.Now()-since > 0.6 && blocked <= maxTrialWrites
 	}
 }
 
-// back tells whether a zone gets a part of the executions of a second that it is used to.
-func (f *fleet) back(zone string, usual, part float64) func() bool {
-	return func() bool { return float64(f.Arrived(zone, f.Now()-1)) >= part*usual }
+// recovered returns a condition: in the last second a zone had at least a fraction of its usual rate of executions.
+func (f *fleet) recovered(zone string, usualRate, fraction float64) func() bool {
+	return func() bool { return float64(f.Arrived(zone, f.Now()-1)) >= fraction*usualRate }
 }
 
-// every names routers from one number up to another.
-func every(from, to int) (all []int) {
+// routerRange returns the router numbers n with from <= n < to.
+func routerRange(from, to int) (all []int) {
 	for n := from; n < to; n++ {
 		all = append(all, n)
 	}
 	return all
 }
 
-// on does the same to all servers of a zone.
-func (f *fleet) on(zone string, begin func(s *emulator.Server) func() error) (end func()) {
+// faultZone begins a fault at all servers of a zone; end ends it.
+func (f *fleet) faultZone(zone string, begin func(s *emulator.Server) func() error) (end func()) {
 	return f.Fault(zone, begin)
 }
--- a/internal/experiment/multiprocess/recovery_test.go
+++ b/internal/experiment/multiprocess/recovery_test.go
@@ -9,19 +9,20 @@
 	"bendtrestle/internal/emulator"
 )
 
-// kept is a fleet whose routers keep what helps their next process: what they finish a second, and the list.
-func kept(t *testing.T) *fleet {
+// startWithSnapshots starts a fleet and waits until each router's snapshot contains its rate of finished requests; a
+// snapshot holds the endpoint list, too.
+func startWithSnapshots(t *testing.T) *fleet {
 	f := start(t, nil)
-	f.calm("zone-1")
-	f.until("all are in full service, and have kept their rate", 15, func() bool {
+	f.steadyRate("zone-1")
+	f.waitFor("all routers have a snapshot with their rate", 15, func() bool {
 		for n := range f.Routers() {
-			found, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
-			rated := false
-			for _, path := range found {
+			paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
+			hasRate := false
+			for _, path := range paths {
 				text, _ := os.ReadFile(path)
-				rated = rated || strings.Contains(string(text), "rate")
+				hasRate = hasRate || strings.Contains(string(text), "rate")
 			}
-			if !rated {
+			if !hasRate {
 				return false
 			}
 		}
@@ -30,45 +31,46 @@
 	return f
 }
 
-// blackout kills all routers and has all servers start anew, cold; restart begins the routers again.
-func (f *fleet) blackout() (restart func()) {
+// killAll kills all routers and restarts all servers cold; restart starts the routers again.
+func (f *fleet) killAll() (restart func()) {
 	f.t.Helper()
-	f.Kill(every(0, f.Routers())...)
+	f.Kill(routerRange(0, f.Routers())...)
 	var ends []func()
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2", "zone-3"} {
-		ends = append(ends, f.on(zone, func(s *emulator.Server) func() error { return s.Crash() }))
+		ends = append(ends, f.faultZone(zone, func(s *emulator.Server) func() error { return s.Crash() }))
 	}
 	for _, end := range ends {
 		end()
 	}
-	f.during("the list service learns of it", 0.5, func() bool { return true })
+	f.requireDuring("the list service notices the restarts", 0.5, func() bool { return true })
 	return func() {
-		f.mark = f.Now()
-		if err := f.Start(every(0, f.Routers())...); err != nil {
+		f.ignoreBefore = f.Now()
+		if err := f.Start(routerRange(0, f.Routers())...); err != nil {
 			f.t.Fatal(err)
 		}
 	}
 }
 
-// All routers are killed in one second, and all servers are cold: what the routers finished before tells what servers bear, so that they
-// are used at once and not only when they are warm. No cold server and no origin is pushed over, which the verdict tells.
-func TestAllKilledAndAllCold(t *testing.T) {
-	f := kept(t)
-	f.blackout()()
+// All routers are killed within one second, and all servers restart cold. The snapshots contain the rate of requests
+// finished before, from which the routers estimate what the servers can take, so the servers are used immediately,
+// not only when they are warm. The rules check that no cold server and no origin is overloaded.
+func TestFleetRestartWithColdServers(t *testing.T) {
+	f := startWithSnapshots(t)
+	f.killAll()()
 	began := f.Now()
-	f.until("a fifth is served, a second after", 2, func() bool {
-		part, n := f.Served(f.mark+0.5, f.mark+1)
-		return f.Now() > f.mark+1.5 && n > 50 && part > 0.2
+	f.waitFor("a fifth of the requests is served within a second", 2, func() bool {
+		fraction, n := f.Served(f.ignoreBefore+0.5, f.ignoreBefore+1)
+		return f.Now() > f.ignoreBefore+1.5 && n > 50 && fraction > 0.2
 	})
-	f.until("all is served", 9, func() bool { return f.serves(1, 0.97) })
-	t.Logf("full service %.1f s after the last start; servers are warm after 3 s", f.Now()-began)
-	f.until("each router says so", 3, func() bool {
+	f.waitFor("all requests are served in time", 9, func() bool { return f.servedInTime(1, 0.97) })
+	t.Logf("full service %.1f s after the last router started; servers are warm after 3 s", f.Now()-began)
+	f.waitFor("each router reports full service", 3, func() bool {
 		for n := range f.Routers() {
-			var st struct {
+			var status struct {
 				Phase string  `json:"phase"`
 				Full  float64 `json:"full_service_seconds"`
 			}
-			if _, err := f.Ask(n, "/status", "", &st); err != nil || st.Phase != "full" || st.Full <= 0 {
+			if _, err := f.Ask(n, "/status", "", &status); err != nil || status.Phase != "full" || status.Full <= 0 {
 				return false
 			}
 		}
@@ -76,72 +78,75 @@
 	})
 }
 
-// The same with every store lost, damaged, or another router's: all start and serve, later.
-func TestAllKilledAndStoresLost(t *testing.T) {
-	f := kept(t)
-	restart := f.blackout()
+// All routers restart, and each snapshot is lost, damaged, or from another router. All routers must start without it
+// and serve, later than with it.
+func TestFleetRestartWithoutUsableSnapshots(t *testing.T) {
+	f := startWithSnapshots(t)
+	restart := f.killAll()
 	for n := range f.Routers() {
-		found, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
-		for i, path := range found {
+		paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
+		for i, path := range paths {
 			text, _ := os.ReadFile(path)
 			switch {
 			case n%3 == 0:
 				os.Remove(path)
 			case n%3 == 1:
 				os.WriteFile(path, append(text[:len(text)/2], 0xff), 0o600)
-			default: // that of the router beside
-				theirs, _ := filepath.Glob(filepath.Join(f.Folder((n+3)%f.Routers()), "*.store-*"))
-				if other, err := os.ReadFile(theirs[i%len(theirs)]); err == nil {
+			default: // the snapshot of another router
+				otherPaths, _ := filepath.Glob(filepath.Join(f.Folder((n+3)%f.Routers()), "*.store-*"))
+				if other, err := os.ReadFile(otherPaths[i%len(otherPaths)]); err == nil {
 					os.WriteFile(path, other, 0o600)
 				}
 			}
 		}
 	}
 	restart()
-	f.until("all is served", 15, func() bool { return f.serves(1, 0.97) })
+	f.waitFor("all requests are served in time", 15, func() bool { return f.servedInTime(1, 0.97) })
 	for n := range f.Routers() {
-		if told := f.Log(n, "cannot be used and is put aside", 3); n%3 != 0 && len(told) == 0 {
-			t.Errorf("router %d says nothing of its store", n)
+		if lines := f.Log(n, "cannot be used and is put aside", 3); n%3 != 0 && len(lines) == 0 {
+			t.Errorf("router %d: got no log line on its unusable snapshot, want one", n)
 		}
 	}
 }
 
-// Most routers are killed, three times while they come back; each time all is served again, and the routers that live serve on.
-func TestMostKilledAgainAndAgain(t *testing.T) {
-	f := kept(t)
+// Most routers are killed three times, each time while they still start up. The others must keep serving, and all
+// requests must be served in time afterwards.
+func TestRepeatedKillsOfMostRouters(t *testing.T) {
+	f := startWithSnapshots(t)
 	for range 3 {
-		f.Kill(every(0, 8)...)
-		if err := f.Start(every(0, 8)...); err != nil {
+		f.Kill(routerRange(0, 8)...)
+		if err := f.Start(routerRange(0, 8)...); err != nil {
 			t.Fatal(err)
 		}
-		f.mark = f.Now()
-		f.during("some of them may serve", 0.3, func() bool { return true })
+		f.ignoreBefore = f.Now()
+		f.requireDuring("some restarted routers may serve", 0.3, func() bool { return true })
 	}
-	f.until("all is served", 6, func() bool { return f.serves(1, 0.97) })
+	f.waitFor("all requests are served in time", 6, func() bool { return f.servedInTime(1, 0.97) })
 }
 
-// The list service is silent for the whole restart, and the platform gives no list: the one that was kept serves.
+// The list service is silent during a restart of all routers, and the platform provides no endpoint list: the routers
+// must serve with the list in their snapshots.
 func TestListServiceSilentAtRestart(t *testing.T) {
 	f := start(t, func(text string) string { return strings.Replace(text, "[list]", "[list]\nforgets = true", 1) })
-	f.calm("zone-1")
-	f.until("the list is kept", 10, func() bool {
+	f.steadyRate("zone-1")
+	f.waitFor("all routers have a snapshot", 10, func() bool {
 		for n := range f.Routers() {
-			if found, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*")); len(found) == 0 {
+			if paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*")); len(paths) == 0 {
 				return false
 			}
 		}
 		return true
 	})
-	heal := f.cut("part", "lists", "routers", 0)
-	f.Kill(every(0, f.Routers())...)
-	f.mark = f.Now()
-	if err := f.Start(every(0, f.Routers())...); err != nil {
+	heal := f.beginFault("part", "lists", "routers", 0)
+	f.Kill(routerRange(0, f.Routers())...)
+	f.ignoreBefore = f.Now()
+	if err := f.Start(routerRange(0, f.Routers())...); err != nil {
 		t.Fatal(err)
 	}
-	if err := f.Ready(5, every(0, f.Routers())...); err != nil {
-		t.Fatalf("without a list service none is ready: %v", err)
+	if err := f.Ready(5, routerRange(0, f.Routers())...); err != nil {
+		t.Fatalf("routers are not ready without a list service: %v", err)
 	}
-	f.until("all is served", 6, func() bool { return f.serves(1, 0.97) })
+	f.waitFor("all requests are served in time", 6, func() bool { return f.servedInTime(1, 0.97) })
 	heal()
-	f.during("all is served", 1, func() bool { return f.serves(0.5, 0.9) })
+	f.requireDuring("all requests are served in time", 1, func() bool { return f.servedInTime(0.5, 0.9) })
 }
