--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -37,7 +37,7 @@
 type Effect struct {
 	Cut    bool
 	Delay  float64 // seconds
-	Spread float64 // seconds, bound of a random extra delay: datagrams overtake each other, connections keep their order
+	Spread float64 // seconds, bound of a uniform random extra delay; it reorders datagrams, but not the data of a connection
 	Lose   float64 // fraction of datagrams that is lost
 	Double float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
 }
