--- a/internal/service/adminhandler.go
+++ b/internal/service/adminhandler.go
@@ -22,8 +22,8 @@
 
 // Reasons why a call is refused or not applied in time. The admin server answers with these texts.
 var (
-	errShuttingDown    = errors.New("the router is shutting down")
-	errSavedNotApplied = errors.New("the change is saved, but the router has not applied it yet")
+	errShuttingDown    = errors.New("the router is ending")
+	errSavedNotApplied = errors.New("the call is written down, but the router has not come to it yet")
 )
 
 // adminSide is the admin server and its handler; both are nil if the configuration names no address for it.
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -11,7 +11,7 @@
 
 // Reasons why an operator's call on a zone is refused. The admin server answers with these texts.
 var (
-	errZonesOff = errors.New("zone failover is off; to turn it on, set on = true under [zones] in the operators' file")
+	errZonesOff = errors.New("zones are off: the operators' file is to say on = true under [zones]")
 	errLastZone = errors.New("no zone would remain; the last one is not left")
 )
 
