--- a/internal/experiment/scale/conf.go
+++ b/internal/experiment/scale/conf.go
@@ -84,7 +84,7 @@
 // Texts of the router's log lines about a reloaded configuration, a rejected one, a new endpoint list and changed
 // teams.
 const (
-	logReloaded       = `"message":"configured anew"`
+	logReloaded       = `"message":"configuration reloaded"`
 	logReloadRejected = `"message":"the new configuration cannot be used; the old one stays"`
 	logListInForce    = `"message":"list"`
 	logContracts      = `"message":"contracts"`
--- a/internal/service/gossip.go
+++ b/internal/service/gossip.go
@@ -35,7 +35,8 @@
 	routers := len(s.conf.Peers)
 	if s.peers.transport == nil || !settings.GossipAllowed || settings.RouterIndex >= routers {
 		s.log.Warn().Int("peers", routers).
-			Msg("gossip is on, but there is no list of peers with this router in it, or gossip is not allowed: it does nothing")
+			Msg("gossip is on, but the list of peers does not contain this router, the socket for other routers is not open, " +
+				"or the platform does not allow gossip; gossip stays off")
 		return
 	}
 	if !gossip.CheaperThanBroadcast(routers, operators.Gossip.BytesPerSecond) {
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -182,7 +182,7 @@
 	operators := operatorconfig.File{Gossip: operatorconfig.Gossip{On: true, BytesPerSecond: bytesPerSecond}}
 	s := assembleSetup(t, Setup{Platform: conf, Operators: operators}, zerolog.New(log))
 	s.runLoop(t)
-	if s.gossip != nil || !strings.Contains(log.text(), "no list of peers with this router in it") {
+	if s.gossip != nil || !strings.Contains(log.text(), "the list of peers does not contain this router") {
 		t.Errorf("gossip is on, or the warning is missing in the log: %s", log.text())
 	}
 }
--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -74,7 +74,7 @@
 	}
 	s.conf.Discovery = conf.Discovery
 	s.reloads.accepted++
-	s.log.Info().Str("discovery", conf.Discovery).Msg("configured anew")
+	s.log.Info().Str("discovery", conf.Discovery).Msg("configuration reloaded")
 	s.pools.platform.watchListService(conf.Discovery)
 	if keys := s.operators.RestartKeys(setup.Operators); len(keys) > 0 {
 		s.log.Warn().Strs("keys", keys).
@@ -92,7 +92,8 @@
 // contracts would have no clients.
 func (s *Service) reconfigureWhileLeaving(setup Setup) {
 	discovery := setup.Platform.Discovery
-	s.log.Info().Str("discovery", discovery).Msg("configured anew while leaving: the list service alone counts")
+	s.log.Info().Str("discovery", discovery).
+		Msg("configuration reloaded during the shutdown; only a change of the list service is applied")
 	s.conf.Discovery = discovery
 	s.pools.platform.watchListService(discovery)
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -73,7 +73,8 @@
 		return err
 	}
 	s.loop.Guard(func(what any, stack []byte) {
-		s.log.Error().Str("fault", fmt.Sprint(what)).Bytes("stack", stack).Msg("a callback failed")
+		s.log.Error().Str("fault", fmt.Sprint(what)).Bytes("stack", stack).
+			Msg("a callback on the event loop panicked; the process continues")
 	})
 	go s.handleSignals(signals, reload)
 	return s.loop.Run()
--- a/internal/service/zones.go
+++ b/internal/service/zones.go
@@ -45,7 +45,8 @@
 		}),
 	}
 	if settings.RouterCount > 1 && (s.peers.transport == nil || !settings.GossipAllowed) {
-		s.log.Warn().Msg("zone failover is on, but no other router can be heard: zones are evacuated by operators alone")
+		s.log.Warn().Msg("zone failover is on, but no messages can be exchanged with other routers; " +
+			"without them only operators can evacuate zones")
 	}
 }
 
@@ -167,7 +168,8 @@
 	}
 	a.loggedCollisions[zone] = true
 	a.service.log.Warn().Str("zone", zone).
-		Msg("this zone's name collides with another's in messages, or there are too many: it is never evacuated")
+		Msg("the hash of this zone's name equals that of another zone, or there are too many zones; " +
+			"this zone is not evacuated")
 }
 
 // onMessage handles another router's message, and reports whether it was a zone failover message.
@@ -220,7 +222,8 @@
 			continue
 		}
 		a.service.log.Warn().Str("zone", zone).
-			Msg("an operator has evacuated this zone, but it stays in use, as no other would remain")
+			Msg("an operator has evacuated this zone, but it stays in use because no other zone would serve all of its keys, " +
+				"its name has the hash of another zone, or there are too many zones")
 	}
 	for zone := range a.evacuated {
 		if !wanted[zone] {
