--- a/internal/experiment/multiprocess/recovery_test.go
+++ b/internal/experiment/multiprocess/recovery_test.go
@@ -100,7 +100,7 @@
 	restart()
 	f.until("all is served", 15, func() bool { return f.serves(1, 0.97) })
 	for n := range f.Routers() {
-		if told := f.Log(n, "cannot be used and is put aside", 3); n%3 != 0 && len(told) == 0 {
+		if told := f.Log(n, "cannot be used and is renamed", 3); n%3 != 0 && len(told) == 0 {
 			t.Errorf("router %d says nothing of its store", n)
 		}
 	}
--- a/internal/snapshot/reader.go
+++ b/internal/snapshot/reader.go
@@ -36,7 +36,7 @@
 	s.mu.Unlock()
 	renameErr := os.Rename(path, path+unusableEnding)
 	s.log.Warn().Err(errors.Join(reason, renameErr)).Str("file", path).
-		Msg("a copy of the snapshot cannot be used and is put aside")
+		Msg("a copy of the snapshot cannot be used and is renamed")
 }
 
 // readCopy reads and decodes a copy. It reads at most one byte more than maxCopySize.
--- a/internal/snapshot/store.go
+++ b/internal/snapshot/store.go
@@ -74,7 +74,7 @@
 		s.onDisk = s.content.Number
 		go s.writeCopies()
 	case <-time.After(openTimeout):
-		log.Warn().Str("file", s.copyPath(0)).Msg("the snapshot cannot be read in time; the router goes on without it")
+		log.Warn().Str("file", s.copyPath(0)).Msg("the snapshot cannot be read in time; the router starts without it")
 		s.disabled = true
 		close(s.written)
 	}
--- a/internal/snapshot/writer.go
+++ b/internal/snapshot/writer.go
@@ -56,7 +56,7 @@
 func (s *Store) logChange(err error, failing bool) {
 	switch {
 	case err != nil && !failing:
-		s.log.Warn().Err(err).Msg("the snapshot cannot be written; the router goes on without")
+		s.log.Warn().Err(err).Msg("the snapshot cannot be written; the router continues without saving it")
 	case err == nil && failing:
 		s.log.Info().Msg("the snapshot is written again")
 	}
