--- a/internal/disabledservers/registry.go
+++ b/internal/disabledservers/registry.go
@@ -59,7 +59,8 @@
 	case <-firstRead:
 	case <-time.After(openTimeout):
 		log.Error().Str("file", path).
-			Msg("the disabled servers or zones cannot be read in time; the router goes on, and applies them once it can")
+			Msg("the file of disabled servers or zones cannot be read in time; " +
+				"the router continues without it and applies it when it is read")
 	}
 	r.mu.Lock()
 	defer r.mu.Unlock()
