--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -192,7 +192,8 @@
 	}
 	if c.body != nil && c.body.wanted() && reason != ClientDisconnected {
 		c.pool.pools.log.Warn().Stringer("server", c.addr).Str("why", CloseReasons[reason]).
-			Int("length", c.body.length).Msg("a value is cut off")
+			Int("length", c.body.length).
+			Msg("connection ended within a value; the client gets an incomplete value")
 	}
 	for _, a := range c.inFlight {
 		outcome := balancer.ConnectFailed
--- a/internal/upstream/healthlog.go
+++ b/internal/upstream/healthlog.go
@@ -15,7 +15,7 @@
 	failure := failureTexts[outcome]
 	if failure != "" && !s.loggedFailing {
 		s.loggedFailing = true
-		s.pools.log.Warn().Stringer("server", s.addr).Str("how", failure).Msg("a cache server fails")
+		s.pools.log.Warn().Stringer("server", s.addr).Str("how", failure).Msg("attempts at a cache server fail")
 		return
 	}
 	if outcome == balancer.Succeeded && s.loggedFailing {
--- a/internal/upstream/replies.go
+++ b/internal/upstream/replies.go
@@ -61,7 +61,8 @@
 func (c *connection) OnUnexpectedReply(reply string) { c.failOnReply(reply, UnexpectedReply) }
 
 func (c *connection) failOnReply(reply string, reason CloseReason) {
-	c.pool.pools.log.Warn().Stringer("server", c.pool.addr).Str("reply", reply).Msg("a reply out of order")
+	c.pool.pools.log.Warn().Stringer("server", c.pool.addr).Str("reply", reply).
+		Msg("unexpected or stalled reply of a cache server; the connection is closed")
 	c.fail(reason)
 }
 
