--- a/internal/discovery/watch.go
+++ b/internal/discovery/watch.go
@@ -134,7 +134,7 @@
 	if text == w.lastFailure || w.ctx.Err() != nil {
 		return
 	}
-	w.log.Warn().Err(err).Msg("the list service fails; the last list stays")
+	w.log.Warn().Err(err).Msg("polling the list service failed; the last endpoint list stays in use")
 	w.lastFailure = text
 	w.onFailure(err)
 }
@@ -173,7 +173,8 @@
 		return err
 	}
 	if p.list.FirstFault != "" {
-		w.log.Warn().Str("fault", p.list.FirstFault).Msg("entries of the list cannot be used; these servers get nothing new")
+		w.log.Warn().Str("fault", p.list.FirstFault).
+			Msg("malformed entries in the endpoint list; their servers get no new requests")
 	}
 	if err := w.onList(p.list); err != nil {
 		w.needsFull = true
