--- a/internal/admin/server.go
+++ b/internal/admin/server.go
@@ -45,7 +45,7 @@
 	s.http.SetKeepAlivesEnabled(false)
 	listener, err := net.Listen("tcp", addr)
 	if err != nil {
-		log.Warn().Err(err).Str("ops", addr).Msg("the admin server cannot listen yet; it is tried again")
+		log.Warn().Err(err).Str("ops", addr).Msg("the admin server cannot listen; retrying until it can")
 		go s.retryListen()
 		return s
 	}
