--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -142,7 +142,8 @@
 			return
 		}
 		c.Counts.Faults++
-		c.deps.Log.Error().Str("fault", fmt.Sprint(fault)).Bytes("stack", debug.Stack()).Msg("the balancer panicked")
+		c.deps.Log.Error().Str("fault", fmt.Sprint(fault)).Bytes("stack", debug.Stack()).
+			Msg("the balancer panicked; the unanswered request of the call, if any, fails")
 		if request != nil && request.client != nil {
 			c.Fail(request.id)
 		}
