--- a/internal/service/reload.go
+++ b/internal/service/reload.go
@@ -92,7 +92,8 @@
 // contracts would have no clients.
 func (s *Service) reconfigureWhileLeaving(setup Setup) {
 	discovery := setup.Platform.Discovery
-	s.log.Info().Str("discovery", discovery).Msg("configured anew while leaving: the list service alone counts")
+	s.log.Info().Str("discovery", discovery).
+		Msg("configuration reloaded during the shutdown; only a change of the list service is applied")
 	s.conf.Discovery = discovery
 	s.pools.platform.watchListService(discovery)
 }
