--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -174,7 +174,7 @@
 		return true
 	}
 	if c.attempt == nil {
-		c.target.clients.records.Twice = append(c.target.clients.records.Twice, c.lastAnsweredID)
+		c.target.clients.records.DuplicateAnswers = append(c.target.clients.records.DuplicateAnswers, c.lastAnsweredID)
 		c.close()
 	} else {
 		c.rejectAnswer("answer with unexpected ID " + id)
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -121,13 +121,13 @@
 // Garble records that the answer differs from the one that was made, and how.
 func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
 
-// ClientBook holds the records of the clients. Only their event loop may access it while it runs.
-type ClientBook struct {
-	Ops       []*Op
-	Twice     []string // IDs of attempts that were answered more than once
-	Lateness  []float64
-	LateSends int
-	Overflow  bool
+// ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
+type ClientRecords struct {
+	Ops              []*Op
+	DuplicateAnswers []string // IDs of attempts that were answered more than once
+	Lateness         []float64
+	LateSends        int
+	Overflow         bool
 }
 
 // Clients send requests to routers in an open loop: arrival times are drawn at random and don't depend on answers.
@@ -136,7 +136,7 @@
 	load                 Load
 	routers              []*routerTarget
 	tileRouters          map[string][]*routerTarget // the same routers' addresses for each team's map tiles, by team
-	records              *ClientBook
+	records              *ClientRecords
 	rng                  *rand.Rand // for everything but the arrivals
 	cumulativePopularity []float64  // cumulative sums of the keys' weights
 	arrivals             []*arrivalProcess
@@ -184,7 +184,7 @@
 // NewClients returns clients of the routers at these addresses.
 func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string,
 	tileFronts map[string][]string) (*Clients, error) {
-	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
+	c := &Clients{loop: loop, load: load, records: &ClientRecords{}, rng: rand.New(rand.NewPCG(seed, 1)),
 		lastID: uint32(seed) ^ 0x5bd1e995}
 	for index, text := range routers {
 		addr, err := netip.ParseAddrPort(text)
@@ -228,7 +228,7 @@
 }
 
 // Book returns the records. They may be read on the loop, or once the loop has ended.
-func (c *Clients) Book() *ClientBook { return c.records }
+func (c *Clients) Book() *ClientRecords { return c.records }
 
 // Late returns how late the clients' loop was.
 func (c *Clients) Late() *Lateness { return &c.lateness }
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -50,7 +50,7 @@
 }
 
 // runClients runs clients against routers for this many seconds and returns their records.
-func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
+func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientRecords {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
@@ -131,7 +131,7 @@
 	records := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		return valueReply(id) + valueReply(id)
 	}))
-	if len(records.Twice) == 0 {
+	if len(records.DuplicateAnswers) == 0 {
 		t.Error("got no records of duplicate answers, want some")
 	}
 	records = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -18,7 +18,7 @@
 	servers         []*Server // in the order in which they were added, including removed ones
 	origin          *Ledger
 	list            *List
-	records         *Book
+	records         *ServerRecords
 	dedupTables     map[string]*dedupTable
 	seed            uint64
 	lastSerial      uint64
@@ -32,7 +32,7 @@
 
 // NewFleet returns a fleet without servers. listed is the list service's usual delay.
 func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{},
+	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &ServerRecords{},
 		dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
@@ -58,8 +58,8 @@
 	f.tileService, f.tileType, f.tileImages = service, trafficType, map[string][]byte{}
 }
 
-// Book returns the fleet's records. They may be read on the loop, or once the loop has ended.
-func (f *Fleet) Book() *Book { return f.records }
+// Records returns the fleet's records. They may be read on the loop, or once the loop has ended.
+func (f *Fleet) Records() *ServerRecords { return f.records }
 
 // List returns the list service.
 func (f *Fleet) List() *List { return f.list }
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -23,14 +23,14 @@
 	processor   processor
 	overload    OverloadDetector
 	rng         *rand.Rand
-	records     *Book
+	records     *ServerRecords
 	halted      bool
 	stalled     int
 	slowFactors []float64
 	recent      []Fetch // calls within the last spec.Time seconds
 }
 
-func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *Book, rng *rand.Rand) *Ledger {
+func newLedger(loop *eventloop.Loop, spec LedgerSpec, book *ServerRecords, rng *rand.Rand) *Ledger {
 	return &Ledger{loop: loop, spec: spec, records: book, rng: rng,
 		overload:  OverloadDetector{Multiple: spec.Multiple, Time: spec.Time},
 		processor: processor{loop: loop, cores: max(1, spec.AtOnce), rate: 1}}
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -90,8 +90,8 @@
 // MayHaveRun reports whether the command may have run, which is so unless the cache server rejected it.
 func (x *Execution) MayHaveRun() bool { return x.How != TurnedAway }
 
-// Book holds the records of a fleet. Only the fleet's event loop may access it while it runs.
-type Book struct {
+// ServerRecords holds the records of a fleet. Only the fleet's event loop may access it while it runs.
+type ServerRecords struct {
 	Executions []*Execution
 	Probes     int
 	Fetches    []Fetch
@@ -131,7 +131,7 @@
 }
 
 // Join adds the records of another book.
-func (b *Book) Join(o *Book) {
+func (b *ServerRecords) Join(o *ServerRecords) {
 	b.Executions = append(b.Executions, o.Executions...)
 	b.Fetches = append(b.Fetches, o.Fetches...)
 	b.Accepts = append(b.Accepts, o.Accepts...)
@@ -141,7 +141,7 @@
 	b.Overflow = b.Overflow || o.Overflow
 }
 
-func (b *Book) open(execution *Execution) {
+func (b *ServerRecords) open(execution *Execution) {
 	if len(b.Executions) >= maxRecords {
 		b.Overflow = true
 		return
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -173,8 +173,8 @@
 	rec := w.play(ctx)
 	loop.Post(loop.Stop)
 	<-loopErrors
-	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.Book{}, clients.Book(), clients.Late(), &emulator.Lateness{}
-	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.Twice), Interrupted: rec.Interrupted}
+	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.ServerRecords{}, clients.Book(), clients.Late(), &emulator.Lateness{}
+	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.DuplicateAnswers), Interrupted: rec.Interrupted}
 	for _, op := range rec.Clients.Ops {
 		for _, t := range op.Tries {
 			l.Attempts++
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -303,7 +303,7 @@
 
 // checkDuplicateAnswers checks rule 1 for answers to attempts that were already answered, or that no client sent.
 func (j *judge) checkDuplicateAnswers() {
-	if len(j.rec.Clients.Twice) == 0 {
+	if len(j.rec.Clients.DuplicateAnswers) == 0 {
 		return
 	}
 	tries := map[string]*emulator.Try{}
@@ -312,7 +312,7 @@
 			tries[t.ID] = t
 		}
 	}
-	for _, id := range j.rec.Clients.Twice {
+	for _, id := range j.rec.Clients.DuplicateAnswers {
 		if t := tries[id]; t != nil {
 			j.breach(1, t.Ended, t.Op, id, "answered twice")
 		} else {
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -68,7 +68,7 @@
 		"answered twice": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
-			st.rec.Clients.Twice = []string{"x"}
+			st.rec.Clients.DuplicateAnswers = []string{"x"}
 		}, []int{1}},
 		"two copies of an idempotent request": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -33,8 +33,8 @@
 // Records are the records of a run by the emulated servers, the clients and the lab. They contain no data from routers.
 type Records struct {
 	From, To      float64 // interval in which requests are due
-	Fleet         *emulator.Book
-	Clients       *emulator.ClientBook
+	Fleet         *emulator.ServerRecords
+	Clients       *emulator.ClientRecords
 	Told          [][]emulator.Told // by router
 	Processes     []RouterProcess
 	StopIntervals []StopInterval
@@ -107,9 +107,9 @@
 // collect fills in the records after all processes have ended.
 func (w *world) collect(rec *Records) {
 	rec.Played = w.played
-	rec.Fleet, rec.Clients = &emulator.Book{}, w.clients.Book()
+	rec.Fleet, rec.Clients = &emulator.ServerRecords{}, w.clients.Book()
 	for _, f := range w.fleets {
-		rec.Fleet.Join(f.Book())
+		rec.Fleet.Join(f.Records())
 	}
 	if w.net != nil {
 		rec.WastedWrites = w.net.Sent()
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -67,7 +67,7 @@
 		return used, err
 	}
 	acceptedConnections := func(t *testbed) (n int) {
-		t.onLoop(func() { n = len(t.fleet.Book().Accepts) })
+		t.onLoop(func() { n = len(t.fleet.Records().Accepts) })
 		return n
 	}
 	reusedRate := 0.0
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -136,7 +136,7 @@
 // Arrived returns the number of executions that reached servers of a zone since a time.
 func (x *World) Arrived(zone string, since float64) (n int) {
 	x.OnFleet(func(f *emulator.Fleet) {
-		all := f.Book().Executions
+		all := f.Records().Executions
 		for i := len(all) - 1; i >= 0 && all[i].First >= since; i-- {
 			if all[i].Server.Zone == zone {
 				n++
@@ -299,7 +299,7 @@
 func (x *World) Course(zone string, since, slice float64) []int {
 	counts := make([]int, int(max(0, x.Now()-since)/slice))
 	x.OnFleet(func(f *emulator.Fleet) {
-		for _, e := range f.Book().Executions {
+		for _, e := range f.Records().Executions {
 			if i := int((e.First - since) / slice); e.Server.Zone == zone && e.First >= since && i < len(counts) {
 				counts[i]++
 			}
