--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -18,7 +18,7 @@
 	connected        bool
 	answeredAttempts int    // number of attempts answered on this connection
 	lastAnsweredID   string // ID of the attempt that ended last
-	attempt          *Try
+	attempt          *Attempt
 	attemptEnd       uint64           // offset of the attempt's last byte among all bytes written
 	timer            *eventloop.Timer // fires when the client stops waiting
 	leavesEarly      bool             // the client disconnects before its timeout
@@ -32,7 +32,7 @@
 const valueStallTimeout = 7
 
 // sendAttempt sends an attempt on an idle connection, or on a new one if there is none.
-func (d *routerTarget) sendAttempt(attempt *Try) {
+func (d *routerTarget) sendAttempt(attempt *Attempt) {
 	for len(d.idle) > 0 && !attempt.Reading.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
 		if d.idle = d.idle[:len(d.idle)-1]; c.conn.Quiet() {
@@ -45,9 +45,9 @@
 }
 
 // dialAttempt sends an attempt on a new connection. It fails with NoConnection at the connection limit.
-func (d *routerTarget) dialAttempt(attempt *Try) {
+func (d *routerTarget) dialAttempt(attempt *Attempt) {
 	c := &clientConn{target: d}
-	if c.protocol = (&memcacheClient{conn: c}); attempt.Op.Type.Scheme != "" {
+	if c.protocol = (&memcacheClient{conn: c}); attempt.Request.Type.Scheme != "" {
 		c.protocol = &tileClient{conn: c}
 	}
 	attempt.Router = d.index
@@ -57,7 +57,7 @@
 	}
 	if attempt.Reading.needsPlainConn() {
 		d.openConns++
-		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.Reading, attempt.Op.Type.Size/2, c)
+		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.Reading, attempt.Request.Type.Size/2, c)
 		c.conn, c.in, c.out.conn = conn, conn.in, conn
 		c.writeAttempt(attempt)
 		return
@@ -73,7 +73,7 @@
 	c.writeAttempt(attempt)
 }
 
-func (c *clientConn) writeAttempt(attempt *Try) {
+func (c *clientConn) writeAttempt(attempt *Attempt) {
 	loop := c.target.clients.loop
 	c.attempt = attempt
 	c.leavesEarly = c.target.clients.load.Impatient > 0 && c.target.clients.rng.Float64() < c.target.clients.load.Impatient
@@ -84,7 +84,7 @@
 		c.attemptEnd += uint64(len(piece))
 	}
 	if c.leaveAfterBytes = 0; attempt.Reading.Leave {
-		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Op.Type.Size-1)
+		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Request.Type.Size-1)
 	}
 	c.timer = loop.Timer(c.onTimeout)
 	if c.leavesEarly {
@@ -218,7 +218,7 @@
 		target.clients.attemptEnded(attempt, NoConnection)
 	case attempt.Length > 0:
 		target.clients.attemptEnded(attempt, Cut)
-	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
+	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
 		target.clients.attemptEnded(attempt, Lost)
 	case reused && !attempt.Again && attempt.Began+attempt.Wait > target.clients.loop.Now():
 		attempt.Again, attempt.AgainAt = true, target.clients.loop.Now()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -26,18 +26,18 @@
 
 // Load describes the clients and the requests that they send.
 type Load struct {
-	Types     []*TrafficType
-	Rate      float64 // requests per second
-	Keys      int
-	Zipf      float64 // exponent of the keys' Zipf distribution; 0: uniform
-	Retries   int     // most retries of a request
-	TryShare  float64 // an attempt's timeout as a fraction of the request's deadline
-	Pause     float64 // seconds before a retry
-	Honour    float64 // fraction of retries that wait as long as the router asked
-	Impatient float64 // fraction of attempts whose client disconnects before the timeout
-	Use       Connections
-	Most      int       // most connections to one router; 0: no limit
-	Skew      []float64 // relative weights of the routers in the choice of a router; empty: equal
+	Types           []*TrafficType
+	Rate            float64 // requests per second
+	Keys            int
+	Zipf            float64 // exponent of the keys' Zipf distribution; 0: uniform
+	Retries         int     // most retries of a request
+	TimeoutFraction float64 // an attempt's timeout as a fraction of the request's deadline
+	Pause           float64 // seconds before a retry
+	Honour          float64 // fraction of retries that wait as long as the router asked
+	Impatient       float64 // fraction of attempts whose client disconnects before the timeout
+	Use             Connections
+	Most            int       // most connections to one router; 0: no limit
+	Skew            []float64 // relative weights of the routers in the choice of a router; empty: equal
 }
 
 // End is how an attempt ended for its client.
@@ -65,20 +65,20 @@
 // of sockets and timers.
 const Tolerance = 0.05
 
-// Op is a request as its client sees it, with all its attempts.
-type Op struct {
+// Request is a request as its client sees it, with all its attempts.
+type Request struct {
 	N              int
 	Type           *TrafficType
 	Key            string
 	IdempotencyKey string
 	Due            float64 // when it was scheduled to be sent
-	Tries          []*Try
+	Tries          []*Attempt
 	Done           float64 // when its last attempt ended
 	How            End     // of its last attempt
 }
 
 // Took returns the request's latency since it was due, without the time in which its client did not read.
-func (o *Op) Took() float64 {
+func (o *Request) Took() float64 {
 	took := o.Done - o.Due
 	for _, attempt := range o.Tries {
 		took -= attempt.ReadPaused
@@ -87,14 +87,14 @@
 }
 
 // Served reports whether the request finished, and whether it finished within its latency objective.
-func (o *Op) Served() (any, inTime bool) {
+func (o *Request) Served() (any, inTime bool) {
 	any = o.How == Finished
 	return any, any && o.Took() <= o.Type.Promised
 }
 
-// Try is one attempt of a client at one router.
-type Try struct {
-	Op        *Op
+// Attempt is one attempt of a client at one router.
+type Attempt struct {
+	Request   *Request
 	ID        string
 	Router    int
 	Began     float64
@@ -116,14 +116,14 @@
 }
 
 // Strange returns what is wrong with the answer; empty: nothing.
-func (t *Try) Strange() string { return t.malformed }
+func (t *Attempt) Strange() string { return t.malformed }
 
 // Garble records that the answer differs from the one that was made, and how.
-func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
+func (t *Attempt) Garble(description string) { t.malformed, t.Got = description, 0 }
 
 // ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
 type ClientRecords struct {
-	Ops              []*Op
+	Ops              []*Request
 	DuplicateAnswers []string // IDs of attempts that were answered more than once
 	Lateness         []float64
 	LateSends        int
@@ -295,7 +295,7 @@
 		c.records.Overflow = true
 		return
 	}
-	request := &Op{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
+	request := &Request{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
 	n := sort.SearchFloat64s(c.cumulativePopularity,
 		arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
 	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
@@ -348,15 +348,15 @@
 }
 
 // remaining returns the seconds until the request's deadline.
-func (c *Clients) remaining(request *Op) float64 {
+func (c *Clients) remaining(request *Request) float64 {
 	return request.Due + request.Type.HardStop - c.loop.Now()
 }
 
-func (c *Clients) startAttempt(request *Op) {
-	attempt := &Try{Op: request, ID: c.newID(), Began: c.loop.Now()}
+func (c *Clients) startAttempt(request *Request) {
+	attempt := &Attempt{Request: request, ID: c.newID(), Began: c.loop.Now()}
 	attempt.Wait = c.remaining(request)
-	if c.load.TryShare > 0 && c.load.Retries > 0 {
-		attempt.Wait = min(attempt.Wait, c.load.TryShare*request.Type.HardStop)
+	if c.load.TimeoutFraction > 0 && c.load.Retries > 0 {
+		attempt.Wait = min(attempt.Wait, c.load.TimeoutFraction*request.Type.HardStop)
 	}
 	request.Tries = append(request.Tries, attempt)
 	if attempt.Wait < 1e-3 {
@@ -374,8 +374,8 @@
 }
 
 // drawReadBehavior draws how an attempt reads its long value.
-func (c *Clients) drawReadBehavior(attempt *Try) {
-	trafficType := attempt.Op.Type
+func (c *Clients) drawReadBehavior(attempt *Attempt) {
+	trafficType := attempt.Request.Type
 	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
 		return
 	}
@@ -389,12 +389,12 @@
 }
 
 // attemptEnded records an attempt's end, and retries the request if that is allowed and there is time.
-func (c *Clients) attemptEnded(attempt *Try, end End) {
+func (c *Clients) attemptEnded(attempt *Attempt, end End) {
 	if attempt.How != Waiting {
 		return
 	}
 	attempt.How, attempt.Ended = end, c.loop.Now()
-	request := attempt.Op
+	request := attempt.Request
 	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
 		c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
@@ -405,13 +405,13 @@
 }
 
 // retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
-func (c *Clients) retryDelay(attempt *Try) float64 {
+func (c *Clients) retryDelay(attempt *Attempt) float64 {
 	switch {
 	case attempt.How == Left:
 		return -1
-	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
+	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
 		return -1 // it may have run
-	case attempt.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Op.Due > attempt.Op.Type.Window*0.9:
+	case attempt.Request.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
 	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
 		return float64(attempt.After) / 1e3
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -70,7 +70,7 @@
 }
 
 func testLoad(rate float64) Load {
-	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01,
+	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TimeoutFraction: 0.6, Pause: 0.01,
 		Use: Kept, Most: 20}
 }
 
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -15,7 +15,7 @@
 
 // clientProtocol is the client side of the protocol of one connection.
 type clientProtocol interface {
-	encodeRequest(attempt *Try, left float64) [][]byte
+	encodeRequest(attempt *Attempt, left float64) [][]byte
 	read(in *ringbuffer.Buffer) (whole bool, err error)
 	closed() bool // handles the connection's end; true if that completed an answer
 }
@@ -31,8 +31,8 @@
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 func (m *memcacheClient) closed() bool                             { return false }
 
-func (m *memcacheClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
-	request := attempt.Op
+func (m *memcacheClient) encodeRequest(attempt *Attempt, remaining float64) [][]byte {
+	request := attempt.Request
 	parameters := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(remaining*1e3)))
 	if request.Type.Tenant != "" {
 		parameters += ",tenant=" + request.Type.Tenant
@@ -151,10 +151,10 @@
 		Row: 1750 + n/64, Format: "png"}
 }
 
-func (k *tileClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
-	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
+func (k *tileClient) encodeRequest(attempt *Attempt, remaining float64) [][]byte {
+	n, _ := strconv.Atoi(attempt.Request.Key[len("clinic-"):])
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n",
-		attempt.Op.Type.Scheme.Address(TileAt(n)),
+		attempt.Request.Type.Scheme.Address(TileAt(n)),
 		attempt.ID, WaitHeader, int(math.Ceil(remaining*1e3)))}
 }
 
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -187,7 +187,7 @@
 	return f
 }
 
-func (s *Second) count(o *emulator.Op, served, timely bool) {
+func (s *Second) count(o *emulator.Request, served, timely bool) {
 	s.Due++
 	switch {
 	case timely:
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -137,7 +137,7 @@
 type runRecord struct {
 	s   *Scenario
 	rec *Records
-	op  *emulator.Op
+	op  *emulator.Request
 }
 
 var trafficTypes = map[string]*emulator.TrafficType{
@@ -155,14 +155,14 @@
 	usual := DefaultScenario()
 	st := &runRecord{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.ServerRecords{}, Clients: &emulator.ClientRecords{},
 		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Told: make([][]emulator.Told, 2)}}
-	st.op = &emulator.Op{Type: trafficTypes[kind], Key: "k", Due: 1001}
+	st.op = &emulator.Request{Type: trafficTypes[kind], Key: "k", Due: 1001}
 	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.op)
 	return st
 }
 
 // attempt adds an attempt at router 0 that starts at 1 s.
-func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Try {
-	t := &emulator.Try{Op: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, How: how, Got: 7}
+func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Attempt {
+	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, How: how, Got: 7}
 	st.op.Tries = append(st.op.Tries, t)
 	st.op.How, st.op.Done = how, t.Ended
 	return t
@@ -176,7 +176,7 @@
 }
 
 // partialAttempt adds an attempt whose client received part of a long value.
-func (st *runRecord) partialAttempt(id string, how emulator.End, ended float64) *emulator.Try {
+func (st *runRecord) partialAttempt(id string, how emulator.End, ended float64) *emulator.Attempt {
 	t := st.attempt(id, how, ended)
 	t.Length, t.Came, t.Begun, t.Got = 1<<20, 70000, 7, 0
 	return t
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -113,7 +113,7 @@
 	return v
 }
 
-func (j *judge) breach(rule int, at float64, o *emulator.Op, id, format string, about ...any) {
+func (j *judge) breach(rule int, at float64, o *emulator.Request, id, format string, about ...any) {
 	b := Breach{Rule: rule, At: at - j.rec.From, ID: id, What: fmt.Sprintf(format, about...)}
 	if o != nil {
 		b.Course = j.requestEvents(o)
@@ -124,7 +124,7 @@
 }
 
 // checkRequest checks one request against rules 1, 2 and 5.
-func (j *judge) checkRequest(o *emulator.Op) {
+func (j *judge) checkRequest(o *emulator.Request) {
 	effects := 0
 	for _, t := range o.Tries {
 		for _, x := range j.executions[t.ID] {
@@ -138,7 +138,7 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Try) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
+	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
 	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
@@ -146,7 +146,7 @@
 
 // checkAnswer checks rule 1 for one attempt: exactly one final answer in time, made by a cache server, and no execution
 // after it.
-func (j *judge) checkAnswer(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkAnswer(o *emulator.Request, t *emulator.Attempt) {
 	runs := j.executions[t.ID]
 	for _, x := range runs {
 		if x.Damaged != "" {
@@ -197,7 +197,7 @@
 // checkTruncation checks a long value that the client received only in part. The server is the cause if it broke the
 // value off, or reset the connection before all of the value had certainly been received. The router is the cause if
 // the server sent the value whole, or was still sending it.
-func (j *judge) checkTruncation(o *emulator.Op, t *emulator.Try, how string) {
+func (j *judge) checkTruncation(o *emulator.Request, t *emulator.Attempt, how string) {
 	if j.endedNear(t.Router, t.Sent, t.Ended) {
 		return
 	}
@@ -247,7 +247,7 @@
 }
 
 // checkResends checks rule 2 for one attempt.
-func (j *judge) checkResends(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkResends(o *emulator.Request, t *emulator.Attempt) {
 	runs := j.executions[t.ID]
 	for i, x := range runs {
 		for _, before := range runs[:i] {
@@ -283,7 +283,7 @@
 }
 
 // checkPlacement checks rule 5: a server executes a request only if the request's traffic class may run there.
-func (j *judge) checkPlacement(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkPlacement(o *emulator.Request, t *emulator.Attempt) {
 	for _, x := range j.executions[t.ID] {
 		if !o.Type.Open(x.Server) {
 			j.breach(5, x.First, o, t.ID, "%s was sent to %s (%s, %s), where it may not run", o.Type.Name, x.Server.Name, x.Server.Zone, x.Server.Machine)
@@ -306,7 +306,7 @@
 	if len(j.rec.Clients.DuplicateAnswers) == 0 {
 		return
 	}
-	tries := map[string]*emulator.Try{}
+	tries := map[string]*emulator.Attempt{}
 	for _, o := range j.rec.Clients.Ops {
 		for _, t := range o.Tries {
 			tries[t.ID] = t
@@ -314,7 +314,7 @@
 	}
 	for _, id := range j.rec.Clients.DuplicateAnswers {
 		if t := tries[id]; t != nil {
-			j.breach(1, t.Ended, t.Op, id, "answered twice")
+			j.breach(1, t.Ended, t.Request, id, "answered twice")
 		} else {
 			j.breach(1, j.rec.From, nil, id, "an answer with the id of no attempt")
 		}
@@ -391,7 +391,7 @@
 }
 
 // requestEvents returns the events of a request as lines of text, in order of time.
-func (j *judge) requestEvents(o *emulator.Op) []string {
+func (j *judge) requestEvents(o *emulator.Request) []string {
 	type line struct {
 		at   float64
 		text string
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -282,7 +282,7 @@
 // clientLoad returns the emulator's settings of the clients.
 func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
-	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TryShare: c.TryShare,
+	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TimeoutFraction: c.TryShare,
 		Pause: c.PauseMS / 1e3, Honour: c.Honour, Impatient: c.Impatient, Use: emulator.Connections(c.Connections),
 		Most: c.Most, Skew: s.Routers.Skew}
 }
