--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -74,11 +74,11 @@
 	Due            float64 // when it was scheduled to be sent
 	Tries          []*Attempt
 	Done           float64 // when its last attempt ended
-	How            End     // of its last attempt
+	End            End     // of its last attempt
 }
 
-// Took returns the request's latency since it was due, without the time in which its client did not read.
-func (o *Request) Took() float64 {
+// Latency returns the request's latency since it was due, without the time in which its client did not read.
+func (o *Request) Latency() float64 {
 	took := o.Done - o.Due
 	for _, attempt := range o.Tries {
 		took -= attempt.ReadPaused
@@ -88,8 +88,8 @@
 
 // Served reports whether the request finished, and whether it finished within its latency objective.
 func (o *Request) Served() (any, inTime bool) {
-	any = o.How == Finished
-	return any, any && o.Took() <= o.Type.Promised
+	any = o.End == Finished
+	return any, any && o.Latency() <= o.Type.Promised
 }
 
 // Attempt is one attempt of a client at one router.
@@ -101,7 +101,7 @@
 	Sent      float64 // when its last byte was written; 0: never
 	Wait      float64 // timeout in seconds
 	Ended     float64
-	How       End
+	End       End
 	After     int     // milliseconds after which the router allows a retry; 0: not stated
 	Got       uint32  // checksum of the value or the receipt
 	Again     bool    // it was sent once more because its reused connection had been closed ...
@@ -390,26 +390,26 @@
 
 // attemptEnded records an attempt's end, and retries the request if that is allowed and there is time.
 func (c *Clients) attemptEnded(attempt *Attempt, end End) {
-	if attempt.How != Waiting {
+	if attempt.End != Waiting {
 		return
 	}
-	attempt.How, attempt.Ended = end, c.loop.Now()
+	attempt.End, attempt.Ended = end, c.loop.Now()
 	request := attempt.Request
 	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
 		c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
-	request.How, request.Done = end, attempt.Ended
+	request.End, request.Done = end, attempt.Ended
 	c.openRequests--
 }
 
 // retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
 func (c *Clients) retryDelay(attempt *Attempt) float64 {
 	switch {
-	case attempt.How == Left:
+	case attempt.End == Left:
 		return -1
-	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
+	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.End != Declined && attempt.End != NoConnection:
 		return -1 // it may have run
 	case attempt.Request.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -126,7 +126,7 @@
 			}
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
-				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
+				if execution.Outcome != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
 					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.Whole, execution.Broke, c.whole,
 						c.broke, execution)
 				}
@@ -264,11 +264,11 @@
 			for _, request := range clients.Book().Ops {
 				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size ||
+				if request.End != c.end || len(request.Tries) != 1 || attempt.Length != size ||
 					(attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
 					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
 					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
-						request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
+						request.End, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
 						attempt.Strange(), c.end)
 				}
 			}
@@ -296,8 +296,8 @@
 	loop.Post(loop.Stop)
 	<-ended
 	for _, request := range clients.Book().Ops {
-		if request.How != Finished {
-			t.Errorf("a write ended as %v, malformed %q; want finished", request.How, request.Tries[0].Strange())
+		if request.End != Finished {
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Tries[0].Strange())
 		}
 	}
 	fleet.runOnLoop(func() {
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -19,7 +19,7 @@
 	conn.get("b")
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].How != Answered ||
+		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].Outcome != Answered ||
 			executions[0].Made == executions[1].Made || len(fleet.records.Fetches) != 1 {
 			t.Errorf("got the records %+v %+v, want a miss, a hit and one fetch", executions[0], executions[1])
 		}
@@ -80,10 +80,10 @@
 	time.Sleep(50 * time.Millisecond)
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if executions[0].How != Cancelled || executions[1].How != TurnedAway || executions[2].How != TurnedAway ||
+		if executions[0].Outcome != Cancelled || executions[1].Outcome != TurnedAway || executions[2].Outcome != TurnedAway ||
 			len(servers[0].processor.waiting) != 0 {
 			t.Errorf("got executions %v, %v, %v; want cancelled, turned away, turned away and an empty queue",
-				executions[0].How, executions[1].How, executions[2].How)
+				executions[0].Outcome, executions[1].Outcome, executions[2].Outcome)
 		}
 	})
 }
@@ -209,8 +209,8 @@
 	dialServer(t, server.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
-		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.How != Spoilt {
-			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.How)
+		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.Outcome != Spoilt {
+			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.Outcome)
 		}
 	})
 }
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -191,18 +191,18 @@
 }
 
 // finish ends the execution and sends its answer, or what an active fault makes of it.
-func (r *reply) finish(outcome How, text ...[]byte) {
+func (r *reply) finish(outcome Outcome, text ...[]byte) {
 	server := r.conn.server
 	r.execution.End = server.fleet.loop.Now()
-	r.execution.How = outcome
+	r.execution.Outcome = outcome
 	if outcome == Answered && !r.conn.closed {
 		if server.rng.Float64() < server.resetFraction {
-			r.execution.How = Failed
+			r.execution.Outcome = Failed
 			r.conn.disconnect(true)
 			return
 		}
 		if server.rng.Float64() < server.corruptFraction {
-			r.execution.How = Spoilt
+			r.execution.Outcome = Spoilt
 			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
 			r.conn.corrupted = true
 		} else if r.execution.Length > 0 {
@@ -278,13 +278,13 @@
 	c.closed = true
 	delete(c.server.conns, c)
 	for _, reply := range c.replies {
-		if reply.execution == nil || reply.text != nil || reply.execution.How != Open {
+		if reply.execution == nil || reply.text != nil || reply.execution.Outcome != Open {
 			continue
 		}
 		if !c.server.Cancels && c.server.crashed == 0 && !c.server.collapsed {
 			continue // the work continues, although its answer can't be sent
 		}
-		if reply.execution.How, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
+		if reply.execution.Outcome, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
 			c.server.processor.cancel(reply.job)
 		}
 		if reply.fetch != nil {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -48,20 +48,20 @@
 	return t.Work * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// How is how an execution ended at a cache server.
-type How int
+// Outcome is how an execution ended at a cache server.
+type Outcome int
 
 // The ends of an execution, as recorded by the cache server.
 const (
-	Open       How = iota // still in progress
-	Answered              // answered with the value or receipt made for it
-	TurnedAway            // rejected before any of it ran
-	Failed                // answered with an error or by a reset, after it may have run
-	Spoilt                // answered with a malformed answer, which a router must not pass to a client
-	Cancelled             // its connection ended before its answer, and its work was cancelled
+	Open       Outcome = iota // still in progress
+	Answered                  // answered with the value or receipt made for it
+	TurnedAway                // rejected before any of it ran
+	Failed                    // answered with an error or by a reset, after it may have run
+	Spoilt                    // answered with a malformed answer, which a router must not pass to a client
+	Cancelled                 // its connection ended before its answer, and its work was cancelled
 )
 
-func (h How) String() string {
+func (h Outcome) String() string {
 	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[h]
 }
 
@@ -74,7 +74,7 @@
 	First, Last    float64 // when its first and its last byte were read
 	Began          float64 // when a core started it; 0: never
 	End            float64
-	How            How
+	Outcome        Outcome
 	Miss           bool
 	Cold           bool   // the cache server was not warm when the command arrived
 	Effect         bool   // a write took effect
@@ -88,7 +88,7 @@
 }
 
 // MayHaveRun reports whether the command may have run, which is so unless the cache server rejected it.
-func (x *Execution) MayHaveRun() bool { return x.How != TurnedAway }
+func (x *Execution) MayHaveRun() bool { return x.Outcome != TurnedAway }
 
 // ServerRecords holds the records of a fleet. Only the fleet's event loop may access it while it runs.
 type ServerRecords struct {
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -178,7 +178,7 @@
 	for _, op := range rec.Clients.Ops {
 		for _, t := range op.Tries {
 			l.Attempts++
-			switch t.How {
+			switch t.End {
 			case emulator.Silent:
 				l.Silent++
 			case emulator.Lost:
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -117,18 +117,18 @@
 			inTime[name]++
 		case served:
 			f.Late++
-		case o.How == emulator.Declined:
+		case o.End == emulator.Declined:
 			f.Declined++
-		case o.How == emulator.Terminated:
+		case o.End == emulator.Terminated:
 			f.Terminated++
 		default:
 			f.Unserved++
 		}
 		if served {
-			recordSeconds(all, o.Took())
-			recordSeconds(byType[name], o.Took())
+			recordSeconds(all, o.Latency())
+			recordSeconds(byType[name], o.Latency())
 		}
-		if last := o.Tries[len(o.Tries)-1]; o.How == emulator.Declined && last.Sent > 0 {
+		if last := o.Tries[len(o.Tries)-1]; o.End == emulator.Declined && last.Sent > 0 {
 			recordSeconds(declined, last.Ended-last.Sent)
 		}
 		gained[name] += gain
@@ -194,9 +194,9 @@
 		s.InTime++
 	case served:
 		s.Late++
-	case o.How == emulator.Declined:
+	case o.End == emulator.Declined:
 		s.Declined++
-	case o.How == emulator.Terminated:
+	case o.End == emulator.Terminated:
 		s.Terminated++
 	default:
 		s.Unserved++
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -162,15 +162,15 @@
 
 // attempt adds an attempt at router 0 that starts at 1 s.
 func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Attempt {
-	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, How: how, Got: 7}
+	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: how, Got: 7}
 	st.op.Tries = append(st.op.Tries, t)
-	st.op.How, st.op.Done = how, t.Ended
+	st.op.End, st.op.Done = how, t.Ended
 	return t
 }
 
 // execution adds an execution whose request reached the server whole at a time.
-func (st *runRecord) execution(id string, on *emulator.Server, at float64, how emulator.How) *emulator.Execution {
-	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, How: how, Made: 7}
+func (st *runRecord) execution(id string, on *emulator.Server, at float64, how emulator.Outcome) *emulator.Execution {
+	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, Outcome: how, Made: 7}
 	st.rec.Fleet.Executions = append(st.rec.Fleet.Executions, x)
 	return x
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -138,7 +138,7 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
+	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Declined }) || len(o.Tries) == 1
 	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
@@ -154,7 +154,7 @@
 			j.certain()
 		}
 	}
-	switch t.How {
+	switch t.End {
 	case emulator.Lost:
 		if len(runs) > 0 && !j.endedNear(t.Router, t.Sent, t.Ended) {
 			j.breach(1, t.Ended, o, t.ID, "request lost: the connection ended without an answer after the request had reached a server")
@@ -175,7 +175,7 @@
 			j.certain()
 			break
 		}
-		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.How == emulator.Answered && x.Made == t.Got }) {
+		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.Outcome == emulator.Answered && x.Made == t.Got }) {
 			j.breach(1, t.Ended, o, t.ID, "finished with a value that no cache server made for it")
 		}
 	}
@@ -184,7 +184,7 @@
 			j.breach(1, t.AgainAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
 		}
 	}
-	if t.How != emulator.Finished && t.How != emulator.Declined && t.How != emulator.Terminated {
+	if t.End != emulator.Finished && t.End != emulator.Declined && t.End != emulator.Terminated {
 		return
 	}
 	for _, x := range runs {
@@ -203,11 +203,11 @@
 	}
 	var by *emulator.Execution
 	for _, x := range j.executions[t.ID] {
-		if x.How == emulator.Spoilt {
+		if x.Outcome == emulator.Spoilt {
 			return // the server sent an invalid answer
 		}
 		// If the client has not received the whole head of the value, the value may be from any server that answered.
-		if x.How == emulator.Answered && x.Length == t.Length && (t.Begun == 0 || t.Begun == x.Made) {
+		if x.Outcome == emulator.Answered && x.Length == t.Length && (t.Begun == 0 || t.Begun == x.Made) {
 			if x.Broke > 0 && x.Broke <= t.Ended {
 				return
 			}
@@ -270,7 +270,7 @@
 			}
 		}
 	}
-	if t.How != emulator.Declined {
+	if t.End != emulator.Declined {
 		return
 	}
 	for _, x := range runs {
@@ -412,10 +412,10 @@
 		if t.Length > 0 {
 			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Came, t.Length)
 		}
-		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.How, t.Strange())
+		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.End, t.Strange())
 		for _, x := range j.executions[t.ID] {
 			add(x.First, "execution of %s reaches %s", t.ID, x.Server.Name)
-			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.How)
+			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.Outcome)
 			add(x.Whole, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
 			add(x.Broke, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
 		}
--- a/internal/experiment/long_test.go
+++ b/internal/experiment/long_test.go
@@ -75,7 +75,7 @@
 	for _, o := range rec.Clients.Ops {
 		for _, try := range o.Tries {
 			if try.Length > 0 {
-				ends[try.How]++
+				ends[try.End]++
 			}
 		}
 	}
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -252,8 +252,8 @@
 	st.op.Due = 1000.2 // within the settling time
 	st.attempt("w", emulator.Finished, 1.05)
 	add := func(due, took float64, how emulator.End, kind string) {
-		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + took, How: how}
-		o.Tries = []*emulator.Attempt{{Request: o, How: how, Sent: o.Due, Ended: o.Done}}
+		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + took, End: how}
+		o.Tries = []*emulator.Attempt{{Request: o, End: how, Sent: o.Due, Ended: o.Done}}
 		st.rec.Clients.Ops = append(st.rec.Clients.Ops, o)
 	}
 	for i := range 6 {
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -51,7 +51,7 @@
 		if any, _ := request.Served(); any {
 			served++
 		} else {
-			b.addNote("a read at %.0f requests per second ended as %v", rate, request.How)
+			b.addNote("a read at %.0f requests per second ended as %v", rate, request.End)
 		}
 	}
 	return used, len(clients.Book().Ops), served, err
