--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -220,8 +220,8 @@
 		target.clients.attemptEnded(attempt, Cut)
 	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
 		target.clients.attemptEnded(attempt, Lost)
-	case reused && !attempt.Again && attempt.Began+attempt.Wait > target.clients.loop.Now():
-		attempt.Again, attempt.AgainAt = true, target.clients.loop.Now()
+	case reused && !attempt.Resent && attempt.Began+attempt.Wait > target.clients.loop.Now():
+		attempt.Resent, attempt.ResentAt = true, target.clients.loop.Now()
 		attempt.Sent = 0
 		target.dialAttempt(attempt)
 	default:
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -103,23 +103,23 @@
 	Ended     float64
 	End       End
 	After     int     // milliseconds after which the router allows a retry; 0: not stated
-	Got       uint32  // checksum of the value or the receipt
-	Again     bool    // it was sent once more because its reused connection had been closed ...
-	AgainAt   float64 // ... at this time
+	AnswerSum uint32  // checksum of the value or the receipt
+	Resent    bool    // it was sent once more because its reused connection had been closed ...
+	ResentAt  float64 // ... at this time
 	malformed string  // what is wrong with the answer; empty: nothing
 
 	Reading    Reading // how it reads a long value; zero value: without delay
 	Length     int     // stated length in bytes of the long value that began to arrive; 0: none
-	Came       int     // bytes of it that were received
-	Begun      uint32  // checksum of that value, once its head was received; equals Execution.Made of its execution
+	Received   int     // bytes of it that were received
+	ValueSum   uint32  // checksum of that value, once its head was received; equals Execution.AnswerSum of its execution
 	ReadPaused float64 // seconds in which its client did not read
 }
 
-// Strange returns what is wrong with the answer; empty: nothing.
-func (t *Attempt) Strange() string { return t.malformed }
+// Malformed returns what is wrong with the answer; empty: nothing.
+func (t *Attempt) Malformed() string { return t.malformed }
 
-// Garble records that the answer differs from the one that was made, and how.
-func (t *Attempt) Garble(description string) { t.malformed, t.Got = description, 0 }
+// SetMalformed records that the answer differs from the one that was made, and how.
+func (t *Attempt) SetMalformed(description string) { t.malformed, t.AnswerSum = description, 0 }
 
 // ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
 type ClientRecords struct {
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -143,7 +143,7 @@
 	resent := 0
 	for _, request := range records.Ops {
 		for _, attempt := range request.Tries {
-			if attempt.Again {
+			if attempt.Resent {
 				resent++
 			}
 			if attempt.End != Finished {
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -57,7 +57,7 @@
 // Value handles a read's answer.
 func (m *memcacheClient) Value(id string, value []byte) {
 	if m.conn.expectsAnswer(id) {
-		m.conn.attempt.Got = crc32.ChecksumIEEE(value)
+		m.conn.attempt.AnswerSum = crc32.ChecksumIEEE(value)
 		m.conn.attemptAnswered(Finished)
 	}
 }
@@ -74,8 +74,8 @@
 func (m *memcacheClient) Part(part []byte) int {
 	m.check.Take(part)
 	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
-		attempt.Came, attempt.Begun, m.conn.lastByteAt = m.check.Came, m.check.Sum(), m.conn.target.clients.loop.Now()
-		if m.conn.leaveAfterBytes > 0 && attempt.Came >= m.conn.leaveAfterBytes {
+		attempt.Received, attempt.ValueSum, m.conn.lastByteAt = m.check.Received, m.check.Sum(), m.conn.target.clients.loop.Now()
+		if m.conn.leaveAfterBytes > 0 && attempt.Received >= m.conn.leaveAfterBytes {
 			m.conn.finishAttempt(Left)
 			m.conn.close()
 		}
@@ -90,9 +90,9 @@
 		return
 	}
 	if attempt := m.conn.attempt; m.check.End() == "" {
-		attempt.Got = m.check.Sum()
+		attempt.AnswerSum = m.check.Sum()
 	} else {
-		attempt.Garble(m.check.Mismatch())
+		attempt.SetMalformed(m.check.Mismatch())
 	}
 	m.conn.attemptAnswered(Finished)
 }
@@ -100,7 +100,7 @@
 // Stored handles a write's answer.
 func (m *memcacheClient) Stored(id, receipt string) {
 	if m.conn.expectsAnswer(id) {
-		m.conn.attempt.Got = crc32.ChecksumIEEE([]byte(receipt))
+		m.conn.attempt.AnswerSum = crc32.ChecksumIEEE([]byte(receipt))
 		m.conn.attemptAnswered(Finished)
 	}
 }
@@ -185,7 +185,7 @@
 	}
 	switch k.status {
 	case 200:
-		k.conn.attempt.Got = crc32.ChecksumIEEE(k.body)
+		k.conn.attempt.AnswerSum = crc32.ChecksumIEEE(k.body)
 		k.conn.attemptAnswered(Finished)
 	case 503:
 		k.conn.attempt.After = k.after
--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -71,9 +71,9 @@
 		reply := c.unsentLong[0]
 		c.unsentLong = c.unsentLong[1:]
 		if reply.ending < closesWithinValue {
-			reply.execution.Whole = now
+			reply.execution.SentAt = now
 		} else {
-			reply.execution.Broke = now
+			reply.execution.InterruptedAt = now
 		}
 		switch reply.ending {
 		case closesAfterValue:
@@ -101,8 +101,8 @@
 		broken = []*reply{c.lastLong}
 	}
 	for _, reply := range broken {
-		if reply.execution.Broke == 0 {
-			reply.execution.Broke = c.server.fleet.loop.Now()
+		if reply.execution.InterruptedAt == 0 {
+			reply.execution.InterruptedAt = c.server.fleet.loop.Now()
 		}
 	}
 }
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -40,9 +40,9 @@
 	}
 	got.Length = mebibyte
 	buf := make([]byte, 10000)
-	for got.Came < mebibyte && err == nil {
+	for got.Received < mebibyte && err == nil {
 		var n int
-		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
+		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Received)])
 		got.Take(buf[:n])
 	}
 	return conn, got, err
@@ -63,7 +63,7 @@
 	}
 	fleet.runOnLoop(func() {
 		execution := fleet.records.Executions[0]
-		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
+		if execution.AnswerSum != got.Sum() || execution.Length != mebibyte || execution.SentAt == 0 || execution.InterruptedAt != 0 {
 			t.Errorf("got the record %+v, want a complete long value with the received checksum", execution)
 		}
 	})
@@ -126,8 +126,8 @@
 			}
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
-				if execution.Outcome != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
-					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.Whole, execution.Broke, c.whole,
+				if execution.Outcome != Answered || (execution.SentAt > 0) != c.whole || (execution.InterruptedAt > 0) != c.broke {
+					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.SentAt, execution.InterruptedAt, c.whole,
 						c.broke, execution)
 				}
 				end()
@@ -172,7 +172,7 @@
 		gone := func() (out bool) {
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
-				out = execution.Broke > 0 || len(server.conns) == 0
+				out = execution.InterruptedAt > 0 || len(server.conns) == 0
 			})
 			return out
 		}
@@ -180,8 +180,8 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		fleet.runOnLoop(func() {
-			if execution := fleet.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
-				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.Whole, execution.Broke,
+			if execution := fleet.records.Executions[0]; execution.SentAt > 0 || (execution.InterruptedAt > 0) != c.broke {
+				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.SentAt, execution.InterruptedAt,
 					c.broke)
 			}
 		})
@@ -265,11 +265,11 @@
 				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
 				if request.End != c.end || len(request.Tries) != 1 || attempt.Length != size ||
-					(attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
-					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
+					(attempt.Received == size) != (c.end == Finished || name == "no end of the value") ||
+					(attempt.AnswerSum != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
 					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
-						request.End, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
-						attempt.Strange(), c.end)
+						request.End, len(request.Tries), attempt.Received, attempt.Length, attempt.AnswerSum, attempt.ReadPaused,
+						attempt.Malformed(), c.end)
 				}
 			}
 		})
@@ -297,7 +297,7 @@
 	<-ended
 	for _, request := range clients.Book().Ops {
 		if request.End != Finished {
-			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Tries[0].Strange())
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Tries[0].Malformed())
 		}
 	}
 	fleet.runOnLoop(func() {
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -20,7 +20,7 @@
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
 		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].Outcome != Answered ||
-			executions[0].Made == executions[1].Made || len(fleet.records.Fetches) != 1 {
+			executions[0].AnswerSum == executions[1].AnswerSum || len(fleet.records.Fetches) != 1 {
 			t.Errorf("got the records %+v %+v, want a miss, a hit and one fetch", executions[0], executions[1])
 		}
 	})
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -165,7 +165,7 @@
 
 func (r *reply) answer() {
 	text, sum := r.conn.protocol.encodeValue(r)
-	r.execution.Made = sum
+	r.execution.AnswerSum = sum
 	r.finish(Answered, text...)
 }
 
@@ -186,7 +186,7 @@
 		server.fleet.invalidate(r.key)
 		server.fleet.origin.write(server)
 	}
-	execution.Made = crc32.ChecksumIEEE([]byte(receipt))
+	execution.AnswerSum = crc32.ChecksumIEEE([]byte(receipt))
 	r.finish(Answered, meta.AppendStored(nil, execution.ID, receipt))
 }
 
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -79,11 +79,11 @@
 	Cold           bool   // the cache server was not warm when the command arrived
 	Effect         bool   // a write took effect
 	Repeat         bool   // a write whose idempotency key was known, and which had no effect of its own
-	Made           uint32 // checksum of the answer's value or receipt
+	AnswerSum      uint32 // checksum of the answer's value or receipt
 	Work           float64
 	Length         int     // bytes of the long value in its answer; 0: not a long value
-	Whole          float64 // when the kernel had taken that value's last byte; 0: never
-	Broke          float64 // when the server interrupted a value that may not be fully received; 0: never
+	SentAt         float64 // when the kernel had taken that value's last byte; 0: never
+	InterruptedAt  float64 // when the server interrupted a value that may not be fully received; 0: never
 	Damaged        string  // what was wrong with the long value of a write; empty: nothing
 }
 
--- a/internal/emulator/value.go
+++ b/internal/emulator/value.go
@@ -84,7 +84,7 @@
 // Check verifies a long value as it is received. It stores only the head. Length is the length stated by the sender.
 type Check struct {
 	Length    int
-	Came      int // bytes received so far
+	Received  int // bytes received so far
 	head      []byte
 	fillerPos int // offset of the next byte in the filler; valid once the head is complete
 	headRead  bool
@@ -104,10 +104,10 @@
 			c.compare(piece[:n])
 			c.fillerPos = (c.fillerPos + n) % fillerPeriod
 		}
-		c.Came += n
+		c.Received += n
 		piece = piece[n:]
 	}
-	c.Came += len(piece)
+	c.Received += len(piece)
 }
 
 // compare records the first byte that differs from the filler.
@@ -117,7 +117,7 @@
 	}
 	for i, b := range piece {
 		if want := filler[c.fillerPos+i]; b != want {
-			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x, want %#02x", c.Came+i, c.Length, b, want)
+			c.mismatch = fmt.Sprintf("byte %d of %d is %#02x, want %#02x", c.Received+i, c.Length, b, want)
 			return
 		}
 	}
@@ -151,8 +151,8 @@
 
 // End ends the check and returns what is wrong with the complete value; empty: nothing.
 func (c *Check) End() string {
-	if c.mismatch == "" && c.Came != c.Length {
-		c.mismatch = fmt.Sprintf("received %d of %d bytes", c.Came, c.Length)
+	if c.mismatch == "" && c.Received != c.Length {
+		c.mismatch = fmt.Sprintf("received %d of %d bytes", c.Received, c.Length)
 	}
 	return c.mismatch
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -162,7 +162,7 @@
 
 // attempt adds an attempt at router 0 that starts at 1 s.
 func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Attempt {
-	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: how, Got: 7}
+	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: how, AnswerSum: 7}
 	st.op.Tries = append(st.op.Tries, t)
 	st.op.End, st.op.Done = how, t.Ended
 	return t
@@ -170,7 +170,7 @@
 
 // execution adds an execution whose request reached the server whole at a time.
 func (st *runRecord) execution(id string, on *emulator.Server, at float64, how emulator.Outcome) *emulator.Execution {
-	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, Outcome: how, Made: 7}
+	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, Outcome: how, AnswerSum: 7}
 	st.rec.Fleet.Executions = append(st.rec.Fleet.Executions, x)
 	return x
 }
@@ -178,7 +178,7 @@
 // partialAttempt adds an attempt whose client received part of a long value.
 func (st *runRecord) partialAttempt(id string, how emulator.End, ended float64) *emulator.Attempt {
 	t := st.attempt(id, how, ended)
-	t.Length, t.Came, t.Begun, t.Got = 1<<20, 70000, 7, 0
+	t.Length, t.Received, t.ValueSum, t.AnswerSum = 1<<20, 70000, 7, 0
 	return t
 }
 
@@ -188,10 +188,10 @@
 	x := st.execution(id, on, 1.01, emulator.Answered)
 	x.Length = 1 << 20
 	if whole > 0 {
-		x.Whole = 1000 + whole
+		x.SentAt = 1000 + whole
 	}
 	if broke > 0 {
-		x.Broke = 1000 + broke
+		x.InterruptedAt = 1000 + broke
 	}
 	return x
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -170,18 +170,18 @@
 	case emulator.Cut:
 		j.checkTruncation(o, t, "the connection ended")
 	case emulator.Finished:
-		if t.Strange() != "" {
-			j.breach(1, t.Ended, o, t.ID, "finished with a long value that is incomplete or altered: %s", t.Strange())
+		if t.Malformed() != "" {
+			j.breach(1, t.Ended, o, t.ID, "finished with a long value that is incomplete or altered: %s", t.Malformed())
 			j.certain()
 			break
 		}
-		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.Outcome == emulator.Answered && x.Made == t.Got }) {
+		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.Outcome == emulator.Answered && x.AnswerSum == t.AnswerSum }) {
 			j.breach(1, t.Ended, o, t.ID, "finished with a value that no cache server made for it")
 		}
 	}
-	if t.Again {
-		if i := slices.IndexFunc(runs, func(x *emulator.Execution) bool { return x.First < t.AgainAt }); i >= 0 && !j.endedNear(t.Router, t.Began, t.AgainAt) {
-			j.breach(1, t.AgainAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
+	if t.Resent {
+		if i := slices.IndexFunc(runs, func(x *emulator.Execution) bool { return x.First < t.ResentAt }); i >= 0 && !j.endedNear(t.Router, t.Began, t.ResentAt) {
+			j.breach(1, t.ResentAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
 		}
 	}
 	if t.End != emulator.Finished && t.End != emulator.Declined && t.End != emulator.Terminated {
@@ -207,20 +207,20 @@
 			return // the server sent an invalid answer
 		}
 		// If the client has not received the whole head of the value, the value may be from any server that answered.
-		if x.Outcome == emulator.Answered && x.Length == t.Length && (t.Begun == 0 || t.Begun == x.Made) {
-			if x.Broke > 0 && x.Broke <= t.Ended {
+		if x.Outcome == emulator.Answered && x.Length == t.Length && (t.ValueSum == 0 || t.ValueSum == x.AnswerSum) {
+			if x.InterruptedAt > 0 && x.InterruptedAt <= t.Ended {
 				return
 			}
 			by = x
 		}
 	}
 	evidence := "no cache server made it"
-	if by != nil && by.Whole > 0 {
+	if by != nil && by.SentAt > 0 {
 		evidence = by.Server.Name + " sent it whole"
 	} else if by != nil {
 		evidence = by.Server.Name + " was still sending"
 	}
-	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Came, t.Length, how, evidence)
+	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Received, t.Length, how, evidence)
 	j.certain()
 }
 
@@ -406,18 +406,18 @@
 	for _, t := range o.Tries {
 		add(t.Began, "attempt %s starts at router %d, waits %.0f ms", t.ID, t.Router, t.Wait*1e3)
 		add(t.Sent, "attempt %s is sent whole", t.ID)
-		if t.Again {
-			add(t.AgainAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
+		if t.Resent {
+			add(t.ResentAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
 		}
 		if t.Length > 0 {
-			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Came, t.Length)
+			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Received, t.Length)
 		}
-		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.End, t.Strange())
+		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.End, t.Malformed())
 		for _, x := range j.executions[t.ID] {
 			add(x.First, "execution of %s reaches %s", t.ID, x.Server.Name)
 			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.Outcome)
-			add(x.Whole, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
-			add(x.Broke, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
+			add(x.SentAt, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
+			add(x.InterruptedAt, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.at, b.at) })
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -22,7 +22,7 @@
 		}, nil},
 		"a made-up answer": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.Answered).Made = 8
+			st.execution("x", a, 1.01, emulator.Answered).AnswerSum = 8
 		}, []int{1}},
 		"finished with an invalid value": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
@@ -48,12 +48,12 @@
 		"connection lost before any execution": {"read", func(st *runRecord) { st.attempt("x", emulator.Lost, 1.2) }, nil},
 		"resent by the client, first copy not executed": {"read", func(st *runRecord) {
 			x := st.attempt("x", emulator.Finished, 1.2)
-			x.Again, x.AgainAt = true, 1001.1
+			x.Resent, x.ResentAt = true, 1001.1
 			st.execution("x", a, 1.15, emulator.Answered)
 		}, nil},
 		"resent by the client, first copy executed": {"read", func(st *runRecord) {
 			x := st.attempt("x", emulator.Finished, 1.2)
-			x.Again, x.AgainAt = true, 1001.1
+			x.Resent, x.ResentAt = true, 1001.1
 			st.execution("x", a, 1.05, emulator.Cancelled)
 			st.execution("x", a, 1.15, emulator.Answered)
 		}, []int{1}},
@@ -84,7 +84,7 @@
 			st.longExecution("x", a, 1.1, 1.15)
 		}, nil},
 		"a long value with altered bytes": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Finished, 1.3).Garble("byte 7 of 9 is 0x00 and ought to be 0x41")
+			st.attempt("x", emulator.Finished, 1.3).SetMalformed("byte 7 of 9 is 0x00 and ought to be 0x41")
 			st.longExecution("x", a, 1.25, 0)
 		}, []int{1}},
 		"cut, server sent it whole": {"read", func(st *runRecord) {
@@ -110,12 +110,12 @@
 		"cut, server of another value broke off": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
 			st.longExecution("x", a, 1.1, 0)
-			st.longExecution("x", b, 0, 1.15).Made = 8
+			st.longExecution("x", b, 0, 1.15).AnswerSum = 8
 		}, []int{1}},
 		"cut within its head, one of two servers broke off": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Cut, 1.3).Begun = 0
+			st.partialAttempt("x", emulator.Cut, 1.3).ValueSum = 0
 			st.longExecution("x", a, 1.1, 0)
-			st.longExecution("x", b, 0, 1.15).Made = 8
+			st.longExecution("x", b, 0, 1.15).AnswerSum = 8
 		}, nil},
 		"cut, server made no long value": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -409,10 +409,10 @@
 // readValue reads a value's bytes and checks them as they arrive.
 func readValue(in *bufio.Reader, buf []byte, size int) error {
 	check := emulator.Check{Length: size}
-	for check.Came < size {
-		n, err := in.Read(buf[:min(len(buf), size-check.Came)])
+	for check.Received < size {
+		n, err := in.Read(buf[:min(len(buf), size-check.Received)])
 		if err != nil {
-			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Came, size, err)
+			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Received, size, err)
 		}
 		check.Take(buf[:n])
 	}
