--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -51,7 +51,7 @@
 		c.protocol = &tileClient{conn: c}
 	}
 	attempt.Router = d.index
-	if d.clients.load.Most > 0 && d.openConns >= d.clients.load.Most {
+	if d.clients.load.MaxConnections > 0 && d.openConns >= d.clients.load.MaxConnections {
 		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
@@ -76,7 +76,7 @@
 func (c *clientConn) writeAttempt(attempt *Attempt) {
 	loop := c.target.clients.loop
 	c.attempt = attempt
-	c.leavesEarly = c.target.clients.load.Impatient > 0 && c.target.clients.rng.Float64() < c.target.clients.load.Impatient
+	c.leavesEarly = c.target.clients.load.EarlyDisconnects > 0 && c.target.clients.rng.Float64() < c.target.clients.load.EarlyDisconnects
 	remaining := max(1e-3, attempt.Began+attempt.Wait-loop.Now())
 	c.attemptEnd = c.conn.Sent()
 	for _, piece := range c.protocol.encodeRequest(attempt, remaining) {
@@ -158,7 +158,7 @@
 	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // answered before it was written completely
 	plain := c.attempt.Reading.needsPlainConn()
 	c.finishAttempt(end)
-	switch use := c.target.clients.load.Use; {
+	switch use := c.target.clients.load.Connections; {
 	case use == New || plain || unsent:
 		c.close()
 	case use == Once:
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -26,18 +26,18 @@
 
 // Load describes the clients and the requests that they send.
 type Load struct {
-	Types           []*TrafficType
-	Rate            float64 // requests per second
-	Keys            int
-	Zipf            float64 // exponent of the keys' Zipf distribution; 0: uniform
-	Retries         int     // most retries of a request
-	TimeoutFraction float64 // an attempt's timeout as a fraction of the request's deadline
-	Pause           float64 // seconds before a retry
-	Honour          float64 // fraction of retries that wait as long as the router asked
-	Impatient       float64 // fraction of attempts whose client disconnects before the timeout
-	Use             Connections
-	Most            int       // most connections to one router; 0: no limit
-	Skew            []float64 // relative weights of the routers in the choice of a router; empty: equal
+	Types            []*TrafficType
+	Rate             float64 // requests per second
+	Keys             int
+	Zipf             float64 // exponent of the keys' Zipf distribution; 0: uniform
+	Retries          int     // most retries of a request
+	TimeoutFraction  float64 // an attempt's timeout as a fraction of the request's deadline
+	Pause            float64 // seconds before a retry
+	HonorRetryAfter  float64 // fraction of retries that wait as long as the router asked
+	EarlyDisconnects float64 // fraction of attempts whose client disconnects before the timeout
+	Connections      Connections
+	MaxConnections   int       // most connections to one router; 0: no limit
+	RouterWeights    []float64 // relative weights of the routers in the choice of a router; empty: equal
 }
 
 // End is how an attempt ended for its client.
@@ -192,8 +192,8 @@
 			return nil, fmt.Errorf("router %s: %w", text, err)
 		}
 		target := &routerTarget{clients: c, index: index, addr: addr, weight: 1}
-		if len(load.Skew) > 0 {
-			target.weight = load.Skew[index%len(load.Skew)]
+		if len(load.RouterWeights) > 0 {
+			target.weight = load.RouterWeights[index%len(load.RouterWeights)]
 		}
 		c.routers = append(c.routers, target)
 	}
@@ -413,7 +413,7 @@
 		return -1 // it may have run
 	case attempt.Request.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
-	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
+	case attempt.After > 0 && c.rng.Float64() < c.load.HonorRetryAfter:
 		return float64(attempt.After) / 1e3
 	}
 	return c.load.Pause
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -71,7 +71,7 @@
 
 func testLoad(rate float64) Load {
 	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TimeoutFraction: 0.6, Pause: 0.01,
-		Use: Kept, Most: 20}
+		Connections: Kept, MaxConnections: 20}
 }
 
 func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
@@ -80,7 +80,7 @@
 // closed loop would lower the load while a router is slow.
 func TestArrivalsAreOpenLoop(t *testing.T) {
 	load := testLoad(300)
-	load.Most = 1000
+	load.MaxConnections = 1000
 	records := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
 	if n := len(records.Ops); n < 100 || n > 200 {
 		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
@@ -101,7 +101,7 @@
 // A rejected request is retried after the delay that the router asked for. An at-most-once request is not retried after
 // a failure, because it may have run.
 func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
-	records := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
+	records := runClients(t, func() Load { load := testLoad(20); load.HonorRetryAfter = 1; return load }(), 0.4,
 		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -240,8 +240,8 @@
 				}
 			}()
 			loop := newLoop(t)
-			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept,
-				Most: 100}, []string{ln.Addr().String()}, nil)
+			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Connections: Kept,
+				MaxConnections: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
@@ -280,8 +280,8 @@
 func TestClientLongWrites(t *testing.T) {
 	fleet, server := startLongValueFleet(t)
 	loop := newLoop(t)
-	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept,
-		Most: 100}, []string{server.Addr}, nil)
+	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Connections: Kept,
+		MaxConnections: 100}, []string{server.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -283,8 +283,8 @@
 func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
 	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TimeoutFraction: c.TryShare,
-		Pause: c.PauseMS / 1e3, Honour: c.Honour, Impatient: c.Impatient, Use: emulator.Connections(c.Connections),
-		Most: c.Most, Skew: s.Routers.Skew}
+		Pause: c.PauseMS / 1e3, HonorRetryAfter: c.Honour, EarlyDisconnects: c.Impatient, Connections: emulator.Connections(c.Connections),
+		MaxConnections: c.Most, RouterWeights: s.Routers.Skew}
 }
 
 // tileType returns the traffic class of the map tiles in a pool, or nil if it has none.
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -25,7 +25,7 @@
 	b.loadCount++
 	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads},
 		Rate: rate, Keys: keyCount,
-		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
+		Connections: emulator.Kept, MaxConnections: 200}, []string{p.addr}, nil)
 	if err != nil {
 		return used, 0, 0, err
 	}
