--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -122,13 +122,13 @@
 			c.timer.Set(wait)
 			return
 		}
-		c.finishAttempt(Silent)
+		c.finishAttempt(NoAnswer)
 	case !c.connected || attempt.Sent == 0:
 		c.finishAttempt(NoConnection)
 	case c.leavesEarly:
-		c.finishAttempt(Left)
+		c.finishAttempt(ClientDisconnected)
 	default:
-		c.finishAttempt(Silent)
+		c.finishAttempt(NoAnswer)
 	}
 	c.close()
 }
@@ -189,7 +189,7 @@
 		if attempt.malformed = description; attempt.Length > 0 {
 			c.finishAttempt(Cut)
 		} else {
-			c.finishAttempt(Terminated)
+			c.finishAttempt(FailedAttempt)
 		}
 	}
 	c.close()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -45,15 +45,15 @@
 
 // The ends of an attempt.
 const (
-	Waiting      End = iota
-	Finished         // the router returned a value or a receipt
-	Declined         // rejected: a retry is safe
-	Terminated       // failed: the outcome is unknown
-	NoConnection     // not sent: it did not reach a router
-	Left             // the client disconnected before its timeout
-	Lost             // the connection ended without an answer
-	Silent           // no answer in time, or a value stopped arriving
-	Cut              // the connection ended within a value, or the value's end was malformed
+	Waiting            End = iota
+	Finished               // the router returned a value or a receipt
+	Rejected               // rejected: a retry is safe
+	FailedAttempt          // failed: the outcome is unknown
+	NoConnection           // not sent: it did not reach a router
+	ClientDisconnected     // the client disconnected before its timeout
+	Lost                   // the connection ended without an answer
+	NoAnswer               // no answer in time, or a value stopped arriving
+	Cut                    // the connection ended within a value, or the value's end was malformed
 )
 
 func (e End) String() string {
@@ -407,9 +407,9 @@
 // retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
 func (c *Clients) retryDelay(attempt *Attempt) float64 {
 	switch {
-	case attempt.End == Left:
+	case attempt.End == ClientDisconnected:
 		return -1
-	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.End != Declined && attempt.End != NoConnection:
+	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.End != Rejected && attempt.End != NoConnection:
 		return -1 // it may have run
 	case attempt.Request.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -88,7 +88,7 @@
 	keys := map[string]int{}
 	for _, request := range records.Ops {
 		keys[request.Key]++
-		if request.End != Silent && request.End != NoConnection {
+		if request.End != NoAnswer && request.End != NoConnection {
 			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.End)
 		}
 	}
@@ -109,7 +109,7 @@
 			return valueReply(id)
 		}))
 	first := records.Ops[0].Tries
-	if len(first) != 2 || first[0].End != Declined || first[1].End != Finished || first[1].Began-first[0].Ended < 0.079 {
+	if len(first) != 2 || first[0].End != Rejected || first[1].End != Finished || first[1].Began-first[0].Ended < 0.079 {
 		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
 	once := *readType
@@ -119,7 +119,7 @@
 	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
 		return "SERVER_ERROR failed\r\n"
 	})).Ops {
-		if len(request.Tries) != 1 || request.End != Terminated {
+		if len(request.Tries) != 1 || request.End != FailedAttempt {
 			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Tries))
 		}
 	}
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -76,7 +76,7 @@
 	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
 		attempt.Received, attempt.ValueSum, m.conn.lastByteAt = m.check.Received, m.check.Sum(), m.conn.target.clients.loop.Now()
 		if m.conn.leaveAfterBytes > 0 && attempt.Received >= m.conn.leaveAfterBytes {
-			m.conn.finishAttempt(Left)
+			m.conn.finishAttempt(ClientDisconnected)
 			m.conn.close()
 		}
 	}
@@ -109,14 +109,14 @@
 func (m *memcacheClient) Busy(after int) {
 	if m.conn.expectsAnswer("") {
 		m.conn.attempt.After = after
-		m.conn.attemptAnswered(Declined)
+		m.conn.attemptAnswered(Rejected)
 	}
 }
 
 // Failed handles a failure. The outcome is unknown.
 func (m *memcacheClient) Failed() {
 	if m.conn.expectsAnswer("") {
-		m.conn.attemptAnswered(Terminated)
+		m.conn.attemptAnswered(FailedAttempt)
 	}
 }
 
@@ -189,9 +189,9 @@
 		k.conn.attemptAnswered(Finished)
 	case 503:
 		k.conn.attempt.After = k.after
-		k.conn.attemptAnswered(Declined)
+		k.conn.attemptAnswered(Rejected)
 	case 502, 504:
-		k.conn.attemptAnswered(Terminated)
+		k.conn.attemptAnswered(FailedAttempt)
 	default:
 		k.conn.rejectAnswer("unexpected HTTP status " + strconv.Itoa(k.status))
 		return
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -204,7 +204,7 @@
 		"usual":        {Reading{}, func(text string) string { return text }, Finished, false},
 		"slowly":       {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
 		"with a pause": {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
-		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
+		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, ClientDisconnected, false},
 		"cut":          {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
 		"cut, slowly":  {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
 		"other bytes": {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -80,7 +80,7 @@
 	time.Sleep(50 * time.Millisecond)
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if executions[0].Outcome != Cancelled || executions[1].Outcome != TurnedAway || executions[2].Outcome != TurnedAway ||
+		if executions[0].Outcome != Cancelled || executions[1].Outcome != RejectedExecution || executions[2].Outcome != RejectedExecution ||
 			len(servers[0].processor.waiting) != 0 {
 			t.Errorf("got executions %v, %v, %v; want cancelled, turned away, turned away and an empty queue",
 				executions[0].Outcome, executions[1].Outcome, executions[2].Outcome)
@@ -209,7 +209,7 @@
 	dialServer(t, server.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
-		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.Outcome != Spoilt {
+		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.Outcome != MalformedAnswer {
 			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.Outcome)
 		}
 	})
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -121,7 +121,7 @@
 	}
 	if c.overLimit || server.mode != Ready && server.fleet.drainingRejects ||
 		len(server.processor.waiting) >= server.Queue {
-		reply.finish(TurnedAway, []byte(reply.conn.protocol.busyReply()))
+		reply.finish(RejectedExecution, []byte(reply.conn.protocol.busyReply()))
 		return
 	}
 	reply.job = server.processor.add(work, reply.begin, reply.workDone)
@@ -131,7 +131,7 @@
 func (r *reply) begin() bool {
 	now := r.conn.server.fleet.loop.Now()
 	if r.deadline > 0 && now >= r.deadline {
-		r.finish(TurnedAway, []byte(r.conn.protocol.busyReply()))
+		r.finish(RejectedExecution, []byte(r.conn.protocol.busyReply()))
 		return false
 	}
 	r.execution.Began = now
@@ -202,7 +202,7 @@
 			return
 		}
 		if server.rng.Float64() < server.corruptFraction {
-			r.execution.Outcome = Spoilt
+			r.execution.Outcome = MalformedAnswer
 			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
 			r.conn.corrupted = true
 		} else if r.execution.Length > 0 {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -53,12 +53,12 @@
 
 // The ends of an execution, as recorded by the cache server.
 const (
-	Open       Outcome = iota // still in progress
-	Answered                  // answered with the value or receipt made for it
-	TurnedAway                // rejected before any of it ran
-	Failed                    // answered with an error or by a reset, after it may have run
-	Spoilt                    // answered with a malformed answer, which a router must not pass to a client
-	Cancelled                 // its connection ended before its answer, and its work was cancelled
+	Open              Outcome = iota // still in progress
+	Answered                         // answered with the value or receipt made for it
+	RejectedExecution                // rejected before any of it ran
+	Failed                           // answered with an error or by a reset, after it may have run
+	MalformedAnswer                  // answered with a malformed answer, which a router must not pass to a client
+	Cancelled                        // its connection ended before its answer, and its work was cancelled
 )
 
 func (h Outcome) String() string {
@@ -88,7 +88,7 @@
 }
 
 // MayHaveRun reports whether the command may have run, which is so unless the cache server rejected it.
-func (x *Execution) MayHaveRun() bool { return x.Outcome != TurnedAway }
+func (x *Execution) MayHaveRun() bool { return x.Outcome != RejectedExecution }
 
 // ServerRecords holds the records of a fleet. Only the fleet's event loop may access it while it runs.
 type ServerRecords struct {
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -179,7 +179,7 @@
 		for _, t := range op.Tries {
 			l.Attempts++
 			switch t.End {
-			case emulator.Silent:
+			case emulator.NoAnswer:
 				l.Silent++
 			case emulator.Lost:
 				l.Lost++
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -117,9 +117,9 @@
 			inTime[name]++
 		case served:
 			f.Late++
-		case o.End == emulator.Declined:
+		case o.End == emulator.Rejected:
 			f.Declined++
-		case o.End == emulator.Terminated:
+		case o.End == emulator.FailedAttempt:
 			f.Terminated++
 		default:
 			f.Unserved++
@@ -128,7 +128,7 @@
 			recordSeconds(all, o.Latency())
 			recordSeconds(byType[name], o.Latency())
 		}
-		if last := o.Tries[len(o.Tries)-1]; o.End == emulator.Declined && last.Sent > 0 {
+		if last := o.Tries[len(o.Tries)-1]; o.End == emulator.Rejected && last.Sent > 0 {
 			recordSeconds(declined, last.Ended-last.Sent)
 		}
 		gained[name] += gain
@@ -194,9 +194,9 @@
 		s.InTime++
 	case served:
 		s.Late++
-	case o.End == emulator.Declined:
+	case o.End == emulator.Rejected:
 		s.Declined++
-	case o.End == emulator.Terminated:
+	case o.End == emulator.FailedAttempt:
 		s.Terminated++
 	default:
 		s.Unserved++
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -138,7 +138,7 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Declined }) || len(o.Tries) == 1
+	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Rejected }) || len(o.Tries) == 1
 	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
@@ -159,7 +159,7 @@
 		if len(runs) > 0 && !j.endedNear(t.Router, t.Sent, t.Ended) {
 			j.breach(1, t.Ended, o, t.ID, "request lost: the connection ended without an answer after the request had reached a server")
 		}
-	case emulator.Silent:
+	case emulator.NoAnswer:
 		if t.Length > 0 {
 			j.checkTruncation(o, t, "no more came, with the connection still open")
 			break
@@ -184,7 +184,7 @@
 			j.breach(1, t.ResentAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
 		}
 	}
-	if t.End != emulator.Finished && t.End != emulator.Declined && t.End != emulator.Terminated {
+	if t.End != emulator.Finished && t.End != emulator.Rejected && t.End != emulator.FailedAttempt {
 		return
 	}
 	for _, x := range runs {
@@ -203,7 +203,7 @@
 	}
 	var by *emulator.Execution
 	for _, x := range j.executions[t.ID] {
-		if x.Outcome == emulator.Spoilt {
+		if x.Outcome == emulator.MalformedAnswer {
 			return // the server sent an invalid answer
 		}
 		// If the client has not received the whole head of the value, the value may be from any server that answered.
@@ -270,7 +270,7 @@
 			}
 		}
 	}
-	if t.End != emulator.Declined {
+	if t.End != emulator.Rejected {
 		return
 	}
 	for _, x := range runs {
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -26,19 +26,19 @@
 		}, []int{1}},
 		"finished with an invalid value": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.Spoilt)
+			st.execution("x", a, 1.01, emulator.MalformedAnswer)
 		}, []int{1}},
-		"no answer": {"read", func(st *runRecord) { st.attempt("x", emulator.Silent, 1.45) }, []int{1}},
+		"no answer": {"read", func(st *runRecord) { st.attempt("x", emulator.NoAnswer, 1.45) }, []int{1}},
 		"no answer, router killed": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{From: 999, To: 1001.2, How: endKilled}}
 		}, nil},
 		"no answer, other router killed": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{Router: 1, From: 999, To: 1001.2, How: endKilled}}
 		}, []int{1}},
 		"no answer, router shut down gracefully": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{From: 999, Told: 1001, To: 1001.2, How: endAsked}}
 		}, []int{1}},
 		"connection lost after an execution": {"read", func(st *runRecord) {
@@ -58,11 +58,11 @@
 			st.execution("x", a, 1.15, emulator.Answered)
 		}, []int{1}},
 		"sent to a server after its answer": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.2, emulator.Cancelled)
 		}, []int{1}},
 		"on its way to a server when answered": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.08, emulator.Cancelled)
 		}, nil},
 		"answered twice": {"read", func(st *runRecord) {
@@ -123,7 +123,7 @@
 		}, []int{1}},
 		"cut, server sent an invalid answer": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
-			st.execution("x", a, 1.01, emulator.Spoilt)
+			st.execution("x", a, 1.01, emulator.MalformedAnswer)
 		}, nil},
 		"cut, router killed": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
@@ -136,15 +136,15 @@
 			st.rec.Processes = []RouterProcess{{From: 999, Told: 1001, To: 1001.25, How: endAsked}}
 		}, []int{1}},
 		"long value abandoned by its client": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Left, 1.3)
+			st.partialAttempt("x", emulator.ClientDisconnected, 1.3)
 			st.longExecution("x", a, 0, 0)
 		}, nil},
 		"long value stopped, server sent it whole": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Silent, 9)
+			st.partialAttempt("x", emulator.NoAnswer, 9)
 			st.longExecution("x", a, 1.1, 0)
 		}, []int{1}},
 		"long value stopped, server stopped sending": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Silent, 9)
+			st.partialAttempt("x", emulator.NoAnswer, 9)
 			st.longExecution("x", a, 0, 1.1)
 		}, nil},
 		"a long write altered on its way": {"put", func(st *runRecord) {
@@ -158,19 +158,19 @@
 		}, []int{2}},
 		"at-most-once, sent again after it was rejected": {"pay", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", b, 1.02, emulator.Answered)
 		}, nil},
 		"at-most-once, declined though it may have run": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, []int{2}},
 		"at-most-once, terminated after it may have run": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Terminated, 1.05)
+			st.attempt("x", emulator.FailedAttempt, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, nil},
 		"at-most-once, two effects of two attempts": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.attempt("y", emulator.Finished, 1.3)
 			st.execution("x", a, 1.01, emulator.Answered).Effect = true
 			st.execution("y", b, 1.2, emulator.Answered).Effect = true
@@ -191,7 +191,7 @@
 			st.execution("x", b, 3.1, emulator.Answered)
 		}, []int{2}},
 		"numbered with a narrow scope, declined though it may have run": {"put", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, []int{2}},
 		"to a draining server within the grace": {"read", func(st *runRecord) {
@@ -216,12 +216,12 @@
 		}, nil},
 		"a bound type in its zone": {"bound", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", b, 1.02, emulator.Answered)
 		}, nil},
 		"a bound type's retry outside its zone": {"bound", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", far, 1.02, emulator.Answered)
 		}, []int{5}},
 		"a cold server failed under load": {"read", func(st *runRecord) {
@@ -253,7 +253,7 @@
 // Other breaches still count.
 func TestBreachNearLabLatenessIsDoubtful(t *testing.T) {
 	st := newRunRecord("read")
-	st.attempt("x", emulator.Silent, 1.45)
+	st.attempt("x", emulator.NoAnswer, 1.45)
 	late := &emulator.Lateness{}
 	for i := range 1000 {
 		late.Times, late.At = append(late.Times, 0.0001), append(late.At, 1000+float64(i)*0.01)
--- a/internal/experiment/long_test.go
+++ b/internal/experiment/long_test.go
@@ -103,7 +103,7 @@
 	t.Parallel()
 	rec, found := playLongValues(t, longValueScenario(1<<20, faultTable("read-slow", "part = 0.2\nrate = 2e6")+faultTable("read-pause", "part = 0.1\ndelay = 0.5")+
 		faultTable("read-leave", "part = 0.2")), routerProgram(t, "logic"))
-	checkLongValues(t, rec, found, emulator.Finished, emulator.Left)
+	checkLongValues(t, rec, found, emulator.Finished, emulator.ClientDisconnected)
 }
 
 // No router is blamed for long values that servers break off, reset or stop sending, before or after their end. A long
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -260,9 +260,9 @@
 		add(1+float64(i), 0.05, emulator.Finished, "read")
 	}
 	add(7, 0.3, emulator.Finished, "read")
-	add(7.1, 0.01, emulator.Declined, "read")
-	add(7.2, 0.01, emulator.Terminated, "pay")
-	add(7.3, 0.01, emulator.Silent, "pay")
+	add(7.1, 0.01, emulator.Rejected, "read")
+	add(7.2, 0.01, emulator.FailedAttempt, "pay")
+	add(7.3, 0.01, emulator.NoAnswer, "pay")
 	f := ComputeFigures(st.s, st.rec)
 	if f.Requests != 10 || f.BenefitInTime != 0.6 || f.Late != 0.1 || f.Declined != 0.1 || f.Terminated != 0.1 || f.Unserved != 0.1 ||
 		f.WorstTypeBenefit != 0 || f.WorstTypeName != "pay" || f.WorstIntervalBenefit > 0.3 || f.P50 < 49 || f.P50 > 51 || f.P99 < 299 || f.P99 > 301 {
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -119,12 +119,12 @@
 		if _, timely := o.Served(); timely {
 			gained[name] += o.Type.Benefit
 		}
-		if o.End == emulator.Declined {
+		if o.End == emulator.Rejected {
 			f.Declined++
 		}
 		for _, t := range o.Tries {
 			tenantOf[t.ID] = name
-			if t.End == emulator.Declined && t.Sent > 0 {
+			if t.End == emulator.Rejected && t.Sent > 0 {
 				declineSeconds[name] = append(declineSeconds[name], t.Ended-t.Sent)
 			}
 		}
