--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -110,25 +110,25 @@
 func (s *Server) Leave() { s.remove() }
 
 // Stall stops the origin's work.
-func (l *Ledger) Stall() (end func()) {
-	l.stalled++
-	l.updateRate()
-	return func() { l.stalled--; l.updateRate() }
+func (o *Origin) Stall() (end func()) {
+	o.stalled++
+	o.updateRate()
+	return func() { o.stalled--; o.updateRate() }
 }
 
 // Slow makes the origin slower by this factor.
-func (l *Ledger) Slow(factor float64) (end func()) {
-	l.slowFactors = append(l.slowFactors, factor)
-	l.updateRate()
+func (o *Origin) Slow(factor float64) (end func()) {
+	o.slowFactors = append(o.slowFactors, factor)
+	o.updateRate()
 	return func() {
-		i := slices.Index(l.slowFactors, factor)
-		l.slowFactors = slices.Delete(l.slowFactors, i, i+1)
-		l.updateRate()
+		i := slices.Index(o.slowFactors, factor)
+		o.slowFactors = slices.Delete(o.slowFactors, i, i+1)
+		o.updateRate()
 	}
 }
 
-// Ledger returns the origin.
-func (f *Fleet) Ledger() *Ledger { return f.origin }
+// Origin returns the origin.
+func (f *Fleet) Origin() *Origin { return f.origin }
 
 // Silence makes the agent accept calls without answering them.
 func (a *Agent) Silence() (end func()) {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -16,7 +16,7 @@
 	loop            *eventloop.Loop
 	types           map[string]*TrafficType
 	servers         []*Server // in the order in which they were added, including removed ones
-	origin          *Ledger
+	origin          *Origin
 	list            *List
 	records         *ServerRecords
 	dedupTables     map[string]*dedupTable
@@ -31,13 +31,13 @@
 }
 
 // NewFleet returns a fleet without servers. listed is the list service's usual delay.
-func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
+func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger OriginSpec, listed Delay) *Fleet {
 	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &ServerRecords{},
 		dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
 	}
-	fleet.origin = newLedger(loop, ledger, fleet.records, fleet.Chance("ledger"))
+	fleet.origin = newOrigin(loop, ledger, fleet.records, fleet.Chance("ledger"))
 	fleet.list = newList(loop.Now, listed, fleet.Chance("list"))
 	fleet.lateness.start(loop)
 	fleet.closeIdleConns()
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2,
-		Time: 0.2, Halt: 0.3}, Delay{})
+	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, OriginSpec{Concurrency: 2, MeanSeconds: 0.005, Multiple: 2,
+		OverloadSeconds: 0.2, HaltSeconds: 0.3}, Delay{})
 	var servers []*Server
 	for _, s := range specs {
 		server, err := fleet.Add(s, false)
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -251,7 +251,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	fleet.runOnLoop(func() {
-		if len(fleet.records.Halts) != 1 || fleet.records.Halts[0].ColdPart != 1 || fleet.origin.processor.rate != 0 {
+		if len(fleet.records.Halts) != 1 || fleet.records.Halts[0].ColdFraction != 1 || fleet.origin.processor.rate != 0 {
 			t.Errorf("halts: got %+v, want one with all calls from cold servers, and a stopped origin", fleet.records.Halts)
 		}
 	})
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -123,11 +123,11 @@
 	Server *Server
 }
 
-// Halt is a stop of the origin under overload. ColdPart is the fraction of the recent calls that were misses at cold
+// Halt is a stop of the origin under overload. ColdFraction is the fraction of the recent calls that were misses at cold
 // cache servers.
 type Halt struct {
-	At       float64
-	ColdPart float64
+	At           float64
+	ColdFraction float64
 }
 
 // Join adds the records of another book.
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -129,9 +129,9 @@
 			}
 			about = fmt.Sprintf("%s work %v times", f.Target, f.Factor)
 		case "ledger-stall":
-			addEnd(fleet.Ledger().Stall())
+			addEnd(fleet.Origin().Stall())
 		case "ledger-slow":
-			addEnd(fleet.Ledger().Slow(f.Factor))
+			addEnd(fleet.Origin().Slow(f.Factor))
 		default:
 			hit := w.servers(fleet, t, chance)
 			about = serverNames(hit)
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -373,8 +373,8 @@
 		j.breach(4, f.At, nil, "", "cold cache server %s failed under load, %.1f s after its start", f.Server.Name, f.At-f.Server.Started())
 	}
 	for _, h := range j.rec.Fleet.Halts {
-		if h.ColdPart > maxColdMissFraction {
-			j.breach(4, h.At, nil, "", "the origin halted; %.0f%% of its load were misses at cold cache servers", h.ColdPart*100)
+		if h.ColdFraction > maxColdMissFraction {
+			j.breach(4, h.At, nil, "", "the origin halted; %.0f%% of its load were misses at cold cache servers", h.ColdFraction*100)
 		}
 	}
 }
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -230,7 +230,7 @@
 		}, []int{4}},
 		"the origin halted by misses at cold servers": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
-			st.rec.Fleet.Halts = []emulator.Halt{{At: 1002, ColdPart: 0.6}, {At: 1005, ColdPart: 0.4}}
+			st.rec.Fleet.Halts = []emulator.Halt{{At: 1002, ColdFraction: 0.6}, {At: 1005, ColdFraction: 0.4}}
 		}, []int{4}},
 		"a router crashed": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -164,8 +164,8 @@
 		keys = append(keys, emulator.Key(n))
 	}
 	for i := range 1 + len(s.Pools) {
-		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.LedgerSpec{AtOnce: s.Ledger.AtOnce,
-			Takes: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, Time: s.Ledger.Within, Halt: s.Ledger.Halt},
+		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.OriginSpec{Concurrency: s.Ledger.AtOnce,
+			MeanSeconds: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, OverloadSeconds: s.Ledger.Within, HaltSeconds: s.Ledger.Halt},
 			emulator.Delay{Base: s.List.Delay, Spread: s.List.Spread})
 		f.List().Bound(s.List.Calls)
 		w.fleets = append(w.fleets, f)
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -86,8 +86,8 @@
 			return err
 		}
 		t = &testbed{loop: loop, ended: make(chan error, 1)}
-		t.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64,
-			Takes: 0.001, Multiple: 4, Time: 3, Halt: 1},
+		t.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.OriginSpec{Concurrency: 64,
+			MeanSeconds: 0.001, Multiple: 4, OverloadSeconds: 3, HaltSeconds: 1},
 			emulator.Delay{})
 		go func() { t.ended <- loop.Run() }()
 		t.onLoop(func() { err = t.addServers(b, servers) })
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -230,8 +230,8 @@
 		return nil, err
 	}
 	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
-		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
+	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.OriginSpec{Concurrency: 1,
+		MeanSeconds: 1, Multiple: 1, OverloadSeconds: 1, HaltSeconds: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServerCount {
 		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
