--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// Older makes the agent answer with the list as it was this many changes ago.
-func (a *Agent) Older(changes int) (end func()) {
+// ServeOlder makes the agent answer with the list as it was this many changes ago.
+func (a *Agent) ServeOlder(changes int) (end func()) {
 	a.withLock(func() { a.generationsBehind += changes })
 	return func() { a.withLock(func() { a.generationsBehind -= changes }) }
 }
--- a/internal/emulator/list.go
+++ b/internal/emulator/list.go
@@ -34,8 +34,8 @@
 	watchGap    = 0.200 // seconds; a watch continued within this time after its last answer is not a new call
 )
 
-// Bound limits the service to this many calls per second. Calls that would wait too long are rejected.
-func (l *List) Bound(calls float64) {
+// LimitRate limits the service to this many calls per second. Calls that would wait too long are rejected.
+func (l *List) LimitRate(calls float64) {
 	l.mu.Lock()
 	defer l.mu.Unlock()
 	l.callRate = calls
@@ -79,8 +79,8 @@
 	Entries    []listEntry `json:"instances"`
 }
 
-// Told is a change of one cache server that an agent reported to its router.
-type Told struct {
+// Report is a change of one cache server that an agent reported to its router.
+type Report struct {
 	At     float64
 	Server string
 	Mode   Mode
@@ -112,7 +112,7 @@
 	list               *List
 	visibleAt          []float64 // when the agent learns of each change
 	reportedModes      map[string]Mode
-	reports            []Told
+	reports            []Report
 	reportedGeneration int                         // the generation last sent to the router
 	lastReport         float64                     // when it was sent
 	addressOf          func(server *Server) string // a server's address for the router; nil: the server's own
@@ -139,8 +139,8 @@
 	return agent, agent.listen(addr)
 }
 
-// Via makes the agent list other addresses of the cache servers, which only its router uses.
-func (a *Agent) Via(addressOf func(server *Server) string) {
+// SetAddresses makes the agent list other addresses of the cache servers, which only its router uses.
+func (a *Agent) SetAddresses(addressOf func(server *Server) string) {
 	a.withLock(func() { a.addressOf = addressOf })
 }
 
@@ -297,19 +297,19 @@
 		return
 	}
 	a.reportedModes[server] = mode
-	a.reports = append(a.reports, Told{At: now, Server: server, Mode: mode})
+	a.reports = append(a.reports, Report{At: now, Server: server, Mode: mode})
 }
 
-// Told returns the reported changes in order.
-func (a *Agent) Told() []Told {
+// Reports returns the reported changes in order.
+func (a *Agent) Reports() []Report {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
-	return append([]Told(nil), a.reports...)
+	return append([]Report(nil), a.reports...)
 }
 
-// Known returns the list as the router last received it, in the list service's JSON. It goes into the router's
+// LastList returns the list as the router last received it, in the list service's JSON. It goes into the router's
 // configuration, so that a new process of that router starts with it.
-func (a *Agent) Known() json.RawMessage {
+func (a *Agent) LastList() json.RawMessage {
 	a.list.mu.Lock()
 	defer a.list.mu.Unlock()
 	newest := a.generation()
--- a/internal/emulator/list_test.go
+++ b/internal/emulator/list_test.go
@@ -19,11 +19,11 @@
 
 // waitForReports returns an agent's recorded reports once there are as many as wanted, or after 1 s. An agent records a
 // response only after it was written, so a caller may read the response before it is recorded.
-func waitForReports(agent *Agent, want int) []Told {
-	for deadline := time.Now().Add(time.Second); len(agent.Told()) < want && time.Now().Before(deadline); {
+func waitForReports(agent *Agent, want int) []Report {
+	for deadline := time.Now().Add(time.Second); len(agent.Reports()) < want && time.Now().Before(deadline); {
 		time.Sleep(time.Millisecond)
 	}
-	return agent.Told()
+	return agent.Reports()
 }
 
 func TestFullListAndWatch(t *testing.T) {
@@ -78,7 +78,7 @@
 	endFreeze()
 	generation(3)
 	endLate()
-	endOld := agent.Older(2)
+	endOld := agent.ServeOlder(2)
 	if got := queryList(t, agent, "?from=3&hold_ms=0"); got.Generation != 1 || !got.Full {
 		t.Errorf("older list: got %+v, want a full list of generation 1", got)
 	}
@@ -134,7 +134,7 @@
 func TestListServiceRateLimit(t *testing.T) {
 	fleet, _ := startFleet(t, spec("s-1"))
 	agent, list := startAgent(t, fleet), fleet.list
-	list.Bound(4)
+	list.LimitRate(4)
 	admitted := 0
 	for range 20 {
 		if _, ok := list.admitCall(100); ok {
@@ -150,7 +150,7 @@
 	if wait, ok := list.admitCall(105); !ok || wait != 0.25 {
 		t.Errorf("an idle service: a call waits %v s, want 0.25 s", wait)
 	}
-	list.Bound(20)
+	list.LimitRate(20)
 	for withinGap := false; !withinGap; { // until the machine makes both calls within the watch's gap
 		list.busyUntil = 0
 		first, began := queryList(t, agent, ""), time.Now()
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -253,7 +253,7 @@
 		case "list-refuse":
 			ends = append(ends, a.Refuse())
 		case "list-old":
-			addEnd(a.Older(f.Count))
+			addEnd(a.ServeOlder(f.Count))
 		case "list-move":
 			w.mu.Lock()
 			w.listMoves++
@@ -349,7 +349,7 @@
 	r := w.routerNodes[n]
 	r.mu.Lock()
 	if !w.scenario.List.Forgets {
-		r.config["known"] = w.agents[0][n].Known()
+		r.config["known"] = w.agents[0][n].LastList()
 	}
 	r.mu.Unlock()
 	if err := r.start(); err != nil {
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -325,9 +325,9 @@
 // server is not ready.
 func (j *judge) checkDrains() {
 	grace := j.s.Rules.GraceMS/1e3 + emulator.Tolerance
-	since := make([]map[string][]emulator.Told, len(j.rec.Told)) // by router and server
+	since := make([]map[string][]emulator.Report, len(j.rec.Told)) // by router and server
 	for r, all := range j.rec.Told {
-		since[r] = map[string][]emulator.Told{}
+		since[r] = map[string][]emulator.Report{}
 		for _, t := range all {
 			since[r][t.Server] = append(since[r][t.Server], t)
 		}
@@ -348,7 +348,7 @@
 
 // notReadyLongerThan reports whether the list showed at a time that a server had not been ready for longer than the
 // grace, and since when.
-func notReadyLongerThan(told []emulator.Told, at, grace float64) (since emulator.Told, late bool) {
+func notReadyLongerThan(told []emulator.Report, at, grace float64) (since emulator.Report, late bool) {
 	out := false
 	for _, t := range told {
 		if t.At > at {
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -218,7 +218,7 @@
 			return err
 		}
 		known := map[*emulator.Server]string{}
-		agent.Via(func(s *emulator.Server) string { // only the agent calls it, one call at a time: known needs no lock
+		agent.SetAddresses(func(s *emulator.Server) string { // only the agent calls it, one call at a time: known needs no lock
 			if known[s] == "" {
 				known[s] = at(n, len(known), 11300)
 				w.fail(w.net.Conn(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -35,7 +35,7 @@
 	From, To      float64 // interval in which requests are due
 	Fleet         *emulator.ServerRecords
 	Clients       *emulator.ClientRecords
-	Told          [][]emulator.Told // by router
+	Told          [][]emulator.Report // by router
 	Processes     []RouterProcess
 	StopIntervals []StopInterval
 	FleetLate     *emulator.Lateness
@@ -116,9 +116,9 @@
 	}
 	rec.FleetLate, rec.ClientsLate = w.fleet.Late(), w.clients.Late()
 	for n := range w.routerNodes {
-		var told []emulator.Told
+		var told []emulator.Report
 		for _, agents := range w.agents {
-			told = append(told, agents[n].Told()...)
+			told = append(told, agents[n].Reports()...)
 		}
 		rec.Told = append(rec.Told, told)
 	}
@@ -167,7 +167,7 @@
 		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.OriginSpec{Concurrency: s.Ledger.AtOnce,
 			MeanSeconds: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, OverloadSeconds: s.Ledger.Within, HaltSeconds: s.Ledger.Halt},
 			emulator.Delay{Base: s.List.Delay, Spread: s.List.Spread})
-		f.List().Bound(s.List.Calls)
+		f.List().LimitRate(s.List.Calls)
 		w.fleets = append(w.fleets, f)
 		servers := s.Fleet.Servers
 		if i > 0 {
@@ -327,7 +327,7 @@
 		"name": fmt.Sprintf("n%d", n), "listen": routers[n], "discovery": agent.Addr(),
 		"seed":   fmt.Sprintf("%08x", uint32(seed)*2654435761+uint32(n)),
 		"limits": map[string]any{"cores": s.Routers.Cores, "memory_mb": s.Routers.MemoryMB, "sockets": s.Routers.Sockets},
-		"known":  agent.Known(),
+		"known":  agent.LastList(),
 		"settings": map[string]any{
 			"me": n, "fleetSize": s.Routers.Count, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -254,7 +254,7 @@
 		return t, fmt.Errorf("%w (another --net may be free)", err)
 	}
 	// The emulated servers are only listed; requests go to the listeners.
-	t.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
+	t.listService.SetAddresses(func(s *emulator.Server) string { return via[s.Name] })
 	go func() { t.ended <- t.loop.Run() }()
 	return t, t.startRouter(ctx, o)
 }
@@ -304,7 +304,7 @@
 func (t *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
 	conf := map[string]any{"name": "n0", "listen": t.addr, "discovery": t.listService.Addr(), "seed": "0badcafe",
-		"known":  t.listService.Known(),
+		"known":  t.listService.LastList(),
 		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
