--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -31,8 +31,8 @@
 
 func spec(name string) Spec {
 	return Spec{Name: name, Addr: testAddress(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10,
-		Connections: 20, Keep: 100,
-		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, Fall: 0.5}}
+		Connections: 20, CacheSize: 100,
+		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, CollapseSeconds: 0.5}}
 }
 
 // startFleet returns a fleet whose loop runs, with one server for each spec.
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -19,17 +19,17 @@
 	Connections   int     // most connections; on further ones every command is rejected; 0: no limit
 	Handshake     float64 // seconds of work for a new connection, added to its first command
 	Idle          float64 // seconds after which an idle connection is closed; 0: never
-	Keep          int     // most objects in the cache
+	CacheSize     int     // most objects in the cache
 	Cancels       bool    // it cancels work whose connection has ended
 	Cold          Cold
 }
 
 // Cold describes a cache server's warm-up after its start, and the overload rule during it.
 type Cold struct {
-	From     float64 // fraction of its capacity at its start
-	Warm     float64 // seconds until it has its full capacity
-	Multiple float64 // if the offered load exceeds this multiple of its current capacity ...
-	Fall     float64 // ... for this many seconds while it is cold, it collapses and stays down
+	From            float64 // fraction of its capacity at its start
+	Warm            float64 // seconds until it has its full capacity
+	Multiple        float64 // if the offered load exceeds this multiple of its current capacity ...
+	CollapseSeconds float64 // ... for this many seconds while it is cold, it collapses and stays down
 }
 
 // Mode is the state of a cache server in the endpoint list.
@@ -69,8 +69,8 @@
 }
 
 func newServer(fleet *Fleet, spec Spec, rng *rand.Rand) *Server {
-	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.Keep), conns: map[*serverConn]bool{},
-		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.Fall}}
+	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.CacheSize), conns: map[*serverConn]bool{},
+		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.CollapseSeconds}}
 	server.processor = processor{loop: fleet.loop, cores: max(1, spec.Cores), rate: spec.Speed}
 	return server
 }
@@ -112,7 +112,7 @@
 // startCold puts the server into the state right after a start, with an empty cache.
 func (s *Server) startCold() {
 	s.started = s.fleet.loop.Now()
-	s.cache = newStore(s.Keep)
+	s.cache = newStore(s.CacheSize)
 	s.overload.Reset()
 	s.warmUp()
 }
@@ -196,7 +196,7 @@
 
 // collapse takes down a cold cache server that was overloaded. It stays down until a crash fault on it ends.
 func (s *Server) collapse() {
-	s.fleet.records.Falls = append(s.fleet.records.Falls, Fall{At: s.fleet.loop.Now(), Server: s})
+	s.fleet.records.Collapses = append(s.fleet.records.Collapses, Collapse{At: s.fleet.loop.Now(), Server: s})
 	s.collapsed = true
 	s.dropConnections()
 	s.updateListening()
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -228,8 +228,8 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	fleet.runOnLoop(func() {
-		if len(fleet.records.Falls) != 1 || !servers[0].Collapsed() || servers[0].listedMode() != Gone {
-			t.Errorf("got %d collapses, want 1 and the server listed as gone", len(fleet.records.Falls))
+		if len(fleet.records.Collapses) != 1 || !servers[0].Collapsed() || servers[0].listedMode() != Gone {
+			t.Errorf("got %d collapses, want 1 and the server listed as gone", len(fleet.records.Collapses))
 		}
 	})
 	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -96,7 +96,7 @@
 	Probes     int
 	Fetches    []Fetch
 	Accepts    []Accept
-	Falls      []Fall
+	Collapses  []Collapse
 	Halts      []Halt
 	Overflow   bool // there were more executions than the limit: the run is void
 }
@@ -117,8 +117,8 @@
 	Server *Server
 }
 
-// Fall is the collapse of a cold cache server under overload.
-type Fall struct {
+// Collapse is the collapse of a cold cache server under overload.
+type Collapse struct {
 	At     float64
 	Server *Server
 }
@@ -135,7 +135,7 @@
 	b.Executions = append(b.Executions, o.Executions...)
 	b.Fetches = append(b.Fetches, o.Fetches...)
 	b.Accepts = append(b.Accepts, o.Accepts...)
-	b.Falls = append(b.Falls, o.Falls...)
+	b.Collapses = append(b.Collapses, o.Collapses...)
 	b.Halts = append(b.Halts, o.Halts...)
 	b.Probes += o.Probes
 	b.Overflow = b.Overflow || o.Overflow
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -369,7 +369,7 @@
 
 // checkColdServers checks rule 4: routers neither overload cold cache servers nor halt the origin by misses at them.
 func (j *judge) checkColdServers() {
-	for _, f := range j.rec.Fleet.Falls {
+	for _, f := range j.rec.Fleet.Collapses {
 		j.breach(4, f.At, nil, "", "cold cache server %s failed under load, %.1f s after its start", f.Server.Name, f.At-f.Server.Started())
 	}
 	for _, h := range j.rec.Fleet.Halts {
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -226,7 +226,7 @@
 		}, []int{5}},
 		"a cold server failed under load": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
-			st.rec.Fleet.Falls = []emulator.Fall{{At: 1002, Server: a}}
+			st.rec.Fleet.Collapses = []emulator.Collapse{{At: 1002, Server: a}}
 		}, []int{4}},
 		"the origin halted by misses at cold servers": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -309,8 +309,8 @@
 	return emulator.Spec{Name: name, Addr: w.address(serverAddrByte+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
 		Machine: f.Machines[n/f.Zones%len(f.Machines)], Cell: n / f.Zones / f.Cell, Cores: f.Cores, Speed: speed, Weight: float64(f.Cores), Queue: f.Queue,
 		PerConnection: f.PerConnection, Connections: f.Connections, Handshake: f.HandshakeMS / 1e3, Idle: f.Idle,
-		Keep: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
-			Fall: w.scenario.Rules.Fall}}
+		CacheSize: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
+			CollapseSeconds: w.scenario.Rules.Fall}}
 }
 
 // config returns the platform's configuration of a router, in the format of the file at GW_CONFIG.
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -104,8 +104,8 @@
 	for n := range servers {
 		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: b.address(serversOctet, n, 11300),
 			Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
-			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, Keep: 100000, Cancels: true,
-			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, Fall: 3}}
+			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, CacheSize: 100000, Cancels: true,
+			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, CollapseSeconds: 3}}
 		if _, err := t.fleet.Add(spec, false); err != nil {
 			return err
 		}
