--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -33,7 +33,7 @@
 
 // sendAttempt sends an attempt on an idle connection, or on a new one if there is none.
 func (d *routerTarget) sendAttempt(attempt *Attempt) {
-	for len(d.idle) > 0 && !attempt.Reading.needsPlainConn() {
+	for len(d.idle) > 0 && !attempt.ReadBehavior.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
 		if d.idle = d.idle[:len(d.idle)-1]; c.conn.Quiet() {
 			c.writeAttempt(attempt)
@@ -55,9 +55,9 @@
 		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
-	if attempt.Reading.needsPlainConn() {
+	if attempt.ReadBehavior.needsPlainConn() {
 		d.openConns++
-		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.Reading, attempt.Request.Type.Size/2, c)
+		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.ReadBehavior, attempt.Request.Type.Size/2, c)
 		c.conn, c.in, c.out.conn = conn, conn.in, conn
 		c.writeAttempt(attempt)
 		return
@@ -83,7 +83,7 @@
 		c.out.add(piece)
 		c.attemptEnd += uint64(len(piece))
 	}
-	if c.leaveAfterBytes = 0; attempt.Reading.Leave {
+	if c.leaveAfterBytes = 0; attempt.ReadBehavior.Leave {
 		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Request.Type.Size-1)
 	}
 	c.timer = loop.Timer(c.onTimeout)
@@ -118,7 +118,7 @@
 	case attempt == nil:
 		return
 	case attempt.Length > 0 && !c.leavesEarly:
-		if wait := c.lastByteAt + valueStallTimeout + attempt.Reading.Pause; c.target.clients.loop.Now() < wait {
+		if wait := c.lastByteAt + valueStallTimeout + attempt.ReadBehavior.Pause; c.target.clients.loop.Now() < wait {
 			c.timer.Set(wait)
 			return
 		}
@@ -156,7 +156,7 @@
 func (c *clientConn) attemptAnswered(end End) {
 	c.answeredAttempts++
 	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // answered before it was written completely
-	plain := c.attempt.Reading.needsPlainConn()
+	plain := c.attempt.ReadBehavior.needsPlainConn()
 	c.finishAttempt(end)
 	switch use := c.target.clients.load.Connections; {
 	case use == New || plain || unsent:
@@ -242,7 +242,7 @@
 }
 
 // needsPlainConn reports whether this way of reading needs a plainConn.
-func (r Reading) needsPlainConn() bool { return r.Rate > 0 || r.Pause > 0 }
+func (r ReadBehavior) needsPlainConn() bool { return r.Rate > 0 || r.Pause > 0 }
 
 // addReadPause records that the client does not read for this many seconds.
 func (c *clientConn) addReadPause(seconds float64) {
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -108,11 +108,11 @@
 	ResentAt  float64 // ... at this time
 	malformed string  // what is wrong with the answer; empty: nothing
 
-	Reading    Reading // how it reads a long value; zero value: without delay
-	Length     int     // stated length in bytes of the long value that began to arrive; 0: none
-	Received   int     // bytes of it that were received
-	ValueSum   uint32  // checksum of that value, once its head was received; equals Execution.AnswerSum of its execution
-	ReadPaused float64 // seconds in which its client did not read
+	ReadBehavior ReadBehavior // how it reads a long value; zero value: without delay
+	Length       int          // stated length in bytes of the long value that began to arrive; 0: none
+	Received     int          // bytes of it that were received
+	ValueSum     uint32       // checksum of that value, once its head was received; equals Execution.AnswerSum of its execution
+	ReadPaused   float64      // seconds in which its client did not read
 }
 
 // Malformed returns what is wrong with the answer; empty: nothing.
@@ -147,7 +147,7 @@
 
 	hotKeys       []hotKey
 	surges        []surge
-	readBehaviors []Reading
+	readBehaviors []ReadBehavior
 }
 
 // arrivalProcess is the Poisson process by which requests of one traffic type arrive.
@@ -381,8 +381,8 @@
 	}
 	draw := c.rng.Float64()
 	for _, behavior := range c.readBehaviors {
-		if draw -= behavior.Part; draw < 0 {
-			attempt.Reading = behavior
+		if draw -= behavior.Fraction; draw < 0 {
+			attempt.ReadBehavior = behavior
 			return
 		}
 	}
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -193,17 +193,17 @@
 	}
 }
 
-// Reading is how a fraction of the clients' reads receive long values.
-type Reading struct {
-	Part  float64 // fraction of the read attempts
-	Rate  float64 // bytes per second; 0: no limit
-	Pause float64 // seconds for which the client stops reading, once within the value
-	Leave bool    // the client disconnects within the value
+// ReadBehavior is how a fraction of the clients' reads receive long values.
+type ReadBehavior struct {
+	Fraction float64 // fraction of the read attempts
+	Rate     float64 // bytes per second; 0: no limit
+	Pause    float64 // seconds for which the client stops reading, once within the value
+	Leave    bool    // the client disconnects within the value
 }
 
-// Read makes a fraction of the reads receive long values in this way. Several ways may be active, each with its
+// SetReadBehavior makes a fraction of the reads receive long values in this way. Several ways may be active, each with its
 // fraction.
-func (c *Clients) Read(behavior Reading) (end func()) {
+func (c *Clients) SetReadBehavior(behavior ReadBehavior) (end func()) {
 	c.readBehaviors = append(c.readBehaviors, behavior)
 	return func() {
 		i := slices.Index(c.readBehaviors, behavior)
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -182,8 +182,8 @@
 	l.loop.After(latenessInterval, l.tick)
 }
 
-// Part returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
-func (l *Lateness) Part(fraction float64) float64 {
+// Quantile returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
+func (l *Lateness) Quantile(fraction float64) float64 {
 	if len(l.Times) == 0 {
 		return 0
 	}
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -196,20 +196,20 @@
 	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5,
 		HardStop: 5, Benefit: 1}
 	for name, c := range map[string]struct {
-		how   Reading
+		how   ReadBehavior
 		reply func(text string) string
 		end   End
 		rests bool
 	}{
-		"usual":        {Reading{}, func(text string) string { return text }, Finished, false},
-		"slowly":       {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
-		"with a pause": {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
-		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, ClientDisconnected, false},
-		"cut":          {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
-		"cut, slowly":  {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
-		"other bytes": {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
+		"usual":        {ReadBehavior{}, func(text string) string { return text }, Finished, false},
+		"slowly":       {ReadBehavior{Fraction: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
+		"with a pause": {ReadBehavior{Fraction: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
+		"leaves":       {ReadBehavior{Fraction: 1, Leave: true}, func(text string) string { return text }, ClientDisconnected, false},
+		"cut":          {ReadBehavior{}, func(text string) string { return text[:size/2] }, Cut, false},
+		"cut, slowly":  {ReadBehavior{Fraction: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
+		"other bytes": {ReadBehavior{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
 			Finished, false},
-		"no end of the value": {Reading{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
+		"no end of the value": {ReadBehavior{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -245,8 +245,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.how.Part > 0 {
-				clients.Read(c.how)
+			if c.how.Fraction > 0 {
+				clients.SetReadBehavior(c.how)
 			}
 			ended := make(chan error)
 			go func() { ended <- loop.Run() }()
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -32,7 +32,7 @@
 	in         *ringbuffer.Buffer
 	loop       *eventloop.Loop
 	client     *clientConn
-	reading    Reading
+	reading    ReadBehavior
 	pauseAfter int // bytes after which it pauses
 	sent       uint64
 	outgoing   chan []byte
@@ -40,7 +40,7 @@
 	closeOnce  sync.Once
 }
 
-func dialPlain(loop *eventloop.Loop, addr string, reading Reading, pauseAfter int, client *clientConn) *plainConn {
+func dialPlain(loop *eventloop.Loop, addr string, reading ReadBehavior, pauseAfter int, client *clientConn) *plainConn {
 	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading,
 		pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -189,7 +189,7 @@
 		}
 	}
 	l.CPUPerAttempt = (processorSeconds() - before) * 1e6 / max(1, float64(l.Attempts))
-	if late := rec.ClientsLate.Part(0.99); late > maxLatenessP99 {
+	if late := rec.ClientsLate.Quantile(0.99); late > maxLatenessP99 {
 		l.Void = fmt.Sprintf("the clients ran late, by %.1f ms at the 99th percentile", late*1e3)
 	}
 	return l, nil
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -117,7 +117,7 @@
 			addEnd(w.clients.Surge(kind, tenant, f.Factor))
 			about = fmt.Sprintf("%s %v times", f.Target, f.Factor)
 		case "read-slow", "read-pause", "read-leave":
-			addEnd(w.clients.Read(emulator.Reading{Part: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
+			addEnd(w.clients.SetReadBehavior(emulator.ReadBehavior{Fraction: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
 			about = fmt.Sprintf("%v of the reads", f.Part)
 		case "dear":
 			for _, t := range w.types {
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -176,10 +176,10 @@
 		f.RouterMemory = max(f.RouterMemory, l.MaxMemoryMB)
 	}
 	f.RouterCPU *= 1e6 / max(1, float64(tries))
-	f.LabLate = max(rec.FleetLate.Part(0.99), rec.ClientsLate.Part(0.99)) * 1e3
-	f.LabLateMax = max(rec.FleetLate.Part(1), rec.ClientsLate.Part(1)) * 1e3
+	f.LabLate = max(rec.FleetLate.Quantile(0.99), rec.ClientsLate.Quantile(0.99)) * 1e3
+	f.LabLateMax = max(rec.FleetLate.Quantile(1), rec.ClientsLate.Quantile(1)) * 1e3
 	sends := emulator.Lateness{Times: rec.Clients.Lateness}
-	f.SendLate = sends.Part(0.99) * 1e3
+	f.SendLate = sends.Quantile(0.99) * 1e3
 	f.OriginHalts = len(rec.Fleet.Halts)
 	f.Tenants = computeTenants(s, rec)
 	f.WastedWrites, f.ZoneLosses = len(rec.WastedWrites), computeZoneLosses(s, rec)
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -91,7 +91,7 @@
 			v.Breaches = append(v.Breaches, b)
 		}
 	}
-	fleet, clients := j.rec.FleetLate.Part(0.99), j.rec.ClientsLate.Part(0.99)
+	fleet, clients := j.rec.FleetLate.Quantile(0.99), j.rec.ClientsLate.Quantile(0.99)
 	switch {
 	case j.rec.Fleet.Overflow || j.rec.Clients.Overflow:
 		v.Void = "the run exceeded the capacity of the records"
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -141,7 +141,7 @@
 		f.Declined /= float64(f.Requests)
 		f.BenefitInTime = fraction(gained[name], asked[name])
 		times := emulator.Lateness{Times: declineSeconds[name]}
-		f.DeclinedP99 = times.Part(0.99) * 1e3
+		f.DeclinedP99 = times.Quantile(0.99) * 1e3
 		if i := slices.IndexFunc(s.Teams, func(t TeamPart) bool { return t.Name == name }); i >= 0 {
 			f.Budget = s.Teams[i].Budget
 		}
