--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -180,7 +180,7 @@
 		t.Errorf("arrivals in 20 s: %d, during a surge by 5 %d, after it %d; want at least 4 times, at most 2 times as many",
 			usual, surged, after)
 	}
-	endHeat := clients.Heat("hot", 0.5)
+	endHeat := clients.AddHotKey("hot", 0.5)
 	hot := 0
 	for range 200 {
 		clients.startRequest(clients.arrivals[0])
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -33,9 +33,9 @@
 	return s.restart
 }
 
-// Vanish cuts the server's machine off from the network: open connections fall silent and new ones are never
+// MakeUnreachable cuts the server's machine off from the network: open connections fall silent and new ones are never
 // established. At the fault's end the connections that were open are reset.
-func (s *Server) Vanish() (end func() error, err error) {
+func (s *Server) MakeUnreachable() (end func() error, err error) {
 	return s.becomeReachable, s.becomeUnreachable()
 }
 
@@ -52,8 +52,8 @@
 	return func() { *fraction = max(0, *fraction-amount) }
 }
 
-// Spoil replaces a fraction of the server's answers by malformed ones.
-func (s *Server) Spoil(fraction float64) (end func()) {
+// Corrupt replaces a fraction of the server's answers by malformed ones.
+func (s *Server) Corrupt(fraction float64) (end func()) {
 	return addFraction(&s.corruptFraction, fraction)
 }
 
@@ -63,30 +63,30 @@
 // Reset makes the server reset the connection instead of sending a fraction of its answers.
 func (s *Server) Reset(fraction float64) (end func()) { return addFraction(&s.resetFraction, fraction) }
 
-// CloseBehind makes the server close the connection in order after a fraction of its long values, which it sends
+// CloseAfterValue makes the server close the connection in order after a fraction of its long values, which it sends
 // completely.
-func (s *Server) CloseBehind(fraction float64) (end func()) {
+func (s *Server) CloseAfterValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[closesAfterValue], fraction)
 }
 
-// ResetBehind makes the server reset the connection after a fraction of its long values, which it sends completely. The
+// ResetAfterValue makes the server reset the connection after a fraction of its long values, which it sends completely. The
 // reset follows 0.05 s after its kernel has taken the last byte.
-func (s *Server) ResetBehind(fraction float64) (end func()) {
+func (s *Server) ResetAfterValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[resetsAfterValue], fraction)
 }
 
-// BreakOff makes the server close the connection in order within a fraction of its long values.
-func (s *Server) BreakOff(fraction float64) (end func()) {
+// CloseWithinValue makes the server close the connection in order within a fraction of its long values.
+func (s *Server) CloseWithinValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[closesWithinValue], fraction)
 }
 
-// ResetUnder makes the server reset the connection within a fraction of its long values.
-func (s *Server) ResetUnder(fraction float64) (end func()) {
+// ResetWithinValue makes the server reset the connection within a fraction of its long values.
+func (s *Server) ResetWithinValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[resetsWithinValue], fraction)
 }
 
-// Cease makes the server stop sending within a fraction of its long values. The connection stays open.
-func (s *Server) Cease(fraction float64) (end func()) {
+// StallWithinValue makes the server stop sending within a fraction of its long values. The connection stays open.
+func (s *Server) StallWithinValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[stallsWithinValue], fraction)
 }
 
@@ -171,8 +171,8 @@
 	return func() { a.withLock(func() { a.generationsBehind -= changes }) }
 }
 
-// Heat makes a fraction of all requests use one hot key.
-func (c *Clients) Heat(key string, fraction float64) (end func()) {
+// AddHotKey makes a fraction of all requests use one hot key.
+func (c *Clients) AddHotKey(key string, fraction float64) (end func()) {
 	hot := hotKey{key, fraction}
 	c.hotKeys = append(c.hotKeys, hot)
 	return func() {
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -101,11 +101,11 @@
 		whole, broke bool
 		end          string // of the connection
 	}{
-		"closes after the value":  {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
-		"resets after the value":  {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
-		"closes within the value": {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
-		"resets within the value": {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
-		"stalls within the value": {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
+		"closes after the value":  {func(server *Server) func() { return server.CloseAfterValue(1) }, true, false, "EOF"},
+		"resets after the value":  {func(server *Server) func() { return server.ResetAfterValue(1) }, true, true, "reset"},
+		"closes within the value": {func(server *Server) func() { return server.CloseWithinValue(1) }, false, true, "EOF"},
+		"resets within the value": {func(server *Server) func() { return server.ResetWithinValue(1) }, false, true, "reset"},
+		"stalls within the value": {func(server *Server) func() { return server.StallWithinValue(1) }, false, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -151,7 +151,7 @@
 		}, true},
 		"machine is cut off": {func(fleet *Fleet, server *Server, _ net.Conn) {
 			fleet.runOnLoop(func() {
-				if _, err := server.Vanish(); err != nil {
+				if _, err := server.MakeUnreachable(); err != nil {
 					t.Error(err)
 				}
 			})
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -156,7 +156,7 @@
 	var end func() error
 	fleet.runOnLoop(func() {
 		var err error
-		if end, err = server.Vanish(); err != nil {
+		if end, err = server.MakeUnreachable(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -205,7 +205,7 @@
 	if got := conn.get("d"); !strings.Contains(got, "reset") {
 		t.Errorf("Reset: got %s, want a reset", got)
 	}
-	fleet.runOnLoop(func() { end(); end = server.Spoil(1) })
+	fleet.runOnLoop(func() { end(); end = server.Corrupt(1) })
 	dialServer(t, server.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -111,7 +111,7 @@
 		switch f.Kind {
 		case "hot-key":
 			key := fmt.Sprintf("hot-%.2f", f.At)
-			addEnd(w.clients.Heat(key, f.Part))
+			addEnd(w.clients.AddHotKey(key, f.Part))
 			about = fmt.Sprintf("%s for %v of the arrivals", key, f.Part)
 		case "surge":
 			addEnd(w.clients.Surge(kind, tenant, f.Factor))
@@ -147,7 +147,7 @@
 					length = max(f.For, 0.2) // seconds that a process takes to start
 					ends = append(ends, s.Crash())
 				case "vanish":
-					end, err := s.Vanish()
+					end, err := s.MakeUnreachable()
 					w.fail(err)
 					ends = append(ends, end)
 				case "refuse":
@@ -155,19 +155,19 @@
 				case "reset":
 					addEnd(s.Reset(f.Part))
 				case "spoil":
-					addEnd(s.Spoil(f.Part))
+					addEnd(s.Corrupt(f.Part))
 				case "error":
 					addEnd(s.Fail(f.Part))
 				case "close-behind":
-					addEnd(s.CloseBehind(f.Part))
+					addEnd(s.CloseAfterValue(f.Part))
 				case "reset-behind":
-					addEnd(s.ResetBehind(f.Part))
+					addEnd(s.ResetAfterValue(f.Part))
 				case "break-off":
-					addEnd(s.BreakOff(f.Part))
+					addEnd(s.CloseWithinValue(f.Part))
 				case "reset-under":
-					addEnd(s.ResetUnder(f.Part))
+					addEnd(s.ResetWithinValue(f.Part))
 				case "cease":
-					addEnd(s.Cease(f.Part))
+					addEnd(s.StallWithinValue(f.Part))
 				}
 			}
 		}
