--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -37,21 +37,21 @@
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
 	}
-	fleet.origin = newOrigin(loop, ledger, fleet.records, fleet.Chance("ledger"))
-	fleet.list = newList(loop.Now, listed, fleet.Chance("list"))
+	fleet.origin = newOrigin(loop, ledger, fleet.records, fleet.Rand("ledger"))
+	fleet.list = newList(loop.Now, listed, fleet.Rand("list"))
 	fleet.lateness.start(loop)
 	fleet.closeIdleConns()
 	return fleet
 }
 
-// Chance returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
+// Rand returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
 // don't change those of another.
-func (f *Fleet) Chance(name string) *rand.Rand {
+func (f *Fleet) Rand(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(f.seed, uint64(crc32.ChecksumIEEE([]byte(name)))))
 }
 
-// Named sets a prefix of the servers' names, so that the names of several fleets differ.
-func (f *Fleet) Named(prefix string) { f.namePrefix = prefix }
+// SetNamePrefix sets a prefix of the servers' names, so that the names of several fleets differ.
+func (f *Fleet) SetNamePrefix(prefix string) { f.namePrefix = prefix }
 
 // ServeTiles makes all servers tile servers.
 func (f *Fleet) ServeTiles(service *tiles.Service, trafficType *TrafficType) {
@@ -70,8 +70,8 @@
 // Servers returns all servers, including removed ones.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Serving returns the servers that are ready.
-func (f *Fleet) Serving() (ready []*Server) {
+// Ready returns the servers that are ready.
+func (f *Fleet) Ready() (ready []*Server) {
 	for _, server := range f.servers {
 		if server.mode == Ready && !server.removed {
 			ready = append(ready, server)
@@ -82,7 +82,7 @@
 
 // Add starts a cache server, either cold or at full capacity.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
-	server := newServer(f, spec, f.Chance(spec.Name))
+	server := newServer(f, spec, f.Rand(spec.Name))
 	if err := server.updateListening(); err != nil {
 		return nil, fmt.Errorf("cache server %s: %w", spec.Name, err)
 	}
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -78,7 +78,7 @@
 		}
 		return hit
 	}
-	in := fleet.Serving()
+	in := fleet.Ready()
 	for _, i := range randomIndices(chance, len(in), t.count) {
 		hit = append(hit, in[i])
 	}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -172,7 +172,7 @@
 		servers := s.Fleet.Servers
 		if i > 0 {
 			servers = s.Pools[i-1].Servers
-			f.Named(s.Pools[i-1].Name + "-")
+			f.SetNamePrefix(s.Pools[i-1].Name + "-")
 			if s.Pools[i-1].Scheme != "" {
 				f.ServeTiles(Layers(), w.tileType(s.Pools[i-1].Name))
 			}
@@ -304,7 +304,7 @@
 func (w *world) spec(pool int) emulator.Spec {
 	fleet := w.fleets[pool]
 	f, n, name := w.scenario.Fleet, len(fleet.Servers()), fleet.NextName()
-	chance := fleet.Chance("spec/" + name)
+	chance := fleet.Rand("spec/" + name)
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
 	return emulator.Spec{Name: name, Addr: w.address(serverAddrByte+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
 		Machine: f.Machines[n/f.Zones%len(f.Machines)], Cell: n / f.Zones / f.Cell, Cores: f.Cores, Speed: speed, Weight: float64(f.Cores), Queue: f.Queue,
