--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -218,7 +218,7 @@
 		target.clients.attemptEnded(attempt, NoConnection)
 	case attempt.Length > 0:
 		target.clients.attemptEnded(attempt, Cut)
-	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
+	case attempt.Request.Type.Idempotency == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
 		target.clients.attemptEnded(attempt, Lost)
 	case reused && !attempt.Resent && attempt.Began+attempt.Wait > target.clients.loop.Now():
 		attempt.Resent, attempt.ResentAt = true, target.clients.loop.Now()
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -89,7 +89,7 @@
 // Served reports whether the request finished, and whether it finished within its latency objective.
 func (o *Request) Served() (any, inTime bool) {
 	any = o.End == Finished
-	return any, any && o.Latency() <= o.Type.Promised
+	return any, any && o.Latency() <= o.Type.LatencyObjective
 }
 
 // Attempt is one attempt of a client at one router.
@@ -306,7 +306,7 @@
 		}
 		draw -= hot.fraction
 	}
-	if arrivals.trafficType.Effect == balancer.IdempotencyKeyed {
+	if arrivals.trafficType.Idempotency == balancer.IdempotencyKeyed {
 		request.IdempotencyKey = c.newID()
 	}
 	c.records.Ops = append(c.records.Ops, request)
@@ -349,14 +349,14 @@
 
 // remaining returns the seconds until the request's deadline.
 func (c *Clients) remaining(request *Request) float64 {
-	return request.Due + request.Type.HardStop - c.loop.Now()
+	return request.Due + request.Type.Deadline - c.loop.Now()
 }
 
 func (c *Clients) startAttempt(request *Request) {
 	attempt := &Attempt{Request: request, ID: c.newID(), Began: c.loop.Now()}
 	attempt.Wait = c.remaining(request)
 	if c.load.TimeoutFraction > 0 && c.load.Retries > 0 {
-		attempt.Wait = min(attempt.Wait, c.load.TimeoutFraction*request.Type.HardStop)
+		attempt.Wait = min(attempt.Wait, c.load.TimeoutFraction*request.Type.Deadline)
 	}
 	request.Tries = append(request.Tries, attempt)
 	if attempt.Wait < 1e-3 {
@@ -409,9 +409,9 @@
 	switch {
 	case attempt.End == ClientDisconnected:
 		return -1
-	case attempt.Request.Type.Effect == balancer.AtMostOnce && attempt.End != Rejected && attempt.End != NoConnection:
+	case attempt.Request.Type.Idempotency == balancer.AtMostOnce && attempt.End != Rejected && attempt.End != NoConnection:
 		return -1 // it may have run
-	case attempt.Request.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
+	case attempt.Request.Type.Idempotency == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
 	case attempt.After > 0 && c.rng.Float64() < c.load.HonorRetryAfter:
 		return float64(attempt.After) / 1e3
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -113,7 +113,7 @@
 		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
 	once := *readType
-	once.Effect = 0
+	once.Idempotency = 0
 	load := testLoad(20)
 	load.Types = []*TrafficType{&once}
 	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -111,11 +111,11 @@
 // dedupTable returns the deduplication table of the scope in which server s recognises repeats of an idempotency-keyed
 // traffic type; nil for other types.
 func (f *Fleet) dedupTable(server *Server, trafficType *TrafficType) *dedupTable {
-	if trafficType.Effect != balancer.IdempotencyKeyed {
+	if trafficType.Idempotency != balancer.IdempotencyKeyed {
 		return nil
 	}
 	name := trafficType.Name
-	switch trafficType.Group {
+	switch trafficType.DeduplicationScope {
 	case balancer.ScopeZone:
 		name += "/zone/" + server.Zone
 	case balancer.ScopeCell:
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -16,11 +16,11 @@
 	"bendtrestle/internal/eventloop"
 )
 
-var readType = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100,
-	Promised: 0.2, HardStop: 0.5, Benefit: 1}
-var putType = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed,
-	Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
-	Promised: 0.2, HardStop: 0.5, Benefit: 1}
+var readType = &TrafficType{Name: "read", Share: 1, Idempotency: balancer.Idempotent, Work: 0.002, Size: 100,
+	LatencyObjective: 0.2, Deadline: 0.5, Benefit: 1}
+var putType = &TrafficType{Name: "put", Share: 1, Write: true, Idempotency: balancer.IdempotencyKeyed,
+	DeduplicationScope: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
+	LatencyObjective: 0.2, Deadline: 0.5, Benefit: 1}
 
 var lastTestAddress atomic.Int32
 
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -15,11 +15,11 @@
 
 const mebibyte = 1 << 20
 
-var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte,
-	Promised: 5, HardStop: 5, Benefit: 1}
-var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5,
-	Work: 0.001, Size: meta.LongBound, Promised: 5,
-	HardStop: 5, Benefit: 1}
+var longReadType = &TrafficType{Name: "bulk", Share: 1, Idempotency: balancer.Idempotent, Work: 0.001, Size: mebibyte,
+	LatencyObjective: 5, Deadline: 5, Benefit: 1}
+var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Idempotency: balancer.IdempotencyKeyed, Window: 5,
+	Work: 0.001, Size: meta.LongBound, LatencyObjective: 5,
+	Deadline: 5, Benefit: 1}
 
 // startLongValueFleet returns a fleet of one server that serves long values.
 func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
@@ -160,7 +160,7 @@
 	} {
 		fleet, server := startLongValueFleet(t)
 		fleet.runOnLoop(func() {
-			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
+			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Idempotency: balancer.Idempotent}
 		})
 		conn := dialServer(t, server.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -193,8 +193,8 @@
 // changed bytes gets no checksum.
 func TestClientReadBehaviors(t *testing.T) {
 	const size = 300_000
-	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5,
-		HardStop: 5, Benefit: 1}
+	trafficType := &TrafficType{Name: "bulk", Share: 1, Idempotency: balancer.Idempotent, Size: size, LatencyObjective: 5,
+		Deadline: 5, Benefit: 1}
 	for name, c := range map[string]struct {
 		how   ReadBehavior
 		reply func(text string) string
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -15,20 +15,20 @@
 
 // TrafficType is one type of request, as clients send it and cache servers execute it.
 type TrafficType struct {
-	Name     string
-	Share    float64 // relative weight among all arrivals
-	Write    bool
-	Effect   balancer.Idempotency
-	Group    balancer.DeduplicationScope
-	Window   float64 // deduplication window in seconds, of idempotency-keyed requests
-	Work     float64 // mean seconds on a core of speed 1
-	Spread   float64 // coefficient of variation of the work: standard deviation divided by mean
-	Size     int     // bytes of a value, at most meta.LongBound
-	Promised float64 // latency objective in seconds
-	HardStop float64
-	Benefit  float64
-	Tenant   string
-	Scheme   tiles.Scheme // address scheme, if the type requests tiles; empty: it requests keys
+	Name               string
+	Share              float64 // relative weight among all arrivals
+	Write              bool
+	Idempotency        balancer.Idempotency
+	DeduplicationScope balancer.DeduplicationScope
+	Window             float64 // deduplication window in seconds, of idempotency-keyed requests
+	Work               float64 // mean seconds on a core of speed 1
+	Spread             float64 // coefficient of variation of the work: standard deviation divided by mean
+	Size               int     // bytes of a value, at most meta.LongBound
+	LatencyObjective   float64 // latency objective in seconds
+	Deadline           float64
+	Benefit            float64
+	Tenant             string
+	Scheme             tiles.Scheme // address scheme, if the type requests tiles; empty: it requests keys
 
 	RunsIn, AllowedOn []string // the only zones and machine types to which it may be sent; nil: all
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -141,10 +141,10 @@
 }
 
 var trafficTypes = map[string]*emulator.TrafficType{
-	"read":  {Name: "read", Effect: balancer.Idempotent, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"put":   {Name: "put", Write: true, Effect: balancer.IdempotencyKeyed, Group: balancer.ScopeZone, Window: 2, Benefit: 1, Promised: 0.1, HardStop: 5},
-	"pay":   {Name: "pay", Write: true, Effect: balancer.AtMostOnce, Benefit: 1, Promised: 0.1, HardStop: 0.5},
-	"bound": {Name: "bound", Effect: balancer.Idempotent, RunsIn: []string{"z1"}},
+	"read":  {Name: "read", Idempotency: balancer.Idempotent, Benefit: 1, LatencyObjective: 0.1, Deadline: 0.5},
+	"put":   {Name: "put", Write: true, Idempotency: balancer.IdempotencyKeyed, DeduplicationScope: balancer.ScopeZone, Window: 2, Benefit: 1, LatencyObjective: 0.1, Deadline: 5},
+	"pay":   {Name: "pay", Write: true, Idempotency: balancer.AtMostOnce, Benefit: 1, LatencyObjective: 0.1, Deadline: 0.5},
+	"bound": {Name: "bound", Idempotency: balancer.Idempotent, RunsIn: []string{"z1"}},
 }
 
 func server(name, zone string) *emulator.Server {
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -139,7 +139,7 @@
 		j.checkPlacement(o, t)
 	}
 	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Rejected }) || len(o.Tries) == 1
-	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
+	if effects > 1 && o.Type.Idempotency == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
 }
@@ -254,7 +254,7 @@
 			if !before.MayHaveRun() || before.Last == 0 {
 				continue
 			}
-			switch o.Type.Effect {
+			switch o.Type.Idempotency {
 			case balancer.AtMostOnce:
 				j.breach(2, x.First, o, t.ID, "an at-most-once request was sent to %s though it may have run at %s", x.Server.Name, before.Server.Name)
 				return
@@ -274,8 +274,8 @@
 		return
 	}
 	for _, x := range runs {
-		narrow := o.Type.Effect == balancer.IdempotencyKeyed && o.Type.Group != balancer.ScopeAll
-		if x.MayHaveRun() && (o.Type.Effect == balancer.AtMostOnce || narrow) {
+		narrow := o.Type.Idempotency == balancer.IdempotencyKeyed && o.Type.DeduplicationScope != balancer.ScopeAll
+		if x.MayHaveRun() && (o.Type.Idempotency == balancer.AtMostOnce || narrow) {
 			j.breach(2, t.Ended, o, t.ID, "declined, which allows a retry, though it may have run at %s", x.Server.Name)
 			return
 		}
@@ -292,7 +292,7 @@
 }
 
 func sameGroup(t *emulator.TrafficType, a, b *emulator.Server) bool {
-	switch t.Group {
+	switch t.DeduplicationScope {
 	case balancer.ScopeZone:
 		return a.Zone == b.Zone
 	case balancer.ScopeCell:
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -318,9 +318,9 @@
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	var types []map[string]any
 	for _, t := range s.trafficClasses() {
-		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Effect],
-			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.Group],
-			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
+		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Idempotency],
+			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.DeduplicationScope],
+			"dedupWindow": ns(t.Window), "promisedTime": ns(t.LatencyObjective), "hardStop": ns(t.Deadline), "benefit": t.Benefit,
 			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null if the class may run anywhere
 	}
 	conf := map[string]any{
@@ -450,7 +450,7 @@
 // longestStop returns the longest deadline of all traffic classes, in seconds.
 func (w *world) longestStop() (longest float64) {
 	for _, t := range w.types {
-		longest = max(longest, t.HardStop)
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -55,8 +55,8 @@
 }
 
 // smallReads is a traffic type with small values and little work per request.
-var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100,
-	Promised: 0.150, HardStop: 0.750, Benefit: 5}
+var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Idempotency: balancer.Idempotent, Work: 0.0002, Size: 100,
+	LatencyObjective: 0.150, Deadline: 0.750, Benefit: 5}
 
 // retryWhileAddressInUse calls f until it returns no address-in-use error, for about a second. Such errors are
 // transient: a process that is being started holds all sockets of this one between fork and exec.
@@ -175,8 +175,8 @@
 			"rules":     map[string]any{"drainGrace": ns(0.5), "fall": ns(3), "startCapacity": 0.3, "tipMultiple": 4.0, "warmWithin": ns(9)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
 			"trafficTypes": []any{map[string]any{"name": smallReads.Name, "effect": "retryable",
-				"promisedTime": ns(smallReads.Promised),
-				"hardStop":     ns(smallReads.HardStop), "benefit": smallReads.Benefit}},
+				"promisedTime": ns(smallReads.LatencyObjective),
+				"hardStop":     ns(smallReads.Deadline), "benefit": smallReads.Benefit}},
 			"tenants": []any{},
 		},
 	}
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -229,7 +229,7 @@
 	if t.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
-	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
+	trafficType := &emulator.TrafficType{Name: "bulk", Idempotency: balancer.Idempotent, Benefit: 1}
 	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.OriginSpec{Concurrency: 1,
 		MeanSeconds: 1, Multiple: 1, OverloadSeconds: 1, HaltSeconds: 1}, emulator.Delay{})
 	via := map[string]string{}
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -622,9 +622,9 @@
 // trafficClasses returns the traffic classes as the emulator's settings.
 func (s *Scenario) trafficClasses() (all []*emulator.TrafficType) {
 	for _, t := range s.Types {
-		all = append(all, &emulator.TrafficType{Name: t.Name, Share: t.Share, Write: t.Write, Effect: effects[t.Effect],
-			Group: groups[t.Group], Window: t.Window, Work: t.WorkMS / 1e3, Spread: t.Spread, Size: t.Size,
-			Promised: t.PromisedMS / 1e3, HardStop: t.HardStopMS / 1e3, Benefit: t.Benefit, Tenant: t.Tenant, Scheme: tiles.Scheme(t.Scheme),
+		all = append(all, &emulator.TrafficType{Name: t.Name, Share: t.Share, Write: t.Write, Idempotency: effects[t.Effect],
+			DeduplicationScope: groups[t.Group], Window: t.Window, Work: t.WorkMS / 1e3, Spread: t.Spread, Size: t.Size,
+			LatencyObjective: t.PromisedMS / 1e3, Deadline: t.HardStopMS / 1e3, Benefit: t.Benefit, Tenant: t.Tenant, Scheme: tiles.Scheme(t.Scheme),
 			RunsIn: t.RunsIn, AllowedOn: t.AllowedOn})
 	}
 	return all
