--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -78,18 +78,18 @@
 }
 
 // Latency returns the request's latency since it was due, without the time in which its client did not read.
-func (o *Request) Latency() float64 {
-	took := o.Done - o.Due
-	for _, attempt := range o.Tries {
-		took -= attempt.ReadPaused
+func (r *Request) Latency() float64 {
+	latency := r.Done - r.Due
+	for _, attempt := range r.Tries {
+		latency -= attempt.ReadPaused
 	}
-	return took
+	return latency
 }
 
 // Served reports whether the request finished, and whether it finished within its latency objective.
-func (o *Request) Served() (any, inTime bool) {
-	any = o.End == Finished
-	return any, any && o.Latency() <= o.Type.LatencyObjective
+func (r *Request) Served() (any, inTime bool) {
+	any = r.End == Finished
+	return any, any && r.Latency() <= r.Type.LatencyObjective
 }
 
 // Attempt is one attempt of a client at one router.
@@ -116,10 +116,10 @@
 }
 
 // Malformed returns what is wrong with the answer; empty: nothing.
-func (t *Attempt) Malformed() string { return t.malformed }
+func (a *Attempt) Malformed() string { return a.malformed }
 
 // SetMalformed records that the answer differs from the one that was made, and how.
-func (t *Attempt) SetMalformed(description string) { t.malformed, t.AnswerSum = description, 0 }
+func (a *Attempt) SetMalformed(description string) { a.malformed, a.AnswerSum = description, 0 }
 
 // ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
 type ClientRecords struct {
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -31,13 +31,13 @@
 }
 
 // NewFleet returns a fleet without servers. listed is the list service's usual delay.
-func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger OriginSpec, listed Delay) *Fleet {
+func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, origin OriginSpec, listed Delay) *Fleet {
 	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &ServerRecords{},
 		dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
 	}
-	fleet.origin = newOrigin(loop, ledger, fleet.records, fleet.Rand("ledger"))
+	fleet.origin = newOrigin(loop, origin, fleet.records, fleet.Rand("ledger"))
 	fleet.list = newList(loop.Now, listed, fleet.Rand("list"))
 	fleet.lateness.start(loop)
 	fleet.closeIdleConns()
--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -10,13 +10,14 @@
 // OverloadSeconds, the origin stops for HaltSeconds.
 type OriginSpec struct {
 	Concurrency     int     // calls that it works on concurrently
-	MeanSeconds     float64 // mean seconds for one call
+	MeanSeconds     float64 // for one call
 	Multiple        float64 // of the capacity
-	OverloadSeconds float64 // seconds
-	HaltSeconds     float64 // seconds
+	OverloadSeconds float64
+	HaltSeconds     float64
 }
 
-// Origin is the origin. It is slow, works on few calls concurrently, and stops for a while when it is overloaded.
+// Origin is the emulated origin. It is slow, works on few calls concurrently, and stops for a while when it is
+// overloaded.
 type Origin struct {
 	loop        *eventloop.Loop
 	spec        OriginSpec
@@ -30,8 +31,8 @@
 	recent      []Fetch // calls within the last spec.OverloadSeconds
 }
 
-func newOrigin(loop *eventloop.Loop, spec OriginSpec, book *ServerRecords, rng *rand.Rand) *Origin {
-	return &Origin{loop: loop, spec: spec, records: book, rng: rng,
+func newOrigin(loop *eventloop.Loop, spec OriginSpec, records *ServerRecords, rng *rand.Rand) *Origin {
+	return &Origin{loop: loop, spec: spec, records: records, rng: rng,
 		overload:  OverloadDetector{Multiple: spec.Multiple, Time: spec.OverloadSeconds},
 		processor: processor{loop: loop, cores: max(1, spec.Concurrency), rate: 1}}
 }
@@ -50,11 +51,11 @@
 	for len(o.recent) > 0 && o.recent[0].At < now-o.spec.OverloadSeconds {
 		o.recent = o.recent[1:]
 	}
-	takes := o.spec.MeanSeconds * (0.5 + o.rng.Float64())
-	if o.overload.Add(now, takes, float64(o.processor.cores)) && !o.halted {
+	work := o.spec.MeanSeconds * (0.5 + o.rng.Float64())
+	if o.overload.Add(now, work, float64(o.processor.cores)) && !o.halted {
 		o.halt(now)
 	}
-	return o.processor.add(takes, func() bool { return true }, done)
+	return o.processor.add(work, func() bool { return true }, done)
 }
 
 // halt stops the origin for spec.HaltSeconds.
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -196,10 +196,10 @@
 	trafficType := &TrafficType{Name: "bulk", Share: 1, Idempotency: balancer.Idempotent, Size: size, LatencyObjective: 5,
 		Deadline: 5, Benefit: 1}
 	for name, c := range map[string]struct {
-		how   ReadBehavior
-		reply func(text string) string
-		end   End
-		rests bool
+		behavior ReadBehavior
+		reply    func(text string) string
+		end      End
+		rests    bool
 	}{
 		"usual":        {ReadBehavior{}, func(text string) string { return text }, Finished, false},
 		"slowly":       {ReadBehavior{Fraction: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
@@ -245,8 +245,8 @@
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.how.Fraction > 0 {
-				clients.SetReadBehavior(c.how)
+			if c.behavior.Fraction > 0 {
+				clients.SetReadBehavior(c.behavior)
 			}
 			ended := make(chan error)
 			go func() { ended <- loop.Run() }()
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -32,7 +32,7 @@
 	in         *ringbuffer.Buffer
 	loop       *eventloop.Loop
 	client     *clientConn
-	reading    ReadBehavior
+	behavior   ReadBehavior
 	pauseAfter int // bytes after which it pauses
 	sent       uint64
 	outgoing   chan []byte
@@ -40,8 +40,8 @@
 	closeOnce  sync.Once
 }
 
-func dialPlain(loop *eventloop.Loop, addr string, reading ReadBehavior, pauseAfter int, client *clientConn) *plainConn {
-	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, reading: reading,
+func dialPlain(loop *eventloop.Loop, addr string, behavior ReadBehavior, pauseAfter int, client *clientConn) *plainConn {
+	p := &plainConn{in: ringbuffer.New(plainReadSize), loop: loop, client: client, behavior: behavior,
 		pauseAfter: pauseAfter, outgoing: make(chan []byte, 1), closed: make(chan struct{})}
 	go p.run(addr)
 	return p
@@ -111,10 +111,10 @@
 // read receives data at the client's pace until the connection ends.
 func (p *plainConn) read(conn net.Conn) {
 	size := plainReadSize
-	if p.reading.Rate > 0 {
-		size = min(size, max(1, int(p.reading.Rate/slowReadsPerSecond)))
+	if p.behavior.Rate > 0 {
+		size = min(size, max(1, int(p.behavior.Rate/slowReadsPerSecond)))
 	}
-	buf, received, paused := make([]byte, size), 0, p.reading.Pause == 0
+	buf, received, paused := make([]byte, size), 0, p.behavior.Pause == 0
 	for {
 		n, err := conn.Read(buf)
 		if err != nil {
@@ -122,12 +122,12 @@
 			return
 		}
 		delay := time.Duration(0)
-		if received += n; p.reading.Rate > 0 {
-			delay = time.Duration(float64(n) / p.reading.Rate * float64(time.Second))
+		if received += n; p.behavior.Rate > 0 {
+			delay = time.Duration(float64(n) / p.behavior.Rate * float64(time.Second))
 		}
 		if !paused && received >= p.pauseAfter {
 			paused = true
-			delay += time.Duration(p.reading.Pause * float64(time.Second))
+			delay += time.Duration(p.behavior.Pause * float64(time.Second))
 		}
 		if !p.runOnLoop(func() { p.in.Write(buf[:n]); p.client.Input(); p.client.addReadPause(delay.Seconds()) }) {
 			return
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -61,8 +61,8 @@
 	Cancelled                        // its connection ended before its answer, and its work was cancelled
 )
 
-func (h Outcome) String() string {
-	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[h]
+func (o Outcome) String() string {
+	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[o]
 }
 
 // Execution is a cache server's record of one command.
@@ -130,21 +130,21 @@
 	ColdFraction float64
 }
 
-// Join adds the records of another book.
-func (b *ServerRecords) Join(o *ServerRecords) {
-	b.Executions = append(b.Executions, o.Executions...)
-	b.Fetches = append(b.Fetches, o.Fetches...)
-	b.Accepts = append(b.Accepts, o.Accepts...)
-	b.Collapses = append(b.Collapses, o.Collapses...)
-	b.Halts = append(b.Halts, o.Halts...)
-	b.Probes += o.Probes
-	b.Overflow = b.Overflow || o.Overflow
+// Join adds the records of another fleet.
+func (r *ServerRecords) Join(other *ServerRecords) {
+	r.Executions = append(r.Executions, other.Executions...)
+	r.Fetches = append(r.Fetches, other.Fetches...)
+	r.Accepts = append(r.Accepts, other.Accepts...)
+	r.Collapses = append(r.Collapses, other.Collapses...)
+	r.Halts = append(r.Halts, other.Halts...)
+	r.Probes += other.Probes
+	r.Overflow = r.Overflow || other.Overflow
 }
 
-func (b *ServerRecords) open(execution *Execution) {
-	if len(b.Executions) >= maxRecords {
-		b.Overflow = true
+func (r *ServerRecords) open(execution *Execution) {
+	if len(r.Executions) >= maxRecords {
+		r.Overflow = true
 		return
 	}
-	b.Executions = append(b.Executions, execution)
+	r.Executions = append(r.Executions, execution)
 }
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -175,8 +175,8 @@
 	<-loopErrors
 	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.ServerRecords{}, clients.Book(), clients.Late(), &emulator.Lateness{}
 	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.DuplicateAnswers), Interrupted: rec.Interrupted}
-	for _, op := range rec.Clients.Ops {
-		for _, t := range op.Tries {
+	for _, request := range rec.Clients.Ops {
+		for _, t := range request.Tries {
 			l.Attempts++
 			switch t.End {
 			case emulator.NoAnswer:
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -167,15 +167,15 @@
 		}
 	}
 	f.ExecutionsPerRequest, f.FetchesPerRequest = f.ExecutionsPerRequest/n, f.FetchesPerRequest/n
-	tries := 0
+	attempts := 0
 	for _, o := range rec.Clients.Ops {
-		tries += len(o.Tries)
+		attempts += len(o.Tries)
 	}
 	for _, l := range rec.Processes {
 		f.RouterCPU += l.CPU
 		f.RouterMemory = max(f.RouterMemory, l.MaxMemoryMB)
 	}
-	f.RouterCPU *= 1e6 / max(1, float64(tries))
+	f.RouterCPU *= 1e6 / max(1, float64(attempts))
 	f.LabLate = max(rec.FleetLate.Quantile(0.99), rec.ClientsLate.Quantile(0.99)) * 1e3
 	f.LabLateMax = max(rec.FleetLate.Quantile(1), rec.ClientsLate.Quantile(1)) * 1e3
 	sends := emulator.Lateness{Times: rec.Clients.Lateness}
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -135,9 +135,9 @@
 
 // runRecord is a run with one request, whose records a test fills in. Times are seconds after 1000.
 type runRecord struct {
-	s   *Scenario
-	rec *Records
-	op  *emulator.Request
+	s       *Scenario
+	rec     *Records
+	request *emulator.Request
 }
 
 var trafficTypes = map[string]*emulator.TrafficType{
@@ -155,43 +155,43 @@
 	usual := DefaultScenario()
 	st := &runRecord{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.ServerRecords{}, Clients: &emulator.ClientRecords{},
 		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Told: make([][]emulator.Report, 2)}}
-	st.op = &emulator.Request{Type: trafficTypes[kind], Key: "k", Due: 1001}
-	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.op)
+	st.request = &emulator.Request{Type: trafficTypes[kind], Key: "k", Due: 1001}
+	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.request)
 	return st
 }
 
 // attempt adds an attempt at router 0 that starts at 1 s.
-func (st *runRecord) attempt(id string, how emulator.End, ended float64) *emulator.Attempt {
-	t := &emulator.Attempt{Request: st.op, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: how, AnswerSum: 7}
-	st.op.Tries = append(st.op.Tries, t)
-	st.op.End, st.op.Done = how, t.Ended
+func (st *runRecord) attempt(id string, end emulator.End, ended float64) *emulator.Attempt {
+	t := &emulator.Attempt{Request: st.request, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: end, AnswerSum: 7}
+	st.request.Tries = append(st.request.Tries, t)
+	st.request.End, st.request.Done = end, t.Ended
 	return t
 }
 
 // execution adds an execution whose request reached the server whole at a time.
-func (st *runRecord) execution(id string, on *emulator.Server, at float64, how emulator.Outcome) *emulator.Execution {
-	x := &emulator.Execution{ID: id, Server: on, Type: st.op.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, Outcome: how, AnswerSum: 7}
+func (st *runRecord) execution(id string, on *emulator.Server, at float64, outcome emulator.Outcome) *emulator.Execution {
+	x := &emulator.Execution{ID: id, Server: on, Type: st.request.Type, First: 1000 + at, Last: 1000 + at, End: 1000 + at + 0.01, Outcome: outcome, AnswerSum: 7}
 	st.rec.Fleet.Executions = append(st.rec.Fleet.Executions, x)
 	return x
 }
 
 // partialAttempt adds an attempt whose client received part of a long value.
-func (st *runRecord) partialAttempt(id string, how emulator.End, ended float64) *emulator.Attempt {
-	t := st.attempt(id, how, ended)
+func (st *runRecord) partialAttempt(id string, end emulator.End, ended float64) *emulator.Attempt {
+	t := st.attempt(id, end, ended)
 	t.Length, t.Received, t.ValueSum, t.AnswerSum = 1<<20, 70000, 7, 0
 	return t
 }
 
 // longExecution adds an execution with a long value. At the time whole, the server's kernel had all of it; at the time
-// broke, the server broke it off. 0 means never.
-func (st *runRecord) longExecution(id string, on *emulator.Server, whole, broke float64) *emulator.Execution {
+// interrupted, the server interrupted it. 0 means never.
+func (st *runRecord) longExecution(id string, on *emulator.Server, whole, interrupted float64) *emulator.Execution {
 	x := st.execution(id, on, 1.01, emulator.Answered)
 	x.Length = 1 << 20
 	if whole > 0 {
 		x.SentAt = 1000 + whole
 	}
-	if broke > 0 {
-		x.InterruptedAt = 1000 + broke
+	if interrupted > 0 {
+		x.InterruptedAt = 1000 + interrupted
 	}
 	return x
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -306,14 +306,14 @@
 	if len(j.rec.Clients.DuplicateAnswers) == 0 {
 		return
 	}
-	tries := map[string]*emulator.Attempt{}
+	attempts := map[string]*emulator.Attempt{}
 	for _, o := range j.rec.Clients.Ops {
 		for _, t := range o.Tries {
-			tries[t.ID] = t
+			attempts[t.ID] = t
 		}
 	}
 	for _, id := range j.rec.Clients.DuplicateAnswers {
-		if t := tries[id]; t != nil {
+		if t := attempts[id]; t != nil {
 			j.breach(1, t.Ended, t.Request, id, "answered twice")
 		} else {
 			j.breach(1, j.rec.From, nil, id, "an answer with the id of no attempt")
@@ -336,9 +336,9 @@
 		for _, t := range o.Tries {
 			for _, x := range j.executions[t.ID] {
 				if t.Router < len(since) {
-					if told, late := notReadyLongerThan(since[t.Router][x.Server.Name], x.First, grace); late {
+					if report, late := notReadyLongerThan(since[t.Router][x.Server.Name], x.First, grace); late {
 						j.breach(3, x.First, o, t.ID, "router %d sent to %s %.0f ms after its list showed the server as %s", t.Router, x.Server.Name,
-							(x.First-told.At)*1e3, told.Mode)
+							(x.First-report.At)*1e3, report.Mode)
 					}
 				}
 			}
@@ -348,9 +348,9 @@
 
 // notReadyLongerThan reports whether the list showed at a time that a server had not been ready for longer than the
 // grace, and since when.
-func notReadyLongerThan(told []emulator.Report, at, grace float64) (since emulator.Report, late bool) {
+func notReadyLongerThan(reports []emulator.Report, at, grace float64) (since emulator.Report, late bool) {
 	out := false
-	for _, t := range told {
+	for _, t := range reports {
 		if t.At > at {
 			break
 		}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -116,11 +116,11 @@
 	}
 	rec.FleetLate, rec.ClientsLate = w.fleet.Late(), w.clients.Late()
 	for n := range w.routerNodes {
-		var told []emulator.Report
+		var reports []emulator.Report
 		for _, agents := range w.agents {
-			told = append(told, agents[n].Reports()...)
+			reports = append(reports, agents[n].Reports()...)
 		}
-		rec.Told = append(rec.Told, told)
+		rec.Told = append(rec.Told, reports)
 	}
 	for _, n := range w.routerNodes {
 		rec.Processes = append(rec.Processes, n.processHistory()...)
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -249,11 +249,11 @@
 func TestFiguresCoverRequestsAfterSettling(t *testing.T) {
 	st := newRunRecord("read")
 	st.s.Settle, st.s.Seconds = 0.5, 10
-	st.op.Due = 1000.2 // within the settling time
+	st.request.Due = 1000.2 // within the settling time
 	st.attempt("w", emulator.Finished, 1.05)
-	add := func(due, took float64, how emulator.End, kind string) {
-		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + took, End: how}
-		o.Tries = []*emulator.Attempt{{Request: o, End: how, Sent: o.Due, Ended: o.Done}}
+	add := func(due, latency float64, end emulator.End, kind string) {
+		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + latency, End: end}
+		o.Tries = []*emulator.Attempt{{Request: o, End: end, Sent: o.Due, Ended: o.Done}}
 		st.rec.Clients.Ops = append(st.rec.Clients.Ops, o)
 	}
 	for i := range 6 {
