--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -152,7 +152,7 @@
 	}
 }
 
-// attemptAnswered ends the current attempt, then closes or keeps the connection according to Load.Use.
+// attemptAnswered ends the current attempt, then closes or keeps the connection according to Load.Connections.
 func (c *clientConn) attemptAnswered(end End) {
 	c.answeredAttempts++
 	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // answered before it was written completely
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -111,7 +111,7 @@
 	ReadBehavior ReadBehavior // how it reads a long value; zero value: without delay
 	Length       int          // stated length in bytes of the long value that began to arrive; 0: none
 	Received     int          // bytes of it that were received
-	ValueSum     uint32       // checksum of that value, once its head was received; equals Execution.AnswerSum of its execution
+	ValueSum     uint32       // its checksum, once its head was received; equals AnswerSum of its execution
 	ReadPaused   float64      // seconds in which its client did not read
 }
 
--- a/internal/emulator/faults.go
+++ b/internal/emulator/faults.go
@@ -69,8 +69,8 @@
 	return addFraction(&s.endingFractions[closesAfterValue], fraction)
 }
 
-// ResetAfterValue makes the server reset the connection after a fraction of its long values, which it sends completely. The
-// reset follows 0.05 s after its kernel has taken the last byte.
+// ResetAfterValue makes the server reset the connection after a fraction of its long values, which it sends
+// completely. The reset follows 0.05 s after its kernel has taken the last byte.
 func (s *Server) ResetAfterValue(fraction float64) (end func()) {
 	return addFraction(&s.endingFractions[resetsAfterValue], fraction)
 }
@@ -201,8 +201,8 @@
 	Leave    bool    // the client disconnects within the value
 }
 
-// SetReadBehavior makes a fraction of the reads receive long values in this way. Several ways may be active, each with its
-// fraction.
+// SetReadBehavior makes a fraction of the reads receive long values in this way. Several ways may be active, each
+// with its fraction.
 func (c *Clients) SetReadBehavior(behavior ReadBehavior) (end func()) {
 	c.readBehaviors = append(c.readBehaviors, behavior)
 	return func() {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -123,8 +123,8 @@
 	Server *Server
 }
 
-// Halt is a stop of the origin under overload. ColdFraction is the fraction of the recent calls that were misses at cold
-// cache servers.
+// Halt is a stop of the origin under overload. ColdFraction is the fraction of the recent calls that were misses at
+// cold cache servers.
 type Halt struct {
 	At           float64
 	ColdFraction float64
