--- a/internal/emulator/ledger.go
+++ b/internal/emulator/ledger.go
@@ -33,7 +33,7 @@
 
 func newOrigin(loop *eventloop.Loop, spec OriginSpec, records *ServerRecords, rng *rand.Rand) *Origin {
 	return &Origin{loop: loop, spec: spec, records: records, rng: rng,
-		overload:  OverloadDetector{Multiple: spec.Multiple, Time: spec.OverloadSeconds},
+		overload:  OverloadDetector{Multiple: spec.Multiple, Seconds: spec.OverloadSeconds},
 		processor: processor{loop: loop, cores: max(1, spec.Concurrency), rate: 1}}
 }
 
--- a/internal/emulator/parts_test.go
+++ b/internal/emulator/parts_test.go
@@ -16,7 +16,7 @@
 		{"far above", 1, false, 1},
 		{"above, with a pause", 0.03, true, 0},
 	} {
-		detector, detectedAt := OverloadDetector{Multiple: 2, Time: 1}, 0.0
+		detector, detectedAt := OverloadDetector{Multiple: 2, Seconds: 1}, 0.0
 		for i := range 300 {
 			now := 100 + float64(i)*0.01
 			if c.pause && i%90 >= 75 {
--- a/internal/emulator/server.go
+++ b/internal/emulator/server.go
@@ -70,7 +70,7 @@
 
 func newServer(fleet *Fleet, spec Spec, rng *rand.Rand) *Server {
 	server := &Server{Spec: spec, fleet: fleet, rng: rng, cache: newStore(spec.CacheSize), conns: map[*serverConn]bool{},
-		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Time: spec.Cold.CollapseSeconds}}
+		mode: Ready, overload: OverloadDetector{Multiple: spec.Cold.Multiple, Seconds: spec.Cold.CollapseSeconds}}
 	server.processor = processor{loop: fleet.loop, cores: max(1, spec.Cores), rate: spec.Speed}
 	return server
 }
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -154,7 +154,7 @@
 func newRunRecord(kind string) *runRecord {
 	usual := DefaultScenario()
 	st := &runRecord{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.ServerRecords{}, Clients: &emulator.ClientRecords{},
-		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Told: make([][]emulator.Report, 2)}}
+		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Reports: make([][]emulator.Report, 2)}}
 	st.request = &emulator.Request{Type: trafficTypes[kind], Key: "k", Due: 1001}
 	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.request)
 	return st
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -325,8 +325,8 @@
 // server is not ready.
 func (j *judge) checkDrains() {
 	grace := j.s.Rules.GraceMS/1e3 + emulator.Tolerance
-	since := make([]map[string][]emulator.Report, len(j.rec.Told)) // by router and server
-	for r, all := range j.rec.Told {
+	since := make([]map[string][]emulator.Report, len(j.rec.Reports)) // by router and server
+	for r, all := range j.rec.Reports {
 		since[r] = map[string][]emulator.Report{}
 		for _, t := range all {
 			since[r][t.Server] = append(since[r][t.Server], t)
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -195,22 +195,22 @@
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, []int{2}},
 		"to a draining server within the grace": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Report{{At: 1000.6, Server: "s-1", Mode: emulator.Draining}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.6, Server: "s-1", Mode: emulator.Draining}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
 		"to a draining server after the grace": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Report{{At: 1000.3, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Gone}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.3, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Gone}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, []int{3}},
 		"to a server that is ready again": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Ready}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Ready}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
 		"to a server that only another router's list shows as draining": {"read", func(st *runRecord) {
-			st.rec.Told[1] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}}
+			st.rec.Reports[1] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -35,7 +35,7 @@
 	From, To      float64 // interval in which requests are due
 	Fleet         *emulator.ServerRecords
 	Clients       *emulator.ClientRecords
-	Told          [][]emulator.Report // by router
+	Reports       [][]emulator.Report // by router
 	Processes     []RouterProcess
 	StopIntervals []StopInterval
 	FleetLate     *emulator.Lateness
@@ -120,7 +120,7 @@
 		for _, agents := range w.agents {
 			reports = append(reports, agents[n].Reports()...)
 		}
-		rec.Told = append(rec.Told, reports)
+		rec.Reports = append(rec.Reports, reports)
 	}
 	for _, n := range w.routerNodes {
 		rec.Processes = append(rec.Processes, n.processHistory()...)
