--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -18,7 +18,7 @@
 	connected        bool
 	answeredAttempts int    // number of attempts answered on this connection
 	lastAnsweredID   string // ID of the attempt that ended last
-	attempt          *Try
+	attempt          *Attempt
 	attemptEnd       uint64           // offset of the attempt's last byte among all bytes written
 	timer            *eventloop.Timer // fires when the client stops waiting
 	leavesEarly      bool             // the client disconnects before its timeout
@@ -32,8 +32,8 @@
 const valueStallTimeout = 7
 
 // sendAttempt sends an attempt on an idle connection, or on a new one if there is none.
-func (d *routerTarget) sendAttempt(attempt *Try) {
-	for len(d.idle) > 0 && !attempt.Reading.needsPlainConn() {
+func (d *routerTarget) sendAttempt(attempt *Attempt) {
+	for len(d.idle) > 0 && !attempt.ReadBehavior.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
 		if d.idle = d.idle[:len(d.idle)-1]; c.conn.Quiet() {
 			c.writeAttempt(attempt)
@@ -45,19 +45,19 @@
 }
 
 // dialAttempt sends an attempt on a new connection. It fails with NoConnection at the connection limit.
-func (d *routerTarget) dialAttempt(attempt *Try) {
+func (d *routerTarget) dialAttempt(attempt *Attempt) {
 	c := &clientConn{target: d}
-	if c.protocol = (&memcacheClient{conn: c}); attempt.Op.Type.Scheme != "" {
+	if c.protocol = (&memcacheClient{conn: c}); attempt.Request.Type.Scheme != "" {
 		c.protocol = &tileClient{conn: c}
 	}
 	attempt.Router = d.index
-	if d.clients.load.Most > 0 && d.openConns >= d.clients.load.Most {
+	if d.clients.load.MaxConnections > 0 && d.openConns >= d.clients.load.MaxConnections {
 		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
-	if attempt.Reading.needsPlainConn() {
+	if attempt.ReadBehavior.needsPlainConn() {
 		d.openConns++
-		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.Reading, attempt.Op.Type.Size/2, c)
+		conn := dialPlain(d.clients.loop, d.addr.String(), attempt.ReadBehavior, attempt.Request.Type.Size/2, c)
 		c.conn, c.in, c.out.conn = conn, conn.in, conn
 		c.writeAttempt(attempt)
 		return
@@ -73,18 +73,18 @@
 	c.writeAttempt(attempt)
 }
 
-func (c *clientConn) writeAttempt(attempt *Try) {
+func (c *clientConn) writeAttempt(attempt *Attempt) {
 	loop := c.target.clients.loop
 	c.attempt = attempt
-	c.leavesEarly = c.target.clients.load.Impatient > 0 && c.target.clients.rng.Float64() < c.target.clients.load.Impatient
+	c.leavesEarly = c.target.clients.load.EarlyDisconnects > 0 && c.target.clients.rng.Float64() < c.target.clients.load.EarlyDisconnects
 	remaining := max(1e-3, attempt.Began+attempt.Wait-loop.Now())
 	c.attemptEnd = c.conn.Sent()
 	for _, piece := range c.protocol.encodeRequest(attempt, remaining) {
 		c.out.add(piece)
 		c.attemptEnd += uint64(len(piece))
 	}
-	if c.leaveAfterBytes = 0; attempt.Reading.Leave {
-		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Op.Type.Size-1)
+	if c.leaveAfterBytes = 0; attempt.ReadBehavior.Leave {
+		c.leaveAfterBytes = 1 + c.target.clients.rng.IntN(attempt.Request.Type.Size-1)
 	}
 	c.timer = loop.Timer(c.onTimeout)
 	if c.leavesEarly {
@@ -118,17 +118,17 @@
 	case attempt == nil:
 		return
 	case attempt.Length > 0 && !c.leavesEarly:
-		if wait := c.lastByteAt + valueStallTimeout + attempt.Reading.Pause; c.target.clients.loop.Now() < wait {
+		if wait := c.lastByteAt + valueStallTimeout + attempt.ReadBehavior.Pause; c.target.clients.loop.Now() < wait {
 			c.timer.Set(wait)
 			return
 		}
-		c.finishAttempt(Silent)
+		c.finishAttempt(NoAnswer)
 	case !c.connected || attempt.Sent == 0:
 		c.finishAttempt(NoConnection)
 	case c.leavesEarly:
-		c.finishAttempt(Left)
+		c.finishAttempt(ClientDisconnected)
 	default:
-		c.finishAttempt(Silent)
+		c.finishAttempt(NoAnswer)
 	}
 	c.close()
 }
@@ -152,13 +152,13 @@
 	}
 }
 
-// attemptAnswered ends the current attempt, then closes or keeps the connection according to Load.Use.
+// attemptAnswered ends the current attempt, then closes or keeps the connection according to Load.Connections.
 func (c *clientConn) attemptAnswered(end End) {
 	c.answeredAttempts++
 	unsent := len(c.out.pending) > 0 || c.conn.Sent() < c.attemptEnd // answered before it was written completely
-	plain := c.attempt.Reading.needsPlainConn()
+	plain := c.attempt.ReadBehavior.needsPlainConn()
 	c.finishAttempt(end)
-	switch use := c.target.clients.load.Use; {
+	switch use := c.target.clients.load.Connections; {
 	case use == New || plain || unsent:
 		c.close()
 	case use == Once:
@@ -174,7 +174,7 @@
 		return true
 	}
 	if c.attempt == nil {
-		c.target.clients.records.Twice = append(c.target.clients.records.Twice, c.lastAnsweredID)
+		c.target.clients.records.DuplicateAnswers = append(c.target.clients.records.DuplicateAnswers, c.lastAnsweredID)
 		c.close()
 	} else {
 		c.rejectAnswer("answer with unexpected ID " + id)
@@ -189,7 +189,7 @@
 		if attempt.malformed = description; attempt.Length > 0 {
 			c.finishAttempt(Cut)
 		} else {
-			c.finishAttempt(Terminated)
+			c.finishAttempt(FailedAttempt)
 		}
 	}
 	c.close()
@@ -218,10 +218,10 @@
 		target.clients.attemptEnded(attempt, NoConnection)
 	case attempt.Length > 0:
 		target.clients.attemptEnded(attempt, Cut)
-	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
+	case attempt.Request.Type.Idempotency == balancer.AtMostOnce && attempt.Sent > 0: // it may have been read and run
 		target.clients.attemptEnded(attempt, Lost)
-	case reused && !attempt.Again && attempt.Began+attempt.Wait > target.clients.loop.Now():
-		attempt.Again, attempt.AgainAt = true, target.clients.loop.Now()
+	case reused && !attempt.Resent && attempt.Began+attempt.Wait > target.clients.loop.Now():
+		attempt.Resent, attempt.ResentAt = true, target.clients.loop.Now()
 		attempt.Sent = 0
 		target.dialAttempt(attempt)
 	default:
@@ -242,7 +242,7 @@
 }
 
 // needsPlainConn reports whether this way of reading needs a plainConn.
-func (r Reading) needsPlainConn() bool { return r.Rate > 0 || r.Pause > 0 }
+func (r ReadBehavior) needsPlainConn() bool { return r.Rate > 0 || r.Pause > 0 }
 
 // addReadPause records that the client does not read for this many seconds.
 func (c *clientConn) addReadPause(seconds float64) {
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientprotocol.go
@@ -15,7 +15,7 @@
 
 // clientProtocol is the client side of the protocol of one connection.
 type clientProtocol interface {
-	encodeRequest(attempt *Try, left float64) [][]byte
+	encodeRequest(attempt *Attempt, left float64) [][]byte
 	read(in *ringbuffer.Buffer) (whole bool, err error)
 	closed() bool // handles the connection's end; true if that completed an answer
 }
@@ -31,8 +31,8 @@
 func (m *memcacheClient) read(in *ringbuffer.Buffer) (bool, error) { return m.reader.Read(in, m) }
 func (m *memcacheClient) closed() bool                             { return false }
 
-func (m *memcacheClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
-	request := attempt.Op
+func (m *memcacheClient) encodeRequest(attempt *Attempt, remaining float64) [][]byte {
+	request := attempt.Request
 	parameters := fmt.Sprintf("c=%s,d=%d", request.Type.Name, int(math.Ceil(remaining*1e3)))
 	if request.Type.Tenant != "" {
 		parameters += ",tenant=" + request.Type.Tenant
@@ -57,7 +57,7 @@
 // Value handles a read's answer.
 func (m *memcacheClient) Value(id string, value []byte) {
 	if m.conn.expectsAnswer(id) {
-		m.conn.attempt.Got = crc32.ChecksumIEEE(value)
+		m.conn.attempt.AnswerSum = crc32.ChecksumIEEE(value)
 		m.conn.attemptAnswered(Finished)
 	}
 }
@@ -74,9 +74,9 @@
 func (m *memcacheClient) Part(part []byte) int {
 	m.check.Take(part)
 	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
-		attempt.Came, attempt.Begun, m.conn.lastByteAt = m.check.Came, m.check.Sum(), m.conn.target.clients.loop.Now()
-		if m.conn.leaveAfterBytes > 0 && attempt.Came >= m.conn.leaveAfterBytes {
-			m.conn.finishAttempt(Left)
+		attempt.Received, attempt.ValueSum, m.conn.lastByteAt = m.check.Received, m.check.Sum(), m.conn.target.clients.loop.Now()
+		if m.conn.leaveAfterBytes > 0 && attempt.Received >= m.conn.leaveAfterBytes {
+			m.conn.finishAttempt(ClientDisconnected)
 			m.conn.close()
 		}
 	}
@@ -90,9 +90,9 @@
 		return
 	}
 	if attempt := m.conn.attempt; m.check.End() == "" {
-		attempt.Got = m.check.Sum()
+		attempt.AnswerSum = m.check.Sum()
 	} else {
-		attempt.Garble(m.check.Mismatch())
+		attempt.SetMalformed(m.check.Mismatch())
 	}
 	m.conn.attemptAnswered(Finished)
 }
@@ -100,7 +100,7 @@
 // Stored handles a write's answer.
 func (m *memcacheClient) Stored(id, receipt string) {
 	if m.conn.expectsAnswer(id) {
-		m.conn.attempt.Got = crc32.ChecksumIEEE([]byte(receipt))
+		m.conn.attempt.AnswerSum = crc32.ChecksumIEEE([]byte(receipt))
 		m.conn.attemptAnswered(Finished)
 	}
 }
@@ -109,14 +109,14 @@
 func (m *memcacheClient) Busy(after int) {
 	if m.conn.expectsAnswer("") {
 		m.conn.attempt.After = after
-		m.conn.attemptAnswered(Declined)
+		m.conn.attemptAnswered(Rejected)
 	}
 }
 
 // Failed handles a failure. The outcome is unknown.
 func (m *memcacheClient) Failed() {
 	if m.conn.expectsAnswer("") {
-		m.conn.attemptAnswered(Terminated)
+		m.conn.attemptAnswered(FailedAttempt)
 	}
 }
 
@@ -151,10 +151,10 @@
 		Row: 1750 + n/64, Format: "png"}
 }
 
-func (k *tileClient) encodeRequest(attempt *Try, remaining float64) [][]byte {
-	n, _ := strconv.Atoi(attempt.Op.Key[len("clinic-"):])
+func (k *tileClient) encodeRequest(attempt *Attempt, remaining float64) [][]byte {
+	n, _ := strconv.Atoi(attempt.Request.Key[len("clinic-"):])
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: router\r\nX-Request-Id: %s\r\n%s: %d\r\n\r\n",
-		attempt.Op.Type.Scheme.Address(TileAt(n)),
+		attempt.Request.Type.Scheme.Address(TileAt(n)),
 		attempt.ID, WaitHeader, int(math.Ceil(remaining*1e3)))}
 }
 
@@ -185,13 +185,13 @@
 	}
 	switch k.status {
 	case 200:
-		k.conn.attempt.Got = crc32.ChecksumIEEE(k.body)
+		k.conn.attempt.AnswerSum = crc32.ChecksumIEEE(k.body)
 		k.conn.attemptAnswered(Finished)
 	case 503:
 		k.conn.attempt.After = k.after
-		k.conn.attemptAnswered(Declined)
+		k.conn.attemptAnswered(Rejected)
 	case 502, 504:
-		k.conn.attemptAnswered(Terminated)
+		k.conn.attemptAnswered(FailedAttempt)
 	default:
 		k.conn.rejectAnswer("unexpected HTTP status " + strconv.Itoa(k.status))
 		return
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -26,18 +26,18 @@
 
 // Load describes the clients and the requests that they send.
 type Load struct {
-	Types     []*TrafficType
-	Rate      float64 // requests per second
-	Keys      int
-	Zipf      float64 // exponent of the keys' Zipf distribution; 0: uniform
-	Retries   int     // most retries of a request
-	TryShare  float64 // an attempt's timeout as a fraction of the request's deadline
-	Pause     float64 // seconds before a retry
-	Honour    float64 // fraction of retries that wait as long as the router asked
-	Impatient float64 // fraction of attempts whose client disconnects before the timeout
-	Use       Connections
-	Most      int       // most connections to one router; 0: no limit
-	Skew      []float64 // relative weights of the routers in the choice of a router; empty: equal
+	Types            []*TrafficType
+	Rate             float64 // requests per second
+	Keys             int
+	Zipf             float64 // exponent of the keys' Zipf distribution; 0: uniform
+	Retries          int     // most retries of a request
+	TimeoutFraction  float64 // an attempt's timeout as a fraction of the request's deadline
+	Pause            float64 // seconds before a retry
+	HonorRetryAfter  float64 // fraction of retries that wait as long as the router asked
+	EarlyDisconnects float64 // fraction of attempts whose client disconnects before the timeout
+	Connections      Connections
+	MaxConnections   int       // most connections to one router; 0: no limit
+	RouterWeights    []float64 // relative weights of the routers in the choice of a router; empty: equal
 }
 
 // End is how an attempt ended for its client.
@@ -45,15 +45,15 @@
 
 // The ends of an attempt.
 const (
-	Waiting      End = iota
-	Finished         // the router returned a value or a receipt
-	Declined         // rejected: a retry is safe
-	Terminated       // failed: the outcome is unknown
-	NoConnection     // not sent: it did not reach a router
-	Left             // the client disconnected before its timeout
-	Lost             // the connection ended without an answer
-	Silent           // no answer in time, or a value stopped arriving
-	Cut              // the connection ended within a value, or the value's end was malformed
+	Waiting            End = iota
+	Finished               // the router returned a value or a receipt
+	Rejected               // rejected: a retry is safe
+	FailedAttempt          // failed: the outcome is unknown
+	NoConnection           // not sent: it did not reach a router
+	ClientDisconnected     // the client disconnected before its timeout
+	Lost                   // the connection ended without an answer
+	NoAnswer               // no answer in time, or a value stopped arriving
+	Cut                    // the connection ended within a value, or the value's end was malformed
 )
 
 func (e End) String() string {
@@ -65,69 +65,69 @@
 // of sockets and timers.
 const Tolerance = 0.05
 
-// Op is a request as its client sees it, with all its attempts.
-type Op struct {
+// Request is a request as its client sees it, with all its attempts.
+type Request struct {
 	N              int
 	Type           *TrafficType
 	Key            string
 	IdempotencyKey string
 	Due            float64 // when it was scheduled to be sent
-	Tries          []*Try
+	Tries          []*Attempt
 	Done           float64 // when its last attempt ended
-	How            End     // of its last attempt
+	End            End     // of its last attempt
 }
 
-// Took returns the request's latency since it was due, without the time in which its client did not read.
-func (o *Op) Took() float64 {
-	took := o.Done - o.Due
-	for _, attempt := range o.Tries {
-		took -= attempt.ReadPaused
+// Latency returns the request's latency since it was due, without the time in which its client did not read.
+func (r *Request) Latency() float64 {
+	latency := r.Done - r.Due
+	for _, attempt := range r.Tries {
+		latency -= attempt.ReadPaused
 	}
-	return took
+	return latency
 }
 
 // Served reports whether the request finished, and whether it finished within its latency objective.
-func (o *Op) Served() (any, inTime bool) {
-	any = o.How == Finished
-	return any, any && o.Took() <= o.Type.Promised
+func (r *Request) Served() (any, inTime bool) {
+	any = r.End == Finished
+	return any, any && r.Latency() <= r.Type.LatencyObjective
 }
 
-// Try is one attempt of a client at one router.
-type Try struct {
-	Op        *Op
+// Attempt is one attempt of a client at one router.
+type Attempt struct {
+	Request   *Request
 	ID        string
 	Router    int
 	Began     float64
 	Sent      float64 // when its last byte was written; 0: never
 	Wait      float64 // timeout in seconds
 	Ended     float64
-	How       End
+	End       End
 	After     int     // milliseconds after which the router allows a retry; 0: not stated
-	Got       uint32  // checksum of the value or the receipt
-	Again     bool    // it was sent once more because its reused connection had been closed ...
-	AgainAt   float64 // ... at this time
+	AnswerSum uint32  // checksum of the value or the receipt
+	Resent    bool    // it was sent once more because its reused connection had been closed ...
+	ResentAt  float64 // ... at this time
 	malformed string  // what is wrong with the answer; empty: nothing
 
-	Reading    Reading // how it reads a long value; zero value: without delay
-	Length     int     // stated length in bytes of the long value that began to arrive; 0: none
-	Came       int     // bytes of it that were received
-	Begun      uint32  // checksum of that value, once its head was received; equals Execution.Made of its execution
-	ReadPaused float64 // seconds in which its client did not read
+	ReadBehavior ReadBehavior // how it reads a long value; zero value: without delay
+	Length       int          // stated length in bytes of the long value that began to arrive; 0: none
+	Received     int          // bytes of it that were received
+	ValueSum     uint32       // its checksum, once its head was received; equals AnswerSum of its execution
+	ReadPaused   float64      // seconds in which its client did not read
 }
 
-// Strange returns what is wrong with the answer; empty: nothing.
-func (t *Try) Strange() string { return t.malformed }
+// Malformed returns what is wrong with the answer; empty: nothing.
+func (a *Attempt) Malformed() string { return a.malformed }
 
-// Garble records that the answer differs from the one that was made, and how.
-func (t *Try) Garble(description string) { t.malformed, t.Got = description, 0 }
+// SetMalformed records that the answer differs from the one that was made, and how.
+func (a *Attempt) SetMalformed(description string) { a.malformed, a.AnswerSum = description, 0 }
 
-// ClientBook holds the records of the clients. Only their event loop may access it while it runs.
-type ClientBook struct {
-	Ops       []*Op
-	Twice     []string // IDs of attempts that were answered more than once
-	Lateness  []float64
-	LateSends int
-	Overflow  bool
+// ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
+type ClientRecords struct {
+	Ops              []*Request
+	DuplicateAnswers []string // IDs of attempts that were answered more than once
+	Lateness         []float64
+	LateSends        int
+	Overflow         bool
 }
 
 // Clients send requests to routers in an open loop: arrival times are drawn at random and don't depend on answers.
@@ -136,7 +136,7 @@
 	load                 Load
 	routers              []*routerTarget
 	tileRouters          map[string][]*routerTarget // the same routers' addresses for each team's map tiles, by team
-	records              *ClientBook
+	records              *ClientRecords
 	rng                  *rand.Rand // for everything but the arrivals
 	cumulativePopularity []float64  // cumulative sums of the keys' weights
 	arrivals             []*arrivalProcess
@@ -147,7 +147,7 @@
 
 	hotKeys       []hotKey
 	surges        []surge
-	readBehaviors []Reading
+	readBehaviors []ReadBehavior
 }
 
 // arrivalProcess is the Poisson process by which requests of one traffic type arrive.
@@ -184,7 +184,7 @@
 // NewClients returns clients of the routers at these addresses.
 func NewClients(loop *eventloop.Loop, seed uint64, load Load, routers []string,
 	tileFronts map[string][]string) (*Clients, error) {
-	c := &Clients{loop: loop, load: load, records: &ClientBook{}, rng: rand.New(rand.NewPCG(seed, 1)),
+	c := &Clients{loop: loop, load: load, records: &ClientRecords{}, rng: rand.New(rand.NewPCG(seed, 1)),
 		lastID: uint32(seed) ^ 0x5bd1e995}
 	for index, text := range routers {
 		addr, err := netip.ParseAddrPort(text)
@@ -192,8 +192,8 @@
 			return nil, fmt.Errorf("router %s: %w", text, err)
 		}
 		target := &routerTarget{clients: c, index: index, addr: addr, weight: 1}
-		if len(load.Skew) > 0 {
-			target.weight = load.Skew[index%len(load.Skew)]
+		if len(load.RouterWeights) > 0 {
+			target.weight = load.RouterWeights[index%len(load.RouterWeights)]
 		}
 		c.routers = append(c.routers, target)
 	}
@@ -228,7 +228,7 @@
 }
 
 // Book returns the records. They may be read on the loop, or once the loop has ended.
-func (c *Clients) Book() *ClientBook { return c.records }
+func (c *Clients) Book() *ClientRecords { return c.records }
 
 // Late returns how late the clients' loop was.
 func (c *Clients) Late() *Lateness { return &c.lateness }
@@ -295,7 +295,7 @@
 		c.records.Overflow = true
 		return
 	}
-	request := &Op{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
+	request := &Request{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
 	n := sort.SearchFloat64s(c.cumulativePopularity,
 		arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
 	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
@@ -306,7 +306,7 @@
 		}
 		draw -= hot.fraction
 	}
-	if arrivals.trafficType.Effect == balancer.IdempotencyKeyed {
+	if arrivals.trafficType.Idempotency == balancer.IdempotencyKeyed {
 		request.IdempotencyKey = c.newID()
 	}
 	c.records.Ops = append(c.records.Ops, request)
@@ -348,15 +348,15 @@
 }
 
 // remaining returns the seconds until the request's deadline.
-func (c *Clients) remaining(request *Op) float64 {
-	return request.Due + request.Type.HardStop - c.loop.Now()
+func (c *Clients) remaining(request *Request) float64 {
+	return request.Due + request.Type.Deadline - c.loop.Now()
 }
 
-func (c *Clients) startAttempt(request *Op) {
-	attempt := &Try{Op: request, ID: c.newID(), Began: c.loop.Now()}
+func (c *Clients) startAttempt(request *Request) {
+	attempt := &Attempt{Request: request, ID: c.newID(), Began: c.loop.Now()}
 	attempt.Wait = c.remaining(request)
-	if c.load.TryShare > 0 && c.load.Retries > 0 {
-		attempt.Wait = min(attempt.Wait, c.load.TryShare*request.Type.HardStop)
+	if c.load.TimeoutFraction > 0 && c.load.Retries > 0 {
+		attempt.Wait = min(attempt.Wait, c.load.TimeoutFraction*request.Type.Deadline)
 	}
 	request.Tries = append(request.Tries, attempt)
 	if attempt.Wait < 1e-3 {
@@ -374,46 +374,46 @@
 }
 
 // drawReadBehavior draws how an attempt reads its long value.
-func (c *Clients) drawReadBehavior(attempt *Try) {
-	trafficType := attempt.Op.Type
+func (c *Clients) drawReadBehavior(attempt *Attempt) {
+	trafficType := attempt.Request.Type
 	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
 		return
 	}
 	draw := c.rng.Float64()
 	for _, behavior := range c.readBehaviors {
-		if draw -= behavior.Part; draw < 0 {
-			attempt.Reading = behavior
+		if draw -= behavior.Fraction; draw < 0 {
+			attempt.ReadBehavior = behavior
 			return
 		}
 	}
 }
 
 // attemptEnded records an attempt's end, and retries the request if that is allowed and there is time.
-func (c *Clients) attemptEnded(attempt *Try, end End) {
-	if attempt.How != Waiting {
+func (c *Clients) attemptEnded(attempt *Attempt, end End) {
+	if attempt.End != Waiting {
 		return
 	}
-	attempt.How, attempt.Ended = end, c.loop.Now()
-	request := attempt.Op
+	attempt.End, attempt.Ended = end, c.loop.Now()
+	request := attempt.Request
 	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
 		c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
 	}
-	request.How, request.Done = end, attempt.Ended
+	request.End, request.Done = end, attempt.Ended
 	c.openRequests--
 }
 
 // retryDelay returns how many seconds a client waits before a retry; below 0 if it must not retry.
-func (c *Clients) retryDelay(attempt *Try) float64 {
+func (c *Clients) retryDelay(attempt *Attempt) float64 {
 	switch {
-	case attempt.How == Left:
+	case attempt.End == ClientDisconnected:
 		return -1
-	case attempt.Op.Type.Effect == balancer.AtMostOnce && attempt.How != Declined && attempt.How != NoConnection:
+	case attempt.Request.Type.Idempotency == balancer.AtMostOnce && attempt.End != Rejected && attempt.End != NoConnection:
 		return -1 // it may have run
-	case attempt.Op.Type.Effect == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Op.Due > attempt.Op.Type.Window*0.9:
+	case attempt.Request.Type.Idempotency == balancer.IdempotencyKeyed && c.loop.Now()-attempt.Request.Due > attempt.Request.Type.Window*0.9:
 		return -1 // near the end of the deduplication window a repeat may no longer be recognised
-	case attempt.After > 0 && c.rng.Float64() < c.load.Honour:
+	case attempt.After > 0 && c.rng.Float64() < c.load.HonorRetryAfter:
 		return float64(attempt.After) / 1e3
 	}
 	return c.load.Pause
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -50,7 +50,7 @@
 }
 
 // runClients runs clients against routers for this many seconds and returns their records.
-func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientBook {
+func runClients(t *testing.T, load Load, seconds float64, routers ...string) *ClientRecords {
 	t.Helper()
 	loop, err := eventloop.New()
 	if err != nil {
@@ -70,8 +70,8 @@
 }
 
 func testLoad(rate float64) Load {
-	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TryShare: 0.6, Pause: 0.01,
-		Use: Kept, Most: 20}
+	return Load{Types: []*TrafficType{readType}, Rate: rate, Keys: 100, Zipf: 1, Retries: 2, TimeoutFraction: 0.6, Pause: 0.01,
+		Connections: Kept, MaxConnections: 20}
 }
 
 func valueReply(id string) string { return fmt.Sprintf("VA 2 O%s\r\nhi\r\n", id) }
@@ -80,7 +80,7 @@
 // closed loop would lower the load while a router is slow.
 func TestArrivalsAreOpenLoop(t *testing.T) {
 	load := testLoad(300)
-	load.Most = 1000
+	load.MaxConnections = 1000
 	records := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
 	if n := len(records.Ops); n < 100 || n > 200 {
 		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
@@ -88,8 +88,8 @@
 	keys := map[string]int{}
 	for _, request := range records.Ops {
 		keys[request.Key]++
-		if request.How != Silent && request.How != NoConnection {
-			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.How)
+		if request.End != NoAnswer && request.End != NoConnection {
+			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.End)
 		}
 	}
 	if keys[Key(0)] < 2*keys[Key(9)] {
@@ -101,7 +101,7 @@
 // A rejected request is retried after the delay that the router asked for. An at-most-once request is not retried after
 // a failure, because it may have run.
 func TestRetriesByOutcomeAndIdempotency(t *testing.T) {
-	records := runClients(t, func() Load { load := testLoad(20); load.Honour = 1; return load }(), 0.4,
+	records := runClients(t, func() Load { load := testLoad(20); load.HonorRetryAfter = 1; return load }(), 0.4,
 		startRouter(t, func(n int, _, id string) string {
 			if n == 1 {
 				return "SERVER_ERROR busy 80\r\n"
@@ -109,17 +109,17 @@
 			return valueReply(id)
 		}))
 	first := records.Ops[0].Tries
-	if len(first) != 2 || first[0].How != Declined || first[1].How != Finished || first[1].Began-first[0].Ended < 0.079 {
+	if len(first) != 2 || first[0].End != Rejected || first[1].End != Finished || first[1].Began-first[0].Ended < 0.079 {
 		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
 	once := *readType
-	once.Effect = 0
+	once.Idempotency = 0
 	load := testLoad(20)
 	load.Types = []*TrafficType{&once}
 	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
 		return "SERVER_ERROR failed\r\n"
 	})).Ops {
-		if len(request.Tries) != 1 || request.How != Terminated {
+		if len(request.Tries) != 1 || request.End != FailedAttempt {
 			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Tries))
 		}
 	}
@@ -131,7 +131,7 @@
 	records := runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
 		return valueReply(id) + valueReply(id)
 	}))
-	if len(records.Twice) == 0 {
+	if len(records.DuplicateAnswers) == 0 {
 		t.Error("got no records of duplicate answers, want some")
 	}
 	records = runClients(t, testLoad(20), 0.3, startRouter(t, func(n int, _, id string) string {
@@ -143,11 +143,11 @@
 	resent := 0
 	for _, request := range records.Ops {
 		for _, attempt := range request.Tries {
-			if attempt.Again {
+			if attempt.Resent {
 				resent++
 			}
-			if attempt.How != Finished {
-				t.Errorf("an attempt ended as %v, want finished", attempt.How)
+			if attempt.End != Finished {
+				t.Errorf("an attempt ended as %v, want finished", attempt.End)
 			}
 		}
 	}
@@ -180,7 +180,7 @@
 		t.Errorf("arrivals in 20 s: %d, during a surge by 5 %d, after it %d; want at least 4 times, at most 2 times as many",
 			usual, surged, after)
 	}
-	endHeat := clients.Heat("hot", 0.5)
+	endHeat := clients.AddHotKey("hot", 0.5)
 	hot := 0
 	for range 200 {
 		clients.startRequest(clients.arrivals[0])
--- a/internal/emulator/fleet.go
+++ b/internal/emulator/fleet.go
@@ -16,9 +16,9 @@
 	loop            *eventloop.Loop
 	types           map[string]*TrafficType
 	servers         []*Server // in the order in which they were added, including removed ones
-	origin          *Ledger
+	origin          *Origin
 	list            *List
-	records         *Book
+	records         *ServerRecords
 	dedupTables     map[string]*dedupTable
 	seed            uint64
 	lastSerial      uint64
@@ -31,35 +31,35 @@
 }
 
 // NewFleet returns a fleet without servers. listed is the list service's usual delay.
-func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, ledger LedgerSpec, listed Delay) *Fleet {
-	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &Book{},
+func NewFleet(loop *eventloop.Loop, seed uint64, types []*TrafficType, origin OriginSpec, listed Delay) *Fleet {
+	fleet := &Fleet{loop: loop, types: map[string]*TrafficType{}, records: &ServerRecords{},
 		dedupTables: map[string]*dedupTable{}, seed: seed}
 	for _, trafficType := range types {
 		fleet.types[trafficType.Name] = trafficType
 	}
-	fleet.origin = newLedger(loop, ledger, fleet.records, fleet.Chance("ledger"))
-	fleet.list = newList(loop.Now, listed, fleet.Chance("list"))
+	fleet.origin = newOrigin(loop, origin, fleet.records, fleet.Rand("ledger"))
+	fleet.list = newList(loop.Now, listed, fleet.Rand("list"))
 	fleet.lateness.start(loop)
 	fleet.closeIdleConns()
 	return fleet
 }
 
-// Chance returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
+// Rand returns a random number generator seeded from the fleet's seed and a name, so that the draws of one component
 // don't change those of another.
-func (f *Fleet) Chance(name string) *rand.Rand {
+func (f *Fleet) Rand(name string) *rand.Rand {
 	return rand.New(rand.NewPCG(f.seed, uint64(crc32.ChecksumIEEE([]byte(name)))))
 }
 
-// Named sets a prefix of the servers' names, so that the names of several fleets differ.
-func (f *Fleet) Named(prefix string) { f.namePrefix = prefix }
+// SetNamePrefix sets a prefix of the servers' names, so that the names of several fleets differ.
+func (f *Fleet) SetNamePrefix(prefix string) { f.namePrefix = prefix }
 
 // ServeTiles makes all servers tile servers.
 func (f *Fleet) ServeTiles(service *tiles.Service, trafficType *TrafficType) {
 	f.tileService, f.tileType, f.tileImages = service, trafficType, map[string][]byte{}
 }
 
-// Book returns the fleet's records. They may be read on the loop, or once the loop has ended.
-func (f *Fleet) Book() *Book { return f.records }
+// Records returns the fleet's records. They may be read on the loop, or once the loop has ended.
+func (f *Fleet) Records() *ServerRecords { return f.records }
 
 // List returns the list service.
 func (f *Fleet) List() *List { return f.list }
@@ -70,8 +70,8 @@
 // Servers returns all servers, including removed ones.
 func (f *Fleet) Servers() []*Server { return f.servers }
 
-// Serving returns the servers that are ready.
-func (f *Fleet) Serving() (ready []*Server) {
+// Ready returns the servers that are ready.
+func (f *Fleet) Ready() (ready []*Server) {
 	for _, server := range f.servers {
 		if server.mode == Ready && !server.removed {
 			ready = append(ready, server)
@@ -82,7 +82,7 @@
 
 // Add starts a cache server, either cold or at full capacity.
 func (f *Fleet) Add(spec Spec, cold bool) (*Server, error) {
-	server := newServer(f, spec, f.Chance(spec.Name))
+	server := newServer(f, spec, f.Rand(spec.Name))
 	if err := server.updateListening(); err != nil {
 		return nil, fmt.Errorf("cache server %s: %w", spec.Name, err)
 	}
@@ -111,11 +111,11 @@
 // dedupTable returns the deduplication table of the scope in which server s recognises repeats of an idempotency-keyed
 // traffic type; nil for other types.
 func (f *Fleet) dedupTable(server *Server, trafficType *TrafficType) *dedupTable {
-	if trafficType.Effect != balancer.IdempotencyKeyed {
+	if trafficType.Idempotency != balancer.IdempotencyKeyed {
 		return nil
 	}
 	name := trafficType.Name
-	switch trafficType.Group {
+	switch trafficType.DeduplicationScope {
 	case balancer.ScopeZone:
 		name += "/zone/" + server.Zone
 	case balancer.ScopeCell:
@@ -182,8 +182,8 @@
 	l.loop.After(latenessInterval, l.tick)
 }
 
-// Part returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
-func (l *Lateness) Part(fraction float64) float64 {
+// Quantile returns a quantile of the lateness: the value that this fraction of the samples did not exceed.
+func (l *Lateness) Quantile(fraction float64) float64 {
 	if len(l.Times) == 0 {
 		return 0
 	}
--- a/internal/emulator/helpers_test.go
+++ b/internal/emulator/helpers_test.go
@@ -16,11 +16,11 @@
 	"bendtrestle/internal/eventloop"
 )
 
-var readType = &TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.002, Size: 100,
-	Promised: 0.2, HardStop: 0.5, Benefit: 1}
-var putType = &TrafficType{Name: "put", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed,
-	Group: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
-	Promised: 0.2, HardStop: 0.5, Benefit: 1}
+var readType = &TrafficType{Name: "read", Share: 1, Idempotency: balancer.Idempotent, Work: 0.002, Size: 100,
+	LatencyObjective: 0.2, Deadline: 0.5, Benefit: 1}
+var putType = &TrafficType{Name: "put", Share: 1, Write: true, Idempotency: balancer.IdempotencyKeyed,
+	DeduplicationScope: balancer.ScopeZone, Window: 0.3, Work: 0.002, Size: 10,
+	LatencyObjective: 0.2, Deadline: 0.5, Benefit: 1}
 
 var lastTestAddress atomic.Int32
 
@@ -31,8 +31,8 @@
 
 func spec(name string) Spec {
 	return Spec{Name: name, Addr: testAddress(), Zone: "z", Cores: 1, Speed: 1, Weight: 1, Queue: 100, PerConnection: 10,
-		Connections: 20, Keep: 100,
-		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, Fall: 0.5}}
+		Connections: 20, CacheSize: 100,
+		Cancels: true, Cold: Cold{From: 0.5, Warm: 1, Multiple: 3, CollapseSeconds: 0.5}}
 }
 
 // startFleet returns a fleet whose loop runs, with one server for each spec.
@@ -42,8 +42,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, LedgerSpec{AtOnce: 2, Takes: 0.005, Multiple: 2,
-		Time: 0.2, Halt: 0.3}, Delay{})
+	fleet := NewFleet(loop, 1, []*TrafficType{readType, putType}, OriginSpec{Concurrency: 2, MeanSeconds: 0.005, Multiple: 2,
+		OverloadSeconds: 0.2, HaltSeconds: 0.3}, Delay{})
 	var servers []*Server
 	for _, s := range specs {
 		server, err := fleet.Add(s, false)
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -15,11 +15,11 @@
 
 const mebibyte = 1 << 20
 
-var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte,
-	Promised: 5, HardStop: 5, Benefit: 1}
-var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5,
-	Work: 0.001, Size: meta.LongBound, Promised: 5,
-	HardStop: 5, Benefit: 1}
+var longReadType = &TrafficType{Name: "bulk", Share: 1, Idempotency: balancer.Idempotent, Work: 0.001, Size: mebibyte,
+	LatencyObjective: 5, Deadline: 5, Benefit: 1}
+var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Idempotency: balancer.IdempotencyKeyed, Window: 5,
+	Work: 0.001, Size: meta.LongBound, LatencyObjective: 5,
+	Deadline: 5, Benefit: 1}
 
 // startLongValueFleet returns a fleet of one server that serves long values.
 func startLongValueFleet(t *testing.T) (*Fleet, *Server) {
@@ -40,9 +40,9 @@
 	}
 	got.Length = mebibyte
 	buf := make([]byte, 10000)
-	for got.Came < mebibyte && err == nil {
+	for got.Received < mebibyte && err == nil {
 		var n int
-		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Came)])
+		n, err = conn.Reader.Read(buf[:min(len(buf), mebibyte-got.Received)])
 		got.Take(buf[:n])
 	}
 	return conn, got, err
@@ -63,7 +63,7 @@
 	}
 	fleet.runOnLoop(func() {
 		execution := fleet.records.Executions[0]
-		if execution.Made != got.Sum() || execution.Length != mebibyte || execution.Whole == 0 || execution.Broke != 0 {
+		if execution.AnswerSum != got.Sum() || execution.Length != mebibyte || execution.SentAt == 0 || execution.InterruptedAt != 0 {
 			t.Errorf("got the record %+v, want a complete long value with the received checksum", execution)
 		}
 	})
@@ -101,11 +101,11 @@
 		whole, broke bool
 		end          string // of the connection
 	}{
-		"closes after the value":  {func(server *Server) func() { return server.CloseBehind(1) }, true, false, "EOF"},
-		"resets after the value":  {func(server *Server) func() { return server.ResetBehind(1) }, true, true, "reset"},
-		"closes within the value": {func(server *Server) func() { return server.BreakOff(1) }, false, true, "EOF"},
-		"resets within the value": {func(server *Server) func() { return server.ResetUnder(1) }, false, true, "reset"},
-		"stalls within the value": {func(server *Server) func() { return server.Cease(1) }, false, true, "timeout"},
+		"closes after the value":  {func(server *Server) func() { return server.CloseAfterValue(1) }, true, false, "EOF"},
+		"resets after the value":  {func(server *Server) func() { return server.ResetAfterValue(1) }, true, true, "reset"},
+		"closes within the value": {func(server *Server) func() { return server.CloseWithinValue(1) }, false, true, "EOF"},
+		"resets within the value": {func(server *Server) func() { return server.ResetWithinValue(1) }, false, true, "reset"},
+		"stalls within the value": {func(server *Server) func() { return server.StallWithinValue(1) }, false, true, "timeout"},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -126,8 +126,8 @@
 			}
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
-				if execution.How != Answered || (execution.Whole > 0) != c.whole || (execution.Broke > 0) != c.broke {
-					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.Whole, execution.Broke, c.whole,
+				if execution.Outcome != Answered || (execution.SentAt > 0) != c.whole || (execution.InterruptedAt > 0) != c.broke {
+					t.Errorf("got whole at %v, broke at %v; want whole %v, broke %v: %+v", execution.SentAt, execution.InterruptedAt, c.whole,
 						c.broke, execution)
 				}
 				end()
@@ -151,7 +151,7 @@
 		}, true},
 		"machine is cut off": {func(fleet *Fleet, server *Server, _ net.Conn) {
 			fleet.runOnLoop(func() {
-				if _, err := server.Vanish(); err != nil {
+				if _, err := server.MakeUnreachable(); err != nil {
 					t.Error(err)
 				}
 			})
@@ -160,7 +160,7 @@
 	} {
 		fleet, server := startLongValueFleet(t)
 		fleet.runOnLoop(func() {
-			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
+			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Idempotency: balancer.Idempotent}
 		})
 		conn := dialServer(t, server.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
@@ -172,7 +172,7 @@
 		gone := func() (out bool) {
 			fleet.runOnLoop(func() {
 				execution := fleet.records.Executions[0]
-				out = execution.Broke > 0 || len(server.conns) == 0
+				out = execution.InterruptedAt > 0 || len(server.conns) == 0
 			})
 			return out
 		}
@@ -180,8 +180,8 @@
 			time.Sleep(5 * time.Millisecond)
 		}
 		fleet.runOnLoop(func() {
-			if execution := fleet.records.Executions[0]; execution.Whole > 0 || (execution.Broke > 0) != c.broke {
-				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.Whole, execution.Broke,
+			if execution := fleet.records.Executions[0]; execution.SentAt > 0 || (execution.InterruptedAt > 0) != c.broke {
+				t.Errorf("%s: got whole at %v, broke at %v; want whole never, broke %v", name, execution.SentAt, execution.InterruptedAt,
 					c.broke)
 			}
 		})
@@ -193,23 +193,23 @@
 // changed bytes gets no checksum.
 func TestClientReadBehaviors(t *testing.T) {
 	const size = 300_000
-	trafficType := &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Size: size, Promised: 5,
-		HardStop: 5, Benefit: 1}
+	trafficType := &TrafficType{Name: "bulk", Share: 1, Idempotency: balancer.Idempotent, Size: size, LatencyObjective: 5,
+		Deadline: 5, Benefit: 1}
 	for name, c := range map[string]struct {
-		how   Reading
-		reply func(text string) string
-		end   End
-		rests bool
+		behavior ReadBehavior
+		reply    func(text string) string
+		end      End
+		rests    bool
 	}{
-		"usual":        {Reading{}, func(text string) string { return text }, Finished, false},
-		"slowly":       {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
-		"with a pause": {Reading{Part: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
-		"leaves":       {Reading{Part: 1, Leave: true}, func(text string) string { return text }, Left, false},
-		"cut":          {Reading{}, func(text string) string { return text[:size/2] }, Cut, false},
-		"cut, slowly":  {Reading{Part: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
-		"other bytes": {Reading{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
+		"usual":        {ReadBehavior{}, func(text string) string { return text }, Finished, false},
+		"slowly":       {ReadBehavior{Fraction: 1, Rate: 1e6}, func(text string) string { return text }, Finished, true},
+		"with a pause": {ReadBehavior{Fraction: 1, Pause: 0.3}, func(text string) string { return text }, Finished, true},
+		"leaves":       {ReadBehavior{Fraction: 1, Leave: true}, func(text string) string { return text }, ClientDisconnected, false},
+		"cut":          {ReadBehavior{}, func(text string) string { return text[:size/2] }, Cut, false},
+		"cut, slowly":  {ReadBehavior{Fraction: 1, Rate: 1e6}, func(text string) string { return text[:size/2] }, Cut, true},
+		"other bytes": {ReadBehavior{}, func(text string) string { return text[:size/2] + "??" + text[size/2+2:] },
 			Finished, false},
-		"no end of the value": {Reading{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
+		"no end of the value": {ReadBehavior{}, func(text string) string { return text[:len(text)-2] + "ab" }, Cut, false},
 	} {
 		t.Run(name, func(t *testing.T) {
 			t.Parallel()
@@ -240,13 +240,13 @@
 				}
 			}()
 			loop := newLoop(t)
-			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Use: Kept,
-				Most: 100}, []string{ln.Addr().String()}, nil)
+			clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{trafficType}, Rate: 10, Keys: 10, Connections: Kept,
+				MaxConnections: 100}, []string{ln.Addr().String()}, nil)
 			if err != nil {
 				t.Fatal(err)
 			}
-			if c.how.Part > 0 {
-				clients.Read(c.how)
+			if c.behavior.Fraction > 0 {
+				clients.SetReadBehavior(c.behavior)
 			}
 			ended := make(chan error)
 			go func() { ended <- loop.Run() }()
@@ -264,12 +264,12 @@
 			for _, request := range clients.Book().Ops {
 				attempt := request.Tries[0]
 				whole := c.end == Finished && name != "other bytes"
-				if request.How != c.end || len(request.Tries) != 1 || attempt.Length != size ||
-					(attempt.Came == size) != (c.end == Finished || name == "no end of the value") ||
-					(attempt.Got != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
+				if request.End != c.end || len(request.Tries) != 1 || attempt.Length != size ||
+					(attempt.Received == size) != (c.end == Finished || name == "no end of the value") ||
+					(attempt.AnswerSum != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
 					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
-						request.How, len(request.Tries), attempt.Came, attempt.Length, attempt.Got, attempt.ReadPaused,
-						attempt.Strange(), c.end)
+						request.End, len(request.Tries), attempt.Received, attempt.Length, attempt.AnswerSum, attempt.ReadPaused,
+						attempt.Malformed(), c.end)
 				}
 			}
 		})
@@ -280,8 +280,8 @@
 func TestClientLongWrites(t *testing.T) {
 	fleet, server := startLongValueFleet(t)
 	loop := newLoop(t)
-	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Use: Kept,
-		Most: 100}, []string{server.Addr}, nil)
+	clients, err := NewClients(loop, 5, Load{Types: []*TrafficType{longWriteType}, Rate: 10, Keys: 10, Connections: Kept,
+		MaxConnections: 100}, []string{server.Addr}, nil)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -296,8 +296,8 @@
 	loop.Post(loop.Stop)
 	<-ended
 	for _, request := range clients.Book().Ops {
-		if request.How != Finished {
-			t.Errorf("a write ended as %v, malformed %q; want finished", request.How, request.Tries[0].Strange())
+		if request.End != Finished {
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Tries[0].Malformed())
 		}
 	}
 	fleet.runOnLoop(func() {
--- a/internal/emulator/standin.go
+++ b/internal/emulator/records.go
@@ -15,20 +15,20 @@
 
 // TrafficType is one type of request, as clients send it and cache servers execute it.
 type TrafficType struct {
-	Name     string
-	Share    float64 // relative weight among all arrivals
-	Write    bool
-	Effect   balancer.Idempotency
-	Group    balancer.DeduplicationScope
-	Window   float64 // deduplication window in seconds, of idempotency-keyed requests
-	Work     float64 // mean seconds on a core of speed 1
-	Spread   float64 // coefficient of variation of the work: standard deviation divided by mean
-	Size     int     // bytes of a value, at most meta.LongBound
-	Promised float64 // latency objective in seconds
-	HardStop float64
-	Benefit  float64
-	Tenant   string
-	Scheme   tiles.Scheme // address scheme, if the type requests tiles; empty: it requests keys
+	Name               string
+	Share              float64 // relative weight among all arrivals
+	Write              bool
+	Idempotency        balancer.Idempotency
+	DeduplicationScope balancer.DeduplicationScope
+	Window             float64 // deduplication window in seconds, of idempotency-keyed requests
+	Work               float64 // mean seconds on a core of speed 1
+	Spread             float64 // coefficient of variation of the work: standard deviation divided by mean
+	Size               int     // bytes of a value, at most meta.LongBound
+	LatencyObjective   float64 // latency objective in seconds
+	Deadline           float64
+	Benefit            float64
+	Tenant             string
+	Scheme             tiles.Scheme // address scheme, if the type requests tiles; empty: it requests keys
 
 	RunsIn, AllowedOn []string // the only zones and machine types to which it may be sent; nil: all
 }
@@ -48,21 +48,21 @@
 	return t.Work * math.Exp(sigma*rng.NormFloat64()-sigma*sigma/2)
 }
 
-// How is how an execution ended at a cache server.
-type How int
+// Outcome is how an execution ended at a cache server.
+type Outcome int
 
 // The ends of an execution, as recorded by the cache server.
 const (
-	Open       How = iota // still in progress
-	Answered              // answered with the value or receipt made for it
-	TurnedAway            // rejected before any of it ran
-	Failed                // answered with an error or by a reset, after it may have run
-	Spoilt                // answered with a malformed answer, which a router must not pass to a client
-	Cancelled             // its connection ended before its answer, and its work was cancelled
+	Open              Outcome = iota // still in progress
+	Answered                         // answered with the value or receipt made for it
+	RejectedExecution                // rejected before any of it ran
+	Failed                           // answered with an error or by a reset, after it may have run
+	MalformedAnswer                  // answered with a malformed answer, which a router must not pass to a client
+	Cancelled                        // its connection ended before its answer, and its work was cancelled
 )
 
-func (h How) String() string {
-	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[h]
+func (o Outcome) String() string {
+	return [...]string{"open", "answered", "turned away", "failed", "spoilt", "cancelled"}[o]
 }
 
 // Execution is a cache server's record of one command.
@@ -74,29 +74,29 @@
 	First, Last    float64 // when its first and its last byte were read
 	Began          float64 // when a core started it; 0: never
 	End            float64
-	How            How
+	Outcome        Outcome
 	Miss           bool
 	Cold           bool   // the cache server was not warm when the command arrived
 	Effect         bool   // a write took effect
 	Repeat         bool   // a write whose idempotency key was known, and which had no effect of its own
-	Made           uint32 // checksum of the answer's value or receipt
+	AnswerSum      uint32 // checksum of the answer's value or receipt
 	Work           float64
 	Length         int     // bytes of the long value in its answer; 0: not a long value
-	Whole          float64 // when the kernel had taken that value's last byte; 0: never
-	Broke          float64 // when the server interrupted a value that may not be fully received; 0: never
+	SentAt         float64 // when the kernel had taken that value's last byte; 0: never
+	InterruptedAt  float64 // when the server interrupted a value that may not be fully received; 0: never
 	Damaged        string  // what was wrong with the long value of a write; empty: nothing
 }
 
 // MayHaveRun reports whether the command may have run, which is so unless the cache server rejected it.
-func (x *Execution) MayHaveRun() bool { return x.How != TurnedAway }
+func (x *Execution) MayHaveRun() bool { return x.Outcome != RejectedExecution }
 
-// Book holds the records of a fleet. Only the fleet's event loop may access it while it runs.
-type Book struct {
+// ServerRecords holds the records of a fleet. Only the fleet's event loop may access it while it runs.
+type ServerRecords struct {
 	Executions []*Execution
 	Probes     int
 	Fetches    []Fetch
 	Accepts    []Accept
-	Falls      []Fall
+	Collapses  []Collapse
 	Halts      []Halt
 	Overflow   bool // there were more executions than the limit: the run is void
 }
@@ -117,34 +117,34 @@
 	Server *Server
 }
 
-// Fall is the collapse of a cold cache server under overload.
-type Fall struct {
+// Collapse is the collapse of a cold cache server under overload.
+type Collapse struct {
 	At     float64
 	Server *Server
 }
 
-// Halt is a stop of the origin under overload. ColdPart is the fraction of the recent calls that were misses at cold
-// cache servers.
+// Halt is a stop of the origin under overload. ColdFraction is the fraction of the recent calls that were misses at
+// cold cache servers.
 type Halt struct {
-	At       float64
-	ColdPart float64
+	At           float64
+	ColdFraction float64
 }
 
-// Join adds the records of another book.
-func (b *Book) Join(o *Book) {
-	b.Executions = append(b.Executions, o.Executions...)
-	b.Fetches = append(b.Fetches, o.Fetches...)
-	b.Accepts = append(b.Accepts, o.Accepts...)
-	b.Falls = append(b.Falls, o.Falls...)
-	b.Halts = append(b.Halts, o.Halts...)
-	b.Probes += o.Probes
-	b.Overflow = b.Overflow || o.Overflow
+// Join adds the records of another fleet.
+func (r *ServerRecords) Join(other *ServerRecords) {
+	r.Executions = append(r.Executions, other.Executions...)
+	r.Fetches = append(r.Fetches, other.Fetches...)
+	r.Accepts = append(r.Accepts, other.Accepts...)
+	r.Collapses = append(r.Collapses, other.Collapses...)
+	r.Halts = append(r.Halts, other.Halts...)
+	r.Probes += other.Probes
+	r.Overflow = r.Overflow || other.Overflow
 }
 
-func (b *Book) open(execution *Execution) {
-	if len(b.Executions) >= maxRecords {
-		b.Overflow = true
+func (r *ServerRecords) open(execution *Execution) {
+	if len(r.Executions) >= maxRecords {
+		r.Overflow = true
 		return
 	}
-	b.Executions = append(b.Executions, execution)
+	r.Executions = append(r.Executions, execution)
 }
--- a/internal/emulator/server_test.go
+++ b/internal/emulator/server_test.go
@@ -19,8 +19,8 @@
 	conn.get("b")
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].How != Answered ||
-			executions[0].Made == executions[1].Made || len(fleet.records.Fetches) != 1 {
+		if len(executions) != 2 || !executions[0].Miss || executions[1].Miss || executions[0].Outcome != Answered ||
+			executions[0].AnswerSum == executions[1].AnswerSum || len(fleet.records.Fetches) != 1 {
 			t.Errorf("got the records %+v %+v, want a miss, a hit and one fetch", executions[0], executions[1])
 		}
 	})
@@ -80,10 +80,10 @@
 	time.Sleep(50 * time.Millisecond)
 	fleet.runOnLoop(func() {
 		executions := fleet.records.Executions
-		if executions[0].How != Cancelled || executions[1].How != TurnedAway || executions[2].How != TurnedAway ||
+		if executions[0].Outcome != Cancelled || executions[1].Outcome != RejectedExecution || executions[2].Outcome != RejectedExecution ||
 			len(servers[0].processor.waiting) != 0 {
 			t.Errorf("got executions %v, %v, %v; want cancelled, turned away, turned away and an empty queue",
-				executions[0].How, executions[1].How, executions[2].How)
+				executions[0].Outcome, executions[1].Outcome, executions[2].Outcome)
 		}
 	})
 }
@@ -156,7 +156,7 @@
 	var end func() error
 	fleet.runOnLoop(func() {
 		var err error
-		if end, err = server.Vanish(); err != nil {
+		if end, err = server.MakeUnreachable(); err != nil {
 			t.Error(err)
 		}
 	})
@@ -205,12 +205,12 @@
 	if got := conn.get("d"); !strings.Contains(got, "reset") {
 		t.Errorf("Reset: got %s, want a reset", got)
 	}
-	fleet.runOnLoop(func() { end(); end = server.Spoil(1) })
+	fleet.runOnLoop(func() { end(); end = server.Corrupt(1) })
 	dialServer(t, server.Addr).get("e")
 	fleet.runOnLoop(func() {
 		end()
-		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.How != Spoilt {
-			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.How)
+		if execution := fleet.records.Executions[len(fleet.records.Executions)-1]; execution.Outcome != MalformedAnswer {
+			t.Errorf("a malformed answer is recorded as %v, want spoilt", execution.Outcome)
 		}
 	})
 }
@@ -228,8 +228,8 @@
 		time.Sleep(4 * time.Millisecond)
 	}
 	fleet.runOnLoop(func() {
-		if len(fleet.records.Falls) != 1 || !servers[0].Collapsed() || servers[0].listedMode() != Gone {
-			t.Errorf("got %d collapses, want 1 and the server listed as gone", len(fleet.records.Falls))
+		if len(fleet.records.Collapses) != 1 || !servers[0].Collapsed() || servers[0].listedMode() != Gone {
+			t.Errorf("got %d collapses, want 1 and the server listed as gone", len(fleet.records.Collapses))
 		}
 	})
 	if _, err := net.DialTimeout("tcp", s.Addr, replyTimeout); err == nil {
@@ -251,7 +251,7 @@
 		time.Sleep(10 * time.Millisecond)
 	}
 	fleet.runOnLoop(func() {
-		if len(fleet.records.Halts) != 1 || fleet.records.Halts[0].ColdPart != 1 || fleet.origin.processor.rate != 0 {
+		if len(fleet.records.Halts) != 1 || fleet.records.Halts[0].ColdFraction != 1 || fleet.origin.processor.rate != 0 {
 			t.Errorf("halts: got %+v, want one with all calls from cold servers, and a stopped origin", fleet.records.Halts)
 		}
 	})
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -121,7 +121,7 @@
 	}
 	if c.overLimit || server.mode != Ready && server.fleet.drainingRejects ||
 		len(server.processor.waiting) >= server.Queue {
-		reply.finish(TurnedAway, []byte(reply.conn.protocol.busyReply()))
+		reply.finish(RejectedExecution, []byte(reply.conn.protocol.busyReply()))
 		return
 	}
 	reply.job = server.processor.add(work, reply.begin, reply.workDone)
@@ -131,7 +131,7 @@
 func (r *reply) begin() bool {
 	now := r.conn.server.fleet.loop.Now()
 	if r.deadline > 0 && now >= r.deadline {
-		r.finish(TurnedAway, []byte(r.conn.protocol.busyReply()))
+		r.finish(RejectedExecution, []byte(r.conn.protocol.busyReply()))
 		return false
 	}
 	r.execution.Began = now
@@ -165,7 +165,7 @@
 
 func (r *reply) answer() {
 	text, sum := r.conn.protocol.encodeValue(r)
-	r.execution.Made = sum
+	r.execution.AnswerSum = sum
 	r.finish(Answered, text...)
 }
 
@@ -186,23 +186,23 @@
 		server.fleet.invalidate(r.key)
 		server.fleet.origin.write(server)
 	}
-	execution.Made = crc32.ChecksumIEEE([]byte(receipt))
+	execution.AnswerSum = crc32.ChecksumIEEE([]byte(receipt))
 	r.finish(Answered, meta.AppendStored(nil, execution.ID, receipt))
 }
 
 // finish ends the execution and sends its answer, or what an active fault makes of it.
-func (r *reply) finish(outcome How, text ...[]byte) {
+func (r *reply) finish(outcome Outcome, text ...[]byte) {
 	server := r.conn.server
 	r.execution.End = server.fleet.loop.Now()
-	r.execution.How = outcome
+	r.execution.Outcome = outcome
 	if outcome == Answered && !r.conn.closed {
 		if server.rng.Float64() < server.resetFraction {
-			r.execution.How = Failed
+			r.execution.Outcome = Failed
 			r.conn.disconnect(true)
 			return
 		}
 		if server.rng.Float64() < server.corruptFraction {
-			r.execution.How = Spoilt
+			r.execution.Outcome = MalformedAnswer
 			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
 			r.conn.corrupted = true
 		} else if r.execution.Length > 0 {
@@ -278,13 +278,13 @@
 	c.closed = true
 	delete(c.server.conns, c)
 	for _, reply := range c.replies {
-		if reply.execution == nil || reply.text != nil || reply.execution.How != Open {
+		if reply.execution == nil || reply.text != nil || reply.execution.Outcome != Open {
 			continue
 		}
 		if !c.server.Cancels && c.server.crashed == 0 && !c.server.collapsed {
 			continue // the work continues, although its answer can't be sent
 		}
-		if reply.execution.How, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
+		if reply.execution.Outcome, reply.execution.End = Cancelled, c.server.fleet.loop.Now(); reply.job != nil {
 			c.server.processor.cancel(reply.job)
 		}
 		if reply.fetch != nil {
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -173,13 +173,13 @@
 	rec := w.play(ctx)
 	loop.Post(loop.Stop)
 	<-loopErrors
-	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.Book{}, clients.Book(), clients.Late(), &emulator.Lateness{}
-	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.Twice), Interrupted: rec.Interrupted}
-	for _, op := range rec.Clients.Ops {
-		for _, t := range op.Tries {
+	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.ServerRecords{}, clients.Book(), clients.Late(), &emulator.Lateness{}
+	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.DuplicateAnswers), Interrupted: rec.Interrupted}
+	for _, request := range rec.Clients.Ops {
+		for _, t := range request.Tries {
 			l.Attempts++
-			switch t.How {
-			case emulator.Silent:
+			switch t.End {
+			case emulator.NoAnswer:
 				l.Silent++
 			case emulator.Lost:
 				l.Lost++
@@ -189,7 +189,7 @@
 		}
 	}
 	l.CPUPerAttempt = (processorSeconds() - before) * 1e6 / max(1, float64(l.Attempts))
-	if late := rec.ClientsLate.Part(0.99); late > maxLatenessP99 {
+	if late := rec.ClientsLate.Quantile(0.99); late > maxLatenessP99 {
 		l.Void = fmt.Sprintf("the clients ran late, by %.1f ms at the 99th percentile", late*1e3)
 	}
 	return l, nil
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -78,7 +78,7 @@
 		}
 		return hit
 	}
-	in := fleet.Serving()
+	in := fleet.Ready()
 	for _, i := range randomIndices(chance, len(in), t.count) {
 		hit = append(hit, in[i])
 	}
@@ -111,13 +111,13 @@
 		switch f.Kind {
 		case "hot-key":
 			key := fmt.Sprintf("hot-%.2f", f.At)
-			addEnd(w.clients.Heat(key, f.Part))
+			addEnd(w.clients.AddHotKey(key, f.Part))
 			about = fmt.Sprintf("%s for %v of the arrivals", key, f.Part)
 		case "surge":
 			addEnd(w.clients.Surge(kind, tenant, f.Factor))
 			about = fmt.Sprintf("%s %v times", f.Target, f.Factor)
 		case "read-slow", "read-pause", "read-leave":
-			addEnd(w.clients.Read(emulator.Reading{Part: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
+			addEnd(w.clients.SetReadBehavior(emulator.ReadBehavior{Fraction: f.Part, Rate: f.Rate, Pause: f.Delay, Leave: f.Kind == "read-leave"}))
 			about = fmt.Sprintf("%v of the reads", f.Part)
 		case "dear":
 			for _, t := range w.types {
@@ -129,9 +129,9 @@
 			}
 			about = fmt.Sprintf("%s work %v times", f.Target, f.Factor)
 		case "ledger-stall":
-			addEnd(fleet.Ledger().Stall())
+			addEnd(fleet.Origin().Stall())
 		case "ledger-slow":
-			addEnd(fleet.Ledger().Slow(f.Factor))
+			addEnd(fleet.Origin().Slow(f.Factor))
 		default:
 			hit := w.servers(fleet, t, chance)
 			about = serverNames(hit)
@@ -147,7 +147,7 @@
 					length = max(f.For, 0.2) // seconds that a process takes to start
 					ends = append(ends, s.Crash())
 				case "vanish":
-					end, err := s.Vanish()
+					end, err := s.MakeUnreachable()
 					w.fail(err)
 					ends = append(ends, end)
 				case "refuse":
@@ -155,19 +155,19 @@
 				case "reset":
 					addEnd(s.Reset(f.Part))
 				case "spoil":
-					addEnd(s.Spoil(f.Part))
+					addEnd(s.Corrupt(f.Part))
 				case "error":
 					addEnd(s.Fail(f.Part))
 				case "close-behind":
-					addEnd(s.CloseBehind(f.Part))
+					addEnd(s.CloseAfterValue(f.Part))
 				case "reset-behind":
-					addEnd(s.ResetBehind(f.Part))
+					addEnd(s.ResetAfterValue(f.Part))
 				case "break-off":
-					addEnd(s.BreakOff(f.Part))
+					addEnd(s.CloseWithinValue(f.Part))
 				case "reset-under":
-					addEnd(s.ResetUnder(f.Part))
+					addEnd(s.ResetWithinValue(f.Part))
 				case "cease":
-					addEnd(s.Cease(f.Part))
+					addEnd(s.StallWithinValue(f.Part))
 				}
 			}
 		}
@@ -253,7 +253,7 @@
 		case "list-refuse":
 			ends = append(ends, a.Refuse())
 		case "list-old":
-			addEnd(a.Older(f.Count))
+			addEnd(a.ServeOlder(f.Count))
 		case "list-move":
 			w.mu.Lock()
 			w.listMoves++
@@ -349,7 +349,7 @@
 	r := w.routerNodes[n]
 	r.mu.Lock()
 	if !w.scenario.List.Forgets {
-		r.config["known"] = w.agents[0][n].Known()
+		r.config["known"] = w.agents[0][n].LastList()
 	}
 	r.mu.Unlock()
 	if err := r.start(); err != nil {
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -117,18 +117,18 @@
 			inTime[name]++
 		case served:
 			f.Late++
-		case o.How == emulator.Declined:
+		case o.End == emulator.Rejected:
 			f.Declined++
-		case o.How == emulator.Terminated:
+		case o.End == emulator.FailedAttempt:
 			f.Terminated++
 		default:
 			f.Unserved++
 		}
 		if served {
-			recordSeconds(all, o.Took())
-			recordSeconds(byType[name], o.Took())
+			recordSeconds(all, o.Latency())
+			recordSeconds(byType[name], o.Latency())
 		}
-		if last := o.Tries[len(o.Tries)-1]; o.How == emulator.Declined && last.Sent > 0 {
+		if last := o.Tries[len(o.Tries)-1]; o.End == emulator.Rejected && last.Sent > 0 {
 			recordSeconds(declined, last.Ended-last.Sent)
 		}
 		gained[name] += gain
@@ -167,19 +167,19 @@
 		}
 	}
 	f.ExecutionsPerRequest, f.FetchesPerRequest = f.ExecutionsPerRequest/n, f.FetchesPerRequest/n
-	tries := 0
+	attempts := 0
 	for _, o := range rec.Clients.Ops {
-		tries += len(o.Tries)
+		attempts += len(o.Tries)
 	}
 	for _, l := range rec.Processes {
 		f.RouterCPU += l.CPU
 		f.RouterMemory = max(f.RouterMemory, l.MaxMemoryMB)
 	}
-	f.RouterCPU *= 1e6 / max(1, float64(tries))
-	f.LabLate = max(rec.FleetLate.Part(0.99), rec.ClientsLate.Part(0.99)) * 1e3
-	f.LabLateMax = max(rec.FleetLate.Part(1), rec.ClientsLate.Part(1)) * 1e3
+	f.RouterCPU *= 1e6 / max(1, float64(attempts))
+	f.LabLate = max(rec.FleetLate.Quantile(0.99), rec.ClientsLate.Quantile(0.99)) * 1e3
+	f.LabLateMax = max(rec.FleetLate.Quantile(1), rec.ClientsLate.Quantile(1)) * 1e3
 	sends := emulator.Lateness{Times: rec.Clients.Lateness}
-	f.SendLate = sends.Part(0.99) * 1e3
+	f.SendLate = sends.Quantile(0.99) * 1e3
 	f.OriginHalts = len(rec.Fleet.Halts)
 	f.Tenants = computeTenants(s, rec)
 	f.WastedWrites, f.ZoneLosses = len(rec.WastedWrites), computeZoneLosses(s, rec)
@@ -187,16 +187,16 @@
 	return f
 }
 
-func (s *Second) count(o *emulator.Op, served, timely bool) {
+func (s *Second) count(o *emulator.Request, served, timely bool) {
 	s.Due++
 	switch {
 	case timely:
 		s.InTime++
 	case served:
 		s.Late++
-	case o.How == emulator.Declined:
+	case o.End == emulator.Rejected:
 		s.Declined++
-	case o.How == emulator.Terminated:
+	case o.End == emulator.FailedAttempt:
 		s.Terminated++
 	default:
 		s.Unserved++
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -91,7 +91,7 @@
 			v.Breaches = append(v.Breaches, b)
 		}
 	}
-	fleet, clients := j.rec.FleetLate.Part(0.99), j.rec.ClientsLate.Part(0.99)
+	fleet, clients := j.rec.FleetLate.Quantile(0.99), j.rec.ClientsLate.Quantile(0.99)
 	switch {
 	case j.rec.Fleet.Overflow || j.rec.Clients.Overflow:
 		v.Void = "the run exceeded the capacity of the records"
@@ -113,7 +113,7 @@
 	return v
 }
 
-func (j *judge) breach(rule int, at float64, o *emulator.Op, id, format string, about ...any) {
+func (j *judge) breach(rule int, at float64, o *emulator.Request, id, format string, about ...any) {
 	b := Breach{Rule: rule, At: at - j.rec.From, ID: id, What: fmt.Sprintf(format, about...)}
 	if o != nil {
 		b.Course = j.requestEvents(o)
@@ -124,7 +124,7 @@
 }
 
 // checkRequest checks one request against rules 1, 2 and 5.
-func (j *judge) checkRequest(o *emulator.Op) {
+func (j *judge) checkRequest(o *emulator.Request) {
 	effects := 0
 	for _, t := range o.Tries {
 		for _, x := range j.executions[t.ID] {
@@ -138,15 +138,15 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Try) bool { return t.How == emulator.Declined }) || len(o.Tries) == 1
-	if effects > 1 && o.Type.Effect == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
+	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Rejected }) || len(o.Tries) == 1
+	if effects > 1 && o.Type.Idempotency == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
 		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
 	}
 }
 
 // checkAnswer checks rule 1 for one attempt: exactly one final answer in time, made by a cache server, and no execution
 // after it.
-func (j *judge) checkAnswer(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkAnswer(o *emulator.Request, t *emulator.Attempt) {
 	runs := j.executions[t.ID]
 	for _, x := range runs {
 		if x.Damaged != "" {
@@ -154,12 +154,12 @@
 			j.certain()
 		}
 	}
-	switch t.How {
+	switch t.End {
 	case emulator.Lost:
 		if len(runs) > 0 && !j.endedNear(t.Router, t.Sent, t.Ended) {
 			j.breach(1, t.Ended, o, t.ID, "request lost: the connection ended without an answer after the request had reached a server")
 		}
-	case emulator.Silent:
+	case emulator.NoAnswer:
 		if t.Length > 0 {
 			j.checkTruncation(o, t, "no more came, with the connection still open")
 			break
@@ -170,21 +170,21 @@
 	case emulator.Cut:
 		j.checkTruncation(o, t, "the connection ended")
 	case emulator.Finished:
-		if t.Strange() != "" {
-			j.breach(1, t.Ended, o, t.ID, "finished with a long value that is incomplete or altered: %s", t.Strange())
+		if t.Malformed() != "" {
+			j.breach(1, t.Ended, o, t.ID, "finished with a long value that is incomplete or altered: %s", t.Malformed())
 			j.certain()
 			break
 		}
-		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.How == emulator.Answered && x.Made == t.Got }) {
+		if !slices.ContainsFunc(runs, func(x *emulator.Execution) bool { return x.Outcome == emulator.Answered && x.AnswerSum == t.AnswerSum }) {
 			j.breach(1, t.Ended, o, t.ID, "finished with a value that no cache server made for it")
 		}
 	}
-	if t.Again {
-		if i := slices.IndexFunc(runs, func(x *emulator.Execution) bool { return x.First < t.AgainAt }); i >= 0 && !j.endedNear(t.Router, t.Began, t.AgainAt) {
-			j.breach(1, t.AgainAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
+	if t.Resent {
+		if i := slices.IndexFunc(runs, func(x *emulator.Execution) bool { return x.First < t.ResentAt }); i >= 0 && !j.endedNear(t.Router, t.Began, t.ResentAt) {
+			j.breach(1, t.ResentAt, o, t.ID, "request lost: its persistent connection was closed after the request had reached a server")
 		}
 	}
-	if t.How != emulator.Finished && t.How != emulator.Declined && t.How != emulator.Terminated {
+	if t.End != emulator.Finished && t.End != emulator.Rejected && t.End != emulator.FailedAttempt {
 		return
 	}
 	for _, x := range runs {
@@ -197,30 +197,30 @@
 // checkTruncation checks a long value that the client received only in part. The server is the cause if it broke the
 // value off, or reset the connection before all of the value had certainly been received. The router is the cause if
 // the server sent the value whole, or was still sending it.
-func (j *judge) checkTruncation(o *emulator.Op, t *emulator.Try, how string) {
+func (j *judge) checkTruncation(o *emulator.Request, t *emulator.Attempt, how string) {
 	if j.endedNear(t.Router, t.Sent, t.Ended) {
 		return
 	}
 	var by *emulator.Execution
 	for _, x := range j.executions[t.ID] {
-		if x.How == emulator.Spoilt {
+		if x.Outcome == emulator.MalformedAnswer {
 			return // the server sent an invalid answer
 		}
 		// If the client has not received the whole head of the value, the value may be from any server that answered.
-		if x.How == emulator.Answered && x.Length == t.Length && (t.Begun == 0 || t.Begun == x.Made) {
-			if x.Broke > 0 && x.Broke <= t.Ended {
+		if x.Outcome == emulator.Answered && x.Length == t.Length && (t.ValueSum == 0 || t.ValueSum == x.AnswerSum) {
+			if x.InterruptedAt > 0 && x.InterruptedAt <= t.Ended {
 				return
 			}
 			by = x
 		}
 	}
 	evidence := "no cache server made it"
-	if by != nil && by.Whole > 0 {
+	if by != nil && by.SentAt > 0 {
 		evidence = by.Server.Name + " sent it whole"
 	} else if by != nil {
 		evidence = by.Server.Name + " was still sending"
 	}
-	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Came, t.Length, how, evidence)
+	j.breach(1, t.Ended, o, t.ID, "%s: %d of %d bytes came, then %s, though %s", cutByRouter, t.Received, t.Length, how, evidence)
 	j.certain()
 }
 
@@ -247,14 +247,14 @@
 }
 
 // checkResends checks rule 2 for one attempt.
-func (j *judge) checkResends(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkResends(o *emulator.Request, t *emulator.Attempt) {
 	runs := j.executions[t.ID]
 	for i, x := range runs {
 		for _, before := range runs[:i] {
 			if !before.MayHaveRun() || before.Last == 0 {
 				continue
 			}
-			switch o.Type.Effect {
+			switch o.Type.Idempotency {
 			case balancer.AtMostOnce:
 				j.breach(2, x.First, o, t.ID, "an at-most-once request was sent to %s though it may have run at %s", x.Server.Name, before.Server.Name)
 				return
@@ -270,12 +270,12 @@
 			}
 		}
 	}
-	if t.How != emulator.Declined {
+	if t.End != emulator.Rejected {
 		return
 	}
 	for _, x := range runs {
-		narrow := o.Type.Effect == balancer.IdempotencyKeyed && o.Type.Group != balancer.ScopeAll
-		if x.MayHaveRun() && (o.Type.Effect == balancer.AtMostOnce || narrow) {
+		narrow := o.Type.Idempotency == balancer.IdempotencyKeyed && o.Type.DeduplicationScope != balancer.ScopeAll
+		if x.MayHaveRun() && (o.Type.Idempotency == balancer.AtMostOnce || narrow) {
 			j.breach(2, t.Ended, o, t.ID, "declined, which allows a retry, though it may have run at %s", x.Server.Name)
 			return
 		}
@@ -283,7 +283,7 @@
 }
 
 // checkPlacement checks rule 5: a server executes a request only if the request's traffic class may run there.
-func (j *judge) checkPlacement(o *emulator.Op, t *emulator.Try) {
+func (j *judge) checkPlacement(o *emulator.Request, t *emulator.Attempt) {
 	for _, x := range j.executions[t.ID] {
 		if !o.Type.Open(x.Server) {
 			j.breach(5, x.First, o, t.ID, "%s was sent to %s (%s, %s), where it may not run", o.Type.Name, x.Server.Name, x.Server.Zone, x.Server.Machine)
@@ -292,7 +292,7 @@
 }
 
 func sameGroup(t *emulator.TrafficType, a, b *emulator.Server) bool {
-	switch t.Group {
+	switch t.DeduplicationScope {
 	case balancer.ScopeZone:
 		return a.Zone == b.Zone
 	case balancer.ScopeCell:
@@ -303,18 +303,18 @@
 
 // checkDuplicateAnswers checks rule 1 for answers to attempts that were already answered, or that no client sent.
 func (j *judge) checkDuplicateAnswers() {
-	if len(j.rec.Clients.Twice) == 0 {
+	if len(j.rec.Clients.DuplicateAnswers) == 0 {
 		return
 	}
-	tries := map[string]*emulator.Try{}
+	attempts := map[string]*emulator.Attempt{}
 	for _, o := range j.rec.Clients.Ops {
 		for _, t := range o.Tries {
-			tries[t.ID] = t
+			attempts[t.ID] = t
 		}
 	}
-	for _, id := range j.rec.Clients.Twice {
-		if t := tries[id]; t != nil {
-			j.breach(1, t.Ended, t.Op, id, "answered twice")
+	for _, id := range j.rec.Clients.DuplicateAnswers {
+		if t := attempts[id]; t != nil {
+			j.breach(1, t.Ended, t.Request, id, "answered twice")
 		} else {
 			j.breach(1, j.rec.From, nil, id, "an answer with the id of no attempt")
 		}
@@ -325,9 +325,9 @@
 // server is not ready.
 func (j *judge) checkDrains() {
 	grace := j.s.Rules.GraceMS/1e3 + emulator.Tolerance
-	since := make([]map[string][]emulator.Told, len(j.rec.Told)) // by router and server
-	for r, all := range j.rec.Told {
-		since[r] = map[string][]emulator.Told{}
+	since := make([]map[string][]emulator.Report, len(j.rec.Reports)) // by router and server
+	for r, all := range j.rec.Reports {
+		since[r] = map[string][]emulator.Report{}
 		for _, t := range all {
 			since[r][t.Server] = append(since[r][t.Server], t)
 		}
@@ -336,9 +336,9 @@
 		for _, t := range o.Tries {
 			for _, x := range j.executions[t.ID] {
 				if t.Router < len(since) {
-					if told, late := notReadyLongerThan(since[t.Router][x.Server.Name], x.First, grace); late {
+					if report, late := notReadyLongerThan(since[t.Router][x.Server.Name], x.First, grace); late {
 						j.breach(3, x.First, o, t.ID, "router %d sent to %s %.0f ms after its list showed the server as %s", t.Router, x.Server.Name,
-							(x.First-told.At)*1e3, told.Mode)
+							(x.First-report.At)*1e3, report.Mode)
 					}
 				}
 			}
@@ -348,9 +348,9 @@
 
 // notReadyLongerThan reports whether the list showed at a time that a server had not been ready for longer than the
 // grace, and since when.
-func notReadyLongerThan(told []emulator.Told, at, grace float64) (since emulator.Told, late bool) {
+func notReadyLongerThan(reports []emulator.Report, at, grace float64) (since emulator.Report, late bool) {
 	out := false
-	for _, t := range told {
+	for _, t := range reports {
 		if t.At > at {
 			break
 		}
@@ -369,12 +369,12 @@
 
 // checkColdServers checks rule 4: routers neither overload cold cache servers nor halt the origin by misses at them.
 func (j *judge) checkColdServers() {
-	for _, f := range j.rec.Fleet.Falls {
+	for _, f := range j.rec.Fleet.Collapses {
 		j.breach(4, f.At, nil, "", "cold cache server %s failed under load, %.1f s after its start", f.Server.Name, f.At-f.Server.Started())
 	}
 	for _, h := range j.rec.Fleet.Halts {
-		if h.ColdPart > maxColdMissFraction {
-			j.breach(4, h.At, nil, "", "the origin halted; %.0f%% of its load were misses at cold cache servers", h.ColdPart*100)
+		if h.ColdFraction > maxColdMissFraction {
+			j.breach(4, h.At, nil, "", "the origin halted; %.0f%% of its load were misses at cold cache servers", h.ColdFraction*100)
 		}
 	}
 }
@@ -391,7 +391,7 @@
 }
 
 // requestEvents returns the events of a request as lines of text, in order of time.
-func (j *judge) requestEvents(o *emulator.Op) []string {
+func (j *judge) requestEvents(o *emulator.Request) []string {
 	type line struct {
 		at   float64
 		text string
@@ -406,18 +406,18 @@
 	for _, t := range o.Tries {
 		add(t.Began, "attempt %s starts at router %d, waits %.0f ms", t.ID, t.Router, t.Wait*1e3)
 		add(t.Sent, "attempt %s is sent whole", t.ID)
-		if t.Again {
-			add(t.AgainAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
+		if t.Resent {
+			add(t.ResentAt, "attempt %s: its persistent connection was closed; it is sent again", t.ID)
 		}
 		if t.Length > 0 {
-			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Came, t.Length)
+			add(t.Ended, "attempt %s has %d of %d bytes of a long value", t.ID, t.Received, t.Length)
 		}
-		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.How, t.Strange())
+		add(t.Ended, "attempt %s ends: %s %s", t.ID, t.End, t.Malformed())
 		for _, x := range j.executions[t.ID] {
 			add(x.First, "execution of %s reaches %s", t.ID, x.Server.Name)
-			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.How)
-			add(x.Whole, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
-			add(x.Broke, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
+			add(x.End, "execution of %s at %s: %s", t.ID, x.Server.Name, x.Outcome)
+			add(x.SentAt, "execution of %s at %s: its long value is sent whole", t.ID, x.Server.Name)
+			add(x.InterruptedAt, "execution of %s at %s: the server ends the connection of its long value", t.ID, x.Server.Name)
 		}
 	}
 	slices.SortStableFunc(all, func(a, b line) int { return cmp.Compare(a.at, b.at) })
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -22,23 +22,23 @@
 		}, nil},
 		"a made-up answer": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.Answered).Made = 8
+			st.execution("x", a, 1.01, emulator.Answered).AnswerSum = 8
 		}, []int{1}},
 		"finished with an invalid value": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.Spoilt)
+			st.execution("x", a, 1.01, emulator.MalformedAnswer)
 		}, []int{1}},
-		"no answer": {"read", func(st *runRecord) { st.attempt("x", emulator.Silent, 1.45) }, []int{1}},
+		"no answer": {"read", func(st *runRecord) { st.attempt("x", emulator.NoAnswer, 1.45) }, []int{1}},
 		"no answer, router killed": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{From: 999, To: 1001.2, How: endKilled}}
 		}, nil},
 		"no answer, other router killed": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{Router: 1, From: 999, To: 1001.2, How: endKilled}}
 		}, []int{1}},
 		"no answer, router shut down gracefully": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Silent, 1.45)
+			st.attempt("x", emulator.NoAnswer, 1.45)
 			st.rec.Processes = []RouterProcess{{From: 999, Told: 1001, To: 1001.2, How: endAsked}}
 		}, []int{1}},
 		"connection lost after an execution": {"read", func(st *runRecord) {
@@ -48,27 +48,27 @@
 		"connection lost before any execution": {"read", func(st *runRecord) { st.attempt("x", emulator.Lost, 1.2) }, nil},
 		"resent by the client, first copy not executed": {"read", func(st *runRecord) {
 			x := st.attempt("x", emulator.Finished, 1.2)
-			x.Again, x.AgainAt = true, 1001.1
+			x.Resent, x.ResentAt = true, 1001.1
 			st.execution("x", a, 1.15, emulator.Answered)
 		}, nil},
 		"resent by the client, first copy executed": {"read", func(st *runRecord) {
 			x := st.attempt("x", emulator.Finished, 1.2)
-			x.Again, x.AgainAt = true, 1001.1
+			x.Resent, x.ResentAt = true, 1001.1
 			st.execution("x", a, 1.05, emulator.Cancelled)
 			st.execution("x", a, 1.15, emulator.Answered)
 		}, []int{1}},
 		"sent to a server after its answer": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.2, emulator.Cancelled)
 		}, []int{1}},
 		"on its way to a server when answered": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.08, emulator.Cancelled)
 		}, nil},
 		"answered twice": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
-			st.rec.Clients.Twice = []string{"x"}
+			st.rec.Clients.DuplicateAnswers = []string{"x"}
 		}, []int{1}},
 		"two copies of an idempotent request": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
@@ -84,7 +84,7 @@
 			st.longExecution("x", a, 1.1, 1.15)
 		}, nil},
 		"a long value with altered bytes": {"read", func(st *runRecord) {
-			st.attempt("x", emulator.Finished, 1.3).Garble("byte 7 of 9 is 0x00 and ought to be 0x41")
+			st.attempt("x", emulator.Finished, 1.3).SetMalformed("byte 7 of 9 is 0x00 and ought to be 0x41")
 			st.longExecution("x", a, 1.25, 0)
 		}, []int{1}},
 		"cut, server sent it whole": {"read", func(st *runRecord) {
@@ -110,12 +110,12 @@
 		"cut, server of another value broke off": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
 			st.longExecution("x", a, 1.1, 0)
-			st.longExecution("x", b, 0, 1.15).Made = 8
+			st.longExecution("x", b, 0, 1.15).AnswerSum = 8
 		}, []int{1}},
 		"cut within its head, one of two servers broke off": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Cut, 1.3).Begun = 0
+			st.partialAttempt("x", emulator.Cut, 1.3).ValueSum = 0
 			st.longExecution("x", a, 1.1, 0)
-			st.longExecution("x", b, 0, 1.15).Made = 8
+			st.longExecution("x", b, 0, 1.15).AnswerSum = 8
 		}, nil},
 		"cut, server made no long value": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
@@ -123,7 +123,7 @@
 		}, []int{1}},
 		"cut, server sent an invalid answer": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
-			st.execution("x", a, 1.01, emulator.Spoilt)
+			st.execution("x", a, 1.01, emulator.MalformedAnswer)
 		}, nil},
 		"cut, router killed": {"read", func(st *runRecord) {
 			st.partialAttempt("x", emulator.Cut, 1.3)
@@ -136,15 +136,15 @@
 			st.rec.Processes = []RouterProcess{{From: 999, Told: 1001, To: 1001.25, How: endAsked}}
 		}, []int{1}},
 		"long value abandoned by its client": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Left, 1.3)
+			st.partialAttempt("x", emulator.ClientDisconnected, 1.3)
 			st.longExecution("x", a, 0, 0)
 		}, nil},
 		"long value stopped, server sent it whole": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Silent, 9)
+			st.partialAttempt("x", emulator.NoAnswer, 9)
 			st.longExecution("x", a, 1.1, 0)
 		}, []int{1}},
 		"long value stopped, server stopped sending": {"read", func(st *runRecord) {
-			st.partialAttempt("x", emulator.Silent, 9)
+			st.partialAttempt("x", emulator.NoAnswer, 9)
 			st.longExecution("x", a, 0, 1.1)
 		}, nil},
 		"a long write altered on its way": {"put", func(st *runRecord) {
@@ -158,19 +158,19 @@
 		}, []int{2}},
 		"at-most-once, sent again after it was rejected": {"pay", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", b, 1.02, emulator.Answered)
 		}, nil},
 		"at-most-once, declined though it may have run": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, []int{2}},
 		"at-most-once, terminated after it may have run": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Terminated, 1.05)
+			st.attempt("x", emulator.FailedAttempt, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, nil},
 		"at-most-once, two effects of two attempts": {"pay", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.attempt("y", emulator.Finished, 1.3)
 			st.execution("x", a, 1.01, emulator.Answered).Effect = true
 			st.execution("y", b, 1.2, emulator.Answered).Effect = true
@@ -191,46 +191,46 @@
 			st.execution("x", b, 3.1, emulator.Answered)
 		}, []int{2}},
 		"numbered with a narrow scope, declined though it may have run": {"put", func(st *runRecord) {
-			st.attempt("x", emulator.Declined, 1.05)
+			st.attempt("x", emulator.Rejected, 1.05)
 			st.execution("x", a, 1.01, emulator.Cancelled)
 		}, []int{2}},
 		"to a draining server within the grace": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Told{{At: 1000.6, Server: "s-1", Mode: emulator.Draining}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.6, Server: "s-1", Mode: emulator.Draining}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
 		"to a draining server after the grace": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Told{{At: 1000.3, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Gone}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.3, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Gone}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, []int{3}},
 		"to a server that is ready again": {"read", func(st *runRecord) {
-			st.rec.Told[0] = []emulator.Told{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Ready}}
+			st.rec.Reports[0] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}, {At: 1000.9, Server: "s-1", Mode: emulator.Ready}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
 		"to a server that only another router's list shows as draining": {"read", func(st *runRecord) {
-			st.rec.Told[1] = []emulator.Told{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}}
+			st.rec.Reports[1] = []emulator.Report{{At: 1000.1, Server: "s-1", Mode: emulator.Draining}}
 			st.attempt("x", emulator.Finished, 1.05)
 			st.execution("x", a, 1.01, emulator.Answered)
 		}, nil},
 		"a bound type in its zone": {"bound", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", b, 1.02, emulator.Answered)
 		}, nil},
 		"a bound type's retry outside its zone": {"bound", func(st *runRecord) {
 			st.attempt("x", emulator.Finished, 1.05)
-			st.execution("x", a, 1.01, emulator.TurnedAway)
+			st.execution("x", a, 1.01, emulator.RejectedExecution)
 			st.execution("x", far, 1.02, emulator.Answered)
 		}, []int{5}},
 		"a cold server failed under load": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
-			st.rec.Fleet.Falls = []emulator.Fall{{At: 1002, Server: a}}
+			st.rec.Fleet.Collapses = []emulator.Collapse{{At: 1002, Server: a}}
 		}, []int{4}},
 		"the origin halted by misses at cold servers": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
-			st.rec.Fleet.Halts = []emulator.Halt{{At: 1002, ColdPart: 0.6}, {At: 1005, ColdPart: 0.4}}
+			st.rec.Fleet.Halts = []emulator.Halt{{At: 1002, ColdFraction: 0.6}, {At: 1005, ColdFraction: 0.4}}
 		}, []int{4}},
 		"a router crashed": {"read", func(st *runRecord) {
 			st.attempt("x", emulator.NoConnection, 1.05)
@@ -253,7 +253,7 @@
 // Other breaches still count.
 func TestBreachNearLabLatenessIsDoubtful(t *testing.T) {
 	st := newRunRecord("read")
-	st.attempt("x", emulator.Silent, 1.45)
+	st.attempt("x", emulator.NoAnswer, 1.45)
 	late := &emulator.Lateness{}
 	for i := range 1000 {
 		late.Times, late.At = append(late.Times, 0.0001), append(late.At, 1000+float64(i)*0.01)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -33,9 +33,9 @@
 // Records are the records of a run by the emulated servers, the clients and the lab. They contain no data from routers.
 type Records struct {
 	From, To      float64 // interval in which requests are due
-	Fleet         *emulator.Book
-	Clients       *emulator.ClientBook
-	Told          [][]emulator.Told // by router
+	Fleet         *emulator.ServerRecords
+	Clients       *emulator.ClientRecords
+	Reports       [][]emulator.Report // by router
 	Processes     []RouterProcess
 	StopIntervals []StopInterval
 	FleetLate     *emulator.Lateness
@@ -107,20 +107,20 @@
 // collect fills in the records after all processes have ended.
 func (w *world) collect(rec *Records) {
 	rec.Played = w.played
-	rec.Fleet, rec.Clients = &emulator.Book{}, w.clients.Book()
+	rec.Fleet, rec.Clients = &emulator.ServerRecords{}, w.clients.Book()
 	for _, f := range w.fleets {
-		rec.Fleet.Join(f.Book())
+		rec.Fleet.Join(f.Records())
 	}
 	if w.net != nil {
 		rec.WastedWrites = w.net.Sent()
 	}
 	rec.FleetLate, rec.ClientsLate = w.fleet.Late(), w.clients.Late()
 	for n := range w.routerNodes {
-		var told []emulator.Told
+		var reports []emulator.Report
 		for _, agents := range w.agents {
-			told = append(told, agents[n].Told()...)
+			reports = append(reports, agents[n].Reports()...)
 		}
-		rec.Told = append(rec.Told, told)
+		rec.Reports = append(rec.Reports, reports)
 	}
 	for _, n := range w.routerNodes {
 		rec.Processes = append(rec.Processes, n.processHistory()...)
@@ -164,15 +164,15 @@
 		keys = append(keys, emulator.Key(n))
 	}
 	for i := range 1 + len(s.Pools) {
-		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.LedgerSpec{AtOnce: s.Ledger.AtOnce,
-			Takes: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, Time: s.Ledger.Within, Halt: s.Ledger.Halt},
+		f := emulator.NewFleet(w.fleetLoop, w.options.Seed+uint64(i)<<32, w.types, emulator.OriginSpec{Concurrency: s.Ledger.AtOnce,
+			MeanSeconds: s.Ledger.TakesMS / 1e3, Multiple: s.Ledger.Multiple, OverloadSeconds: s.Ledger.Within, HaltSeconds: s.Ledger.Halt},
 			emulator.Delay{Base: s.List.Delay, Spread: s.List.Spread})
-		f.List().Bound(s.List.Calls)
+		f.List().LimitRate(s.List.Calls)
 		w.fleets = append(w.fleets, f)
 		servers := s.Fleet.Servers
 		if i > 0 {
 			servers = s.Pools[i-1].Servers
-			f.Named(s.Pools[i-1].Name + "-")
+			f.SetNamePrefix(s.Pools[i-1].Name + "-")
 			if s.Pools[i-1].Scheme != "" {
 				f.ServeTiles(Layers(), w.tileType(s.Pools[i-1].Name))
 			}
@@ -282,9 +282,9 @@
 // clientLoad returns the emulator's settings of the clients.
 func (s *Scenario) clientLoad(types []*emulator.TrafficType) emulator.Load {
 	c := s.Clients
-	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TryShare: c.TryShare,
-		Pause: c.PauseMS / 1e3, Honour: c.Honour, Impatient: c.Impatient, Use: emulator.Connections(c.Connections),
-		Most: c.Most, Skew: s.Routers.Skew}
+	return emulator.Load{Types: types, Rate: c.Rate, Keys: c.Keys, Zipf: c.Zipf, Retries: c.Retries, TimeoutFraction: c.TryShare,
+		Pause: c.PauseMS / 1e3, HonorRetryAfter: c.Honour, EarlyDisconnects: c.Impatient, Connections: emulator.Connections(c.Connections),
+		MaxConnections: c.Most, RouterWeights: s.Routers.Skew}
 }
 
 // tileType returns the traffic class of the map tiles in a pool, or nil if it has none.
@@ -304,13 +304,13 @@
 func (w *world) spec(pool int) emulator.Spec {
 	fleet := w.fleets[pool]
 	f, n, name := w.scenario.Fleet, len(fleet.Servers()), fleet.NextName()
-	chance := fleet.Chance("spec/" + name)
+	chance := fleet.Rand("spec/" + name)
 	speed := f.Speed[0] + (f.Speed[1]-f.Speed[0])*chance.Float64()
 	return emulator.Spec{Name: name, Addr: w.address(serverAddrByte+5*pool, n, 11300), Zone: fmt.Sprintf("zone-%d", n%f.Zones),
 		Machine: f.Machines[n/f.Zones%len(f.Machines)], Cell: n / f.Zones / f.Cell, Cores: f.Cores, Speed: speed, Weight: float64(f.Cores), Queue: f.Queue,
 		PerConnection: f.PerConnection, Connections: f.Connections, Handshake: f.HandshakeMS / 1e3, Idle: f.Idle,
-		Keep: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
-			Fall: w.scenario.Rules.Fall}}
+		CacheSize: f.Keep, Cancels: f.Cancels, Cold: emulator.Cold{From: f.ColdFrom, Warm: f.Warm, Multiple: w.scenario.Rules.Multiple,
+			CollapseSeconds: w.scenario.Rules.Fall}}
 }
 
 // config returns the platform's configuration of a router, in the format of the file at GW_CONFIG.
@@ -318,16 +318,16 @@
 	ns := func(seconds float64) int64 { return int64(seconds * 1e9) }
 	var types []map[string]any
 	for _, t := range s.trafficClasses() {
-		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Effect],
-			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.Group],
-			"dedupWindow": ns(t.Window), "promisedTime": ns(t.Promised), "hardStop": ns(t.HardStop), "benefit": t.Benefit,
+		types = append(types, map[string]any{"name": t.Name, "effect": platformEffects[t.Idempotency],
+			"keyScope":    map[balancer.DeduplicationScope]string{balancer.ScopeAll: "all", balancer.ScopeZone: "zone", balancer.ScopeCell: "cell"}[t.DeduplicationScope],
+			"dedupWindow": ns(t.Window), "promisedTime": ns(t.LatencyObjective), "hardStop": ns(t.Deadline), "benefit": t.Benefit,
 			"runsIn": t.RunsIn, "allowedOn": t.AllowedOn}) // null if the class may run anywhere
 	}
 	conf := map[string]any{
 		"name": fmt.Sprintf("n%d", n), "listen": routers[n], "discovery": agent.Addr(),
 		"seed":   fmt.Sprintf("%08x", uint32(seed)*2654435761+uint32(n)),
 		"limits": map[string]any{"cores": s.Routers.Cores, "memory_mb": s.Routers.MemoryMB, "sockets": s.Routers.Sockets},
-		"known":  agent.Known(),
+		"known":  agent.LastList(),
 		"settings": map[string]any{
 			"me": n, "fleetSize": s.Routers.Count, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
@@ -450,7 +450,7 @@
 // longestStop returns the longest deadline of all traffic classes, in seconds.
 func (w *world) longestStop() (longest float64) {
 	for _, t := range w.types {
-		longest = max(longest, t.HardStop)
+		longest = max(longest, t.Deadline)
 	}
 	return longest
 }
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -249,20 +249,20 @@
 func TestFiguresCoverRequestsAfterSettling(t *testing.T) {
 	st := newRunRecord("read")
 	st.s.Settle, st.s.Seconds = 0.5, 10
-	st.op.Due = 1000.2 // within the settling time
+	st.request.Due = 1000.2 // within the settling time
 	st.attempt("w", emulator.Finished, 1.05)
-	add := func(due, took float64, how emulator.End, kind string) {
-		o := &emulator.Op{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + took, How: how}
-		o.Tries = []*emulator.Try{{Op: o, How: how, Sent: o.Due, Ended: o.Done}}
+	add := func(due, latency float64, end emulator.End, kind string) {
+		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + latency, End: end}
+		o.Tries = []*emulator.Attempt{{Request: o, End: end, Sent: o.Due, Ended: o.Done}}
 		st.rec.Clients.Ops = append(st.rec.Clients.Ops, o)
 	}
 	for i := range 6 {
 		add(1+float64(i), 0.05, emulator.Finished, "read")
 	}
 	add(7, 0.3, emulator.Finished, "read")
-	add(7.1, 0.01, emulator.Declined, "read")
-	add(7.2, 0.01, emulator.Terminated, "pay")
-	add(7.3, 0.01, emulator.Silent, "pay")
+	add(7.1, 0.01, emulator.Rejected, "read")
+	add(7.2, 0.01, emulator.FailedAttempt, "pay")
+	add(7.3, 0.01, emulator.NoAnswer, "pay")
 	f := ComputeFigures(st.s, st.rec)
 	if f.Requests != 10 || f.BenefitInTime != 0.6 || f.Late != 0.1 || f.Declined != 0.1 || f.Terminated != 0.1 || f.Unserved != 0.1 ||
 		f.WorstTypeBenefit != 0 || f.WorstTypeName != "pay" || f.WorstIntervalBenefit > 0.3 || f.P50 < 49 || f.P50 > 51 || f.P99 < 299 || f.P99 > 301 {
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -25,7 +25,7 @@
 	b.loadCount++
 	clients, err := emulator.NewClients(loop, b.loadCount<<20, emulator.Load{Types: []*emulator.TrafficType{smallReads},
 		Rate: rate, Keys: keyCount,
-		Use: emulator.Kept, Most: 200}, []string{p.addr}, nil)
+		Connections: emulator.Kept, MaxConnections: 200}, []string{p.addr}, nil)
 	if err != nil {
 		return used, 0, 0, err
 	}
@@ -51,7 +51,7 @@
 		if any, _ := request.Served(); any {
 			served++
 		} else {
-			b.addNote("a read at %.0f requests per second ended as %v", rate, request.How)
+			b.addNote("a read at %.0f requests per second ended as %v", rate, request.End)
 		}
 	}
 	return used, len(clients.Book().Ops), served, err
@@ -67,7 +67,7 @@
 		return used, err
 	}
 	acceptedConnections := func(t *testbed) (n int) {
-		t.onLoop(func() { n = len(t.fleet.Book().Accepts) })
+		t.onLoop(func() { n = len(t.fleet.Records().Accepts) })
 		return n
 	}
 	reusedRate := 0.0
--- a/internal/experiment/scale/stage.go
+++ b/internal/experiment/scale/stage.go
@@ -55,8 +55,8 @@
 }
 
 // smallReads is a traffic type with small values and little work per request.
-var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Effect: balancer.Idempotent, Work: 0.0002, Size: 100,
-	Promised: 0.150, HardStop: 0.750, Benefit: 5}
+var smallReads = &emulator.TrafficType{Name: "read", Share: 1, Idempotency: balancer.Idempotent, Work: 0.0002, Size: 100,
+	LatencyObjective: 0.150, Deadline: 0.750, Benefit: 5}
 
 // retryWhileAddressInUse calls f until it returns no address-in-use error, for about a second. Such errors are
 // transient: a process that is being started holds all sockets of this one between fork and exec.
@@ -86,8 +86,8 @@
 			return err
 		}
 		t = &testbed{loop: loop, ended: make(chan error, 1)}
-		t.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.LedgerSpec{AtOnce: 64,
-			Takes: 0.001, Multiple: 4, Time: 3, Halt: 1},
+		t.fleet = emulator.NewFleet(loop, 1, []*emulator.TrafficType{smallReads}, emulator.OriginSpec{Concurrency: 64,
+			MeanSeconds: 0.001, Multiple: 4, OverloadSeconds: 3, HaltSeconds: 1},
 			emulator.Delay{})
 		go func() { t.ended <- loop.Run() }()
 		t.onLoop(func() { err = t.addServers(b, servers) })
@@ -104,8 +104,8 @@
 	for n := range servers {
 		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: b.address(serversOctet, n, 11300),
 			Zone: fmt.Sprintf("zone-%02d", n%zoneCount), Machine: "m1", Cell: n / zoneCount,
-			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, Keep: 100000, Cancels: true,
-			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, Fall: 3}}
+			Cores: 8, Speed: 1, Weight: 8, Queue: 1000, PerConnection: 100, Connections: 10000, Idle: 3600, CacheSize: 100000, Cancels: true,
+			Cold: emulator.Cold{From: 0.3, Warm: 9, Multiple: 4, CollapseSeconds: 3}}
 		if _, err := t.fleet.Add(spec, false); err != nil {
 			return err
 		}
@@ -175,8 +175,8 @@
 			"rules":     map[string]any{"drainGrace": ns(0.5), "fall": ns(3), "startCapacity": 0.3, "tipMultiple": 4.0, "warmWithin": ns(9)},
 			"penalties": map[string]any{"probe": 0.01, "peer": 0.01},
 			"trafficTypes": []any{map[string]any{"name": smallReads.Name, "effect": "retryable",
-				"promisedTime": ns(smallReads.Promised),
-				"hardStop":     ns(smallReads.HardStop), "benefit": smallReads.Benefit}},
+				"promisedTime": ns(smallReads.LatencyObjective),
+				"hardStop":     ns(smallReads.Deadline), "benefit": smallReads.Benefit}},
 			"tenants": []any{},
 		},
 	}
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -229,9 +229,9 @@
 	if t.loop, err = eventloop.New(); err != nil {
 		return nil, err
 	}
-	trafficType := &emulator.TrafficType{Name: "bulk", Effect: balancer.Idempotent, Benefit: 1}
-	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.LedgerSpec{AtOnce: 1,
-		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
+	trafficType := &emulator.TrafficType{Name: "bulk", Idempotency: balancer.Idempotent, Benefit: 1}
+	t.fleet = emulator.NewFleet(t.loop, 1, []*emulator.TrafficType{trafficType}, emulator.OriginSpec{Concurrency: 1,
+		MeanSeconds: 1, Multiple: 1, OverloadSeconds: 1, HaltSeconds: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServerCount {
 		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
@@ -254,7 +254,7 @@
 		return t, fmt.Errorf("%w (another --net may be free)", err)
 	}
 	// The emulated servers are only listed; requests go to the listeners.
-	t.listService.Via(func(s *emulator.Server) string { return via[s.Name] })
+	t.listService.SetAddresses(func(s *emulator.Server) string { return via[s.Name] })
 	go func() { t.ended <- t.loop.Run() }()
 	return t, t.startRouter(ctx, o)
 }
@@ -304,7 +304,7 @@
 func (t *valueTestbed) startRouter(ctx context.Context, o ValueOptions) error {
 	ns := func(d time.Duration) int64 { return d.Nanoseconds() }
 	conf := map[string]any{"name": "n0", "listen": t.addr, "discovery": t.listService.Addr(), "seed": "0badcafe",
-		"known":  t.listService.Known(),
+		"known":  t.listService.LastList(),
 		"limits": map[string]any{"cores": 1, "memory_mb": valueMemoryMB, "sockets": valueDescriptors},
 		"settings": map[string]any{"me": 0, "fleetSize": 1, "step": 2000000, "discovery": "pushed", "weights": "nominal",
 			"familyInfo": map[string]any{"mode": "through"},
@@ -409,10 +409,10 @@
 // readValue reads a value's bytes and checks them as they arrive.
 func readValue(in *bufio.Reader, buf []byte, size int) error {
 	check := emulator.Check{Length: size}
-	for check.Came < size {
-		n, err := in.Read(buf[:min(len(buf), size-check.Came)])
+	for check.Received < size {
+		n, err := in.Read(buf[:min(len(buf), size-check.Received)])
 		if err != nil {
-			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Came, size, err)
+			return fmt.Errorf("received %d of %d bytes of a value: %w", check.Received, size, err)
 		}
 		check.Take(buf[:n])
 	}
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -119,12 +119,12 @@
 		if _, timely := o.Served(); timely {
 			gained[name] += o.Type.Benefit
 		}
-		if o.How == emulator.Declined {
+		if o.End == emulator.Rejected {
 			f.Declined++
 		}
 		for _, t := range o.Tries {
 			tenantOf[t.ID] = name
-			if t.How == emulator.Declined && t.Sent > 0 {
+			if t.End == emulator.Rejected && t.Sent > 0 {
 				declineSeconds[name] = append(declineSeconds[name], t.Ended-t.Sent)
 			}
 		}
@@ -141,7 +141,7 @@
 		f.Declined /= float64(f.Requests)
 		f.BenefitInTime = fraction(gained[name], asked[name])
 		times := emulator.Lateness{Times: declineSeconds[name]}
-		f.DeclinedP99 = times.Part(0.99) * 1e3
+		f.DeclinedP99 = times.Quantile(0.99) * 1e3
 		if i := slices.IndexFunc(s.Teams, func(t TeamPart) bool { return t.Name == name }); i >= 0 {
 			f.Budget = s.Teams[i].Budget
 		}
