--- a/balancer/config.go
+++ b/balancer/config.go
@@ -78,10 +78,10 @@
 	// StartTimeError is the maximum error of Endpoint.StartedAt, in either direction. A server counts as warming up
 	// for that much longer.
 	StartTimeError float64
-	// SlowStartSharedUpTo is the number of routers up to which only a fraction of them holds an unused attempt for
-	// a server that is warming up; 0 means 64. A smaller number uses such servers sooner, but does not bound a
+	// SlowStartMaxSharingRouters is the number of routers up to which only a fraction of them holds an unused attempt
+	// for a server that is warming up; 0 means 64. A smaller number uses such servers sooner, but does not bound a
 	// burst that reaches all routers at once.
-	SlowStartSharedUpTo float64
+	SlowStartMaxSharingRouters float64
 
 	TrafficClasses []TrafficClass
 	Tenants        []Tenant
--- a/balancer/slowstart.go
+++ b/balancer/slowstart.go
@@ -15,9 +15,9 @@
 	// slowStartBurstDivisor bounds the attempts that a budget may hold: the allowance of a window over this
 	// divisor, but at least 1.
 	slowStartBurstDivisor = 4
-	// defaultSlowStartSharedUpTo is the default of Settings.SlowStartSharedUpTo, in routers. In a larger fleet each
-	// router gets so few requests that a budget shared with others would mostly go unused.
-	defaultSlowStartSharedUpTo = 64
+	// defaultSlowStartMaxSharingRouters is the default of Settings.SlowStartMaxSharingRouters. In a larger fleet
+	// each router gets so few requests that a budget shared with others would mostly go unused.
+	defaultSlowStartMaxSharingRouters = 64
 )
 
 // slowStart is the slow-start state of a server. It is kept for warm servers, too, but not used.
@@ -117,10 +117,10 @@
 
 // slowStartHoldingFraction returns the fraction of the routers that may hold an unused attempt; 1 or more means all
 // of them. In routers, it is a quarter of the attempts that all may send in a window, plus the standard deviation
-// of that number (its square root), plus one. In a fleet larger than SlowStartSharedUpTo each router may hold one.
-// allowance is that of one router.
+// of that number (its square root), plus one. In a fleet larger than SlowStartMaxSharingRouters each router may hold
+// one. allowance is that of one router.
 func (b *Balancer) slowStartHoldingFraction(allowance float64) float64 {
-	sharedUpTo := cmp.Or(b.settings.SlowStartSharedUpTo, defaultSlowStartSharedUpTo)
-	excessRouters := max(0, b.fleetSize-sharedUpTo)
+	maxSharingRouters := cmp.Or(b.settings.SlowStartMaxSharingRouters, defaultSlowStartMaxSharingRouters)
+	excessRouters := max(0, b.fleetSize-maxSharingRouters)
 	return allowance/4 + math.Sqrt(allowance/b.fleetSize) + 1/b.fleetSize + excessRouters
 }
--- a/balancer/slowstart_burst_test.go
+++ b/balancer/slowstart_burst_test.go
@@ -42,13 +42,13 @@
 
 func (f fleetBurst) settings() Settings {
 	settings := Settings{
-		RouterCount:         f.configuredRouters,
-		WeightMode:          WeightsStatic,
-		OverloadWindow:      3,
-		OverloadFactor:      4,
-		WarmupStartCapacity: 0.3,
-		WarmupDuration:      9,
-		SlowStartSharedUpTo: 1000,
+		RouterCount:                f.configuredRouters,
+		WeightMode:                 WeightsStatic,
+		OverloadWindow:             3,
+		OverloadFactor:             4,
+		WarmupStartCapacity:        0.3,
+		WarmupDuration:             9,
+		SlowStartMaxSharingRouters: 1000,
 	}
 	if f.slowWarmup {
 		settings.OverloadWindow = 1.5
@@ -206,13 +206,13 @@
 }
 
 // Where only a fraction of many routers holds an unused attempt, a server that is warming up stays unused. So in
-// fleets larger than SlowStartSharedUpTo each router holds one.
-func TestSlowStartSharedUpTo(t *testing.T) {
+// fleets larger than SlowStartMaxSharingRouters each router holds one.
+func TestSlowStartMaxSharingRouters(t *testing.T) {
 	for _, c := range []struct {
-		name       string
-		routers    int
-		sharedUpTo float64
-		shared     bool
+		name              string
+		routers           int
+		maxSharingRouters float64
+		shared            bool
 	}{
 		{"beyond the default", 300, 0, false},
 		{"within the setting", 300, 1000, true},
@@ -223,7 +223,7 @@
 	} {
 		b, _ := newTestBalancer(6, func(s *Settings) {
 			s.RouterCount = c.routers
-			s.SlowStartSharedUpTo = c.sharedUpTo
+			s.SlowStartMaxSharingRouters = c.maxSharingRouters
 		})
 		server := b.servers.ready[0]
 		kept := 0
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -155,7 +155,7 @@
 	// Replies on one connection arrive in order, but each attempt has a connection of its own.
 	settings.OrderedConnections = false
 	settings.RetryBudgetPerTenant = len(operators.Teams) > 0
-	settings.SlowStartSharedUpTo = float64(operators.Cold.Routers)
+	settings.SlowStartMaxSharingRouters = float64(operators.Cold.Routers)
 	s.pools.platform = s.newPool(poolOptions{
 		settings:              settings,
 		connections:           conf.UpstreamConnections,
