--- a/internal/policy/zonefailover/controller.go
+++ b/internal/policy/zonefailover/controller.go
@@ -117,9 +117,9 @@
 	return z
 }
 
-// Known reports whether the zone is tracked: an endpoint list or an operator has named it, and it wasn't discarded
+// Tracked reports whether the zone is tracked: an endpoint list or an operator has named it, and it wasn't discarded
 // since.
-func (c *Controller) Known(name string) bool { return c.find(name) != nil }
+func (c *Controller) Tracked(name string) bool { return c.find(name) != nil }
 
 // Share returns the fraction of its keys that a zone serves, 0 to 1; 1 for a zone that is not tracked.
 func (c *Controller) Share(name string) float64 {
@@ -144,18 +144,18 @@
 		z := c.find(name)
 		votes := c.countVotes(now, z)
 		all = append(all, Status{
-			Zone:             name,
-			State:            z.state,
-			Share:            z.share,
-			Since:            z.since,
-			Reason:           z.reason,
-			OperatorOverride: z.operatorOverride,
-			Servers:          z.servers,
-			VotesAgainst:     votes.against,
-			VotesFor:         votes.inFavour,
-			RoutersHeard:     votes.routers,
-			Evacuations:      z.history.evacuations,
-			Transitions:      z.transitions,
+			Zone:              name,
+			State:             z.state,
+			Share:             z.share,
+			Since:             z.since,
+			Reason:            z.reason,
+			OperatorOverride:  z.operatorOverride,
+			Servers:           z.servers,
+			VotesAgainst:      votes.against,
+			VotesFor:          votes.inFavour,
+			RoutersHeard:      votes.routers,
+			RecentEvacuations: z.history.evacuations,
+			Transitions:       z.transitions,
 		})
 	}
 	return all
--- a/internal/policy/zonefailover/golden_test.go
+++ b/internal/policy/zonefailover/golden_test.go
@@ -227,12 +227,12 @@
 			text += trace(t, sim, 3)
 			for n, router := range sim.routers {
 				c, a := router.StartRecovery(sim.clock(n), "c"), router.StartRecovery(sim.clock(n), "a")
-				text += fmt.Sprintln(c, a, router.Known("new"), router.Known("c"))
+				text += fmt.Sprintln(c, a, router.Tracked("new"), router.Tracked("c"))
 			}
 			text += trace(t, sim, 70)
 			for n, router := range sim.routers {
 				untracked := router.OnEndpoints(sim.clock(n), map[string]int{"a": 1, "b": 4}, nil)
-				text += fmt.Sprintln(untracked, router.Known("c"))
+				text += fmt.Sprintln(untracked, router.Tracked("c"))
 			}
 			return text + trace(t, sim, 3)
 		}},
--- a/internal/policy/zonefailover/state.go
+++ b/internal/policy/zonefailover/state.go
@@ -60,18 +60,18 @@
 
 // Status describes one zone for operators.
 type Status struct {
-	Zone             string
-	State            State
-	Share            float64 // fraction of its keys that the zone serves, 0 to 1
-	Since            float64 // when the state began, in seconds of the caller's clock
-	Reason           string  // of the last change
-	OperatorOverride bool    // evacuated by an operator
-	Servers          int     // in service, by the endpoint list
-	VotesAgainst     int     // routers whose attempts there get no answer
-	VotesFor         int     // routers with a later answer
-	RoutersHeard     int     // routers heard from recently, including this one
-	Evacuations      int     // recent ones, see historyRetention
-	Transitions      uint64  // evacuations and recoveries begun since the start
+	Zone              string
+	State             State
+	Share             float64 // fraction of its keys that the zone serves, 0 to 1
+	Since             float64 // when the state began, in seconds of the caller's clock
+	Reason            string  // of the last change
+	OperatorOverride  bool    // evacuated by an operator
+	Servers           int     // in service, by the endpoint list
+	VotesAgainst      int     // routers whose attempts there get no answer
+	VotesFor          int     // routers with a later answer
+	RoutersHeard      int     // routers heard from recently, including this one
+	RecentEvacuations int     // see historyRetention
+	Transitions       uint64  // evacuations and recoveries begun since the start
 }
 
 // Reasons of changes without numbers. Logs and the admin server show them.
--- a/internal/service/zonesadmin.go
+++ b/internal/service/zonesadmin.go
@@ -35,7 +35,7 @@
 				RoutersWithoutAnswer:   zone.VotesAgainst,
 				RoutersWithLaterAnswer: zone.VotesFor,
 				RoutersHeard:           zone.RoutersHeard,
-				RecentEvacuations:      zone.Evacuations,
+				RecentEvacuations:      zone.RecentEvacuations,
 				Reason:                 zone.Reason,
 			})
 		}
@@ -71,7 +71,7 @@
 
 // evacuate evacuates a zone on behalf of an operator.
 func (a *zoneAdapter) evacuate(zone string) error {
-	if !a.controller.Known(zone) {
+	if !a.controller.Tracked(zone) {
 		return admin.ErrUnknownZone
 	}
 	if !a.controller.SetOperatorOverride(a.now(), zone, true) {
