--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -67,7 +67,7 @@
 		expect(t, in, "SERVER_ERROR busy\r\n")
 	}
 	s.onLoop(func() {
-		if n := s.dispatcher.core.Counts.Taken; n > 0 || len(s.started) > 0 {
+		if n := s.dispatcher.core.Counts.Received; n > 0 || len(s.started) > 0 {
 			t.Errorf("got %d requests in the core and %d attempts, want none", n, len(s.started))
 		}
 	})
--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -25,10 +25,10 @@
 
 // Counts holds event counts since the process started.
 type Counts struct {
-	Taken, Succeeded, Rejected, Failed, ClientsGone uint64 // requests
+	Received, Succeeded, Rejected, Failed, Disconnected uint64 // requests
 
 	Attempts uint64
-	Faults   uint64                   // panics of the balancer
+	Panics   uint64                   // panics of the balancer
 	Reasons  [len(ReasonNames)]uint64 // rejected requests by RejectReason
 }
 
@@ -56,7 +56,7 @@
 // before Submit returns.
 func (c *Core) Submit(request *Request, client Client) uint64 {
 	c.lastID++
-	c.Counts.Taken++
+	c.Counts.Received++
 	request.NotIdempotent = !c.idempotent[request.Class]
 	r := &openRequest{Request: request, core: c, id: c.lastID, client: client}
 	c.requests[r.id] = r
@@ -72,7 +72,7 @@
 	if r == nil || r.client == nil {
 		return
 	}
-	c.Counts.ClientsGone++
+	c.Counts.Disconnected++
 	r.client = nil
 	r.reportEnd(ClientGone, NoReason)
 	c.callBalancer(r, func() { c.balancer.OnClientGone(c.deps.Clock.Now(), id) })
@@ -141,7 +141,7 @@
 		if fault == nil {
 			return
 		}
-		c.Counts.Faults++
+		c.Counts.Panics++
 		c.deps.Log.Error().Str("fault", fmt.Sprint(fault)).Bytes("stack", debug.Stack()).Msg("the balancer panicked")
 		if request != nil && request.client != nil {
 			c.Fail(request.id)
--- a/internal/requestcore/core_test.go
+++ b/internal/requestcore/core_test.go
@@ -145,8 +145,8 @@
 	upstream.timers[len(upstream.timers)-1]()
 	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, core, got, answers{failed: 1}, 0)
-	if core.Counts.Faults != 1 {
-		t.Errorf("got %d counted panics, want 1", core.Counts.Faults)
+	if core.Counts.Panics != 1 {
+		t.Errorf("got %d counted panics, want 1", core.Counts.Panics)
 	}
 }
 
--- a/internal/service/countslog.go
+++ b/internal/service/countslog.go
@@ -77,13 +77,13 @@
 func (p *pool) logCounts(log zerolog.Logger, clients int) {
 	counts := p.core.Counts
 	event := log.Info().
-		Uint64("taken", counts.Taken).
+		Uint64("taken", counts.Received).
 		Uint64("finished", counts.Succeeded).
 		Uint64("declined", counts.Rejected).
 		Uint64("terminated", counts.Failed).
-		Uint64("left", counts.ClientsGone).
+		Uint64("left", counts.Disconnected).
 		Uint64("executions", counts.Attempts).
-		Uint64("faults", counts.Faults).
+		Uint64("faults", counts.Panics).
 		Int("open", p.core.OpenRequests()).
 		Int("clients", clients).
 		Int("idle", p.servers.IdleConnections())
--- a/internal/service/settings_test.go
+++ b/internal/service/settings_test.go
@@ -180,7 +180,7 @@
 				}
 			}
 		}
-		if faults := callOnLoop(s, func() uint64 { return s.pools.platform.core.Counts.Faults }); faults > 0 {
+		if faults := callOnLoop(s, func() uint64 { return s.pools.platform.core.Counts.Panics }); faults > 0 {
 			rt.Fatalf("the balancer panicked %d times, want 0", faults)
 		}
 	})
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -110,7 +110,7 @@
 	}
 	now := s.loop.Now()
 	counts := s.pools.platform.core.Counts
-	for _, change := range a.tracker.Tick(now, counts.Taken, counts.Succeeded) {
+	for _, change := range a.tracker.Tick(now, counts.Received, counts.Succeeded) {
 		s.log.Info().
 			Stringer("from", change.From).
 			Stringer("to", change.To).
