--- a/balancer/attempts.go
+++ b/balancer/attempts.go
@@ -138,8 +138,8 @@
 	return false
 }
 
-// OnClientGone is called when a request's client has disconnected: the request needs no answer any more.
-func (b *Balancer) OnClientGone(now float64, id uint64) {
+// OnClientDisconnected is called when a request's client has disconnected: the request needs no answer any more.
+func (b *Balancer) OnClientDisconnected(now float64, id uint64) {
 	b.now = now
 	req := b.requests[id]
 	if req != nil {
--- a/balancer/attempts_test.go
+++ b/balancer/attempts_test.go
@@ -13,7 +13,7 @@
 	b.servers.byID[1].inFlight = []*attempt{req.attempts[0]}
 	b.OnAttemptEnd(0.01, 7, 0, Succeeded, 0.01, true)
 	b.OnAttemptEnd(0.02, 7, 0, Succeeded, 0.01, true)
-	b.OnClientGone(0.03, 7)
+	b.OnClientDisconnected(0.03, 7)
 	b.OnTimer(0.04, "7")
 	b.OnTimer(0.04, "no such name")
 	expectEqual(t, "actions", len(host.actions), 0)
--- a/balancer/doc.go
+++ b/balancer/doc.go
@@ -16,7 +16,7 @@
 // # Events and actions
 //
 // A request arrives with OnRequest. It ends with Host.Reject, with Host.Fail, with a final OnAttemptEnd, or with
-// OnClientGone. In between, each Host.StartAttempt is followed by one OnAttemptEnd, even after
+// OnClientDisconnected. In between, each Host.StartAttempt is followed by one OnAttemptEnd, even after
 // Host.CancelAttempt. OnStreamStart reports that the client has begun to receive an answer: no other attempt
 // follows.
 //
--- a/balancer/golden_test.go
+++ b/balancer/golden_test.go
@@ -57,7 +57,7 @@
 		outcome := outcomes[i%uint64(len(outcomes))]
 		b.OnRequest(now, i, "view", "", fmt.Sprint("key-", i%37), 2)
 		b.OnAttemptEnd(now+0.09, i, 0, outcome, 0.01+float64(i%9)*0.06, outcome == Succeeded)
-		b.OnClientGone(now+0.1, i)
+		b.OnClientDisconnected(now+0.1, i)
 	}
 	got := strings.Join(host.messages, "\n") + "\n"
 	const path = "testdata/gossip.golden"
--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -193,7 +193,7 @@
 	c := &client{}
 	r := b.Route("", "a", "k")
 	core, id := r.Submit(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
-	core.OnClientGone(id)
+	core.OnClientDisconnected(id)
 	if s := b.teamState("a"); s.Disconnected != 1 || s.OpenRequests != 1 {
 		t.Errorf("state while the attempt is in flight: %+v, want 1 disconnected and 1 open", s)
 	}
--- a/internal/broker/usage.go
+++ b/internal/broker/usage.go
@@ -28,7 +28,7 @@
 		tally.reject(reason)
 	case requestcore.Failed:
 		tally.Failed++
-	case requestcore.ClientGone:
+	case requestcore.ClientDisconnected:
 		tally.Disconnected++
 	}
 }
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -301,8 +301,8 @@
 	}
 }
 
-// OnClientGone ends a request whose client has closed its connection.
-func (m *Module) OnClientGone(_ float64, id uint64) {
+// OnClientDisconnected ends a request whose client has closed its connection.
+func (m *Module) OnClientDisconnected(_ float64, id uint64) {
 	if req := m.requests[id]; req != nil {
 		req.answered = true
 		m.end(req)
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -83,7 +83,7 @@
 	}
 	if a.core != nil {
 		a.addHeldBytes(-a.heldBytes)
-		a.core.OnClientGone(a.requestID)
+		a.core.OnClientDisconnected(a.requestID)
 	}
 }
 
--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -52,8 +52,8 @@
 // OpenRequests returns the number of requests that have no answer or have attempts outstanding.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Submit passes a request to the balancer, and returns the request's id for OnClientGone. The client may be answered
-// before Submit returns.
+// Submit passes a request to the balancer, and returns the request's id for OnClientDisconnected. The client may be
+// answered before Submit returns.
 func (c *Core) Submit(request *Request, client Client) uint64 {
 	c.lastID++
 	c.Counts.Received++
@@ -66,16 +66,17 @@
 	return r.id
 }
 
-// OnClientGone is called when the client of a request has disconnected. It has no effect once the request is answered.
-func (c *Core) OnClientGone(id uint64) {
+// OnClientDisconnected is called when the client of a request has disconnected. It has no effect once the request is
+// answered.
+func (c *Core) OnClientDisconnected(id uint64) {
 	r := c.requests[id]
 	if r == nil || r.client == nil {
 		return
 	}
 	c.Counts.Disconnected++
 	r.client = nil
-	r.reportEnd(ClientGone, NoReason)
-	c.callBalancer(r, func() { c.balancer.OnClientGone(c.deps.Clock.Now(), id) })
+	r.reportEnd(ClientDisconnected, NoReason)
+	c.callBalancer(r, func() { c.balancer.OnClientDisconnected(c.deps.Clock.Now(), id) })
 	r.removeIfDone()
 }
 
--- a/internal/requestcore/core_test.go
+++ b/internal/requestcore/core_test.go
@@ -113,7 +113,7 @@
 	core, upstream := newCore(balancer.Idempotent)
 	var got answers
 	id := submit(core, &got)
-	core.OnClientGone(id)
+	core.OnClientDisconnected(id)
 	check(t, core, got, answers{}, 1)
 	upstream.attempts[0].OnAttemptEnd(balancer.Succeeded, Result{})
 	check(t, core, got, answers{}, 0)
--- a/internal/requestcore/dispatcher.go
+++ b/internal/requestcore/dispatcher.go
@@ -18,8 +18,8 @@
 	MaxDeadline(class string) (seconds float64, known bool)
 	// HasCapacity reports whether one more request may be submitted. If not, it counts a rejected request.
 	HasCapacity() bool
-	// Submit submits a request. The core is nil if the client has been answered already; otherwise the caller passes the
-	// id to the core's OnClientGone when the client disconnects.
+	// Submit submits a request. The core is nil if the client has been answered already; otherwise the caller passes
+	// the id to the core's OnClientDisconnected when the client disconnects.
 	Submit(request *Request, client Client) (core *Core, id uint64)
 	// AddHeldBytes adds n, which may be negative, to the number of bytes that are buffered in memory for its clients.
 	AddHeldBytes(n int)
--- a/internal/requestcore/request.go
+++ b/internal/requestcore/request.go
@@ -29,12 +29,12 @@
 // RequestEnd is how a request ended.
 type RequestEnd int
 
-// The ways in which a request ends. All but ClientGone are answers to the client.
+// The ways in which a request ends. All but ClientDisconnected are answers to the client.
 const (
-	Succeeded  RequestEnd = iota
-	Rejected              // the request was not executed; a retry is safe
-	Failed                // whether the request was executed is unknown
-	ClientGone            // the client disconnected before it was answered
+	Succeeded          RequestEnd = iota
+	Rejected                      // the request was not executed; a retry is safe
+	Failed                        // whether the request was executed is unknown
+	ClientDisconnected            // the client disconnected before it was answered
 )
 
 // RejectReason is why a request was rejected.
@@ -69,15 +69,16 @@
 }
 
 // Client receives the final answer to a request: exactly one of Succeeded, Rejected and Failed is called, once, on the
-// event loop's goroutine. None is called after Core.OnClientGone.
+// event loop's goroutine. None is called after Core.OnClientDisconnected.
 type Client interface {
 	Succeeded(Result)
 	// Rejected is called when the request was not executed. A retry is reasonable after retryAfter seconds.
 	Rejected(retryAfter float64)
 	Failed()
 
-	// Disconnected reports whether the client's connection has ended. The core may not have been notified yet, for example
-	// after the event loop was stopped for a while; Core.OnClientGone then follows after the current callback.
+	// Disconnected reports whether the client's connection has ended. The core may not have been notified yet, for
+	// example after the event loop was stopped for a while; Core.OnClientDisconnected then follows after the current
+	// callback.
 	Disconnected() bool
 }
 
--- a/internal/simadapter/events.go
+++ b/internal/simadapter/events.go
@@ -36,8 +36,8 @@
 		r.handleStreamStart(fields)
 	case eventAttemptEnd:
 		r.handleAttemptEnd(fields)
-	case eventClientGone:
-		r.handleClientGone(fields)
+	case eventClientDisconnected:
+		r.handleClientDisconnected(fields)
 	case eventTimer:
 		r.handleTimer(fields)
 	case eventGossip:
@@ -91,10 +91,10 @@
 	}
 }
 
-func (r *router) handleClientGone(fields *settings.Object) {
+func (r *router) handleClientDisconnected(fields *settings.Object) {
 	id := fields.ID("txn")
 	if fields.Err() == nil {
-		r.balancer.OnClientGone(r.now(), id)
+		r.balancer.OnClientDisconnected(r.now(), id)
 	}
 }
 
--- a/internal/simadapter/names.go
+++ b/internal/simadapter/names.go
@@ -4,19 +4,19 @@
 
 // Names of the simulator's events.
 const (
-	eventBatchStart   = "CLOCK"            // begins a batch
-	eventBatchEnd     = "YOUR_TURN"        // ends a batch
-	eventEndpointList = "SHEET"            // an endpoint list
-	eventRouterStart  = "ENLIST"           // balancer.New
-	eventRouterKill   = "KILL"             // the process of a router ends
-	eventListUpdate   = "DIRECTORY_UPDATE" // OnEndpoints
-	eventRequest      = "ACCEPT"           // OnRequest
-	eventStreamStart  = "HEAD_RECEIVED"    // OnStreamStart
-	eventAttemptEnd   = "SETTLED"          // OnAttemptEnd
-	eventClientGone   = "GONE"             // OnClientGone
-	eventTimer        = "WAKE"             // OnTimer
-	eventProbeResult  = "PROBE_RESULT"     // OnProbeResult
-	eventGossip       = "MESSAGE"          // OnGossip
+	eventBatchStart         = "CLOCK"            // begins a batch
+	eventBatchEnd           = "YOUR_TURN"        // ends a batch
+	eventEndpointList       = "SHEET"            // an endpoint list
+	eventRouterStart        = "ENLIST"           // balancer.New
+	eventRouterKill         = "KILL"             // the process of a router ends
+	eventListUpdate         = "DIRECTORY_UPDATE" // OnEndpoints
+	eventRequest            = "ACCEPT"           // OnRequest
+	eventStreamStart        = "HEAD_RECEIVED"    // OnStreamStart
+	eventAttemptEnd         = "SETTLED"          // OnAttemptEnd
+	eventClientDisconnected = "GONE"             // OnClientDisconnected
+	eventTimer              = "WAKE"             // OnTimer
+	eventProbeResult        = "PROBE_RESULT"     // OnProbeResult
+	eventGossip             = "MESSAGE"          // OnGossip
 )
 
 // Names of the actions and of the other lines in the reply.
@@ -36,16 +36,16 @@
 
 // requiresRouter holds the events in which the field "router" is required. Other events are ignored without it.
 var requiresRouter = map[string]bool{
-	eventRouterStart: true,
-	eventRouterKill:  true,
-	eventListUpdate:  true,
-	eventRequest:     true,
-	eventStreamStart: true,
-	eventAttemptEnd:  true,
-	eventClientGone:  true,
-	eventTimer:       true,
-	eventProbeResult: true,
-	eventGossip:      true,
+	eventRouterStart:        true,
+	eventRouterKill:         true,
+	eventListUpdate:         true,
+	eventRequest:            true,
+	eventStreamStart:        true,
+	eventAttemptEnd:         true,
+	eventClientDisconnected: true,
+	eventTimer:              true,
+	eventProbeResult:        true,
+	eventGossip:             true,
 }
 
 // outcomes maps the outcomes of attempts and probes. Any other name means balancer.OutcomeUnknown.
