--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -124,11 +124,11 @@
 	a.Listen = listenA
 	c.Listen = listenC
 	b, _, _ := newTestBroker(t, Limits{Requests: 100, BufferedBytes: 1000, Connections: 8}, a, c)
-	b.Route("", "a", "k").AddHeldBytes(800)
+	b.Route("", "a", "k").AddBufferedBytes(800)
 	if b.Route("", "a", "k").HasCapacity() || !b.Route("", "c", "k").HasCapacity() {
 		t.Error("a team that buffers too many bytes has capacity, or another team has none")
 	}
-	b.Route("", "a", "k").AddHeldBytes(-800)
+	b.Route("", "a", "k").AddBufferedBytes(-800)
 	n := 0
 	for b.AdmitConnection(listenA) {
 		n++
--- a/internal/broker/platform.go
+++ b/internal/broker/platform.go
@@ -52,8 +52,8 @@
 	return p.core, p.core.Submit(request, client)
 }
 
-// AddHeldBytes adds n, which may be negative, to the bytes that are buffered for clients.
-func (p *platform) AddHeldBytes(n int) { p.broker.slots.bytes.ForceAcquire(nil, n) }
+// AddBufferedBytes adds n, which may be negative, to the bytes that are buffered for clients.
+func (p *platform) AddBufferedBytes(n int) { p.broker.slots.bytes.ForceAcquire(nil, n) }
 
 // AttemptEnded does nothing, because nothing is charged without a quota.
 func (p *platform) AttemptEnded(float64) {}
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -101,5 +101,5 @@
 	return t.pool.Core, t.pool.Core.Submit(request, client)
 }
 
-// AddHeldBytes adds n, which may be negative, to the bytes that are buffered for the team's clients.
-func (t *team) AddHeldBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
+// AddBufferedBytes adds n, which may be negative, to the bytes that are buffered for the team's clients.
+func (t *team) AddBufferedBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -5,17 +5,17 @@
 // answer is the answer to one command. It is the requestcore.Client of the command's request, and the
 // requestcore.BodySink of a value that is passed on while it is received.
 type answer struct {
-	conn      *ClientConn
-	core      *requestcore.Core // processes the request; nil: no request, or it was answered within Submit
-	requestID uint64            // the request's id in the core
-	route     requestcore.Route
-	request   *requestcore.Request // nil: the command was answered without one
-	class     string               // the class that the client named; a quota replaces it in the request
-	outcome   outcome
-	heldBytes int // bytes of a write's value, held until the answer
-	parts     [][]byte
-	body      requestcore.BodyStream // follows the first part; nil: none
-	bodyBytes int                    // bytes of the body that were written
+	conn          *ClientConn
+	core          *requestcore.Core // processes the request; nil: no request, or it was answered within Submit
+	requestID     uint64            // the request's id in the core
+	route         requestcore.Route
+	request       *requestcore.Request // nil: the command was answered without one
+	class         string               // the class that the client named; a quota replaces it in the request
+	outcome       outcome
+	bufferedBytes int // bytes of a write's value, buffered until the answer
+	parts         [][]byte
+	body          requestcore.BodyStream // follows the first part; nil: none
+	bodyBytes     int                    // bytes of the body that were written
 }
 
 // Succeeded answers with a server's result; a body stream follows later.
@@ -50,10 +50,10 @@
 // complete sets the answer's text, and writes all answers of the connection that are due.
 func (a *answer) complete(parts ...[]byte) {
 	a.parts = parts
-	a.addHeldBytes(-a.heldBytes)
-	a.heldBytes = 0
+	a.addBufferedBytes(-a.bufferedBytes)
+	a.bufferedBytes = 0
 	for _, part := range parts {
-		a.addHeldBytes(len(part))
+		a.addBufferedBytes(len(part))
 	}
 	c := a.conn
 	if !c.isOpen() {
@@ -70,7 +70,7 @@
 		a.body.Discard()
 	}
 	for _, part := range a.parts {
-		a.addHeldBytes(-len(part))
+		a.addBufferedBytes(-len(part))
 	}
 }
 
@@ -82,15 +82,15 @@
 		return
 	}
 	if a.core != nil {
-		a.addHeldBytes(-a.heldBytes)
+		a.addBufferedBytes(-a.bufferedBytes)
 		a.core.OnClientDisconnected(a.requestID)
 	}
 }
 
-// addHeldBytes adds to the bytes held for the answer's route. Answers without a route are not counted.
-func (a *answer) addHeldBytes(n int) {
+// addBufferedBytes adds to the bytes buffered for the answer's route. Answers without a route are not counted.
+func (a *answer) addBufferedBytes(n int) {
 	if a.route != nil {
-		a.route.AddHeldBytes(n)
+		a.route.AddBufferedBytes(n)
 	}
 }
 
--- a/internal/frontend/close.go
+++ b/internal/frontend/close.go
@@ -55,7 +55,7 @@
 		s.body.Discard()
 		return
 	}
-	s.answer.addHeldBytes(-len(s.text))
+	s.answer.addBufferedBytes(-len(s.text))
 	if s.last {
 		s.answer.countEnd(false)
 	}
--- a/internal/frontend/doc.go
+++ b/internal/frontend/doc.go
@@ -8,8 +8,8 @@
 //
 // A connection is closed when it has been idle for too long, sends a command too slowly, or leaves its answers unread.
 // From half of the limit of connections on, the one that has been idle for longest is evicted for a new one. Bytes of
-// values that are held in memory are counted for their route (AddHeldBytes): for a write from its submission until its
-// answer, for an answer until its last byte is written.
+// values that are held in memory are counted for their route (AddBufferedBytes): for a write from its submission until
+// its answer, for an answer until its last byte is written.
 //
 // Everything is called on the event loop's goroutine; nothing blocks or locks. Times are in seconds as float64, by the
 // loop's clock.
--- a/internal/frontend/helpers_test.go
+++ b/internal/frontend/helpers_test.go
@@ -41,7 +41,7 @@
 // testLimits are the limits of a frontend and of its testDispatcher.
 type testLimits struct {
 	Limits
-	openRequests, heldBytes int
+	openRequests, bufferedBytes int
 }
 
 var ampleLimits = testLimits{Limits{Connections: 10}, 1000, 1 << 20}
@@ -73,10 +73,10 @@
 func (d *testDispatcher) MaxDeadline(class string) (float64, bool) { return 5000, class == "t" }
 
 func (d *testDispatcher) HasCapacity() bool {
-	return d.core.OpenRequests() < d.testLimits.openRequests && d.held < d.heldBytes
+	return d.core.OpenRequests() < d.testLimits.openRequests && d.held < d.bufferedBytes
 }
 
-func (d *testDispatcher) AddHeldBytes(n int) { d.held += n }
+func (d *testDispatcher) AddBufferedBytes(n int) { d.held += n }
 
 func (d *testDispatcher) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	return d.core, d.core.Submit(request, client)
@@ -186,7 +186,7 @@
 func (brokenBody) Discard()       {}
 func (brokenBody) StartReading(sink requestcore.BodySink) {
 	sink.OnPart([]byte("x"))
-	sink.OnBroken()
+	sink.OnAborted()
 }
 
 // closeWrite half-closes a client's connection and waits until the peer's kernel has acknowledged that.
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -44,12 +44,12 @@
 
 // Get submits a read.
 func (m *memcache) Get(key, id, flags, figures string) {
-	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures})
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: figures})
 }
 
 // Set submits a write.
 func (m *memcache) Set(key, id, flags, figures string, value []byte) {
-	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Figures: figures, Write: true, Value: value})
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: figures, Write: true, Value: value})
 	m.conn.ReleaseLongWrite()
 }
 
@@ -79,8 +79,8 @@
 }
 
 func (m *memcache) submit(request *requestcore.Request) {
-	request.Class, _ = meta.Figure(request.Figures, classFigure)
-	request.Tenant, _ = meta.Figure(request.Figures, tenantFigure)
+	request.Class, _ = meta.Figure(request.Parameters, classFigure)
+	request.Tenant, _ = meta.Figure(request.Parameters, tenantFigure)
 	route := m.conn.Route(request.Tenant, request.Key)
 	if route == nil {
 		m.Bad(answerNoQuota)
@@ -91,7 +91,7 @@
 		m.Bad(answerUnknownClass)
 		return
 	}
-	timeLeft, err := parseTimeLeft(request.Figures)
+	timeLeft, err := parseTimeLeft(request.Parameters)
 	if err != nil {
 		m.Bad(answerBadTimeLeft)
 		return
--- a/internal/frontend/output.go
+++ b/internal/frontend/output.go
@@ -68,7 +68,7 @@
 // writeText writes a segment's text as far as the buffer has room, and reports whether all of it is written.
 func (c *ClientConn) writeText(s *segment) (done bool) {
 	n := c.conn.Write(s.text)
-	s.answer.addHeldBytes(-n)
+	s.answer.addBufferedBytes(-n)
 	if n > 0 {
 		c.lastActive = c.frontend.loop.Now()
 	}
@@ -116,8 +116,8 @@
 	c.Flushed()
 }
 
-// OnBroken closes the connection, because the client cannot detect an incomplete value in any other way.
-func (a *answer) OnBroken() {
+// OnAborted closes the connection, because the client cannot detect an incomplete value in any other way.
+func (a *answer) OnAborted() {
 	c := a.conn
 	if !c.isOpen() {
 		return
--- a/internal/frontend/submit.go
+++ b/internal/frontend/submit.go
@@ -33,8 +33,8 @@
 		a.Rejected(0)
 		return true
 	}
-	a.heldBytes = len(request.Value) // set before Submit, which may answer before it returns
-	a.addHeldBytes(a.heldBytes)
+	a.bufferedBytes = len(request.Value) // set before Submit, which may answer before it returns
+	a.addBufferedBytes(a.bufferedBytes)
 	a.core, a.requestID = route.Submit(request, a)
 	return true
 }
--- a/internal/frontend/tileserver/codec.go
+++ b/internal/frontend/tileserver/codec.go
@@ -103,11 +103,11 @@
 		}
 	}
 	request := &requestcore.Request{
-		Class:    k.server.class,
-		Key:      tile.Key(),
-		Flags:    k.forwarded.String(),
-		TimeLeft: timeLeft,
-		Figures:  answerFigures(k.head, keep),
+		Class:      k.server.class,
+		Key:        tile.Key(),
+		Flags:      k.forwarded.String(),
+		TimeLeft:   timeLeft,
+		Parameters: answerFigures(k.head, keep),
 	}
 	route := k.conn.Route("", request.Key)
 	if route == nil {
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -44,12 +44,12 @@
 
 func (echoRoute) MaxDeadline(class string) (float64, bool) { return 5, class == "tile" }
 func (echoRoute) HasCapacity() bool                        { return true }
-func (echoRoute) AddHeldBytes(int)                         {}
+func (echoRoute) AddBufferedBytes(int)                     {}
 func (echoRoute) Submit(request *requestcore.Request, client requestcore.Client) (*requestcore.Core, uint64) {
 	value := fmt.Sprintf("class %q tenant %q key %q id %q flags %q figures %q write %t time left %v\n",
-		request.Class, request.Tenant, request.Key, request.ID, request.Flags, request.Figures, request.Write,
+		request.Class, request.Tenant, request.Key, request.ID, request.Flags, request.Parameters, request.Write,
 		request.TimeLeft)
-	client.Succeeded(requestcore.Result{Status: 200, Head: "Content-Type: image/png\r\n", Value: []byte(value)})
+	client.Succeeded(requestcore.Result{Status: 200, HeaderLines: "Content-Type: image/png\r\n", Value: []byte(value)})
 	return nil, 0
 }
 
@@ -81,12 +81,12 @@
 	line("unfinished", codec.CommandTimeout())
 	for _, head := range []bool{false, true} {
 		for _, keep := range []bool{true, false} {
-			request := &requestcore.Request{Figures: answerFigures(head, keep)}
+			request := &requestcore.Request{Parameters: answerFigures(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
-			tile := requestcore.Result{Status: 200, Head: "ETag: \"a\"\r\n", Value: []byte("png")}
+			tile := requestcore.Result{Status: 200, HeaderLines: "ETag: \"a\"\r\n", Value: []byte("png")}
 			line(name+"tile", codec.Succeeded(request, tile)...)
 			line(name+"empty tile", codec.Succeeded(request, requestcore.Result{Status: 200})...)
-			line(name+"not modified", codec.Succeeded(request, requestcore.Result{Status: 304, Head: "ETag: \"a\"\r\n"})...)
+			line(name+"not modified", codec.Succeeded(request, requestcore.Result{Status: 304, HeaderLines: "ETag: \"a\"\r\n"})...)
 			line(name+"no content", codec.Succeeded(request, requestcore.Result{Status: 204})...)
 			line(name+"rejected", codec.Rejected(request, 0))
 			line(name+"rejected, retry after 2.5", codec.Rejected(request, 2.5))
--- a/internal/frontend/tileserver/request.go
+++ b/internal/frontend/tileserver/request.go
@@ -28,12 +28,12 @@
 
 // isHead reports whether the request's method is HEAD, so that the answer has no body.
 func isHead(request *requestcore.Request) bool {
-	return strings.HasPrefix(request.Figures, figuresHead)
+	return strings.HasPrefix(request.Parameters, figuresHead)
 }
 
 // closesConnection reports whether the connection is closed after the answer.
 func closesConnection(request *requestcore.Request) bool {
-	return strings.HasSuffix(request.Figures, figuresClose)
+	return strings.HasSuffix(request.Parameters, figuresClose)
 }
 
 var errBadWait = errors.New("not a number above 0")
--- a/internal/frontend/tileserver/response.go
+++ b/internal/frontend/tileserver/response.go
@@ -58,7 +58,7 @@
 
 // Succeeded returns the answer with a tile server's result.
 func (k *codec) Succeeded(request *requestcore.Request, result requestcore.Result) [][]byte {
-	head := formatHead(result.Status, result.Head, len(result.Value), closesConnection(request))
+	head := formatHead(result.Status, result.HeaderLines, len(result.Value), closesConnection(request))
 	if isHead(request) || len(result.Value) == 0 {
 		return [][]byte{head}
 	}
--- a/internal/requestcore/body.go
+++ b/internal/requestcore/body.go
@@ -12,12 +12,12 @@
 	Discard()
 }
 
-// BodySink receives a value from a BodyStream. Either OnComplete or OnBroken is called, once: from within StartReading
+// BodySink receives a value from a BodyStream. Either OnComplete or OnAborted is called, once: from within StartReading
 // if the value has ended by then, otherwise later, but never from within ResumeReading.
 type BodySink interface {
 	// OnPart accepts as many bytes as the sink has room for, and returns their number.
 	OnPart(part []byte) int
 	OnComplete()
-	// OnBroken is called when the rest of the value cannot be received.
-	OnBroken()
+	// OnAborted is called when the rest of the value cannot be received.
+	OnAborted()
 }
--- a/internal/requestcore/dispatcher.go
+++ b/internal/requestcore/dispatcher.go
@@ -21,6 +21,6 @@
 	// Submit submits a request. The core is nil if the client has been answered already; otherwise the caller passes
 	// the id to the core's OnClientDisconnected when the client disconnects.
 	Submit(request *Request, client Client) (core *Core, id uint64)
-	// AddHeldBytes adds n, which may be negative, to the number of bytes that are buffered in memory for its clients.
-	AddHeldBytes(n int)
+	// AddBufferedBytes adds n, which may be negative, to the number of bytes that are buffered in memory for its clients.
+	AddBufferedBytes(n int)
 }
--- a/internal/requestcore/request.go
+++ b/internal/requestcore/request.go
@@ -6,7 +6,7 @@
 type Request struct {
 	Class, Tenant, Key string
 	ID                 string // chosen by the front end; a reply must carry the same id
-	Flags, Figures     string // passed to the upstream; not interpreted by this package
+	Flags, Parameters  string // passed to the upstream; not interpreted by this package
 	Write              bool
 	Value              []byte        // of a write
 	TimeLeft           float64       // seconds until the client's deadline
@@ -84,9 +84,9 @@
 
 // Result is the result of an attempt that succeeded at a cache server.
 type Result struct {
-	Value   []byte
-	Receipt string     // of a write; forwarded unchanged
-	Status  int        // if the protocol has status codes
-	Head    string     // header lines that are forwarded with the value, in the protocol's format
-	Body    BodyStream // replaces Value if the value is too long to be held in memory; nil: Value is complete
+	Value       []byte
+	Receipt     string     // of a write; forwarded unchanged
+	Status      int        // if the protocol has status codes
+	HeaderLines string     // header lines that are forwarded with the value, in the protocol's format
+	Body        BodyStream // replaces Value if the value is too long to be held in memory; nil: Value is complete
 }
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -73,7 +73,7 @@
 
 func (discardSink) OnPart(part []byte) int { return len(part) }
 func (discardSink) OnComplete()            {}
-func (discardSink) OnBroken()              {}
+func (discardSink) OnAborted()             {}
 
 // OnBodyStart settles the first attempt in flight with a body that follows. The attempt stays the first in flight until
 // the whole body has been received.
@@ -130,5 +130,5 @@
 	}
 	c.body = nil
 	body.connection = nil
-	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnBroken) })
+	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnAborted) })
 }
--- a/internal/upstream/bodystream_test.go
+++ b/internal/upstream/bodystream_test.go
@@ -24,7 +24,7 @@
 
 func (sink *fakeSink) OnComplete() { sink.ending <- "whole" }
 
-func (sink *fakeSink) OnBroken() { sink.ending <- "broken" }
+func (sink *fakeSink) OnAborted() { sink.ending <- "broken" }
 
 func (sink *fakeSink) OnPart(part []byte) int {
 	accepted := min(len(part), sink.room)
--- a/internal/upstream/golden_test.go
+++ b/internal/upstream/golden_test.go
@@ -17,9 +17,9 @@
 // TestMemcacheCommandsGolden checks the exact bytes of the commands that are sent to cache servers.
 func TestMemcacheCommandsGolden(t *testing.T) {
 	var written bytes.Buffer
-	read := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
+	read := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Parameters: "c=x,d=9"}
 	write := &requestcore.Request{
-		Key: "k", ID: "b", Flags: "Ob c", Figures: "c=y", Write: true, Value: []byte("a\r\nvalue"),
+		Key: "k", ID: "b", Flags: "Ob c", Parameters: "c=y", Write: true, Value: []byte("a\r\nvalue"),
 	}
 	for _, c := range []struct {
 		name        string
--- a/internal/upstream/helpers_test.go
+++ b/internal/upstream/helpers_test.go
@@ -173,7 +173,7 @@
 func (pools testPools) startRead(timeout float64) (outcome outcomeRecorder, pending requestcore.PendingAttempt) {
 	outcome = make(outcomeRecorder, 1)
 	pools.onLoop(pools.loop, func() {
-		request := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Figures: "c=x,d=9"}
+		request := &requestcore.Request{Key: "k", ID: "a", Flags: "v Oa", Parameters: "c=x,d=9"}
 		pending = pools.StartAttempt(1, request, timeout, timeout, outcome)
 	})
 	return outcome, pending
--- a/internal/upstream/memcachecodec.go
+++ b/internal/upstream/memcachecodec.go
@@ -30,7 +30,7 @@
 		return [][]byte{[]byte("mn\r\n")}
 	}
 	milliseconds := math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3)
-	figures := meta.WithFigure(request.Figures, "d", strconv.Itoa(int(milliseconds)))
+	figures := meta.WithFigure(request.Parameters, "d", strconv.Itoa(int(milliseconds)))
 	if request.Write {
 		command := meta.AppendSet(nil, request.Key, request.Flags, figures, len(request.Value))
 		return [][]byte{command, request.Value, []byte("\r\n")}
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -106,7 +106,7 @@
 // End handles the end of a reply. If reusable is true the connection can carry another request.
 func (c *codec) End(reusable bool) {
 	request, due := c.replies.PendingRequest()
-	result := requestcore.Result{Status: c.status, Head: c.head.String(), Value: c.body}
+	result := requestcore.Result{Status: c.status, HeaderLines: c.head.String(), Value: c.body}
 	c.releaseBody()
 	if !due {
 		c.replies.OnUnexpectedReply("an answer that nobody asked for")
