--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -62,14 +62,14 @@
 func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
 
 func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
-	className, _ := meta.Figure(parameters, "c")
+	className, _ := meta.Parameter(parameters, "c")
 	trafficType := m.conn.server.fleet.types[className]
 	if trafficType == nil || trafficType.Write != write {
 		m.conn.replyText("CLIENT_ERROR the type c is unknown\r\n")
 		return
 	}
-	idempotencyKey, _ := meta.Figure(parameters, "k")
-	deadline, _ := meta.Figure(parameters, "d")
+	idempotencyKey, _ := meta.Parameter(parameters, "k")
+	deadline, _ := meta.Parameter(parameters, "d")
 	ms, _ := strconv.ParseFloat(deadline, 64) // 0 if it is not stated
 	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -166,7 +166,7 @@
 	conn, in := s.dial()
 	for form, text := range map[string]string{
 		"a read":               "mg key v O%[1]d Pc=t,d=480\r\n",
-		"figures first":        "mg key Pd=480,c=t O%[1]d v\r\n",
+		"parameters first":     "mg key Pd=480,c=t O%[1]d v\r\n",
 		"a write":              "ms key 4 O%[1]d Pc=t,d=480\r\nm\r\n\r\r\n",
 		"a write, the id last": "ms key 4 Pd=480,r=1,c=t O%[1]d\r\nm\r\n\r\r\n",
 	} {
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -20,11 +20,11 @@
 	answerRepeatedID   = "CLIENT_ERROR the id O is another operation's"
 )
 
-// The names of the figures of a command (see meta.CommandHandler) that the router reads.
+// The names of the parameters of a command (see meta.CommandHandler) that the router reads.
 const (
-	classFigure    = "c"
-	tenantFigure   = "tenant"
-	timeLeftFigure = "d" // milliseconds
+	classParameter    = "c"
+	tenantParameter   = "tenant"
+	timeLeftParameter = "d" // milliseconds
 )
 
 var errBadTimeLeft = errors.New("not a number of 0 or more")
@@ -43,13 +43,13 @@
 func (m *memcache) InCommand() bool { return m.reader.Begun() }
 
 // Get submits a read.
-func (m *memcache) Get(key, id, flags, figures string) {
-	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: figures})
+func (m *memcache) Get(key, id, flags, parameters string) {
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: parameters})
 }
 
 // Set submits a write.
-func (m *memcache) Set(key, id, flags, figures string, value []byte) {
-	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: figures, Write: true, Value: value})
+func (m *memcache) Set(key, id, flags, parameters string, value []byte) {
+	m.submit(&requestcore.Request{Key: key, ID: id, Flags: flags, Parameters: parameters, Write: true, Value: value})
 	m.conn.ReleaseLongWrite()
 }
 
@@ -79,8 +79,8 @@
 }
 
 func (m *memcache) submit(request *requestcore.Request) {
-	request.Class, _ = meta.Figure(request.Parameters, classFigure)
-	request.Tenant, _ = meta.Figure(request.Parameters, tenantFigure)
+	request.Class, _ = meta.Parameter(request.Parameters, classParameter)
+	request.Tenant, _ = meta.Parameter(request.Parameters, tenantParameter)
 	route := m.conn.Route(request.Tenant, request.Key)
 	if route == nil {
 		m.Bad(answerNoQuota)
@@ -104,8 +104,8 @@
 
 // parseTimeLeft returns how long a client waits, in seconds, or 0 if it states no time. A client with less than a
 // millisecond left, in its last attempt, states 0, because the protocol's unit is milliseconds: its time has expired.
-func parseTimeLeft(figures string) (seconds float64, err error) {
-	text, stated := meta.Figure(figures, timeLeftFigure)
+func parseTimeLeft(parameters string) (seconds float64, err error) {
+	text, stated := meta.Parameter(parameters, timeLeftParameter)
 	if !stated {
 		return 0, nil
 	}
--- a/internal/frontend/tileserver/codec.go
+++ b/internal/frontend/tileserver/codec.go
@@ -107,7 +107,7 @@
 		Key:        tile.Key(),
 		Flags:      k.forwarded.String(),
 		TimeLeft:   timeLeft,
-		Parameters: answerFigures(k.head, keep),
+		Parameters: answerParameters(k.head, keep),
 	}
 	route := k.conn.Route("", request.Key)
 	if route == nil {
--- a/internal/frontend/tileserver/golden_test.go
+++ b/internal/frontend/tileserver/golden_test.go
@@ -81,7 +81,7 @@
 	line("unfinished", codec.CommandTimeout())
 	for _, head := range []bool{false, true} {
 		for _, keep := range []bool{true, false} {
-			request := &requestcore.Request{Parameters: answerFigures(head, keep)}
+			request := &requestcore.Request{Parameters: answerParameters(head, keep)}
 			name := fmt.Sprintf("head %t, keep %t: ", head, keep)
 			tile := requestcore.Result{Status: 200, HeaderLines: "ETag: \"a\"\r\n", Value: []byte("png")}
 			line(name+"tile", codec.Succeeded(request, tile)...)
--- a/internal/frontend/tileserver/request.go
+++ b/internal/frontend/tileserver/request.go
@@ -8,32 +8,32 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// The properties of a request that its answer depends on. They are stored in the request's Figures.
+// The properties of a request that its answer depends on. They are stored in the request's Parameters.
 const (
-	figuresHead  = "head"   // first, if the method is HEAD
-	figuresClose = " close" // last, if the connection is closed after the answer
+	parametersHead  = "head"   // first, if the method is HEAD
+	parametersClose = " close" // last, if the connection is closed after the answer
 )
 
-// answerFigures returns a request's Figures.
-func answerFigures(head, keep bool) string {
-	figures := ""
+// answerParameters returns a request's Parameters.
+func answerParameters(head, keep bool) string {
+	parameters := ""
 	if head {
-		figures = figuresHead
+		parameters = parametersHead
 	}
 	if !keep {
-		figures += figuresClose
+		parameters += parametersClose
 	}
-	return figures
+	return parameters
 }
 
 // isHead reports whether the request's method is HEAD, so that the answer has no body.
 func isHead(request *requestcore.Request) bool {
-	return strings.HasPrefix(request.Parameters, figuresHead)
+	return strings.HasPrefix(request.Parameters, parametersHead)
 }
 
 // closesConnection reports whether the connection is closed after the answer.
 func closesConnection(request *requestcore.Request) bool {
-	return strings.HasSuffix(request.Parameters, figuresClose)
+	return strings.HasSuffix(request.Parameters, parametersClose)
 }
 
 var errBadWait = errors.New("not a number above 0")
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -7,11 +7,11 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// CommandHandler handles a client's commands. In its methods id is the value of the flag O, figures the list of names
-// and values in the flag P, and flags all flags except P.
+// CommandHandler handles a client's commands. In its methods id is the value of the flag O, parameters the list of
+// names and values in the flag P, and flags all flags except P.
 type CommandHandler interface {
-	Get(key, id, flags, figures string)
-	Set(key, id, flags, figures string, value []byte)
+	Get(key, id, flags, parameters string)
+	Set(key, id, flags, parameters string, value []byte)
 	Noop()
 	Bad(answer string) // an invalid command; answer is the error for its sender
 
@@ -62,7 +62,7 @@
 		to.Bad(fault)
 		return
 	}
-	to.Get(string(fields[1]), flags.id, flags.others, flags.figures)
+	to.Get(string(fields[1]), flags.id, flags.others, flags.parameters)
 }
 
 // readSet handles a write after its value has been received: ms <key> <length> <flags>.
@@ -83,7 +83,7 @@
 	if fault != "" {
 		to.Bad(fault)
 	} else {
-		to.Set(string(fields[1]), flags.id, flags.others, flags.figures, value)
+		to.Set(string(fields[1]), flags.id, flags.others, flags.parameters, value)
 	}
 	r.nextMessage()
 	r.reserved = false
@@ -106,9 +106,9 @@
 
 // commandFlags are the flags of a command.
 type commandFlags struct {
-	id      string
-	figures string
-	others  string // all flags except the figures, including the id
+	id         string
+	parameters string
+	others     string // all flags except the parameters, including the id
 }
 
 // parseFlags parses a command's flags. If they are invalid, fault is the error for the command's sender.
@@ -120,9 +120,9 @@
 	if flags.id == "" {
 		return commandFlags{}, "CLIENT_ERROR the flag O is missing"
 	}
-	flags.figures = flagValue(fields, figuresFlag)
-	isFigures := func(field []byte) bool { return field[0] == figuresFlag }
-	others := slices.DeleteFunc(slices.Clone(fields), isFigures)
+	flags.parameters = flagValue(fields, parametersFlag)
+	isParameters := func(field []byte) bool { return field[0] == parametersFlag }
+	others := slices.DeleteFunc(slices.Clone(fields), isParameters)
 	flags.others = string(bytes.Join(others, []byte(" ")))
 	return flags, ""
 }
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -14,11 +14,11 @@
 func (c *recordedCalls) note(format string, with ...any) {
 	*c = append(*c, fmt.Sprintf(format, with...))
 }
-func (c *recordedCalls) Get(key, id, flags, figures string) {
-	c.note("get %s %s [%s] %s", key, id, flags, figures)
+func (c *recordedCalls) Get(key, id, flags, parameters string) {
+	c.note("get %s %s [%s] %s", key, id, flags, parameters)
 }
-func (c *recordedCalls) Set(key, id, flags, figures string, value []byte) {
-	c.note("set %s %s [%s] %s %q", key, id, flags, figures, value)
+func (c *recordedCalls) Set(key, id, flags, parameters string, value []byte) {
+	c.note("set %s %s [%s] %s %q", key, id, flags, parameters, value)
 }
 func (c *recordedCalls) Noop()             { c.note("noop") }
 func (c *recordedCalls) Bad(answer string) { c.note("bad %s", answer) }
@@ -133,15 +133,15 @@
 
 // A forwarded command is unchanged except for the time that the router will wait.
 func TestForwardedCommandIsUnchanged(t *testing.T) {
-	figures := WithFigure("c=read,d=480,k=9,r=1", "d", "77")
-	if got, want := string(AppendGet(nil, "k", "v Oa", figures)), "mg k v Oa Pc=read,k=9,r=1,d=77\r\n"; got != want {
+	parameters := WithParameter("c=read,d=480,k=9,r=1", "d", "77")
+	if got, want := string(AppendGet(nil, "k", "v Oa", parameters)), "mg k v Oa Pc=read,k=9,r=1,d=77\r\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
-	if got, want := string(AppendSet(nil, "k", "Oa", WithFigure("", "d", "5"), 3)), "ms k 3 Oa Pd=5\r\n"; got != want {
+	if got, want := string(AppendSet(nil, "k", "Oa", WithParameter("", "d", "5"), 3)), "ms k 3 Oa Pd=5\r\n"; got != want {
 		t.Errorf("got %s, want %s", got, want)
 	}
-	if got, there := Figure("c=read,d=480,dd=1", "d"); got != "480" || !there {
-		t.Errorf("Figure d: got %q, want 480", got)
+	if got, there := Parameter("c=read,d=480,dd=1", "d"); got != "480" || !there {
+		t.Errorf("Parameter d: got %q, want 480", got)
 	}
 	if got := string(AppendBusy(AppendStored(AppendValue(nil, "a", 3), "b", "7"), 12)); got !=
 		"VA 3 Oa\r\nHD Ob c7\r\nSERVER_ERROR busy 12\r\n" {
--- a/internal/meta/pieces_test.go
+++ b/internal/meta/pieces_test.go
@@ -5,12 +5,12 @@
 	"testing"
 )
 
-// A command in any form that the protocol allows must be read as the same command: with its flags and figures in any
+// A command in any form that the protocol allows must be read as the same command: with its flags and parameters in any
 // order, with several commands in one segment, and cut at any position.
 func TestCommandsOfEveryFormCutAnywhere(t *testing.T) {
 	for _, end := range []string{"\r\n", "\n"} {
-		for _, figures := range permutations("c=read", "d=480", "r=1") {
-			p := strings.Join(figures, ",")
+		for _, parameters := range permutations("c=read", "d=480", "r=1") {
+			p := strings.Join(parameters, ",")
 			for _, flags := range permutations("v", "Oa1", "P"+p) {
 				others := strings.Join(without(flags, "P"+p), " ")
 				all := strings.Join(flags, " ")
--- a/internal/meta/write.go
+++ b/internal/meta/write.go
@@ -3,27 +3,27 @@
 import "strconv"
 
 // AppendGet appends the command for a read.
-func AppendGet(to []byte, key, flags, figures string) []byte {
+func AppendGet(to []byte, key, flags, parameters string) []byte {
 	to = append(to, "mg "...)
 	to = append(to, key...)
-	return appendFlags(to, flags, figures)
+	return appendFlags(to, flags, parameters)
 }
 
 // AppendSet appends the command for a write, without the value and its line end.
-func AppendSet(to []byte, key, flags, figures string, length int) []byte {
+func AppendSet(to []byte, key, flags, parameters string, length int) []byte {
 	to = append(to, "ms "...)
 	to = append(to, key...)
 	to = append(to, ' ')
 	to = strconv.AppendInt(to, int64(length), 10)
-	return appendFlags(to, flags, figures)
+	return appendFlags(to, flags, parameters)
 }
 
 // appendFlags appends the flags of a command and its line end.
-func appendFlags(to []byte, flags, figures string) []byte {
+func appendFlags(to []byte, flags, parameters string) []byte {
 	to = append(to, ' ')
 	to = append(to, flags...)
-	to = append(to, ' ', figuresFlag)
-	to = append(to, figures...)
+	to = append(to, ' ', parametersFlag)
+	to = append(to, parameters...)
 	return append(to, lineEnd...)
 }
 
--- a/internal/upstream/memcachecodec.go
+++ b/internal/upstream/memcachecodec.go
@@ -30,12 +30,12 @@
 		return [][]byte{[]byte("mn\r\n")}
 	}
 	milliseconds := math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3)
-	figures := meta.WithFigure(request.Parameters, "d", strconv.Itoa(int(milliseconds)))
+	parameters := meta.WithParameter(request.Parameters, "d", strconv.Itoa(int(milliseconds)))
 	if request.Write {
-		command := meta.AppendSet(nil, request.Key, request.Flags, figures, len(request.Value))
+		command := meta.AppendSet(nil, request.Key, request.Flags, parameters, len(request.Value))
 		return [][]byte{command, request.Value, []byte("\r\n")}
 	}
-	return [][]byte{meta.AppendGet(nil, request.Key, request.Flags, figures)}
+	return [][]byte{meta.AppendGet(nil, request.Key, request.Flags, parameters)}
 }
 
 // Decode reads the next reply, or a part of a long reply.
