--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -376,7 +376,7 @@
 // drawReadBehavior draws how an attempt reads its long value.
 func (c *Clients) drawReadBehavior(attempt *Try) {
 	trafficType := attempt.Op.Type
-	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.ValueBound {
+	if len(c.readBehaviors) == 0 || trafficType.Write || trafficType.Scheme != "" || trafficType.Size <= meta.MaxBufferedValueBytes {
 		return
 	}
 	draw := c.rng.Float64()
--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -47,7 +47,7 @@
 		return [][]byte{meta.AppendGet(nil, request.Key, "v O"+attempt.ID, parameters)}
 	}
 	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, parameters, request.Type.Size), []byte("\r\n")
-	if request.Type.Size > meta.ValueBound {
+	if request.Type.Size > meta.MaxBufferedValueBytes {
 		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Tries)), request.Type.Size)
 		return append(append([][]byte{text}, v.Pieces()...), end)
 	}
--- a/internal/emulator/longvalue.go
+++ b/internal/emulator/longvalue.go
@@ -138,7 +138,7 @@
 		return false
 	}
 	n, err := strconv.ParseUint(string(fields[2]), 10, 31)
-	if err != nil || n <= meta.ValueBound || n > meta.LongBound {
+	if err != nil || n <= meta.MaxBufferedValueBytes || n > meta.MaxLongValueBytes {
 		return false
 	}
 	in.Drop(end + 1)
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -18,7 +18,7 @@
 var longReadType = &TrafficType{Name: "bulk", Share: 1, Effect: balancer.Idempotent, Work: 0.001, Size: mebibyte,
 	Promised: 5, HardStop: 5, Benefit: 1}
 var longWriteType = &TrafficType{Name: "bulkput", Share: 1, Write: true, Effect: balancer.IdempotencyKeyed, Window: 5,
-	Work: 0.001, Size: meta.LongBound, Promised: 5,
+	Work: 0.001, Size: meta.MaxLongValueBytes, Promised: 5,
 	HardStop: 5, Benefit: 1}
 
 // startLongValueFleet returns a fleet of one server that serves long values.
@@ -73,7 +73,7 @@
 func TestLongValueWrite(t *testing.T) {
 	fleet, server := startLongValueFleet(t)
 	conn := dialServer(t, server.Addr)
-	value := NewValue("k", "a", "its client", 1, meta.LongBound)
+	value := NewValue("k", "a", "its client", 1, meta.MaxLongValueBytes)
 	for _, change := range []bool{false, true} {
 		fmt.Fprintf(conn.Conn, "ms k %d Oa Pc=bulkput,d=4000\r\n", value.Len())
 		whole := bytes.Join(value.Pieces(), nil)
@@ -160,7 +160,7 @@
 	} {
 		fleet, server := startLongValueFleet(t)
 		fleet.runOnLoop(func() {
-			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.LongBound, Effect: balancer.Idempotent}
+			fleet.types["bulk"] = &TrafficType{Name: "bulk", Work: 0.001, Size: meta.MaxLongValueBytes, Effect: balancer.Idempotent}
 		})
 		conn := dialServer(t, server.Addr)
 		conn.Conn.(*net.TCPConn).SetReadBuffer(4096)
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -203,7 +203,7 @@
 		}
 		if server.rng.Float64() < server.corruptFraction {
 			r.execution.How = Spoilt
-			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
+			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.MaxBufferedValueBytes)))}
 			r.conn.corrupted = true
 		} else if r.execution.Length > 0 {
 			text = r.drawEnding(text)
--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -76,7 +76,7 @@
 
 func (m *memcacheServer) encodeValue(reply *reply) ([][]byte, uint32) {
 	v := m.conn.server.newValue(reply.execution, reply.key)
-	if v.Len() > meta.ValueBound {
+	if v.Len() > meta.MaxBufferedValueBytes {
 		reply.execution.Length = v.Len()
 	}
 	text := append([][]byte{meta.AppendValue(nil, reply.execution.ID, v.Len())}, v.Pieces()...)
--- a/internal/emulator/standin.go
+++ b/internal/emulator/standin.go
@@ -23,7 +23,7 @@
 	Window   float64 // deduplication window in seconds, of idempotency-keyed requests
 	Work     float64 // mean seconds on a core of speed 1
 	Spread   float64 // coefficient of variation of the work: standard deviation divided by mean
-	Size     int     // bytes of a value, at most meta.LongBound
+	Size     int     // bytes of a value, at most meta.MaxLongValueBytes
 	Promised float64 // latency objective in seconds
 	HardStop float64
 	Benefit  float64
--- a/internal/emulator/value.go
+++ b/internal/emulator/value.go
@@ -64,7 +64,7 @@
 // Sum returns the checksum that identifies the value. For a short value it covers all bytes. For a long value it covers
 // the head and the length, since the rest follows from these and is checked as it is received.
 func (v Value) Sum() uint32 {
-	if v.length > meta.ValueBound {
+	if v.length > meta.MaxBufferedValueBytes {
 		return longSum(v.head, v.length)
 	}
 	sum := uint32(0)
--- a/internal/emulator/value_test.go
+++ b/internal/emulator/value_test.go
@@ -63,7 +63,7 @@
 
 // Check accepts short values, which are as long as requested or longer if their head needs it.
 func TestCheckAcceptsShortValues(t *testing.T) {
-	for _, size := range []int{0, 100, meta.ValueBound} {
+	for _, size := range []int{0, 100, meta.MaxBufferedValueBytes} {
 		value := NewValue("k", "id", "s", 1, size)
 		check := Check{Length: value.Len()}
 		check.Take(bytes.Join(value.Pieces(), nil))
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -77,7 +77,7 @@
 			fault(flag, text, "want three or more rising numbers from %d to %d, such as %s", least, most, example)
 		}
 	}
-	checkRising("sizes", o.Sizes, minValueBytes, meta.LongBound, "60000,200000,1000000,4000000")
+	checkRising("sizes", o.Sizes, minValueBytes, meta.MaxLongValueBytes, "60000,200000,1000000,4000000")
 	checkRising("transfers", o.Transfers, 1, maxTransfers, "1,16,64,256")
 	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
 		fault("bytes", o.Bytes, "want a number from %d to %d", minValueBytes, maxPointBytes)
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -312,7 +312,7 @@
 		s.checkAbove(key("work_ms"), t.WorkMS, 0)
 		s.checkAbove(key("promised_ms"), t.PromisedMS, 0)
 		s.checkAbove(key("benefit"), t.Benefit, 0)
-		most := meta.LongBound
+		most := meta.MaxLongValueBytes
 		if t.Scheme != "" {
 			most = maxTileBytes
 		}
@@ -347,7 +347,7 @@
 const maxTileBytes = 60000
 
 // hasLongValues reports whether a class's values are too large to be buffered whole, so that routers stream them.
-func (t TypePart) hasLongValues() bool { return t.Size > meta.ValueBound }
+func (t TypePart) hasLongValues() bool { return t.Size > meta.MaxBufferedValueBytes }
 
 func (s *Scenario) hasLongValues() bool { return slices.ContainsFunc(s.Types, TypePart.hasLongValues) }
 
@@ -525,7 +525,7 @@
 		s.file.Fault(key+".from", "%s has neither from nor what", f.Kind)
 	}
 	if k.longValuesOnly && !s.hasLongValues() {
-		s.file.Fault(key+".kind", "%s needs a type whose size is above %d", f.Kind, meta.ValueBound)
+		s.file.Fault(key+".kind", "%s needs a type whose size is above %d", f.Kind, meta.MaxBufferedValueBytes)
 	}
 	if strings.HasPrefix(f.Kind, "state-") && !s.Routers.Folders {
 		s.file.Fault(key+".kind", "%s needs routers.folders", f.Kind)
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -15,8 +15,8 @@
 	Noop()
 	Bad(answer string) // an invalid command; answer is the error for its sender
 
-	// Reserve reserves memory for a value longer than ValueBound, which is about to be received. If it returns false,
-	// there is no memory, and the value is skipped.
+	// Reserve reserves memory for a value longer than MaxBufferedValueBytes, which is about to be received. If it returns
+	// false, there is no memory, and the value is skipped.
 	Reserve(length int) bool
 	Refused() // a value for which Reserve returned false has been skipped
 }
@@ -75,7 +75,7 @@
 			return r.skipValue(in, to), nil
 		}
 	}
-	value, complete, err := r.readValue(in, fields[2], LongBound)
+	value, complete, err := r.readValue(in, fields[2], MaxLongValueBytes)
 	if !complete {
 		return false, err
 	}
--- a/internal/meta/reply.go
+++ b/internal/meta/reply.go
@@ -11,7 +11,7 @@
 // Replies handles a cache server's replies, in the order of the commands.
 type Replies interface {
 	Value(id string, value []byte)
-	Long(id string, length int) // a value longer than ValueBound begins
+	Long(id string, length int) // a value longer than MaxBufferedValueBytes begins
 	Part(part []byte) int       // the next bytes of it; returns how many of them it had capacity for
 	LongEnd()                   // the value is complete
 	Stored(id, receipt string)
@@ -79,7 +79,7 @@
 		to.Long(flagValue(fields[2:], idFlag), longLength)
 		return r.passLongValue(in, to)
 	}
-	value, complete, err := r.readValue(in, fields[1], ValueBound)
+	value, complete, err := r.readValue(in, fields[1], MaxBufferedValueBytes)
 	if !complete {
 		return false, err
 	}
--- a/internal/meta/stream.go
+++ b/internal/meta/stream.go
@@ -10,8 +10,8 @@
 
 // The maximum sizes of values, in bytes.
 const (
-	ValueBound = 64 << 10 // of a value that is buffered; a longer value is a long value
-	LongBound  = 4 << 20  // of a long value
+	MaxBufferedValueBytes = 64 << 10 // of a value that is buffered; a longer value is a long value
+	MaxLongValueBytes     = 4 << 20  // of a long value
 )
 
 const (
@@ -113,7 +113,7 @@
 // longValueLength returns a stated length if it is that of a long value, and 0 otherwise.
 func longValueLength(stated []byte) int {
 	length, err := strconv.ParseUint(string(stated), 10, maxLengthBits)
-	if err != nil || length <= ValueBound || length > LongBound {
+	if err != nil || length <= MaxBufferedValueBytes || length > MaxLongValueBytes {
 		return 0
 	}
 	return int(length)
