--- a/internal/emulator/clientspeech.go
+++ b/internal/emulator/clientspeech.go
@@ -62,16 +62,16 @@
 	}
 }
 
-// Long handles the beginning of a long value.
-func (m *memcacheClient) Long(id string, length int) {
+// LongValueBegin handles the beginning of a long value.
+func (m *memcacheClient) LongValueBegin(id string, length int) {
 	m.longID, m.check = id, Check{Length: length}
 	if attempt := m.conn.attempt; attempt != nil && id == attempt.ID {
 		attempt.Length = length
 	}
 }
 
-// Part handles a piece of a long value.
-func (m *memcacheClient) Part(part []byte) int {
+// LongValuePart handles a piece of a long value.
+func (m *memcacheClient) LongValuePart(part []byte) int {
 	m.check.Take(part)
 	if attempt := m.conn.attempt; attempt != nil && m.longID == attempt.ID {
 		attempt.Came, attempt.Begun, m.conn.lastByteAt = m.check.Came, m.check.Sum(), m.conn.target.clients.loop.Now()
@@ -83,9 +83,9 @@
 	return len(part)
 }
 
-// LongEnd handles the end of a read's long value. A value that does not match its head is recorded as malformed and
-// gets no checksum, because no server made it.
-func (m *memcacheClient) LongEnd() {
+// LongValueEnd handles the end of a read's long value. A value that does not match its head is recorded as malformed
+// and gets no checksum, because no server made it.
+func (m *memcacheClient) LongValueEnd() {
 	if m.conn.closed || !m.conn.expectsAnswer(m.longID) {
 		return
 	}
@@ -123,8 +123,8 @@
 // Ready is the answer to a probe, which clients don't send.
 func (m *memcacheClient) Ready() {}
 
-// Other rejects any other line.
-func (m *memcacheClient) Other(line string) {
+// UnknownLine rejects any other line.
+func (m *memcacheClient) UnknownLine(line string) {
 	if m.conn.expectsAnswer("") {
 		m.conn.rejectAnswer(line)
 	}
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -8,7 +8,7 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// recordedCalls is a CommandHandler and Replies that records its calls.
+// recordedCalls is a CommandHandler and ReplyHandler that records its calls.
 type recordedCalls []string
 
 func (c *recordedCalls) note(format string, with ...any) {
@@ -27,15 +27,15 @@
 	c.note("reserve %d", length)
 	return length != 70000
 }
-func (c *recordedCalls) Value(id string, value []byte) { c.note("value %s %q", id, value) }
-func (c *recordedCalls) Long(id string, length int)    { c.note("long %s %d", id, length) }
-func (c *recordedCalls) Part(part []byte) int          { return len(part) }
-func (c *recordedCalls) LongEnd()                      { c.note("end") }
-func (c *recordedCalls) Stored(id, receipt string)     { c.note("stored %s %s", id, receipt) }
-func (c *recordedCalls) Busy(int)                      { c.note("busy") }
-func (c *recordedCalls) Failed()                       { c.note("failed") }
-func (c *recordedCalls) Ready()                        { c.note("ready") }
-func (c *recordedCalls) Other(line string)             { c.note("other %s", line) }
+func (c *recordedCalls) Value(id string, value []byte)        { c.note("value %s %q", id, value) }
+func (c *recordedCalls) LongValueBegin(id string, length int) { c.note("long %s %d", id, length) }
+func (c *recordedCalls) LongValuePart(part []byte) int        { return len(part) }
+func (c *recordedCalls) LongValueEnd()                        { c.note("end") }
+func (c *recordedCalls) Stored(id, receipt string)            { c.note("stored %s %s", id, receipt) }
+func (c *recordedCalls) Busy(int)                             { c.note("busy") }
+func (c *recordedCalls) Failed()                              { c.note("failed") }
+func (c *recordedCalls) Ready()                               { c.note("ready") }
+func (c *recordedCalls) UnknownLine(line string)              { c.note("other %s", line) }
 
 // reader reads one message.
 type reader func(*ringbuffer.Buffer, *recordedCalls) (bool, error)
--- a/internal/meta/reply.go
+++ b/internal/meta/reply.go
@@ -8,17 +8,17 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Replies handles a cache server's replies, in the order of the commands.
-type Replies interface {
+// ReplyHandler handles a cache server's replies, in the order of the commands.
+type ReplyHandler interface {
 	Value(id string, value []byte)
-	Long(id string, length int) // a value longer than MaxBufferedValueBytes begins
-	Part(part []byte) int       // the next bytes of it; returns how many of them it had capacity for
-	LongEnd()                   // the value is complete
+	LongValueBegin(id string, length int) // a value longer than MaxBufferedValueBytes begins
+	LongValuePart(part []byte) int        // the next bytes of it; returns how many of them it had capacity for
+	LongValueEnd()                        // the value is complete
 	Stored(id, receipt string)
 	Busy(after int) // milliseconds until a retry, 0 if the server states none
 	Failed()
-	Ready()       // the answer to mn
-	Other(string) // any other line
+	Ready()             // the answer to mn
+	UnknownLine(string) // any other line
 }
 
 // ReplyReader reads a cache server's replies. The zero value is ready for use.
@@ -49,7 +49,7 @@
 // Read passes the next reply to a handler, and returns false while it is incomplete. After an error the stream cannot
 // be read any further. A line that cannot be a reply is rejected by its first bytes: if its end never arrived, the
 // caller would wait for it until its deadline.
-func (r *ReplyReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
+func (r *ReplyReader) Read(in *ringbuffer.Buffer, to ReplyHandler) (bool, error) {
 	if r.remaining > 0 {
 		return r.passLongValue(in, to)
 	}
@@ -69,14 +69,14 @@
 }
 
 // readValueReply handles a value: VA <length> <flags>.
-func (r *ReplyReader) readValueReply(in *ringbuffer.Buffer, fields [][]byte, to Replies) (bool, error) {
+func (r *ReplyReader) readValueReply(in *ringbuffer.Buffer, fields [][]byte, to ReplyHandler) (bool, error) {
 	longLength := longValueLength(fields[1])
 	if longLength > 0 {
 		if in.Len() == 0 { // the value begins with its first byte: until then a retry is still possible
 			return false, nil
 		}
 		r.remaining = longLength + len(lineEnd)
-		to.Long(flagValue(fields[2:], idFlag), longLength)
+		to.LongValueBegin(flagValue(fields[2:], idFlag), longLength)
 		return r.passLongValue(in, to)
 	}
 	value, complete, err := r.readValue(in, fields[1], MaxBufferedValueBytes)
@@ -89,7 +89,7 @@
 }
 
 // handleLine handles a reply without a value.
-func (r *ReplyReader) handleLine(verb string, fields [][]byte, to Replies) {
+func (r *ReplyReader) handleLine(verb string, fields [][]byte, to ReplyHandler) {
 	switch {
 	case verb == "HD":
 		to.Stored(flagValue(fields[1:], idFlag), flagValue(fields[1:], receiptFlag))
@@ -100,7 +100,7 @@
 	case verb == "MN":
 		to.Ready()
 	default:
-		to.Other(string(bytes.TrimSpace(r.line)))
+		to.UnknownLine(string(bytes.TrimSpace(r.line)))
 	}
 }
 
@@ -115,7 +115,7 @@
 
 // passLongValue passes the received bytes of a long value on, as far as the handler has capacity. It returns true when
 // the value is complete.
-func (r *ReplyReader) passLongValue(in *ringbuffer.Buffer, to Replies) (bool, error) {
+func (r *ReplyReader) passLongValue(in *ringbuffer.Buffer, to ReplyHandler) (bool, error) {
 	for r.remaining > 0 {
 		var parts [2][]byte
 		held := in.Held(parts[:0])
@@ -131,7 +131,7 @@
 			r.remaining--
 			continue
 		}
-		taken := to.Part(part[:min(len(part), r.remaining-len(lineEnd))])
+		taken := to.LongValuePart(part[:min(len(part), r.remaining-len(lineEnd))])
 		if taken == 0 {
 			return false, nil
 		}
@@ -139,6 +139,6 @@
 		r.remaining -= taken
 	}
 	r.nextMessage()
-	to.LongEnd()
+	to.LongValueEnd()
 	return true, nil
 }
--- a/internal/upstream/memcachecodec.go
+++ b/internal/upstream/memcachecodec.go
@@ -15,7 +15,7 @@
 const minSecondsLeft = 1e-3
 
 // memcacheCodec is a Codec for the meta commands of the memcache text protocol, which the platform's cache servers use.
-// It implements meta.Replies for its reader.
+// It implements meta.ReplyHandler for its reader.
 type memcacheCodec struct {
 	replies ReplyHandler
 	reader  meta.ReplyReader
@@ -69,8 +69,8 @@
 	m.replies.OnReply(balancer.Succeeded, requestcore.Result{Value: value}, true)
 }
 
-// Long handles the beginning of a long reply to a read.
-func (m *memcacheCodec) Long(id string, length int) {
+// LongValueBegin handles the beginning of a long reply to a read.
+func (m *memcacheCodec) LongValueBegin(id string, length int) {
 	if !m.isDue(id, false) {
 		m.replies.OnUnexpectedReply("VA " + id)
 		return
@@ -78,11 +78,11 @@
 	m.replies.OnBodyStart(length)
 }
 
-// Part handles the next bytes of a long reply and returns how many were accepted.
-func (m *memcacheCodec) Part(part []byte) int { return m.replies.OnBodyPart(part) }
+// LongValuePart handles the next bytes of a long reply and returns how many were accepted.
+func (m *memcacheCodec) LongValuePart(part []byte) int { return m.replies.OnBodyPart(part) }
 
-// LongEnd handles the end of a long reply.
-func (m *memcacheCodec) LongEnd() { m.replies.OnBodyEnd() }
+// LongValueEnd handles the end of a long reply.
+func (m *memcacheCodec) LongValueEnd() { m.replies.OnBodyEnd() }
 
 // Stored handles the reply to a write.
 func (m *memcacheCodec) Stored(id, receipt string) {
@@ -113,6 +113,6 @@
 	m.replies.OnReply(balancer.Succeeded, requestcore.Result{}, true)
 }
 
-// Other handles a line that the protocol does not define. The connection is closed, because bytes that follow the line
-// could be mistaken for the reply to another request.
-func (m *memcacheCodec) Other(line string) { m.replies.OnUnexpectedReply(line) }
+// UnknownLine handles a line that the protocol does not define. The connection is closed, because bytes that follow the
+// line could be mistaken for the reply to another request.
+func (m *memcacheCodec) UnknownLine(line string) { m.replies.OnUnexpectedReply(line) }
