--- a/internal/emulator/speech.go
+++ b/internal/emulator/speech.go
@@ -49,8 +49,8 @@
 // Reserve is never called: longWrite reads long writes.
 func (m *memcacheServer) Reserve(int) bool { return true }
 
-// Refused is never called, because Reserve refuses nothing.
-func (m *memcacheServer) Refused() {}
+// LongValueSkipped is never called, because Reserve refuses nothing.
+func (m *memcacheServer) LongValueSkipped() {}
 
 // Noop answers a probe.
 func (m *memcacheServer) Noop() {
@@ -58,8 +58,8 @@
 	m.conn.replyText("MN\r\n")
 }
 
-// Bad answers a malformed or unknown command.
-func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
+// BadCommand answers a malformed or unknown command.
+func (m *memcacheServer) BadCommand(answer string) { m.conn.replyText(answer + "\r\n") }
 
 func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
 	className, _ := meta.Parameter(parameters, "c")
--- a/internal/frontend/memcache.go
+++ b/internal/frontend/memcache.go
@@ -66,14 +66,14 @@
 // Reserve reserves memory for a long write.
 func (m *memcache) Reserve(length int) bool { return m.conn.ReserveLongWrite(length) }
 
-// Refused rejects a long write for which there was no memory, after its value has been skipped.
-func (m *memcache) Refused() {
+// LongValueSkipped rejects a long write for which there was no memory, after its value has been skipped.
+func (m *memcache) LongValueSkipped() {
 	m.conn.Answer(meta.AppendBusy(nil, 0))
 	m.conn.ReleaseLongWrite()
 }
 
-// Bad answers an invalid command.
-func (m *memcache) Bad(text string) {
+// BadCommand answers an invalid command.
+func (m *memcache) BadCommand(text string) {
 	m.conn.AnswerBadCommand([]byte(text + "\r\n"))
 	m.conn.ReleaseLongWrite()
 }
@@ -83,22 +83,22 @@
 	request.Tenant, _ = meta.Parameter(request.Parameters, tenantParameter)
 	route := m.conn.Route(request.Tenant, request.Key)
 	if route == nil {
-		m.Bad(answerNoQuota)
+		m.BadCommand(answerNoQuota)
 		return
 	}
 	maxDeadline, known := route.MaxDeadline(request.Class)
 	if !known { // no cache server accepts it, either
-		m.Bad(answerUnknownClass)
+		m.BadCommand(answerUnknownClass)
 		return
 	}
 	timeLeft, err := parseTimeLeft(request.Parameters)
 	if err != nil {
-		m.Bad(answerBadTimeLeft)
+		m.BadCommand(answerBadTimeLeft)
 		return
 	}
 	request.TimeLeft = timeLeft
 	if !m.conn.Submit(route, request, maxDeadline) {
-		m.Bad(answerRepeatedID)
+		m.BadCommand(answerRepeatedID)
 	}
 }
 
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -13,12 +13,12 @@
 	Get(key, id, flags, parameters string)
 	Set(key, id, flags, parameters string, value []byte)
 	Noop()
-	Bad(answer string) // an invalid command; answer is the error for its sender
+	BadCommand(answer string) // an invalid command; answer is the error for its sender
 
 	// Reserve reserves memory for a value longer than MaxBufferedValueBytes, which is about to be received. If it returns
 	// false, there is no memory, and the value is skipped.
 	Reserve(length int) bool
-	Refused() // a value for which Reserve returned false has been skipped
+	LongValueSkipped() // a value for which Reserve returned false has been skipped
 }
 
 // CommandReader reads a client's commands. The zero value is ready for use.
@@ -49,7 +49,7 @@
 	case verb == "ms" && len(fields) >= 3:
 		return r.readSet(in, fields, to)
 	default:
-		to.Bad("ERROR")
+		to.BadCommand("ERROR")
 	}
 	r.nextMessage()
 	return true, nil
@@ -59,7 +59,7 @@
 func handleGet(fields [][]byte, to CommandHandler) {
 	flags, fault := parseFlags(fields[1], fields[2:])
 	if fault != "" {
-		to.Bad(fault)
+		to.BadCommand(fault)
 		return
 	}
 	to.Get(string(fields[1]), flags.id, flags.others, flags.parameters)
@@ -81,7 +81,7 @@
 	}
 	flags, fault := parseFlags(fields[1], fields[3:])
 	if fault != "" {
-		to.Bad(fault)
+		to.BadCommand(fault)
 	} else {
 		to.Set(string(fields[1]), flags.id, flags.others, flags.parameters, value)
 	}
@@ -100,7 +100,7 @@
 		return false
 	}
 	r.nextMessage()
-	to.Refused()
+	to.LongValueSkipped()
 	return true
 }
 
--- a/internal/meta/meta_test.go
+++ b/internal/meta/meta_test.go
@@ -20,9 +20,9 @@
 func (c *recordedCalls) Set(key, id, flags, parameters string, value []byte) {
 	c.note("set %s %s [%s] %s %q", key, id, flags, parameters, value)
 }
-func (c *recordedCalls) Noop()             { c.note("noop") }
-func (c *recordedCalls) Bad(answer string) { c.note("bad %s", answer) }
-func (c *recordedCalls) Refused()          { c.note("refused") }
+func (c *recordedCalls) Noop()                    { c.note("noop") }
+func (c *recordedCalls) BadCommand(answer string) { c.note("bad %s", answer) }
+func (c *recordedCalls) LongValueSkipped()        { c.note("refused") }
 func (c *recordedCalls) Reserve(length int) bool {
 	c.note("reserve %d", length)
 	return length != 70000
