--- a/internal/http1/doc.go
+++ b/internal/http1/doc.go
@@ -1,5 +1,5 @@
 // Package http1 parses HTTP/1.1 requests and responses from a byte stream, which may arrive in pieces of any size. It
-// passes the fields of a message to the caller's RequestHandler or Replies. Requests have no bodies; bodies of
+// passes the fields of a message to the caller's RequestHandler or ResponseHandler. Requests have no bodies; bodies of
 // responses are passed on in parts and not stored.
 //
 // Ambiguous messages are rejected with a Fault: two lengths, a length together with chunks, lines that end in a bare
--- a/internal/http1/helpers_test.go
+++ b/internal/http1/helpers_test.go
@@ -8,7 +8,7 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// recorder is a RequestHandler and Replies that records its calls as text.
+// recorder is a RequestHandler and ResponseHandler that records its calls as text.
 type recorder struct {
 	strings.Builder
 	bound int64
--- a/internal/http1/response.go
+++ b/internal/http1/response.go
@@ -7,9 +7,9 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// Replies handles a server's responses. ResponseReader.Read and ResponseReader.Closed call Status, then Header for each
-// header, then Length if the response states it, then Body for each part of the body, then End.
-type Replies interface {
+// ResponseHandler handles a server's responses. ResponseReader.Read and ResponseReader.Closed call Status, then Header
+// for each header, then Length if the response states it, then Body for each part of the body, then End.
+type ResponseHandler interface {
 	Status(code int)
 	Header(name, value string) // the name in lower case; hop-by-hop headers are left out
 	Length(n int64) error      // of the body; an error ends the reading before any of the body is read
@@ -62,7 +62,7 @@
 func (r *ResponseReader) Begun() bool { return r.phase != atStatus || len(r.line) > 0 }
 
 // Closed handles the end of the connection, and reports whether that completes the current response.
-func (r *ResponseReader) Closed(to Replies) bool {
+func (r *ResponseReader) Closed(to ResponseHandler) bool {
 	if r.phase != inBodyUntilClose {
 		return false
 	}
@@ -73,7 +73,7 @@
 
 // Read continues with the current response, and returns true when all of it has been passed on. After an error the
 // stream cannot be read any further.
-func (r *ResponseReader) Read(in *ringbuffer.Buffer, to Replies) (bool, error) {
+func (r *ResponseReader) Read(in *ringbuffer.Buffer, to ResponseHandler) (bool, error) {
 	for {
 		step, err := r.step(in, to)
 		if err != nil {
@@ -85,7 +85,7 @@
 	}
 }
 
-func (r *ResponseReader) step(in *ringbuffer.Buffer, to Replies) (progress, error) {
+func (r *ResponseReader) step(in *ringbuffer.Buffer, to ResponseHandler) (progress, error) {
 	switch r.phase {
 	case inBody, inChunk, inBodyUntilClose:
 		return r.readBody(in, to)
@@ -103,7 +103,7 @@
 }
 
 // readBody passes on the received bytes of a body or of a chunk.
-func (r *ResponseReader) readBody(in *ringbuffer.Buffer, to Replies) (progress, error) {
+func (r *ResponseReader) readBody(in *ringbuffer.Buffer, to ResponseHandler) (progress, error) {
 	var parts [2][]byte
 	held := in.Held(parts[:0])
 	if len(held) == 0 {
@@ -132,7 +132,7 @@
 	return advanced, nil
 }
 
-func (r *ResponseReader) handleLine(line []byte, to Replies) (progress, error) {
+func (r *ResponseReader) handleLine(line []byte, to ResponseHandler) (progress, error) {
 	switch r.phase {
 	case atStatus:
 		return advanced, r.handleStatusLine(line, to)
@@ -159,7 +159,7 @@
 	return advanced, nil
 }
 
-func (r *ResponseReader) handleStatusLine(line []byte, to Replies) error {
+func (r *ResponseReader) handleStatusLine(line []byte, to ResponseHandler) error {
 	code, minorVersion, valid := parseStatusLine(line)
 	if !valid {
 		return errStatusLine
@@ -208,7 +208,7 @@
 	return int(number), int(minor - '0'), true
 }
 
-func (r *ResponseReader) handleHeader(line []byte, to Replies) error {
+func (r *ResponseReader) handleHeader(line []byte, to ResponseHandler) error {
 	if !r.head.countHeader(line) {
 		return errResponseHeadersTooLong
 	}
@@ -246,7 +246,7 @@
 }
 
 // endHeaders handles the end of the headers and determines how the body is delimited.
-func (r *ResponseReader) endHeaders(to Replies) (progress, error) {
+func (r *ResponseReader) endHeaders(to ResponseHandler) (progress, error) {
 	switch {
 	case !r.isFinal():
 		r.phase = atStatus
@@ -267,7 +267,7 @@
 }
 
 // beginBody starts a body of a stated length.
-func (r *ResponseReader) beginBody(to Replies) (progress, error) {
+func (r *ResponseReader) beginBody(to ResponseHandler) (progress, error) {
 	err := to.Length(r.length)
 	if err != nil {
 		return advanced, err
@@ -300,7 +300,7 @@
 }
 
 // finish ends the current response.
-func (r *ResponseReader) finish(to Replies) progress {
+func (r *ResponseReader) finish(to ResponseHandler) progress {
 	r.phase = atStatus
 	r.informational = 0
 	to.End(r.head.keepsConnection())
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -18,7 +18,7 @@
 // least one.
 const minSecondsLeft = 1e-3
 
-// codec is the upstream.Codec of one connection. It implements http1.Replies for its reader.
+// codec is the upstream.Codec of one connection. It implements http1.ResponseHandler for its reader.
 type codec struct {
 	client  *Client
 	replies upstream.ReplyHandler
