--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -18,7 +18,7 @@
 // EndpointList is a full list, or a delta to an earlier list.
 type EndpointList struct {
 	Generation uint64 // increases with each change, as long as the same service assigns it
-	Complete   bool   // a full list with all servers; else a delta with the changed ones
+	Full       bool   // a full list with all servers; else a delta with the changed ones
 	Instances  []Instance
 	FirstFault string // first fault of an instance that cannot be used; "": all can be used
 }
--- a/internal/discovery/parse.go
+++ b/internal/discovery/parse.go
@@ -45,7 +45,7 @@
 	}
 	list := FromObject(object)
 	faults := object.Faults()
-	if list.Complete && object.Absent(fieldInstances) {
+	if list.Full && object.Absent(fieldInstances) {
 		object.Fault(fieldInstances, "missing")
 	}
 	faulty := list.drainFaulty()
@@ -65,7 +65,7 @@
 
 // FromObject reads a list from a parsed object. Faults are recorded in the object.
 func FromObject(object *settings.Object) EndpointList {
-	list := EndpointList{Generation: object.ID(fieldGeneration), Complete: object.Flag(fieldFull)}
+	list := EndpointList{Generation: object.ID(fieldGeneration), Full: object.Flag(fieldFull)}
 	for _, member := range object.List(fieldInstances) {
 		instance, name := instanceFromObject(object, member)
 		if name != "" {
--- a/internal/discovery/parse_test.go
+++ b/internal/discovery/parse_test.go
@@ -17,7 +17,7 @@
 		{"instanceId":"s-3","hostPort":"","lifecycle":"gone"},
 		{"instanceId":"s-4","hostPort":"nowhere","lifecycle":"ready"},
 		{"instanceId":"s-5","hostPort":"10.1.0.20:11211","lifecycle":"asleep"}]}`))
-	if err != nil || list.Generation != 43 || !list.Complete || len(list.Instances) != 5 {
+	if err != nil || list.Generation != 43 || !list.Full || len(list.Instances) != 5 {
 		t.Fatalf("got %+v, %v", list, err)
 	}
 	first := Instance{Addr: netip.MustParseAddrPort("10.1.0.18:11211"), Endpoint: balancer.Endpoint{ID: ID("s-1"),
--- a/internal/discovery/watch_test.go
+++ b/internal/discovery/watch_test.go
@@ -51,10 +51,10 @@
 			t.Fatalf("got no poll %d within 5 s", i)
 		}
 	}
-	if list := <-lists; !list.Complete || list.Generation != 41 {
+	if list := <-lists; !list.Full || list.Generation != 41 {
 		t.Errorf("got %+v, want the full list of generation 41", list)
 	}
-	if list := <-lists; list.Complete || len(list.Instances) != 1 {
+	if list := <-lists; list.Full || len(list.Instances) != 1 {
 		t.Errorf("got %+v, want a delta with one instance", list)
 	}
 	if err := <-failures; err == nil || errors.Is(err, context.Canceled) {
--- a/internal/experiment/scale/simrouter/hollow.go
+++ b/internal/experiment/scale/simrouter/hollow.go
@@ -96,10 +96,10 @@
 		applied := make(chan struct{})
 		r.loop.Post(func() {
 			kind := balancer.UpdateDelta
-			if list.Complete {
+			if list.Full {
 				kind, r.serverIDs = balancer.UpdateFull, nil
 			}
-			if list.Complete || len(list.Instances) > 0 {
+			if list.Full || len(list.Instances) > 0 {
 				r.applyList(kind, list)
 			}
 			close(applied)
--- a/internal/service/endpointwatch.go
+++ b/internal/service/endpointwatch.go
@@ -99,7 +99,7 @@
 		return nil // a watch that has been replaced
 	}
 	known := max(p.generation, w.knownGeneration)
-	if list.Complete && list.Generation < known && p.service.loop.Now()-w.startedAt < catchUpSeconds {
+	if list.Full && list.Generation < known && p.service.loop.Now()-w.startedAt < catchUpSeconds {
 		p.applyDrains(list)
 		return fmt.Errorf("%w: %d, %d", discovery.ErrOutdated, list.Generation, known)
 	}
@@ -112,7 +112,7 @@
 	}
 	p.generation = list.Generation
 	update := balancer.UpdateDelta
-	if list.Complete {
+	if list.Full {
 		update = balancer.UpdateFull
 	}
 	p.applyList(update, list)
--- a/internal/service/golden_process_test.go
+++ b/internal/service/golden_process_test.go
@@ -110,7 +110,7 @@
 	s := assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
 	s.runLoop(t)
 	runOnLoop(s, func() {
-		list := discovery.EndpointList{Generation: 41, Complete: true, Instances: goldenEntries()[:1]}
+		list := discovery.EndpointList{Generation: 41, Full: true, Instances: goldenEntries()[:1]}
 		s.pools.platform.applyList(balancer.UpdateFull, list)
 		s.pools.platform.generation = 41
 	})
--- a/internal/service/golden_test.go
+++ b/internal/service/golden_test.go
@@ -64,7 +64,7 @@
 // At a hot restart the successor may be of another build, newer or older: the encoded state must stay the same, and
 // must be decoded completely.
 func TestGoldenHotRestartState(t *testing.T) {
-	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Complete: true}}
+	sent := restartState{Discovery: "127.2.0.1:8500", List: savedList{Generation: 41, Full: true}}
 	for _, entry := range goldenEntries() {
 		sent.List.Entries = append(sent.List.Entries, saveEntry(entry))
 	}
@@ -78,7 +78,7 @@
 		t.Errorf("decoded: got %+v, %v, want %+v", read, err, sent)
 	}
 	list := read.List.list()
-	if list.Generation != 41 || !list.Complete || !reflect.DeepEqual(list.Instances, goldenEntries()) {
+	if list.Generation != 41 || !list.Full || !reflect.DeepEqual(list.Instances, goldenEntries()) {
 		t.Errorf("converted: got %+v, want the entries that were encoded", list)
 	}
 }
--- a/internal/service/saved.go
+++ b/internal/service/saved.go
@@ -30,7 +30,7 @@
 // savedList is an endpoint list, as it is sent to the successor.
 type savedList struct {
 	Generation uint64       `json:"Generation"`
-	Complete   bool         `json:"Whole"`
+	Full       bool         `json:"Whole"`
 	Entries    []savedEntry `json:"Entries"`
 }
 
@@ -61,7 +61,7 @@
 	if cbor.Unmarshal(body, &saved) != nil {
 		return discovery.EndpointList{}
 	}
-	list := discovery.EndpointList{Generation: saved.Generation, Complete: true}
+	list := discovery.EndpointList{Generation: saved.Generation, Full: true}
 	for _, server := range saved.Servers {
 		address, err := netip.ParseAddrPort(server.Addr)
 		if err != nil {
@@ -102,7 +102,7 @@
 }
 
 func (saved savedList) list() discovery.EndpointList {
-	list := discovery.EndpointList{Generation: saved.Generation, Complete: saved.Complete}
+	list := discovery.EndpointList{Generation: saved.Generation, Full: saved.Full}
 	for _, entry := range saved.Entries {
 		list.Instances = append(list.Instances, discovery.Instance{Endpoint: entry.endpoint(), Addr: entry.Addr})
 	}
