--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -42,7 +42,7 @@
 	check("", "", "lab:1", "d")
 	check("", "", "lab:x:1", "e") // the longest prefix
 	check("", "who", "k", "platform")
-	b.Configure(pools, []TeamTerms{c}, UnmatchedRejected)
+	b.Configure(pools, []TeamConfig{c}, UnmatchedRejected)
 	check("", "who", "k", "none")
 	check("127.0.0.1:1", "", "k", "none") // the listener's team was removed
 	if len(b.tallies) != 1 {
@@ -160,7 +160,7 @@
 	class.Idempotency = balancer.AtMostOnce
 	class.Deadline = 2
 	once.TrafficClasses = []balancer.TrafficClass{class}
-	lines := strings.Join(b.Configure(pools, []TeamTerms{once}, UnmatchedToPlatform), "\n")
+	lines := strings.Join(b.Configure(pools, []TeamConfig{once}, UnmatchedToPlatform), "\n")
 	for _, want := range []string{`team a changed from: pool "own", budget 2`, `to: pool "", budget 1`, "team b removed"} {
 		if !strings.Contains(lines, want) {
 			t.Errorf("the change lines do not contain %q:\n%s", want, lines)
@@ -218,7 +218,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range []int{3, 1000} {
 		b.Run(string(rune('0'+n%10))+"-of", func(b *testing.B) {
-			var all []TeamTerms
+			var all []TeamConfig
 			for i := range n {
 				x := testTerms("t", "own", 1000)
 				x.Team = strings.Repeat("t", 1+i%7) + string(rune('a'+i/7%26)) + string(rune('a'+i/182))
--- a/internal/broker/configure.go
+++ b/internal/broker/configure.go
@@ -15,7 +15,7 @@
 
 // Configure replaces the teams and pools, and returns a line for each change. Requests in flight end under the old
 // terms. Balances carry over, also to another pool.
-func (b *Broker) Configure(pools []Pool, teams []TeamTerms, unmatched UnmatchedTraffic) []string {
+func (b *Broker) Configure(pools []Pool, teams []TeamConfig, unmatched UnmatchedTraffic) []string {
 	now := b.now()
 	b.revision++
 	lines := b.differences(pools, teams, unmatched)
@@ -47,7 +47,7 @@
 	b.slots.connections.Repartition(limits.Connections, b.weights.connections)
 }
 
-func newSlotWeights(teams []TeamTerms) slotWeights {
+func newSlotWeights(teams []TeamConfig) slotWeights {
 	weights := slotWeights{requests: map[string]float64{}, connections: map[string]float64{}}
 	for _, terms := range teams {
 		weights.requests[terms.Team] = terms.slotWeight()
@@ -58,10 +58,10 @@
 	return weights
 }
 
-func (t TeamTerms) slotWeight() float64 { return cmp.Or(t.GuaranteedRate, minSlotWeight) }
+func (t TeamConfig) slotWeight() float64 { return cmp.Or(t.GuaranteedRate, minSlotWeight) }
 
 // setTeams creates the routes of all teams and the matchers for their requests.
-func (b *Broker) setTeams(teams []TeamTerms) {
+func (b *Broker) setTeams(teams []TeamConfig) {
 	b.teams = map[string]*team{}
 	b.matchers = matchers{byListener: map[string]*team{}, byTenant: map[string]*team{}}
 	for _, terms := range teams {
@@ -81,7 +81,7 @@
 }
 
 // configurePools configures the quotas, shares, slots and traffic classes of all pools.
-func (b *Broker) configurePools(now float64, pools []Pool, teams []TeamTerms) {
+func (b *Broker) configurePools(now float64, pools []Pool, teams []TeamConfig) {
 	before := b.pools
 	b.pools = map[string]*pool{}
 	for _, settings := range pools {
@@ -122,7 +122,7 @@
 }
 
 // qualifiedClasses returns a team's traffic classes under the names that its pool's balancer uses.
-func (t TeamTerms) qualifiedClasses() (classes []balancer.TrafficClass) {
+func (t TeamConfig) qualifiedClasses() (classes []balancer.TrafficClass) {
 	for _, class := range t.TrafficClasses {
 		class.Name = qualifiedName(t.Team, class.Name)
 		classes = append(classes, class)
--- a/internal/broker/golden_test.go
+++ b/internal/broker/golden_test.go
@@ -33,7 +33,7 @@
 	}
 }
 
-func goldenTerms() []TeamTerms {
+func goldenTerms() []TeamConfig {
 	a := testTerms("a", "own", 1)
 	a.Listen = "127.0.0.1:1"
 	a.BorrowRate = 0.5
@@ -45,14 +45,14 @@
 		{Name: "put", Idempotency: balancer.IdempotencyKeyed, LatencyObjective: 0.25, Deadline: 2, PriorityWeight: 0.5},
 		{Name: "add", Idempotency: balancer.AtMostOnce, LatencyObjective: 1, Deadline: 2},
 	}
-	return []TeamTerms{a, c, d}
+	return []TeamConfig{a, c, d}
 }
 
 // Configure returns the log lines for each change of teams and pools.
 func TestGoldenChangeLines(t *testing.T) {
 	b, _, pools := newTestBroker(t, ample)
 	var lines []string
-	change := func(heading string, pools []Pool, all []TeamTerms, unmatched UnmatchedTraffic) {
+	change := func(heading string, pools []Pool, all []TeamConfig, unmatched UnmatchedTraffic) {
 		lines = append(lines, "# "+heading)
 		lines = append(lines, b.Configure(pools, all, unmatched)...)
 	}
@@ -69,7 +69,7 @@
 	change("capacities changed", pools, other, UnmatchedRejected)
 	more := append(slices.Clone(pools), Pool{Name: "third", Core: pools[1].Core, Capacity: 1.5, Connections: 3})
 	change("a pool added, teams removed", more, other[1:2], UnmatchedToPlatform)
-	change("pools removed", pools[:1], []TeamTerms{testTerms("z", "", 0.1)}, UnmatchedToPlatform)
+	change("pools removed", pools[:1], []TeamConfig{testTerms("z", "", 0.1)}, UnmatchedToPlatform)
 	golden(t, "change-lines", lines)
 }
 
@@ -133,13 +133,13 @@
 	b.ReleaseConnection("127.0.0.1:1")
 	b.ReleaseConnection("")
 	lines = append(lines, fmt.Sprintf("after a release: %t", b.AdmitConnection("127.0.0.1:1")))
-	moved := TeamTerms{
+	moved := TeamConfig{
 		Quota:          quota.Quota{Team: "c", GuaranteedRate: 3, Burst: 3, FlatCost: 0.1},
 		Pool:           "own",
 		Prefix:         "lab:",
 		TrafficClasses: goldenTerms()[1].TrafficClasses,
 	}
-	b.Configure(pools, []TeamTerms{testTerms("a", "", 1), moved}, UnmatchedRejected)
+	b.Configure(pools, []TeamConfig{testTerms("a", "", 1), moved}, UnmatchedRejected)
 	show()
 	for i := range 24 {
 		submit("", "a", fmt.Sprint("k", i), "view")
--- a/internal/broker/helpers_test.go
+++ b/internal/broker/helpers_test.go
@@ -87,7 +87,7 @@
 var ample = Limits{Requests: 1000, BufferedBytes: 1 << 20, Connections: 100}
 
 // newTestBroker returns a broker with two pools of one server each: the platform's pool and a pool named "own".
-func newTestBroker(t *testing.T, limits Limits, teams ...TeamTerms) (*Broker, *fakeUpstream, []Pool) {
+func newTestBroker(t *testing.T, limits Limits, teams ...TeamConfig) (*Broker, *fakeUpstream, []Pool) {
 	t.Helper()
 	upstream := &fakeUpstream{now: 1000}
 	platform := upstream.core(1, view)
@@ -98,8 +98,8 @@
 	return b, upstream, pools
 }
 
-func testTerms(team, pool string, rate float64) TeamTerms {
-	return TeamTerms{
+func testTerms(team, pool string, rate float64) TeamConfig {
+	return TeamConfig{
 		Quota:          quota.Quota{Team: team, GuaranteedRate: rate, Burst: rate},
 		Pool:           pool,
 		Tenant:         team,
--- a/internal/broker/settings.go
+++ b/internal/broker/settings.go
@@ -11,9 +11,9 @@
 	"bendtrestle/internal/requestcore"
 )
 
-// TeamTerms is the configuration of a team: its quota and pool, how its requests are recognized, and its traffic
+// TeamConfig is the configuration of a team: its quota and pool, how its requests are recognized, and its traffic
 // classes.
-type TeamTerms struct {
+type TeamConfig struct {
 	quota.Quota
 	Pool           string // "" for the platform's pool
 	Listen         string // address of the team's own listener; all requests that arrive there are the team's
@@ -50,7 +50,7 @@
 var idempotencyNames = [...]string{"at-most-once", "numbered", "reissuable"}
 
 // describe formats the terms in one line, with the names used in the operators' file.
-func (t TeamTerms) describe() string {
+func (t TeamConfig) describe() string {
 	text := fmt.Sprintf("pool %q, budget %v, burst %v, borrow %v, weight %v, listen %q, tenant %q, prefix %q",
 		t.Pool, t.GuaranteedRate, t.Burst, t.BorrowRate, t.Weight, t.Listen, t.Tenant, t.Prefix)
 	for _, class := range t.TrafficClasses {
@@ -61,7 +61,7 @@
 }
 
 // differences returns a line for each change, with the old and the new values.
-func (b *Broker) differences(pools []Pool, teams []TeamTerms, unmatched UnmatchedTraffic) []string {
+func (b *Broker) differences(pools []Pool, teams []TeamConfig, unmatched UnmatchedTraffic) []string {
 	lines := b.teamDifferences(teams)
 	lines = append(lines, b.poolDifferences(pools)...)
 	if b.revision > 1 && unmatched != b.unmatched {
@@ -71,7 +71,7 @@
 	return lines
 }
 
-func (b *Broker) teamDifferences(teams []TeamTerms) (lines []string) {
+func (b *Broker) teamDifferences(teams []TeamConfig) (lines []string) {
 	named := map[string]bool{}
 	for _, terms := range teams {
 		named[terms.Team] = true
@@ -80,14 +80,14 @@
 			lines = append(lines, fmt.Sprintf("team %s added: %s", terms.Team, terms.describe()))
 			continue
 		}
-		from, to := before.TeamTerms.describe(), terms.describe()
+		from, to := before.TeamConfig.describe(), terms.describe()
 		if from != to {
 			lines = append(lines, fmt.Sprintf("team %s changed from: %s, to: %s", terms.Team, from, to))
 		}
 	}
 	for _, name := range slices.Sorted(maps.Keys(b.teams)) {
 		if !named[name] {
-			lines = append(lines, fmt.Sprintf("team %s removed: %s", name, b.teams[name].TeamTerms.describe()))
+			lines = append(lines, fmt.Sprintf("team %s removed: %s", name, b.teams[name].TeamConfig.describe()))
 		}
 	}
 	return lines
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -11,7 +11,7 @@
 
 // team is the route of a team's requests, under the current terms.
 type team struct {
-	TeamTerms
+	TeamConfig
 	broker  *Broker
 	pool    *pool
 	classes map[string]teamClass // by the name used by clients
@@ -31,10 +31,10 @@
 }
 
 // newTeam creates the route of a team. Its partitions and its pool must already exist.
-func (b *Broker) newTeam(terms TeamTerms) *team {
+func (b *Broker) newTeam(terms TeamConfig) *team {
 	p := b.pools[terms.Pool]
 	t := &team{
-		TeamTerms:    terms,
+		TeamConfig:   terms,
 		broker:       b,
 		pool:         p,
 		classes:      map[string]teamClass{},
--- a/internal/operatorconfig/teams.go
+++ b/internal/operatorconfig/teams.go
@@ -140,7 +140,7 @@
 }
 
 // Terms returns the contracts in the form that the broker uses.
-func (f *File) Terms() (all []broker.TeamTerms) {
+func (f *File) Terms() (all []broker.TeamConfig) {
 	for _, team := range f.Teams {
 		contract := quota.Quota{
 			Team:           team.Name,
@@ -150,7 +150,7 @@
 			Weight:         team.Weight,
 		}
 		override(&contract.Burst, team.Burst)
-		terms := broker.TeamTerms{
+		terms := broker.TeamConfig{
 			Quota:  contract,
 			Pool:   team.Pool,
 			Listen: team.Listen,
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -48,7 +48,7 @@
 }
 
 // contractTerms returns the contract terms of all teams.
-func contractTerms(setup Setup) []broker.TeamTerms {
+func contractTerms(setup Setup) []broker.TeamConfig {
 	terms := setup.Operators.Terms()
 	for i := range terms {
 		terms[i].FlatCost = setup.FlatCost
