--- a/internal/config/config.go
+++ b/internal/config/config.go
@@ -43,7 +43,7 @@
 	MemoryBytes int
 	Descriptors int
 
-	Known                 discovery.EndpointList // initial endpoint list
+	InitialEndpoints      discovery.EndpointList
 	Settings              balancer.Settings
 	LoadReports           LoadReports // only logged: responses in the platform's protocol carry no load reports
 	ConnectTimeout        float64     // to establish a connection to a cache server
@@ -58,7 +58,7 @@
 	UpstreamConnections int
 	MaxConnections      int // all of these, and those that are closed but not released yet
 	OpenRequests        int
-	HeldBytes           int // bytes of clients' values in memory
+	BufferedBytes       int // bytes of clients' values in memory
 	AdminConnections    int // concurrent connections to the admin server
 
 	reservedDescriptors int // for the listeners and pools in the operators' file
@@ -121,7 +121,7 @@
 	c.readAddresses(object, env)
 	c.readLimits(object.OptionalObject("limits"))
 	if !object.Absent("known") {
-		c.Known = discovery.FromObject(object.RequiredObject("known"))
+		c.InitialEndpoints = discovery.FromObject(object.RequiredObject("known"))
 	}
 	set := object.RequiredObject("settings")
 	c.Settings = set.Settings()
--- a/internal/config/config_test.go
+++ b/internal/config/config_test.go
@@ -33,7 +33,7 @@
 		t.Errorf("read %+v", c)
 	}
 	if c.IdleTimeout != 30 || c.ConnectTimeout != 0.075 || c.AttemptsPerConnection != 100 || c.Settings.RouterIndex != 2 ||
-		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.Known.Instances) != 1 || c.Known.Generation != 41 {
+		c.Settings.TrafficClasses[0].Deadline != 0.75 || len(c.InitialEndpoints.Instances) != 1 || c.InitialEndpoints.Generation != 41 {
 		t.Errorf("read %+v", c)
 	}
 	if c.Settings.Seed != 0x8c1f30d2^0x7a5be964 || c.OpenRequests != 33 {
@@ -60,7 +60,7 @@
 	c, enough := Config{Descriptors: descriptors, MemoryBytes: memory, AdminListen: adminListen}.WithReserved(reserved)
 	both := Config{Descriptors: 2 * descriptors, MemoryBytes: 2 * memory, AdminListen: adminListen}
 	both, _ = both.WithReserved(reserved)
-	half := both.Half()
+	half := both.WithHalfLimits()
 	admin := 0
 	if adminListen != "" {
 		admin = 2 + 2*c.AdminConnections
@@ -72,8 +72,8 @@
 		"no connection to the admin server":          adminListen != "" && c.AdminConnections < 1,
 		"sum of connections exceeds MaxConnections":  parts > c.MaxConnections,
 		"sum of all exceeds the descriptors":         all > descriptors && (reserved == 0 || descriptors >= 256),
-		"Half has other HeldBytes":                   half.HeldBytes != c.HeldBytes,
-		"Half has other ClientConnections":           reserved == 0 && half.ClientConnections != c.ClientConnections,
+		"WithHalfLimits has other BufferedBytes":     half.BufferedBytes != c.BufferedBytes,
+		"WithHalfLimits has other ClientConnections": reserved == 0 && half.ClientConnections != c.ClientConnections,
 		"WithReserved reports the wrong result":      enough != (reserved <= descriptors/2),
 	} {
 		if wrong {
@@ -89,10 +89,10 @@
 func TestMinimumMemoryHoldsPeakLoad(t *testing.T) {
 	c := Config{Descriptors: 256, MemoryBytes: 32 << 20}
 	c.deriveLimits()
-	if c.OpenRequests < 320 || c.OpenRequests*4<<10+c.HeldBytes+c.UpstreamConnections*64<<10 > c.MemoryBytes/2 {
+	if c.OpenRequests < 320 || c.OpenRequests*4<<10+c.BufferedBytes+c.UpstreamConnections*64<<10 > c.MemoryBytes/2 {
 		t.Errorf("got %d open requests, %d bytes held, %d connections to cache servers, "+
 			"want at least 320 requests, and all of them within half of the memory",
-			c.OpenRequests, c.HeldBytes, c.UpstreamConnections)
+			c.OpenRequests, c.BufferedBytes, c.UpstreamConnections)
 	}
 }
 
--- a/internal/config/deployment.go
+++ b/internal/config/deployment.go
@@ -11,7 +11,7 @@
 
 // LoadReports says how cache servers report their load, according to the settings.
 type LoadReports struct {
-	How   string // loadReportsOff, loadReportsInline or loadReportsOnProbe
+	Mode  string // loadReportsOff, loadReportsInline or loadReportsOnProbe
 	Names []string
 }
 
@@ -26,9 +26,9 @@
 // String returns the text that `bendtrestle check` prints.
 func (r LoadReports) String() string {
 	if len(r.Names) == 0 {
-		return r.How
+		return r.Mode
 	}
-	return r.How + ": " + strings.Join(r.Names, ", ")
+	return r.Mode + ": " + strings.Join(r.Names, ", ")
 }
 
 // Enumerated values of the settings. Any other value is a fault; it isn't treated as absent.
@@ -68,24 +68,24 @@
 }
 
 func (c *Config) readLoadReports(load *settings.Object) {
-	reports := LoadReports{How: load.Text("how"), Names: load.Texts("names")}
-	if reports.How == "" {
-		reports.How = loadReportsOff
+	reports := LoadReports{Mode: load.Text("how"), Names: load.Texts("names")}
+	if reports.Mode == "" {
+		reports.Mode = loadReportsOff
 	}
 	c.LoadReports = reports
-	off := reports.How == loadReportsOff
+	off := reports.Mode == loadReportsOff
 	switch count := len(reports.Names); {
 	case off && count > 0:
 		load.Fault("names", fmt.Sprintf("%q, but how is \"off\"; omit the names", reports.Names))
 	case !off && (count == 0 || count > maxLoadReportNames):
-		load.Fault("names", fmt.Sprintf("%d names, but how is %q; give one to four names", count, reports.How))
+		load.Fault("names", fmt.Sprintf("%d names, but how is %q; give one to four names", count, reports.Mode))
 	}
 	for _, name := range reports.Names {
 		if !slices.Contains(loadReportNames, name) {
 			load.Fault("names", fmt.Sprintf("%q is not one of %s", name, strings.Join(loadReportNames, ", ")))
 		}
 	}
-	if reports.How == loadReportsOnProbe && !c.Settings.ProbesAllowed {
+	if reports.Mode == loadReportsOnProbe && !c.Settings.ProbesAllowed {
 		load.Fault("how", `"on_probe", but settings.limits.probes is false; use "inline" or "off"`)
 	}
 }
--- a/internal/config/describe.go
+++ b/internal/config/describe.go
@@ -88,7 +88,7 @@
 	d.add("peer_listen", "/peer_listen", none, "%s", cmp.Or(c.PeerListen, none))
 	d.add("peers", "/peers", none, "%d", len(c.Peers))
 	d.add("peers_all", "/peers_all", none, "%s", cmp.Or(c.PeersAll, none))
-	d.add("known", "/known", none, "%d servers, generation %d", len(c.Known.Instances), c.Known.Generation)
+	d.add("known", "/known", none, "%d servers, generation %d", len(c.InitialEndpoints.Instances), c.InitialEndpoints.Generation)
 	d.add("seed", "/seed", "the process's number", "%08x", c.Settings.Seed)
 }
 
@@ -137,5 +137,5 @@
 	d.add("clients' connections", "", followsFromLimits, "%d, and %d to decline", c.ClientConnections, c.RejectConnections)
 	d.add("connections to caches", "", followsFromLimits, "%d", c.UpstreamConnections)
 	d.add("open operations", "", followsFromLimits, "%d", c.OpenRequests)
-	d.add("values held", "", followsFromLimits, "%d bytes", c.HeldBytes)
+	d.add("values held", "", followsFromLimits, "%d bytes", c.BufferedBytes)
 }
--- a/internal/config/limits.go
+++ b/internal/config/limits.go
@@ -69,7 +69,7 @@
 	if c.OpenRequestsCap > 0 {
 		c.OpenRequests = min(c.OpenRequests, c.OpenRequestsCap)
 	}
-	c.HeldBytes = c.MemoryBytes / 8
+	c.BufferedBytes = c.MemoryBytes / 8
 }
 
 // WithReserved returns the configuration with a number of descriptors reserved for the listeners and pools in the
@@ -80,9 +80,9 @@
 	return c, c.reservedDescriptors == descriptors
 }
 
-// Half returns the configuration of one of two processes of a router that run at the same time: they share the limits
-// equally.
-func (c Config) Half() Config {
+// WithHalfLimits returns the configuration of one of two processes of a router that run at the same time: they share
+// the limits equally.
+func (c Config) WithHalfLimits() Config {
 	c.Descriptors /= 2
 	c.MemoryBytes /= 2
 	c.deriveLimits()
--- a/internal/config/restart.go
+++ b/internal/config/restart.go
@@ -6,8 +6,8 @@
 )
 
 // RestartKeys returns the keys, sorted, whose values differ in the next configuration and take effect only after a
-// restart. It leaves out the list service's address, which takes effect without one, and the known list and the seed,
-// which are used only at the start of a process.
+// restart. It leaves out the list service's address, which takes effect without one, and the initial endpoints and the
+// seed, which are used only at the start of a process.
 func (c Config) RestartKeys(next Config) (keys []string) {
 	for key, same := range map[string]bool{
 		"name":        c.Name == next.Name,
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -117,7 +117,7 @@
 		Host:             cmp.Or(named.Host, named.Name),
 		ProbePath:        cmp.Or(named.Probe, defaultHealthCheckPath),
 		MaxBodyBytes:     cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		MaxBufferedBytes: s.conf.HeldBytes,
+		MaxBufferedBytes: s.conf.BufferedBytes,
 	}
 	return client.NewCodec
 }
--- a/internal/service/gossip_test.go
+++ b/internal/service/gossip_test.go
@@ -111,9 +111,9 @@
 	var services []*Service
 	for index := range 2 {
 		conf := peerConfig(t, index, 100, addresses...)
-		conf.Known = discovery.EndpointList{Generation: 1, Full: true}
+		conf.InitialEndpoints = discovery.EndpointList{Generation: 1, Full: true}
 		for _, id := range []uint64{7, 8} {
-			conf.Known.Instances = append(conf.Known.Instances, discovery.Instance{
+			conf.InitialEndpoints.Instances = append(conf.InitialEndpoints.Instances, discovery.Instance{
 				Addr:     netip.MustParseAddrPort("127.0.0.1:1"),
 				Endpoint: balancer.Endpoint{ID: id, State: balancer.Ready, Capacity: 1},
 			})
--- a/internal/service/helpers_test.go
+++ b/internal/service/helpers_test.go
@@ -103,7 +103,7 @@
 	if answer, err := http.Get("http://" + list + "/catalog/members"); err == nil {
 		text, _ := io.ReadAll(answer.Body)
 		answer.Body.Close()
-		conf.Known, _ = discovery.Parse(text)
+		conf.InitialEndpoints, _ = discovery.Parse(text)
 	}
 	s = assembleSetup(t, Setup{Platform: conf}, zerolog.Nop())
 	return s, s.runLoop(t)
--- a/internal/service/hotrestart.go
+++ b/internal/service/hotrestart.go
@@ -76,8 +76,8 @@
 	if state.Discovery != s.conf.Discovery || len(state.List.Entries) == 0 {
 		return
 	}
-	if state.List.Generation >= s.conf.Known.Generation {
-		s.conf.Known = state.List.list()
+	if state.List.Generation >= s.conf.InitialEndpoints.Generation {
+		s.conf.InitialEndpoints = state.List.list()
 	}
 }
 
--- a/internal/service/hotrestart_test.go
+++ b/internal/service/hotrestart_test.go
@@ -241,7 +241,7 @@
 			"an older list":        fmt.Sprintf(`{"Discovery":%q,"List":{"Generation":4,"Entries":[{}]}}`, list),
 		} {
 			successor.loadRestartState([]byte(state))
-			if successor.conf.Known.Generation != 5 {
+			if successor.conf.InitialEndpoints.Generation != 5 {
 				t.Errorf("%s is not ignored: %s", name, state)
 			}
 		}
--- a/internal/service/limits.go
+++ b/internal/service/limits.go
@@ -31,7 +31,7 @@
 // processLimits returns the configuration with the limits of this process: all processes of a router share its limits.
 func (s *Service) processLimits() config.Config {
 	if s.restart.otherProcesses > 0 {
-		return s.conf.Half()
+		return s.conf.WithHalfLimits()
 	}
 	return s.conf
 }
@@ -62,14 +62,14 @@
 	return frontend.Limits{
 		Connections:       conf.ClientConnections,
 		RejectConnections: conf.RejectConnections,
-		LongWriteBytes:    conf.HeldBytes,
+		LongWriteBytes:    conf.BufferedBytes,
 	}
 }
 
 func brokerLimits(conf config.Config) broker.Limits {
 	return broker.Limits{
 		Requests:      conf.OpenRequests,
-		BufferedBytes: conf.HeldBytes,
+		BufferedBytes: conf.BufferedBytes,
 		Connections:   conf.ClientConnections,
 	}
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -104,8 +104,8 @@
 		return nil, err
 	}
 	s.openDisabledServers()
-	s.pools.platform.initialList = s.conf.Known
-	s.pools.platform.applyList(balancer.UpdateSaved, s.conf.Known)
+	s.pools.platform.initialList = s.conf.InitialEndpoints
+	s.pools.platform.applyList(balancer.UpdateSaved, s.conf.InitialEndpoints)
 	s.pools.platform.watchListService(conf.Discovery)
 	s.applyContracts(setup)
 	s.zones.begin()
@@ -141,7 +141,7 @@
 		Int("caches", conf.UpstreamConnections).
 		Int("open", conf.OpenRequests).
 		Msg("starting")
-	if conf.LoadReports.How != "off" {
+	if conf.LoadReports.Mode != "off" {
 		s.log.Info().Stringer("loadInfo", conf.LoadReports).
 			Msg("load reports are not available with this protocol; own counts and the endpoint list's weights are used")
 	}
--- a/internal/service/startup.go
+++ b/internal/service/startup.go
@@ -89,14 +89,14 @@
 	}
 	a.generation = max(a.generation, entry.Generation)
 	conf := &a.service.conf
-	usable := len(conf.Known.Instances) == 0 && entry.Source == conf.Discovery
+	usable := len(conf.InitialEndpoints.Instances) == 0 && entry.Source == conf.Discovery
 	if !usable || !startup.Usable(startup.EndpointList, entry.StoredAt, now) {
 		return
 	}
-	conf.Known = parseSnapshotList(entry.Body, now)
+	conf.InitialEndpoints = parseSnapshotList(entry.Body, now)
 	a.service.log.Info().
-		Uint64("generation", conf.Known.Generation).
-		Int("servers", len(conf.Known.Instances)).
+		Uint64("generation", conf.InitialEndpoints.Generation).
+		Int("servers", len(conf.InitialEndpoints.Instances)).
 		Float64("age", now-entry.StoredAt).
 		Msg("the endpoint list of the snapshot is used until the list service sends one")
 }
--- a/internal/service/startup_test.go
+++ b/internal/service/startup_test.go
@@ -60,7 +60,7 @@
 			t.Fatal(err)
 		}
 		s.runLoop(t)
-		entries := callOnLoop(s, func() []discovery.Instance { return s.conf.Known.Instances })
+		entries := callOnLoop(s, func() []discovery.Instance { return s.conf.InitialEndpoints.Instances })
 		for _, entry := range entries {
 			if entry.StartedAt < now-1 {
 				t.Errorf("%s: a server of the snapshot's list does not count as just started", last.name)
--- a/internal/service/successor.go
+++ b/internal/service/successor.go
@@ -53,7 +53,7 @@
 func (s *Service) restartState() restartState {
 	platform := s.pools.platform
 	state := restartState{Discovery: s.conf.Discovery}
-	state.List.Generation = max(platform.generation, s.conf.Known.Generation)
+	state.List.Generation = max(platform.generation, s.conf.InitialEndpoints.Generation)
 	state.List.Full = true
 	for _, entry := range platform.endpoints {
 		state.List.Entries = append(state.List.Entries, saveEntry(entry))
