--- a/internal/operatorconfig/teams.go
+++ b/internal/operatorconfig/teams.go
@@ -165,7 +165,7 @@
 	return all
 }
 
-// Others returns how the broker treats requests that match no contract.
-func (f *File) Others() broker.UnmatchedTraffic {
+// UnmatchedTraffic returns how the broker treats requests that match no contract.
+func (f *File) UnmatchedTraffic() broker.UnmatchedTraffic {
 	return broker.UnmatchedTraffic(f.Broker.Others == othersRejected)
 }
--- a/internal/operatorconfig/tiles.go
+++ b/internal/operatorconfig/tiles.go
@@ -62,10 +62,10 @@
 
 // TileFront is a team's tile service.
 type TileFront struct {
-	Listen     string
-	Kind       string // traffic class of its tiles
-	WaitHeader string // request header with the time in milliseconds that the client waits; empty: none
-	Service    *tiles.Service
+	Listen       string
+	TrafficClass string // traffic class of its tiles
+	WaitHeader   string // request header with the time in milliseconds that the client waits; empty: none
+	Service      *tiles.Service
 }
 
 // TileFronts returns the tile services of all teams.
@@ -75,10 +75,10 @@
 			continue
 		}
 		all = append(all, TileFront{
-			Listen:     team.Listen,
-			Kind:       team.tileTrafficClass(),
-			WaitHeader: team.Tiles.WaitHeader,
-			Service:    team.Tiles.Service(),
+			Listen:       team.Listen,
+			TrafficClass: team.tileTrafficClass(),
+			WaitHeader:   team.Tiles.WaitHeader,
+			Service:      team.Tiles.Service(),
 		})
 	}
 	return all
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -34,7 +34,7 @@
 	s.loop.Limit(s.conf.MaxConnections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
-	changes := s.broker.Configure(pools, contractTerms(setup), operators.Others())
+	changes := s.broker.Configure(pools, contractTerms(setup), operators.UnmatchedTraffic())
 	for _, change := range changes {
 		s.log.Info().Int("revision", s.broker.Revision()).Str("change", change).Msg("contracts")
 	}
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -143,7 +143,7 @@
 		front, wantsTiles := tileFronts[address]
 		server := s.clients.tileServers[address]
 		if wantsTiles && server != nil {
-			server.Configure(front.Service, front.Kind, front.WaitHeader)
+			server.Configure(front.Service, front.TrafficClass, front.WaitHeader)
 		}
 		sameProtocol := wantsTiles == (server != nil)
 		if wanted[address] && sameProtocol {
@@ -158,7 +158,7 @@
 func (s *Service) openTeamListener(address string, tileFronts map[string]operatorconfig.TileFront) {
 	protocol := frontend.Memcache
 	if front, wantsTiles := tileFronts[address]; wantsTiles {
-		server := tileserver.New(front.Service, front.Kind, front.WaitHeader)
+		server := tileserver.New(front.Service, front.TrafficClass, front.WaitHeader)
 		s.clients.tileServers[address] = server
 		protocol = server.Protocol
 	}
