--- a/internal/emulator/tilespeech.go
+++ b/internal/emulator/tilespeech.go
@@ -116,7 +116,7 @@
 		clear(f.tileImages)
 	}
 	side := 256
-	if t.Twice {
+	if t.DoubleSize {
 		side = 512
 	}
 	shade := uint8(200 + 40*((t.Col+t.Row)%2))
--- a/internal/operatorconfig/tiles.go
+++ b/internal/operatorconfig/tiles.go
@@ -134,13 +134,13 @@
 	set := &tiles.Set{Name: s.Name, CRS: s.CRS}
 	for _, matrix := range s.Matrices {
 		set.Matrices = append(set.Matrices, tiles.Matrix{
-			Name:   matrix.Name,
-			Scale:  matrix.Scale,
-			Left:   matrix.Left,
-			Top:    matrix.Top,
-			Width:  matrix.Width,
-			Height: matrix.Height,
-			Side:   matrix.Side,
+			Name:     matrix.Name,
+			Scale:    matrix.Scale,
+			Left:     matrix.Left,
+			Top:      matrix.Top,
+			Width:    matrix.Width,
+			Height:   matrix.Height,
+			TileSize: matrix.Side,
 		})
 	}
 	return set
--- a/internal/operatorconfig/tilescheck.go
+++ b/internal/operatorconfig/tilescheck.go
@@ -61,7 +61,7 @@
 		key := keyIn("%s.%d", tilesKey("set"), i)
 		f.checkTileName(key("name"), set.Name)
 		_, duplicate := zoomLevels[set.Name]
-		if duplicate || set.Name == tiles.GoogleTwice {
+		if duplicate || set.Name == tiles.GoogleDoubleSize {
 			f.toml.Fault(key("name"), "duplicate name %q", set.Name)
 		}
 		zoomLevels[set.Name] = len(set.Matrices)
@@ -85,7 +85,7 @@
 
 func (f *File) checkLayer(key func(string) string, layer Layer, zoomLevels map[string]int) {
 	for _, format := range layer.Formats {
-		if _, known := tiles.Types[format]; !known {
+		if _, known := tiles.MediaTypes[format]; !known {
 			f.toml.Want(key("formats"), format, "one of png, jpg, webp, pbf")
 		}
 	}
@@ -136,7 +136,7 @@
 
 // checkTileName checks a name that is used in the paths of tiles.
 func (f *File) checkTileName(key, text string) {
-	if !tiles.Word(text) {
+	if !tiles.ValidName(text) {
 		f.toml.Want(key, text, "up to 40 letters, digits, dots, colons, dashes and underscores")
 	}
 }
--- a/internal/tiles/capabilities.go
+++ b/internal/tiles/capabilities.go
@@ -81,7 +81,7 @@
 		doc.line(`<Style isDefault="%t"><ows:Identifier>%s</ows:Identifier></Style>`, i == 0, style)
 	}
 	for _, format := range layer.Formats {
-		doc.line(`<Format>%s</Format>`, Types[format])
+		doc.line(`<Format>%s</Format>`, MediaTypes[format])
 	}
 	for _, dimension := range layer.Dimensions {
 		doc.writeDimension(dimension)
@@ -91,7 +91,7 @@
 	}
 	for _, format := range layer.Formats {
 		template := escapeXML(layer.template(base, format))
-		doc.line(`<ResourceURL format=%q resourceType="tile" template="%s"/>`, Types[format], template)
+		doc.line(`<ResourceURL format=%q resourceType="tile" template="%s"/>`, MediaTypes[format], template)
 	}
 	doc.line(`</Layer>`)
 }
@@ -140,7 +140,7 @@
 			`<TileWidth>%d</TileWidth><TileHeight>%d</TileHeight>`+
 			`<MatrixWidth>%d</MatrixWidth><MatrixHeight>%d</MatrixHeight></TileMatrix>`,
 			matrix.Name, matrix.Scale, matrix.Left, matrix.Top,
-			matrix.Side, matrix.Side, matrix.Width, matrix.Height)
+			matrix.TileSize, matrix.TileSize, matrix.Width, matrix.Height)
 	}
 	d.line(`</TileMatrixSet>`)
 }
--- a/internal/tiles/golden_test.go
+++ b/internal/tiles/golden_test.go
@@ -81,7 +81,7 @@
 		"clinics/default/GoogleMapsCompatible/8/191/111@2x.png?Time=2026",
 		"clinics/night/grid/fine/3/5.png?Time=2025",
 	} {
-		tile, _ := Named(key)
+		tile, _ := ParseKey(key)
 		for _, scheme := range Schemes {
 			fmt.Fprintln(&text, scheme, scheme.Address(tile))
 		}
--- a/internal/tiles/helpers_test.go
+++ b/internal/tiles/helpers_test.go
@@ -14,8 +14,8 @@
 		{Name: "grid", Title: "Grid", Formats: []string{"png"}, Styles: []string{"plain"},
 			Sets: []string{"grid"}, MaxZoom: 1},
 	}, []*Set{{Name: "grid", CRS: "urn:ogc:def:crs:EPSG::9678", Matrices: []Matrix{
-		{Name: "coarse", Scale: 1e6, Left: 0, Top: 1e6, Width: 2, Height: 3, Side: 256},
-		{Name: "fine", Scale: 5e5, Left: 0, Top: 1e6, Width: 4, Height: 6, Side: 256}}}})
+		{Name: "coarse", Scale: 1e6, Left: 0, Top: 1e6, Width: 2, Height: 3, TileSize: 256},
+		{Name: "fine", Scale: 5e5, Left: 0, Top: 1e6, Width: 4, Height: 6, TileSize: 256}}}})
 }
 
 // parseSummary parses a target and returns the tile's key, "capabilities", or the first digit of the fault's status and
--- a/internal/tiles/key.go
+++ b/internal/tiles/key.go
@@ -7,7 +7,7 @@
 )
 
 const (
-	maxWordBytes = 40 // of a name in keys and addresses
+	maxNameBytes = 40 // of a name in keys and addresses
 	keySegments  = 6  // layer, style, set, matrix, column; row with double-size suffix and format
 )
 
@@ -15,7 +15,7 @@
 // dimensions. It contains no space, so that it can be a key in any protocol.
 func (t Tile) Key() string {
 	suffix := ""
-	if t.Twice {
+	if t.DoubleSize {
 		suffix = doubleSizeSuffix
 	}
 	dimensions := ""
@@ -26,8 +26,8 @@
 	return fmt.Sprintf(format, t.Layer, t.Style, t.Set, t.Matrix, t.Col, t.Row, suffix, t.Format, dimensions)
 }
 
-// Named parses a key; ok is false if the text is not a key.
-func Named(key string) (t Tile, ok bool) {
+// ParseKey parses a key; ok is false if the text is not a key.
+func ParseKey(key string) (t Tile, ok bool) {
 	path, dimensions, hasDimensions := strings.Cut(key, "?")
 	if hasDimensions {
 		t.DimensionValues = strings.Split(dimensions, "&")
@@ -40,7 +40,7 @@
 	if !found {
 		return t, false
 	}
-	rowText, t.Twice = strings.CutSuffix(rowText, doubleSizeSuffix)
+	rowText, t.DoubleSize = strings.CutSuffix(rowText, doubleSizeSuffix)
 	col, colErr := strconv.Atoi(segments[4])
 	row, rowErr := strconv.Atoi(rowText)
 	t.Layer = segments[0]
@@ -53,21 +53,21 @@
 	return t, colErr == nil && rowErr == nil
 }
 
-// Word reports whether a text is allowed as the name of a layer, a style, a set or a dimension's value. Such a text
-// needs no escaping in keys and addresses.
-func Word(text string) bool {
-	if text == "" || len(text) > maxWordBytes || text == "." || text == ".." {
+// ValidName reports whether a text is allowed as the name of a layer, a style, a set or a dimension's value. Such a
+// text needs no escaping in keys and addresses.
+func ValidName(text string) bool {
+	if text == "" || len(text) > maxNameBytes || text == "." || text == ".." {
 		return false
 	}
 	for _, b := range []byte(text) {
-		if !isWordByte(b) {
+		if !isNameByte(b) {
 			return false
 		}
 	}
 	return true
 }
 
-func isWordByte(b byte) bool {
+func isNameByte(b byte) bool {
 	switch {
 	case 'a' <= b && b <= 'z', 'A' <= b && b <= 'Z', '0' <= b && b <= '9':
 		return true
--- a/internal/tiles/parse.go
+++ b/internal/tiles/parse.go
@@ -97,15 +97,16 @@
 	return values, nil
 }
 
-// resolveSet replaces the matrix set of double-size tiles by the tile's field Twice, and checks the tile's position.
+// resolveSet replaces the matrix set of double-size tiles by the tile's field DoubleSize, and checks the tile's
+// position.
 func (s *Service) resolveSet(layer *Layer, tile *Tile) *Fault {
 	if !slices.Contains(layer.matrixSets(), tile.Set) {
 		text := fmt.Sprintf("the layer is not in the set %.40q", tile.Set)
 		return reportedFault(InvalidParameter, "TileMatrixSet", text)
 	}
-	if tile.Set == GoogleTwice {
+	if tile.Set == GoogleDoubleSize {
 		tile.Set = Google
-		tile.Twice = true
+		tile.DoubleSize = true
 	}
 	return s.checkPosition(layer, tile)
 }
--- a/internal/tiles/scheme.go
+++ b/internal/tiles/scheme.go
@@ -33,8 +33,8 @@
 
 // wmtsSetName returns the WMTS name of a tile's matrix set.
 func wmtsSetName(t Tile) string {
-	if t.Twice {
-		return GoogleTwice
+	if t.DoubleSize {
+		return GoogleDoubleSize
 	}
 	return t.Set
 }
@@ -45,12 +45,12 @@
 	text := fmt.Sprintf(format,
 		url.QueryEscape(t.Layer),
 		url.QueryEscape(t.Style),
-		url.QueryEscape(Types[t.Format]),
+		url.QueryEscape(MediaTypes[t.Format]),
 		url.QueryEscape(wmtsSetName(t)),
 		url.QueryEscape(t.Matrix),
 		t.Row,
 		t.Col)
-	for _, pair := range t.DimensionValues { // names and values need no escaping (Word)
+	for _, pair := range t.DimensionValues { // names and values need no escaping (ValidName)
 		text += "&" + pair
 	}
 	return text
@@ -68,7 +68,7 @@
 
 func xyzAddress(t Tile) string {
 	suffix := ""
-	if t.Twice {
+	if t.DoubleSize {
 		suffix = doubleSizeSuffix
 	}
 	text := fmt.Sprintf("/%s/%s/%d/%d%s.%s", t.Layer, t.Matrix, t.Col, t.Row, suffix, t.Format)
--- a/internal/tiles/tiles.go
+++ b/internal/tiles/tiles.go
@@ -46,22 +46,22 @@
 	Scale         float64 // scale denominator
 	Left, Top     float64 // of the top left corner, in units of the set's CRS
 	Width, Height int     // in tiles
-	Side          int     // of a tile, in pixels
+	TileSize      int     // in pixels
 }
 
 // Tile identifies one tile.
 type Tile struct {
 	Layer, Style, Set, Matrix, Format string
 	Col, Row                          int
-	Twice                             bool     // of double size
+	DoubleSize                        bool
 	DimensionValues                   []string // name=value, in the layer's order
 }
 
-// Google is the standard's name of the Web Mercator matrix set, which XYZ paths refer to. GoogleTwice is the set of its
-// double-size tiles.
+// Google is the standard's name of the Web Mercator matrix set, which XYZ paths refer to. GoogleDoubleSize is the set
+// of its double-size tiles.
 const (
-	Google      = "GoogleMapsCompatible"
-	GoogleTwice = "GoogleMapsCompatible-2x"
+	Google           = "GoogleMapsCompatible"
+	GoogleDoubleSize = "GoogleMapsCompatible-2x"
 )
 
 const (
@@ -80,13 +80,13 @@
 	set := &Set{Name: name, CRS: "urn:ogc:def:crs:EPSG::3857", webMercator: true}
 	for zoom := range webMercatorZooms {
 		set.Matrices = append(set.Matrices, Matrix{
-			Name:   strconv.Itoa(zoom),
-			Scale:  scale / math.Exp2(float64(zoom)),
-			Left:   -webMercatorOrigin,
-			Top:    webMercatorOrigin,
-			Width:  1 << zoom,
-			Height: 1 << zoom,
-			Side:   side,
+			Name:     strconv.Itoa(zoom),
+			Scale:    scale / math.Exp2(float64(zoom)),
+			Left:     -webMercatorOrigin,
+			Top:      webMercatorOrigin,
+			Width:    1 << zoom,
+			Height:   1 << zoom,
+			TileSize: side,
 		})
 	}
 	return set
@@ -96,7 +96,7 @@
 func New(title string, layers []*Layer, more []*Set) *Service {
 	sets := []*Set{
 		googleSet(Google, tileSide, topScale),
-		googleSet(GoogleTwice, 2*tileSide, topScale/2),
+		googleSet(GoogleDoubleSize, 2*tileSide, topScale/2),
 	}
 	return &Service{Title: title, Layers: layers, Sets: append(sets, more...)}
 }
@@ -122,7 +122,7 @@
 // matrixSets returns the names of all sets in which a layer's tiles may be requested.
 func (l *Layer) matrixSets() []string {
 	if l.Retina && slices.Contains(l.Sets, Google) {
-		return append(slices.Clone(l.Sets), GoogleTwice)
+		return append(slices.Clone(l.Sets), GoogleDoubleSize)
 	}
 	return l.Sets
 }
@@ -160,8 +160,8 @@
 	return min(max(row, 0), m.Height-1)
 }
 
-// Types are the formats' media types.
-var Types = map[string]string{
+// MediaTypes are the formats' media types.
+var MediaTypes = map[string]string{
 	"png":  "image/png",
 	"jpg":  "image/jpeg",
 	"webp": "image/webp",
@@ -174,11 +174,11 @@
 	if text == "jpeg" {
 		return "jpg"
 	}
-	_, known := Types[text]
+	_, known := MediaTypes[text]
 	if known {
 		return text
 	}
-	for name, mediaType := range Types {
+	for name, mediaType := range MediaTypes {
 		if mediaType == text {
 			return name
 		}
--- a/internal/tiles/tiles_test.go
+++ b/internal/tiles/tiles_test.go
@@ -38,9 +38,9 @@
 				t.Errorf("%s: got %s, want %s", target, got, want)
 			}
 		}
-		tile, ok := Named(want)
+		tile, ok := ParseKey(want)
 		if !ok || tile.Key() != want {
-			t.Errorf("Named(%s): got %+v, want the tile with that key", want, tile)
+			t.Errorf("ParseKey(%s): got %+v, want the tile with that key", want, tile)
 		}
 		for _, scheme := range Schemes {
 			if scheme == XYZ && tile.Set != Google {
@@ -211,7 +211,7 @@
 			Layer: "roads", Style: "default", Set: Google, Matrix: strconv.Itoa(z),
 			Col: rng.IntN(1 << z), Row: rng.IntN(1 << z), Format: []string{"png", "jpg"}[rng.IntN(2)],
 		}.Key()
-		tile, _ := Named(want)
+		tile, _ := ParseKey(want)
 		for _, scheme := range Schemes {
 			if got := parseSummary(s, scheme.Address(tile)); got != want {
 				t.Fatalf("want %s in scheme %s, got %s", want, scheme, got)
--- a/internal/tiles/xyz.go
+++ b/internal/tiles/xyz.go
@@ -60,7 +60,7 @@
 		return Tile{}, plainFault(http.StatusBadRequest, "the zoom level is not a whole number")
 	}
 	row, extension, _ := strings.Cut(segments[xyzRow], ".")
-	row, tile.Twice = strings.CutSuffix(row, doubleSizeSuffix)
+	row, tile.DoubleSize = strings.CutSuffix(row, doubleSizeSuffix)
 	var colOK, rowOK bool
 	tile.Col, colOK = parseNumber(segments[xyzCol])
 	tile.Row, rowOK = parseNumber(row)
@@ -72,7 +72,7 @@
 		text := fmt.Sprintf("the layer has no format %.20q", extension)
 		return Tile{}, plainFault(http.StatusNotFound, text)
 	}
-	if tile.Twice && !l.Retina {
+	if tile.DoubleSize && !l.Retina {
 		return Tile{}, plainFault(http.StatusNotFound, "the layer has no tiles of twice the size")
 	}
 	return tile, nil
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -33,7 +33,7 @@
 	if request == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.client.ProbePath, c.client.Host)}
 	}
-	tile, _ := tiles.Named(request.Key) // the key is valid: the tile frontend generated it
+	tile, _ := tiles.ParseKey(request.Key) // the key is valid: the tile frontend generated it
 	milliseconds := int(math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3))
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n",
 		c.client.Scheme.Address(tile), c.client.Host, request.Flags, milliseconds)}
