--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -35,7 +35,7 @@
 func (d *routerTarget) sendAttempt(attempt *Try) {
 	for len(d.idle) > 0 && !attempt.Reading.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
-		if d.idle = d.idle[:len(d.idle)-1]; c.conn.Quiet() {
+		if d.idle = d.idle[:len(d.idle)-1]; c.conn.HasNoInput() {
 			c.writeAttempt(attempt)
 			return
 		}
--- a/internal/emulator/plainconn.go
+++ b/internal/emulator/plainconn.go
@@ -15,8 +15,8 @@
 // clientSocket is a client's connection to a router: an eventloop.Conn or a plainConn.
 type clientSocket interface {
 	Write(p []byte) (taken int)
-	Sent() uint64 // bytes that the kernel has taken
-	Quiet() bool  // no unread input, and the peer has not closed it
+	Sent() uint64     // bytes that the kernel has taken
+	HasNoInput() bool // no unread input, and the peer has not closed it
 	Close()
 }
 
@@ -56,8 +56,8 @@
 // Sent returns the number of bytes that the kernel has taken.
 func (p *plainConn) Sent() uint64 { return p.sent }
 
-// Quiet returns false, because the connection is not reused.
-func (p *plainConn) Quiet() bool { return false }
+// HasNoInput returns false, because the connection is not reused.
+func (p *plainConn) HasNoInput() bool { return false }
 
 // Close closes the connection.
 func (p *plainConn) Close() { p.closeOnce.Do(func() { close(p.closed) }) }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -66,9 +66,9 @@
 	c.loop.releaseLater(c)
 }
 
-// Forget makes the kernel drop bytes that the peer has not acknowledged when the connection ends. Otherwise the
-// kernel retransmits them for minutes while the peer is unreachable, and delivers them when it is reachable again.
-func (c *Conn) Forget() {
+// DropUnackedOnClose makes the kernel drop bytes that the peer has not acknowledged when the connection ends. Otherwise
+// the kernel retransmits them for minutes while the peer is unreachable, and delivers them when it is reachable again.
+func (c *Conn) DropUnackedOnClose() {
 	if !c.closed {
 		unix.SetsockoptLinger(c.fd, unix.SOL_SOCKET, unix.SO_LINGER, &unix.Linger{Onoff: 1})
 	}
@@ -79,7 +79,7 @@
 	if c.closed {
 		return
 	}
-	c.Forget()
+	c.DropUnackedOnClose()
 	c.closed = true
 	c.loop.releaseLater(c)
 }
--- a/internal/eventloop/conn.go
+++ b/internal/eventloop/conn.go
@@ -40,7 +40,7 @@
 
 	// Reading.
 	paused      bool
-	inputHeld   bool // the handler leaves bytes in In on purpose (Hold)
+	inputHeld   bool // the handler leaves bytes in In on purpose (SetInputHeld)
 	drainsInput bool // Closed is called only after all bytes before the peer's end have been read
 
 	// Writing.
--- a/internal/eventloop/dial.go
+++ b/internal/eventloop/dial.go
@@ -29,7 +29,8 @@
 // Dial starts connecting to an address and does not wait for the result: the handler's Opened or Closed follows.
 //
 // The dialling side reads all of the response that it requested. If the peer ends the connection while bytes before
-// that end are unread, because they are held (Hold) or the connection is paused, Closed is called after they are read.
+// that end are unread, because they are held (SetInputHeld) or the connection is paused, Closed is called after they
+// are read.
 //
 // Dial returns unix.EMFILE if the limit of descriptors is reached, unix.EADDRNOTAVAIL for an invalid address, and
 // otherwise the kernel's error, which Refused classifies. After an error the handler is not called.
--- a/internal/eventloop/peek.go
+++ b/internal/eventloop/peek.go
@@ -17,8 +17,8 @@
 // a signal interrupted the call.
 func temporary(err error) bool { return err == unix.EAGAIN || err == unix.EINTR }
 
-// Quiet reports whether neither In nor the socket holds unread bytes and the peer has not ended the connection.
-func (c *Conn) Quiet() bool {
+// HasNoInput reports whether neither In nor the socket holds unread bytes and the peer has not ended the connection.
+func (c *Conn) HasNoInput() bool {
 	_, err := c.peek()
 	return c.In.Len() == 0 && err == unix.EAGAIN
 }
@@ -54,8 +54,8 @@
 	return err == nil && ready > 0
 }
 
-// ByReset reports whether a connection that has ended was reset. In that case the bytes received are incomplete.
-func (c *Conn) ByReset() bool {
+// EndedByReset reports whether a connection that has ended was reset. In that case the bytes received are incomplete.
+func (c *Conn) EndedByReset() bool {
 	if c.socketFailed() {
 		c.resetReported = true // no read has reported the error so far
 	}
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -64,9 +64,9 @@
 	c.changeReadingLater()
 }
 
-// Hold sets whether the handler deliberately leaves bytes in In until it has room for them. While it does, the peer's
-// end that follows those bytes is not handled.
-func (c *Conn) Hold(on bool) {
+// SetInputHeld sets whether the handler deliberately leaves bytes in In until it has room for them. While it does, the
+// peer's end that follows those bytes is not handled.
+func (c *Conn) SetInputHeld(on bool) {
 	c.inputHeld = on
 	if !on && c.peerEnded {
 		c.changeReadingLater()
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -95,8 +95,8 @@
 	return c.out.Len() + queued
 }
 
-// TakeBack drops the bytes that the kernel has not accepted.
-func (c *Conn) TakeBack() {
+// DropUnsent drops the bytes that the kernel has not accepted.
+func (c *Conn) DropUnsent() {
 	c.out.Drop(c.out.Len())
 	c.updateWriteInterest()
 }
--- a/internal/frontend/clientconn.go
+++ b/internal/frontend/clientconn.go
@@ -96,7 +96,7 @@
 	if !c.hasNoPendingAnswers() || c.conn.Unsent() > 0 {
 		return false
 	}
-	return c.closing || !c.codec.InCommand() && c.conn.Quiet()
+	return c.closing || !c.codec.InCommand() && c.conn.HasNoInput()
 }
 
 // isSilent reports whether the client has sent no valid command so far, and nothing is pending or unread.
--- a/internal/frontend/commands_test.go
+++ b/internal/frontend/commands_test.go
@@ -177,7 +177,7 @@
 			for begun := cut == 0; !begun; { // until the piece has been read
 				s.onLoop(func() {
 					for c := range s.connections {
-						begun = c.codec.InCommand() && c.conn.Quiet()
+						begun = c.codec.InCommand() && c.conn.HasNoInput()
 					}
 				})
 			}
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -98,7 +98,7 @@
 	if c.body != nil && c.body.sink != nil {
 		accepted = c.body.sink.OnPart(part)
 	}
-	c.socket.Hold(accepted < len(part))
+	c.socket.SetInputHeld(accepted < len(part))
 	return accepted
 }
 
--- a/internal/upstream/connection.go
+++ b/internal/upstream/connection.go
@@ -33,7 +33,7 @@
 	c.timer = c.pool.pools.loop.Timer(c.onStallTimeout)
 	c.established = true
 	c.pool.connecting--
-	if !c.socket.Quiet() && c.addr == c.pool.addr && len(c.pool.waiting) > 0 {
+	if !c.socket.HasNoInput() && c.addr == c.pool.addr && len(c.pool.waiting) > 0 {
 		// The server closed the connection, or sent unrequested bytes, as soon as it was established. Without a failed
 		// attempt the pool would dial again and again, as fast as it can, with the same result.
 		c.pool.failFirstWaiting(balancer.ConnectFailed)
@@ -57,7 +57,7 @@
 	if !c.established && len(c.pool.waiting) > 0 {
 		c.pool.failFirstWaiting(balancer.ConnectFailed)
 	}
-	if c.established && !c.socket.ByReset() {
+	if c.established && !c.socket.EndedByReset() {
 		c.codec.OnServerClose() // a close may complete a reply; a reset does not
 	}
 	c.fail(ServerClosed)
@@ -147,7 +147,7 @@
 		return false
 	}
 	if a.buffered { // the buffer holds nothing else then, see writePending
-		c.socket.TakeBack()
+		c.socket.DropUnsent()
 		c.bufferedBytes = a.startOffset
 	}
 	a.unbuffered = nil
@@ -206,7 +206,7 @@
 	if c.socket != nil {
 		// The kernel must not deliver the abandoned commands when a machine becomes reachable again seconds later: their
 		// requests have ended by then.
-		c.socket.Forget()
+		c.socket.DropUnackedOnClose()
 	}
 	c.close()
 	c.pool.assignWaiting()
--- a/internal/upstream/replies_test.go
+++ b/internal/upstream/replies_test.go
@@ -121,7 +121,7 @@
 			for begun := cut == 0; !begun; { // until the fragment has been read
 				pools.onLoop(pools.loop, func() {
 					poolConn := pools.servers[1].connections[0]
-					begun = poolConn.codec.ReplyBegun() && poolConn.socket.Quiet()
+					begun = poolConn.codec.ReplyBegun() && poolConn.socket.HasNoInput()
 				})
 			}
 			if len(outcome) > 0 {
--- a/internal/upstream/serverpool.go
+++ b/internal/upstream/serverpool.go
@@ -39,7 +39,7 @@
 	s.closeExpiredIdle() // the sweep may be late if the loop was stopped for a while
 	for len(s.idle) > 0 {
 		c := s.pickIdle()
-		if c.socket.Quiet() {
+		if c.socket.HasNoInput() {
 			c.send(a)
 			return
 		}
@@ -172,7 +172,7 @@
 		s.addIdle(c)
 		return
 	}
-	if !c.socket.Quiet() { // a command written now might be lost
+	if !c.socket.HasNoInput() { // a command written now might be lost
 		c.fail(ServerClosed)
 		return
 	}
