--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -52,7 +52,7 @@
 	}
 	attempt.Router = d.index
 	if d.clients.load.Most > 0 && d.openConns >= d.clients.load.Most {
-		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
+		d.clients.loop.Defer(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
 	if attempt.Reading.needsPlainConn() {
@@ -65,7 +65,7 @@
 	conn, err := d.clients.loop.Dial(d.addr, c)
 	if err != nil {
 		d.avoidUntil = d.clients.loop.Now() + 0.5
-		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
+		d.clients.loop.Defer(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
 	d.openConns++
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -239,7 +239,7 @@
 	if !c.full() && !c.corrupted && c.server.unreachable == 0 {
 		c.conn.Resume()
 		if c.conn.In.Len() > 0 {
-			c.server.fleet.loop.Later(c.Input)
+			c.server.fleet.loop.Defer(c.Input)
 		}
 	}
 }
--- a/internal/eventloop/close.go
+++ b/internal/eventloop/close.go
@@ -26,7 +26,7 @@
 	finishing := c.finishTimer != nil
 	c.Close()
 	if !finishing {
-		c.loop.Later(c.handler.Closed)
+		c.loop.Defer(c.handler.Closed)
 	}
 }
 
--- a/internal/eventloop/doc.go
+++ b/internal/eventloop/doc.go
@@ -6,15 +6,16 @@
 // A Loop is netpoll's Poll, run by the goroutine that calls Loop.Run. Each readiness of a socket, each expired
 // timer and each function given to Loop.Post is a callback on that goroutine, one after another. Two descriptors of
 // the loop's own deliver the other events: an eventfd wakes it for posted functions and for changes that must wait
-// until the current callback has returned, and a timerfd drives one heap of timers. Functions given to Loop.Later run
+// until the current callback has returned, and a timerfd drives one heap of timers. Functions given to Loop.Defer run
 // after the current callback and before the next one, so that a function which produces a result does not call back
 // into its caller.
 //
 // # What may be called from where
 //
-// Loop.Post and Loop.Now may be called from any goroutine. LogTo is called before any loop is made, Loop.Guard
+// Loop.Post and Loop.Now may be called from any goroutine. SetLogOutput is called before any loop is made, Loop.OnPanic
 // before Run. Everything else, including all methods of Conn, Listener and Timer and the methods of a Handler, is
-// called on the loop's goroutine, or before Run on the goroutine that prepares the loop. Held and Refused use no loop.
+// called on the loop's goroutine, or before Run on the goroutine that prepares the loop. AddressInUse and Refused use
+// no loop.
 //
 // # netpoll
 //
--- a/internal/eventloop/listener.go
+++ b/internal/eventloop/listener.go
@@ -75,9 +75,9 @@
 	return s
 }
 
-// Held reports whether a process already listens at an address. If so and the address cannot be shared with that
-// process, the error says why. Any goroutine may call it.
-func Held(addr string) (held bool, err error) {
+// AddressInUse reports whether a process already listens at an address. If so and the address cannot be shared with
+// that process, the error says why. Any goroutine may call it.
+func AddressInUse(addr string) (inUse bool, err error) {
 	address, err := netip.ParseAddrPort(addr)
 	if err != nil {
 		return false, err
--- a/internal/eventloop/loop.go
+++ b/internal/eventloop/loop.go
@@ -40,8 +40,8 @@
 	closing     closingConns
 }
 
-// LogTo makes netpoll write its own messages to w. It is called before any loop is made.
-func LogTo(w io.Writer) error {
+// SetLogOutput makes netpoll write its own messages to w. It is called before any loop is made.
+func SetLogOutput(w io.Writer) error {
 	return netpoll.Configure(netpoll.Config{LoggerOutput: w, LoadBalance: netpoll.RoundRobin})
 }
 
@@ -96,11 +96,11 @@
 // clock. Any goroutine may call it.
 func (l *Loop) Now() float64 { return l.startUnix + time.Since(l.startedAt).Seconds() }
 
-// Guard has the function fault called with the value and the stack of a callback's panic. Otherwise a panic would end
-// the process and with it the work of all other callbacks. Guard is called before Run.
-func (l *Loop) Guard(fault func(value any, stack []byte)) { l.onPanic = fault }
+// OnPanic has the function fault called with the value and the stack of a callback's panic. Otherwise a panic would end
+// the process and with it the work of all other callbacks. OnPanic is called before Run.
+func (l *Loop) OnPanic(fault func(value any, stack []byte)) { l.onPanic = fault }
 
-// call runs one function and recovers its panic if Guard has set a function for that.
+// call runs one function and recovers its panic if OnPanic has set a function for that.
 func (l *Loop) call(f func()) {
 	if l.onPanic != nil {
 		defer func() {
@@ -129,8 +129,8 @@
 	l.setAlarm()
 }
 
-// Later calls f after the current callback, so that a function does not call back into its caller.
-func (l *Loop) Later(f func()) { l.deferred = append(l.deferred, f) }
+// Defer calls f after the current callback, so that a function does not call back into its caller.
+func (l *Loop) Defer(f func()) { l.deferred = append(l.deferred, f) }
 
 // Post calls f on the loop. Any goroutine may call it.
 func (l *Loop) Post(f func()) {
--- a/internal/eventloop/loop_test.go
+++ b/internal/eventloop/loop_test.go
@@ -10,15 +10,15 @@
 	}
 	faults := make(chan any, 10)
 	events := make(chan string, 10)
-	l.Guard(func(what any, _ []byte) { faults <- what })
+	l.OnPanic(func(what any, _ []byte) { faults <- what })
 	go l.Run()
 	defer l.Post(l.Stop)
 	l.Post(func() {
 		now := l.Now()
 		l.Timer(func() { panic("timer") }).Set(now)
 		l.Timer(func() { events <- "timer" }).Set(now)
-		l.Later(func() { panic("later") })
-		l.Later(func() { events <- "later" })
+		l.Defer(func() { panic("later") })
+		l.Defer(func() { events <- "later" })
 		panic("posted")
 	})
 	l.Post(func() { events <- "posted" })
--- a/internal/eventloop/read.go
+++ b/internal/eventloop/read.go
@@ -119,5 +119,5 @@
 		c.closeAndNotify()
 		return
 	}
-	c.loop.Later(c.drainInput)
+	c.loop.Defer(c.drainInput)
 }
--- a/internal/eventloop/release.go
+++ b/internal/eventloop/release.go
@@ -18,15 +18,15 @@
 	detached   []*Conn // not watched any more, to be released in the next round
 }
 
-// Finishing returns how many connections are half-closed and wait for the peer's end.
-func (l *Loop) Finishing() int { return l.closing.halfClosed }
+// HalfClosedConns returns how many connections are half-closed and wait for the peer's end.
+func (l *Loop) HalfClosedConns() int { return l.closing.halfClosed }
 
 // Closing returns how many closed connections still hold their descriptors, which they do for a round or two.
 func (l *Loop) Closing() int { return len(l.closing.closed) + len(l.closing.detached) }
 
-// Limit sets the maximum number of descriptors of connections, including closed ones until they are released. Other
-// descriptors of the process do not count. 0 means no limit.
-func (l *Loop) Limit(descriptors int) { l.descriptors.limit = descriptors }
+// SetDescriptorLimit sets the maximum number of descriptors of connections, including closed ones until they are
+// released. Other descriptors of the process do not count. 0 means no limit.
+func (l *Loop) SetDescriptorLimit(descriptors int) { l.descriptors.limit = descriptors }
 
 // atDescriptorLimit reports whether the limit of descriptors is reached, so that no connection may be added.
 func (l *Loop) atDescriptorLimit() bool {
--- a/internal/eventloop/release_test.go
+++ b/internal/eventloop/release_test.go
@@ -34,7 +34,7 @@
 		})
 		return <-done
 	}
-	if err := dial(func() { l.Limit(1) }); err != nil {
+	if err := dial(func() { l.SetDescriptorLimit(1) }); err != nil {
 		t.Fatal(err)
 	}
 	await(t, handler.events, "opened")
@@ -56,7 +56,7 @@
 	if _, err := conn.Read(make([]byte, 1)); err != nil { // the waiting connection is accepted now
 		t.Errorf("below the limit the connection is not accepted: %v", err)
 	}
-	if err := dial(func() { l.Limit(2) }); err != nil {
+	if err := dial(func() { l.SetDescriptorLimit(2) }); err != nil {
 		t.Errorf("below the limit: got dial error %v, want none", err)
 	}
 }
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -74,7 +74,7 @@
 	if err != unix.EAGAIN && err != unix.EINTR {
 		c.writeFailed = true
 		c.resetReported = true // the kernel may report it only here
-		c.loop.Later(c.onPeerEnd)
+		c.loop.Defer(c.onPeerEnd)
 	}
 	return 0
 }
--- a/internal/frontend/accept.go
+++ b/internal/frontend/accept.go
@@ -6,7 +6,7 @@
 // connection counts until the loop has released its descriptor: otherwise the descriptors of connections evicted within
 // one round and those of their successors would exceed the limit.
 func (f *Frontend) CanAccept() bool {
-	descriptors := len(f.connections) + f.loop.Finishing() + f.loop.Closing()
+	descriptors := len(f.connections) + f.loop.HalfClosedConns() + f.loop.Closing()
 	return descriptors < f.limits.Connections+f.limits.RejectConnections
 }
 
--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -140,7 +140,7 @@
 			c.lastActive -= 2 * evictableAfterSeconds
 		}
 		s.dispatcher.onAdmit = func() {
-			descriptors := len(s.connections) + 1 + s.loop.Finishing() + s.loop.Closing()
+			descriptors := len(s.connections) + 1 + s.loop.HalfClosedConns() + s.loop.Closing()
 			mostDescriptors = max(mostDescriptors, descriptors)
 		}
 		close(blocked)
--- a/internal/frontend/answer.go
+++ b/internal/frontend/answer.go
@@ -43,7 +43,7 @@
 	if c.isOpen() && !c.conn.PeerClosed() {
 		return false
 	}
-	c.frontend.loop.Later(c.close)
+	c.frontend.loop.Defer(c.close)
 	return true
 }
 
--- a/internal/frontend/drain_test.go
+++ b/internal/frontend/drain_test.go
@@ -105,7 +105,7 @@
 		t.Errorf("after CloseIdle: got read error %v, want EOF", err)
 	}
 	s.onLoop(func() {
-		if n := s.loop.Finishing(); n != 1 || len(s.connections) > 0 {
+		if n := s.loop.HalfClosedConns(); n != 1 || len(s.connections) > 0 {
 			t.Errorf("got %d half-closed and %d open connections, want 1 and 0", n, len(s.connections))
 		}
 		s.limits = Limits{Connections: 1}
@@ -115,7 +115,7 @@
 	})
 	for i := 0; ; i++ {
 		n := 0
-		s.onLoop(func() { n = s.loop.Finishing() })
+		s.onLoop(func() { n = s.loop.HalfClosedConns() })
 		if n == 0 {
 			return
 		}
--- a/internal/frontend/output.go
+++ b/internal/frontend/output.go
@@ -38,11 +38,11 @@
 	if !c.isFull() && !c.closing {
 		c.conn.Resume()
 		if c.conn.In.Len() > 0 {
-			c.frontend.loop.Later(c.resumeInput)
+			c.frontend.loop.Defer(c.resumeInput)
 		}
 	}
 	if c.closing || c.frontend.closingIdle {
-		c.frontend.loop.Later(c.closeIfIdle)
+		c.frontend.loop.Defer(c.closeIfIdle)
 	}
 }
 
@@ -85,7 +85,7 @@
 	}
 	sink := s.answer
 	c.bodyStarted = true
-	c.frontend.loop.Later(func() {
+	c.frontend.loop.Defer(func() {
 		if c.isOpen() {
 			body.StartReading(sink)
 		}
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -31,7 +31,7 @@
 	var enough bool
 	s.conf, enough = s.conf.WithReserved(reservedDescriptors(operators))
 	s.warnIfDescriptorsShort(enough)
-	s.loop.Limit(s.conf.MaxConnections)
+	s.loop.SetDescriptorLimit(s.conf.MaxConnections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
 	changes := s.broker.Configure(pools, contractTerms(setup), operators.UnmatchedTraffic())
--- a/internal/service/lifecycle.go
+++ b/internal/service/lifecycle.go
@@ -138,7 +138,7 @@
 }
 
 func (s *Service) endOnceIdle() {
-	if s.clients.frontend.Connections() == 0 && s.loop.Finishing() == 0 {
+	if s.clients.frontend.Connections() == 0 && s.loop.HalfClosedConns() == 0 {
 		s.end()
 		return
 	}
--- a/internal/service/listeners.go
+++ b/internal/service/listeners.go
@@ -49,7 +49,7 @@
 // listens there too once it serves.
 func (s *Service) openListener() error {
 	if s.restart.predecessor == nil {
-		inUse, err := eventloop.Held(s.conf.Listen)
+		inUse, err := eventloop.AddressInUse(s.conf.Listen)
 		if err != nil {
 			return err
 		}
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -65,14 +65,14 @@
 	// each wait for events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
 	limitMemory(conf)
-	if err := eventloop.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
+	if err := eventloop.SetLogOutput(log.With().Str("level", "warn").Logger()); err != nil {
 		return err
 	}
 	s, err := assemble(setup, newBalancer, log)
 	if err != nil {
 		return err
 	}
-	s.loop.Guard(func(what any, stack []byte) {
+	s.loop.OnPanic(func(what any, stack []byte) {
 		s.log.Error().Str("fault", fmt.Sprint(what)).Bytes("stack", stack).Msg("a callback failed")
 	})
 	go s.handleSignals(signals, reload)
@@ -90,7 +90,7 @@
 		return nil, err
 	}
 	conf, enough := setup.Platform.WithReserved(reservedDescriptors(setup.Operators))
-	loop.Limit(conf.MaxConnections)
+	loop.SetDescriptorLimit(conf.MaxConnections)
 	s := newService(conf, setup.Operators, newBalancer, loop, log)
 	s.warnIfDescriptorsShort(enough)
 	s.logStart(conf)
--- a/internal/upstream/attempt.go
+++ b/internal/upstream/attempt.go
@@ -37,7 +37,7 @@
 	a.settled = true
 	a.timer.Stop()
 	a.pool.logHealthChange(outcome)
-	a.pool.pools.loop.Later(func() { a.onEnd(outcome, result) })
+	a.pool.pools.loop.Defer(func() { a.onEnd(outcome, result) })
 }
 
 // fullyWritten reports whether the kernel has accepted the last byte of the command. If not, the server cannot have
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -44,7 +44,7 @@
 	c := b.connection
 	if c != nil && c.hasPendingExcept(nil) {
 		b.sink = discardSink{}
-		c.pool.pools.loop.Later(b.ResumeReading)
+		c.pool.pools.loop.Defer(b.ResumeReading)
 		return
 	}
 	if c != nil {
@@ -112,7 +112,7 @@
 	c.body = nil
 	body.connection = nil
 	c.inFlight = c.inFlight[1:]
-	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnComplete) })
+	c.pool.pools.loop.Defer(func() { body.finish(requestcore.BodySink.OnComplete) })
 	if len(c.inFlight) == 0 {
 		c.pool.release(c)
 		return
@@ -130,5 +130,5 @@
 	}
 	c.body = nil
 	body.connection = nil
-	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnAborted) })
+	c.pool.pools.loop.Defer(func() { body.finish(requestcore.BodySink.OnAborted) })
 }
