--- a/internal/broker/broker_test.go
+++ b/internal/broker/broker_test.go
@@ -42,7 +42,7 @@
 	check("", "", "lab:1", "d")
 	check("", "", "lab:x:1", "e") // the longest prefix
 	check("", "who", "k", "platform")
-	b.Configure(pools, []TeamTerms{c}, UnmatchedRejected)
+	b.Configure(pools, []TeamConfig{c}, UnmatchedRejected)
 	check("", "who", "k", "none")
 	check("127.0.0.1:1", "", "k", "none") // the listener's team was removed
 	if len(b.tallies) != 1 {
@@ -124,11 +124,11 @@
 	a.Listen = listenA
 	c.Listen = listenC
 	b, _, _ := newTestBroker(t, Limits{Requests: 100, BufferedBytes: 1000, Connections: 8}, a, c)
-	b.Route("", "a", "k").AddHeldBytes(800)
+	b.Route("", "a", "k").AddBufferedBytes(800)
 	if b.Route("", "a", "k").HasCapacity() || !b.Route("", "c", "k").HasCapacity() {
 		t.Error("a team that buffers too many bytes has capacity, or another team has none")
 	}
-	b.Route("", "a", "k").AddHeldBytes(-800)
+	b.Route("", "a", "k").AddBufferedBytes(-800)
 	n := 0
 	for b.AdmitConnection(listenA) {
 		n++
@@ -160,7 +160,7 @@
 	class.Idempotency = balancer.AtMostOnce
 	class.Deadline = 2
 	once.TrafficClasses = []balancer.TrafficClass{class}
-	lines := strings.Join(b.Configure(pools, []TeamTerms{once}, UnmatchedToPlatform), "\n")
+	lines := strings.Join(b.Configure(pools, []TeamConfig{once}, UnmatchedToPlatform), "\n")
 	for _, want := range []string{`team a changed from: pool "own", budget 2`, `to: pool "", budget 1`, "team b removed"} {
 		if !strings.Contains(lines, want) {
 			t.Errorf("the change lines do not contain %q:\n%s", want, lines)
@@ -193,7 +193,7 @@
 	c := &client{}
 	r := b.Route("", "a", "k")
 	core, id := r.Submit(&requestcore.Request{Class: "view", Key: "k", TimeLeft: 3}, c)
-	core.OnClientGone(id)
+	core.OnClientDisconnected(id)
 	if s := b.teamState("a"); s.Disconnected != 1 || s.OpenRequests != 1 {
 		t.Errorf("state while the attempt is in flight: %+v, want 1 disconnected and 1 open", s)
 	}
@@ -218,7 +218,7 @@
 func BenchmarkSubmit(b *testing.B) {
 	for _, n := range []int{3, 1000} {
 		b.Run(string(rune('0'+n%10))+"-of", func(b *testing.B) {
-			var all []TeamTerms
+			var all []TeamConfig
 			for i := range n {
 				x := testTerms("t", "own", 1000)
 				x.Team = strings.Repeat("t", 1+i%7) + string(rune('a'+i/7%26)) + string(rune('a'+i/182))
--- a/internal/broker/team.go
+++ b/internal/broker/team.go
@@ -11,7 +11,7 @@
 
 // team is the route of a team's requests, under the current terms.
 type team struct {
-	TeamTerms
+	TeamConfig
 	broker  *Broker
 	pool    *pool
 	classes map[string]teamClass // by the name used by clients
@@ -31,10 +31,10 @@
 }
 
 // newTeam creates the route of a team. Its partitions and its pool must already exist.
-func (b *Broker) newTeam(terms TeamTerms) *team {
+func (b *Broker) newTeam(terms TeamConfig) *team {
 	p := b.pools[terms.Pool]
 	t := &team{
-		TeamTerms:    terms,
+		TeamConfig:   terms,
 		broker:       b,
 		pool:         p,
 		classes:      map[string]teamClass{},
@@ -101,5 +101,5 @@
 	return t.pool.Core, t.pool.Core.Submit(request, client)
 }
 
-// AddHeldBytes adds n, which may be negative, to the bytes that are buffered for the team's clients.
-func (t *team) AddHeldBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
+// AddBufferedBytes adds n, which may be negative, to the bytes that are buffered for the team's clients.
+func (t *team) AddBufferedBytes(n int) { t.broker.slots.bytes.ForceAcquire(t.bytes, n) }
--- a/internal/emulator/clientconn.go
+++ b/internal/emulator/clientconn.go
@@ -35,7 +35,7 @@
 func (d *routerTarget) sendAttempt(attempt *Attempt) {
 	for len(d.idle) > 0 && !attempt.ReadBehavior.needsPlainConn() {
 		c := d.idle[len(d.idle)-1]
-		if d.idle = d.idle[:len(d.idle)-1]; c.conn.Quiet() {
+		if d.idle = d.idle[:len(d.idle)-1]; c.conn.HasNoInput() {
 			c.writeAttempt(attempt)
 			return
 		}
@@ -52,7 +52,7 @@
 	}
 	attempt.Router = d.index
 	if d.clients.load.MaxConnections > 0 && d.openConns >= d.clients.load.MaxConnections {
-		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
+		d.clients.loop.Defer(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
 	if attempt.ReadBehavior.needsPlainConn() {
@@ -65,7 +65,7 @@
 	conn, err := d.clients.loop.Dial(d.addr, c)
 	if err != nil {
 		d.avoidUntil = d.clients.loop.Now() + 0.5
-		d.clients.loop.Later(func() { d.clients.attemptEnded(attempt, NoConnection) })
+		d.clients.loop.Defer(func() { d.clients.attemptEnded(attempt, NoConnection) })
 		return
 	}
 	d.openConns++
--- a/internal/emulator/serverconn.go
+++ b/internal/emulator/serverconn.go
@@ -203,7 +203,7 @@
 		}
 		if server.rng.Float64() < server.corruptFraction {
 			r.execution.Outcome = MalformedAnswer
-			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.ValueBound)))}
+			text = [][]byte{[]byte(r.conn.protocol.corrupt(prefixText(text, meta.MaxBufferedValueBytes)))}
 			r.conn.corrupted = true
 		} else if r.execution.Length > 0 {
 			text = r.drawEnding(text)
@@ -239,7 +239,7 @@
 	if !c.full() && !c.corrupted && c.server.unreachable == 0 {
 		c.conn.Resume()
 		if c.conn.In.Len() > 0 {
-			c.server.fleet.loop.Later(c.Input)
+			c.server.fleet.loop.Defer(c.Input)
 		}
 	}
 }
--- a/internal/emulator/serverprotocol.go
+++ b/internal/emulator/serverprotocol.go
@@ -49,8 +49,8 @@
 // Reserve is never called: longWrite reads long writes.
 func (m *memcacheServer) Reserve(int) bool { return true }
 
-// Refused is never called, because Reserve refuses nothing.
-func (m *memcacheServer) Refused() {}
+// LongValueSkipped is never called, because Reserve refuses nothing.
+func (m *memcacheServer) LongValueSkipped() {}
 
 // Noop answers a probe.
 func (m *memcacheServer) Noop() {
@@ -58,25 +58,25 @@
 	m.conn.replyText("MN\r\n")
 }
 
-// Bad answers a malformed or unknown command.
-func (m *memcacheServer) Bad(answer string) { m.conn.replyText(answer + "\r\n") }
+// BadCommand answers a malformed or unknown command.
+func (m *memcacheServer) BadCommand(answer string) { m.conn.replyText(answer + "\r\n") }
 
 func (m *memcacheServer) startCommand(key, id, parameters string, write bool) {
-	className, _ := meta.Figure(parameters, "c")
+	className, _ := meta.Parameter(parameters, "c")
 	trafficType := m.conn.server.fleet.types[className]
 	if trafficType == nil || trafficType.Write != write {
 		m.conn.replyText("CLIENT_ERROR the type c is unknown\r\n")
 		return
 	}
-	idempotencyKey, _ := meta.Figure(parameters, "k")
-	deadline, _ := meta.Figure(parameters, "d")
+	idempotencyKey, _ := meta.Parameter(parameters, "k")
+	deadline, _ := meta.Parameter(parameters, "d")
 	ms, _ := strconv.ParseFloat(deadline, 64) // 0 if it is not stated
 	m.conn.startExecution(trafficType, key, id, idempotencyKey, ms/1e3, nil, m.damage)
 }
 
 func (m *memcacheServer) encodeValue(reply *reply) ([][]byte, uint32) {
 	v := m.conn.server.newValue(reply.execution, reply.key)
-	if v.Len() > meta.ValueBound {
+	if v.Len() > meta.MaxBufferedValueBytes {
 		reply.execution.Length = v.Len()
 	}
 	text := append([][]byte{meta.AppendValue(nil, reply.execution.ID, v.Len())}, v.Pieces()...)
--- a/internal/eventloop/write.go
+++ b/internal/eventloop/write.go
@@ -74,7 +74,7 @@
 	if err != unix.EAGAIN && err != unix.EINTR {
 		c.writeFailed = true
 		c.resetReported = true // the kernel may report it only here
-		c.loop.Later(c.onPeerEnd)
+		c.loop.Defer(c.onPeerEnd)
 	}
 	return 0
 }
@@ -95,8 +95,8 @@
 	return c.out.Len() + queued
 }
 
-// TakeBack drops the bytes that the kernel has not accepted.
-func (c *Conn) TakeBack() {
+// DropUnsent drops the bytes that the kernel has not accepted.
+func (c *Conn) DropUnsent() {
 	c.out.Drop(c.out.Len())
 	c.updateWriteInterest()
 }
--- a/internal/frontend/admission_test.go
+++ b/internal/frontend/admission_test.go
@@ -67,7 +67,7 @@
 		expect(t, in, "SERVER_ERROR busy\r\n")
 	}
 	s.onLoop(func() {
-		if n := s.dispatcher.core.Counts.Taken; n > 0 || len(s.started) > 0 {
+		if n := s.dispatcher.core.Counts.Received; n > 0 || len(s.started) > 0 {
 			t.Errorf("got %d requests in the core and %d attempts, want none", n, len(s.started))
 		}
 	})
@@ -140,7 +140,7 @@
 			c.lastActive -= 2 * evictableAfterSeconds
 		}
 		s.dispatcher.onAdmit = func() {
-			descriptors := len(s.connections) + 1 + s.loop.Finishing() + s.loop.Closing()
+			descriptors := len(s.connections) + 1 + s.loop.HalfClosedConns() + s.loop.Closing()
 			mostDescriptors = max(mostDescriptors, descriptors)
 		}
 		close(blocked)
--- a/internal/frontend/output.go
+++ b/internal/frontend/output.go
@@ -38,11 +38,11 @@
 	if !c.isFull() && !c.closing {
 		c.conn.Resume()
 		if c.conn.In.Len() > 0 {
-			c.frontend.loop.Later(c.resumeInput)
+			c.frontend.loop.Defer(c.resumeInput)
 		}
 	}
 	if c.closing || c.frontend.closingIdle {
-		c.frontend.loop.Later(c.closeIfIdle)
+		c.frontend.loop.Defer(c.closeIfIdle)
 	}
 }
 
@@ -68,7 +68,7 @@
 // writeText writes a segment's text as far as the buffer has room, and reports whether all of it is written.
 func (c *ClientConn) writeText(s *segment) (done bool) {
 	n := c.conn.Write(s.text)
-	s.answer.addHeldBytes(-n)
+	s.answer.addBufferedBytes(-n)
 	if n > 0 {
 		c.lastActive = c.frontend.loop.Now()
 	}
@@ -85,7 +85,7 @@
 	}
 	sink := s.answer
 	c.bodyStarted = true
-	c.frontend.loop.Later(func() {
+	c.frontend.loop.Defer(func() {
 		if c.isOpen() {
 			body.StartReading(sink)
 		}
@@ -116,8 +116,8 @@
 	c.Flushed()
 }
 
-// OnBroken closes the connection, because the client cannot detect an incomplete value in any other way.
-func (a *answer) OnBroken() {
+// OnAborted closes the connection, because the client cannot detect an incomplete value in any other way.
+func (a *answer) OnAborted() {
 	c := a.conn
 	if !c.isOpen() {
 		return
--- a/internal/meta/command.go
+++ b/internal/meta/command.go
@@ -7,18 +7,18 @@
 	"bendtrestle/internal/ringbuffer"
 )
 
-// CommandHandler handles a client's commands. In its methods id is the value of the flag O, figures the list of names
-// and values in the flag P, and flags all flags except P.
+// CommandHandler handles a client's commands. In its methods id is the value of the flag O, parameters the list of
+// names and values in the flag P, and flags all flags except P.
 type CommandHandler interface {
-	Get(key, id, flags, figures string)
-	Set(key, id, flags, figures string, value []byte)
+	Get(key, id, flags, parameters string)
+	Set(key, id, flags, parameters string, value []byte)
 	Noop()
-	Bad(answer string) // an invalid command; answer is the error for its sender
+	BadCommand(answer string) // an invalid command; answer is the error for its sender
 
-	// Reserve reserves memory for a value longer than ValueBound, which is about to be received. If it returns false,
-	// there is no memory, and the value is skipped.
+	// Reserve reserves memory for a value longer than MaxBufferedValueBytes, which is about to be received. If it returns
+	// false, there is no memory, and the value is skipped.
 	Reserve(length int) bool
-	Refused() // a value for which Reserve returned false has been skipped
+	LongValueSkipped() // a value for which Reserve returned false has been skipped
 }
 
 // CommandReader reads a client's commands. The zero value is ready for use.
@@ -49,7 +49,7 @@
 	case verb == "ms" && len(fields) >= 3:
 		return r.readSet(in, fields, to)
 	default:
-		to.Bad("ERROR")
+		to.BadCommand("ERROR")
 	}
 	r.nextMessage()
 	return true, nil
@@ -59,10 +59,10 @@
 func handleGet(fields [][]byte, to CommandHandler) {
 	flags, fault := parseFlags(fields[1], fields[2:])
 	if fault != "" {
-		to.Bad(fault)
+		to.BadCommand(fault)
 		return
 	}
-	to.Get(string(fields[1]), flags.id, flags.others, flags.figures)
+	to.Get(string(fields[1]), flags.id, flags.others, flags.parameters)
 }
 
 // readSet handles a write after its value has been received: ms <key> <length> <flags>.
@@ -75,15 +75,15 @@
 			return r.skipValue(in, to), nil
 		}
 	}
-	value, complete, err := r.readValue(in, fields[2], LongBound)
+	value, complete, err := r.readValue(in, fields[2], MaxLongValueBytes)
 	if !complete {
 		return false, err
 	}
 	flags, fault := parseFlags(fields[1], fields[3:])
 	if fault != "" {
-		to.Bad(fault)
+		to.BadCommand(fault)
 	} else {
-		to.Set(string(fields[1]), flags.id, flags.others, flags.figures, value)
+		to.Set(string(fields[1]), flags.id, flags.others, flags.parameters, value)
 	}
 	r.nextMessage()
 	r.reserved = false
@@ -100,15 +100,15 @@
 		return false
 	}
 	r.nextMessage()
-	to.Refused()
+	to.LongValueSkipped()
 	return true
 }
 
 // commandFlags are the flags of a command.
 type commandFlags struct {
-	id      string
-	figures string
-	others  string // all flags except the figures, including the id
+	id         string
+	parameters string
+	others     string // all flags except the parameters, including the id
 }
 
 // parseFlags parses a command's flags. If they are invalid, fault is the error for the command's sender.
@@ -120,9 +120,9 @@
 	if flags.id == "" {
 		return commandFlags{}, "CLIENT_ERROR the flag O is missing"
 	}
-	flags.figures = flagValue(fields, figuresFlag)
-	isFigures := func(field []byte) bool { return field[0] == figuresFlag }
-	others := slices.DeleteFunc(slices.Clone(fields), isFigures)
+	flags.parameters = flagValue(fields, parametersFlag)
+	isParameters := func(field []byte) bool { return field[0] == parametersFlag }
+	others := slices.DeleteFunc(slices.Clone(fields), isParameters)
 	flags.others = string(bytes.Join(others, []byte(" ")))
 	return flags, ""
 }
--- a/internal/requestcore/core.go
+++ b/internal/requestcore/core.go
@@ -25,10 +25,10 @@
 
 // Counts holds event counts since the process started.
 type Counts struct {
-	Taken, Succeeded, Rejected, Failed, ClientsGone uint64 // requests
+	Received, Succeeded, Rejected, Failed, Disconnected uint64 // requests
 
 	Attempts uint64
-	Faults   uint64                   // panics of the balancer
+	Panics   uint64                   // panics of the balancer
 	Reasons  [len(ReasonNames)]uint64 // rejected requests by RejectReason
 }
 
@@ -52,11 +52,11 @@
 // OpenRequests returns the number of requests that have no answer or have attempts outstanding.
 func (c *Core) OpenRequests() int { return len(c.requests) }
 
-// Submit passes a request to the balancer, and returns the request's id for OnClientGone. The client may be answered
-// before Submit returns.
+// Submit passes a request to the balancer, and returns the request's id for OnClientDisconnected. The client may be
+// answered before Submit returns.
 func (c *Core) Submit(request *Request, client Client) uint64 {
 	c.lastID++
-	c.Counts.Taken++
+	c.Counts.Received++
 	request.NotIdempotent = !c.idempotent[request.Class]
 	r := &openRequest{Request: request, core: c, id: c.lastID, client: client}
 	c.requests[r.id] = r
@@ -66,16 +66,17 @@
 	return r.id
 }
 
-// OnClientGone is called when the client of a request has disconnected. It has no effect once the request is answered.
-func (c *Core) OnClientGone(id uint64) {
+// OnClientDisconnected is called when the client of a request has disconnected. It has no effect once the request is
+// answered.
+func (c *Core) OnClientDisconnected(id uint64) {
 	r := c.requests[id]
 	if r == nil || r.client == nil {
 		return
 	}
-	c.Counts.ClientsGone++
+	c.Counts.Disconnected++
 	r.client = nil
-	r.reportEnd(ClientGone, NoReason)
-	c.callBalancer(r, func() { c.balancer.OnClientGone(c.deps.Clock.Now(), id) })
+	r.reportEnd(ClientDisconnected, NoReason)
+	c.callBalancer(r, func() { c.balancer.OnClientDisconnected(c.deps.Clock.Now(), id) })
 	r.removeIfDone()
 }
 
@@ -141,7 +142,7 @@
 		if fault == nil {
 			return
 		}
-		c.Counts.Faults++
+		c.Counts.Panics++
 		c.deps.Log.Error().Str("fault", fmt.Sprint(fault)).Bytes("stack", debug.Stack()).
 			Msg("the balancer panicked; the unanswered request of the call, if any, fails")
 		if request != nil && request.client != nil {
--- a/internal/requestcore/request.go
+++ b/internal/requestcore/request.go
@@ -6,7 +6,7 @@
 type Request struct {
 	Class, Tenant, Key string
 	ID                 string // chosen by the front end; a reply must carry the same id
-	Flags, Figures     string // passed to the upstream; not interpreted by this package
+	Flags, Parameters  string // passed to the upstream; not interpreted by this package
 	Write              bool
 	Value              []byte        // of a write
 	TimeLeft           float64       // seconds until the client's deadline
@@ -29,12 +29,12 @@
 // RequestEnd is how a request ended.
 type RequestEnd int
 
-// The ways in which a request ends. All but ClientGone are answers to the client.
+// The ways in which a request ends. All but ClientDisconnected are answers to the client.
 const (
-	Succeeded  RequestEnd = iota
-	Rejected              // the request was not executed; a retry is safe
-	Failed                // whether the request was executed is unknown
-	ClientGone            // the client disconnected before it was answered
+	Succeeded          RequestEnd = iota
+	Rejected                      // the request was not executed; a retry is safe
+	Failed                        // whether the request was executed is unknown
+	ClientDisconnected            // the client disconnected before it was answered
 )
 
 // RejectReason is why a request was rejected.
@@ -69,23 +69,24 @@
 }
 
 // Client receives the final answer to a request: exactly one of Succeeded, Rejected and Failed is called, once, on the
-// event loop's goroutine. None is called after Core.OnClientGone.
+// event loop's goroutine. None is called after Core.OnClientDisconnected.
 type Client interface {
 	Succeeded(Result)
 	// Rejected is called when the request was not executed. A retry is reasonable after retryAfter seconds.
 	Rejected(retryAfter float64)
 	Failed()
 
-	// Disconnected reports whether the client's connection has ended. The core may not have been notified yet, for example
-	// after the event loop was stopped for a while; Core.OnClientGone then follows after the current callback.
+	// Disconnected reports whether the client's connection has ended. The core may not have been notified yet, for
+	// example after the event loop was stopped for a while; Core.OnClientDisconnected then follows after the current
+	// callback.
 	Disconnected() bool
 }
 
 // Result is the result of an attempt that succeeded at a cache server.
 type Result struct {
-	Value   []byte
-	Receipt string     // of a write; forwarded unchanged
-	Status  int        // if the protocol has status codes
-	Head    string     // header lines that are forwarded with the value, in the protocol's format
-	Body    BodyStream // replaces Value if the value is too long to be held in memory; nil: Value is complete
+	Value       []byte
+	Receipt     string     // of a write; forwarded unchanged
+	Status      int        // if the protocol has status codes
+	HeaderLines string     // header lines that are forwarded with the value, in the protocol's format
+	Body        BodyStream // replaces Value if the value is too long to be held in memory; nil: Value is complete
 }
--- a/internal/service/contracts.go
+++ b/internal/service/contracts.go
@@ -31,10 +31,10 @@
 	var enough bool
 	s.conf, enough = s.conf.WithReserved(reservedDescriptors(operators))
 	s.warnIfDescriptorsShort(enough)
-	s.loop.Limit(s.conf.MaxConnections)
+	s.loop.SetDescriptorLimit(s.conf.MaxConnections)
 	s.applyLimits()
 	pools := s.applyPools(operators)
-	changes := s.broker.Configure(pools, contractTerms(setup), operators.Others())
+	changes := s.broker.Configure(pools, contractTerms(setup), operators.UnmatchedTraffic())
 	for _, change := range changes {
 		s.log.Info().Int("revision", s.broker.Revision()).Str("change", change).Msg("contracts")
 	}
@@ -48,7 +48,7 @@
 }
 
 // contractTerms returns the contract terms of all teams.
-func contractTerms(setup Setup) []broker.TeamTerms {
+func contractTerms(setup Setup) []broker.TeamConfig {
 	terms := setup.Operators.Terms()
 	for i := range terms {
 		terms[i].FlatCost = setup.FlatCost
@@ -117,7 +117,7 @@
 		Host:             cmp.Or(named.Host, named.Name),
 		ProbePath:        cmp.Or(named.Probe, defaultHealthCheckPath),
 		MaxBodyBytes:     cmp.Or(named.LargestKB, defaultLargestTileKB) << 10,
-		MaxBufferedBytes: s.conf.HeldBytes,
+		MaxBufferedBytes: s.conf.BufferedBytes,
 	}
 	return client.NewCodec
 }
--- a/internal/service/service.go
+++ b/internal/service/service.go
@@ -65,14 +65,14 @@
 	// each wait for events.
 	runtime.GOMAXPROCS(max(2, int(math.Ceil(conf.Cores))))
 	limitMemory(conf)
-	if err := eventloop.LogTo(log.With().Str("level", "warn").Logger()); err != nil {
+	if err := eventloop.SetLogOutput(log.With().Str("level", "warn").Logger()); err != nil {
 		return err
 	}
 	s, err := assemble(setup, newBalancer, log)
 	if err != nil {
 		return err
 	}
-	s.loop.Guard(func(what any, stack []byte) {
+	s.loop.OnPanic(func(what any, stack []byte) {
 		s.log.Error().Str("fault", fmt.Sprint(what)).Bytes("stack", stack).
 			Msg("a callback on the event loop panicked; the process continues")
 	})
@@ -91,7 +91,7 @@
 		return nil, err
 	}
 	conf, enough := setup.Platform.WithReserved(reservedDescriptors(setup.Operators))
-	loop.Limit(conf.MaxConnections)
+	loop.SetDescriptorLimit(conf.MaxConnections)
 	s := newService(conf, setup.Operators, newBalancer, loop, log)
 	s.warnIfDescriptorsShort(enough)
 	s.logStart(conf)
@@ -105,8 +105,8 @@
 		return nil, err
 	}
 	s.openDisabledServers()
-	s.pools.platform.initialList = s.conf.Known
-	s.pools.platform.applyList(balancer.UpdateSaved, s.conf.Known)
+	s.pools.platform.initialList = s.conf.InitialEndpoints
+	s.pools.platform.applyList(balancer.UpdateSaved, s.conf.InitialEndpoints)
 	s.pools.platform.watchListService(conf.Discovery)
 	s.applyContracts(setup)
 	s.zones.begin()
@@ -142,7 +142,7 @@
 		Int("caches", conf.UpstreamConnections).
 		Int("open", conf.OpenRequests).
 		Msg("starting")
-	if conf.LoadReports.How != "off" {
+	if conf.LoadReports.Mode != "off" {
 		s.log.Info().Stringer("loadInfo", conf.LoadReports).
 			Msg("load reports are not available with this protocol; own counts and the endpoint list's weights are used")
 	}
@@ -156,7 +156,7 @@
 	// Replies on one connection arrive in order, but each attempt has a connection of its own.
 	settings.OrderedConnections = false
 	settings.RetryBudgetPerTenant = len(operators.Teams) > 0
-	settings.SlowStartSharedUpTo = float64(operators.Cold.Routers)
+	settings.SlowStartMaxSharingRouters = float64(operators.Cold.Routers)
 	s.pools.platform = s.newPool(poolOptions{
 		settings:              settings,
 		connections:           conf.UpstreamConnections,
--- a/internal/upstream/bodystream.go
+++ b/internal/upstream/bodystream.go
@@ -44,7 +44,7 @@
 	c := b.connection
 	if c != nil && c.hasPendingExcept(nil) {
 		b.sink = discardSink{}
-		c.pool.pools.loop.Later(b.ResumeReading)
+		c.pool.pools.loop.Defer(b.ResumeReading)
 		return
 	}
 	if c != nil {
@@ -73,7 +73,7 @@
 
 func (discardSink) OnPart(part []byte) int { return len(part) }
 func (discardSink) OnComplete()            {}
-func (discardSink) OnBroken()              {}
+func (discardSink) OnAborted()             {}
 
 // OnBodyStart settles the first attempt in flight with a body that follows. The attempt stays the first in flight until
 // the whole body has been received.
@@ -98,7 +98,7 @@
 	if c.body != nil && c.body.sink != nil {
 		accepted = c.body.sink.OnPart(part)
 	}
-	c.socket.Hold(accepted < len(part))
+	c.socket.SetInputHeld(accepted < len(part))
 	return accepted
 }
 
@@ -112,7 +112,7 @@
 	c.body = nil
 	body.connection = nil
 	c.inFlight = c.inFlight[1:]
-	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnComplete) })
+	c.pool.pools.loop.Defer(func() { body.finish(requestcore.BodySink.OnComplete) })
 	if len(c.inFlight) == 0 {
 		c.pool.release(c)
 		return
@@ -130,5 +130,5 @@
 	}
 	c.body = nil
 	body.connection = nil
-	c.pool.pools.loop.Later(func() { body.finish(requestcore.BodySink.OnBroken) })
+	c.pool.pools.loop.Defer(func() { body.finish(requestcore.BodySink.OnAborted) })
 }
--- a/internal/upstream/tileclient/codec.go
+++ b/internal/upstream/tileclient/codec.go
@@ -18,7 +18,7 @@
 // least one.
 const minSecondsLeft = 1e-3
 
-// codec is the upstream.Codec of one connection. It implements http1.Replies for its reader.
+// codec is the upstream.Codec of one connection. It implements http1.ResponseHandler for its reader.
 type codec struct {
 	client  *Client
 	replies upstream.ReplyHandler
@@ -33,7 +33,7 @@
 	if request == nil {
 		return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n\r\n", c.client.ProbePath, c.client.Host)}
 	}
-	tile, _ := tiles.Named(request.Key) // the key is valid: the tile frontend generated it
+	tile, _ := tiles.ParseKey(request.Key) // the key is valid: the tile frontend generated it
 	milliseconds := int(math.Ceil(max(minSecondsLeft, secondsLeft) * 1e3))
 	return [][]byte{fmt.Appendf(nil, "GET %s HTTP/1.1\r\nHost: %s\r\n%sX-Wait-Ms: %d\r\n\r\n",
 		c.client.Scheme.Address(tile), c.client.Host, request.Flags, milliseconds)}
@@ -106,7 +106,7 @@
 // End handles the end of a reply. If reusable is true the connection can carry another request.
 func (c *codec) End(reusable bool) {
 	request, due := c.replies.PendingRequest()
-	result := requestcore.Result{Status: c.status, Head: c.head.String(), Value: c.body}
+	result := requestcore.Result{Status: c.status, HeaderLines: c.head.String(), Value: c.body}
 	c.releaseBody()
 	if !due {
 		c.replies.OnUnexpectedReply("an answer that nobody asked for")
