--- a/internal/service/requests_test.go
+++ b/internal/service/requests_test.go
@@ -88,6 +88,8 @@
 				fmt.Fprintf(conn, "mg hangs v Ob%d Pc=t\r\n", i)
 			}
 		})
+		// Until the loop has read the burst, no request is open either.
+		waitUntil(t, "20 requests of the burst", s, func() bool { return s.pools.platform.core.Counts.Received == 20 })
 		if burst.disconnect {
 			waitUntil(t, "20 open requests", s, func() bool { return s.broker.OpenRequests() == 20 })
 			if got := sendCommand(addr, "mg k v Oc1 Pc=t"); got != "SERVER_ERROR busy" {
