--- a/cmd/trestle-experiment/fleet.go
+++ b/cmd/trestle-experiment/fleet.go
@@ -9,8 +9,8 @@
 )
 
 type fleetCommand struct {
-	Scenario string `arg:"" optional:"" type:"existingfile" help:"Whose fleet, list, routers' limits and traffic types; else a usual one."`
-	Seed     uint64 `help:"Of the machines' speeds and works." default:"1"`
+	Scenario string `arg:"" optional:"" type:"existingfile" help:"Scenario for the fleet, list service, router limits and traffic types; default: a built-in one."`
+	Seed     uint64 `help:"Seed of the random machine speeds and work times." default:"1"`
 	Net      int    `help:"Second number of the loopback addresses, 127.NET.x.y." default:"77"`
 	Config   string `help:"Where to write the router's configuration." default:"bin/fleet.json" type:"path"`
 }
@@ -25,10 +25,10 @@
 
 type loadCommand struct {
 	To       []string `help:"The routers' addresses." required:"" placeholder:"ADDRESS,..."`
-	Scenario string   `arg:"" optional:"" type:"existingfile" help:"Whose clients and traffic types; else usual ones."`
-	Rate     float64  `help:"Operations a second; else the scenario's."`
-	Seconds  float64  `help:"How long; else the scenario's."`
-	Seed     uint64   `help:"Of arrivals and keys." default:"1"`
+	Scenario string   `arg:"" optional:"" type:"existingfile" help:"Scenario for the clients and traffic types; default: built-in ones."`
+	Rate     float64  `help:"Requests per second; default: the scenario's."`
+	Seconds  float64  `help:"Duration in seconds; default: the scenario's."`
+	Seed     uint64   `help:"Seed of the random arrivals and keys." default:"1"`
 	JSON     string   `help:"File for all figures." type:"path" name:"json"`
 }
 
--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -35,15 +35,15 @@
 )
 
 type arguments struct {
-	Run     runCommand              `cmd:"" help:"Play a scenario: stand-ins, real routers, clients, faults; judge it and print its figures."`
-	Compare compareCommand          `cmd:"" help:"Play a scenario with two routers, turn about, and print paired differences with their noise."`
-	Fleet   fleetCommand            `cmd:"" help:"Run the stand-ins alone, to try a router by hand."`
+	Run     runCommand              `cmd:"" help:"Run a scenario with emulated servers, real routers, clients and faults; check its rules and print its figures."`
+	Compare compareCommand          `cmd:"" help:"Run a scenario with two routers alternately, and print paired differences with their noise."`
+	Fleet   fleetCommand            `cmd:"" help:"Run only the emulated servers, to try a router by hand."`
 	Load    loadCommand             `cmd:"" help:"Run a scenario's clients against any addresses."`
-	Faults  faultsCommand           `cmd:"" help:"Name the faults that a scenario may have."`
-	Values  valuesCommand           `cmd:"" help:"Measure what long values cost a router: processor time and memory, as lines with names."`
-	Scale   scaleCommand            `cmd:"" help:"Measure what a router costs for one more server, peer, word, request or change, and print each by its name."`
-	Hollow  simulatedRoutersCommand `cmd:"" hidden:"" help:"Be hollow routers, as trestle-experiment scale starts them."`
-	Router  routerCommand           `cmd:"" hidden:"" help:"Be a router with a baseline policy, as the lab starts it."`
+	Faults  faultsCommand           `cmd:"" help:"List the kinds of faults for scenarios."`
+	Values  valuesCommand           `cmd:"" help:"Measure the processor time and memory that long values cost a router."`
+	Scale   scaleCommand            `cmd:"" help:"Measure a router's cost of each additional server, peer, gossip message, request or list change."`
+	Hollow  simulatedRoutersCommand `cmd:"" hidden:"" help:"Run simulated routers; trestle-experiment scale starts this command."`
+	Router  routerCommand           `cmd:"" hidden:"" help:"Run a router with a baseline policy; the laboratory starts this command."`
 }
 
 func main() {
@@ -115,8 +115,8 @@
 type runCommand struct {
 	Scenario string `arg:"" type:"existingfile" help:"The scenario's file."`
 	Router   string `help:"What to start: head (this tree, built), a program's path, a revision, or a baseline." default:"head"`
-	Seed     uint64 `help:"Of arrivals, keys, works and targets." default:"1"`
-	Repeat   int    `help:"Runs, with seeds one after another." default:"1"`
+	Seed     uint64 `help:"Seed of the random arrivals, keys, work times and targets." default:"1"`
+	Repeat   int    `help:"Number of runs, with consecutive seeds." default:"1"`
 	JSON     string `help:"File for all figures." type:"path" name:"json"`
 	Plot     string `help:"PNG file for a picture of the last run: benefit, zones and origin over time." type:"path"`
 	runSettings
@@ -199,10 +199,10 @@
 type compareCommand struct {
 	Scenario []string `arg:"" type:"existingfile" help:"The scenarios' files."`
 	A        string   `help:"One router: head, a program's path, a revision, or a baseline." default:"head"`
-	B        []string `help:"The others, each set beside the first." required:""`
-	Seeds    int      `help:"Pairs." default:"5"`
-	Lanes    int      `help:"Seeds that are played at once: a lane wants a core." default:"1"`
-	Seed     uint64   `help:"The first pair's." default:"1"`
+	B        []string `help:"The other routers, each compared with the first." required:""`
+	Seeds    int      `help:"Number of pairs of runs." default:"5"`
+	Lanes    int      `help:"Seeds to run in parallel: each needs a core." default:"1"`
+	Seed     uint64   `help:"Seed of the first pair." default:"1"`
 	JSON     string   `help:"File for all figures." type:"path" name:"json"`
 	runSettings
 }
@@ -253,10 +253,10 @@
 type valuesCommand struct {
 	Router    string `help:"What is measured: head (this tree, built), a program's path, a revision, or a baseline." default:"head"`
 	Sizes     []int  `help:"Bytes of a value, three sizes or more." default:"60000,200000,1000000,4000000"`
-	Transfers []int  `help:"Transfers that clients hold who do not read, three counts or more." default:"1,16,64,256"`
-	Bytes     int    `help:"Bytes that are carried for one point." default:"400000000"`
-	AtOnce    int    `help:"Clients that ask one value after another." default:"8"`
-	Runs      int    `help:"Of the whole." default:"3"`
+	Transfers []int  `help:"Numbers of open transfers whose clients do not read, three or more." default:"1,16,64,256"`
+	Bytes     int    `help:"Bytes transferred per measured point." default:"400000000"`
+	AtOnce    int    `help:"Concurrent clients, each requesting one value after another." default:"8"`
+	Runs      int    `help:"Number of runs of the whole measurement." default:"3"`
 	JSON      string `help:"File for all lines and points." type:"path" name:"json"`
 	runSettings
 }
@@ -298,7 +298,7 @@
 
 type routerCommand struct {
 	Policy string  `help:"The baseline; logic is the product's own." default:"logic"`
-	Flat   float64 `help:"What every operation counts of its team's budget, whatever it takes: a plain rate."`
+	Flat   float64 `help:"Fixed cost of each request against its team's quota, in place of its measured cost: a plain rate limit."`
 }
 
 // Run runs the product's router, with the balancer replaced by a baseline policy unless the policy is "logic".
--- a/cmd/trestle-experiment/scale.go
+++ b/cmd/trestle-experiment/scale.go
@@ -17,18 +17,18 @@
 )
 
 type scaleCommand struct {
-	Routers []int     `help:"How many other routers there are, three sizes or more; else 100,300,1000,3700." placeholder:"N,..."`
+	Routers []int     `help:"Numbers of other routers, three or more; default 100,300,1000,3700." placeholder:"N,..."`
 	Servers []int     `help:"Cache servers in the list, three sizes or more; else 38,100,380." placeholder:"N,..."`
-	Rates   []float64 `help:"Operations a second, three or more; else 200,400,800." placeholder:"N,..."`
-	Runs    int       `help:"Of all; else 3, which give the spread."`
-	Seconds float64   `help:"Of each measurement; else 5."`
-	Only    []string  `help:"Parts or names, or the beginnings of names; else all." placeholder:"NAME,..."`
-	Small   bool      `help:"Sizes of a test: they show that all is measured, and nothing is to be quoted."`
+	Rates   []float64 `help:"Requests per second, three rates or more; default 200,400,800." placeholder:"N,..."`
+	Runs    int       `help:"Number of runs of all measurements; default 3, which give the spread."`
+	Seconds float64   `help:"Duration of each measurement; default 5."`
+	Only    []string  `help:"Parts, names or prefixes of names to measure; default: all." placeholder:"NAME,..."`
+	Small   bool      `help:"Small sizes for a test of the measurements; the results must not be quoted."`
 	Router  string    `help:"What is measured: head (this tree, built), a program's path or a revision." default:"head"`
 	JSON    string    `help:"File for the report." type:"path" name:"json"`
 	Against string    `help:"An earlier report, to be compared with." type:"existingfile"`
-	Join    []string  `help:"Reports that have names which are not measured here." type:"existingfile"`
-	Quiet   bool      `help:"No lines of progress."`
+	Join    []string  `help:"Reports to add names from that this run does not measure." type:"existingfile"`
+	Quiet   bool      `help:"Print no progress lines."`
 	runSettings
 }
 
