--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -64,7 +64,7 @@
 		}
 		fault := r.network.effect(End{Kind: Router, N: r.from}, End{Kind: Router, N: r.to})
 		lost := fault.Cut || fault.Lose > 0 && r.network.randomFloat() < fault.Lose
-		r.network.recordDatagram(Word{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
+		r.network.recordDatagram(DatagramRecord{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
 		if lost {
 			continue
 		}
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -64,13 +64,13 @@
 	datagrams []*datagramRelay
 	conns     []*connRelay
 	blocked   []Sending
-	recent    []Word
+	recent    []DatagramRecord
 	closed    bool
 	wg        sync.WaitGroup
 }
 
-// Word records a datagram from one router to another.
-type Word struct {
+// DatagramRecord records a datagram from one router to another.
+type DatagramRecord struct {
 	At       float64
 	From, To int
 	Bytes    int
@@ -148,7 +148,7 @@
 	}
 }
 
-func (network *Net) recordDatagram(w Word) {
+func (network *Net) recordDatagram(w DatagramRecord) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.recent = append(network.recent, w); len(network.recent) > 2*recentDatagrams {
@@ -166,7 +166,7 @@
 }
 
 // Last returns the records of the newest datagrams between routers, up to most of them.
-func (network *Net) Last(most int) []Word {
+func (network *Net) Last(most int) []DatagramRecord {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return slices.Clone(network.recent[max(0, len(network.recent)-most):])
