--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -17,7 +17,7 @@
 // router's list service, which listens at real. While a rule cuts the two off, no new connection is established, and
 // data on established connections is held until the rule ends, as on a network that loses all packets.
 type connRelay struct {
-	network           *Net
+	network           *Network
 	router, to        End
 	addr, real        string
 	mu                sync.Mutex
@@ -38,7 +38,7 @@
 }
 
 // Conn starts a relay at addr for one router's connections to the target that listens at real.
-func (network *Net) Conn(router, to End, addr, real string) error {
+func (network *Network) Conn(router, to End, addr, real string) error {
 	c := &connRelay{network: network, router: router, to: to, addr: addr, real: real, relayed: map[*relayed]bool{}}
 	network.mu.Lock()
 	network.conns = append(network.conns, c)
@@ -302,7 +302,7 @@
 
 // Reset resets all relayed connections between matching ends, as a firewall does that has lost its connection table.
 // It returns their number.
-func (network *Net) Reset(match func(router, to End) bool) (broken int) {
+func (network *Network) Reset(match func(router, to End) bool) (broken int) {
 	network.mu.Lock()
 	conns := slices.Clone(network.conns)
 	network.mu.Unlock()
--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -10,7 +10,7 @@
 // datagramRelay receives the datagrams that one router sends to another and forwards them to the receiver. It sends
 // them from the socket of the reverse relay, whose address is the one that the receiver has for the sender.
 type datagramRelay struct {
-	network  *Net
+	network  *Network
 	to, from int // numbers of the receiving and the sending router
 	conn     *net.UDPConn
 	reverse  *datagramRelay // relays the datagrams of the opposite direction
@@ -19,7 +19,7 @@
 
 // Words starts relays between all pairs of routers. address returns the address at which router from reaches router
 // to; real returns the address on which a router listens.
-func (network *Net) Words(routers int, address func(to, from int) string, real func(router int) string) error {
+func (network *Network) Words(routers int, address func(to, from int) string, real func(router int) string) error {
 	all := map[[2]int]*datagramRelay{}
 	for to := range routers {
 		target, err := netip.ParseAddrPort(real(to))
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -55,8 +55,8 @@
 	To     End
 }
 
-// Net holds all relays of a run.
-type Net struct {
+// Network holds all relays of a run.
+type Network struct {
 	mu        sync.Mutex
 	now       func() float64
 	random    *rand.Rand
@@ -83,12 +83,12 @@
 )
 
 // New returns a Net without relays; now returns Unix seconds, and seed determines all random draws.
-func New(now func() float64, seed uint64) *Net {
-	return &Net{now: now, random: rand.New(rand.NewPCG(seed, 99))}
+func New(now func() float64, seed uint64) *Network {
+	return &Network{now: now, random: rand.New(rand.NewPCG(seed, 99))}
 }
 
 // Begin puts a rule in force. Calling heal ends it; further calls do nothing.
-func (network *Net) Begin(r Rule) (heal func() error, err error) {
+func (network *Network) Begin(r Rule) (heal func() error, err error) {
 	rule := &r
 	network.mu.Lock()
 	network.rules = append(network.rules, rule)
@@ -107,7 +107,7 @@
 }
 
 // effectLocked returns the combined effect of all rules on one direction. The caller holds network.mu.
-func (network *Net) effectLocked(from, to End) (e Effect) {
+func (network *Network) effectLocked(from, to End) (e Effect) {
 	passed := 1.0
 	for _, r := range network.rules {
 		if !r.Match(from, to) {
@@ -123,14 +123,14 @@
 	return e
 }
 
-func (network *Net) effect(from, to End) Effect {
+func (network *Network) effect(from, to End) Effect {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return network.effectLocked(from, to)
 }
 
 // updateRelays makes all connection relays follow the rules in force.
-func (network *Net) updateRelays() (err error) {
+func (network *Network) updateRelays() (err error) {
 	network.mu.Lock()
 	conns := slices.Clone(network.conns)
 	network.mu.Unlock()
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (network *Net) recordBlocked(s Sending) {
+func (network *Network) recordBlocked(s Sending) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if len(network.blocked) < maxBlockedSends {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (network *Net) recordDatagram(w DatagramRecord) {
+func (network *Network) recordDatagram(w DatagramRecord) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.recent = append(network.recent, w); len(network.recent) > 2*recentDatagrams {
@@ -157,7 +157,7 @@
 }
 
 // Sent returns the records of data that routers sent to ends that were cut off, ordered by time.
-func (network *Net) Sent() []Sending {
+func (network *Network) Sent() []Sending {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	all := slices.Clone(network.blocked)
@@ -166,20 +166,20 @@
 }
 
 // Last returns the records of the newest datagrams between routers, up to most of them.
-func (network *Net) Last(most int) []DatagramRecord {
+func (network *Network) Last(most int) []DatagramRecord {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return slices.Clone(network.recent[max(0, len(network.recent)-most):])
 }
 
-func (network *Net) randomFloat() float64 {
+func (network *Network) randomFloat() float64 {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return network.random.Float64()
 }
 
 // Close closes all relays and waits for their goroutines.
-func (network *Net) Close() {
+func (network *Network) Close() {
 	network.mu.Lock()
 	network.closed = true
 	datagrams, conns := network.datagrams, network.conns
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -62,8 +62,8 @@
 	startTime     float64
 	loopErrors    chan error // receives the errors of the two event loops
 	listMoves     int
-	net           *faultproxy.Net // nil without relays
-	listAddrs     []string        // by router: address of the relay to its list service
+	net           *faultproxy.Network // nil without relays
+	listAddrs     []string            // by router: address of the relay to its list service
 
 	mu     sync.Mutex
 	played []string
