--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -37,8 +37,8 @@
 	client, real net.Conn
 }
 
-// Conn starts a relay at addr for one router's connections to the target that listens at real.
-func (network *Network) Conn(router, to End, addr, real string) error {
+// RelayConnections starts a relay at addr for one router's connections to the target that listens at real.
+func (network *Network) RelayConnections(router, to End, addr, real string) error {
 	c := &connRelay{network: network, router: router, to: to, addr: addr, real: real, relayed: map[*relayed]bool{}}
 	network.mu.Lock()
 	network.conns = append(network.conns, c)
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -165,8 +165,8 @@
 	return all
 }
 
-// Last returns the records of the newest datagrams between routers, up to most of them.
-func (network *Network) Last(most int) []DatagramRecord {
+// RecentDatagrams returns the records of the newest datagrams between routers, up to most of them.
+func (network *Network) RecentDatagrams(most int) []DatagramRecord {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return slices.Clone(network.recent[max(0, len(network.recent)-most):])
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -204,7 +204,7 @@
 		return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, relayAddrByte+router, 1+n%200, port+n/200)
 	}
 	if w.scenario.Routers.Peers {
-		err := w.net.Words(w.scenario.Routers.Count, func(of, router int) string { return at(router, of, 7946) },
+		err := w.net.RelayDatagrams(w.scenario.Routers.Count, func(of, router int) string { return at(router, of, 7946) },
 			func(router int) string { return w.address(routerAddrByte, router, 7946) })
 		if err != nil {
 			return err
@@ -214,14 +214,14 @@
 		router := faultproxy.End{Kind: faultproxy.Router, N: n}
 		agent := w.agents[0][n]
 		w.listAddrs = append(w.listAddrs, at(n, 199, 8500))
-		if err := w.net.Conn(router, faultproxy.End{Kind: faultproxy.List, N: n}, w.listAddrs[n], agent.Addr()); err != nil {
+		if err := w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.List, N: n}, w.listAddrs[n], agent.Addr()); err != nil {
 			return err
 		}
 		known := map[*emulator.Server]string{}
 		agent.Via(func(s *emulator.Server) string { // only the agent calls it, one call at a time: known needs no lock
 			if known[s] == "" {
 				known[s] = at(n, len(known), 11300)
-				w.fail(w.net.Conn(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
+				w.fail(w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
 			}
 			return known[s]
 		})
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -158,7 +158,7 @@
 }
 
 // Words returns the newest gossip messages between routers, at most as many as given.
-func (x *World) Words(most int) []faultproxy.DatagramRecord { return x.run.net.Last(most) }
+func (x *World) Words(most int) []faultproxy.DatagramRecord { return x.run.net.RecentDatagrams(most) }
 
 // Kill sends SIGKILL to routers' processes and waits until they have ended.
 func (x *World) Kill(routers ...int) {
