--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -48,8 +48,8 @@
 	Effect Effect
 }
 
-// Sending records that a router sent data to an end that was cut off.
-type Sending struct {
+// BlockedSend records that a router sent data to an end that was cut off.
+type BlockedSend struct {
 	At     float64 // Unix seconds
 	Router int
 	To     End
@@ -63,7 +63,7 @@
 	rules     []*Rule
 	datagrams []*datagramRelay
 	conns     []*connRelay
-	blocked   []Sending
+	blocked   []BlockedSend
 	recent    []DatagramRecord
 	closed    bool
 	wg        sync.WaitGroup
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (network *Network) recordBlocked(s Sending) {
+func (network *Network) recordBlocked(s BlockedSend) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if len(network.blocked) < maxBlockedSends {
@@ -156,12 +156,12 @@
 	}
 }
 
-// Sent returns the records of data that routers sent to ends that were cut off, ordered by time.
-func (network *Network) Sent() []Sending {
+// BlockedSends returns the records of data that routers sent to ends that were cut off, ordered by time.
+func (network *Network) BlockedSends() []BlockedSend {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	all := slices.Clone(network.blocked)
-	slices.SortStableFunc(all, func(a, b Sending) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b BlockedSend) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -41,8 +41,8 @@
 	FleetLate     *emulator.Lateness
 	ClientsLate   *emulator.Lateness
 	Interrupted   bool
-	Played        []string             // the faults with the times at which they began and ended
-	WastedWrites  []faultproxy.Sending // writes of routers to connections that relays had cut
+	Played        []string                 // the faults with the times at which they began and ended
+	WastedWrites  []faultproxy.BlockedSend // writes of routers to connections that relays had cut
 }
 
 // world is the state of a run.
@@ -112,7 +112,7 @@
 		rec.Fleet.Join(f.Book())
 	}
 	if w.net != nil {
-		rec.WastedWrites = w.net.Sent()
+		rec.WastedWrites = w.net.BlockedSends()
 	}
 	rec.FleetLate, rec.ClientsLate = w.fleet.Late(), w.clients.Late()
 	for n := range w.routerNodes {
--- a/internal/experiment/world.go
+++ b/internal/experiment/world.go
@@ -149,7 +149,7 @@
 // Burnt counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
 func (x *World) Burnt(zone string, since float64) map[int]int {
 	by := map[int]int{}
-	for _, s := range x.run.net.Sent() {
+	for _, s := range x.run.net.BlockedSends() {
 		if s.At >= since && s.To.Zone == zone {
 			by[s.Router]++
 		}
