--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -63,14 +63,14 @@
 			return
 		}
 		fault := r.network.effect(End{Kind: Router, N: r.from}, End{Kind: Router, N: r.to})
-		lost := fault.Cut || fault.Lose > 0 && r.network.randomFloat() < fault.Lose
+		lost := fault.Cut || fault.LossFraction > 0 && r.network.randomFloat() < fault.LossFraction
 		r.network.recordDatagram(DatagramRecord{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
 		if lost {
 			continue
 		}
 		data := slices.Clone(buf[:size])
 		r.send(data, fault.Delay+fault.Spread*r.network.randomFloat())
-		if fault.Double > 0 && r.network.randomFloat() < fault.Double {
+		if fault.DuplicateFraction > 0 && r.network.randomFloat() < fault.DuplicateFraction {
 			r.send(data, fault.Delay+fault.Spread+0.5*r.network.randomFloat())
 		}
 	}
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -35,11 +35,11 @@
 // their delays and spreads are added, their fractions of datagrams not lost are multiplied, and the highest fraction
 // of duplicates applies.
 type Effect struct {
-	Cut    bool
-	Delay  float64 // seconds
-	Spread float64 // seconds, bound of a uniform random extra delay; it reorders datagrams, but not the data of a connection
-	Lose   float64 // fraction of datagrams that is lost
-	Double float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
+	Cut               bool
+	Delay             float64 // seconds
+	Spread            float64 // seconds, bound of a uniform random extra delay; it reorders datagrams, but not the data of a connection
+	LossFraction      float64 // fraction of datagrams that is lost
+	DuplicateFraction float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
 }
 
 // Rule is a fault between ends, while it is in force.
@@ -116,10 +116,10 @@
 		e.Cut = e.Cut || r.Effect.Cut
 		e.Delay += r.Effect.Delay
 		e.Spread += r.Effect.Spread
-		passed *= 1 - r.Effect.Lose
-		e.Double = max(e.Double, r.Effect.Double)
+		passed *= 1 - r.Effect.LossFraction
+		e.DuplicateFraction = max(e.DuplicateFraction, r.Effect.DuplicateFraction)
 	}
-	e.Lose = 1 - passed
+	e.LossFraction = 1 - passed
 	return e
 }
 
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -164,11 +164,11 @@
 	case "conns-late":
 		r.Effect.Delay = f.Delay
 	case "words-lose":
-		r.Effect.Lose = f.Part
+		r.Effect.LossFraction = f.Part
 	case "words-late": // up to half more delay at random, so that messages are reordered
 		r.Effect.Delay, r.Effect.Spread = f.Delay, f.Delay/2
 	case "words-double":
-		r.Effect.Double = f.Part
+		r.Effect.DuplicateFraction = f.Part
 	}
 	return r, nil
 }
