--- a/internal/experiment/exits.go
+++ b/internal/experiment/exits.go
@@ -72,7 +72,7 @@
 func (x *ZoneLoss) computeLeaving(rec *Records, in func(faultproxy.End) bool, begin, end float64) {
 	last, done := map[int]float64{}, map[int]bool{}
 	for _, b := range rec.WastedWrites {
-		if b.At < begin || b.At >= end || !in(b.To) || in(faultproxy.End{Kind: faultproxy.Router, N: b.Router}) {
+		if b.At < begin || b.At >= end || !in(b.To) || in(faultproxy.End{Kind: faultproxy.Router, Number: b.Router}) {
 			continue
 		}
 		x.WastedWrites++
--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -282,7 +282,7 @@
 	chunk := make([]byte, 4096)
 	for c.cut(effect) {
 		if received && fromRouter {
-			c.network.recordBlocked(BlockedSend{At: c.network.now(), Router: c.router.N, To: c.to})
+			c.network.recordBlocked(BlockedSend{At: c.network.now(), Router: c.router.Number, To: c.to})
 		}
 		received = false
 		if err != nil || len(held) > maxHeldBytes {
--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -62,7 +62,7 @@
 		if err != nil {
 			return
 		}
-		fault := r.network.effect(End{Kind: Router, N: r.from}, End{Kind: Router, N: r.to})
+		fault := r.network.effect(End{Kind: Router, Number: r.from}, End{Kind: Router, Number: r.to})
 		lost := fault.Cut || fault.LossFraction > 0 && r.network.randomFloat() < fault.LossFraction
 		r.network.recordDatagram(DatagramRecord{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
 		if lost {
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -15,10 +15,10 @@
 
 // End is one end of a relay: a router by its number, a cache server by its name, or a router's list service.
 type End struct {
-	Kind Kind
-	N    int    // of a router, and of the router whose list service it is
-	Name string // of a cache server
-	Zone string // of a cache server
+	Kind   Kind
+	Number int    // of a router, and of the router whose list service it is
+	Name   string // of a cache server
+	Zone   string // of a cache server
 }
 
 // Kind is the kind of process at an end.
@@ -28,7 +28,7 @@
 const (
 	Router Kind = iota
 	Server
-	List
+	ListService
 )
 
 // Effect is what happens to traffic from one end to another. When several rules match, a cut by any of them applies,
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -99,7 +99,7 @@
 			return none, fmt.Errorf("%q: %w", text, err)
 		}
 		return func(e faultproxy.End) bool {
-			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.N))
+			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.Number))
 		}, nil
 	case "router", "routers":
 		t, err := s.parseTarget("router", text, "")
@@ -107,7 +107,7 @@
 			return none, err
 		}
 		return func(e faultproxy.End) bool {
-			return e.Kind == faultproxy.Router && (t.number >= 0 && e.N == t.number || t.number < 0 && e.N < t.count)
+			return e.Kind == faultproxy.Router && (t.number >= 0 && e.Number == t.number || t.number < 0 && e.Number < t.count)
 		}, nil
 	case "server", "servers":
 		t, err := s.parseTarget("server", text, "")
@@ -121,7 +121,7 @@
 			return e.Kind == faultproxy.Server && (t.number < 0 || e.Name == servers()[t.number].Name)
 		}, nil
 	case "lists":
-		return func(e faultproxy.End) bool { return e.Kind == faultproxy.List }, nil
+		return func(e faultproxy.End) bool { return e.Kind == faultproxy.ListService }, nil
 	}
 	return none, fmt.Errorf("%q is not router:N, routers:COUNT, routers:PART%%, routers, server:N, servers, lists, zone:N or region:NAME", text)
 }
@@ -134,7 +134,7 @@
 		return faultproxy.Rule{}, err
 	}
 	// Each router has a list service of its own, which is on its router's side of the cut unless it is named.
-	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.List }
+	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.ListService }
 	if f.From != "" && f.From != "rest" {
 		if out, err = w.scenario.parseGroup(f.From, fleet); err != nil {
 			return faultproxy.Rule{}, err
@@ -145,7 +145,7 @@
 		switch {
 		case from.Kind == faultproxy.Router && to.Kind == faultproxy.Router:
 			what = "words"
-		case from.Kind == faultproxy.List || to.Kind == faultproxy.List:
+		case from.Kind == faultproxy.ListService || to.Kind == faultproxy.ListService:
 			what = "list"
 		}
 		words := strings.HasPrefix(f.Kind, "words-")
@@ -211,10 +211,10 @@
 		}
 	}
 	for n := range w.scenario.Routers.Count {
-		router := faultproxy.End{Kind: faultproxy.Router, N: n}
+		router := faultproxy.End{Kind: faultproxy.Router, Number: n}
 		agent := w.agents[0][n]
 		w.listAddrs = append(w.listAddrs, at(n, 199, 8500))
-		if err := w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.List, N: n}, w.listAddrs[n], agent.Addr()); err != nil {
+		if err := w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.ListService, Number: n}, w.listAddrs[n], agent.Addr()); err != nil {
 			return err
 		}
 		known := map[*emulator.Server]string{}
