--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -86,7 +86,7 @@
 // RunFleet runs the emulated cache servers and list services until ctx ends. It writes to the path config a
 // configuration for a router that uses them; the configurations of further routers get the suffix .N.
 func RunFleet(ctx context.Context, s *Scenario, o Options, config string, out io.Writer) error {
-	w := &world{scenario: s, options: o, types: s.trafficClasses(), budgetFactors: map[string]float64{}}
+	w := &runState{scenario: s, options: o, types: s.trafficClasses(), budgetFactors: map[string]float64{}}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return err
@@ -169,7 +169,7 @@
 	before := processorSeconds()
 	loopErrors := make(chan error, 1)
 	go func() { loopErrors <- loop.Run() }()
-	w := &world{scenario: s, options: o, types: types, clients: clients, clientLoop: loop}
+	w := &runState{scenario: s, options: o, types: types, clients: clients, clientLoop: loop}
 	rec := w.play(ctx)
 	loop.Post(loop.Stop)
 	<-loopErrors
--- a/internal/experiment/cause.go
+++ b/internal/experiment/cause.go
@@ -12,7 +12,7 @@
 
 // playFault plays one fault: it waits for the fault's start time, begins the fault, waits for its duration and ends it.
 // When halt is closed, the fault ends early.
-func (w *world) playFault(i int, f Fault, halt chan struct{}) {
+func (w *runState) playFault(i int, f Fault, halt chan struct{}) {
 	chance := rand.New(rand.NewPCG(w.options.Seed, uint64(1000+i)))
 	if !w.waitUntil(f.At, halt) {
 		return
@@ -47,7 +47,7 @@
 }
 
 // waitUntil waits for a time of the run, in seconds since its start. It returns false if halt is closed before.
-func (w *world) waitUntil(at float64, halt chan struct{}) bool {
+func (w *runState) waitUntil(at float64, halt chan struct{}) bool {
 	select {
 	case <-halt:
 		return false
@@ -57,7 +57,7 @@
 }
 
 // routerNumbers returns the numbers of the routers that a target selects out of all.
-func (w *world) routerNumbers(t target, chance *rand.Rand, all int) []int {
+func (w *runState) routerNumbers(t target, chance *rand.Rand, all int) []int {
 	if t.number >= 0 {
 		return []int{t.number}
 	}
@@ -66,7 +66,7 @@
 
 // servers returns the cache servers that a target selects. A server named by its number and the servers of zones are
 // selected in any state, all others only if they are in service.
-func (w *world) servers(fleet *emulator.Fleet, t target, chance *rand.Rand) (hit []*emulator.Server) {
+func (w *runState) servers(fleet *emulator.Fleet, t target, chance *rand.Rand) (hit []*emulator.Server) {
 	if t.number >= 0 {
 		return []*emulator.Server{fleet.Servers()[t.number]}
 	}
@@ -94,7 +94,7 @@
 }
 
 // playTimedFault plays a fault that starts and ends for all its targets at the same time.
-func (w *world) playTimedFault(f Fault, t target, chance *rand.Rand, halt chan struct{}) {
+func (w *runState) playTimedFault(f Fault, t target, chance *rand.Rand, halt chan struct{}) {
 	var ends []func() error
 	addEnd := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
 	reading := strings.HasPrefix(f.Kind, "read-")
@@ -189,7 +189,7 @@
 
 // drainSeconds returns how many seconds a cache server drains before it is removed. Unless the fault sets it, it is the
 // sum of the list's longest usual delay, the drain grace and the longest hard stop.
-func (w *world) drainSeconds(f Fault) float64 {
+func (w *runState) drainSeconds(f Fault) float64 {
 	if f.Drain > 0 {
 		return f.Drain
 	}
@@ -198,7 +198,7 @@
 
 // playFleetChange plays a fault that adds, drains or removes cache servers. The changes are spread evenly over the
 // fault's duration.
-func (w *world) playFleetChange(f Fault, t target, chance *rand.Rand, halt chan struct{}) {
+func (w *runState) playFleetChange(f Fault, t target, chance *rand.Rand, halt chan struct{}) {
 	var hit []*emulator.Server
 	turns, pool := f.Count, w.poolIndex(f.Pool)
 	if f.Kind != "grow" {
@@ -238,7 +238,7 @@
 }
 
 // playListFault plays a fault of the list service.
-func (w *world) playListFault(f Fault, hit []int, halt chan struct{}) {
+func (w *runState) playListFault(f Fault, hit []int, halt chan struct{}) {
 	var ends []func() error
 	addEnd := func(end func()) { ends = append(ends, func() error { end(); return nil }) }
 	pool := w.poolIndex(f.Pool)
@@ -284,7 +284,7 @@
 
 // playBudgetChange multiplies a team's budget by the fault's factor at all routers while they serve its traffic, and
 // then restores it.
-func (w *world) playBudgetChange(f Fault, team string, halt chan struct{}) {
+func (w *runState) playBudgetChange(f Fault, team string, halt chan struct{}) {
 	set := func(factor float64) {
 		w.mu.Lock()
 		w.budgetFactors[team] = factor
@@ -300,7 +300,7 @@
 }
 
 // playRouterFault kills routers and starts them again after the fault's duration, or restarts them gracefully.
-func (w *world) playRouterFault(f Fault, hit []int, halt chan struct{}) {
+func (w *runState) playRouterFault(f Fault, hit []int, halt chan struct{}) {
 	if strings.HasPrefix(f.Kind, "state-") {
 		w.playStateFault(f, hit, halt)
 		return
@@ -341,11 +341,11 @@
 	}
 }
 
-func (w *world) restartRouter(n int) bool { return w.startRouter(n) && w.awaitReady(n) }
+func (w *runState) restartRouter(n int) bool { return w.startRouter(n) && w.awaitReady(n) }
 
 // startRouter starts a new process of a router. Its configuration contains the endpoint list that its last process had,
 // unless list.forgets is set.
-func (w *world) startRouter(n int) bool {
+func (w *runState) startRouter(n int) bool {
 	r := w.routerNodes[n]
 	r.mu.Lock()
 	if !w.scenario.List.Forgets {
@@ -361,7 +361,7 @@
 }
 
 // awaitReady waits until the router serves requests.
-func (w *world) awaitReady(n int) bool {
+func (w *runState) awaitReady(n int) bool {
 	if err := w.routerNodes[n].ready(startTimeout); err != nil {
 		w.fail(err)
 		return false
--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -92,7 +92,7 @@
 
 // fleet is one run of the laboratory in a test.
 type fleet struct {
-	*experiment.World
+	*experiment.Testbed
 	t            *testing.T
 	ignoreBefore float64 // Unix seconds; requests due earlier are not counted
 }
@@ -120,14 +120,14 @@
 		<-runSlots
 		t.Fatal(err)
 	}
-	world, err := experiment.Open(context.Background(), scenario,
+	testbed, err := experiment.Open(context.Background(), scenario,
 		experiment.Options{Seed: seed, Router: builtRouter, Net: n, Dir: t.TempDir()})
 	if err != nil {
 		release()
 		<-runSlots
 		t.Fatal(err)
 	}
-	f := &fleet{World: world, t: t}
+	f := &fleet{Testbed: testbed, t: t}
 	t.Cleanup(func() {
 		defer func() { <-runSlots }()
 		datagrams := f.Words(20)
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -127,7 +127,7 @@
 }
 
 // rule returns the relays' rule for a fault between processes.
-func (w *world) rule(f Fault) (faultproxy.Rule, error) {
+func (w *runState) rule(f Fault) (faultproxy.Rule, error) {
 	fleet := func() []*emulator.Server { return w.fleet.Servers() }
 	in, err := w.scenario.parseGroup(f.Target, fleet)
 	if err != nil {
@@ -174,7 +174,7 @@
 }
 
 // playPartition plays a fault between processes.
-func (w *world) playPartition(f Fault, halt chan struct{}) {
+func (w *runState) playPartition(f Fault, halt chan struct{}) {
 	r, err := w.rule(f)
 	if err != nil {
 		w.fail(err)
@@ -198,7 +198,7 @@
 const relayAddrByte = 120
 
 // relays starts relays between all processes.
-func (w *world) relays() error {
+func (w *runState) relays() error {
 	w.net = faultproxy.New(w.fleetLoop.Now, w.options.Seed)
 	at := func(router, n, port int) string {
 		return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, relayAddrByte+router, 1+n%200, port+n/200)
@@ -231,7 +231,7 @@
 
 // peerAddrsAt returns the peer addresses of all routers as configured at router n: those of relays, if there are any,
 // but for its own.
-func (w *world) peerAddrsAt(n int) []string {
+func (w *runState) peerAddrsAt(n int) []string {
 	all := w.peerAddrs()
 	if w.net == nil {
 		return all
@@ -245,7 +245,7 @@
 }
 
 // listServiceAddr returns the address of a router's list service, or of the relay before it.
-func (w *world) listServiceAddr(n int) string {
+func (w *runState) listServiceAddr(n int) string {
 	if w.net == nil {
 		return w.agents[0][n].Addr()
 	}
@@ -253,7 +253,7 @@
 }
 
 // playRouterStop stops routers by SIGSTOP and continues them after the fault's duration.
-func (w *world) playRouterStop(f Fault, hit []int, halt chan struct{}) {
+func (w *runState) playRouterStop(f Fault, hit []int, halt chan struct{}) {
 	for _, n := range hit {
 		w.routerNodes[n].pause()
 		w.recordEvent("router %d is stopped", n)
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -45,8 +45,8 @@
 	WastedWrites  []faultproxy.BlockedSend // writes of routers to connections that relays had cut
 }
 
-// world is the state of a run.
-type world struct {
+// runState is the state of a run.
+type runState struct {
 	scenario      *Scenario
 	options       Options
 	types         []*emulator.TrafficType
@@ -92,9 +92,9 @@
 	return rec, nil
 }
 
-// begin builds the world and starts the routers. If it returns an error with a world, the caller has to end the world.
-func begin(ctx context.Context, s *Scenario, o Options) (*world, error) {
-	w := &world{scenario: s, options: o, types: s.trafficClasses(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
+// begin builds the run and starts the routers. If it also returns a runState with an error, the caller has to end that run.
+func begin(ctx context.Context, s *Scenario, o Options) (*runState, error) {
+	w := &runState{scenario: s, options: o, types: s.trafficClasses(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return nil, err
@@ -105,7 +105,7 @@
 }
 
 // collect fills in the records after all processes have ended.
-func (w *world) collect(rec *Records) {
+func (w *runState) collect(rec *Records) {
 	rec.Played = w.played
 	rec.Fleet, rec.Clients = &emulator.Book{}, w.clients.Book()
 	for _, f := range w.fleets {
@@ -129,7 +129,7 @@
 }
 
 // abandon closes the emulated servers, list services and relays.
-func (w *world) abandon() {
+func (w *runState) abandon() {
 	for _, f := range w.fleets {
 		f.Close()
 	}
@@ -138,7 +138,7 @@
 	}
 }
 
-func (w *world) address(kind, n, port int) string {
+func (w *runState) address(kind, n, port int) string {
 	return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, kind+n/200, 1+n%200, port)
 }
 
@@ -151,7 +151,7 @@
 
 // build creates the emulated servers, list services, relays and clients, and the configurations of the routers. The
 // event loops do not run yet.
-func (w *world) build() (err error) {
+func (w *runState) build() (err error) {
 	if w.fleetLoop, err = eventloop.New(); err != nil {
 		return err
 	}
@@ -239,14 +239,16 @@
 }
 
 // zoneFailoverEnabled reports whether zone failover is on at the routers.
-func (w *world) zoneFailoverEnabled() bool {
+func (w *runState) zoneFailoverEnabled() bool {
 	return w.scenario.Routers.Zones && !w.options.Router.Plain
 }
 
 // recoveryEnabled reports whether the routers store snapshots for their next processes.
-func (w *world) recoveryEnabled() bool { return w.scenario.Routers.Folders && !w.options.Router.Plain }
+func (w *runState) recoveryEnabled() bool {
+	return w.scenario.Routers.Folders && !w.options.Router.Plain
+}
 
-func (w *world) peerAddrs() (all []string) {
+func (w *runState) peerAddrs() (all []string) {
 	if w.scenario.Routers.Peers {
 		for n := range w.scenario.Routers.Count {
 			all = append(all, w.address(routerAddrByte, n, 7946))
@@ -257,7 +259,7 @@
 
 // operators returns the current text of a router's operators' file. It is empty if no team, zone failover or recovery
 // needs it.
-func (w *world) operators(n int) string {
+func (w *runState) operators(n int) string {
 	if len(w.scenario.Teams) == 0 && !w.zoneFailoverEnabled() && !w.recoveryEnabled() {
 		return ""
 	}
@@ -269,13 +271,13 @@
 }
 
 // tileFront returns the address at which a router serves a team's map tiles.
-func (w *world) tileFront(n int, team string) string {
+func (w *runState) tileFront(n int, team string) string {
 	i := slices.IndexFunc(w.scenario.Teams, func(t TeamPart) bool { return t.Name == team })
 	return w.address(routerAddrByte, n, 8080+i)
 }
 
 // poolIndex returns the index of a pool in fleets; 0 for the default pool.
-func (w *world) poolIndex(pool string) int {
+func (w *runState) poolIndex(pool string) int {
 	return 1 + slices.IndexFunc(w.scenario.Pools, func(p PoolPart) bool { return p.Name == pool })
 }
 
@@ -288,7 +290,7 @@
 }
 
 // tileType returns the traffic class of the map tiles in a pool, or nil if it has none.
-func (w *world) tileType(pool string) *emulator.TrafficType {
+func (w *runState) tileType(pool string) *emulator.TrafficType {
 	for _, t := range w.types {
 		if t.Scheme == "" {
 			continue
@@ -301,7 +303,7 @@
 }
 
 // spec returns the settings of the next cache server of a pool, with a random speed.
-func (w *world) spec(pool int) emulator.Spec {
+func (w *runState) spec(pool int) emulator.Spec {
 	fleet := w.fleets[pool]
 	f, n, name := w.scenario.Fleet, len(fleet.Servers()), fleet.NextName()
 	chance := fleet.Chance("spec/" + name)
@@ -354,7 +356,7 @@
 
 const startTimeout = 15 // seconds until ready: usually some tenths, and more if all routers start concurrently
 
-func (w *world) startRouters(ctx context.Context) error {
+func (w *runState) startRouters(ctx context.Context) error {
 	for _, r := range w.routerNodes {
 		if err := r.start(); err != nil {
 			return err
@@ -379,7 +381,7 @@
 }
 
 // play runs the clients and the faults until all requests have ended.
-func (w *world) play(ctx context.Context) *Records {
+func (w *runState) play(ctx context.Context) *Records {
 	rec := &Records{}
 	runOnLoop(w.clientLoop, func() {
 		w.startTime = w.clientLoop.Now()
@@ -420,7 +422,7 @@
 	return rec
 }
 
-func (w *world) progress(rec *Records) {
+func (w *runState) progress(rec *Records) {
 	if w.options.Progress == nil {
 		return
 	}
@@ -430,7 +432,7 @@
 }
 
 // end stops the routers, then the emulated servers and clients.
-func (w *world) end() {
+func (w *runState) end() {
 	var all sync.WaitGroup
 	for _, r := range w.routerNodes {
 		all.Add(1)
@@ -448,7 +450,7 @@
 }
 
 // longestStop returns the longest deadline of all traffic classes, in seconds.
-func (w *world) longestStop() (longest float64) {
+func (w *runState) longestStop() (longest float64) {
 	for _, t := range w.types {
 		longest = max(longest, t.HardStop)
 	}
@@ -456,7 +458,7 @@
 }
 
 // longestAnswer returns the longest time from a command until its answer is complete, in seconds.
-func (w *world) longestAnswer() float64 {
+func (w *runState) longestAnswer() float64 {
 	if w.scenario.hasLongValues() {
 		return w.longestStop() + longValueSeconds
 	}
@@ -464,18 +466,18 @@
 }
 
 // shutdownSeconds returns how many seconds a router has to exit after SIGTERM.
-func (w *world) shutdownSeconds() float64 { return w.longestAnswer() + exitMargin }
+func (w *runState) shutdownSeconds() float64 { return w.longestAnswer() + exitMargin }
 
 const exitMargin = 1.2 // seconds after the longest deadline: 0.7 to shut down by the protocol, the rest to exit
 
 // recordEvent records a fault's begin or end with its time.
-func (w *world) recordEvent(format string, about ...any) {
+func (w *runState) recordEvent(format string, about ...any) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	w.played = append(w.played, fmt.Sprintf("%6.2f s  ", w.clientLoop.Now()-w.startTime)+fmt.Sprintf(format, about...))
 }
 
-func (w *world) fail(err error) {
+func (w *runState) fail(err error) {
 	if err != nil {
 		w.mu.Lock()
 		w.failed = err
--- a/internal/experiment/state.go
+++ b/internal/experiment/state.go
@@ -7,7 +7,7 @@
 
 // playStateFault changes the files that routers have stored. They are deleted, damaged by one byte in the middle, or
 // restored after the fault's duration to their content at its beginning. Running routers get no notice.
-func (w *world) playStateFault(f Fault, hit []int, halt chan struct{}) {
+func (w *runState) playStateFault(f Fault, hit []int, halt chan struct{}) {
 	switch f.Kind {
 	case "state-lost":
 		for _, n := range hit {
--- a/internal/experiment/world.go
+++ b/internal/experiment/testbed.go
@@ -14,14 +14,14 @@
 	"bendtrestle/internal/experiment/faultproxy"
 )
 
-// World is a run that its caller controls: real routers, emulated servers and clients, with faults that begin and end
+// Testbed is a run that its caller controls: real routers, emulated servers and clients, with faults that begin and end
 // when an observed condition holds. All observations are from the emulated servers, the clients and the relays.
-type World struct {
-	run *world
+type Testbed struct {
+	run *runState
 }
 
 // Open starts a run. Its clients send requests until Close. The scenario's faults are not played.
-func Open(ctx context.Context, s *Scenario, o Options) (*World, error) {
+func Open(ctx context.Context, s *Scenario, o Options) (*Testbed, error) {
 	w, err := begin(ctx, s, o)
 	if err != nil {
 		if w != nil {
@@ -33,11 +33,11 @@
 		w.startTime = w.clientLoop.Now()
 		w.clients.Start(1e6)
 	})
-	return &World{w}, nil
+	return &Testbed{w}, nil
 }
 
 // Close stops the clients, waits for the requests in flight, ends all processes and returns the records.
-func (x *World) Close() (*Records, error) {
+func (x *Testbed) Close() (*Records, error) {
 	w := x.run
 	rec := &Records{From: w.startTime, To: w.clientLoop.Now()}
 	runOnLoop(w.clientLoop, w.clients.Stop)
@@ -51,14 +51,14 @@
 }
 
 // Now returns the time in Unix seconds.
-func (x *World) Now() float64 { return x.run.fleetLoop.Now() }
+func (x *Testbed) Now() float64 { return x.run.fleetLoop.Now() }
 
 // Since returns the seconds since the clients started.
-func (x *World) Since() float64 { return x.Now() - x.run.startTime }
+func (x *Testbed) Since() float64 { return x.Now() - x.run.startTime }
 
 // Until waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
 // hold within bound seconds.
-func (x *World) Until(what string, bound float64, holds func() bool) (took float64, err error) {
+func (x *Testbed) Until(what string, bound float64, holds func() bool) (took float64, err error) {
 	began := x.Now()
 	for !holds() {
 		if x.Now()-began > bound {
@@ -70,7 +70,7 @@
 }
 
 // Cut begins a fault between processes; heal ends it.
-func (x *World) Cut(f Fault) (heal func() error, err error) {
+func (x *Testbed) Cut(f Fault) (heal func() error, err error) {
 	r, err := x.run.rule(f)
 	if err != nil {
 		return nil, err
@@ -84,7 +84,7 @@
 }
 
 // Fault calls begin for each cache server of a zone; end calls the functions that begin returned.
-func (x *World) Fault(zone string, begin func(s *emulator.Server) (end func() error)) (end func()) {
+func (x *Testbed) Fault(zone string, begin func(s *emulator.Server) (end func() error)) (end func()) {
 	var ends []func() error
 	x.OnFleet(func(f *emulator.Fleet) {
 		for _, s := range f.Servers() {
@@ -106,18 +106,18 @@
 
 // OnFleet runs f on the event loop of the emulated servers, where their records and faults may be accessed, and waits
 // for it.
-func (x *World) OnFleet(f func(f *emulator.Fleet)) {
+func (x *Testbed) OnFleet(f func(f *emulator.Fleet)) {
 	runOnLoop(x.run.fleetLoop, func() { f(x.run.fleet) })
 }
 
 // OnClients runs f on the event loop of the clients, where their records may be read, and waits for it.
-func (x *World) OnClients(f func(c *emulator.Clients)) {
+func (x *Testbed) OnClients(f func(c *emulator.Clients)) {
 	runOnLoop(x.run.clientLoop, func() { f(x.run.clients) })
 }
 
 // Served returns the fraction of the requests due between two times that were answered within the latency objective,
 // and the number of these requests. All of them must have ended.
-func (x *World) Served(from, to float64) (part float64, n int) {
+func (x *Testbed) Served(from, to float64) (part float64, n int) {
 	x.OnClients(func(c *emulator.Clients) {
 		in := 0
 		for _, o := range c.Book().Ops {
@@ -134,7 +134,7 @@
 }
 
 // Arrived returns the number of executions that reached servers of a zone since a time.
-func (x *World) Arrived(zone string, since float64) (n int) {
+func (x *Testbed) Arrived(zone string, since float64) (n int) {
 	x.OnFleet(func(f *emulator.Fleet) {
 		all := f.Book().Executions
 		for i := len(all) - 1; i >= 0 && all[i].First >= since; i-- {
@@ -147,7 +147,7 @@
 }
 
 // Burnt counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
-func (x *World) Burnt(zone string, since float64) map[int]int {
+func (x *Testbed) Burnt(zone string, since float64) map[int]int {
 	by := map[int]int{}
 	for _, s := range x.run.net.BlockedSends() {
 		if s.At >= since && s.To.Zone == zone {
@@ -158,10 +158,10 @@
 }
 
 // Words returns the newest gossip messages between routers, at most as many as given.
-func (x *World) Words(most int) []faultproxy.DatagramRecord { return x.run.net.RecentDatagrams(most) }
+func (x *Testbed) Words(most int) []faultproxy.DatagramRecord { return x.run.net.RecentDatagrams(most) }
 
 // Kill sends SIGKILL to routers' processes and waits until they have ended.
-func (x *World) Kill(routers ...int) {
+func (x *Testbed) Kill(routers ...int) {
 	for _, n := range routers {
 		x.run.routerNodes[n].kill()
 		x.run.recordEvent("router %d is killed", n)
@@ -169,7 +169,7 @@
 }
 
 // Stop stops routers' processes by SIGSTOP, which they cannot observe.
-func (x *World) Stop(routers ...int) {
+func (x *Testbed) Stop(routers ...int) {
 	for _, n := range routers {
 		x.run.routerNodes[n].pause()
 		x.run.recordEvent("router %d is stopped", n)
@@ -177,7 +177,7 @@
 }
 
 // Go continues routers' processes after Stop.
-func (x *World) Go(routers ...int) {
+func (x *Testbed) Go(routers ...int) {
 	for _, n := range routers {
 		x.run.routerNodes[n].resume()
 		x.run.recordEvent("router %d continues", n)
@@ -185,7 +185,7 @@
 }
 
 // Start starts new processes of routers, with the endpoint list that their last processes had.
-func (x *World) Start(routers ...int) error {
+func (x *Testbed) Start(routers ...int) error {
 	for _, n := range routers {
 		if !x.run.startRouter(n) {
 			return x.run.failed
@@ -195,7 +195,7 @@
 }
 
 // Ready waits until routers serve requests.
-func (x *World) Ready(within float64, routers ...int) error {
+func (x *Testbed) Ready(within float64, routers ...int) error {
 	for _, n := range routers {
 		if err := x.run.routerNodes[n].ready(within); err != nil {
 			return err
@@ -205,20 +205,20 @@
 }
 
 // Folder returns the path of a router's folder that outlives its processes.
-func (x *World) Folder(router int) string { return x.run.routerNodes[router].folder }
+func (x *Testbed) Folder(router int) string { return x.run.routerNodes[router].folder }
 
 // Routers returns the number of routers.
-func (x *World) Routers() int { return len(x.run.routerNodes) }
+func (x *Testbed) Routers() int { return len(x.run.routerNodes) }
 
 // Played returns the faults and actions so far, with their times.
-func (x *World) Played() []string {
+func (x *Testbed) Played() []string {
 	x.run.mu.Lock()
 	defer x.run.mu.Unlock()
 	return append([]string(nil), x.run.played...)
 }
 
 // Log returns the last lines of a router's log that contain a text, the newest last.
-func (x *World) Log(router int, holds string, most int) (lines []string) {
+func (x *Testbed) Log(router int, holds string, most int) (lines []string) {
 	text, _ := os.ReadFile(x.run.routerNodes[router].file("log"))
 	for line := range strings.Lines(string(text)) {
 		if strings.Contains(line, holds) {
@@ -232,7 +232,7 @@
 
 // Ask calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
 // decoded into it.
-func (x *World) Ask(router int, path, body string, into any) (status int, err error) {
+func (x *Testbed) Ask(router int, path, body string, into any) (status int, err error) {
 	method, url := http.MethodGet, "http://"+x.run.address(routerAddrByte, router, 9400)+path
 	if body != "" {
 		method = http.MethodPost
@@ -255,13 +255,13 @@
 }
 
 // Operators changes a router's operators' file and sends SIGHUP to its process.
-func (x *World) Operators(router int, change func(text string) string) error {
+func (x *Testbed) Operators(router int, change func(text string) string) error {
 	n := x.run.routerNodes[router]
 	return n.reload(func() { n.operators = change(n.operators) })
 }
 
 // Judge returns the verdict and the figures of this run's records.
-func (x *World) Judge(rec *Records) Result { return NewResult(x.run.scenario, x.run.options, rec) }
+func (x *Testbed) Judge(rec *Records) Result { return NewResult(x.run.scenario, x.run.options, rec) }
 
 // Build builds the router of this working tree in a new temporary folder, and returns the folder's path.
 func Build(ctx context.Context) (Program, string, error) {
@@ -274,7 +274,7 @@
 }
 
 // Replace removes all servers of a zone permanently and starts new, cold ones at the same addresses.
-func (x *World) Replace(zone string) {
+func (x *Testbed) Replace(zone string) {
 	var gone []*emulator.Server
 	x.OnFleet(func(f *emulator.Fleet) {
 		for _, s := range f.Servers() {
@@ -296,7 +296,7 @@
 }
 
 // Course returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
-func (x *World) Course(zone string, since, slice float64) []int {
+func (x *Testbed) Course(zone string, since, slice float64) []int {
 	counts := make([]int, int(max(0, x.Now()-since)/slice))
 	x.OnFleet(func(f *emulator.Fleet) {
 		for _, e := range f.Book().Executions {
