--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -130,7 +130,7 @@
 	f := &fleet{Testbed: testbed, t: t}
 	t.Cleanup(func() {
 		defer func() { <-runSlots }()
-		datagrams := f.Words(20)
+		datagrams := f.DatagramRecords(20)
 		records, err := f.Close()
 		release()
 		if err != nil {
@@ -237,7 +237,7 @@
 	since := f.Now()
 	return func() bool {
 		blocked := 0
-		for router, n := range f.Burnt(zone, f.Now()-0.5) {
+		for router, n := range f.BlockedSends(zone, f.Now()-0.5) {
 			if include(router) {
 				blocked += n
 			}
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -30,7 +30,7 @@
 			t.Errorf("%d of %d requests were retried, want at most a twentieth of 20 or more", retried, n)
 		}
 	})
-	if blocked := f.Burnt("zone-1", began); len(blocked) < 6 {
+	if blocked := f.BlockedSends("zone-1", began); len(blocked) < 6 {
 		t.Errorf("blocked writes by router: got %v, want 6 or more routers: the test shows little", blocked)
 	}
 	f.waitFor("all requests are served in time", 4, func() bool { return f.servedInTime(1, 0.97) })
@@ -170,7 +170,7 @@
 		began := f.Now()
 		f.requireDuring("zone-1 is cut off", 1.5, func() bool { return true })
 		n := 0
-		for _, count := range f.Burnt("zone-1", began) {
+		for _, count := range f.BlockedSends("zone-1", began) {
 			n += count
 		}
 		blocked = append(blocked, n)
@@ -244,7 +244,7 @@
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
 	evacuated := f.evacuatedBy("zone-1", func(router int) bool { return router < 6 })
-	f.waitFor("writes to zone-1 are blocked", 1, func() bool { return len(f.Burnt("zone-1", f.Now()-0.5)) > 4 })
+	f.waitFor("writes to zone-1 are blocked", 1, func() bool { return len(f.BlockedSends("zone-1", f.Now()-0.5)) > 4 })
 	f.waitFor("the routers with zone failover have evacuated zone-1", 5, evacuated)
 	heal()
 	f.waitFor("zone-1 has recovered", 12, f.recovered("zone-1", usualRate, 0.7))
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -146,8 +146,8 @@
 	return n
 }
 
-// Burnt counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
-func (x *Testbed) Burnt(zone string, since float64) map[int]int {
+// BlockedSends counts, by router, the writes to servers of a zone since a time while relays had cut the connections.
+func (x *Testbed) BlockedSends(zone string, since float64) map[int]int {
 	by := map[int]int{}
 	for _, s := range x.run.net.BlockedSends() {
 		if s.At >= since && s.To.Zone == zone {
@@ -157,8 +157,10 @@
 	return by
 }
 
-// Words returns the newest gossip messages between routers, at most as many as given.
-func (x *Testbed) Words(most int) []faultproxy.DatagramRecord { return x.run.net.RecentDatagrams(most) }
+// DatagramRecords returns records of the newest datagrams between routers, at most as many as given.
+func (x *Testbed) DatagramRecords(most int) []faultproxy.DatagramRecord {
+	return x.run.net.RecentDatagrams(most)
+}
 
 // Kill sends SIGKILL to routers' processes and waits until they have ended.
 func (x *Testbed) Kill(routers ...int) {
