--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -108,7 +108,7 @@
 	f := start(t, nil)
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
-	f.Stop(11)
+	f.Pause(11)
 	f.Kill(routerRange(0, 8)...)
 	f.waitFor("zone-1 is evacuated by the routers that run", 5, f.evacuated("zone-1"))
 	if err := f.Start(routerRange(0, 8)...); err != nil {
@@ -124,7 +124,7 @@
 	})
 	heal()
 	f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
-	f.Go(11)
+	f.Resume(11)
 	f.requireDuring("the stopped router has resumed, and zone-1 is still used", 2, f.recovered("zone-1", usualRate, 0.5))
 	f.waitFor("all requests are served in time", 6, func() bool { return f.servedInTime(1, 0.97) })
 }
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -170,16 +170,16 @@
 	}
 }
 
-// Stop stops routers' processes by SIGSTOP, which they cannot observe.
-func (x *Testbed) Stop(routers ...int) {
+// Pause stops routers' processes by SIGSTOP, which they cannot observe.
+func (x *Testbed) Pause(routers ...int) {
 	for _, n := range routers {
 		x.run.routerNodes[n].pause()
 		x.run.recordEvent("router %d is stopped", n)
 	}
 }
 
-// Go continues routers' processes after Stop.
-func (x *Testbed) Go(routers ...int) {
+// Resume continues routers' processes after Pause.
+func (x *Testbed) Resume(routers ...int) {
 	for _, n := range routers {
 		x.run.routerNodes[n].resume()
 		x.run.recordEvent("router %d continues", n)
