--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -208,7 +208,7 @@
 	f.t.Helper()
 	began := f.Now()
 	f.waitFor("calm", 10, func() bool { return f.Now()-began > 2 && f.servedInTime(1, 0.99) })
-	return float64(f.Arrived(zone, f.Now()-1.5)) / 1.5
+	return float64(f.ExecutionCount(zone, f.Now()-1.5)) / 1.5
 }
 
 // servedInTime reports whether at least minFraction of the requests that were due within the given seconds, up to half
@@ -218,7 +218,7 @@
 	if to-seconds < f.ignoreBefore {
 		return false
 	}
-	fraction, n := f.Served(to-seconds, to)
+	fraction, n := f.FractionInTime(to-seconds, to)
 	return n > 50 && fraction >= minFraction
 }
 
@@ -248,7 +248,7 @@
 
 // recovered returns a condition: in the last second a zone had at least a fraction of its usual rate of executions.
 func (f *fleet) recovered(zone string, usualRate, fraction float64) func() bool {
-	return func() bool { return float64(f.Arrived(zone, f.Now()-1)) >= fraction*usualRate }
+	return func() bool { return float64(f.ExecutionCount(zone, f.Now()-1)) >= fraction*usualRate }
 }
 
 // routerRange returns the router numbers n with from <= n < to.
--- a/internal/experiment/multiprocess/recovery_test.go
+++ b/internal/experiment/multiprocess/recovery_test.go
@@ -59,7 +59,7 @@
 	f.killAll()()
 	began := f.Now()
 	f.waitFor("a fifth of the requests is served within a second", 2, func() bool {
-		fraction, n := f.Served(f.ignoreBefore+0.5, f.ignoreBefore+1)
+		fraction, n := f.FractionInTime(f.ignoreBefore+0.5, f.ignoreBefore+1)
 		return f.Now() > f.ignoreBefore+1.5 && n > 50 && fraction > 0.2
 	})
 	f.waitFor("all requests are served in time", 9, func() bool { return f.servedInTime(1, 0.97) })
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -37,7 +37,7 @@
 	heal()
 	healed := f.Now()
 	f.waitFor("zone-1 has recovered", 8, f.recovered("zone-1", usualRate, 0.7))
-	course := f.Course("zone-1", healed, 0.25)
+	course := f.ExecutionCounts("zone-1", healed, 0.25)
 	firstTenth := slices.IndexFunc(course, func(n int) bool { return float64(n) >= 0.1*usualRate/4 })
 	firstMost := slices.IndexFunc(course, func(n int) bool { return float64(n) >= 0.7*usualRate/4 })
 	// The ramp's steps are a sixteenth, an eighth, a quarter, a half and all of the usual load, a quarter of a second each
@@ -74,10 +74,10 @@
 	f.waitFor("all requests are served in time", 5, func() bool { return f.servedInTime(1, 0.97) })
 	heal = f.beginFault("part", "servers", "routers", 0, "servers")
 	f.waitFor("no request is served in time", 3, func() bool {
-		fraction, n := f.Served(f.Now()-1.5, f.Now()-1)
+		fraction, n := f.FractionInTime(f.Now()-1.5, f.Now()-1)
 		return n > 50 && fraction < 0.05
 	})
-	f.requireDuring("nothing is executed in zone-1", 1, func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 })
+	f.requireDuring("nothing is executed in zone-1", 1, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 })
 	heal()
 	f.waitFor("all requests are served in time", 8, func() bool { return f.servedInTime(0.5, 0.97) })
 }
@@ -119,7 +119,7 @@
 	}
 	f.waitFor("zone-1 is evacuated with the restarted routers", 4, f.evacuated("zone-1"))
 	f.waitFor("all requests but those to the stopped router are served in time", 6, func() bool { // a twelfth goes to it
-		fraction, n := f.Served(f.Now()-1.5, f.Now()-0.5)
+		fraction, n := f.FractionInTime(f.Now()-1.5, f.Now()-0.5)
 		return n > 50 && fraction > 0.85
 	})
 	heal()
@@ -138,7 +138,7 @@
 		heal := f.beginFault(kind, "zone:2", "rest", 0)
 		outside := f.evacuatedBy("zone-2", func(router int) bool { return router%4 != 2 })
 		f.waitFor(kind+": the routers outside have evacuated zone-2", 4, outside)
-		f.requireDuring(kind+": routers inside use zone-2", 2, func() bool { return f.Arrived("zone-2", f.Now()-1) > 0 })
+		f.requireDuring(kind+": routers inside use zone-2", 2, func() bool { return f.ExecutionCount("zone-2", f.Now()-1) > 0 })
 		heal()
 		f.waitFor(kind+": all requests are served in time", 8, func() bool { return f.servedInTime(1, 0.97) })
 		f.waitFor(kind+": zone-2 has recovered", 14, f.recovered("zone-2", usualRate, 0.7))
@@ -151,7 +151,7 @@
 	usualRate := f.steadyRate("zone-1")
 	for range 2 {
 		end := f.faultZone("zone-1", func(s *emulator.Server) func() error { return s.Crash() })
-		f.waitFor("nothing is executed in zone-1", 3, func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 })
+		f.waitFor("nothing is executed in zone-1", 3, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 })
 		end()
 		f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
 	}
@@ -176,7 +176,7 @@
 		blocked = append(blocked, n)
 		heal()
 		f.requireDuring("zone-1 is reachable", 2.5, func() bool { return true })
-		served = append(served, f.Arrived("zone-1", f.Now()-2.5))
+		served = append(served, f.ExecutionCount("zone-1", f.Now()-2.5))
 		if float64(served[len(served)-1]) > 0.1*2.5*usualRate {
 			timesUsed++
 		}
@@ -198,7 +198,7 @@
 			t.Fatalf("router %d: status %d, %v", n, status, err)
 		}
 	}
-	unused := func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 }
+	unused := func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 }
 	f.waitFor("nothing is executed in zone-1", 2, unused)
 	f.Kill(0)
 	if err := f.Start(0); err != nil {
@@ -222,7 +222,7 @@
 		f.Ask(0, "/zones/return", zone, nil)
 		f.Ask(1, "/zones/return", zone, nil)
 	}
-	f.waitFor("zone-1 is used again", 5, func() bool { return f.Arrived("zone-1", f.Now()-0.5) > 10 })
+	f.waitFor("zone-1 is used again", 5, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) > 10 })
 	f.waitFor("all requests are served in time", 8, func() bool { return f.servedInTime(1, 0.97) })
 }
 
@@ -278,7 +278,7 @@
 	f.waitFor("zone-1 and zone-3 have recovered", 14, func() bool {
 		return f.recovered("zone-1", usualRate, 0.7)() && f.recovered("zone-3", usualRate, 0.7)()
 	})
-	first, second := f.Course("zone-1", healed, 0.25), f.Course("zone-3", healed, 0.25)
+	first, second := f.ExecutionCounts("zone-1", healed, 0.25), f.ExecutionCounts("zone-3", healed, 0.25)
 	firstReaching := func(course []int, fraction float64) int {
 		return slices.IndexFunc(course, func(n int) bool { return float64(n) >= fraction*usualRate/4 })
 	}
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -115,9 +115,9 @@
 	runOnLoop(x.run.clientLoop, func() { f(x.run.clients) })
 }
 
-// Served returns the fraction of the requests due between two times that were answered within the latency objective,
+// FractionInTime returns the fraction of the requests due between two times that were answered within the latency objective,
 // and the number of these requests. All of them must have ended.
-func (x *Testbed) Served(from, to float64) (part float64, n int) {
+func (x *Testbed) FractionInTime(from, to float64) (part float64, n int) {
 	x.OnClients(func(c *emulator.Clients) {
 		in := 0
 		for _, o := range c.Book().Ops {
@@ -133,8 +133,8 @@
 	return part, n
 }
 
-// Arrived returns the number of executions that reached servers of a zone since a time.
-func (x *Testbed) Arrived(zone string, since float64) (n int) {
+// ExecutionCount returns the number of executions that reached servers of a zone since a time.
+func (x *Testbed) ExecutionCount(zone string, since float64) (n int) {
 	x.OnFleet(func(f *emulator.Fleet) {
 		all := f.Book().Executions
 		for i := len(all) - 1; i >= 0 && all[i].First >= since; i-- {
@@ -297,8 +297,8 @@
 	x.run.recordEvent("%s has new servers", zone)
 }
 
-// Course returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
-func (x *Testbed) Course(zone string, since, slice float64) []int {
+// ExecutionCounts returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
+func (x *Testbed) ExecutionCounts(zone string, since, slice float64) []int {
 	counts := make([]int, int(max(0, x.Now()-since)/slice))
 	x.OnFleet(func(f *emulator.Fleet) {
 		for _, e := range f.Book().Executions {
