--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -153,7 +153,7 @@
 					datagram.At-records.From, datagram.From, datagram.To, datagram.Bytes, datagram.Lost)
 			}
 			for n := range f.Routers() {
-				for _, line := range f.Log(n, `"message":"zone"`, 8) {
+				for _, line := range f.LogLines(n, `"message":"zone"`, 8) {
 					t.Logf("router %d: %s", n, line)
 				}
 			}
--- a/internal/experiment/multiprocess/recovery_test.go
+++ b/internal/experiment/multiprocess/recovery_test.go
@@ -16,7 +16,7 @@
 	f.steadyRate("zone-1")
 	f.waitFor("all routers have a snapshot with their rate", 15, func() bool {
 		for n := range f.Routers() {
-			paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
+			paths, _ := filepath.Glob(filepath.Join(f.RouterFolder(n), "*.store-*"))
 			hasRate := false
 			for _, path := range paths {
 				text, _ := os.ReadFile(path)
@@ -70,7 +70,7 @@
 				Phase string  `json:"phase"`
 				Full  float64 `json:"full_service_seconds"`
 			}
-			if _, err := f.Ask(n, "/status", "", &status); err != nil || status.Phase != "full" || status.Full <= 0 {
+			if _, err := f.CallAdmin(n, "/status", "", &status); err != nil || status.Phase != "full" || status.Full <= 0 {
 				return false
 			}
 		}
@@ -84,7 +84,7 @@
 	f := startWithSnapshots(t)
 	restart := f.killAll()
 	for n := range f.Routers() {
-		paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*"))
+		paths, _ := filepath.Glob(filepath.Join(f.RouterFolder(n), "*.store-*"))
 		for i, path := range paths {
 			text, _ := os.ReadFile(path)
 			switch {
@@ -93,7 +93,7 @@
 			case n%3 == 1:
 				os.WriteFile(path, append(text[:len(text)/2], 0xff), 0o600)
 			default: // the snapshot of another router
-				otherPaths, _ := filepath.Glob(filepath.Join(f.Folder((n+3)%f.Routers()), "*.store-*"))
+				otherPaths, _ := filepath.Glob(filepath.Join(f.RouterFolder((n+3)%f.Routers()), "*.store-*"))
 				if other, err := os.ReadFile(otherPaths[i%len(otherPaths)]); err == nil {
 					os.WriteFile(path, other, 0o600)
 				}
@@ -103,7 +103,7 @@
 	restart()
 	f.waitFor("all requests are served in time", 15, func() bool { return f.servedInTime(1, 0.97) })
 	for n := range f.Routers() {
-		if lines := f.Log(n, "cannot be used and is put aside", 3); n%3 != 0 && len(lines) == 0 {
+		if lines := f.LogLines(n, "cannot be used and is put aside", 3); n%3 != 0 && len(lines) == 0 {
 			t.Errorf("router %d: got no log line on its unusable snapshot, want one", n)
 		}
 	}
@@ -131,7 +131,7 @@
 	f.steadyRate("zone-1")
 	f.waitFor("all routers have a snapshot", 10, func() bool {
 		for n := range f.Routers() {
-			if paths, _ := filepath.Glob(filepath.Join(f.Folder(n), "*.store-*")); len(paths) == 0 {
+			if paths, _ := filepath.Glob(filepath.Join(f.RouterFolder(n), "*.store-*")); len(paths) == 0 {
 				return false
 			}
 		}
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -194,7 +194,7 @@
 	f := start(t, func(text string) string { return strings.Replace(text, "count = 12", "count = 2", 1) })
 	f.steadyRate("zone-1")
 	for n := range 2 {
-		if status, err := f.Ask(n, "/zones/leave", "zone-1", nil); err != nil || status != 200 {
+		if status, err := f.CallAdmin(n, "/zones/leave", "zone-1", nil); err != nil || status != 200 {
 			t.Fatalf("router %d: status %d, %v", n, status, err)
 		}
 	}
@@ -209,18 +209,18 @@
 	}
 	f.requireDuring("nothing is executed in zone-1", 1.5, unused)
 	var zones []struct{ Zone, State, Why string }
-	if _, err := f.Ask(0, "/zones", "", &zones); err != nil || len(zones) != 4 || zones[1].State != "left" || zones[1].Why != "by hand" {
+	if _, err := f.CallAdmin(0, "/zones", "", &zones); err != nil || len(zones) != 4 || zones[1].State != "left" || zones[1].Why != "by hand" {
 		t.Errorf("GET /zones: got %+v, %v, want 4 zones, the second one left by hand", zones, err)
 	}
 	for _, zone := range []string{"zone-0", "zone-2", "zone-3"} {
-		status, err := f.Ask(1, "/zones/leave", zone, nil)
+		status, err := f.CallAdmin(1, "/zones/leave", zone, nil)
 		if want := map[bool]int{true: 503, false: 200}[zone == "zone-3"]; err != nil || status != want {
 			t.Errorf("leave %s: status %d, %v, want %d: the last zone is not evacuated", zone, status, err, want)
 		}
 	}
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
-		f.Ask(0, "/zones/return", zone, nil)
-		f.Ask(1, "/zones/return", zone, nil)
+		f.CallAdmin(0, "/zones/return", zone, nil)
+		f.CallAdmin(1, "/zones/return", zone, nil)
 	}
 	f.waitFor("zone-1 is used again", 5, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) > 10 })
 	f.waitFor("all requests are served in time", 8, func() bool { return f.servedInTime(1, 0.97) })
@@ -230,7 +230,7 @@
 func TestZoneFailoverInMixedFleet(t *testing.T) {
 	f := start(t, nil)
 	for _, n := range routerRange(6, 12) {
-		if err := f.Operators(n, func(text string) string { return strings.Replace(text, "on = true", "on = false", 1) }); err != nil {
+		if err := f.ChangeOperatorsFile(n, func(text string) string { return strings.Replace(text, "on = true", "on = false", 1) }); err != nil {
 			t.Fatal(err)
 		}
 	}
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -206,8 +206,8 @@
 	return nil
 }
 
-// Folder returns the path of a router's folder that outlives its processes.
-func (x *Testbed) Folder(router int) string { return x.run.routerNodes[router].folder }
+// RouterFolder returns the path of a router's folder that outlives its processes.
+func (x *Testbed) RouterFolder(router int) string { return x.run.routerNodes[router].folder }
 
 // Routers returns the number of routers.
 func (x *Testbed) Routers() int { return len(x.run.routerNodes) }
@@ -219,8 +219,8 @@
 	return append([]string(nil), x.run.played...)
 }
 
-// Log returns the last lines of a router's log that contain a text, the newest last.
-func (x *Testbed) Log(router int, holds string, most int) (lines []string) {
+// LogLines returns the last lines of a router's log that contain a text, the newest last.
+func (x *Testbed) LogLines(router int, holds string, most int) (lines []string) {
 	text, _ := os.ReadFile(x.run.routerNodes[router].file("log"))
 	for line := range strings.Lines(string(text)) {
 		if strings.Contains(line, holds) {
@@ -232,9 +232,9 @@
 
 var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// Ask calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
+// CallAdmin calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
 // decoded into it.
-func (x *Testbed) Ask(router int, path, body string, into any) (status int, err error) {
+func (x *Testbed) CallAdmin(router int, path, body string, into any) (status int, err error) {
 	method, url := http.MethodGet, "http://"+x.run.address(routerAddrByte, router, 9400)+path
 	if body != "" {
 		method = http.MethodPost
@@ -256,8 +256,8 @@
 	return answer.StatusCode, err
 }
 
-// Operators changes a router's operators' file and sends SIGHUP to its process.
-func (x *Testbed) Operators(router int, change func(text string) string) error {
+// ChangeOperatorsFile changes a router's operators' file and sends SIGHUP to its process.
+func (x *Testbed) ChangeOperatorsFile(router int, change func(text string) string) error {
 	n := x.run.routerNodes[router]
 	return n.reload(func() { n.operators = change(n.operators) })
 }
