--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -169,7 +169,7 @@
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Logf("%6.2f s: %s, after waiting %.2f s", f.Since(), what, took)
+	f.t.Logf("%6.2f s: %s, after waiting %.2f s", f.Elapsed(), what, took)
 	return took
 }
 
@@ -178,7 +178,7 @@
 	f.t.Helper()
 	for end := f.Now() + seconds; f.Now() < end; time.Sleep(50 * time.Millisecond) {
 		if !condition() {
-			f.t.Fatalf("%.2f s: condition became false: %s", f.Since(), what)
+			f.t.Fatalf("%.2f s: condition became false: %s", f.Elapsed(), what)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	if strings.HasSuffix(kind, "-late") {
 		fault.Delay, fault.Part = amount, 0
 	}
-	end, err := f.Cut(fault)
+	end, err := f.BeginFault(fault)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -257,7 +257,7 @@
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
 	f.waitFor("zone-1 is evacuated", 2.5, f.evacuated("zone-1"))
-	f.Replace("zone-1")
+	f.ReplaceServers("zone-1")
 	heal()
 	f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
 	f.waitFor("all requests are served in time", 5, func() bool { return f.servedInTime(1, 0.97) })
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -53,8 +53,8 @@
 // Now returns the time in Unix seconds.
 func (x *Testbed) Now() float64 { return x.run.fleetLoop.Now() }
 
-// Since returns the seconds since the clients started.
-func (x *Testbed) Since() float64 { return x.Now() - x.run.startTime }
+// Elapsed returns the seconds since the clients started.
+func (x *Testbed) Elapsed() float64 { return x.Now() - x.run.startTime }
 
 // Until waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
 // hold within bound seconds.
@@ -69,8 +69,8 @@
 	return x.Now() - began, nil
 }
 
-// Cut begins a fault between processes; heal ends it.
-func (x *Testbed) Cut(f Fault) (heal func() error, err error) {
+// BeginFault begins a fault between processes; heal ends it.
+func (x *Testbed) BeginFault(f Fault) (heal func() error, err error) {
 	r, err := x.run.rule(f)
 	if err != nil {
 		return nil, err
@@ -275,8 +275,8 @@
 	return p, dir, err
 }
 
-// Replace removes all servers of a zone permanently and starts new, cold ones at the same addresses.
-func (x *Testbed) Replace(zone string) {
+// ReplaceServers removes all servers of a zone permanently and starts new, cold ones at the same addresses.
+func (x *Testbed) ReplaceServers(zone string) {
 	var gone []*emulator.Server
 	x.OnFleet(func(f *emulator.Fleet) {
 		for _, s := range f.Servers() {
