--- a/cmd/trestle-experiment/fleet.go
+++ b/cmd/trestle-experiment/fleet.go
@@ -16,7 +16,7 @@
 }
 
 func (c *fleetCommand) Run(ctx context.Context) error {
-	scenario, err := experiment.UsualScenario(c.Scenario)
+	scenario, err := experiment.ReadScenarioOrDefault(c.Scenario)
 	if err != nil {
 		return usageError(err)
 	}
@@ -33,7 +33,7 @@
 }
 
 func (c *loadCommand) Run(ctx context.Context) error {
-	scenario, err := experiment.UsualScenario(c.Scenario)
+	scenario, err := experiment.ReadScenarioOrDefault(c.Scenario)
 	if err != nil {
 		return usageError(err)
 	}
--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -94,7 +94,7 @@
 func (p runSettings) prepare() (experiment.Options, func(keep bool), error) {
 	options, cleanUp := experiment.Options{Net: p.Net, Dir: p.Keep}, func(bool) {}
 	if options.Net == 0 {
-		network, _, err := experiment.Reserve(os.Getpid()) // reserved until the program ends
+		network, _, err := experiment.ReserveNet(os.Getpid()) // reserved until the program ends
 		if err != nil {
 			return options, cleanUp, err
 		}
@@ -143,7 +143,7 @@
 		options.Seed = c.Seed + uint64(i)
 		variants := []*experiment.Scenario{scenario}
 		if scenario.WithControl() {
-			variants = append(variants, scenario.Without())
+			variants = append(variants, scenario.ControlScenario())
 		}
 		for variant, scenario := range variants {
 			records, err := experiment.Play(ctx, scenario, options)
@@ -177,7 +177,7 @@
 			return err
 		}
 	}
-	experiment.Print(os.Stdout, scenario, results, logDir)
+	experiment.PrintResults(os.Stdout, scenario, results, logDir)
 	experiment.PrintTenants(os.Stdout, results, control)
 	if status := verdictStatuses[experiment.Overall(append(results, control...))]; status != exitRulesKept {
 		return exitStatus(status)
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -51,8 +51,8 @@
 benefit = 3
 `
 
-// UsualScenario reads the scenario file at path, or returns the default scenario if path is empty.
-func UsualScenario(path string) (*Scenario, error) {
+// ReadScenarioOrDefault reads the scenario file at path, or returns the default scenario if path is empty.
+func ReadScenarioOrDefault(path string) (*Scenario, error) {
 	if path == "" {
 		return ParseScenario("usual", defaultScenarioText)
 	}
--- a/internal/experiment/compare.go
+++ b/internal/experiment/compare.go
@@ -115,7 +115,7 @@
 			mine, release := o, func() {}
 			if n > 0 { // the first lane uses the addresses in the options
 				var err error
-				if mine.Net, release, err = Reserve(o.Net + n); err != nil {
+				if mine.Net, release, err = ReserveNet(o.Net + n); err != nil {
 					return // the other lanes play all seeds
 				}
 			}
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -70,7 +70,7 @@
 func playUntilConclusive(t *testing.T, s *Scenario, program Program, enough func(Result) bool) Result {
 	t.Helper()
 	for try := 0; ; try++ {
-		n, release, err := Reserve(os.Getpid())
+		n, release, err := ReserveNet(os.Getpid())
 		if err != nil {
 			t.Fatal(err)
 		}
@@ -198,7 +198,7 @@
 
 // brokenRules returns the rules that were broken, in order.
 func (st *runRecord) brokenRules() (rules []int) {
-	for _, b := range Judge(st.s, st.rec).Breaches {
+	for _, b := range CheckRules(st.s, st.rec).Breaches {
 		rules = append(rules, b.Rule)
 	}
 	return rules
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -55,8 +55,8 @@
 	breaches   []Breach
 }
 
-// Judge checks the rules on the records of the emulated servers and the clients. It uses no data from the routers.
-func Judge(s *Scenario, rec *Records) Verdict {
+// CheckRules checks the rules on the records of the emulated servers and the clients. It uses no data from the routers.
+func CheckRules(s *Scenario, rec *Records) Verdict {
 	j := &judge{s: s, rec: rec, executions: map[string][]*emulator.Execution{}}
 	for _, x := range rec.Fleet.Executions {
 		j.executions[x.ID] = append(j.executions[x.ID], x)
--- a/internal/experiment/judge_test.go
+++ b/internal/experiment/judge_test.go
@@ -260,23 +260,23 @@
 	}
 	late.Times[140] = 0.08
 	st.rec.ClientsLate = late
-	if v := Judge(st.s, st.rec); len(v.Breaches) > 0 || !strings.Contains(v.Void, "late by more than 25 ms") || v.Kept() {
+	if v := CheckRules(st.s, st.rec); len(v.Breaches) > 0 || !strings.Contains(v.Void, "late by more than 25 ms") || v.Kept() {
 		t.Errorf("near a late sample: got verdict %+v, want void", v)
 	}
 	late.Times[140], late.Times[900] = 0, 0.08
-	if v := Judge(st.s, st.rec); len(v.Breaches) != 1 || v.Void != "" {
+	if v := CheckRules(st.s, st.rec); len(v.Breaches) != 1 || v.Void != "" {
 		t.Errorf("far from a late sample: got verdict %+v, want one breach", v)
 	}
 	for i := range 100 {
 		late.Times[i] = 0.02
 	}
-	if v := Judge(st.s, st.rec); !strings.Contains(v.Void, "ran late") {
+	if v := CheckRules(st.s, st.rec); !strings.Contains(v.Void, "ran late") {
 		t.Errorf("with a tenth of the samples late: got verdict %+v, want void because the lab ran late", v)
 	}
 	// A cut value is a certain breach however late the lab ran. Breaches that depend on times stay doubtful beside it.
 	st.partialAttempt("y", emulator.Cut, 1.3)
 	st.longExecution("y", server("s-1", "z1"), 1.1, 0)
-	if v := Judge(st.s, st.rec); v.Void != "" || len(v.Breaches) != 1 || v.Breaches[0].ID != "y" || len(v.Doubtful) != 1 {
+	if v := CheckRules(st.s, st.rec); v.Void != "" || len(v.Breaches) != 1 || v.Breaches[0].ID != "y" || len(v.Doubtful) != 1 {
 		t.Errorf("with a cut value as well: got verdict %+v, want its breach alone, and one doubtful", v)
 	}
 }
@@ -287,7 +287,7 @@
 	st.attempt("x", emulator.Finished, 1.05)
 	st.execution("x", server("s-1", "z"), 1.01, emulator.Failed)
 	st.execution("x", server("s-2", "z"), 1.03, emulator.Answered)
-	text := strings.Join(Judge(st.s, st.rec).Breaches[0].Course, "\n")
+	text := strings.Join(CheckRules(st.s, st.rec).Breaches[0].Course, "\n")
 	for _, want := range []string{"due: request 0, pay, key k", "reaches s-1", "at s-1: failed", "reaches s-2", "ends: finished"} {
 		at := strings.Index(text, want)
 		if at < 0 {
--- a/internal/experiment/long_test.go
+++ b/internal/experiment/long_test.go
@@ -64,7 +64,7 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	v := Judge(s, rec)
+	v := CheckRules(s, rec)
 	return rec, append(v.Breaches, v.Doubtful...)
 }
 
--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -115,7 +115,7 @@
 		<-runSlots
 		t.Fatal(err)
 	}
-	n, release, err := experiment.Reserve(os.Getpid())
+	n, release, err := experiment.ReserveNet(os.Getpid())
 	if err != nil {
 		<-runSlots
 		t.Fatal(err)
@@ -137,7 +137,7 @@
 			t.Error(err)
 			return
 		}
-		result := f.Judge(records)
+		result := f.CheckRules(records)
 		for i, breach := range result.Breaches {
 			if result.Void == "" && i < 3 {
 				t.Errorf("%v\n    %s", breach, strings.Join(breach.Course, "\n    "))
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -497,9 +497,9 @@
 
 var reserved sync.Map // listeners that hold a number, by number
 
-// Reserve finds a second byte of loopback addresses that no other lab on this machine uses, and reserves it until
+// ReserveNet finds a second byte of loopback addresses that no other lab on this machine uses, and reserves it until
 // release is called. The search begins at a number derived from first.
-func Reserve(first int) (n int, release func(), err error) {
+func ReserveNet(first int) (n int, release func(), err error) {
 	for i := range 200 {
 		n := 16 + (first+i)%200
 		at := netip.AddrFrom4([4]byte{127, byte(n), 0, 1})
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -109,7 +109,7 @@
 }
 
 func options(t *testing.T, program Program) Options {
-	n, release, err := Reserve(os.Getpid())
+	n, release, err := ReserveNet(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -37,7 +37,7 @@
 
 // NewResult judges a run and computes its figures.
 func NewResult(s *Scenario, o Options, rec *Records) Result {
-	v := Judge(s, rec)
+	v := CheckRules(s, rec)
 	r := Result{Scenario: s.Name, Seed: o.Seed, Router: o.Router.Name, At: time.Now().UTC().Format(time.RFC3339), Void: v.Void,
 		Interrupted: rec.Interrupted, Breaches: v.Breaches, Doubtful: v.Doubtful, Played: rec.Played, Processes: rec.Processes, Figures: ComputeFigures(s, rec)}
 	switch {
@@ -67,9 +67,9 @@
 	maxCourseLines     = 40 // one screen
 )
 
-// Print writes one table for all runs, their breaches, the details of a single run, and the folder of the routers'
+// PrintResults writes one table for all runs, their breaches, the details of a single run, and the folder of the routers'
 // logs.
-func Print(out io.Writer, s *Scenario, results []Result, logs string) {
+func PrintResults(out io.Writer, s *Scenario, results []Result, logs string) {
 	for _, r := range results {
 		for _, line := range r.Played {
 			if len(results) == 1 {
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -78,7 +78,7 @@
 // options returns options for a run in its own directory and at its own addresses.
 func options(t *testing.T, only ...string) Options {
 	t.Helper()
-	n, release, err := experiment.Reserve(os.Getpid())
+	n, release, err := experiment.ReserveNet(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -18,7 +18,7 @@
 		t.Fatal(err)
 	}
 	defer os.RemoveAll(dir)
-	n, release, err := experiment.Reserve(os.Getpid())
+	n, release, err := experiment.ReserveNet(os.Getpid())
 	if err != nil {
 		t.Fatal(err)
 	}
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -153,8 +153,8 @@
 // WithControl reports whether a scenario is also played without some of its faults.
 func (s *Scenario) WithControl() bool { return len(s.Control) > 0 }
 
-// Without returns the control scenario: this one without the kinds of fault in Control.
-func (s *Scenario) Without() *Scenario {
+// ControlScenario returns the control scenario: this one without the kinds of fault in Control.
+func (s *Scenario) ControlScenario() *Scenario {
 	c := *s
 	c.Faults = slices.DeleteFunc(slices.Clone(s.Faults), func(f Fault) bool { return slices.Contains(s.Control, f.Kind) })
 	c.Control = nil
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -262,8 +262,10 @@
 	return n.reload(func() { n.operators = change(n.operators) })
 }
 
-// Judge returns the verdict and the figures of this run's records.
-func (x *Testbed) Judge(rec *Records) Result { return NewResult(x.run.scenario, x.run.options, rec) }
+// CheckRules returns the verdict and the figures of this run's records.
+func (x *Testbed) CheckRules(rec *Records) Result {
+	return NewResult(x.run.scenario, x.run.options, rec)
+}
 
 // Build builds the router of this working tree in a new temporary folder, and returns the folder's path.
 func Build(ctx context.Context) (Program, string, error) {
