--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -306,7 +306,7 @@
 	module := requestcore.NewBalancer(requestcore.DefaultBalancer)
 	if c.Policy != "logic" {
 		var err error
-		if module, err = baseline.Maker(c.Policy); err != nil {
+		if module, err = baseline.NewFactory(c.Policy); err != nil {
 			return usageError(err)
 		}
 	}
--- a/internal/experiment/baseline/baseline.go
+++ b/internal/experiment/baseline/baseline.go
@@ -32,8 +32,8 @@
 // Names returns the names of all policies.
 func Names() []string { return slices.Sorted(maps.Keys(policies)) }
 
-// Maker returns a constructor of balancers with the named policy.
-func Maker(name string) (requestcore.NewBalancer, error) {
+// NewFactory returns a constructor of balancers with the named policy.
+func NewFactory(name string) (requestcore.NewBalancer, error) {
 	p, known := policies[name]
 	if !known {
 		return nil, fmt.Errorf("%q is not a baseline policy; the policies are %s", name, strings.Join(Names(), ", "))
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -31,7 +31,7 @@
 	make := requestcore.NewBalancer(requestcore.DefaultBalancer)
 	if as != "logic" {
 		var err error
-		if make, err = baseline.Maker(as); err != nil {
+		if make, err = baseline.NewFactory(as); err != nil {
 			panic(err)
 		}
 	}
