--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -263,7 +263,7 @@
 
 func (c *valuesCommand) Run(ctx context.Context) error {
 	options := scale.ValueOptions{Sizes: c.Sizes, Transfers: c.Transfers, Bytes: c.Bytes, AtOnce: c.AtOnce, Runs: c.Runs,
-		Progress: os.Stderr, Settle: scale.UsualValues().Settle}
+		Progress: os.Stderr, Settle: scale.DefaultValueOptions().Settle}
 	if err := options.Check(); err != nil {
 		return usageError(err)
 	}
--- a/cmd/trestle-experiment/scale.go
+++ b/cmd/trestle-experiment/scale.go
@@ -35,7 +35,7 @@
 func (c *scaleCommand) plan() scale.Plan {
 	p := scale.Full()
 	if c.Small {
-		p = scale.Little()
+		p = scale.Small()
 	}
 	if c.Routers != nil {
 		p.Routers = c.Routers
@@ -104,7 +104,7 @@
 	}
 	report.Print(os.Stdout)
 	if previous != nil {
-		if err = report.Against(os.Stdout, previous); err != nil {
+		if err = report.PrintComparison(os.Stdout, previous); err != nil {
 			return usageError(fmt.Errorf("--against %s: %w", c.Against, err))
 		}
 	}
--- a/internal/experiment/scale/gossips_test.go
+++ b/internal/experiment/scale/gossips_test.go
@@ -31,8 +31,8 @@
 			t.Errorf("plan with %v: the note is %q, want it to name %q", c.routers, note, c.left)
 		}
 	}
-	b := newBench(t.Context(), Options{Plan: Little()})
-	if got := b.gossipSizes(); !slices.Equal(got, Little().Routers) || len(b.notes) > 0 {
+	b := newBench(t.Context(), Options{Plan: Small()})
+	if got := b.gossipSizes(); !slices.Equal(got, Small().Routers) || len(b.notes) > 0 {
 		t.Errorf("test plan: sizes %v with notes %v, want the plan's sizes without notes", got, b.notes)
 	}
 }
@@ -45,7 +45,7 @@
 		t.Fatal(err)
 	}
 	mean, most, pair := r.line(t, "gossip.bytes.mean"), r.line(t, "gossip.bytes.most"), r.line(t, "gossip.pair.bytes.mean")
-	for i, n := range Little().Routers {
+	for i, n := range Small().Routers {
 		if mean.Points[i].X != float64(n) || mean.Points[i].Runs[0] <= 0 || most.Points[i].Runs[0] < mean.Points[i].Runs[0] {
 			t.Errorf("%d routers that gossip: mean %v, maximum %v; want a mean above 0 and no lower maximum", n,
 				mean.Points[i], most.Points[i])
--- a/internal/experiment/scale/plan.go
+++ b/internal/experiment/scale/plan.go
@@ -34,8 +34,8 @@
 		Window: 5 * time.Second, Settle: 1500 * time.Millisecond, Hollow: 300}
 }
 
-// Little returns a plan for tests. It shows that every quantity is measured; its values must not be quoted.
-func Little() Plan {
+// Small returns a plan for tests. It shows that every quantity is measured; its values must not be quoted.
+func Small() Plan {
 	return Plan{Routers: []int{4, 8, 16}, Servers: []int{4, 8, 16}, Rates: []float64{20, 40, 80}, Runs: 1, Window: 250 * time.Millisecond,
 		Settle: 50 * time.Millisecond, Hollow: 6, Small: true}
 }
--- a/internal/experiment/scale/report_test.go
+++ b/internal/experiment/scale/report_test.go
@@ -44,7 +44,7 @@
 
 // CPU times are divided by the plain loop's time of the same run; other values are not.
 func TestCPUTimesAreRelativeToPlainLoop(t *testing.T) {
-	b := newBench(t.Context(), Options{Plan: Little()})
+	b := newBench(t.Context(), Options{Plan: Small()})
 	for n := range 3 {
 		b.add("hear.core.word", float64(n+1), float64(100*(n+1)), 50e-6)
 	}
@@ -64,7 +64,7 @@
 
 // A quantity that is not measured is taken from another report, or listed as missing.
 func TestReportTakesMissingQuantitiesFromOthers(t *testing.T) {
-	b := newBench(t.Context(), Options{Plan: Little()})
+	b := newBench(t.Context(), Options{Plan: Small()})
 	value := Line{Name: "value.core.byte", Points: []Point{{X: 1, Runs: []float64{1}}}, Slope: 7}
 	r := b.report(Options{Join: []*Report{{Lines: []Line{value}, Figures: []Figure{{Name: "hear.lost", Mean: 3}}}}})
 	if r.line(t, "value.core.byte").Slope != 7 || r.figure(t, "hear.lost").Mean != 3 {
@@ -93,7 +93,7 @@
 		map[float64][]float64{1: {2}, 2: {4}, 3: {6}}, 1, 2, 3))},
 		Figures: []Figure{newFigure(Quantity{Name: "some.lost"}, []float64{2}, nil), newFigure(Quantity{Name: "some.new"}, []float64{1}, nil)}}
 	var out strings.Builder
-	if err = now.Against(&out, before); err != nil {
+	if err = now.PrintComparison(&out, before); err != nil {
 		t.Fatal(err)
 	}
 	for _, want := range []string{"some.core.thing  1       2    2.00", "runs do not overlap", "some.lost        2       2    1.00", "some.new         none    1"} {
@@ -102,7 +102,7 @@
 		}
 	}
 	now.Small = true
-	if now.Against(&out, before) == nil {
+	if now.PrintComparison(&out, before) == nil {
 		t.Error("a report of small sizes is compared with one of full sizes, want an error")
 	}
 	for text, want := range map[string]string{`{"form": 99}`: `form 99; this program reads form 1`, `[]`: "not a report"} {
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -42,9 +42,9 @@
 	Progress  io.Writer // nil: no progress is printed
 }
 
-// UsualValues returns options with the sizes that operators expect and some below and above: the router buffers a value
+// DefaultValueOptions returns options with the sizes that operators expect and some below and above: the router buffers a value
 // of up to 64 KiB whole, and streams a longer one.
-func UsualValues() ValueOptions {
+func DefaultValueOptions() ValueOptions {
 	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, AtOnce: 8, Runs: 3,
 		// far below the 10 s after which a router disconnects a client that reads nothing
 		Settle: 800 * time.Millisecond}
@@ -101,7 +101,7 @@
 
 // measureValues measures long values at the usual sizes in a single run, because the bench repeats it.
 func measureValues(b *bench) error {
-	o := UsualValues()
+	o := DefaultValueOptions()
 	o.Router, o.Runs, o.Net, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
 	if b.plan.Small {
 		o.Transfers, o.Bytes, o.AtOnce, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
--- a/internal/experiment/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -60,7 +60,7 @@
 
 // Invalid options are reported with flag, value and the accepted values, before anything is started.
 func TestInvalidValueOptionsAreRejected(t *testing.T) {
-	o := UsualValues()
+	o := DefaultValueOptions()
 	if err := o.Check(); err != nil {
 		t.Errorf("the usual options have faults: %v", err)
 	}
