--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -262,7 +262,7 @@
 }
 
 func (c *valuesCommand) Run(ctx context.Context) error {
-	options := scale.ValueOptions{Sizes: c.Sizes, Transfers: c.Transfers, Bytes: c.Bytes, AtOnce: c.AtOnce, Runs: c.Runs,
+	options := scale.ValueOptions{Sizes: c.Sizes, Transfers: c.Transfers, Bytes: c.Bytes, Clients: c.AtOnce, Runs: c.Runs,
 		Progress: os.Stderr, Settle: scale.DefaultValueOptions().Settle}
 	if err := options.Check(); err != nil {
 		return usageError(err)
@@ -275,7 +275,7 @@
 	if options.Router, err = experiment.Resolve(ctx, c.Router, environment.Dir); err != nil {
 		return usageError(err)
 	}
-	options.Net, options.Dir = environment.Net, environment.Dir
+	options.LoopbackNet, options.Dir = environment.Net, environment.Dir
 	lines, err := scale.Values(ctx, options)
 	if err != nil {
 		return err
--- a/cmd/trestle-experiment/scale.go
+++ b/cmd/trestle-experiment/scale.go
@@ -97,8 +97,8 @@
 	if c.Quiet {
 		progress = nil
 	}
-	report, err := scale.Run(ctx, scale.Options{Plan: plan, Router: program, Self: []string{self, "hollow"},
-		Net: options.Net, Dir: options.Dir, Command: reportCommand(os.Args[1:]), Join: joined, Progress: progress})
+	report, err := scale.Run(ctx, scale.Options{Plan: plan, Router: program, SimulatedRouterCommand: []string{self, "hollow"},
+		LoopbackNet: options.Net, Dir: options.Dir, Command: reportCommand(os.Args[1:]), Join: joined, Progress: progress})
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -50,15 +50,15 @@
 
 // Options are the settings of a measurement.
 type Options struct {
-	Plan     Plan
-	Router   experiment.Program
-	Self     []string // the command that starts a process of simulated routers: this program itself
-	SelfEnv  []string // environment variables of that command, in addition to this process's
-	Net      int
-	Dir      string
-	Command  string
-	Join     []*Report // earlier reports; their quantities fill in those that this run does not measure
-	Progress io.Writer // nil: no progress is printed
+	Plan                   Plan
+	Router                 experiment.Program
+	SimulatedRouterCommand []string // the command that starts a process of simulated routers: this program itself
+	SimulatedRouterEnv     []string // environment variables of that command, in addition to this process's
+	LoopbackNet            int      // the second byte of the loopback addresses
+	Dir                    string
+	Command                string
+	Join                   []*Report // earlier reports; their quantities fill in those that this run does not measure
+	Progress               io.Writer // nil: no progress is printed
 }
 
 // bench is a running measurement.
@@ -169,7 +169,7 @@
 }
 
 func newBench(ctx context.Context, o Options) *bench {
-	return &bench{ctx: ctx, plan: o.Plan, program: o.Router, self: o.Self, selfEnv: o.SelfEnv, net: o.Net, dir: o.Dir, progress: o.Progress,
+	return &bench{ctx: ctx, plan: o.Plan, program: o.Router, self: o.SimulatedRouterCommand, selfEnv: o.SimulatedRouterEnv, net: o.LoopbackNet, dir: o.Dir, progress: o.Progress,
 		lines: map[string]map[float64]*Point{}, figures: map[string]*Point{}}
 }
 
--- a/internal/experiment/scale/helpers_test.go
+++ b/internal/experiment/scale/helpers_test.go
@@ -59,8 +59,8 @@
 
 // holdSimulatedRouters starts simulated routers, prints a line and blocks until it is killed.
 func holdSimulatedRouters() error {
-	o := Options{Plan: Small(), Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
-	o.Net, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
+	o := Options{Plan: Small(), SimulatedRouterCommand: []string{os.Args[0]}, SimulatedRouterEnv: []string{"SCALE_AS=hollow"}, Dir: os.Getenv("SCALE_DIR")}
+	o.LoopbackNet, _ = strconv.Atoi(os.Getenv("SCALE_NET"))
 	b := newBench(context.Background(), o)
 	_, err := b.startSimFleet(simrouter.Spec{Transport: "all", Peers: b.peerAddresses(8),
 		InitialList: []byte(twoServers)}, 8)
@@ -83,7 +83,7 @@
 		t.Fatal(err)
 	}
 	t.Cleanup(release)
-	o := Options{Plan: Small(), Net: n, Dir: t.TempDir(), Command: "a test", Self: []string{os.Args[0]}, SelfEnv: []string{"SCALE_AS=hollow"},
+	o := Options{Plan: Small(), LoopbackNet: n, Dir: t.TempDir(), Command: "a test", SimulatedRouterCommand: []string{os.Args[0]}, SimulatedRouterEnv: []string{"SCALE_AS=hollow"},
 		Router: experiment.Program{Name: "test", Args: []string{"/usr/bin/env", "SCALE_AS=router", os.Args[0]}}}
 	o.Plan.Only = only
 	return o
--- a/internal/experiment/scale/scale_test.go
+++ b/internal/experiment/scale/scale_test.go
@@ -101,7 +101,7 @@
 	t.Parallel()
 	o := options(t)
 	holder := exec.Command(os.Args[0])
-	holder.Env = append(os.Environ(), "SCALE_AS=holder", "SCALE_DIR="+o.Dir, fmt.Sprint("SCALE_NET=", o.Net))
+	holder.Env = append(os.Environ(), "SCALE_AS=holder", "SCALE_DIR="+o.Dir, fmt.Sprint("SCALE_NET=", o.LoopbackNet))
 	holder.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	out, err := holder.StdoutPipe()
 	if err != nil {
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -30,22 +30,22 @@
 
 // ValueOptions are the settings of a measurement of long values.
 type ValueOptions struct {
-	Router    experiment.Program
-	Sizes     []int // bytes of a value
-	Transfers []int // numbers of concurrent transfers to clients that do not read
-	Bytes     int   // transferred for one point, at least one value
-	AtOnce    int   // concurrent clients; each requests one value after another
-	Runs      int
-	Settle    time.Duration // from the start of the transfers until the memory is measured
-	Net       int           // the second byte of the loopback addresses
-	Dir       string
-	Progress  io.Writer // nil: no progress is printed
+	Router      experiment.Program
+	Sizes       []int // bytes of a value
+	Transfers   []int // numbers of concurrent transfers to clients that do not read
+	Bytes       int   // transferred for one point, at least one value
+	Clients     int   // concurrent clients; each requests one value after another
+	Runs        int
+	Settle      time.Duration // from the start of the transfers until the memory is measured
+	LoopbackNet int           // the second byte of the loopback addresses
+	Dir         string
+	Progress    io.Writer // nil: no progress is printed
 }
 
 // DefaultValueOptions returns options with the sizes that operators expect and some below and above: the router buffers a value
 // of up to 64 KiB whole, and streams a longer one.
 func DefaultValueOptions() ValueOptions {
-	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, AtOnce: 8, Runs: 3,
+	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, Clients: 8, Runs: 3,
 		// far below the 10 s after which a router disconnects a client that reads nothing
 		Settle: 800 * time.Millisecond}
 }
@@ -82,8 +82,8 @@
 	if o.Bytes < minValueBytes || o.Bytes > maxPointBytes {
 		fault("bytes", o.Bytes, "want a number from %d to %d", minValueBytes, maxPointBytes)
 	}
-	if o.AtOnce < 1 || o.AtOnce > maxTransfers {
-		fault("at-once", o.AtOnce, "want a number from 1 to %d", maxTransfers)
+	if o.Clients < 1 || o.Clients > maxTransfers {
+		fault("at-once", o.Clients, "want a number from 1 to %d", maxTransfers)
 	}
 	if o.Runs < 1 || o.Runs > maxValueRuns {
 		fault("runs", o.Runs, "want a number from 1 to %d", maxValueRuns)
@@ -102,9 +102,9 @@
 // measureValues measures long values at the usual sizes in a single run, because the bench repeats it.
 func measureValues(b *bench) error {
 	o := DefaultValueOptions()
-	o.Router, o.Runs, o.Net, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
+	o.Router, o.Runs, o.LoopbackNet, o.Dir, o.Progress = b.program, 1, b.net, b.dir, nil
 	if b.plan.Small {
-		o.Transfers, o.Bytes, o.AtOnce, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
+		o.Transfers, o.Bytes, o.Clients, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
 	}
 	b.progressf("long values")
 	lines, err := Values(b.ctx, o)
@@ -146,7 +146,7 @@
 		}
 		for _, size := range o.Sizes {
 			err := o.withTestbed(ctx, func(t *valueTestbed) error {
-				for name, clients := range map[string]int{"value.core.byte": o.AtOnce, "value.core.byte.alone": 1} {
+				for name, clients := range map[string]int{"value.core.byte": o.Clients, "value.core.byte.alone": 1} {
 					n := max(1, o.Bytes/size/clients)
 					cpu, wakeups, loop, err := t.measureReads(ctx, size, clients, n)
 					if err != nil {
@@ -154,7 +154,7 @@
 					}
 					values := float64(n * clients)
 					add(name, float64(size), cpu*1e6/values, loop)
-					if clients == o.AtOnce && name == "value.core.byte" {
+					if clients == o.Clients && name == "value.core.byte" {
 						add("value.wakeups.byte", float64(size), wakeups/values, 0)
 					}
 					progressf("%s, %d bytes, %.0f values: %.0f MB a second of a core, %.2f of the plain loop's time a megabyte", name, size, values,
@@ -224,7 +224,7 @@
 
 func (o ValueOptions) openTestbed(ctx context.Context) (*valueTestbed, error) {
 	t := &valueTestbed{ended: make(chan error, 1), exited: make(chan struct{}), addr: fmt.Sprintf("127.%d.1.1:11211",
-		o.Net), logPath: filepath.Join(o.Dir, "values.log")}
+		o.LoopbackNet), logPath: filepath.Join(o.Dir, "values.log")}
 	var err error
 	if t.loop, err = eventloop.New(); err != nil {
 		return nil, err
@@ -234,13 +234,13 @@
 		Takes: 1, Multiple: 1, Time: 1, Halt: 1}, emulator.Delay{})
 	via := map[string]string{}
 	for n := range valueServerCount {
-		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.Net, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
+		spec := emulator.Spec{Name: t.fleet.NextName(), Addr: fmt.Sprintf("127.%d.41.%d:11300", o.LoopbackNet, n+1), Zone: "z", Machine: "m", Cores: 8, Speed: 1, Weight: 8}
 		if _, err = t.fleet.Add(spec, false); err != nil {
 			return t, fmt.Errorf("%w (another --net may be free)", err)
 		}
 		var ln net.Listener
 		listen := func() (err error) {
-			ln, err = net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.Net, n+1))
+			ln, err = net.Listen("tcp", fmt.Sprintf("127.%d.42.%d:11300", o.LoopbackNet, n+1))
 			return err
 		}
 		if err = retryWhileAddressInUse(ctx, listen); err != nil {
@@ -250,7 +250,7 @@
 		via[spec.Name] = ln.Addr().String()
 		go serveConnections(ln, spec.Name)
 	}
-	if t.listService, err = t.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.Net)); err != nil {
+	if t.listService, err = t.fleet.List().Agent(fmt.Sprintf("127.%d.2.1:8500", o.LoopbackNet)); err != nil {
 		return t, fmt.Errorf("%w (another --net may be free)", err)
 	}
 	// The emulated servers are only listed; requests go to the listeners.
