--- a/internal/experiment/scale/bench.go
+++ b/internal/experiment/scale/bench.go
@@ -63,20 +63,20 @@
 
 // bench is a running measurement.
 type bench struct {
-	ctx       context.Context
-	plan      Plan
-	program   experiment.Program
-	self      []string
-	selfEnv   []string
-	net       int
-	dir       string
-	progress  io.Writer
-	run       int
-	loadCount uint64 // calls of runLoad so far
-	lines     map[string]map[float64]*Point
-	figures   map[string]*Point
-	loopTimes []float64
-	notes     []string
+	ctx              context.Context
+	plan             Plan
+	program          experiment.Program
+	simRouterCommand []string
+	simRouterEnv     []string
+	net              int
+	dir              string
+	progress         io.Writer
+	run              int
+	loadCount        uint64 // calls of runLoad so far
+	lines            map[string]map[float64]*Point
+	figures          map[string]*Point
+	loopTimes        []float64
+	notes            []string
 }
 
 // add records a value of a quantity; x is the size that it belongs to, and has no effect on a single figure. A loop
@@ -169,7 +169,8 @@
 }
 
 func newBench(ctx context.Context, o Options) *bench {
-	return &bench{ctx: ctx, plan: o.Plan, program: o.Router, self: o.SimulatedRouterCommand, selfEnv: o.SimulatedRouterEnv, net: o.LoopbackNet, dir: o.Dir, progress: o.Progress,
+	return &bench{ctx: ctx, plan: o.Plan, program: o.Router, simRouterCommand: o.SimulatedRouterCommand, simRouterEnv: o.SimulatedRouterEnv,
+		net: o.LoopbackNet, dir: o.Dir, progress: o.Progress,
 		lines: map[string]map[float64]*Point{}, figures: map[string]*Point{}}
 }
 
--- a/internal/experiment/scale/hollows.go
+++ b/internal/experiment/scale/hollows.go
@@ -83,8 +83,8 @@
 		return nil, err
 	}
 	defer log.Close()
-	c.cmd = exec.Command(b.self[0], b.self[1:]...)
-	c.cmd.Env, c.cmd.Stderr = append(os.Environ(), b.selfEnv...), log
+	c.cmd = exec.Command(b.simRouterCommand[0], b.simRouterCommand[1:]...)
+	c.cmd.Env, c.cmd.Stderr = append(os.Environ(), b.simRouterEnv...), log
 	c.cmd.SysProcAttr = &syscall.SysProcAttr{Setpgid: true, Pdeathsig: syscall.SIGKILL}
 	if c.stdin, err = c.cmd.StdinPipe(); err != nil {
 		return nil, err
