--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -17,8 +17,8 @@
 	real     netip.AddrPort
 }
 
-// RelayDatagrams starts relays between all pairs of routers. address returns the address at which router from reaches router
-// to; real returns the address on which a router listens.
+// RelayDatagrams starts relays between all pairs of routers. address returns the address at which router from reaches
+// router to; real returns the address on which a router listens.
 func (network *Network) RelayDatagrams(routers int, address func(to, from int) string, real func(router int) string) error {
 	all := map[[2]int]*datagramRelay{}
 	for to := range routers {
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -92,7 +92,8 @@
 	return rec, nil
 }
 
-// begin builds the run and starts the routers. If it also returns a runState with an error, the caller has to end that run.
+// begin builds the run and starts the routers. If it also returns a runState with an error, the caller has to end that
+// run.
 func begin(ctx context.Context, s *Scenario, o Options) (*runState, error) {
 	w := &runState{scenario: s, options: o, types: s.trafficClasses(), random: rand.New(rand.NewPCG(o.Seed, 77)), budgetFactors: map[string]float64{}, loopErrors: make(chan error, 2)}
 	if err := w.build(); err != nil {
--- a/internal/experiment/report.go
+++ b/internal/experiment/report.go
@@ -67,8 +67,8 @@
 	maxCourseLines     = 40 // one screen
 )
 
-// PrintResults writes one table for all runs, their breaches, the details of a single run, and the folder of the routers'
-// logs.
+// PrintResults writes one table for all runs, their breaches, the details of a single run, and the folder of the
+// routers' logs.
 func PrintResults(out io.Writer, s *Scenario, results []Result, logs string) {
 	for _, r := range results {
 		for _, line := range r.Played {
--- a/internal/experiment/scale/report.go
+++ b/internal/experiment/scale/report.go
@@ -221,8 +221,9 @@
 	return formatNumber(x)
 }
 
-// PrintComparison prints each value next to that of an earlier report. A difference is significant if the runs of the two do
-// not overlap. CPU times are also shown relative to the plain loop, because the machines or their load may differ.
+// PrintComparison prints each value next to that of an earlier report. A difference is significant if the runs of the
+// two do not overlap. CPU times are also shown relative to the plain loop, because the machines or their load may
+// differ.
 func (r *Report) PrintComparison(out io.Writer, before *Report) error {
 	if before.Small != r.Small {
 		return errors.New("one of the two reports has the small sizes of a test; want two reports of the same kind")
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -42,8 +42,8 @@
 	Progress    io.Writer // nil: no progress is printed
 }
 
-// DefaultValueOptions returns options with the sizes that operators expect and some below and above: the router buffers a value
-// of up to 64 KiB whole, and streams a longer one.
+// DefaultValueOptions returns options with the sizes that operators expect and some below and above: the router buffers
+// a value of up to 64 KiB whole, and streams a longer one.
 func DefaultValueOptions() ValueOptions {
 	return ValueOptions{Sizes: []int{60_000, 200_000, 1_000_000, 4_000_000}, Transfers: []int{1, 16, 64, 256}, Bytes: 400_000_000, Clients: 8, Runs: 3,
 		// far below the 10 s after which a router disconnects a client that reads nothing
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -115,8 +115,8 @@
 	runOnLoop(x.run.clientLoop, func() { f(x.run.clients) })
 }
 
-// FractionInTime returns the fraction of the requests due between two times that were answered within the latency objective,
-// and the number of these requests. All of them must have ended.
+// FractionInTime returns the fraction of the requests due between two times that were answered within the latency
+// objective, and the number of these requests. All of them must have ended.
 func (x *Testbed) FractionInTime(from, to float64) (part float64, n int) {
 	x.OnClients(func(c *emulator.Clients) {
 		in := 0
@@ -232,8 +232,8 @@
 
 var adminClient = http.Client{Timeout: 2 * time.Second, Transport: &http.Transport{DisableKeepAlives: true}}
 
-// CallAdmin calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer is
-// decoded into it.
+// CallAdmin calls a router's admin server by GET, or by POST if body is not empty. If into is not nil, the JSON answer
+// is decoded into it.
 func (x *Testbed) CallAdmin(router int, path, body string, into any) (status int, err error) {
 	method, url := http.MethodGet, "http://"+x.run.address(routerAddrByte, router, 9400)+path
 	if body != "" {
@@ -299,7 +299,8 @@
 	x.run.recordEvent("%s has new servers", zone)
 }
 
-// ExecutionCounts returns the numbers of executions that reached servers of a zone since a time, by slices of the given seconds.
+// ExecutionCounts returns the numbers of executions that reached servers of a zone since a time, by slices of the given
+// seconds.
 func (x *Testbed) ExecutionCounts(zone string, since, slice float64) []int {
 	counts := make([]int, int(max(0, x.Now()-since)/slice))
 	x.OnFleet(func(f *emulator.Fleet) {
