--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -142,7 +142,7 @@
 	for i := range max(1, c.Repeat) {
 		options.Seed = c.Seed + uint64(i)
 		variants := []*experiment.Scenario{scenario}
-		if scenario.WithControl() {
+		if scenario.HasControlScenario() {
 			variants = append(variants, scenario.ControlScenario())
 		}
 		for variant, scenario := range variants {
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -150,8 +150,8 @@
 	return all
 }
 
-// WithControl reports whether a scenario is also played without some of its faults.
-func (s *Scenario) WithControl() bool { return len(s.Control) > 0 }
+// HasControlScenario reports whether a scenario is also played without some of its faults.
+func (s *Scenario) HasControlScenario() bool { return len(s.Control) > 0 }
 
 // ControlScenario returns the control scenario: this one without the kinds of fault in Control.
 func (s *Scenario) ControlScenario() *Scenario {
