--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -165,7 +165,7 @@
 // waitFor waits for a condition, at most bound seconds, and returns how long that took.
 func (f *fleet) waitFor(what string, bound float64, condition func() bool) float64 {
 	f.t.Helper()
-	took, err := f.Until(what, bound, condition)
+	took, err := f.WaitUntil(what, bound, condition)
 	if err != nil {
 		f.t.Fatal(err)
 	}
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -56,9 +56,9 @@
 // Elapsed returns the seconds since the clients started.
 func (x *Testbed) Elapsed() float64 { return x.Now() - x.run.startTime }
 
-// Until waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
+// WaitUntil waits until a condition holds, and returns how long it waited. It returns an error if the condition does not
 // hold within bound seconds.
-func (x *Testbed) Until(what string, bound float64, holds func() bool) (took float64, err error) {
+func (x *Testbed) WaitUntil(what string, bound float64, holds func() bool) (took float64, err error) {
 	began := x.Now()
 	for !holds() {
 		if x.Now()-began > bound {
