--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -290,8 +290,8 @@
 type faultsCommand struct{}
 
 func (faultsCommand) Run() error {
-	for _, kind := range experiment.Kinds() {
-		fmt.Println(experiment.Describe(kind))
+	for _, kind := range experiment.FaultKinds() {
+		fmt.Println(experiment.DescribeFaultKind(kind))
 	}
 	return nil
 }
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -59,8 +59,8 @@
 	return ReadScenario(path)
 }
 
-// Describe returns one line of text with the targets and parameters of a fault kind.
-func Describe(name string) string {
+// DescribeFaultKind returns one line of text with the targets and parameters of a fault kind.
+func DescribeFaultKind(name string) string {
 	k := faultKinds[name]
 	targets := map[string]string{"team": "team:NAME", "none": "no target", "ledger": "no target", "type": "type:NAME, tenant:NAME or all",
 		"list": "lists, lists:COUNT or list:NUMBER (a router's)"}[k.targets]
--- a/internal/experiment/scenario.go
+++ b/internal/experiment/scenario.go
@@ -487,13 +487,13 @@
 	longValueSeconds = 30      // seconds for which a long value may continue after the longest deadline
 )
 
-// Kinds returns the names of all kinds of fault.
-func Kinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
+// FaultKinds returns the names of all kinds of fault.
+func FaultKinds() []string { return slices.Sorted(maps.Keys(faultKinds)) }
 
 func (s *Scenario) checkFault(key string, f Fault) {
 	k, known := faultKinds[f.Kind]
 	if !known {
-		s.file.Fault(key+".kind", "%q is not a fault; there are %s", f.Kind, strings.Join(Kinds(), ", "))
+		s.file.Fault(key+".kind", "%q is not a fault; there are %s", f.Kind, strings.Join(FaultKinds(), ", "))
 		return
 	}
 	switch {
