--- a/cmd/trestle-experiment/main.go
+++ b/cmd/trestle-experiment/main.go
@@ -276,7 +276,7 @@
 		return usageError(err)
 	}
 	options.LoopbackNet, options.Dir = environment.Net, environment.Dir
-	lines, err := scale.Values(ctx, options)
+	lines, err := scale.MeasureValues(ctx, options)
 	if err != nil {
 		return err
 	}
--- a/internal/experiment/scale/values.go
+++ b/internal/experiment/scale/values.go
@@ -107,7 +107,7 @@
 		o.Transfers, o.Bytes, o.Clients, o.Settle = []int{1, 2, 4}, 1_000_000, 2, b.plan.Settle
 	}
 	b.progressf("long values")
-	lines, err := Values(b.ctx, o)
+	lines, err := MeasureValues(b.ctx, o)
 	for _, l := range lines {
 		for _, p := range l.Points {
 			loop := 0.0 // CPU seconds of the plain loop next to it
@@ -120,9 +120,9 @@
 	return err
 }
 
-// Values measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients
+// MeasureValues measures what long values cost: CPU time by their size, and peak memory by the number of transfers to clients
 // that do not read, with a line for each size. All processes that it started have ended when it returns.
-func Values(ctx context.Context, o ValueOptions) ([]Line, error) {
+func MeasureValues(ctx context.Context, o ValueOptions) ([]Line, error) {
 	if err := o.Check(); err != nil {
 		return nil, err
 	}
--- a/internal/experiment/scale/values_test.go
+++ b/internal/experiment/scale/values_test.go
@@ -24,7 +24,7 @@
 	}
 	defer release()
 	o := ValueOptions{Router: program, LoopbackNet: n, Dir: t.TempDir(), Sizes: []int{2000, 100_000, 300_000}, Transfers: []int{1, 2, 4}, Bytes: 600_000, Clients: 2, Runs: 1}
-	lines, err := Values(t.Context(), o)
+	lines, err := MeasureValues(t.Context(), o)
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -65,7 +65,7 @@
 		t.Errorf("the usual options have faults: %v", err)
 	}
 	o.Sizes, o.Transfers, o.Bytes, o.Clients, o.Runs = []int{60_000, 5_000_000}, []int{4, 2, 1}, 7, 0, 21
-	_, err := Values(context.Background(), o)
+	_, err := MeasureValues(context.Background(), o)
 	if err == nil {
 		t.Fatal("invalid options give no error")
 	}
