--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -51,16 +51,16 @@
 benefit = 3
 `
 
-// UsualScenario reads the scenario file at path, or returns the default scenario if path is empty.
-func UsualScenario(path string) (*Scenario, error) {
+// ReadScenarioOrDefault reads the scenario file at path, or returns the default scenario if path is empty.
+func ReadScenarioOrDefault(path string) (*Scenario, error) {
 	if path == "" {
 		return ParseScenario("usual", defaultScenarioText)
 	}
 	return ReadScenario(path)
 }
 
-// Describe returns one line of text with the targets and parameters of a fault kind.
-func Describe(name string) string {
+// DescribeFaultKind returns one line of text with the targets and parameters of a fault kind.
+func DescribeFaultKind(name string) string {
 	k := faultKinds[name]
 	targets := map[string]string{"team": "team:NAME", "none": "no target", "ledger": "no target", "type": "type:NAME, tenant:NAME or all",
 		"list": "lists, lists:COUNT or list:NUMBER (a router's)"}[k.targets]
@@ -86,7 +86,7 @@
 // RunFleet runs the emulated cache servers and list services until ctx ends. It writes to the path config a
 // configuration for a router that uses them; the configurations of further routers get the suffix .N.
 func RunFleet(ctx context.Context, s *Scenario, o Options, config string, out io.Writer) error {
-	w := &world{scenario: s, options: o, types: s.trafficClasses(), budgetFactors: map[string]float64{}}
+	w := &runState{scenario: s, options: o, types: s.trafficClasses(), budgetFactors: map[string]float64{}}
 	if err := w.build(); err != nil {
 		w.abandon()
 		return err
@@ -169,7 +169,7 @@
 	before := processorSeconds()
 	loopErrors := make(chan error, 1)
 	go func() { loopErrors <- loop.Run() }()
-	w := &world{scenario: s, options: o, types: types, clients: clients, clientLoop: loop}
+	w := &runState{scenario: s, options: o, types: types, clients: clients, clientLoop: loop}
 	rec := w.play(ctx)
 	loop.Post(loop.Stop)
 	<-loopErrors
--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -17,7 +17,7 @@
 // router's list service, which listens at real. While a rule cuts the two off, no new connection is established, and
 // data on established connections is held until the rule ends, as on a network that loses all packets.
 type connRelay struct {
-	network           *Net
+	network           *Network
 	router, to        End
 	addr, real        string
 	mu                sync.Mutex
@@ -37,8 +37,8 @@
 	client, real net.Conn
 }
 
-// Conn starts a relay at addr for one router's connections to the target that listens at real.
-func (network *Net) Conn(router, to End, addr, real string) error {
+// RelayConnections starts a relay at addr for one router's connections to the target that listens at real.
+func (network *Network) RelayConnections(router, to End, addr, real string) error {
 	c := &connRelay{network: network, router: router, to: to, addr: addr, real: real, relayed: map[*relayed]bool{}}
 	network.mu.Lock()
 	network.conns = append(network.conns, c)
@@ -282,7 +282,7 @@
 	chunk := make([]byte, 4096)
 	for c.cut(effect) {
 		if received && fromRouter {
-			c.network.recordBlocked(Sending{At: c.network.now(), Router: c.router.N, To: c.to})
+			c.network.recordBlocked(BlockedSend{At: c.network.now(), Router: c.router.Number, To: c.to})
 		}
 		received = false
 		if err != nil || len(held) > maxHeldBytes {
@@ -302,7 +302,7 @@
 
 // Reset resets all relayed connections between matching ends, as a firewall does that has lost its connection table.
 // It returns their number.
-func (network *Net) Reset(match func(router, to End) bool) (broken int) {
+func (network *Network) Reset(match func(router, to End) bool) (broken int) {
 	network.mu.Lock()
 	conns := slices.Clone(network.conns)
 	network.mu.Unlock()
--- a/internal/experiment/faultproxy/datagrams.go
+++ b/internal/experiment/faultproxy/datagrams.go
@@ -10,16 +10,16 @@
 // datagramRelay receives the datagrams that one router sends to another and forwards them to the receiver. It sends
 // them from the socket of the reverse relay, whose address is the one that the receiver has for the sender.
 type datagramRelay struct {
-	network  *Net
+	network  *Network
 	to, from int // numbers of the receiving and the sending router
 	conn     *net.UDPConn
 	reverse  *datagramRelay // relays the datagrams of the opposite direction
 	real     netip.AddrPort
 }
 
-// Words starts relays between all pairs of routers. address returns the address at which router from reaches router
-// to; real returns the address on which a router listens.
-func (network *Net) Words(routers int, address func(to, from int) string, real func(router int) string) error {
+// RelayDatagrams starts relays between all pairs of routers. address returns the address at which router from reaches
+// router to; real returns the address on which a router listens.
+func (network *Network) RelayDatagrams(routers int, address func(to, from int) string, real func(router int) string) error {
 	all := map[[2]int]*datagramRelay{}
 	for to := range routers {
 		target, err := netip.ParseAddrPort(real(to))
@@ -62,15 +62,15 @@
 		if err != nil {
 			return
 		}
-		fault := r.network.effect(End{Kind: Router, N: r.from}, End{Kind: Router, N: r.to})
-		lost := fault.Cut || fault.Lose > 0 && r.network.randomFloat() < fault.Lose
-		r.network.recordDatagram(Word{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
+		fault := r.network.effect(End{Kind: Router, Number: r.from}, End{Kind: Router, Number: r.to})
+		lost := fault.Cut || fault.LossFraction > 0 && r.network.randomFloat() < fault.LossFraction
+		r.network.recordDatagram(DatagramRecord{At: r.network.now(), From: r.from, To: r.to, Bytes: size, Lost: lost})
 		if lost {
 			continue
 		}
 		data := slices.Clone(buf[:size])
 		r.send(data, fault.Delay+fault.Spread*r.network.randomFloat())
-		if fault.Double > 0 && r.network.randomFloat() < fault.Double {
+		if fault.DuplicateFraction > 0 && r.network.randomFloat() < fault.DuplicateFraction {
 			r.send(data, fault.Delay+fault.Spread+0.5*r.network.randomFloat())
 		}
 	}
--- a/internal/experiment/faultproxy/relay.go
+++ b/internal/experiment/faultproxy/relay.go
@@ -15,10 +15,10 @@
 
 // End is one end of a relay: a router by its number, a cache server by its name, or a router's list service.
 type End struct {
-	Kind Kind
-	N    int    // of a router, and of the router whose list service it is
-	Name string // of a cache server
-	Zone string // of a cache server
+	Kind   Kind
+	Number int    // of a router, and of the router whose list service it is
+	Name   string // of a cache server
+	Zone   string // of a cache server
 }
 
 // Kind is the kind of process at an end.
@@ -28,18 +28,18 @@
 const (
 	Router Kind = iota
 	Server
-	List
+	ListService
 )
 
 // Effect is what happens to traffic from one end to another. When several rules match, a cut by any of them applies,
 // their delays and spreads are added, their fractions of datagrams not lost are multiplied, and the highest fraction
 // of duplicates applies.
 type Effect struct {
-	Cut    bool
-	Delay  float64 // seconds
-	Spread float64 // seconds, bound of a uniform random extra delay; it reorders datagrams, but not the data of a connection
-	Lose   float64 // fraction of datagrams that is lost
-	Double float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
+	Cut               bool
+	Delay             float64 // seconds
+	Spread            float64 // seconds, bound of a uniform random extra delay; it reorders datagrams, but not the data of a connection
+	LossFraction      float64 // fraction of datagrams that is lost
+	DuplicateFraction float64 // fraction of datagrams that arrives twice, the second copy up to half a second later
 }
 
 // Rule is a fault between ends, while it is in force.
@@ -48,29 +48,29 @@
 	Effect Effect
 }
 
-// Sending records that a router sent data to an end that was cut off.
-type Sending struct {
+// BlockedSend records that a router sent data to an end that was cut off.
+type BlockedSend struct {
 	At     float64 // Unix seconds
 	Router int
 	To     End
 }
 
-// Net holds all relays of a run.
-type Net struct {
+// Network holds all relays of a run.
+type Network struct {
 	mu        sync.Mutex
 	now       func() float64
 	random    *rand.Rand
 	rules     []*Rule
 	datagrams []*datagramRelay
 	conns     []*connRelay
-	blocked   []Sending
-	recent    []Word
+	blocked   []BlockedSend
+	recent    []DatagramRecord
 	closed    bool
 	wg        sync.WaitGroup
 }
 
-// Word records a datagram from one router to another.
-type Word struct {
+// DatagramRecord records a datagram from one router to another.
+type DatagramRecord struct {
 	At       float64
 	From, To int
 	Bytes    int
@@ -83,12 +83,12 @@
 )
 
 // New returns a Net without relays; now returns Unix seconds, and seed determines all random draws.
-func New(now func() float64, seed uint64) *Net {
-	return &Net{now: now, random: rand.New(rand.NewPCG(seed, 99))}
+func New(now func() float64, seed uint64) *Network {
+	return &Network{now: now, random: rand.New(rand.NewPCG(seed, 99))}
 }
 
 // Begin puts a rule in force. Calling heal ends it; further calls do nothing.
-func (network *Net) Begin(r Rule) (heal func() error, err error) {
+func (network *Network) Begin(r Rule) (heal func() error, err error) {
 	rule := &r
 	network.mu.Lock()
 	network.rules = append(network.rules, rule)
@@ -107,7 +107,7 @@
 }
 
 // effectLocked returns the combined effect of all rules on one direction. The caller holds network.mu.
-func (network *Net) effectLocked(from, to End) (e Effect) {
+func (network *Network) effectLocked(from, to End) (e Effect) {
 	passed := 1.0
 	for _, r := range network.rules {
 		if !r.Match(from, to) {
@@ -116,21 +116,21 @@
 		e.Cut = e.Cut || r.Effect.Cut
 		e.Delay += r.Effect.Delay
 		e.Spread += r.Effect.Spread
-		passed *= 1 - r.Effect.Lose
-		e.Double = max(e.Double, r.Effect.Double)
+		passed *= 1 - r.Effect.LossFraction
+		e.DuplicateFraction = max(e.DuplicateFraction, r.Effect.DuplicateFraction)
 	}
-	e.Lose = 1 - passed
+	e.LossFraction = 1 - passed
 	return e
 }
 
-func (network *Net) effect(from, to End) Effect {
+func (network *Network) effect(from, to End) Effect {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return network.effectLocked(from, to)
 }
 
 // updateRelays makes all connection relays follow the rules in force.
-func (network *Net) updateRelays() (err error) {
+func (network *Network) updateRelays() (err error) {
 	network.mu.Lock()
 	conns := slices.Clone(network.conns)
 	network.mu.Unlock()
@@ -140,7 +140,7 @@
 	return err
 }
 
-func (network *Net) recordBlocked(s Sending) {
+func (network *Network) recordBlocked(s BlockedSend) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if len(network.blocked) < maxBlockedSends {
@@ -148,7 +148,7 @@
 	}
 }
 
-func (network *Net) recordDatagram(w Word) {
+func (network *Network) recordDatagram(w DatagramRecord) {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	if network.recent = append(network.recent, w); len(network.recent) > 2*recentDatagrams {
@@ -156,30 +156,30 @@
 	}
 }
 
-// Sent returns the records of data that routers sent to ends that were cut off, ordered by time.
-func (network *Net) Sent() []Sending {
+// BlockedSends returns the records of data that routers sent to ends that were cut off, ordered by time.
+func (network *Network) BlockedSends() []BlockedSend {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	all := slices.Clone(network.blocked)
-	slices.SortStableFunc(all, func(a, b Sending) int { return cmp.Compare(a.At, b.At) })
+	slices.SortStableFunc(all, func(a, b BlockedSend) int { return cmp.Compare(a.At, b.At) })
 	return all
 }
 
-// Last returns the records of the newest datagrams between routers, up to most of them.
-func (network *Net) Last(most int) []Word {
+// RecentDatagrams returns the records of the newest datagrams between routers, up to most of them.
+func (network *Network) RecentDatagrams(most int) []DatagramRecord {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return slices.Clone(network.recent[max(0, len(network.recent)-most):])
 }
 
-func (network *Net) randomFloat() float64 {
+func (network *Network) randomFloat() float64 {
 	network.mu.Lock()
 	defer network.mu.Unlock()
 	return network.random.Float64()
 }
 
 // Close closes all relays and waits for their goroutines.
-func (network *Net) Close() {
+func (network *Network) Close() {
 	network.mu.Lock()
 	network.closed = true
 	datagrams, conns := network.datagrams, network.conns
--- a/internal/experiment/multiprocess/helpers_test.go
+++ b/internal/experiment/multiprocess/helpers_test.go
@@ -92,7 +92,7 @@
 
 // fleet is one run of the laboratory in a test.
 type fleet struct {
-	*experiment.World
+	*experiment.Testbed
 	t            *testing.T
 	ignoreBefore float64 // Unix seconds; requests due earlier are not counted
 }
@@ -115,29 +115,29 @@
 		<-runSlots
 		t.Fatal(err)
 	}
-	n, release, err := experiment.Reserve(os.Getpid())
+	n, release, err := experiment.ReserveNet(os.Getpid())
 	if err != nil {
 		<-runSlots
 		t.Fatal(err)
 	}
-	world, err := experiment.Open(context.Background(), scenario,
+	testbed, err := experiment.Open(context.Background(), scenario,
 		experiment.Options{Seed: seed, Router: builtRouter, Net: n, Dir: t.TempDir()})
 	if err != nil {
 		release()
 		<-runSlots
 		t.Fatal(err)
 	}
-	f := &fleet{World: world, t: t}
+	f := &fleet{Testbed: testbed, t: t}
 	t.Cleanup(func() {
 		defer func() { <-runSlots }()
-		datagrams := f.Words(20)
+		datagrams := f.DatagramRecords(20)
 		records, err := f.Close()
 		release()
 		if err != nil {
 			t.Error(err)
 			return
 		}
-		result := f.Judge(records)
+		result := f.CheckRules(records)
 		for i, breach := range result.Breaches {
 			if result.Void == "" && i < 3 {
 				t.Errorf("%v\n    %s", breach, strings.Join(breach.Course, "\n    "))
@@ -153,7 +153,7 @@
 					datagram.At-records.From, datagram.From, datagram.To, datagram.Bytes, datagram.Lost)
 			}
 			for n := range f.Routers() {
-				for _, line := range f.Log(n, `"message":"zone"`, 8) {
+				for _, line := range f.LogLines(n, `"message":"zone"`, 8) {
 					t.Logf("router %d: %s", n, line)
 				}
 			}
@@ -165,11 +165,11 @@
 // waitFor waits for a condition, at most bound seconds, and returns how long that took.
 func (f *fleet) waitFor(what string, bound float64, condition func() bool) float64 {
 	f.t.Helper()
-	took, err := f.Until(what, bound, condition)
+	took, err := f.WaitUntil(what, bound, condition)
 	if err != nil {
 		f.t.Fatal(err)
 	}
-	f.t.Logf("%6.2f s: %s, after waiting %.2f s", f.Since(), what, took)
+	f.t.Logf("%6.2f s: %s, after waiting %.2f s", f.Elapsed(), what, took)
 	return took
 }
 
@@ -178,7 +178,7 @@
 	f.t.Helper()
 	for end := f.Now() + seconds; f.Now() < end; time.Sleep(50 * time.Millisecond) {
 		if !condition() {
-			f.t.Fatalf("%.2f s: condition became false: %s", f.Since(), what)
+			f.t.Fatalf("%.2f s: condition became false: %s", f.Elapsed(), what)
 		}
 	}
 }
@@ -191,7 +191,7 @@
 	if strings.HasSuffix(kind, "-late") {
 		fault.Delay, fault.Part = amount, 0
 	}
-	end, err := f.Cut(fault)
+	end, err := f.BeginFault(fault)
 	if err != nil {
 		f.t.Fatal(err)
 	}
@@ -208,7 +208,7 @@
 	f.t.Helper()
 	began := f.Now()
 	f.waitFor("calm", 10, func() bool { return f.Now()-began > 2 && f.servedInTime(1, 0.99) })
-	return float64(f.Arrived(zone, f.Now()-1.5)) / 1.5
+	return float64(f.ExecutionCount(zone, f.Now()-1.5)) / 1.5
 }
 
 // servedInTime reports whether at least minFraction of the requests that were due within the given seconds, up to half
@@ -218,7 +218,7 @@
 	if to-seconds < f.ignoreBefore {
 		return false
 	}
-	fraction, n := f.Served(to-seconds, to)
+	fraction, n := f.FractionInTime(to-seconds, to)
 	return n > 50 && fraction >= minFraction
 }
 
@@ -237,7 +237,7 @@
 	since := f.Now()
 	return func() bool {
 		blocked := 0
-		for router, n := range f.Burnt(zone, f.Now()-0.5) {
+		for router, n := range f.BlockedSends(zone, f.Now()-0.5) {
 			if include(router) {
 				blocked += n
 			}
@@ -248,7 +248,7 @@
 
 // recovered returns a condition: in the last second a zone had at least a fraction of its usual rate of executions.
 func (f *fleet) recovered(zone string, usualRate, fraction float64) func() bool {
-	return func() bool { return float64(f.Arrived(zone, f.Now()-1)) >= fraction*usualRate }
+	return func() bool { return float64(f.ExecutionCount(zone, f.Now()-1)) >= fraction*usualRate }
 }
 
 // routerRange returns the router numbers n with from <= n < to.
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -30,14 +30,14 @@
 			t.Errorf("%d of %d requests were retried, want at most a twentieth of 20 or more", retried, n)
 		}
 	})
-	if blocked := f.Burnt("zone-1", began); len(blocked) < 6 {
+	if blocked := f.BlockedSends("zone-1", began); len(blocked) < 6 {
 		t.Errorf("blocked writes by router: got %v, want 6 or more routers: the test shows little", blocked)
 	}
 	f.waitFor("all requests are served in time", 4, func() bool { return f.servedInTime(1, 0.97) })
 	heal()
 	healed := f.Now()
 	f.waitFor("zone-1 has recovered", 8, f.recovered("zone-1", usualRate, 0.7))
-	course := f.Course("zone-1", healed, 0.25)
+	course := f.ExecutionCounts("zone-1", healed, 0.25)
 	firstTenth := slices.IndexFunc(course, func(n int) bool { return float64(n) >= 0.1*usualRate/4 })
 	firstMost := slices.IndexFunc(course, func(n int) bool { return float64(n) >= 0.7*usualRate/4 })
 	// The ramp's steps are a sixteenth, an eighth, a quarter, a half and all of the usual load, a quarter of a second each
@@ -74,10 +74,10 @@
 	f.waitFor("all requests are served in time", 5, func() bool { return f.servedInTime(1, 0.97) })
 	heal = f.beginFault("part", "servers", "routers", 0, "servers")
 	f.waitFor("no request is served in time", 3, func() bool {
-		fraction, n := f.Served(f.Now()-1.5, f.Now()-1)
+		fraction, n := f.FractionInTime(f.Now()-1.5, f.Now()-1)
 		return n > 50 && fraction < 0.05
 	})
-	f.requireDuring("nothing is executed in zone-1", 1, func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 })
+	f.requireDuring("nothing is executed in zone-1", 1, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 })
 	heal()
 	f.waitFor("all requests are served in time", 8, func() bool { return f.servedInTime(0.5, 0.97) })
 }
@@ -108,7 +108,7 @@
 	f := start(t, nil)
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
-	f.Stop(11)
+	f.Pause(11)
 	f.Kill(routerRange(0, 8)...)
 	f.waitFor("zone-1 is evacuated by the routers that run", 5, f.evacuated("zone-1"))
 	if err := f.Start(routerRange(0, 8)...); err != nil {
@@ -119,12 +119,12 @@
 	}
 	f.waitFor("zone-1 is evacuated with the restarted routers", 4, f.evacuated("zone-1"))
 	f.waitFor("all requests but those to the stopped router are served in time", 6, func() bool { // a twelfth goes to it
-		fraction, n := f.Served(f.Now()-1.5, f.Now()-0.5)
+		fraction, n := f.FractionInTime(f.Now()-1.5, f.Now()-0.5)
 		return n > 50 && fraction > 0.85
 	})
 	heal()
 	f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
-	f.Go(11)
+	f.Resume(11)
 	f.requireDuring("the stopped router has resumed, and zone-1 is still used", 2, f.recovered("zone-1", usualRate, 0.5))
 	f.waitFor("all requests are served in time", 6, func() bool { return f.servedInTime(1, 0.97) })
 }
@@ -138,7 +138,7 @@
 		heal := f.beginFault(kind, "zone:2", "rest", 0)
 		outside := f.evacuatedBy("zone-2", func(router int) bool { return router%4 != 2 })
 		f.waitFor(kind+": the routers outside have evacuated zone-2", 4, outside)
-		f.requireDuring(kind+": routers inside use zone-2", 2, func() bool { return f.Arrived("zone-2", f.Now()-1) > 0 })
+		f.requireDuring(kind+": routers inside use zone-2", 2, func() bool { return f.ExecutionCount("zone-2", f.Now()-1) > 0 })
 		heal()
 		f.waitFor(kind+": all requests are served in time", 8, func() bool { return f.servedInTime(1, 0.97) })
 		f.waitFor(kind+": zone-2 has recovered", 14, f.recovered("zone-2", usualRate, 0.7))
@@ -151,7 +151,7 @@
 	usualRate := f.steadyRate("zone-1")
 	for range 2 {
 		end := f.faultZone("zone-1", func(s *emulator.Server) func() error { return s.Crash() })
-		f.waitFor("nothing is executed in zone-1", 3, func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 })
+		f.waitFor("nothing is executed in zone-1", 3, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 })
 		end()
 		f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
 	}
@@ -170,13 +170,13 @@
 		began := f.Now()
 		f.requireDuring("zone-1 is cut off", 1.5, func() bool { return true })
 		n := 0
-		for _, count := range f.Burnt("zone-1", began) {
+		for _, count := range f.BlockedSends("zone-1", began) {
 			n += count
 		}
 		blocked = append(blocked, n)
 		heal()
 		f.requireDuring("zone-1 is reachable", 2.5, func() bool { return true })
-		served = append(served, f.Arrived("zone-1", f.Now()-2.5))
+		served = append(served, f.ExecutionCount("zone-1", f.Now()-2.5))
 		if float64(served[len(served)-1]) > 0.1*2.5*usualRate {
 			timesUsed++
 		}
@@ -194,11 +194,11 @@
 	f := start(t, func(text string) string { return strings.Replace(text, "count = 12", "count = 2", 1) })
 	f.steadyRate("zone-1")
 	for n := range 2 {
-		if status, err := f.Ask(n, "/zones/leave", "zone-1", nil); err != nil || status != 200 {
+		if status, err := f.CallAdmin(n, "/zones/leave", "zone-1", nil); err != nil || status != 200 {
 			t.Fatalf("router %d: status %d, %v", n, status, err)
 		}
 	}
-	unused := func() bool { return f.Arrived("zone-1", f.Now()-0.5) == 0 }
+	unused := func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) == 0 }
 	f.waitFor("nothing is executed in zone-1", 2, unused)
 	f.Kill(0)
 	if err := f.Start(0); err != nil {
@@ -209,20 +209,20 @@
 	}
 	f.requireDuring("nothing is executed in zone-1", 1.5, unused)
 	var zones []struct{ Zone, State, Why string }
-	if _, err := f.Ask(0, "/zones", "", &zones); err != nil || len(zones) != 4 || zones[1].State != "left" || zones[1].Why != "by hand" {
+	if _, err := f.CallAdmin(0, "/zones", "", &zones); err != nil || len(zones) != 4 || zones[1].State != "left" || zones[1].Why != "by hand" {
 		t.Errorf("GET /zones: got %+v, %v, want 4 zones, the second one left by hand", zones, err)
 	}
 	for _, zone := range []string{"zone-0", "zone-2", "zone-3"} {
-		status, err := f.Ask(1, "/zones/leave", zone, nil)
+		status, err := f.CallAdmin(1, "/zones/leave", zone, nil)
 		if want := map[bool]int{true: 503, false: 200}[zone == "zone-3"]; err != nil || status != want {
 			t.Errorf("leave %s: status %d, %v, want %d: the last zone is not evacuated", zone, status, err, want)
 		}
 	}
 	for _, zone := range []string{"zone-0", "zone-1", "zone-2"} {
-		f.Ask(0, "/zones/return", zone, nil)
-		f.Ask(1, "/zones/return", zone, nil)
+		f.CallAdmin(0, "/zones/return", zone, nil)
+		f.CallAdmin(1, "/zones/return", zone, nil)
 	}
-	f.waitFor("zone-1 is used again", 5, func() bool { return f.Arrived("zone-1", f.Now()-0.5) > 10 })
+	f.waitFor("zone-1 is used again", 5, func() bool { return f.ExecutionCount("zone-1", f.Now()-0.5) > 10 })
 	f.waitFor("all requests are served in time", 8, func() bool { return f.servedInTime(1, 0.97) })
 }
 
@@ -230,7 +230,7 @@
 func TestZoneFailoverInMixedFleet(t *testing.T) {
 	f := start(t, nil)
 	for _, n := range routerRange(6, 12) {
-		if err := f.Operators(n, func(text string) string { return strings.Replace(text, "on = true", "on = false", 1) }); err != nil {
+		if err := f.ChangeOperatorsFile(n, func(text string) string { return strings.Replace(text, "on = true", "on = false", 1) }); err != nil {
 			t.Fatal(err)
 		}
 	}
@@ -244,7 +244,7 @@
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
 	evacuated := f.evacuatedBy("zone-1", func(router int) bool { return router < 6 })
-	f.waitFor("writes to zone-1 are blocked", 1, func() bool { return len(f.Burnt("zone-1", f.Now()-0.5)) > 4 })
+	f.waitFor("writes to zone-1 are blocked", 1, func() bool { return len(f.BlockedSends("zone-1", f.Now()-0.5)) > 4 })
 	f.waitFor("the routers with zone failover have evacuated zone-1", 5, evacuated)
 	heal()
 	f.waitFor("zone-1 has recovered", 12, f.recovered("zone-1", usualRate, 0.7))
@@ -257,7 +257,7 @@
 	usualRate := f.steadyRate("zone-1")
 	heal := f.beginFault("part", "zone:1", "routers", 0, "servers")
 	f.waitFor("zone-1 is evacuated", 2.5, f.evacuated("zone-1"))
-	f.Replace("zone-1")
+	f.ReplaceServers("zone-1")
 	heal()
 	f.waitFor("zone-1 has recovered", 14, f.recovered("zone-1", usualRate, 0.6))
 	f.waitFor("all requests are served in time", 5, func() bool { return f.servedInTime(1, 0.97) })
@@ -278,7 +278,7 @@
 	f.waitFor("zone-1 and zone-3 have recovered", 14, func() bool {
 		return f.recovered("zone-1", usualRate, 0.7)() && f.recovered("zone-3", usualRate, 0.7)()
 	})
-	first, second := f.Course("zone-1", healed, 0.25), f.Course("zone-3", healed, 0.25)
+	first, second := f.ExecutionCounts("zone-1", healed, 0.25), f.ExecutionCounts("zone-3", healed, 0.25)
 	firstReaching := func(course []int, fraction float64) int {
 		return slices.IndexFunc(course, func(n int) bool { return float64(n) >= fraction*usualRate/4 })
 	}
--- a/internal/experiment/part.go
+++ b/internal/experiment/part.go
@@ -99,7 +99,7 @@
 			return none, fmt.Errorf("%q: %w", text, err)
 		}
 		return func(e faultproxy.End) bool {
-			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.N))
+			return e.Kind == faultproxy.Server && slices.Contains(zones, e.Zone) || e.Kind == faultproxy.Router && slices.Contains(zones, s.routerZone(e.Number))
 		}, nil
 	case "router", "routers":
 		t, err := s.parseTarget("router", text, "")
@@ -107,7 +107,7 @@
 			return none, err
 		}
 		return func(e faultproxy.End) bool {
-			return e.Kind == faultproxy.Router && (t.number >= 0 && e.N == t.number || t.number < 0 && e.N < t.count)
+			return e.Kind == faultproxy.Router && (t.number >= 0 && e.Number == t.number || t.number < 0 && e.Number < t.count)
 		}, nil
 	case "server", "servers":
 		t, err := s.parseTarget("server", text, "")
@@ -121,20 +121,20 @@
 			return e.Kind == faultproxy.Server && (t.number < 0 || e.Name == servers()[t.number].Name)
 		}, nil
 	case "lists":
-		return func(e faultproxy.End) bool { return e.Kind == faultproxy.List }, nil
+		return func(e faultproxy.End) bool { return e.Kind == faultproxy.ListService }, nil
 	}
 	return none, fmt.Errorf("%q is not router:N, routers:COUNT, routers:PART%%, routers, server:N, servers, lists, zone:N or region:NAME", text)
 }
 
 // rule returns the relays' rule for a fault between processes.
-func (w *world) rule(f Fault) (faultproxy.Rule, error) {
+func (w *runState) rule(f Fault) (faultproxy.Rule, error) {
 	fleet := func() []*emulator.Server { return w.fleet.Servers() }
 	in, err := w.scenario.parseGroup(f.Target, fleet)
 	if err != nil {
 		return faultproxy.Rule{}, err
 	}
 	// Each router has a list service of its own, which is on its router's side of the cut unless it is named.
-	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.List }
+	out := func(e faultproxy.End) bool { return !in(e) && e.Kind != faultproxy.ListService }
 	if f.From != "" && f.From != "rest" {
 		if out, err = w.scenario.parseGroup(f.From, fleet); err != nil {
 			return faultproxy.Rule{}, err
@@ -145,7 +145,7 @@
 		switch {
 		case from.Kind == faultproxy.Router && to.Kind == faultproxy.Router:
 			what = "words"
-		case from.Kind == faultproxy.List || to.Kind == faultproxy.List:
+		case from.Kind == faultproxy.ListService || to.Kind == faultproxy.ListService:
 			what = "list"
 		}
 		words := strings.HasPrefix(f.Kind, "words-")
@@ -164,17 +164,17 @@
 	case "conns-late":
 		r.Effect.Delay = f.Delay
 	case "words-lose":
-		r.Effect.Lose = f.Part
+		r.Effect.LossFraction = f.Part
 	case "words-late": // up to half more delay at random, so that messages are reordered
 		r.Effect.Delay, r.Effect.Spread = f.Delay, f.Delay/2
 	case "words-double":
-		r.Effect.Double = f.Part
+		r.Effect.DuplicateFraction = f.Part
 	}
 	return r, nil
 }
 
 // playPartition plays a fault between processes.
-func (w *world) playPartition(f Fault, halt chan struct{}) {
+func (w *runState) playPartition(f Fault, halt chan struct{}) {
 	r, err := w.rule(f)
 	if err != nil {
 		w.fail(err)
@@ -198,30 +198,30 @@
 const relayAddrByte = 120
 
 // relays starts relays between all processes.
-func (w *world) relays() error {
+func (w *runState) relays() error {
 	w.net = faultproxy.New(w.fleetLoop.Now, w.options.Seed)
 	at := func(router, n, port int) string {
 		return fmt.Sprintf("127.%d.%d.%d:%d", w.options.Net, relayAddrByte+router, 1+n%200, port+n/200)
 	}
 	if w.scenario.Routers.Peers {
-		err := w.net.Words(w.scenario.Routers.Count, func(of, router int) string { return at(router, of, 7946) },
+		err := w.net.RelayDatagrams(w.scenario.Routers.Count, func(of, router int) string { return at(router, of, 7946) },
 			func(router int) string { return w.address(routerAddrByte, router, 7946) })
 		if err != nil {
 			return err
 		}
 	}
 	for n := range w.scenario.Routers.Count {
-		router := faultproxy.End{Kind: faultproxy.Router, N: n}
+		router := faultproxy.End{Kind: faultproxy.Router, Number: n}
 		agent := w.agents[0][n]
 		w.listAddrs = append(w.listAddrs, at(n, 199, 8500))
-		if err := w.net.Conn(router, faultproxy.End{Kind: faultproxy.List, N: n}, w.listAddrs[n], agent.Addr()); err != nil {
+		if err := w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.ListService, Number: n}, w.listAddrs[n], agent.Addr()); err != nil {
 			return err
 		}
 		known := map[*emulator.Server]string{}
 		agent.SetAddresses(func(s *emulator.Server) string { // only the agent calls it, one call at a time: known needs no lock
 			if known[s] == "" {
 				known[s] = at(n, len(known), 11300)
-				w.fail(w.net.Conn(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
+				w.fail(w.net.RelayConnections(router, faultproxy.End{Kind: faultproxy.Server, Name: s.Name, Zone: s.Zone}, known[s], s.Addr))
 			}
 			return known[s]
 		})
@@ -231,7 +231,7 @@
 
 // peerAddrsAt returns the peer addresses of all routers as configured at router n: those of relays, if there are any,
 // but for its own.
-func (w *world) peerAddrsAt(n int) []string {
+func (w *runState) peerAddrsAt(n int) []string {
 	all := w.peerAddrs()
 	if w.net == nil {
 		return all
@@ -245,7 +245,7 @@
 }
 
 // listServiceAddr returns the address of a router's list service, or of the relay before it.
-func (w *world) listServiceAddr(n int) string {
+func (w *runState) listServiceAddr(n int) string {
 	if w.net == nil {
 		return w.agents[0][n].Addr()
 	}
@@ -253,7 +253,7 @@
 }
 
 // playRouterStop stops routers by SIGSTOP and continues them after the fault's duration.
-func (w *world) playRouterStop(f Fault, hit []int, halt chan struct{}) {
+func (w *runState) playRouterStop(f Fault, hit []int, halt chan struct{}) {
 	for _, n := range hit {
 		w.routerNodes[n].pause()
 		w.recordEvent("router %d is stopped", n)
