--- a/internal/emulator/clientprotocol.go
+++ b/internal/emulator/clientprotocol.go
@@ -40,7 +40,7 @@
 	if request.IdempotencyKey != "" {
 		parameters += ",k=" + request.IdempotencyKey
 	}
-	if len(request.Tries) > 1 {
+	if len(request.Attempts) > 1 {
 		parameters += ",r=1"
 	}
 	if !request.Type.Write {
@@ -48,7 +48,7 @@
 	}
 	text, end := meta.AppendSet(nil, request.Key, "O"+attempt.ID, parameters, request.Type.Size), []byte("\r\n")
 	if request.Type.Size > meta.MaxBufferedValueBytes {
-		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Tries)), request.Type.Size)
+		v := NewValue(request.Key, attempt.ID, "its client", uint64(len(request.Attempts)), request.Type.Size)
 		return append(append([][]byte{text}, v.Pieces()...), end)
 	}
 	return [][]byte{append(append(text, bytes.Repeat([]byte{'w'}, request.Type.Size)...), end...)}
--- a/internal/emulator/clients.go
+++ b/internal/emulator/clients.go
@@ -72,7 +72,7 @@
 	Key            string
 	IdempotencyKey string
 	Due            float64 // when it was scheduled to be sent
-	Tries          []*Attempt
+	Attempts       []*Attempt
 	Done           float64 // when its last attempt ended
 	End            End     // of its last attempt
 }
@@ -80,7 +80,7 @@
 // Latency returns the request's latency since it was due, without the time in which its client did not read.
 func (r *Request) Latency() float64 {
 	latency := r.Done - r.Due
-	for _, attempt := range r.Tries {
+	for _, attempt := range r.Attempts {
 		latency -= attempt.ReadPaused
 	}
 	return latency
@@ -123,7 +123,7 @@
 
 // ClientRecords holds the records of the clients. Only their event loop may access it while it runs.
 type ClientRecords struct {
-	Ops              []*Request
+	Requests         []*Request
 	DuplicateAnswers []string // IDs of attempts that were answered more than once
 	Lateness         []float64
 	LateSends        int
@@ -227,8 +227,8 @@
 	return c, nil
 }
 
-// Book returns the records. They may be read on the loop, or once the loop has ended.
-func (c *Clients) Book() *ClientRecords { return c.records }
+// Records returns the records. They may be read on the loop, or once the loop has ended.
+func (c *Clients) Records() *ClientRecords { return c.records }
 
 // Late returns how late the clients' loop was.
 func (c *Clients) Late() *Lateness { return &c.lateness }
@@ -291,11 +291,11 @@
 
 // startRequest draws a request and starts its first attempt.
 func (c *Clients) startRequest(arrivals *arrivalProcess) {
-	if len(c.records.Ops) >= maxRecords {
+	if len(c.records.Requests) >= maxRecords {
 		c.records.Overflow = true
 		return
 	}
-	request := &Request{N: len(c.records.Ops), Type: arrivals.trafficType, Due: arrivals.due}
+	request := &Request{N: len(c.records.Requests), Type: arrivals.trafficType, Due: arrivals.due}
 	n := sort.SearchFloat64s(c.cumulativePopularity,
 		arrivals.rng.Float64()*c.cumulativePopularity[len(c.cumulativePopularity)-1])
 	request.Key = Key(min(n, len(c.cumulativePopularity)-1))
@@ -309,7 +309,7 @@
 	if arrivals.trafficType.Idempotency == balancer.IdempotencyKeyed {
 		request.IdempotencyKey = c.newID()
 	}
-	c.records.Ops = append(c.records.Ops, request)
+	c.records.Requests = append(c.records.Requests, request)
 	c.records.Lateness = append(c.records.Lateness, c.loop.Now()-arrivals.due)
 	c.openRequests++
 	c.startAttempt(request)
@@ -358,7 +358,7 @@
 	if c.load.TimeoutFraction > 0 && c.load.Retries > 0 {
 		attempt.Wait = min(attempt.Wait, c.load.TimeoutFraction*request.Type.Deadline)
 	}
-	request.Tries = append(request.Tries, attempt)
+	request.Attempts = append(request.Attempts, attempt)
 	if attempt.Wait < 1e-3 {
 		c.attemptEnded(attempt, NoConnection)
 		return
@@ -395,7 +395,7 @@
 	}
 	attempt.End, attempt.Ended = end, c.loop.Now()
 	request := attempt.Request
-	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Tries) <= c.load.Retries &&
+	if pause := c.retryDelay(attempt); pause >= 0 && end != Finished && len(request.Attempts) <= c.load.Retries &&
 		c.remaining(request) > pause+1e-3 {
 		c.loop.After(pause, func() { c.startAttempt(request) })
 		return
--- a/internal/emulator/clients_test.go
+++ b/internal/emulator/clients_test.go
@@ -66,7 +66,7 @@
 	time.Sleep(time.Duration((seconds + 0.7) * float64(time.Second)))
 	loop.Post(loop.Stop)
 	<-ended
-	return clients.Book()
+	return clients.Records()
 }
 
 func testLoad(rate float64) Load {
@@ -82,11 +82,11 @@
 	load := testLoad(300)
 	load.MaxConnections = 1000
 	records := runClients(t, load, 0.5, startRouter(t, func(int, string, string) string { return "" }))
-	if n := len(records.Ops); n < 100 || n > 200 {
+	if n := len(records.Requests); n < 100 || n > 200 {
 		t.Errorf("got %d requests in 0.5 s at 300 per second, want 100 to 200", n)
 	}
 	keys := map[string]int{}
-	for _, request := range records.Ops {
+	for _, request := range records.Requests {
 		keys[request.Key]++
 		if request.End != NoAnswer && request.End != NoConnection {
 			t.Fatalf("an unanswered request ended as %v, want silent or no connection", request.End)
@@ -108,7 +108,7 @@
 			}
 			return valueReply(id)
 		}))
-	first := records.Ops[0].Tries
+	first := records.Requests[0].Attempts
 	if len(first) != 2 || first[0].End != Rejected || first[1].End != Finished || first[1].Began-first[0].Ended < 0.079 {
 		t.Errorf("attempts of a rejected request: %+v, want a rejected one and, 80 ms later, a finished one", first)
 	}
@@ -118,9 +118,9 @@
 	load.Types = []*TrafficType{&once}
 	for _, request := range runClients(t, load, 0.3, startRouter(t, func(int, string, string) string {
 		return "SERVER_ERROR failed\r\n"
-	})).Ops {
-		if len(request.Tries) != 1 || request.End != FailedAttempt {
-			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Tries))
+	})).Requests {
+		if len(request.Attempts) != 1 || request.End != FailedAttempt {
+			t.Errorf("a failed at-most-once request: got %d attempts, want 1", len(request.Attempts))
 		}
 	}
 }
@@ -141,8 +141,8 @@
 		return valueReply(id)
 	}))
 	resent := 0
-	for _, request := range records.Ops {
-		for _, attempt := range request.Tries {
+	for _, request := range records.Requests {
+		for _, attempt := range request.Attempts {
 			if attempt.Resent {
 				resent++
 			}
@@ -185,7 +185,7 @@
 	for range 200 {
 		clients.startRequest(clients.arrivals[0])
 	}
-	for _, request := range clients.records.Ops {
+	for _, request := range clients.records.Requests {
 		if request.Key == "hot" {
 			hot++
 		}
--- a/internal/emulator/longvalue_test.go
+++ b/internal/emulator/longvalue_test.go
@@ -258,17 +258,17 @@
 			}
 			loop.Post(loop.Stop)
 			<-ended
-			if len(clients.Book().Ops) == 0 {
+			if len(clients.Records().Requests) == 0 {
 				t.Fatal("no request was sent")
 			}
-			for _, request := range clients.Book().Ops {
-				attempt := request.Tries[0]
+			for _, request := range clients.Records().Requests {
+				attempt := request.Attempts[0]
 				whole := c.end == Finished && name != "other bytes"
-				if request.End != c.end || len(request.Tries) != 1 || attempt.Length != size ||
+				if request.End != c.end || len(request.Attempts) != 1 || attempt.Length != size ||
 					(attempt.Received == size) != (c.end == Finished || name == "no end of the value") ||
 					(attempt.AnswerSum != 0) != whole || (attempt.ReadPaused > 0) != c.rests {
 					t.Errorf("got %v after %d attempts, %d of %d bytes, checksum %x, %v s paused, malformed %q; want %v",
-						request.End, len(request.Tries), attempt.Received, attempt.Length, attempt.AnswerSum, attempt.ReadPaused,
+						request.End, len(request.Attempts), attempt.Received, attempt.Length, attempt.AnswerSum, attempt.ReadPaused,
 						attempt.Malformed(), c.end)
 				}
 			}
@@ -295,9 +295,9 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, request := range clients.Book().Ops {
+	for _, request := range clients.Records().Requests {
 		if request.End != Finished {
-			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Tries[0].Malformed())
+			t.Errorf("a write ended as %v, malformed %q; want finished", request.End, request.Attempts[0].Malformed())
 		}
 	}
 	fleet.runOnLoop(func() {
--- a/internal/emulator/unreachable.go
+++ b/internal/emulator/unreachable.go
@@ -52,8 +52,8 @@
 	q.fds = nil
 }
 
-// BeSilent makes an address unreachable, as at a machine that is cut off, until end is called.
-func BeSilent(addr string) (end func(), err error) {
+// HoldUnreachable makes an address unreachable, as at a machine that is cut off, until end is called.
+func HoldUnreachable(addr string) (end func(), err error) {
 	held, err := holdUnreachable(addr)
 	if err != nil {
 		return func() {}, err
--- a/internal/experiment/alone.go
+++ b/internal/experiment/alone.go
@@ -173,10 +173,10 @@
 	rec := w.play(ctx)
 	loop.Post(loop.Stop)
 	<-loopErrors
-	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.ServerRecords{}, clients.Book(), clients.Late(), &emulator.Lateness{}
+	rec.Fleet, rec.Clients, rec.ClientsLate, rec.FleetLate = &emulator.ServerRecords{}, clients.Records(), clients.Late(), &emulator.Lateness{}
 	l := LoadResult{Figures: ComputeFigures(s, rec), AnsweredTwice: len(rec.Clients.DuplicateAnswers), Interrupted: rec.Interrupted}
-	for _, request := range rec.Clients.Ops {
-		for _, t := range request.Tries {
+	for _, request := range rec.Clients.Requests {
+		for _, t := range request.Attempts {
 			l.Attempts++
 			switch t.End {
 			case emulator.NoAnswer:
--- a/internal/experiment/chart/picture.go
+++ b/internal/experiment/chart/picture.go
@@ -32,7 +32,7 @@
 		i := int((t - rec.From) / slice)
 		return i, t >= rec.From && i < n
 	}
-	for _, o := range rec.Clients.Ops {
+	for _, o := range rec.Clients.Requests {
 		if i, in := at(o.Due); in {
 			due[i] += o.Type.Benefit
 			if _, ok := o.Served(); ok {
--- a/internal/experiment/exits.go
+++ b/internal/experiment/exits.go
@@ -58,7 +58,7 @@
 // times.
 func lostBetween(rec *Records, from, to float64) float64 {
 	asked, gained := 0.0, 0.0
-	for _, o := range rec.Clients.Ops {
+	for _, o := range rec.Clients.Requests {
 		if o.Due >= from && o.Due < to {
 			asked += o.Type.Benefit
 			if _, timely := o.Served(); timely {
--- a/internal/experiment/faultproxy/conns.go
+++ b/internal/experiment/faultproxy/conns.go
@@ -62,7 +62,7 @@
 	case cut && c.stopSilence == nil:
 		c.closeListener()
 		err = bindWithRetry(func() (err error) {
-			stop, err := emulator.BeSilent(c.addr)
+			stop, err := emulator.HoldUnreachable(c.addr)
 			if err == nil {
 				c.stopSilence = stop
 			}
--- a/internal/experiment/figures.go
+++ b/internal/experiment/figures.go
@@ -93,7 +93,7 @@
 	asked, gained := map[string]float64{}, map[string]float64{}
 	counts, inTime := map[string]int{}, map[string]int{}
 	var dues, worths, gains []float64
-	for _, o := range rec.Clients.Ops {
+	for _, o := range rec.Clients.Requests {
 		served, timely := o.Served()
 		sec := second(o.Due)
 		if sec != nil {
@@ -107,7 +107,7 @@
 			byType[name] = histogram()
 		}
 		f.Requests++
-		f.AttemptsPerRequest += float64(len(o.Tries))
+		f.AttemptsPerRequest += float64(len(o.Attempts))
 		counts[name]++
 		asked[name] += o.Type.Benefit
 		gain := 0.0
@@ -128,7 +128,7 @@
 			recordSeconds(all, o.Latency())
 			recordSeconds(byType[name], o.Latency())
 		}
-		if last := o.Tries[len(o.Tries)-1]; o.End == emulator.Rejected && last.Sent > 0 {
+		if last := o.Attempts[len(o.Attempts)-1]; o.End == emulator.Rejected && last.Sent > 0 {
 			recordSeconds(declined, last.Ended-last.Sent)
 		}
 		gained[name] += gain
@@ -168,8 +168,8 @@
 	}
 	f.ExecutionsPerRequest, f.FetchesPerRequest = f.ExecutionsPerRequest/n, f.FetchesPerRequest/n
 	attempts := 0
-	for _, o := range rec.Clients.Ops {
-		attempts += len(o.Tries)
+	for _, o := range rec.Clients.Requests {
+		attempts += len(o.Attempts)
 	}
 	for _, l := range rec.Processes {
 		f.RouterCPU += l.CPU
--- a/internal/experiment/helpers_test.go
+++ b/internal/experiment/helpers_test.go
@@ -156,14 +156,14 @@
 	st := &runRecord{s: &usual, rec: &Records{From: 1000, To: 1010, Fleet: &emulator.ServerRecords{}, Clients: &emulator.ClientRecords{},
 		FleetLate: &emulator.Lateness{}, ClientsLate: &emulator.Lateness{}, Reports: make([][]emulator.Report, 2)}}
 	st.request = &emulator.Request{Type: trafficTypes[kind], Key: "k", Due: 1001}
-	st.rec.Clients.Ops = append(st.rec.Clients.Ops, st.request)
+	st.rec.Clients.Requests = append(st.rec.Clients.Requests, st.request)
 	return st
 }
 
 // attempt adds an attempt at router 0 that starts at 1 s.
 func (st *runRecord) attempt(id string, end emulator.End, ended float64) *emulator.Attempt {
 	t := &emulator.Attempt{Request: st.request, ID: id, Began: 1001, Sent: 1001, Wait: 0.4, Ended: 1000 + ended, End: end, AnswerSum: 7}
-	st.request.Tries = append(st.request.Tries, t)
+	st.request.Attempts = append(st.request.Attempts, t)
 	st.request.End, st.request.Done = end, t.Ended
 	return t
 }
--- a/internal/experiment/judge.go
+++ b/internal/experiment/judge.go
@@ -72,7 +72,7 @@
 		}
 	}
 	slices.Sort(j.lateTimes)
-	for _, o := range rec.Clients.Ops {
+	for _, o := range rec.Clients.Requests {
 		j.checkRequest(o)
 	}
 	j.checkDuplicateAnswers()
@@ -126,7 +126,7 @@
 // checkRequest checks one request against rules 1, 2 and 5.
 func (j *judge) checkRequest(o *emulator.Request) {
 	effects := 0
-	for _, t := range o.Tries {
+	for _, t := range o.Attempts {
 		for _, x := range j.executions[t.ID] {
 			if x.Effect {
 				effects++
@@ -138,9 +138,9 @@
 		j.checkResends(o, t)
 		j.checkPlacement(o, t)
 	}
-	retryAllowed := slices.ContainsFunc(o.Tries, func(t *emulator.Attempt) bool { return t.End == emulator.Rejected }) || len(o.Tries) == 1
+	retryAllowed := slices.ContainsFunc(o.Attempts, func(t *emulator.Attempt) bool { return t.End == emulator.Rejected }) || len(o.Attempts) == 1
 	if effects > 1 && o.Type.Idempotency == balancer.AtMostOnce && retryAllowed { // else the client caused it by a retry of its own
-		j.breach(2, o.Done, o, o.Tries[0].ID, "an at-most-once request took effect %d times", effects)
+		j.breach(2, o.Done, o, o.Attempts[0].ID, "an at-most-once request took effect %d times", effects)
 	}
 }
 
@@ -307,8 +307,8 @@
 		return
 	}
 	attempts := map[string]*emulator.Attempt{}
-	for _, o := range j.rec.Clients.Ops {
-		for _, t := range o.Tries {
+	for _, o := range j.rec.Clients.Requests {
+		for _, t := range o.Attempts {
 			attempts[t.ID] = t
 		}
 	}
@@ -332,8 +332,8 @@
 			since[r][t.Server] = append(since[r][t.Server], t)
 		}
 	}
-	for _, o := range j.rec.Clients.Ops {
-		for _, t := range o.Tries {
+	for _, o := range j.rec.Clients.Requests {
+		for _, t := range o.Attempts {
 			for _, x := range j.executions[t.ID] {
 				if t.Router < len(since) {
 					if report, late := notReadyLongerThan(since[t.Router][x.Server.Name], x.First, grace); late {
@@ -403,7 +403,7 @@
 		}
 	}
 	add(o.Due, "due: request %d, %s, key %s", o.N, o.Type.Name, o.Key)
-	for _, t := range o.Tries {
+	for _, t := range o.Attempts {
 		add(t.Began, "attempt %s starts at router %d, waits %.0f ms", t.ID, t.Router, t.Wait*1e3)
 		add(t.Sent, "attempt %s is sent whole", t.ID)
 		if t.Resent {
--- a/internal/experiment/long_test.go
+++ b/internal/experiment/long_test.go
@@ -72,8 +72,8 @@
 func checkLongValues(t *testing.T, rec *Records, found []Breach, want ...emulator.End) {
 	t.Helper()
 	ends := map[emulator.End]int{}
-	for _, o := range rec.Clients.Ops {
-		for _, try := range o.Tries {
+	for _, o := range rec.Clients.Requests {
+		for _, try := range o.Attempts {
 			if try.Length > 0 {
 				ends[try.End]++
 			}
--- a/internal/experiment/multiprocess/zones_test.go
+++ b/internal/experiment/multiprocess/zones_test.go
@@ -19,9 +19,9 @@
 	// Requests due around the cut are sent to other zones, and are answered in their first attempt.
 	f.OnClients(func(c *emulator.Clients) {
 		n, retried := 0, 0
-		for _, request := range c.Book().Ops {
+		for _, request := range c.Records().Requests {
 			if request.Type.Name == "slots" && request.Due > began-0.05 && request.Due < began+0.2 {
-				if n++; len(request.Tries) > 1 {
+				if n++; len(request.Attempts) > 1 {
 					retried++
 				}
 			}
--- a/internal/experiment/play.go
+++ b/internal/experiment/play.go
@@ -108,7 +108,7 @@
 // collect fills in the records after all processes have ended.
 func (w *runState) collect(rec *Records) {
 	rec.Played = w.played
-	rec.Fleet, rec.Clients = &emulator.ServerRecords{}, w.clients.Book()
+	rec.Fleet, rec.Clients = &emulator.ServerRecords{}, w.clients.Records()
 	for _, f := range w.fleets {
 		rec.Fleet.Join(f.Records())
 	}
--- a/internal/experiment/play_test.go
+++ b/internal/experiment/play_test.go
@@ -128,8 +128,8 @@
 	if err != nil {
 		t.Fatal(err)
 	}
-	if r := NewResult(s, o, rec); r.Verdict != Interrupted || time.Since(began) > 6*time.Second || len(rec.Clients.Ops) == 0 {
-		t.Errorf("after %v: got verdict %s with %d requests, want interrupted within 6 s and some requests", time.Since(began), r.Verdict, len(rec.Clients.Ops))
+	if r := NewResult(s, o, rec); r.Verdict != Interrupted || time.Since(began) > 6*time.Second || len(rec.Clients.Requests) == 0 {
+		t.Errorf("after %v: got verdict %s with %d requests, want interrupted within 6 s and some requests", time.Since(began), r.Verdict, len(rec.Clients.Requests))
 	}
 	for _, l := range rec.Processes {
 		if l.To == 0 {
@@ -253,8 +253,8 @@
 	st.attempt("w", emulator.Finished, 1.05)
 	add := func(due, latency float64, end emulator.End, kind string) {
 		o := &emulator.Request{Type: trafficTypes[kind], Due: 1000 + due, Done: 1000 + due + latency, End: end}
-		o.Tries = []*emulator.Attempt{{Request: o, End: end, Sent: o.Due, Ended: o.Done}}
-		st.rec.Clients.Ops = append(st.rec.Clients.Ops, o)
+		o.Attempts = []*emulator.Attempt{{Request: o, End: end, Sent: o.Due, Ended: o.Done}}
+		st.rec.Clients.Requests = append(st.rec.Clients.Requests, o)
 	}
 	for i := range 6 {
 		add(1+float64(i), 0.05, emulator.Finished, "read")
--- a/internal/experiment/scale/request.go
+++ b/internal/experiment/scale/request.go
@@ -47,14 +47,14 @@
 	}
 	loop.Post(loop.Stop)
 	<-ended
-	for _, request := range clients.Book().Ops {
+	for _, request := range clients.Records().Requests {
 		if any, _ := request.Served(); any {
 			served++
 		} else {
 			b.addNote("a read at %.0f requests per second ended as %v", rate, request.End)
 		}
 	}
-	return used, len(clients.Book().Ops), served, err
+	return used, len(clients.Records().Requests), served, err
 }
 
 // measureRequests measures requests for small values, connections to servers and clients, and handshakes.
--- a/internal/experiment/teams.go
+++ b/internal/experiment/teams.go
@@ -108,7 +108,7 @@
 	}
 	asked, gained, all := map[string]float64{}, map[string]float64{}, map[string]TenantFigures{}
 	declineSeconds, tenantOf := map[string][]float64{}, map[string]string{} // by attempt id: tile servers have no tenants
-	for _, o := range rec.Clients.Ops {
+	for _, o := range rec.Clients.Requests {
 		name := o.Type.Tenant
 		if name == "" || o.Due < from || o.Due > to {
 			continue
@@ -122,7 +122,7 @@
 		if o.End == emulator.Rejected {
 			f.Declined++
 		}
-		for _, t := range o.Tries {
+		for _, t := range o.Attempts {
 			tenantOf[t.ID] = name
 			if t.End == emulator.Rejected && t.Sent > 0 {
 				declineSeconds[name] = append(declineSeconds[name], t.Ended-t.Sent)
--- a/internal/experiment/testbed.go
+++ b/internal/experiment/testbed.go
@@ -120,7 +120,7 @@
 func (x *Testbed) FractionInTime(from, to float64) (part float64, n int) {
 	x.OnClients(func(c *emulator.Clients) {
 		in := 0
-		for _, o := range c.Book().Ops {
+		for _, o := range c.Records().Requests {
 			if o.Due >= from && o.Due < to {
 				n++
 				if _, timely := o.Served(); timely {
