--- a/Makefile
+++ b/Makefile
@@ -11,24 +11,24 @@
 	go vet ./...
 	go tool -modfile=tools/go.mod staticcheck ./...
 
-# Stand-in cache servers, an origin and a list service on loopback, and a configuration for a router of theirs.
+# Emulated cache servers, an origin and a list service on loopback, and the configuration of a router for them.
 fleet: build
 	bin/trestle-experiment fleet --config bin/fleet.json
 
-# The router for them; have `make fleet` running beside it.
+# The router for them; `make fleet` has to run in another terminal.
 run: build
 	GW_CONFIG=bin/fleet.json bin/bendtrestle
 
-# What that configuration comes to.
+# The settings in effect with that configuration.
 check: build
 	GW_CONFIG=bin/fleet.json bin/bendtrestle check --operators deploy/operators.toml
 
-# A scenario with faults, judged: make scenario S=deploy
+# A scenario with faults and a check of the rules: make scenario S=deploy
 S = crash
 scenario: build
 	bin/trestle-experiment run examples/scenarios/$(S).toml
 
-# This tree beside another router: make compare S=stall B=least
+# This tree compared with another router: make compare S=stall B=least
 B = random
 compare: build
 	bin/trestle-experiment compare examples/scenarios/$(S).toml --a head --b $(B)
